--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from trackspread.membership.terms import SECOND
-from trackspread.virtual.cells.world import CelledWorld
+from trackspread.testing.virtual.cells.world import CelledWorld
 
 START = 60 * SECOND  # ns that the fleet may take to settle from nothing
 REGIONS, ZONES, MACHINES = 4, 3, 19
--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -15,7 +15,7 @@
 
 import uvloop
 
-from trackspread.standins.loopback import own_address
+from trackspread.testing.standins.loopback import own_address
 
 Address = tuple[str, int]
 REPORT = b"util=0.50,latency_ms=1.0,inflight=1"
--- a/benchmarks/convict.py
+++ b/benchmarks/convict.py
@@ -21,11 +21,11 @@
 import msgspec
 
 from benchmarks.common import say
-from trackspread.mutation.checks import SCHEDULES
-from trackspread.mutation.equivalent import load
-from trackspread.mutation.generate import Mutant, sample
-from trackspread.mutation.plant import Result, put_all, require_sound
-from trackspread.virtual.explorer import Found
+from trackspread.testing.mutation.checks import SCHEDULES
+from trackspread.testing.mutation.equivalent import load
+from trackspread.testing.mutation.generate import Mutant, sample
+from trackspread.testing.mutation.plant import Result, put_all, require_sound
+from trackspread.testing.virtual.explorer import Found
 
 PACKAGES = ("planning", "decide")
 QUICK, LONG = 100, 400  # mutants
@@ -58,8 +58,8 @@
 def _explored(job: tuple[str, int]) -> Found:
     # Imported here alone: children that plant mutants run this file's top first, and must not have the
     # modules.
-    from trackspread.virtual.explorer import explore
-    from trackspread.virtual.planning.small import SmallWorld, elected, one_slot
+    from trackspread.testing.virtual.explorer import explore
+    from trackspread.testing.virtual.planning.small import SmallWorld, elected, one_slot
 
     start = {"empty": SmallWorld, "elected": elected}[job[0]]
     with one_slot():
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -18,11 +18,11 @@
 
 import uvloop
 
-from trackspread.harness.process import GatewayProcess, cpu_seconds
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.agent import Agent, BackendList, Listed
-from trackspread.standins.loopback import Ports
-from trackspread.standins.settings import class_settings, nested_settings, plan_settings
+from trackspread.testing.harness.process import GatewayProcess, cpu_seconds
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.loopback import Ports
+from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
 from .closed_loop import ANSWER, Address, Asker, Tally, commands
 
--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -19,13 +19,13 @@
 
 from trackspread.commands.quota import ask
 from trackspread.config.addresses import ConfigError
-from trackspread.harness import counted
-from trackspread.harness.fleet import Fleet
-from trackspread.standins.counter import Shard
-from trackspread.standins.counter_server import CounterServer
-from trackspread.standins.scene import Scene
-from trackspread.virtual.counter.mutants import MUTANTS, convict
-from trackspread.virtual.counter.schedules import calm_world, deaf_world, make, play, tight_world
+from trackspread.testing.harness import counted
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.standins.counter import Shard
+from trackspread.testing.standins.counter_server import CounterServer
+from trackspread.testing.standins.scene import Scene
+from trackspread.testing.virtual.counter.mutants import MUTANTS, convict
+from trackspread.testing.virtual.counter.schedules import calm_world, deaf_world, make, play, tight_world
 
 from .cost import Work, gateway, spawn
 
--- a/benchmarks/counter_clients.py
+++ b/benchmarks/counter_clients.py
@@ -19,8 +19,8 @@
 from trackspread.counter.commands import Command, commands
 from trackspread.counter.link import Access, Link
 from trackspread.counter.terms import Call
-from trackspread.standins.counter import Shard
-from trackspread.standins.counter_server import CounterServer
+from trackspread.testing.standins.counter import Shard
+from trackspread.testing.standins.counter_server import CounterServer
 
 CALLS, AT_ONCE, ROUNDS = 200, 64, 3
 
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -22,11 +22,11 @@
 
 import hiredis
 
-from trackspread.harness.process import GatewayProcess
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.agent import Agent, BackendList, Listed
-from trackspread.standins.loopback import Ports, own_address
-from trackspread.standins.settings import class_settings, nested_settings, plan_settings
+from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.loopback import Ports, own_address
+from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
 from .closed_loop import Asker, Tally
 from .common import say, tell
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -23,12 +23,12 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from trackspread.harness.billed import Billed, compare
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.ledger import Answered, Asked
+from trackspread.testing.harness.billed import Billed, compare
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.ledger import Answered, Asked
 from trackspread.plans.registry import SCHEMA, Figures, PlanRegistry, Version
-from trackspread.standins.billing_server import BillingServer
-from trackspread.standins.scene import Scene
+from trackspread.testing.standins.billing_server import BillingServer
+from trackspread.testing.standins.scene import Scene
 from trackspread.storage.calls import Look, perform
 from trackspread.storage.directory import Directory
 from trackspread.storage.slots import SLOT
@@ -37,9 +37,9 @@
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import Ending
 from trackspread.usage.senders import Target, put, sender
-from trackspread.virtual import booked
-from trackspread.virtual.usage.mutants import MUTANTS, convict
-from trackspread.virtual.usage.schedules import make, play
+from trackspread.testing.virtual import booked
+from trackspread.testing.virtual.usage.mutants import MUTANTS, convict
+from trackspread.testing.virtual.usage.schedules import make, play
 
 SCHEDULES_QUICK, SCHEDULES = 1_400, 10_000  # some four crashes each
 KILLS_QUICK, KILLS = 12, 100
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -22,18 +22,18 @@
 import uvloop
 
 from benchmarks.common import chunks, say
-from trackspread.harness import mutant, viewed
-from trackspread.harness.faulted import Played, play_clear
-from trackspread.harness.fleet import Fleet
-from trackspread.harness.player import Player
+from trackspread.testing.harness import mutant, viewed
+from trackspread.testing.harness.faulted import Played, play_clear
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.harness.player import Player
 from trackspread.membership.terms import SECOND
-from trackspread.standins import faults
-from trackspread.standins.faults import Cut, Duty, Fault, Rough, Schedule, draw
-from trackspread.standins.scene import Scene
-from trackspread.virtual.membership.world import Broken, World
-from trackspread.virtual.membership.mutants import MUTANTS, convict
-from trackspread.virtual.membership.schedules import make
-from trackspread.virtual.membership.schedules import play as play_virtual
+from trackspread.testing.standins import faults
+from trackspread.testing.standins.faults import Cut, Duty, Fault, Rough, Schedule, draw
+from trackspread.testing.standins.scene import Scene
+from trackspread.testing.virtual.membership.world import Broken, World
+from trackspread.testing.virtual.membership.mutants import MUTANTS, convict
+from trackspread.testing.virtual.membership.schedules import make
+from trackspread.testing.virtual.membership.schedules import play as play_virtual
 
 PROCESSES, MORE = 24, 40  # gateways of a quick run, and of a full one
 SMALL = 5  # gateways with a planted fault
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -19,15 +19,15 @@
 from pathlib import Path
 from typing import Any, cast
 
-from trackspread.harness.fleet import Fleet
-from trackspread.harness.process import GatewayProcess
-from trackspread.harness.upgraded import HeldProcess, figures
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.crowd import Want
-from trackspread.standins.agent import Agent, BackendList, Listed
-from trackspread.standins.loopback import Address, Ports, own_address
-from trackspread.standins.scene import Scene
-from trackspread.standins.settings import class_settings, nested_settings, plan_settings
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.harness.upgraded import HeldProcess, figures
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.crowd import Want
+from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.loopback import Address, Ports, own_address
+from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
 from .closed_loop import Asker, Tally, commands
 from .common import tell
--- a/benchmarks/parted.py
+++ b/benchmarks/parted.py
@@ -21,9 +21,9 @@
 import uvloop
 
 from benchmarks.common import say
-from trackspread.harness.faulted import AGAIN, Played, play_clear
-from trackspread.standins import faults
-from trackspread.standins.faults import Schedule
+from trackspread.testing.harness.faulted import AGAIN, Played, play_clear
+from trackspread.testing.standins import faults
+from trackspread.testing.standins.faults import Schedule
 
 LEAD, SPAN, TAIL = 8.0, 10.0, 10.0  # s before (a fleet that has just started refuses a lot), of and after it
 QUICK = 5.0  # s of trouble in a quick run
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -15,10 +15,10 @@
 from functools import partial
 
 from trackspread.planning.terms import LEASE, SECOND
-from trackspread.virtual.planning.world import Plan, World
-from trackspread.virtual.planning import saturated
-from trackspread.virtual.planning.mutants import MUTANTS, convict
-from trackspread.virtual.planning.schedules import make, play
+from trackspread.testing.virtual.planning.world import Plan, World
+from trackspread.testing.virtual.planning import saturated
+from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
+from trackspread.testing.virtual.planning.schedules import make, play
 
 SCHEDULES_QUICK, SCHEDULES = 300, 5_000  # seeds, each of which gives one of either kind
 CHUNK = 20
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -11,7 +11,7 @@
 import json
 from statistics import fmean
 
-from trackspread.virtual.quiet import SCENES, TROUBLES, Day, play
+from trackspread.testing.virtual.quiet import SCENES, TROUBLES, Day, play
 
 from .common import say
 
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -17,11 +17,11 @@
 import uvloop
 
 from benchmarks.common import CHUNK, chunks, say
-from trackspread.harness import mutant
-from trackspread.harness.scenarios import SCENARIOS, run
-from trackspread.judge.verdict import Verdict
-from trackspread.virtual.mutants import MUTANTS, convict
-from trackspread.virtual.schedules import CALM, make, play
+from trackspread.testing.harness import mutant
+from trackspread.testing.harness.scenarios import SCENARIOS, run
+from trackspread.testing.judge.verdict import Verdict
+from trackspread.testing.virtual.mutants import MUTANTS, convict
+from trackspread.testing.virtual.schedules import CALM, make, play
 
 SCHEDULES_QUICK, SCHEDULES = 2000, 12000
 TRIES = 3  # of a scenario whose stand-ins lagged
--- a/benchmarks/scale/beside.py
+++ b/benchmarks/scale/beside.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.beliefs import Reader
-from trackspread.judge.ledger import PlanRule
-from trackspread.judge.verdict import Verdict
-from trackspread.standins.crowd import Crowd
-from trackspread.standins.loopback import Address, Ports
-from trackspread.standins.scene import Scene
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.beliefs import Reader
+from trackspread.testing.judge.ledger import PlanRule
+from trackspread.testing.judge.verdict import Verdict
+from trackspread.testing.standins.crowd import Crowd
+from trackspread.testing.standins.loopback import Address, Ports
+from trackspread.testing.standins.scene import Scene
 
 from .bounds import Guard
 from .messages import Who
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -20,7 +20,7 @@
 from trackspread.distribution.replica import Replica
 from trackspread.distribution.subscriber import Subscriber
 from trackspread.distribution.terms import MS, SECOND, Entry, Noticed, Version
-from trackspread.virtual.distribution.world import Process, World
+from trackspread.testing.virtual.distribution.world import Process, World
 
 from .fit import Point
 from .module import this_run
--- a/benchmarks/scale/flat.py
+++ b/benchmarks/scale/flat.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from benchmarks.common import say
-from trackspread.judge.verdict import Verdict
+from trackspread.testing.judge.verdict import Verdict
 
 from .beside import RealGateways
 from .bounds import Guard
--- a/benchmarks/scale/handed.py
+++ b/benchmarks/scale/handed.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from trackspread.standins.loopback import Ports
+from trackspread.testing.standins.loopback import Ports
 
 from .bounds import Guard
 from .children import Child, start_all
--- a/benchmarks/scale/hollows.py
+++ b/benchmarks/scale/hollows.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Iterable, Sequence
 
-from trackspread.standins.loopback import Ports
+from trackspread.testing.standins.loopback import Ports
 
 from .bounds import Guard
 from .children import Child, start_all
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -27,10 +27,10 @@
 from benchmarks.closed_loop import ANSWER, Address, commands
 from benchmarks.common import say
 from benchmarks.cost import SERVED, _settings, spawn
-from trackspread.harness.process import GatewayProcess
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.agent import Agent, BackendList, Listed
-from trackspread.standins.loopback import Ports
+from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.loopback import Ports
 
 from .module import SERVICE_BACKENDS, this_run
 from .slopes import SLOPES, Run, SlopesError
--- a/benchmarks/scale/presence.py
+++ b/benchmarks/scale/presence.py
@@ -11,7 +11,7 @@
 # What operators start: the gateway, and the command line with its groups.
 STARTED = ("node", "cli", "commands")
 # What the command line brings in for `trackspread try` alone.
-TESTBED = frozenset({"judge", "standins", "virtual", "harness", "mutation"})
+TESTING = frozenset({"testing"})
 
 
 class Presence(Enum):
@@ -37,7 +37,7 @@
     while new:
         package = new.pop()
         reached.add(package)
-        new |= _imported(package) - reached - TESTBED
+        new |= _imported(package) - reached - TESTING
     return frozenset(reached)
 
 
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from trackspread.judge.verdict import Verdict
+from trackspread.testing.judge.verdict import Verdict
 
 from .celled import CellsCost
 from .configuration import Configured
--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -17,7 +17,7 @@
 
 from trackspread.cells.terms import InCell
 from trackspread.membership.terms import SECOND, Noticed
-from trackspread.virtual.cells.world import CelledWorld, Process
+from trackspread.testing.virtual.cells.world import CelledWorld, Process
 
 from .bounds import Guard
 
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -13,8 +13,8 @@
 
 from trackspread.decide import broker
 from trackspread.decide.quota import Quota
-from trackspread.virtual.patches import held
-from trackspread.virtual.vast import SHAPES, Shape, play
+from trackspread.testing.virtual.patches import held
+from trackspread.testing.virtual.vast import SHAPES, Shape, play
 
 QUICK, FULL = 1, 5  # seeds of each shape
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -15,8 +15,8 @@
 from trackspread.config.operator import DEFAULTS, Operator
 from trackspread.config.platform import Config, parse
 from trackspread.node.gateway import Gateway
-from trackspread.standins import settings
-from trackspread.standins.settings import class_settings, plan_settings
+from trackspread.testing.standins import settings
+from trackspread.testing.standins.settings import class_settings, plan_settings
 
 WAIT = 20.0  # s: only a hang reaches it, no verdict hangs on it
 LOCAL = "127.0.0.1"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -278,7 +278,7 @@
 
 def test_what_operators_start_brings_in_the_gateway_and_nothing_of_the_testbed() -> None:
     assert {"node", "decide", "backends", "fronts", "lists", "membership"} <= started()
-    assert not started() & {"virtual", "harness", "standins", "judge", "mutation"}
+    assert "testing" not in started()
 
 
 def test_without_runs_every_row_says_so() -> None:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -34,10 +34,10 @@
 )
 from trackspread.membership.member import Member
 from trackspread.membership.terms import MS, SECOND, Number, Settings, State, View
-from trackspread.virtual.cells.world import CelledWorld, layout
-from trackspread.virtual.cells.mutants import MUTANTS, tells
-from trackspread.virtual.cells.schedules import play
-from trackspread.virtual.cells.worlds import WORLDS
+from trackspread.testing.virtual.cells.world import CelledWorld, layout
+from trackspread.testing.virtual.cells.mutants import MUTANTS, tells
+from trackspread.testing.virtual.cells.schedules import play
+from trackspread.testing.virtual.cells.worlds import WORLDS
 
 MACHINES = layout(1, 4)
 ZONE = Zone("r0", "z0")
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -24,12 +24,12 @@
     Zone,
 )
 from trackspread.cells.wire import MARK, CellsWire
-from trackspread.judge.beliefs import Reader
+from trackspread.testing.judge.beliefs import Reader
 from trackspread.membership.host import born_now
 from trackspread.membership.slots import WHOLE
 from trackspread.membership.terms import Epoch, MemberMessage, Ping
 from trackspread.membership.wire import DATAGRAM, Keys, Wire
-from trackspread.standins.loopback import Ports
+from trackspread.testing.standins.loopback import Ports
 
 ZONE = Zone("r", "z")
 MOST = 40.0  # s: only a hang reaches it
--- a/tests/test_cells_process.py
+++ b/tests/test_cells_process.py
@@ -12,10 +12,10 @@
 import pytest
 import uvloop
 
-from trackspread.harness import viewed
-from trackspread.harness.celled import COMMAND, CelledFleet, whole_cells
+from trackspread.testing.harness import viewed
+from trackspread.testing.harness.celled import COMMAND, CelledFleet, whole_cells
 from trackspread.membership.terms import MS
-from trackspread.standins.scene import Scene
+from trackspread.testing.standins.scene import Scene
 
 pytestmark = pytest.mark.processes
 
@@ -43,7 +43,11 @@
             await asyncio.sleep(LOOK)
 
 
-QUICK = ("-m", "trackspread.harness.quickened", "none")  # small cells, merged and replaced within seconds
+QUICK = (
+    "-m",
+    "trackspread.testing.harness.quickened",
+    "none",
+)  # small cells, merged and replaced within seconds
 
 
 def play(work: Work, controls: tuple[str, ...] = COMMAND, keys: str = "keep_s = 3.0") -> None:
@@ -312,8 +316,12 @@
 def test_a_planted_fault_is_told_on_processes_and_none_where_there_is_none(name: str) -> None:
     async def once() -> str:
         scene = Scene(gateways=GATEWAYS, nodes=6, load=0.1, seed=7)
-        runs = ("-m", "trackspread.harness.mutant", name) if name != "none" else ("-m", "trackspread", "run")
-        controls = ("-m", "trackspread.harness.quickened", name)
+        runs = (
+            ("-m", "trackspread.testing.harness.mutant", name)
+            if name != "none"
+            else ("-m", "trackspread", "run")
+        )
+        controls = ("-m", "trackspread.testing.harness.quickened", name)
         async with CelledFleet(scene, CONTROL, f"keep_s = {KEEP_S}", runs, controls) as fleet:
             return await told(fleet)
 
--- a/tests/test_cells_records.py
+++ b/tests/test_cells_records.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from trackspread.harness.celled import backward, given_up, lingering, together
-from trackspread.judge.beliefs import Belief
+from trackspread.testing.harness.celled import backward, given_up, lingering, together
+from trackspread.testing.judge.beliefs import Belief
 
 
 def joined(at: int, cell: str, count: int, name: str = "g", born: int = 1) -> Belief:
--- a/tests/test_client_left_process.py
+++ b/tests/test_client_left_process.py
@@ -25,9 +25,9 @@
 from trackspread.counter.commands import name_of
 from trackspread.decide.mail import MESSAGE, Draw, Kind, pack_draw, unpack_draw
 from trackspread.decide.model import TICK
-from trackspread.standins.counter import Shard
-from trackspread.standins.counter_server import CounterServer
-from trackspread.standins.settings import plan_settings
+from trackspread.testing.standins.counter import Shard
+from trackspread.testing.standins.counter_server import CounterServer
+from trackspread.testing.standins.settings import plan_settings
 
 from .fakes import (
     CUSTOMER,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -19,7 +19,7 @@
 from trackspread.distribution.wire import Wire
 from trackspread.membership.wire import Keys
 from trackspread.node.configured import Configured
-from trackspread.standins.loopback import Ports
+from trackspread.testing.standins.loopback import Ports
 
 from .fakes import LOCAL, run, until, world
 
--- a/tests/test_configuration_process.py
+++ b/tests/test_configuration_process.py
@@ -16,9 +16,9 @@
 from trackspread.distribution.host import SubscriberHost
 from trackspread.distribution.terms import SubscriberSettings, Version
 from trackspread.distribution.wire import Wire
-from trackspread.harness.process import BOUNDED
+from trackspread.testing.harness.process import BOUNDED
 from trackspread.membership.wire import Keys
-from trackspread.standins.loopback import Ports
+from trackspread.testing.standins.loopback import Ports
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -28,10 +28,17 @@
     unpack_claim,
 )
 from trackspread.decide.interface import Plan
-from trackspread.standins.counter import Cluster, Failure, Shard, slot_of
-from trackspread.virtual.counter.world import Plant, World
-from trackspread.virtual.counter.mutants import KINDS, shows
-from trackspread.virtual.counter.schedules import FAULTS, calm_world, deaf_world, make, play, tight_world
+from trackspread.testing.standins.counter import Cluster, Failure, Shard, slot_of
+from trackspread.testing.virtual.counter.world import Plant, World
+from trackspread.testing.virtual.counter.mutants import KINDS, shows
+from trackspread.testing.virtual.counter.schedules import (
+    FAULTS,
+    calm_world,
+    deaf_world,
+    make,
+    play,
+    tight_world,
+)
 
 TERMS = Terms(10.0, 1.0, 0.1, (0, 1, 2))
 
--- a/tests/test_counter_process.py
+++ b/tests/test_counter_process.py
@@ -24,14 +24,14 @@
 from trackspread.counter.quota_client import QuotaClient
 from trackspread.counter.routes import Routes
 from trackspread.decide.interface import Plan, RightsChanged
-from trackspread.harness import counted
-from trackspread.judge.verdict import Verdict
+from trackspread.testing.harness import counted
+from trackspread.testing.judge.verdict import Verdict
 from trackspread.node.counted import _clear, access
-from trackspread.standins.counter import SLOTS, Cluster, Shard
-from trackspread.standins.counter_server import CounterServer
-from trackspread.standins.loopback import own_address
-from trackspread.standins.scene import Scene
-from trackspread.virtual.plain import plain_settings
+from trackspread.testing.standins.counter import SLOTS, Cluster, Shard
+from trackspread.testing.standins.counter_server import CounterServer
+from trackspread.testing.standins.loopback import own_address
+from trackspread.testing.standins.scene import Scene
+from trackspread.testing.virtual.plain import plain_settings
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_descriptors_process.py
+++ b/tests/test_descriptors_process.py
@@ -16,11 +16,11 @@
 import pytest
 import uvloop
 
-from trackspread.harness.process import GatewayProcess
-from trackspread.harness.upgraded import door
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.agent import Agent, BackendList, Listed
-from trackspread.standins.loopback import Address, Ports
+from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.harness.upgraded import door
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.loopback import Address, Ports
 
 from .fakes import Backend, Connection, call, listening, raw_config, served, soon
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -8,12 +8,12 @@
 import pytest
 import uvloop
 
-from trackspread.harness.fleet import Fleet
-from trackspread.harness.player import Player
-from trackspread.judge.ledger import Entry, Faulted, Halted, Killed, Resumed, Started
-from trackspread.standins import faults
-from trackspread.standins.faults import Cut, Duty, Halt, Loop, Restart, Rough, Schedule, draw, load
-from trackspread.standins.scene import Scene
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.harness.player import Player
+from trackspread.testing.judge.ledger import Entry, Faulted, Halted, Killed, Resumed, Started
+from trackspread.testing.standins import faults
+from trackspread.testing.standins.faults import Cut, Duty, Halt, Loop, Restart, Rough, Schedule, draw, load
+from trackspread.testing.standins.scene import Scene
 
 NAMES = ["n0", "n1", "n2", "n3"]
 
--- a/tests/test_faulty_wire.py
+++ b/tests/test_faulty_wire.py
@@ -7,8 +7,8 @@
 from contextlib import asynccontextmanager
 from typing import cast
 
-from trackspread.standins.loopback import Address, Ports
-from trackspread.standins.wire import TcpRelay, Wire, reset
+from trackspread.testing.standins.loopback import Address, Ports
+from trackspread.testing.standins.wire import TcpRelay, Wire, reset
 
 from .fakes import LOCAL, run, until
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,11 +11,11 @@
 import pytest
 import uvloop
 
-from trackspread.harness import mutant
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.ledger import Attempted, Ended, Killed
-from trackspread.judge.verdict import Verdict
-from trackspread.standins.scene import Scene
+from trackspread.testing.harness import mutant
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.ledger import Attempted, Ended, Killed
+from trackspread.testing.judge.verdict import Verdict
+from trackspread.testing.standins.scene import Scene
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -14,7 +14,7 @@
 from trackspread.decide.rendezvous import home_of
 from trackspread.decide.state import SECOND
 from trackspread.membership.slots import WHOLE, slots_of
-from trackspread.virtual.plain import plain_settings
+from trackspread.testing.virtual.plain import plain_settings
 
 PLAN = Plan("team", 2.0, 12.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 CAPPED = replace(PLAN, ceiling_rate=6.0, ceiling_burst=24.0, ceiling_slack=6.0)
--- a/tests/test_following_process.py
+++ b/tests/test_following_process.py
@@ -8,13 +8,13 @@
 import pytest
 import uvloop
 
-from trackspread.harness import faulted, viewed
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.beliefs import SLOTS, Belief, slots_of
-from trackspread.judge.ledger import Killed
+from trackspread.testing.harness import faulted, viewed
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.beliefs import SLOTS, Belief, slots_of
+from trackspread.testing.judge.ledger import Killed
 from trackspread.membership.terms import SECOND
-from trackspread.standins import faults
-from trackspread.standins.faults import Cut, Halt, Schedule
+from trackspread.testing.standins import faults
+from trackspread.testing.standins.faults import Cut, Halt, Schedule
 
 from .test_membership_process import HEAL, MANY, MOST, TRIES, Work, command, faulty
 from .test_membership_process import play as play_viewed
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -14,11 +14,11 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.ledger import Group, PlanRule, Repeat
-from trackspread.judge.verdict import Verdict
-from trackspread.standins.rating import SECOND
-from trackspread.standins.scene import MILLISECOND, Scene, SceneClass
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.ledger import Group, PlanRule, Repeat
+from trackspread.testing.judge.verdict import Verdict
+from trackspread.testing.standins.rating import SECOND
+from trackspread.testing.standins.scene import MILLISECOND, Scene, SceneClass
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_given_back.py
+++ b/tests/test_given_back.py
@@ -9,7 +9,7 @@
 from trackspread.decide.broker import HOLD, Broker
 from trackspread.decide.interface import ClientLeft, Outcome, PeerMessage, Refuse, Send, Tell
 from trackspread.decide.mail import Draw, Kind, pack_draw, unpack_draw
-from trackspread.standins.settings import plan_settings
+from trackspread.testing.standins.settings import plan_settings
 
 from .fakes import call, host, listing, run, served, until, world
 from .helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
--- a/tests/test_handing_down.py
+++ b/tests/test_handing_down.py
@@ -7,9 +7,9 @@
 import pytest
 
 from trackspread.distribution.terms import MS, SECOND
-from trackspread.virtual.distribution.mutants import MUTANTS, convict
-from trackspread.virtual.distribution.schedules import LONG, SHORT, changes, leader_dies
-from trackspread.virtual.distribution.world import World
+from trackspread.testing.virtual.distribution.mutants import MUTANTS, convict
+from trackspread.testing.virtual.distribution.schedules import LONG, SHORT, changes, leader_dies
+from trackspread.testing.virtual.distribution.world import World
 
 SEEDS = range(60)
 
--- a/tests/test_handing_down_process.py
+++ b/tests/test_handing_down_process.py
@@ -13,8 +13,8 @@
 
 from trackspread.distribution.client import Unanswered
 from trackspread.distribution.terms import Version
-from trackspread.harness.configured import Configured
-from trackspread.virtual.distribution.judged import Broken
+from trackspread.testing.harness.configured import Configured
+from trackspread.testing.virtual.distribution.judged import Broken
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,7 +23,7 @@
 from trackspread.handover.states import Action, Actions, Event, PredecessorSteps, SuccessorSteps
 from trackspread.handover.wire import Kind, Reassembly, WireError
 from trackspread.node.handover_state import HandoverState, Progress
-from trackspread.virtual.handover.world import World
+from trackspread.testing.virtual.handover.world import World
 
 from .fakes import (
     LOCAL,
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from trackspread.judge.judge import judge
-from trackspread.judge.ledger import (
+from trackspread.testing.judge.judge import judge
+from trackspread.testing.judge.ledger import (
     Answered,
     Asked,
     Attempted,
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -4,6 +4,7 @@
 
 import ast
 import tomllib
+from collections.abc import Sequence
 from pathlib import Path
 
 import pytest
@@ -11,7 +12,7 @@
 ROOT = Path(__file__).parent.parent / "trackspread"
 # From the lowest up; a package imports from those before it only.
 ORDER = (
-    "judge",
+    "testing.judge",
     "call",
     "clock",
     "lag",
@@ -35,16 +36,22 @@
     "backends",
     "fronts",
     "node",
-    "standins",
-    "virtual",
-    "harness",
-    "mutation",
+    "testing.standins",
+    "testing.virtual",
+    "testing.harness",
+    "testing.mutation",
     "commands",
     "cli",
 )
 # Modules that still import one another in a circle, by package: this only gets shorter.
 CIRCLES = {"backends": {"pools", "seam"}, "fronts": {"client", "connections"}}
-TESTBED = {"judge", "standins", "virtual", "harness", "mutation"}
+TESTING = {f"testing.{name}" for name in ("judge", "standins", "virtual", "harness", "mutation")}
+
+
+def layer(parts: Sequence[str]) -> str:
+    """The entry of `ORDER` that a module belongs to; `parts` of its path below the project's package."""
+    depth = 2 if parts[0] == "testing" else 1
+    return ".".join(parts[:depth]).removesuffix(".py")
 
 
 def imported(path: Path) -> set[str]:
@@ -55,21 +62,23 @@
         if isinstance(node, ast.ImportFrom) and node.level:
             base = package[: len(package) - node.level + 1]
             full = [*base, *(node.module or "").split(".")] if node.module else [*base]
-            names = [full] if len(full) > 1 else [[*full, alias.name] for alias in node.names]
-            found |= {name[1] for name in names}
+            modules = [[*full, alias.name] for alias in node.names]
+            found |= {layer(module[1:]) for module in modules}
     return found
 
 
 def files() -> list[Path]:
-    return sorted(p for p in ROOT.glob("**/*.py") if p.parent != ROOT or p.stem in ORDER)
+    """Of the program; `testing/__init__.py` belongs to no layer and imports nothing."""
+    found = (p for p in ROOT.glob("**/*.py") if p.parent != ROOT or p.stem in ORDER)
+    return sorted(p for p in found if p != ROOT / "testing/__init__.py")
 
 
 @pytest.mark.parametrize("path", files(), ids=lambda p: str(p.relative_to(ROOT)))
 def test_a_package_imports_from_lower_ones_only(path: Path) -> None:
-    own = path.relative_to(ROOT).parts[0].removesuffix(".py")
+    own = layer(path.relative_to(ROOT).parts)
     allowed = set(ORDER[: ORDER.index(own)])
-    if own not in TESTBED | {"cli", "commands"}:  # the command line brings the testbed in for `try` alone
-        allowed -= TESTBED
+    if own not in TESTING | {"cli", "commands"}:  # the command line brings testing in for `try` alone
+        allowed -= TESTING
     assert imported(path) - {own} <= allowed
 
 
@@ -120,8 +129,8 @@
 
 
 def test_the_judge_imports_nothing_of_the_project() -> None:
-    paths = list((ROOT / "judge").glob("*.py"))
-    assert len(paths) > 2 and all(imported(path) <= {"judge"} for path in paths)
+    paths = list((ROOT / "testing/judge").glob("*.py"))
+    assert len(paths) > 2 and all(imported(path) <= {"testing.judge"} for path in paths)
 
 
 def test_the_deploy_file_names_all_that_the_running_gateway_imports() -> None:
@@ -133,7 +142,7 @@
     while new:
         one = new.pop()
         reached.add(one)
-        inside = [p for p in files() if p.relative_to(ROOT).parts[0].removesuffix(".py") == one]
+        inside = [p for p in files() if layer(p.relative_to(ROOT).parts) == one]
         new |= set[str]().union(*map(imported, inside)) - reached
     assert reached <= named
     decide = {str(p.relative_to(ROOT.parent)) for p in files() if p.parent.name == "decide"}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
 
 from trackspread.config.addresses import ConfigError
 from trackspread.config.operator import Fleet, parse
-from trackspread.judge import beliefs
+from trackspread.testing.judge import beliefs
 from trackspread.membership.parts import SPAN, TOUCH, Holding, Parts, ended, held
 from trackspread.membership.member_table import GONE_KEPT, MemberTable
 from trackspread.membership.probing import HEALTH_MOST, Probing
@@ -36,7 +36,7 @@
 )
 from trackspread.membership.wire import DATAGRAM, Keys, Wire
 from trackspread.node.membered import keys
-from trackspread.virtual.membership.world import KEEP, World
+from trackspread.testing.virtual.membership.world import KEEP, World
 
 ME = GossipUpdate("me", 10, 0, State.ALIVE, "127.0.0.1", 1)
 
--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -15,9 +15,9 @@
     Forgotten,
     Say,
 )
-from trackspread.virtual.membership.world import KEEP, World
-from trackspread.virtual.membership.mutants import MUTANTS, WORLDS, convict
-from trackspread.virtual.membership.schedules import make, play
+from trackspread.testing.virtual.membership.world import KEEP, World
+from trackspread.testing.virtual.membership.mutants import MUTANTS, WORLDS, convict
+from trackspread.testing.virtual.membership.schedules import make, play
 from .test_membership import message, settled, word
 
 
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -15,16 +15,16 @@
 import pytest
 import uvloop
 
-from trackspread.harness import viewed
-from trackspread.harness.fleet import Fleet
-from trackspread.harness.player import Player
-from trackspread.harness.upgraded import HeldProcess
-from trackspread.judge.beliefs import Belief, Reader, rights, views
+from trackspread.testing.harness import viewed
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.harness.player import Player
+from trackspread.testing.harness.upgraded import HeldProcess
+from trackspread.testing.judge.beliefs import Belief, Reader, rights, views
 from trackspread.membership.terms import MS, Ping
 from trackspread.membership.wire import Keys, Wire
-from trackspread.standins import faults
-from trackspread.standins.faults import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
-from trackspread.standins.scene import Scene
+from trackspread.testing.standins import faults
+from trackspread.testing.standins.faults import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
+from trackspread.testing.standins.scene import Scene
 
 from .fakes import LOCAL, raw_config
 from .test_membership import message
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -9,10 +9,19 @@
 
 import pytest
 
-from trackspread.mutation import plant
-from trackspread.mutation.equivalent import load
-from trackspread.mutation.generate import Mutant, Place, make, meaning, modules, places, sample, source
-from trackspread.mutation.plant import put, put_all
+from trackspread.testing.mutation import plant
+from trackspread.testing.mutation.equivalent import load
+from trackspread.testing.mutation.generate import (
+    Mutant,
+    Place,
+    make,
+    meaning,
+    modules,
+    places,
+    sample,
+    source,
+)
+from trackspread.testing.mutation.plant import put, put_all
 
 PLACEMENT = "trackspread.planning.placement"
 TURNS = "trackspread.planning.turns"
@@ -50,7 +59,7 @@
 def test_a_mutant_that_hangs_is_ended_by_the_clock_and_one_that_does_not_load_is_found() -> None:
     hangs = Mutant(PLACEMENT, "hand-made", 1, "", "", "while True:\n    pass\n")
     assert put(hangs, patience=2.0).by == "clock"
-    gone = Mutant("trackspread.mutation.checks", "hand-made", 1, "", "", "")
+    gone = Mutant("trackspread.testing.mutation.checks", "hand-made", 1, "", "", "")
     with pytest.raises(RuntimeError, match="could not be planted"):  # no verdict, and surely no kill
         put(gone)
     broken = Mutant(PLACEMENT, "hand-made", 1, "", "", "raise RuntimeError\n")
@@ -74,7 +83,7 @@
 
 def test_what_is_imported_already_cannot_be_planted() -> None:
     with pytest.raises(RuntimeError, match="imported already"):
-        plant.plant("trackspread.mutation.plant", "")
+        plant.plant("trackspread.testing.mutation.plant", "")
 
 
 def test_the_list_of_equivalent_ones_is_not_stale_and_gives_reasons(tmp_path: Path) -> None:
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -51,7 +51,6 @@
     "handover",
     "lists",
     "membership",
-    "mutation",
     "node",
     "peers",
     "planning/lease_table.py",
@@ -59,11 +58,12 @@
     "plans",
     "simulator",
     "storage",
+    "testing/mutation",
+    "testing/virtual/cells",
+    "testing/virtual/distribution",
+    "testing/virtual/handover",
+    "testing/virtual/usage",
     "usage",
-    "virtual/cells",
-    "virtual/distribution",
-    "virtual/handover",
-    "virtual/usage",
 )
 
 
--- a/tests/test_planned.py
+++ b/tests/test_planned.py
@@ -5,10 +5,10 @@
 import pytest
 
 from trackspread.planning.terms import SECOND
-from trackspread.virtual.planning import saturated
-from trackspread.virtual.planning.world import Plan, World
-from trackspread.virtual.planning.mutants import MUTANTS, convict
-from trackspread.virtual.planning.schedules import FAULTS, LARGE, make, play
+from trackspread.testing.virtual.planning import saturated
+from trackspread.testing.virtual.planning.world import Plan, World
+from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
+from trackspread.testing.virtual.planning.schedules import FAULTS, LARGE, make, play
 
 SEEDS = range(300, 340)
 
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -8,10 +8,10 @@
 import pytest
 
 from trackspread.decide.quota import Quota
-from trackspread.judge.ledger import Asked, Attempted, Entry, PlanRule
-from trackspread.standins.rating import SECOND
-from trackspread.standins.scene import MILLISECOND, Scene
-from trackspread.virtual.quiet import LATE, SCENES, TROUBLES, judged, play
+from trackspread.testing.judge.ledger import Asked, Attempted, Entry, PlanRule
+from trackspread.testing.standins.rating import SECOND
+from trackspread.testing.standins.scene import MILLISECOND, Scene
+from trackspread.testing.virtual.quiet import LATE, SCENES, TROUBLES, judged, play
 
 ALLOWED = 0.1  # price over that of the late-seeing policy
 SERVED = {"unheard": 0.75}  # part of the worth inside quotas; where anybody is heard 0.9
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -9,7 +9,7 @@
 
 from trackspread.decide.broker import Broker
 from trackspread.decide.interface import Send, TimerFired
-from trackspread.virtual.ramp import play, play_none_warm
+from trackspread.testing.virtual.ramp import play, play_none_warm
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -7,11 +7,11 @@
 import pytest
 import uvloop
 
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.verdict import Verdict
-from trackspread.standins.rating import SECOND
-from trackspread.standins.scene import Scene
-from trackspread.virtual.ramp import excess
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.verdict import Verdict
+from trackspread.testing.standins.rating import SECOND
+from trackspread.testing.standins.scene import Scene
+from trackspread.testing.virtual.ramp import excess
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_ready_process.py
+++ b/tests/test_ready_process.py
@@ -14,10 +14,10 @@
 import pytest
 import uvloop
 
-from trackspread.harness.process import GatewayProcess
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.agent import Agent, BackendList, Listed, Trouble
-from trackspread.standins.loopback import Ports
+from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.agent import Agent, BackendList, Listed, Trouble
+from trackspread.testing.standins.loopback import Ports
 
 from .fakes import raw_config
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -10,7 +10,7 @@
 from trackspread.decide.mail import Draw, Kind, pack_draw, pack_totals
 from trackspread.decide.quota import Quota
 from trackspread.decide.state import SECOND, Account
-from trackspread.virtual.plain import plain_settings
+from trackspread.testing.virtual.plain import plain_settings
 
 PLAN = Plan("team", 1.0, 6.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)  # a unit a second, six at once
 BEAT = SECOND // 4
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -49,7 +49,7 @@
 from benchmarks.scale.verdicts import Cutoff, hearsay, wrong
 from benchmarks.scale.view import View, digest, settled
 from benchmarks.scale.viewed import Cost, Outcome, ViewedFleet, cost
-from trackspread.standins.scene import Scene
+from trackspread.testing.standins.scene import Scene
 
 MB = 1 << 20
 PLACED = Placement(("127.192.0.1", "127.192.0.2"))
--- a/tests/test_services_process.py
+++ b/tests/test_services_process.py
@@ -9,11 +9,11 @@
 import pytest
 import uvloop
 
-from trackspread.harness.fleet import Fleet
-from trackspread.judge.ledger import Answered, Asked, Attempted, Entry
-from trackspread.judge.verdict import Verdict
-from trackspread.standins.rating import NodeSpec
-from trackspread.standins.scene import MILLISECOND, Scene
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.judge.ledger import Answered, Asked, Attempted, Entry
+from trackspread.testing.judge.verdict import Verdict
+from trackspread.testing.standins.rating import NodeSpec
+from trackspread.testing.standins.scene import MILLISECOND, Scene
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_settings_at_their_ends.py
+++ b/tests/test_settings_at_their_ends.py
@@ -9,7 +9,7 @@
 import pytest
 
 from trackspread.config.addresses import ConfigError
-from trackspread.standins.settings import plan_settings
+from trackspread.testing.standins.settings import plan_settings
 
 from .fakes import call, config, run, served, soon, world
 
--- a/tests/test_small_planning.py
+++ b/tests/test_small_planning.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from trackspread.virtual.explorer import explore
-from trackspread.virtual.patches import held
-from trackspread.virtual.planning.mutants import MUTANTS
-from trackspread.virtual.planning.small import SmallWorld, elected, one_slot
+from trackspread.testing.virtual.explorer import explore
+from trackspread.testing.virtual.patches import held
+from trackspread.testing.virtual.planning.mutants import MUTANTS
+from trackspread.testing.virtual.planning.small import SmallWorld, elected, one_slot
 
 STATES = 2500  # in CI; benchmarks.convict goes further
 SHORTEST = {  # each mutant's trace is no longer than this
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -9,15 +9,15 @@
 import uvloop
 
 from trackspread.config.addresses import Address
-from trackspread.judge.judge import judge
-from trackspread.judge.ledger import Answered, Cut, Ledger
+from trackspread.testing.judge.judge import judge
+from trackspread.testing.judge.ledger import Answered, Cut, Ledger
 from trackspread.simulator.wire import parse_settings
 from trackspread.config.platform import flatten
-from trackspread.standins.agent import Agent, BackendList, Listed
-from trackspread.standins.clients import Clients
-from trackspread.standins.loopback import NAMED, Ports, own_address
-from trackspread.standins.rating import SECOND, NodeSpec, Pod, RatingNode, work_of
-from trackspread.standins.scene import MILLISECOND, Scene
+from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.clients import Clients
+from trackspread.testing.standins.loopback import NAMED, Ports, own_address
+from trackspread.testing.standins.rating import SECOND, NodeSpec, Pod, RatingNode, work_of
+from trackspread.testing.standins.scene import MILLISECOND, Scene
 
 
 def node(cold: bool = False, **changes: object) -> RatingNode:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -39,7 +39,7 @@
     unpack_head,
     written,
 )
-from trackspread.virtual.usage.disk import Disk, VirtualFiles
+from trackspread.testing.virtual.usage.disk import Disk, VirtualFiles
 
 
 class Thing(msgspec.Struct):
--- a/tests/test_told_process.py
+++ b/tests/test_told_process.py
@@ -15,10 +15,10 @@
 import pytest
 import uvloop
 
-from trackspread.harness.process import GatewayProcess
-from trackspread.judge.ledger import Ledger
-from trackspread.standins.agent import Agent, BackendList, Listed, Trouble
-from trackspread.standins.loopback import Address, Ports
+from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.judge.ledger import Ledger
+from trackspread.testing.standins.agent import Agent, BackendList, Listed, Trouble
+from trackspread.testing.standins.loopback import Address, Ports
 
 from .fakes import Backend, Connection, busy_listener, call, listening, raw_config, served
 
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -14,11 +14,20 @@
 
 from trackspread.cli import main
 from trackspread.config.addresses import ConfigError
-from trackspread.harness.screen import GatewayRow, NodeRow, Snapshot, bars, draw, one_line
-from trackspread.harness.tallies import Tallies
-from trackspread.harness.trial import plan_kills
-from trackspread.judge.ledger import Answered, Asked, Attempted, ClassRule, Cut, Entry, PlanRule, World
-from trackspread.standins.scene import Scene
+from trackspread.testing.harness.screen import GatewayRow, NodeRow, Snapshot, bars, draw, one_line
+from trackspread.testing.harness.tallies import Tallies
+from trackspread.testing.harness.trial import plan_kills
+from trackspread.testing.judge.ledger import (
+    Answered,
+    Asked,
+    Attempted,
+    ClassRule,
+    Cut,
+    Entry,
+    PlanRule,
+    World,
+)
+from trackspread.testing.standins.scene import Scene
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from trackspread.standins.billing import Billing, Plain
+from trackspread.testing.standins.billing import Billing, Plain
 from trackspread.storage.slots import Scan
 from trackspread.usage import meter as meters
 from trackspread.usage.batch import Batch, decode, digest, encode, rows, signature, signed
@@ -28,9 +28,9 @@
 from trackspread.usage.meter import Meter, month_start
 from trackspread.usage.record import NANO, Ending, Kind, Use, nano, unpack
 from trackspread.usage.record import pack as pack_use
-from trackspread.virtual.usage.world import MILLISECOND, SECOND, World
-from trackspread.virtual.usage.schedules import ENDS, TROUBLES, make, play
-from trackspread.virtual.usage.disk import Disk
+from trackspread.testing.virtual.usage.world import MILLISECOND, SECOND, World
+from trackspread.testing.virtual.usage.schedules import ENDS, TROUBLES, make, play
+from trackspread.testing.virtual.usage.disk import Disk
 
 BOUNDS = Bounds(16, 8, 10 * MILLISECOND, 100 * MILLISECOND, "fold")
 USE = Use(Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, nano(2.25))
--- a/tests/test_use_process.py
+++ b/tests/test_use_process.py
@@ -12,11 +12,11 @@
 import uvloop
 
 from trackspread.cli import main
-from trackspread.harness.billed import compare
-from trackspread.harness.fleet import Fleet
-from trackspread.standins.billing import Billing, Plain
-from trackspread.standins.billing_server import BillingServer, take_drops
-from trackspread.standins.scene import Scene
+from trackspread.testing.harness.billed import compare
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.standins.billing import Billing, Plain
+from trackspread.testing.standins.billing_server import BillingServer, take_drops
+from trackspread.testing.standins.scene import Scene
 from trackspread.storage.directory import Directory
 from trackspread.storage.slots import HEAD, SLOT
 from trackspread.usage.batch import Batch, Reply, digest, encode
--- a/tests/test_used_mutants.py
+++ b/tests/test_used_mutants.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from trackspread.virtual.usage.mutants import MUTANTS, convict
+from trackspread.testing.virtual.usage.mutants import MUTANTS, convict
 
 
 @pytest.mark.parametrize("name", MUTANTS)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -8,13 +8,13 @@
 import pytest
 
 from trackspread.decide.quota import Quota
-from trackspread.judge.judge import judge
-from trackspread.standins.rating import SECOND
-from trackspread.standins.scene import Scene
-from trackspread.virtual.clock import START, Clock
-from trackspread.virtual.fleet import VirtualFleet
-from trackspread.virtual.mutants import MUTANTS, convict
-from trackspread.virtual.schedules import CALM, FAULTS, make, play
+from trackspread.testing.judge.judge import judge
+from trackspread.testing.standins.rating import SECOND
+from trackspread.testing.standins.scene import Scene
+from trackspread.testing.virtual.clock import START, Clock
+from trackspread.testing.virtual.fleet import VirtualFleet
+from trackspread.testing.virtual.mutants import MUTANTS, convict
+from trackspread.testing.virtual.schedules import CALM, FAULTS, make, play
 
 SEEDS = range(100, 148)
 FIRST = {"cold-flooded": 51, "window-forgotten": 4}  # where schedules first bring the fault out
--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -140,7 +140,7 @@
 
                 return use.run(given)
             case "try":
-                from .harness import trial  # not needed in service: it takes memory there
+                from .testing.harness import trial  # not needed in service: it takes memory there
 
                 return trial.run(given.seconds, given.kill, given.seed)
             case _:
--- a/trackspread/harness/billed.py
+++ b/trackspread/testing/harness/billed.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ..judge.ledger import Answered, Asked, Cut, Entry, Left
-from ..usage.record import Ending, nano
+from ...usage.record import Ending, nano
 
 Totals = dict[tuple[str, int, int], tuple[int, int]]
 
--- a/trackspread/harness/configured.py
+++ b/trackspread/testing/harness/configured.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from ..distribution.client import Client, Unanswered
-from ..distribution.log import fingerprint
-from ..distribution.terms import NOTHING, Entry, Shown, Version
-from ..distribution.wire import Wire
+from ...distribution.client import Client, Unanswered
+from ...distribution.log import fingerprint
+from ...distribution.terms import NOTHING, Entry, Shown, Version
+from ...distribution.wire import Wire
 from ..judge.beliefs import Belief, Reader
-from ..membership.wire import Keys
+from ...membership.wire import Keys
 from ..standins.loopback import Ports
 from ..virtual.distribution.judged import Broken, Judged
 from .configuring import FLEET, Gateway, Spec, Told
@@ -44,7 +44,7 @@
 
     async def start(self) -> None:
         """From nothing; returns once it listens."""
-        words = "-m", "trackspread.harness.configuring", msgspec.json.encode(self.spec).decode()
+        words = "-m", "trackspread.testing.harness.configuring", msgspec.json.encode(self.spec).decode()
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/trackspread/harness/configuring.py
+++ b/trackspread/testing/harness/configuring.py
@@ -1,4 +1,6 @@
-"""Runs replicas or gateways of handed-down configuration: `python -m trackspread.harness.configuring SPEC`.
+"""Runs replicas or gateways of handed-down configuration.
+
+Usage: `python -m trackspread.testing.harness.configuring SPEC`.
 
 Who leads and which ways are cut is told on standard input, a JSON object a line; what came to be is recorded.
 A planted fault may be named.
@@ -18,10 +20,10 @@
 import msgspec
 import uvloop
 
-from ..distribution.host import Endpoint, ReplicaHost, SubscriberHost
-from ..distribution.terms import Address, Bodies, Epoch, ReplicaSettings, SubscriberSettings
-from ..distribution.wire import Wire
-from ..membership.wire import Keys
+from ...distribution.host import Endpoint, ReplicaHost, SubscriberHost
+from ...distribution.terms import Address, Bodies, Epoch, ReplicaSettings, SubscriberSettings
+from ...distribution.wire import Wire
+from ...membership.wire import Keys
 from ..virtual.distribution.mutants import MUTANTS
 from ..virtual.patches import held
 
--- a/trackspread/harness/mutant.py
+++ b/trackspread/testing/harness/mutant.py
@@ -1,4 +1,4 @@
-"""Runs a gateway with one planted fault: `python -m trackspread.harness.mutant NAME --file FILE`."""
+"""Runs a gateway with one planted fault: `python -m trackspread.testing.harness.mutant NAME --file FILE`."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from ..backends.pools import Backends as Pools
-from ..fronts.client import Slot
+from ...backends.pools import Backends as Pools
+from ...fronts.client import Slot
 from ..judge.verdict import Rule
-from ..node import serve
-from ..node.gateway import Gateway
+from ...node import serve
+from ...node.gateway import Gateway
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
 from ..virtual.mutants import MUTANTS
@@ -109,7 +109,7 @@
 
 def command(name: str) -> tuple[str, ...]:
     """What runs the mutant, for `Fleet`."""
-    return "-m", "trackspread.harness.mutant", name
+    return "-m", "trackspread.testing.harness.mutant", name
 
 
 def _patches(name: str) -> list[Any]:
--- a/trackspread/harness/quickened.py
+++ b/trackspread/testing/harness/quickened.py
@@ -1,5 +1,5 @@
 """Runs a control machine whose cells are small, and are merged and replaced within seconds, so that a test
-sees gateways move: `python -m trackspread.harness.quickened [FAULTS] control NAME --file FILE`.
+sees gateways move: `python -m trackspread.testing.harness.quickened [FAULTS] control NAME --file FILE`.
 
 `FAULTS`: planted ones by name, with commas between, or "none". A gateway runs with such faults by
 `harness/mutant.py`. May know: the program's entries.
@@ -13,9 +13,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from ..cells.terms import Policy
-from ..membership.terms import SECOND
-from ..node import controlling
+from ...cells.terms import Policy
+from ...membership.terms import SECOND
+from ...node import controlling
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
 from ..virtual.patches import held
--- a/trackspread/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from ..config.addresses import ConfigError
+from ...config.addresses import ConfigError
 from ..judge.verdict import Verdict
 from ..standins.rating import SECOND
 from ..standins.scene import Scene
--- a/trackspread/mutation/checks.py
+++ b/trackspread/testing/mutation/checks.py
@@ -107,7 +107,7 @@
     if package == "plans":
         return _tests("test_plans", "test_calendar"), Named("booked", partial(_booked, range(schedules)))
     return {
-        "judge": (_tests("test_judge"),),
+        "testing.judge": (_tests("test_judge"),),
         "backends": (_tests("test_net_backends"),),
         "framing": (_tests("test_wire", "test_net_clients"),),
     }[package]
--- a/trackspread/mutation/generate.py
+++ b/trackspread/testing/mutation/generate.py
@@ -24,7 +24,7 @@
 
 from .operators import operators
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT.name
 LARGE = 99  # from which a change by one is no fault that anybody would make
 
--- a/trackspread/mutation/plant.py
+++ b/trackspread/testing/mutation/plant.py
@@ -26,7 +26,7 @@
 from .generate import Mutant, source
 
 PATIENCE = 60.0  # s for one mutant: some ten times the checks over the text as it stands
-PRELOADED = ["pytest", "hypothesis", "msgspec", "trackspread.mutation.checks"]  # no module under test
+PRELOADED = ["pytest", "hypothesis", "msgspec", "trackspread.testing.mutation.checks"]  # no module under test
 PLANTED = "planted"  # the child's first word
 Fate = Literal["killed", "survived"]
 
--- a/trackspread/standins/billing.py
+++ b/trackspread/testing/standins/billing.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from ..usage.batch import Batch, Reply, Row, decode, digest
+from ...usage.batch import Batch, Reply, Row, decode, digest
 
 DAY_MS = 86_400_000
 
--- a/trackspread/standins/billing_server.py
+++ b/trackspread/testing/standins/billing_server.py
@@ -13,8 +13,8 @@
 import h11
 import msgspec
 
-from ..usage.batch import signed
-from ..usage.senders import put
+from ...usage.batch import signed
+from ...usage.senders import put
 from .billing import Billing, Ledger
 
 BODY_MOST = 4 << 20  # bytes of a batch; one of 256 records is some 30 kB
--- a/trackspread/virtual/booked.py
+++ b/trackspread/testing/virtual/booked.py
@@ -16,9 +16,9 @@
 from typing import Any
 from unittest.mock import patch
 
-from ..decide import quota
-from ..decide.broker import Broker
-from ..decide.interface import (
+from ...decide import quota
+from ...decide.broker import Broker
+from ...decide.interface import (
     Arrival,
     AttemptEnded,
     Backend,
@@ -33,8 +33,8 @@
     TimerFired,
     Topology,
 )
-from ..decide.quota import Quota
-from ..decide.state import carried
+from ...decide.quota import Quota
+from ...decide.state import carried
 from .clock import Clock
 from .patches import held
 from .plain import plain_settings
--- a/trackspread/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -9,13 +9,13 @@
 
 from msgspec import structs
 
-from ...cells import gateway
-from ...cells.controller import Controller
-from ...cells.directory import Directory, Entry
-from ...cells.gateway import Gateway
-from ...cells.leading import Leading
-from ...cells.seeding import Seeding
-from ...cells.terms import (
+from ....cells import gateway
+from ....cells.controller import Controller
+from ....cells.directory import Directory, Entry
+from ....cells.gateway import Gateway
+from ....cells.leading import Leading
+from ....cells.seeding import Seeding
+from ....cells.terms import (
     Cell,
     CellReport,
     CellsAction,
@@ -26,8 +26,8 @@
     Placement,
     Zone,
 )
-from ...membership.asking import Asking
-from ...membership.terms import SECOND, Address, Epoch, Renew, Who
+from ....membership.asking import Asking
+from ....membership.terms import SECOND, Address, Epoch, Renew, Who
 from .worlds import WORLDS
 from ..patches import held
 from ..stage import Broken
--- a/trackspread/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from ...cells.terms import Left, Policy
-from ...membership.terms import MS, SECOND
+from ....cells.terms import Left, Policy
+from ....membership.terms import MS, SECOND
 from .world import KEEP, CelledWorld, Process
 from ..stage import Broken
 
--- a/trackspread/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from ...cells.controller import Controller, ControlSettings
-from ...cells.gateway import Gateway, GatewaySettings
-from ...cells.terms import (
+from ....cells.controller import Controller, ControlSettings
+from ....cells.gateway import Gateway, GatewaySettings
+from ....cells.terms import (
     Cell,
     ControlMachine,
     InCell,
@@ -30,9 +30,9 @@
     Send,
     Zone,
 )
-from ...membership.member import Member
-from ...membership.slots import WHOLE
-from ...membership.terms import SECOND, Address, Exchange, MemberMessage, Number, Say, Table, View, Who
+from ....membership.member import Member
+from ....membership.slots import WHOLE
+from ....membership.terms import SECOND, Address, Exchange, MemberMessage, Number, Say, Table, View, Who
 from .. import stage
 from ..stage import Broken, Stage
 
--- a/trackspread/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from functools import partial
 
-from ...cells.controller import Controller
-from ...cells.gateway import ASK_MOST, REFRESH, Gateway
-from ...cells.terms import Left, Policy
-from ...membership.terms import MS, SECOND
+from ....cells.controller import Controller
+from ....cells.gateway import ASK_MOST, REFRESH, Gateway
+from ....cells.terms import Left, Policy
+from ....membership.terms import MS, SECOND
 from .world import CelledWorld
 from .schedules import SMALL, play
 from ..stage import Broken
--- a/trackspread/virtual/counter/mutants.py
+++ b/trackspread/testing/virtual/counter/mutants.py
@@ -10,11 +10,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...counter import failure_detector, lease, lease_manager
-from ...counter.failure_detector import FailureDetector
-from ...counter.lease import Lease
-from ...counter.lease_manager import LeaseManager, PartitionState
-from ...counter.terms import KEPT, SECOND, Claim, Reply
+from ....counter import failure_detector, lease, lease_manager
+from ....counter.failure_detector import FailureDetector
+from ....counter.lease import Lease
+from ....counter.lease_manager import LeaseManager, PartitionState
+from ....counter.terms import KEPT, SECOND, Claim, Reply
 from . import schedules
 from ..patches import held
 
--- a/trackspread/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...counter.commands import CounterError, Refused, commands, reply
-from ...counter.quota_client import Action as CounterAction
-from ...counter.quota_client import QuotaClient
-from ...counter.terms import MILLISECOND, SECOND, Call
-from ...decide.broker import Broker
-from ...decide.interface import (
+from ....counter.commands import CounterError, Refused, commands, reply
+from ....counter.quota_client import Action as CounterAction
+from ....counter.quota_client import QuotaClient
+from ....counter.terms import MILLISECOND, SECOND, Call
+from ....decide.broker import Broker
+from ....decide.interface import (
     Action,
     Arrival,
     AttemptEnded,
@@ -36,7 +36,7 @@
     Topology,
     WantRights,
 )
-from ...decide.report import kept
+from ....decide.report import kept
 from ...standins.counter import Failure, Shard
 from ..clock import START, Clock
 from ..plain import plain_settings
--- a/trackspread/virtual/distribution/judged.py
+++ b/trackspread/testing/virtual/distribution/judged.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from ...distribution.log import Snapshot
-from ...distribution.terms import NOTHING, SECOND, Entry, Version
+from ....distribution.log import Snapshot
+from ....distribution.terms import NOTHING, SECOND, Entry, Version
 
 IN_FORCE = 9 * SECOND  # ns from a commit until all that are in reach act on it
 
--- a/trackspread/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -9,12 +9,12 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...distribution.leading import Leading
-from ...distribution.log import Log
-from ...distribution.replica import Replica
-from ...distribution.serving import Serving
-from ...distribution.subscriber import Staged, Subscriber
-from ...distribution.terms import (
+from ....distribution.leading import Leading
+from ....distribution.log import Log
+from ....distribution.replica import Replica
+from ....distribution.serving import Serving
+from ....distribution.subscriber import Staged, Subscriber
+from ....distribution.terms import (
     NOTHING,
     Action,
     Address,
--- a/trackspread/virtual/distribution/schedules.py
+++ b/trackspread/testing/virtual/distribution/schedules.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from ...distribution.replica import Replica
-from ...distribution.terms import MS, SECOND, Begin
+from ....distribution.replica import Replica
+from ....distribution.terms import MS, SECOND, Begin
 from .judged import IN_FORCE, Broken
 from .world import Process, World, held
 
--- a/trackspread/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from ...distribution.replica import Replica
-from ...distribution.subscriber import Subscriber
-from ...distribution.terms import (
+from ....distribution.replica import Replica
+from ....distribution.subscriber import Subscriber
+from ....distribution.terms import (
     MS,
     NOTHING,
     SECOND,
--- a/trackspread/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from ..config.platform import flatten
-from ..decide.interface import Backend, Health, ListKind, Outcome, Settings, Topology
+from ...config.platform import flatten
+from ...decide.interface import Backend, Health, ListKind, Outcome, Settings, Topology
 from ..judge.ledger import Answered, Asked, Attempted, Booted, Cut, Fell, Killed, Ledger, Left, Started, Told
-from ..lists.seam import backend_id
-from ..simulator.wire import parse_settings
+from ...lists.seam import backend_id
+from ...simulator.wire import parse_settings
 from ..standins.crowd import Want
 from ..standins.rating import NodeSpec, Pod, RatingNode, work_of
 from ..standins.scene import MILLISECOND, ZONES, Scene
--- a/trackspread/virtual/handover/world.py
+++ b/trackspread/testing/virtual/handover/world.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from ...handover.states import Action, Actions, Event, PredecessorSteps, SuccessorSteps
+from ....handover.states import Action, Actions, Event, PredecessorSteps, SuccessorSteps
 
 LAG = 0.002  # s that a message takes at most
 SPAN = 12.0  # s of a run: over every wait of both sides together
--- a/trackspread/virtual/host.py
+++ b/trackspread/testing/virtual/host.py
@@ -10,8 +10,8 @@
 from functools import partial
 from typing import Literal, Protocol
 
-from ..decide.broker import Broker
-from ..decide.interface import (
+from ...decide.broker import Broker
+from ...decide.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/trackspread/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -11,14 +11,14 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...membership import parts
-from ...membership.coordinating import Coordinating
-from ...membership.member import Member
-from ...membership.parts import Holding, Parts
-from ...membership.member_table import MemberTable, MemberEntry
-from ...membership.probing import Probing
-from ...membership.terms import MS, SECOND, Address, Epoch, Leader, GossipUpdate, View, Who
-from ...planning.election import Election
+from ....membership import parts
+from ....membership.coordinating import Coordinating
+from ....membership.member import Member
+from ....membership.parts import Holding, Parts
+from ....membership.member_table import MemberTable, MemberEntry
+from ....membership.probing import Probing
+from ....membership.terms import MS, SECOND, Address, Epoch, Leader, GossipUpdate, View, Who
+from ....planning.election import Election
 from .world import Broken, World
 from .schedules import make, play
 from ..patches import held
--- a/trackspread/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -13,7 +13,7 @@
 from itertools import count
 from collections.abc import Iterator
 
-from ...membership.terms import MS, SECOND
+from ....membership.terms import MS, SECOND
 from ...standins.faults import AWAY, Calm, Cut, Duty, Fault, Halt, Loop, Restart, Rough, Schedule, draw
 from .world import KEEP, Broken, Process, World
 
--- a/trackspread/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ...membership.member import Member
-from ...membership.slots import SLOTS, WHOLE
-from ...membership.terms import (
+from ....membership.member import Member
+from ....membership.slots import SLOTS, WHOLE
+from ....membership.terms import (
     MS,
     SECOND,
     Address,
--- a/trackspread/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -12,11 +12,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from ..decide import interface
-from ..decide.broker import Broker
-from ..decide.fleet import Fleet
-from ..decide.interface import Fail, Health, Outcome, Refuse, Send
-from ..decide.quota import Quota
+from ...decide import interface
+from ...decide.broker import Broker
+from ...decide.fleet import Fleet
+from ...decide.interface import Fail, Health, Outcome, Refuse, Send
+from ...decide.quota import Quota
 from ..judge.verdict import Rule
 from .host import Host, Kind
 from .patches import held
--- a/trackspread/virtual/plain.py
+++ b/trackspread/testing/virtual/plain.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from ..decide.interface import Group, Plan, Repeat, RequestClass, Settings
+from ...decide.interface import Group, Plan, Repeat, RequestClass, Settings
 
 SECOND = 1_000_000_000
 
--- a/trackspread/virtual/planning/account.py
+++ b/trackspread/testing/virtual/planning/account.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 
 from ...judge.judge import Store
-from ...planning.terms import DRIFT, Cap, Limit
+from ....planning.terms import DRIFT, Cap, Limit
 
 ROUNDING = 1e-6  # units: stores are floats
 
--- a/trackspread/virtual/planning/mutants.py
+++ b/trackspread/testing/virtual/planning/mutants.py
@@ -10,13 +10,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...planning import lease_table, planner
-from ...planning.lease_table import LeaseTable
-from ...planning.election import Election
-from ...planning.holder import KEPT, Holder
-from ...planning.placement import slot
-from ...planning.planner import Planner
-from ...planning.terms import LEASE, Ask, Grant
+from ....planning import lease_table, planner
+from ....planning.lease_table import LeaseTable
+from ....planning.election import Election
+from ....planning.holder import KEPT, Holder
+from ....planning.placement import slot
+from ....planning.planner import Planner
+from ....planning.terms import LEASE, Ask, Grant
 from . import saturated
 from . import schedules
 from ..patches import held
--- a/trackspread/virtual/planning/saturated.py
+++ b/trackspread/testing/virtual/planning/saturated.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from ...planning.terms import SECOND, Limit, places
+from ....planning.terms import SECOND, Limit, places
 from .world import UNIT, Plan, World
 from .schedules import FAULTS, PlannedSchedule, begun
 
--- a/trackspread/virtual/planning/schedules.py
+++ b/trackspread/testing/virtual/planning/schedules.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ...planning.terms import SECOND, Limit
+from ....planning.terms import SECOND, Limit
 from ...standins.crowd import draw_weights
 from .world import MS, Plan, World
 
--- a/trackspread/virtual/planning/small.py
+++ b/trackspread/testing/virtual/planning/small.py
@@ -19,11 +19,11 @@
 from typing import Self
 from unittest.mock import patch
 
-from ...planning import placement, planner
-from ...planning.election import ACCEPTED, TERM, Out, ElectionMessage
-from ...planning.forwarder import Forwarder
-from ...planning.planner import Planner
-from ...planning.terms import BEAT, LEASE, SECOND, Ask, Cap, Grant, Limit
+from ....planning import placement, planner
+from ....planning.election import ACCEPTED, TERM, Out, ElectionMessage
+from ....planning.forwarder import Forwarder
+from ....planning.planner import Planner
+from ....planning.terms import BEAT, LEASE, SECOND, Ask, Cap, Grant, Limit
 from .account import CapAccount
 from ..patches import held
 from .saturated import DRIFT_STATED
--- a/trackspread/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -12,12 +12,12 @@
 from functools import partial
 
 from ...judge.judge import Store
-from ...planning.lease_table import LeaseTable
-from ...planning.election import Out, ElectionMessage
-from ...planning.forwarder import Forwarder
-from ...planning.placement import even_part
-from ...planning.planner import Planner
-from ...planning.terms import BEAT, SECOND, Ask, Cap, Grant, Limit
+from ....planning.lease_table import LeaseTable
+from ....planning.election import Out, ElectionMessage
+from ....planning.forwarder import Forwarder
+from ....planning.placement import even_part
+from ....planning.planner import Planner
+from ....planning.terms import BEAT, SECOND, Ask, Cap, Grant, Limit
 from ...standins.crowd import draw_weights
 from .account import ROUNDING, CapAccount
 from ..clock import Clock
--- a/trackspread/virtual/stage.py
+++ b/trackspread/testing/virtual/stage.py
@@ -12,8 +12,8 @@
 from functools import partial
 from typing import Generic, Protocol, TypeVar
 
-from ..membership.member import TICK
-from ..membership.terms import MS, Address
+from ...membership.member import TICK
+from ...membership.terms import MS, Address
 from .clock import Clock
 
 WALL = 1_790_000_000_000  # ms of wall clock at the beginning of every world
--- a/trackspread/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -9,19 +9,19 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...storage import calls
-from ...storage.calls import Refresh, Result, Sync
-from ...storage.journal import Journal
-from ...storage.seam import Files
-from ...storage.slots import Head, Scan
-from ...usage import exporter, ledger
-from ...usage.batch import Reply
-from ...usage.control import Control, Stream
-from ...usage.exporter import Exporter, Span, Stage
-from ...usage.ledger import State, UsageLedger
-from ...usage.meter import Meter
-from ...usage.record import Use, pack
-from ...usage.segments import SegmentStore
+from ....storage import calls
+from ....storage.calls import Refresh, Result, Sync
+from ....storage.journal import Journal
+from ....storage.seam import Files
+from ....storage.slots import Head, Scan
+from ....usage import exporter, ledger
+from ....usage.batch import Reply
+from ....usage.control import Control, Stream
+from ....usage.exporter import Exporter, Span, Stage
+from ....usage.ledger import State, UsageLedger
+from ....usage.meter import Meter
+from ....usage.record import Use, pack
+from ....usage.segments import SegmentStore
 from . import world as used
 from ..patches import held
 from .schedules import make, play
--- a/trackspread/virtual/usage/schedules.py
+++ b/trackspread/testing/virtual/usage/schedules.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ...storage.slots import HEAD, SLOT
-from ...usage.ledger import Bounds, State
-from ...usage.record import Ending, Kind
+from ....storage.slots import HEAD, SLOT
+from ....usage.ledger import Bounds, State
+from ....usage.record import Ending, Kind
 from .disk import Disk
 from .world import MILLISECOND, SECOND, Life, World
 
--- a/trackspread/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -21,13 +21,13 @@
 from functools import partial
 
 from ...standins.billing import Billing, Plain
-from ...storage.calls import Result, perform
-from ...storage.slots import MARK
-from ...usage.batch import Reply, decode
-from ...usage.control import Names
-from ...usage.exporter import Post, Stage
-from ...usage.ledger import OPENED, Bounds, State, UsageLedger
-from ...usage.record import Ending, Kind, unpack
+from ....storage.calls import Result, perform
+from ....storage.slots import MARK
+from ....usage.batch import Reply, decode
+from ....usage.control import Names
+from ....usage.exporter import Post, Stage
+from ....usage.ledger import OPENED, Bounds, State, UsageLedger
+from ....usage.record import Ending, Kind, unpack
 from ..clock import START, Clock
 from .disk import Crash, Disk, VirtualFiles
 
