--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -7,7 +7,7 @@
 from trackspread.counter.commands import MOST_FIELDS
 from trackspread.counter.terms import HEARTBEAT
 from trackspread.decide.broker import FORGET, IDLE, RETRY_SHARE
-from trackspread.decide.state import SECOND
+from trackspread.decide.time_units import SECOND
 from trackspread.lists.turns import SPREAD_MOST
 from trackspread.membership.host import DESCRIPTORS
 from trackspread.membership.slots import SLOTS
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,7 +9,7 @@
 from trackspread.backends.seam import Report
 from trackspread.control.door import CALLERS_MOST, HEAD_MOST
 from trackspread.control.figures import CLASSES_MOST, Figures
-from trackspread.decide.interface import Outcome
+from trackspread.decide.events import Outcome
 from trackspread.node.gateway import Gateway
 from trackspread.usage.record import Ending
 
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -27,7 +27,7 @@
     pack_heartbeat,
     unpack_claim,
 )
-from trackspread.decide.interface import Plan
+from trackspread.decide.settings import Plan
 from trackspread.testing.standins.counter import Cluster, Failure, Shard, slot_of
 from trackspread.testing.virtual.counter.world import Plant, World
 from trackspread.testing.virtual.counter.mutants import KINDS, shows
--- a/tests/test_endings_close.py
+++ b/tests/test_endings_close.py
@@ -14,7 +14,7 @@
 
 from trackspread.backends import pools
 from trackspread.config.operator import ClientBounds, Operator
-from trackspread.decide.interface import Outcome
+from trackspread.decide.events import Outcome
 from trackspread.fronts import connections
 from trackspread.fronts.client import Client
 
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -12,7 +12,7 @@
 from trackspread.backends import pools as backends
 from trackspread.backends.ages import Ages
 from trackspread.backends.resp import read_answer, read_report
-from trackspread.decide.interface import Outcome
+from trackspread.decide.events import Outcome
 
 from .fakes import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
 from .test_net_backends import bench
--- a/trackspread/backends/pools.py
+++ b/trackspread/backends/pools.py
@@ -17,7 +17,7 @@
 
 from ..call import Call
 from ..config.addresses import Address
-from ..decide.interface import Outcome
+from ..decide.events import Outcome
 from ..lag import Later
 from ..logs import Sparing
 from .ages import Ages
@@ -436,7 +436,7 @@
         """Nobody is there any more for whom it would be written, or it may not be sent again any more: what
         has not gone out whole never will. It says nothing about the backend."""
         if not attempt.written:
-            self._abandon(attempt, Outcome.MOOT)
+            self._abandon(attempt, Outcome.NOT_SENT)
 
     def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.link is not None:
--- a/trackspread/backends/resp.py
+++ b/trackspread/backends/resp.py
@@ -11,7 +11,7 @@
 import hiredis
 
 from ..call import Call
-from ..decide.interface import Outcome
+from ..decide.events import Outcome
 from ..framing.resp import ANSWER_ITEMS, AnswerFrames, FrameError, Words
 from .seam import Ending, Report, Sink, Spoilt
 
@@ -39,7 +39,7 @@
         return Outcome.OK, answer[0], read_report(told) if isinstance(told, bytes) else {}
     if isinstance(answer, hiredis.ReplyError):
         line = str(answer)
-        for words, outcome in (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.FULL)):
+        for words, outcome in (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.REJECTED)):
             if line == words:
                 return outcome, None, {}
             if line.startswith(words + " "):
--- a/trackspread/backends/seam.py
+++ b/trackspread/backends/seam.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..call import Call, Source
-from ..decide.interface import Outcome
+from ..decide.events import Outcome
 
 if TYPE_CHECKING:
     from .pools import Attempt
--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -100,7 +100,7 @@
     if told is not None:
         print(
             f"{environment['ROUTER_CONFIG']}: ok: {told.name}, {len(told.classes)} classes, "
-            f"{len(told.plans)} plans, {told.settings.gateways} gateways"
+            f"{len(told.plans)} plans, {told.settings.gateway_count} gateways"
         )
 
 
--- a/trackspread/config/platform.py
+++ b/trackspread/config/platform.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..decide.interface import Settings
+from ..decide.settings import Settings
 from ..simulator.wire import SettingsError, parse_settings
 from .addresses import Address, ConfigError, address
 
@@ -183,7 +183,9 @@
         control=address(control, "control") if control else None,
         known=known if isinstance(known, dict) else None,
         # There is no counter on real sockets: without one the module goes by its even slices.
-        settings=replace(settings, counter=False, may_message=settings.may_message and bool(peer_listen)),
+        settings=replace(
+            settings, has_shared_counter=False, may_gossip=settings.may_gossip and bool(peer_listen)
+        ),
         classes=_name_keys(nested, "classes"),
         plans=_name_keys(nested, "packages"),
         zones=_names(nested, "zones"),
--- a/trackspread/config/roster.py
+++ b/trackspread/config/roster.py
@@ -10,7 +10,8 @@
 from collections.abc import Sequence, Set
 from dataclasses import dataclass
 
-from ..decide.interface import ClassesChanged, RequestClass
+from ..decide.events import ClassesChanged
+from ..decide.settings import RequestClass
 
 
 @dataclass(frozen=True, slots=True)
--- a/trackspread/counter/host.py
+++ b/trackspread/counter/host.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any
 
-from ..decide.interface import RightsChanged
+from ..decide.events import AllocationChanged
 from .commands import Command, CounterError, Refused, commands, reply
 from .link import Access, Link
 from .quota_client import Action, QuotaClient
@@ -37,7 +37,7 @@
         prefix: str,
         slot: int,
         now: Callable[[], int],
-        events: Callable[[RightsChanged], None],
+        events: Callable[[AllocationChanged], None],
     ) -> None:
         self.client, self.routes = client, routes
         self._access, self._prefix, self._slot, self._now, self._events = access, prefix, slot, now, events
