--- a/trackspread/counter/quota_client.py
+++ b/trackspread/counter/quota_client.py
@@ -8,11 +8,12 @@
 
 from __future__ import annotations
 
-from ..decide.interface import Plan, RightsChanged, Settings
+from ..decide.events import AllocationChanged
+from ..decide.settings import Plan, Settings
 from .lease_manager import LeaseManager, Output, UsageCount
 from .terms import GUARANTEED, Call, Grant, Reply, Terms
 
-Action = Call | RightsChanged
+Action = Call | AllocationChanged
 
 
 def terms_of(plan: Plan, largest: float, slots: tuple[int, ...]) -> Terms | None:
@@ -20,15 +21,19 @@
     request.
 
     The least share holds one request in every store, and one place where open attempts are limited."""
-    needs = [largest / plan.burst] if plan.rate else []
-    if plan.ceiling_rate:
-        needs.append(largest / (plan.ceiling_burst * (1.0 - GUARANTEED)))
-    if plan.open_limit:
-        needs.append(1.0 / plan.open_limit)
+    needs = [largest / plan.burst_units] if plan.rate_per_s else []
+    if plan.hard_limit_per_s:
+        needs.append(largest / (plan.hard_limit_burst_units * (1.0 - GUARANTEED)))
+    if plan.concurrency_limit:
+        needs.append(1.0 / plan.concurrency_limit)
     if not needs:
         return None
-    rate, burst = (plan.rate, plan.burst) if plan.rate else (plan.ceiling_rate, plan.ceiling_burst)
-    return Terms(rate, burst, min(1.0, max(needs)), slots, plan.open_limit > 0)
+    rate, burst = (
+        (plan.rate_per_s, plan.burst_units)
+        if plan.rate_per_s
+        else (plan.hard_limit_per_s, plan.hard_limit_burst_units)
+    )
+    return Terms(rate, burst, min(1.0, max(needs)), slots, plan.concurrency_limit > 0)
 
 
 class QuotaClient:
@@ -40,7 +45,7 @@
         """`store`: the module's `Quota.kept`, which is asked whenever a claim goes out."""
         self._settings, self._plans = settings, settings.plans
         self.manager = LeaseManager(
-            settings.position, settings.gateways, partitions, incarnation, seed, now, store
+            settings.gateway_index, settings.gateway_count, partitions, incarnation, seed, now, store
         )
         self._terms: dict[tuple[int, int, int], Terms | None] = {}
         self._index: dict[int, int] = {}  # by customer: of its plan
@@ -61,9 +66,9 @@
         """To be called, and its actions done, before the module sees the request."""
         key = plan, spread, first
         if key not in self._terms:
-            n = self._settings.gateways
+            n = self._settings.gateway_count
             named = tuple((first + i) % n for i in range(min(spread, n))) if spread >= 1 else tuple(range(n))
-            self._terms[key] = terms_of(self._plans[plan], self._settings.largest, named)
+            self._terms[key] = terms_of(self._plans[plan], self._settings.largest_request_units, named)
         terms = self._terms[key]
         if terms is None:
             return []
@@ -94,7 +99,7 @@
             elif each.member in self._index:
                 plan = self._index[each.member]
                 made.append(
-                    RightsChanged(
+                    AllocationChanged(
                         each.member,
                         plan,
                         each.soft,
--- a/trackspread/counter/report.py
+++ b/trackspread/counter/report.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..decide.state import Account
+from ..decide.tenant_account import TenantAccount
 from .lease_manager import LeaseManager
 from .terms import SECOND, partition_of
 
@@ -54,7 +54,7 @@
     others: tuple[Other, ...] = ()
 
 
-def report(now: int, manager: LeaseManager, member: int, account: Account | None, cap: int) -> Report:
+def report(now: int, manager: LeaseManager, member: int, account: TenantAccount | None, cap: int) -> Report:
     """`account`: the module's, filled until now; None where no request of the member came here. `cap`: on the
     member's requests in flight."""
     partition = partition_of(member, manager.partitions)
@@ -86,17 +86,17 @@
         plan = account.plan
         made = msgspec.structs.replace(
             made,
-            soft=account.soft,
-            hard=account.hard,
+            soft=account.quota_share,
+            hard=account.hard_limit_share,
             plan=plan.name,
-            level=account.level,
-            burst=plan.burst * account.soft,
-            rate=plan.rate * account.soft,
-            ceiling=account.ceiling,
-            ceiling_burst=plan.ceiling_burst * account.hard,
-            open=account.open,
-            open_most=int(plan.open_limit * account.places + 1e-6),
+            level=account.tokens,
+            burst=plan.burst_units * account.quota_share,
+            rate=plan.rate_per_s * account.quota_share,
+            ceiling=account.hard_limit_tokens,
+            ceiling_burst=plan.hard_limit_burst_units * account.hard_limit_share,
+            open=account.in_flight,
+            open_most=int(plan.concurrency_limit * account.concurrency_share + 1e-6),
             cap=cap,
-            refused_for=account.refused_for,
+            refused_for=account.rejection_reason,
         )
     return made
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -1,6 +1,6 @@
 """Every decision of a gateway: which customers' requests go on, to which backend, and which are refused.
 
-Read `interface.py` first, for types, events and actions. The mechanism is a QoS broker's: a table of
+Read `settings.py`, `events.py` and `actions.py` first. The mechanism is a QoS broker's: a table of
 commitments, a closed queuing model (`model.py`) and its seven cases that grant each customer a cap on
 requests in flight, beside a companion bucket (`quota.py`) and the choice among backends (`fleet.py`).
 `docs/design/decisions.md` says what was kept of the paper, what was changed and when each exception acts.
@@ -12,13 +12,45 @@
 from dataclasses import replace
 from math import ceil, inf, sqrt
 
-from . import interface as api
+from .actions import (
+    Action,
+    Fail,
+    LogMessage,
+    Reject,
+    RequestAllocation,
+    SendToPeers,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from .backends import EndpointUpdate, EndpointUpdateKind
+from .events import (
+    NOT_EXECUTED,
+    AllocationChanged,
+    AttemptEnded,
+    ClassesChanged,
+    ClientDisconnected,
+    CounterAnswered,
+    Event,
+    FleetChanged,
+    Outcome,
+    PeerMessage,
+    PlansChanged,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
+from .settings import DeduplicationScope, Idempotency, Settings
 from .fleet import Filter, Fleet
-from .mail import Kind, is_draw
+from .peer_messages import QuotaMessageKind, is_quota_message
 from .model import TARGET, TICK, QueueModel, seven_cases
 from .neighbours import Neighbours
 from .quota import FRESH, OPEN, Quota
-from .state import LONG, MEMORY, SECOND, Account, Commitment, Mean, Open
+from .commitment import Commitment
+from .decaying_mean import LONG_TERM, SHORT_TERM, DecayingMean
+from .open_request import OpenRequest
+from .tenant_account import TenantAccount
+from .time_units import SECOND
 
 # Tuned values: unit and reason behind each; times are chosen against aims of the order of a second.
 EVALUATE_EVERY = 2 * SECOND  # a commitment's cap is looked at anew; long enough for a fit, short for a burst
@@ -43,401 +75,467 @@
     """One gateway's decisions: hand it every event in order and carry out the actions it returns. `quota`:
     where several brokers, each for a service of its own, keep the same customers' quotas."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: int, quota: Quota | None = None) -> None:
-        self.s, self.rng, self.model = settings, random.Random(seed), QueueModel(settings)
+    def __init__(self, settings: Settings, seed: int, now: int, quota: Quota | None = None) -> None:
+        self.settings, self.rng, self.model = settings, random.Random(seed), QueueModel(settings)
         self.quota = quota or Quota(settings, seed, now, self.rng)
         self.fleet = Fleet(settings, self.rng)
-        self.open: dict[int, Open] = {}
-        self.held: dict[int, Open] = {}  # waiting for a home's or the counter's answer, by the ask's number
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.queued: dict[
+            int, OpenRequest
+        ] = {}  # waiting for a home's or the counter's answer, by the ask's number
         self.commitments: dict[int, Commitment] = {}  # by customer, for as long as its account
-        self.active: dict[int, Commitment] = {}  # those that have a cap
-        self.neighbours = Neighbours()  # as of the last beat under pressure
-        self.attempts: dict[tuple[int, int], Open] = {}
-        self.out, self.lost, self.retries = 0, 0, RETRY_BURST
-        self.arrivals: dict[tuple[int, int], Mean] = {}
+        self.active_commitments: dict[int, Commitment] = {}  # those that have a cap
+        self.other_commitments = Neighbours()  # as of the last beat under pressure
+        self.attempts: dict[tuple[int, int], OpenRequest] = {}
+        self.in_flight, self.presumed_lost, self.retry_tokens = 0, 0, RETRY_BURST
+        self.arrival_priorities: dict[tuple[int, int], DecayingMean] = {}
         self.started, self.retired = False, False
-        self.swept, self.logged = now, now - LONG
+        self.swept_at_ns, self.logged_at_ns = now, now - LONG_TERM
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """Take in one event; the actions take effect at `now`."""
-        actions: list[api.Action] = []
+        actions: list[Action] = []
         if not self.started:
             self.started = True
-            actions += [api.SetTimer(TICK, EVERY_TICK), *[api.Watch(True)] * self.s.ask_discovery]
+            actions += [SetTimer(TICK, EVERY_TICK), *[WatchEndpoints(True)] * self.settings.polls_discovery]
         match event:
-            case api.Arrival():
+            case RequestArrived():
                 actions += self._arrived(now, event)
-            case api.AttemptEnded():
+            case AttemptEnded():
                 actions += self._ended(now, event)
-            case api.Begun():
+            case ResponseStarted():
                 self._began(event)
-            case api.Topology():
+            case EndpointUpdate():
                 self.fleet.learn(now, event)
-                if event.kind is api.ListKind.FAILED:
-                    actions.append(api.SetTimer(SECOND, RETRY_LIST))
-            case api.PlansChanged():
+                if event.kind is EndpointUpdateKind.FAILED:
+                    actions.append(SetTimer(SECOND, RETRY_LIST))
+            case PlansChanged():
                 self.quota.replan(now, event)
                 actions.append(self.replan(now))
-            case api.ClassesChanged():
+            case ClassesChanged():
                 actions.append(self._reclass(event))
-            case api.FleetChanged():
+            case FleetChanged():
                 self.quota.joined(now, event)
                 self.joined(event)
-            case api.RightsChanged():
+            case AllocationChanged():
                 self.quota.entitle(now, event)
-                actions += self.entitled(now, event.customer)
-            case api.ClientLeft():
-                self.open.pop(event.request, None)
-            case api.TimerFired(token):
-                actions += self._tick(now) if token == EVERY_TICK else [api.Watch(True)]
-            case api.PeerMessage() if self.quota.gossip and not is_draw(event.data):
+                actions += self.entitled(now, event.tenant)
+            case ClientDisconnected():
+                self.open_requests.pop(event.request, None)
+            case TimerFired(token):
+                actions += self._tick(now) if token == EVERY_TICK else [WatchEndpoints(True)]
+            case PeerMessage() if self.quota.gossip and not is_quota_message(event.data):
                 self.quota.heard(now, event)
-            case api.PeerMessage():
+            case PeerMessage():
                 actions += self.decided(now, *self.quota.drawn(now, event))
-            case api.Counted():
+            case CounterAnswered():
                 actions += self.decided(now, *self.quota.counted(now, event))
         return actions
 
-    def _tick(self, now: int) -> list[api.Action]:
-        actions: list[api.Action] = [api.SetTimer(TICK, EVERY_TICK), *self._overdue(now)]
+    def _tick(self, now: int) -> list[Action]:
+        actions: list[Action] = [SetTimer(TICK, EVERY_TICK), *self._overdue(now)]
         usual = [LOST * latency.value for latency in self.model.latency]
         outstanding = [  # overtaken, others wait in no shared queue: lost answers are no overload
-            (r.arrival.cls, now - r.sent_at)
-            for r in self.open.values()
-            if r.sends and not r.began and not self.fleet.newest - r.sent_at > usual[r.arrival.cls] > 0.0
+            (r.arrival.request_class, now - r.last_attempt_at_ns)
+            for r in self.open_requests.values()
+            if r.attempts_started
+            and not r.first_byte_after_ns
+            and not self.fleet.newest_answered_ns - r.last_attempt_at_ns
+            > usual[r.arrival.request_class]
+            > 0.0
         ]
-        self.lost = len(self.open) - len(self.held) - len(outstanding)
-        self.model.fit(now, self.out - self.lost, outstanding)
+        self.presumed_lost = len(self.open_requests) - len(self.queued) - len(outstanding)
+        self.model.fit(now, self.in_flight - self.presumed_lost, outstanding)
         self.fleet.count(now)
         self._evaluate_all(now)
         quota = self.quota
-        if quota.gossip and not self.retired and now - quota.told_at >= max(1, quota.every - TICK // 2):
+        if (
+            quota.gossip
+            and not self.retired
+            and now - quota.told_at >= max(1, quota.gossip_interval_ns - TICK // 2)
+        ):
             quota.told_at = now
-            actions.append(api.Tell(None, quota.message(now)))
-        pressed = self.model.limit is not None and self.out >= CHEAPEST * self.model.limit
-        if pressed and now - self.logged >= LONG:
-            self.logged = now
-            actions.append(api.LogLine(f"pressed: in flight {self.out}, limit {self.model.limit}"))
+            actions.append(SendToPeers(None, quota.message(now)))
+        pressed = (
+            self.model.concurrency_limit is not None
+            and self.in_flight >= CHEAPEST * self.model.concurrency_limit
+        )
+        if pressed and now - self.logged_at_ns >= LONG_TERM:
+            self.logged_at_ns = now
+            actions.append(
+                LogMessage(f"pressed: in flight {self.in_flight}, limit {self.model.concurrency_limit}")
+            )
         return actions
 
-    def joined(self, event: api.FleetChanged) -> None:
+    def joined(self, event: FleetChanged) -> None:
         """The fleet has another size."""
-        self.s = self.fleet.s = replace(self.s, gateways=1 + len(event.others))
+        self.settings = self.fleet.settings = replace(self.settings, gateway_count=1 + len(event.peers))
 
-    def replan(self, now: int) -> api.LogLine:
+    def replan(self, now: int) -> LogMessage:
         """Commitments are solved anew beside one another, least worth first; what does not fit is told."""
-        solved = sorted(self.active.values(), key=lambda c: (c.worth, c.account.customer))
+        solved = sorted(self.active_commitments.values(), key=lambda c: (c.priority, c.account.tenant))
         for commitment in solved:
             self._evaluate(now, commitment)
         less = sum(c.cap < self._wanted(now, c)[0] for c in solved)
-        return api.LogLine(f"plans changed: of {len(solved)} commitments {less} now have less than they ask")
+        return LogMessage(f"plans changed: of {len(solved)} commitments {less} now have less than they ask")
 
-    def retire(self, now: int) -> list[api.Action]:
+    def retire(self, now: int) -> list[Action]:
         """Another process has the word from now on: nothing is granted here any more, nor told to peers.
         What is out ends here; who waited for word that goes elsewhere now is refused at once."""
         self.retired = self.fleet.retired = True
-        waiting = [self.held.pop(tag) for tag in list(self.held)]
+        waiting = [self.queued.pop(tag) for tag in list(self.queued)]
         for request in waiting:
-            request.account.asking = 0
-        return [self._refusal(r.arrival) for r in waiting if self.open.pop(r.arrival.request, None)]
+            request.account.pending_queries = 0
+        return [self._refusal(r.arrival) for r in waiting if self.open_requests.pop(r.arrival.request, None)]
 
     def resume(self) -> None:
         """The other process is gone: this one has the word again."""
         self.retired = self.fleet.retired = False
 
-    def _reclass(self, event: api.ClassesChanged) -> api.LogLine:
+    def _reclass(self, event: ClassesChanged) -> LogMessage:
         """What arrives from now on goes by other classes; open requests keep their class and attempts."""
-        self.s = replace(self.s, classes=event.classes, max_attempts=event.max_attempts)
+        self.settings = replace(self.settings, classes=event.classes, max_attempts=event.max_attempts)
         self.model.reclass(event)
         self.fleet.reclass(event)
-        was, self.arrivals = self.arrivals, {}
-        for number, heir in enumerate(event.heirs):
-            self.arrivals |= {(number, p): m for (cls, p), m in was.items() if cls == heir == number}
-        return api.LogLine(f"classes changed: {len(event.named)} now, {event.max_attempts} attempts at most")
+        was, self.arrival_priorities = self.arrival_priorities, {}
+        for number, heir in enumerate(event.predecessors):
+            self.arrival_priorities |= {
+                (number, p): m for (cls, p), m in was.items() if cls == heir == number
+            }
+        return LogMessage(f"classes changed: {len(event.active)} now, {event.max_attempts} attempts at most")
 
     def _evaluate_all(self, now: int) -> None:
         """Evaluate whoever is due, least worth first, so that cuts fall on the cheap before the dear."""
-        for commitment in list(self.active.values()):
-            commitment.in_flight.add(now, commitment.open)
-            if now - commitment.last > IDLE and not commitment.open:
+        for commitment in list(self.active_commitments.values()):
+            commitment.mean_in_flight.add(now, commitment.in_flight)
+            if now - commitment.last_request_ns > IDLE and not commitment.in_flight:
                 commitment.cap = 0  # the commitment ends; the bucket stays, as the quota does
-                del self.active[commitment.account.customer]
-        self.neighbours = Neighbours(self.active.values() if self.model.risen else ())
-        due = [c for c in self.active.values() if now - c.evaluated >= EVALUATE_EVERY]
-        for commitment in sorted(due, key=lambda c: (c.worth, c.account.customer)):
+                del self.active_commitments[commitment.account.tenant]
+        self.other_commitments = Neighbours(
+            self.active_commitments.values() if self.model.is_congested else ()
+        )
+        due = [c for c in self.active_commitments.values() if now - c.evaluated_at_ns >= EVALUATE_EVERY]
+        for commitment in sorted(due, key=lambda c: (c.priority, c.account.tenant)):
             self._evaluate(now, commitment)
-        if now - self.swept >= IDLE:
-            self.swept, known = now, self.quota.accounts
+        if now - self.swept_at_ns >= IDLE:
+            self.swept_at_ns, known = now, self.quota.accounts
             self.quota.calls = {name: calls for name, calls in self.quota.calls.items() if calls}
-            kept = {c: a for c, a in known.items() if a.open or now - a.last <= self._keep(a)}
+            kept = {c: a for c, a in known.items() if a.in_flight or now - a.last_request_ns <= self._keep(a)}
             self.quota.accounts = kept
             self.commitments = {c: m for c, m in self.commitments.items() if kept.get(c) is m.account}
 
-    def _keep(self, account: Account) -> int:
+    def _keep(self, account: TenantAccount) -> int:
         """How long a customer's account outlasts its last request; the store must be full by then."""
         plan = account.plan
-        if self.quota.blind and account.part < 0.0:
+        if self.quota.blind and account.static_tokens < 0.0:
             return FORGET  # with it would go what it overdrew
-        full = 2 * plan.burst / max(plan.rate, 1e-9), plan.ceiling_burst / max(plan.ceiling_rate, 1e-9)
+        full = (
+            2 * plan.burst_units / max(plan.rate_per_s, 1e-9),
+            plan.hard_limit_burst_units / max(plan.hard_limit_per_s, 1e-9),
+        )
         once = max(FORGET_ONCE, int(SECOND * max(full)))
-        return min(FORGET, once) if account.sent <= ONCE and not account.heard else FORGET
+        return (
+            min(FORGET, once)
+            if account.forwarded_quarter_units <= ONCE and not account.peer_totals
+            else FORGET
+        )
 
     def _wanted(self, now: int, commitment: Commitment) -> tuple[int, float]:
         """Nreq and XMIN: quota slice x aim plus a slice of the burst, or else the places; two at least."""
         account, demand = commitment.account, commitment.demand
         part = self.quota.share(now, account) / (demand.value or 1.0)
-        rate, burst = account.plan.rate * part, account.plan.burst * part
-        places = account.plan.open_limit * (not account.plan.rate)
-        return max(2, places, ceil(rate * commitment.aim / SECOND + burst)), min(rate, demand.rate(now))
+        rate, burst = account.plan.rate_per_s * part, account.plan.burst_units * part
+        places = account.plan.concurrency_limit * (not account.plan.rate_per_s)
+        return max(2, places, ceil(rate * commitment.latency_objective_ns / SECOND + burst)), min(
+            rate, demand.rate_per_s(now)
+        )
 
     def _evaluate(self, now: int, commitment: Commitment) -> None:
-        commitment.evaluated, self.active[commitment.account.customer] = now, commitment
-        wanted, commitment.least = self._wanted(now, commitment)
-        if not self.model.risen:
+        commitment.evaluated_at_ns, self.active_commitments[commitment.account.tenant] = now, commitment
+        wanted, commitment.min_throughput_per_s = self._wanted(now, commitment)
+        if not self.model.is_congested:
             commitment.cap = wanted
             return
-        beside = self.neighbours.beside(commitment)
-        room = commitment.room if beside.room == inf else beside.room
+        beside = self.other_commitments.beside(commitment)
+        room = commitment.max_wait_ns if beside.room == inf else beside.room
 
         def wait(n: int) -> float:
-            return self.model.response(beside.in_flight + n) - self.model.delay
+            return self.model.response(beside.in_flight + n) - self.model.delay_ns
 
         offered = seven_cases(
-            max(wanted, ceil(commitment.in_flight.value)),
-            len(self.model.times),
-            lambda n: wait(n) <= commitment.room,
-            lambda n: n * SECOND >= commitment.least * (self.model.delay + wait(n)),
-            lambda n: wait(n) <= room and self.model.delay + wait(n) <= beside.slowest,
+            max(wanted, ceil(commitment.mean_in_flight.value)),
+            len(self.model.response_times_ns),
+            lambda n: wait(n) <= commitment.max_wait_ns,
+            lambda n: n * SECOND >= commitment.min_throughput_per_s * (self.model.delay_ns + wait(n)),
+            lambda n: wait(n) <= room and self.model.delay_ns + wait(n) <= beside.slowest,
         )
         commitment.cap = max(1, offered)
-        self.neighbours.put(commitment)
+        self.other_commitments.put(commitment)
 
-    def commitment(self, now: int, account: Account) -> Commitment:
+    def commitment(self, now: int, account: TenantAccount) -> Commitment:
         """The customer's here, made where there is none."""
-        found = self.commitments.get(account.customer)
+        found = self.commitments.get(account.tenant)
         if found is None or found.account is not account:
-            found = Commitment(account, now, -EVALUATE_EVERY, Mean(MEMORY), Mean(MEMORY))
-            self.commitments[account.customer] = found
+            found = Commitment(
+                account, now, -EVALUATE_EVERY, DecayingMean(SHORT_TERM), DecayingMean(SHORT_TERM)
+            )
+            self.commitments[account.tenant] = found
         return found
 
     # The life of a request.
 
-    def _arrived(self, now: int, a: api.Arrival) -> list[api.Action]:
+    def _arrived(self, now: int, a: RequestArrived) -> list[Action]:
         if self.retired:
             return [self._refusal(a)]
-        account = self.quota.account(now, a.customer, a.plan, a.spread, a.first)
-        commitment, cls = self.commitment(now, account), self.s.classes[a.cls]
-        account.last = commitment.last = now
-        for mean in (account.demand, account.seen, commitment.demand):
+        account = self.quota.account(now, a.tenant, a.plan, a.gateway_span, a.first_gateway)
+        commitment, cls = self.commitment(now, account), self.settings.classes[a.request_class]
+        account.last_request_ns = commitment.last_request_ns = now
+        for mean in (account.demand, account.long_term_demand, commitment.demand):
             mean.add(now, a.units)
-        density = cls.worth * account.plan.price * a.units / max(1.0, self.model.shortest[a.cls])
-        commitment.worth += 0.2 * (density - commitment.worth)
-        self.arrivals.setdefault((a.cls, a.plan), Mean(MEMORY)).add(now, density)
-        room = TARGET * self.model.room(a.cls)
-        commitment.room = min(commitment.room, room) * 1.01 if commitment.room else room
-        commitment.aim = max(commitment.aim, cls.aim)
+        density = (
+            cls.priority_weight
+            * account.plan.priority_factor
+            * a.units
+            / max(1.0, self.model.shortest_ns[a.request_class])
+        )
+        commitment.priority += 0.2 * (density - commitment.priority)
+        self.arrival_priorities.setdefault((a.request_class, a.plan), DecayingMean(SHORT_TERM)).add(
+            now, density
+        )
+        room = TARGET * self.model.room(a.request_class)
+        commitment.max_wait_ns = min(commitment.max_wait_ns, room) * 1.01 if commitment.max_wait_ns else room
+        commitment.latency_objective_ns = max(commitment.latency_objective_ns, cls.latency_objective_ns)
         if not commitment.cap:
             self._evaluate(now, commitment)
         self.quota.refill(now, account)
-        full = commitment.open - commitment.passing >= commitment.cap
+        full = commitment.in_flight - commitment.streaming >= commitment.cap
         if full or self._over_limit(now, density):
-            account.refused_for = "cap" if full else "pressure"
+            account.rejection_reason = "cap" if full else "pressure"
             return [self._refusal(a)]
-        return self._within_quota(now, Open(a, commitment, self.s.max_attempts))
+        return self._within_quota(now, OpenRequest(a, commitment, self.settings.max_attempts))
 
-    def _within_quota(self, now: int, request: Open) -> list[api.Action]:
+    def _within_quota(self, now: int, request: OpenRequest) -> list[Action]:
         """Decide by the store kept here, or ask whoever keeps it and hold the request a moment."""
         quota, account, a, plan = self.quota, request.account, request.arrival, request.account.plan
-        pays = plan.over_worth > plan.over_cost and not self.model.risen
+        pays = plan.overage_weight > plan.overage_cost and not self.model.is_congested
         # Word this fresh is acted on at once, and the use told afterwards: no wait where gateways are few.
-        knows = quota.counter and now - account.told_at < FRESH // 4
-        request.before = account.stores()
+        knows = quota.counter and now - account.tokens_known_at_ns < FRESH // 4
+        request.balances_before = account.balances()
         if knows or quota.at_home(account):
             may = pays or quota.may(now, account, a.units)
             if may and quota.book(account, a.units, pays):
                 return self._admit(now, request, knows) + quota.short(now, account)
-            if not account.more or request.asked_at or a.valid_until - now < 4 * TICK:
-                account.refused_for = quota.lacking(now, account, a.units)
+            if not account.more_expected or request.queued_at_ns or a.expires_at_ns - now < 4 * TICK:
+                account.rejection_reason = quota.lacking(now, account, a.units)
                 return [self._refusal(a), *quota.short(now, account)]
-            quota.tag, request.asked_at = quota.tag + 1 & 0xFFFFFFFF, now
-            self.held[quota.tag] = self.open[a.request] = request
-            return [api.WantRights(a.customer)]
+            quota.tag, request.queued_at_ns = quota.tag + 1 & 0xFFFFFFFF, now
+            self.queued[quota.tag] = self.open_requests[a.request] = request
+            return [RequestAllocation(a.tenant)]
         if not pays and quota.known_spent(account, a.units):
             return [self._refusal(a)]
         if not (quota.asks(account) or (quota.counter and self.rng.random() < quota.pace)):
             return self._alone(now, request)
-        if pays and not plan.ceiling_rate:
+        if pays and not plan.hard_limit_per_s:
             return self._admit(now, request, quota.pace >= 1.0)
-        short = a.valid_until - now < 4 * TICK
-        if short and plan.open_limit and quota.asks(account):
+        short = a.expires_at_ns - now < 4 * TICK
+        if short and plan.concurrency_limit and quota.asks(account):
             return self._alone(now, request)  # a place would be granted that nobody takes
-        tag, action = quota.ask(now, account, a.units, Kind.ASK)
+        tag, action = quota.ask(now, account, a.units, QuotaMessageKind.REQUEST)
         if short:
             return [action, *self._alone(now, request)]
-        request.asked_at = now
-        self.held[tag] = self.open[a.request] = request
+        request.queued_at_ns = now
+        self.queued[tag] = self.open_requests[a.request] = request
         return [action]
 
-    def entitled(self, now: int, customer: int) -> list[api.Action]:
+    def entitled(self, now: int, customer: int) -> list[Action]:
         """What was held for want of rights is decided with those that are kept here now."""
-        tags = [tag for tag, request in self.held.items() if request.account.customer == customer]
-        held = [self.held.pop(tag) for tag in tags]
-        still = [request for request in held if self.open.pop(request.arrival.request, None)]
+        tags = [tag for tag, request in self.queued.items() if request.account.tenant == customer]
+        held = [self.queued.pop(tag) for tag in tags]
+        still = [request for request in held if self.open_requests.pop(request.arrival.request, None)]
         return [action for request in still for action in self._within_quota(now, request)]
 
-    def _alone(self, now: int, request: Open) -> list[api.Action]:
-        request.before = request.account.stores()
+    def _alone(self, now: int, request: OpenRequest) -> list[Action]:
+        request.balances_before = request.account.balances()
         may = self.quota.alone(now, request.account, request.arrival.units)
         return self._admit(now, request, False) if may else [self._refusal(request.arrival)]
 
-    def _admit(self, now: int, request: Open, tell: bool) -> list[api.Action]:
+    def _admit(self, now: int, request: OpenRequest, tell: bool) -> list[Action]:
         a, account = request.arrival, request.account
         if (send := self._send(now, request)) is None:
-            account.give_back(account.taken_since(request.before))
+            account.give_back(account.taken_since(request.balances_before))
             return [self._refusal(a)]
-        self.open[a.request] = request
-        self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
-        request.placed |= tell or self.quota.asks(account)
-        if self.quota.homes and not self.quota.at_home(account):
+        self.open_requests[a.request] = request
+        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
+        request.counted_remotely |= tell or self.quota.asks(account)
+        if self.quota.has_owners and not self.quota.at_home(account):
             account.spend(a.units)
-        request.taken = account.taken_since(request.before)
-        return [send, self.quota.ask(now, account, a.units, Kind.TAKE)[1]] if tell else [send]
+        request.balances_taken = account.taken_since(request.balances_before)
+        return [send, self.quota.ask(now, account, a.units, QuotaMessageKind.SPENT)[1]] if tell else [send]
 
-    def decided(self, now: int, tag: int, granted: bool | None, more: list[api.Action]) -> list[api.Action]:
+    def decided(self, now: int, tag: int, granted: bool | None, more: list[Action]) -> list[Action]:
         """A held request goes on, or is refused; without an answer this gateway decides alone."""
-        request = self.held.pop(tag, None)
+        request = self.queued.pop(tag, None)
         if request is None:
             return more
-        request.placed, request.before = granted is True, request.account.stores()
-        request.account.asking -= self.quota.asks(request.account)
-        if self.open.pop(request.arrival.request, None):
+        request.counted_remotely, request.balances_before = granted is True, request.account.balances()
+        request.account.pending_queries -= self.quota.asks(request.account)
+        if self.open_requests.pop(request.arrival.request, None):
             if granted is None:
                 more += self._alone(now, request)
             else:
                 more += self._admit(now, request, False) if granted else [self._refusal(request.arrival)]
         return more + self._release(now, request)
 
-    def _release(self, now: int, request: Open) -> list[api.Action]:
-        if request.out or not request.placed:
+    def _release(self, now: int, request: OpenRequest) -> list[Action]:
+        if request.attempts_in_flight or not request.counted_remotely:
             return []
-        request.placed = False
+        request.counted_remotely = False
         return self.quota.free(now, request.account)
 
-    def _overdue(self, now: int) -> list[api.Action]:
-        overdue = [tag for tag, request in self.held.items() if now - request.asked_at >= HOLD]
+    def _overdue(self, now: int) -> list[Action]:
+        overdue = [tag for tag, request in self.queued.items() if now - request.queued_at_ns >= HOLD]
         actions = [action for tag in overdue for action in self.decided(now, tag, None, [])]
         # Places still counted though nobody holds them are told again, or customers would be shut out.
-        late = [c.account for c in self.active.values() if c.account.owed <= -OPEN / 2]
+        late = [
+            c.account
+            for c in self.active_commitments.values()
+            if c.account.counter_correction_units <= -OPEN / 2
+        ]
         return actions + [self.quota.call(now, a, 0.0) for a in late if self.rng.random() < self.quota.pace]
 
     def _over_limit(self, now: int, density: float) -> bool:
         """Under pressure the model's limit on all in flight holds too; the least worth meets it first."""
-        limit, out = self.model.limit, float(self.out - self.lost)
+        limit, out = self.model.concurrency_limit, float(self.in_flight - self.presumed_lost)
         if limit is None:
             return False
         # What one of many gateways has in flight varies by its root from one moment to the next, and all of
         # them together far less: without room for that, chance would refuse what the fleet has room for.
-        out -= max(0.0, 1.0 - FEW / self.s.gateways) * CHANCE * sqrt(limit)
+        out -= max(0.0, 1.0 - FEW / self.settings.gateway_count) * CHANCE * sqrt(limit)
         if out < CHEAPEST * limit:
             return False
-        total = sum(m.rate(now) for m in self.arrivals.values())
-        below = sum(m.rate(now) for m in self.arrivals.values() if m.value < density)
+        total = sum(m.rate_per_s(now) for m in self.arrival_priorities.values())
+        below = sum(m.rate_per_s(now) for m in self.arrival_priorities.values() if m.value < density)
         return out >= limit * (CHEAPEST + (1.0 - CHEAPEST) * below / max(total, 1e-9))
 
-    def _refusal(self, a: api.Arrival) -> api.Refuse:
-        return api.Refuse(a.request, min(ADVICE, self.s.max_retry_after) * self.s.retry_advice)
+    def _refusal(self, a: RequestArrived) -> Reject:
+        return Reject(
+            a.request, min(ADVICE, self.settings.max_retry_after_ns) * self.settings.may_send_retry_after
+        )
 
-    def _send(self, now: int, request: Open) -> api.Send | None:
+    def _send(self, now: int, request: OpenRequest) -> StartAttempt | None:
         a = request.arrival
-        if now >= a.valid_until or request.sends >= request.most:
+        if now >= a.expires_at_ns or request.attempts_started >= request.max_attempts:
             return None
         allowed = self._repeat_filter(now, request)
-        kind = a.cls, a.plan
-        server = self.fleet.choose(now, kind, request.tried, allowed)
+        kind = a.request_class, a.plan
+        server = self.fleet.choose(now, kind, request.tried_backends, allowed)
         server = server or self.fleet.choose(now, kind, set(), allowed)
         if server is None:
             return None
         self.fleet.sent(now, server)
-        request.tried.add(server.entry.id)
-        self.attempts[a.request, request.sends] = request
-        if not request.may_have_run:
-            request.keyed_at, request.keyed_by = now, server.entry
-        request.sends, request.out, request.sent_at = request.sends + 1, request.out + 1, now
-        self.out += 1
+        request.tried_backends.add(server.backend.id)
+        self.attempts[a.request, request.attempts_started] = request
+        if not request.may_have_executed:
+            request.deduplicated_from_ns, request.deduplicated_by = now, server.backend
+        request.attempts_started, request.attempts_in_flight, request.last_attempt_at_ns = (
+            request.attempts_started + 1,
+            request.attempts_in_flight + 1,
+            now,
+        )
+        self.in_flight += 1
         self.opened(request, 1)
-        cls, repeated = self.s.classes[a.cls], request.may_have_run
-        until = request.keyed_at + cls.window if repeated and cls.repeat is api.Repeat.KEYED else 0
-        return api.Send(a.request, server.entry.id, self._patience(now, request), until)
+        cls, repeated = self.settings.classes[a.request_class], request.may_have_executed
+        until = (
+            request.deduplicated_from_ns + cls.deduplication_window_ns
+            if repeated and cls.idempotency is Idempotency.WITH_KEY
+            else 0
+        )
+        return StartAttempt(a.request, server.backend.id, self._patience(now, request), until)
 
-    def opened(self, request: Open, change: int) -> None:
+    def opened(self, request: OpenRequest, change: int) -> None:
         """So many attempts more of the request's customer are out."""
-        request.commitment.open += change
+        request.commitment.in_flight += change
         self.quota.opened(request.account, change)
 
-    def _patience(self, now: int, request: Open) -> int:
+    def _patience(self, now: int, request: OpenRequest) -> int:
         """Time-out of an attempt, or 0: guards against lost answers, hung backends, classes left unanswered,
         where some were seen of late and another try is allowed; it would harm where all are slow."""
-        a, cls = request.arrival, self.s.classes[request.arrival.cls]
-        again = cls.repeat is not api.Repeat.UNSAFE and request.sends < request.most
-        if not again or self.model.risen or self.fleet.silence[a.cls].blend(now, 0.0, 3.0) < SILENCE:
+        a, cls = request.arrival, self.settings.classes[request.arrival.request_class]
+        again = (
+            cls.idempotency is not Idempotency.NOT_IDEMPOTENT
+            and request.attempts_started < request.max_attempts
+        )
+        if (
+            not again
+            or self.model.is_congested
+            or self.fleet.timeout_rate[a.request_class].blend(now, 0.0, 3.0) < SILENCE
+        ):
             return 0
-        return max(cls.aim // 2, int(3 * self.model.latency[a.cls].value))
+        return max(cls.latency_objective_ns // 2, int(3 * self.model.latency[a.request_class].value))
 
-    def _repeat_filter(self, now: int, request: Open) -> Filter:
+    def _repeat_filter(self, now: int, request: OpenRequest) -> Filter:
         """Rule 2: where another attempt of a keyed request that may have run may go."""
-        cls, first = self.s.classes[request.arrival.cls], request.keyed_by
-        if not request.may_have_run or cls.repeat is not api.Repeat.KEYED or first is None:
+        cls, first = self.settings.classes[request.arrival.request_class], request.deduplicated_by
+        if not request.may_have_executed or cls.idempotency is not Idempotency.WITH_KEY or first is None:
             return lambda b: True
-        if now - request.keyed_at >= cls.window:
+        if now - request.deduplicated_from_ns >= cls.deduplication_window_ns:
             return lambda b: False
-        if cls.group is api.Group.ZONE:
+        if cls.deduplication_scope is DeduplicationScope.ZONE:
             return lambda b: b.zone == first.zone
-        return lambda b: cls.group is api.Group.ALL or b.cell == first.cell
+        return lambda b: cls.deduplication_scope is DeduplicationScope.ALL or b.cell == first.cell
 
-    def _ended(self, now: int, event: api.AttemptEnded) -> list[api.Action]:
+    def _ended(self, now: int, event: AttemptEnded) -> list[Action]:
         request = self.attempts.pop((event.request, event.attempt), None)
         if request is None:
             return []
-        account, cls = request.account, request.arrival.cls
-        request.out, self.out = request.out - 1, self.out - 1
+        account, cls = request.account, request.arrival.request_class
+        request.attempts_in_flight, self.in_flight = request.attempts_in_flight - 1, self.in_flight - 1
         self.opened(request, -1)
-        if event.used:
-            account.granted.add(now, min(1.0, max(0.0, 0.5 + (1.01 - event.used / 100) / METER_SPAN)))
-        if request.began:
-            request.commitment.passing -= 1
-            event = replace(event, elapsed=request.began)
-        if event.outcome is api.Outcome.OK:
-            self.model.latency[cls].add(now, event.elapsed)
-            if self.s.settled_after and event.true_units:
-                account.level -= event.true_units - request.arrival.units
+        if event.quota_usage:
+            account.grant_ratio.add(
+                now, min(1.0, max(0.0, 0.5 + (1.01 - event.quota_usage / 100) / METER_SPAN))
+            )
+        if request.first_byte_after_ns:
+            request.commitment.streaming -= 1
+            event = replace(event, elapsed_ns=request.first_byte_after_ns)
+        if event.outcome is Outcome.OK:
+            self.model.latency[cls].add(now, event.elapsed_ns)
+            if self.settings.units_settled_later and event.actual_units:
+                account.tokens -= event.actual_units - request.arrival.units
         usual = max(1.0, self.model.latency[cls].value)
-        self.fleet.ended(now, event, (cls, request.arrival.plan), event.elapsed / usual)
-        if event.outcome not in api.NEVER_RAN:
-            request.may_have_run = True
-        request.came |= event.outcome not in (api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
-        if event.finished:
-            self.open.pop(event.request, None)
-        again = [] if request.out or event.request not in self.open else self._try_again(now, request)
-        if not (request.out or request.came or event.request in self.open):
-            account.give_back(request.taken)
+        self.fleet.ended(now, event, (cls, request.arrival.plan), event.elapsed_ns / usual)
+        if event.outcome not in NOT_EXECUTED:
+            request.may_have_executed = True
+        request.reached_backend |= event.outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+        if event.request_finished:
+            self.open_requests.pop(event.request, None)
+        again = (
+            []
+            if request.attempts_in_flight or event.request not in self.open_requests
+            else self._try_again(now, request)
+        )
+        if not (request.attempts_in_flight or request.reached_backend or event.request in self.open_requests):
+            account.give_back(request.balances_taken)
         return again + self._release(now, request)
 
-    def _began(self, event: api.Begun) -> None:
+    def _began(self, event: ResponseStarted) -> None:
         """A long value is being passed on: no other attempt may follow, and its time was that of its first
         byte; how long the rest takes is up to whoever reads it."""
         if (request := self.attempts.get((event.request, event.attempt))) is not None:
-            request.commitment.passing += not request.began
-            request.most, request.began = 0, max(1, event.elapsed)
+            request.commitment.streaming += not request.first_byte_after_ns
+            request.max_attempts, request.first_byte_after_ns = 0, max(1, event.elapsed_ns)
 
-    def _try_again(self, now: int, request: Open) -> list[api.Action]:
+    def _try_again(self, now: int, request: OpenRequest) -> list[Action]:
         """Another attempt where the class, the time left and the retry budget allow one; else the end."""
-        a, cls = request.arrival, self.s.classes[request.arrival.cls]
-        repeatable = not request.may_have_run or cls.repeat is not api.Repeat.UNSAFE
-        if repeatable and self.retries >= 1.0 and (send := self._send(now, request)):
-            self.retries -= 1.0
+        a, cls = request.arrival, self.settings.classes[request.arrival.request_class]
+        repeatable = not request.may_have_executed or cls.idempotency is not Idempotency.NOT_IDEMPOTENT
+        if repeatable and self.retry_tokens >= 1.0 and (send := self._send(now, request)):
+            self.retry_tokens -= 1.0
             return [send]
-        del self.open[a.request]
-        harmless = not request.may_have_run or cls.repeat is api.Repeat.SAFE
-        if harmless or (cls.repeat is api.Repeat.KEYED and cls.group is api.Group.ALL):
+        del self.open_requests[a.request]
+        harmless = not request.may_have_executed or cls.idempotency is Idempotency.IDEMPOTENT
+        if harmless or (
+            cls.idempotency is Idempotency.WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
+        ):
             return [self._refusal(a)]
-        return [api.Fail(a.request)]
+        return [Fail(a.request)]
--- a/trackspread/decide/neighbours.py
+++ b/trackspread/decide/neighbours.py
@@ -11,7 +11,8 @@
 from math import inf
 from typing import NamedTuple
 
-from .state import SECOND, Commitment
+from .commitment import Commitment
+from .time_units import SECOND
 
 BUSY = 0.05  # in flight on average, from which a commitment counts
 LEAST_RATE = 1e-3  # requests a second: none asks for a throughput of nothing
@@ -73,13 +74,13 @@
 
     def put(self, commitment: Commitment) -> None:
         """The commitment is new here, or has another cap or throughput than before."""
-        in_flight = commitment.in_flight.value
+        in_flight = commitment.mean_in_flight.value
         if in_flight <= BUSY:
             return
         capped = commitment.cap > 1
-        span = commitment.cap * SECOND / max(commitment.least, LEAST_RATE) if capped else inf
-        entry = _Entry(in_flight if capped else min(1.0, in_flight), commitment.room, span)
-        customer = commitment.account.customer
+        span = commitment.cap * SECOND / max(commitment.min_throughput_per_s, LEAST_RATE) if capped else inf
+        entry = _Entry(in_flight if capped else min(1.0, in_flight), commitment.max_wait_ns, span)
+        customer = commitment.account.tenant
         if (old := self._entries.get(customer)) is not None:
             self._in_flight -= old.in_flight
         self._entries[customer] = entry
@@ -89,7 +90,7 @@
 
     def beside(self, commitment: Commitment) -> Beside:
         """All but this one."""
-        customer = commitment.account.customer
+        customer = commitment.account.tenant
         own = self._entries.get(customer)
         in_flight = self._in_flight - (own.in_flight if own is not None else 0.0)
         return Beside(max(0.0, in_flight), self._rooms.without(customer), self._spans.without(customer))
--- a/trackspread/decide/quota.py
+++ b/trackspread/decide/quota.py
@@ -11,13 +11,25 @@
 from dataclasses import replace
 from math import ceil
 
-from . import interface as api
+from .actions import Action, AddToCounter, SendToPeers
+from .events import AllocationChanged, CounterAnswered, FleetChanged, Outcome, PeerMessage, PlansChanged
+from .settings import Plan, Settings
 from .chance import blind_chance
-from .mail import TOTALS, Draw, Kind, pack_draw, pack_totals, unpack_draw, unpack_totals
+from .peer_messages import (
+    MAX_TOTALS,
+    QuotaMessage,
+    QuotaMessageKind,
+    pack_quota_message,
+    pack_usage_totals,
+    unpack_quota_message,
+    unpack_usage_totals,
+)
 from .rendezvous import home_of
-from .state import LONG, MEMORY, SECOND, Account, Mean, carried
+from .decaying_mean import LONG_TERM, SHORT_TERM, DecayingMean
+from .tenant_account import TenantAccount, rescaled_tokens
+from .time_units import SECOND
 
-Word = tuple[int, bool | None, list[api.Action]]  # number of the ask answered, the answer, what to send
+Word = tuple[int, bool | None, list[Action]]  # number of the ask answered, the answer, what to send
 
 # Tuned values: unit and reason behind each; times are chosen against aims of the order of a second.
 OVERTAKEN = 50  # tenths of a second by which word of a peer may be overtaken by newer word on its way
@@ -44,209 +56,254 @@
     """The companion bucket, limits on open attempts and ceilings, over all gateways: where word of all peers
     is fresh each keeps the store; else one home for each customer does, or the counter."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: int, rng: random.Random) -> None:
-        self.s, self.rng, self.me, self.born = settings, rng, seed & 0xFFFF, now
-        self.accounts: dict[int, Account] = {}
-        self.reserved: dict[int, tuple[float, float]] = {}  # by customer, on top of rate and burst
+    def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
+        self.settings, self.rng, self.incarnation, self.started_at_ns = settings, rng, seed & 0xFFFF, now
+        self.accounts: dict[int, TenantAccount] = {}
+        self.reservations: dict[int, tuple[float, float]] = {}  # by customer, on top of rate and burst
         self.peers: dict[int, tuple[int, int, int]] = {}  # incarnation, when last heard, the age told then
         self.back: dict[int, tuple[int, int]] = {}  # when a peer was last heard again, after how long, ns
         self.back_at = now - RETURNING  # when any was
-        self.view: api.FleetChanged | None = None
+        self.view: FleetChanged | None = None
         self.views, self.moved = 0, False  # taken in so far; whether homes are others than at the start
         self._sets: dict[tuple[int, int], int] = {}  # slots of the customers' sets
-        self.rights = settings.rights
+        self.rights = settings.has_leased_quotas
         self._regime(1.0)
-        told = settings.may_message or self.rights
-        self.counter = settings.counter and not told and settings.gateways > 1
-        self.granted = [Mean(LONG) for _ in settings.plans]
+        told = settings.may_gossip or self.rights
+        self.counter = settings.has_shared_counter and not told and settings.gateway_count > 1
+        self.granted = [DecayingMean(LONG_TERM) for _ in settings.plans]
         self.calls: dict[int, deque[tuple[int, float, bool, float]]] = {}  # ask, amount, fix, owed
         self.tag, self.pace, self.restarted, self.lack_at = 0, 1.0, False, now
         self.told_at = now  # when peers were last told
 
     def _regime(self, room: float) -> None:
         """Whether all tell all of all use, or customers have homes. `room`: over the usual bound."""
-        self.every = 2 * (self.s.gateways - 1) * SECOND / max(1.0, self.s.messages_per_s)
-        self.gossip = self.s.may_message and self.every <= room * FRESH // 4
-        self.homes = self.s.may_message and not self.gossip
+        self.gossip_interval_ns = (
+            2 * (self.settings.gateway_count - 1) * SECOND / max(1.0, self.settings.peer_messages_per_s)
+        )
+        self.gossip = self.settings.may_gossip and self.gossip_interval_ns <= room * FRESH // 4
+        self.has_owners = self.settings.may_gossip and not self.gossip
 
     @property
     def blind(self) -> bool:  # no word (a view brings it), no counter, no meter: nothing of others is known
-        return not (self.s.may_message or self.rights or self.counter or self.s.meter_period)
+        return not (
+            self.settings.may_gossip or self.rights or self.counter or self.settings.metering_period_ns
+        )
 
-    def joined(self, now: int, event: api.FleetChanged) -> None:
+    def joined(self, now: int, event: FleetChanged) -> None:
         """Another view, or another part of all limits. What is here was filled by the old ones until now."""
         if self.rights:
             return  # those say it already, for each customer
         old = self.view
-        told = (event.others, event.homes, event.slots, event.theirs)
-        if old is None or (old.others, old.homes, old.slots, old.theirs) != told:
+        told = (event.peers, event.quota_owners, event.own_slots, event.peer_slots)
+        if old is None or (old.peers, old.quota_owners, old.own_slots, old.peer_slots) != told:
             for account in self.accounts.values():
                 self.refill(now, account)
         self.view = event
-        if old is not None and event.slots & ~old.slots:
+        if old is not None and event.own_slots & ~old.own_slots:
             for account in self.accounts.values():
                 # Nobody tells what those used whose slots are now here.
-                own = self._width(account, event.slots & ~old.slots)
-                account.absent = min(account.absent, account.plan.burst * own)
-        if old is not None and old.slots and now >= old.ends:
+                own = self._width(account, event.own_slots & ~old.own_slots)
+                account.unresponsive_units = min(account.unresponsive_units, account.plan.burst_units * own)
+        if old is not None and old.own_slots and now >= old.reassigned_at_ns:
             for account in self.accounts.values():  # others have had them meanwhile
-                account.ceiling, account.part = min(0.0, account.ceiling), min(0.0, account.part)
-        if old is None or (old.others, old.homes) != (event.others, event.homes):
-            if old is not None and set(event.others) - set(old.others):
+                account.hard_limit_tokens, account.static_tokens = (
+                    min(0.0, account.hard_limit_tokens),
+                    min(0.0, account.static_tokens),
+                )
+        if old is None or (old.peers, old.quota_owners) != (event.peers, event.quota_owners):
+            if old is not None and set(event.peers) - set(old.peers):
                 self.back_at = now
-            self.views, self.moved = self.views + 1, self.moved or (old is not None and bool(old.slots))
-            self.s = replace(self.s, gateways=1 + len(event.others), position=event.me, may_message=True)
+            self.views, self.moved = self.views + 1, self.moved or (old is not None and bool(old.own_slots))
+            self.settings = replace(
+                self.settings,
+                gateway_count=1 + len(event.peers),
+                gateway_index=event.own_number,
+                may_gossip=True,
+            )
             # Halves of a fleet that parts go on as they were used to, and are as much at one once healed.
             self._regime(1.0 if self.gossip or old is None else 0.25)
 
     def slots(self, now: int) -> int:
         """That may be acted on here by the view, at this instant."""
-        return self.view.slots if self.view is not None and now < self.view.until else 0
+        return self.view.own_slots if self.view is not None and now < self.view.valid_until_ns else 0
 
-    def _width(self, account: Account, slots: int) -> float:
+    def _width(self, account: TenantAccount, slots: int) -> float:
         """Of the customer's limits, that these slots are: its set's are all of them."""
-        key = account.first, account.spread
+        key = account.first_gateway, account.gateway_span
         if (whole := self._sets.get(key)) is None:
-            seats, whole = self.view.seats if self.view is not None else (), 0
-            for n in range(account.spread or len(seats)):
-                whole |= seats[(account.first + n) % len(seats)]
+            seats, whole = self.view.gateway_slots if self.view is not None else (), 0
+            for n in range(account.gateway_span or len(seats)):
+                whole |= seats[(account.first_gateway + n) % len(seats)]
             self._sets[key] = whole
         return (slots & whole).bit_count() / max(1, whole.bit_count())
 
-    def even(self, now: int, account: Account) -> float:
+    def even(self, now: int, account: TenantAccount) -> float:
         """Of the customer's limits, that is this gateway's whatever others do."""
         if self.view is not None:
             return self._width(account, self.slots(now))
-        return 1.0 / account.slices if account.slices else 0.0
+        return 1.0 / account.static_shares if account.static_shares else 0.0
 
     def barred(self, now: int) -> bool:
         """Whether nothing that all share may be acted on here: this gateway has lost its fleet, or has not
         found it yet."""
         return self.view is not None and not self.slots(now)
 
-    def _others(self, account: Account) -> tuple[int, ...]:
-        return account.peers if self.view is None else self.view.others
+    def _others(self, account: TenantAccount) -> tuple[int, ...]:
+        return account.peers if self.view is None else self.view.peers
 
-    def home(self, account: Account) -> int:
-        if self.view is not None and account.homed != self.views:
-            account.home, account.homed = home_of(account.customer, self.view.homes), self.views
-            keeps = account.home == self.view.me
-            if keeps and not account.keeps:
+    def home(self, account: TenantAccount) -> int:
+        if self.view is not None and account.owner_of_view != self.views:
+            account.quota_owner, account.owner_of_view = (
+                home_of(account.tenant, self.view.quota_owners),
+                self.views,
+            )
+            keeps = account.quota_owner == self.view.own_number
+            if keeps and not account.is_owner:
                 # What was kept here before is of another time; askers tell what the former home had.
-                account.taking, account.over, account.absent, account.tellers = True, 0.0, 0.0, {}
-                account.heard, account.asked, account.given = {}, {}, {}
-            account.keeps = keeps
-        return account.home
-
-    def account(self, now: int, customer: int, index: int, spread: int = 0, first: int = 0) -> Account:
+                (
+                    account.is_taking_over,
+                    account.overflow_units,
+                    account.unresponsive_units,
+                    account.taken_over_at_ns,
+                ) = True, 0.0, 0.0, {}
+                account.peer_totals, account.queried_at_ns, account.unsettled_grants = {}, {}, {}
+            account.is_owner = keeps
+        return account.quota_owner
+
+    def account(self, now: int, customer: int, index: int, spread: int = 0, first: int = 0) -> TenantAccount:
         """The customer's account; `spread` is 0 when a peer asks and no request of it came here."""
-        account, n = self.accounts.get(customer), self.s.gateways
+        account, n = self.accounts.get(customer), self.settings.gateway_count
         if account is None:
             plan = self.figures(customer, index)
             # A restarted home knows no store: half of it errs as little either way.
-            unknown = self.homes and (self.restarted or self.moved)
-            level = plan.burst * (0.5 if unknown else not self.rights)
-            times, means = (now, now, -SILENT, -SILENT), (Mean(MEMORY), Mean(3 * LONG), Mean(LONG))
-            account = Account(customer, plan, index, customer % n, level, *times, *means)
-            if self.homes and self.at_home(account):
-                pooled = plan.ceiling_slack * POOLED + self._spared(plan)
-                account.ceiling = pooled * self.share(now, account)
+            unknown = self.has_owners and (self.restarted or self.moved)
+            level = plan.burst_units * (0.5 if unknown else not self.rights)
+            times, means = (
+                (now, now, -SILENT, -SILENT),
+                (DecayingMean(SHORT_TERM), DecayingMean(3 * LONG_TERM), DecayingMean(LONG_TERM)),
+            )
+            account = TenantAccount(customer, plan, index, customer % n, level, *times, *means)
+            if self.has_owners and self.at_home(account):
+                pooled = plan.hard_limit_slack_units * POOLED + self._spared(plan)
+                account.hard_limit_tokens = pooled * self.share(now, account)
             self.accounts[customer] = account
-        elif account.index != index:
+        elif account.plan_index != index:
             self.carry(now, account, index)
-        if spread >= 1 and not account.slices and not self.rights:
-            n = n if self.view is None else len(self.view.seats)
+        if spread >= 1 and not account.static_shares and not self.rights:
+            n = n if self.view is None else len(self.view.gateway_slots)
             self._slice(now, account, min(int(spread), n), int(first))
         return account
 
-    def _spared(self, plan: api.Plan) -> float:
+    def _spared(self, plan: Plan) -> float:
         """Of a ceiling's part at a home, what a predecessor that ran until just now surely left: it passed on
         a burst of the quota and then the quota's rate at most, as all that it grants is inside the quota."""
-        pooled, pays = plan.ceiling_rate * POOLED, plan.over_worth > plan.over_cost
-        within = plan.rate > 0.0 and not pays and pooled >= plan.rate
-        return max(0.0, plan.ceiling_burst * POOLED - plan.burst) * within
+        pooled, pays = plan.hard_limit_per_s * POOLED, plan.overage_weight > plan.overage_cost
+        within = plan.rate_per_s > 0.0 and not pays and pooled >= plan.rate_per_s
+        return max(0.0, plan.hard_limit_burst_units * POOLED - plan.burst_units) * within
 
-    def _slice(self, now: int, account: Account, n: int, first: int) -> None:
+    def _slice(self, now: int, account: TenantAccount, n: int, first: int) -> None:
         """Even slices, started so that all together have no more than the whole, on average. A ceiling's
         starts with its part of the slack alone: a restarted gateway cannot know that it is one."""
-        account.first, account.spread = first, n
-        named = [(first + i) % self.s.gateways for i in range(n)] if self.gossip else []
-        account.peers = tuple(p for p in named if p != self.s.position)
-        account.slices = n + ((self.s.position - first) % self.s.gateways >= n)
+        account.first_gateway, account.gateway_span = first, n
+        named = [(first + i) % self.settings.gateway_count for i in range(n)] if self.gossip else []
+        account.peers = tuple(p for p in named if p != self.settings.gateway_index)
+        account.static_shares = n + ((self.settings.gateway_index - first) % self.settings.gateway_count >= n)
         plan, share = account.plan, self.even(now, account)
-        even = plan.burst * share
-        account.level = even if self.gossip and self.restarted else account.level
-        chance = even / max(self.s.largest, 1e-9)
-        account.part = even if chance >= 1.0 else self.s.largest * (self.rng.random() < chance)
-        account.ceiling += plan.ceiling_slack * (1.0 - POOLED if self.homes else 1.0) * share
+        even = plan.burst_units * share
+        account.tokens = even if self.gossip and self.restarted else account.tokens
+        chance = even / max(self.settings.largest_request_units, 1e-9)
+        account.static_tokens = (
+            even if chance >= 1.0 else self.settings.largest_request_units * (self.rng.random() < chance)
+        )
+        account.hard_limit_tokens += (
+            plan.hard_limit_slack_units * (1.0 - POOLED if self.has_owners else 1.0) * share
+        )
 
-    def entitle(self, now: int, event: api.RightsChanged) -> None:
+    def entitle(self, now: int, event: AllocationChanged) -> None:
         """The stores are filled by the old shares until now. A store that is new here has filled since this
         gateway's start: whatever a former one spent, its rights went with it."""
-        fresh, account = event.customer not in self.accounts, self.account(now, event.customer, event.plan)
+        fresh, account = event.tenant not in self.accounts, self.account(now, event.tenant, event.plan)
         if fresh:
-            account.at, account.soft, account.hard = self.born, event.soft, event.hard
+            account.refilled_at_ns, account.quota_share, account.hard_limit_share = (
+                self.started_at_ns,
+                event.quota_share,
+                event.hard_limit_share,
+            )
         self.refill(now, account)
-        plan, account.soft, account.hard, account.more = account.plan, event.soft, event.hard, event.more
-        account.places, level = event.places, account.level if event.level is None else event.level
+        plan, account.quota_share, account.hard_limit_share, account.more_expected = (
+            account.plan,
+            event.quota_share,
+            event.hard_limit_share,
+            event.more_expected,
+        )
+        account.concurrency_share, level = (
+            event.concurrency_share,
+            account.tokens if event.tokens is None else event.tokens,
+        )
         # What others took came out of what found the store full here: it was not full for all of the time.
-        taken = max(0.0, event.taken - account.over)
-        account.over *= not event.taken
-        account.level = max(-plan.burst, min(plan.burst, level) - taken)
-        account.ceiling = min(plan.ceiling_burst * event.hard, account.ceiling)
+        taken = max(0.0, event.used_elsewhere_units - account.overflow_units)
+        account.overflow_units *= not event.used_elsewhere_units
+        account.tokens = max(-plan.burst_units, min(plan.burst_units, level) - taken)
+        account.hard_limit_tokens = min(
+            plan.hard_limit_burst_units * event.hard_limit_share, account.hard_limit_tokens
+        )
 
-    def replan(self, now: int, event: api.PlansChanged) -> None:
+    def replan(self, now: int, event: PlansChanged) -> None:
         """Other figures from now on, in every store that is kept here."""
-        self.s = replace(self.s, plans=event.plans)
-        self.reserved = {customer: (rate, burst) for customer, rate, burst in event.reserved}
+        self.settings = replace(self.settings, plans=event.plans)
+        self.reservations = {customer: (rate, burst) for customer, rate, burst in event.reserved}
         for account in self.accounts.values():
-            self.carry(now, account, account.index)
+            self.carry(now, account, account.plan_index)
 
-    def figures(self, customer: int, index: int) -> api.Plan:
+    def figures(self, customer: int, index: int) -> Plan:
         """The plan's, and what the customer has reserved on top; a ceiling rises with its quota."""
-        plan, (rate, burst) = self.s.plans[index], self.reserved.get(customer, (0.0, 0.0))
+        plan, (rate, burst) = self.settings.plans[index], self.reservations.get(customer, (0.0, 0.0))
         if not rate:
             return plan
-        quota, ceiling = plan.rate > 0.0, plan.ceiling_rate > 0.0
+        quota, ceiling = plan.rate_per_s > 0.0, plan.hard_limit_per_s > 0.0
         return replace(
             plan,
-            rate=plan.rate + rate * quota,
-            burst=plan.burst + burst * quota,
-            ceiling_rate=plan.ceiling_rate + rate * ceiling,
-            ceiling_burst=plan.ceiling_burst + burst * ceiling,
+            rate_per_s=plan.rate_per_s + rate * quota,
+            burst_units=plan.burst_units + burst * quota,
+            hard_limit_per_s=plan.hard_limit_per_s + rate * ceiling,
+            hard_limit_burst_units=plan.hard_limit_burst_units + burst * ceiling,
         )
 
-    def carry(self, now: int, account: Account, index: int) -> None:
+    def carry(self, now: int, account: TenantAccount, index: int) -> None:
         """The customer's stores go over to the figures of plan `index`, filled by the old ones until now. A
         level is kept as a share of a burst that falls, as units of one that rises: never a gift."""
         self.refill(now, account)
-        old, new = account.plan, self.figures(account.customer, index)
-        account.plan, account.index = new, index
-        account.level = carried(account.level, old.burst, new.burst)
-        account.part = carried(account.part, old.burst, new.burst)
-        account.ceiling = carried(account.ceiling, old.ceiling_burst, new.ceiling_burst)
+        old, new = account.plan, self.figures(account.tenant, index)
+        account.plan, account.plan_index = new, index
+        account.tokens = rescaled_tokens(account.tokens, old.burst_units, new.burst_units)
+        account.static_tokens = rescaled_tokens(account.static_tokens, old.burst_units, new.burst_units)
+        account.hard_limit_tokens = rescaled_tokens(
+            account.hard_limit_tokens, old.hard_limit_burst_units, new.hard_limit_burst_units
+        )
 
-    def share(self, now: int, account: Account) -> float:
+    def share(self, now: int, account: TenantAccount) -> float:
         """Part of the quota that counts as here: the whole while word of others' use is fresh, as that is
         taken off when told. The slice of whoever is silent ages back to him."""
-        slices = max(1, account.slices)
+        slices = max(1, account.static_shares)
         if self.rights:
-            return account.soft
+            return account.quota_share
         if self.view is not None:
             view, own = self.view, self.even(now, account)
             if self.gossip:
-                others = zip(view.others, view.theirs, strict=True)
+                others = zip(view.peers, view.peer_slots, strict=True)
                 heard = [(slots, self.peers[p][1]) for p, slots in others if p in self.peers]
                 widths = (self._width(account, slots) * self._fresh(now, at) for slots, at in heard)
                 return min(1.0, own + sum(widths))
             theirs = 0
-            for slots in view.theirs:
+            for slots in view.peer_slots:
                 theirs |= slots
-            near = self.at_home(account) or self._fresh(now, account.told_at)
+            near = self.at_home(account) or self._fresh(now, account.tokens_known_at_ns)
             return min(1.0, own + near * self._width(account, theirs & ~self.slots(now)))
         if self.at_home(account) and not self.gossip:
             return 1.0
-        told = [self.peers.get(p, (0, self.born - FRESH, 0))[1] for p in account.peers] or [account.told_at]
+        told = [self.peers.get(p, (0, self.started_at_ns - FRESH, 0))[1] for p in account.peers] or [
+            account.tokens_known_at_ns
+        ]
         fresh = sum(self._fresh(now, at) for at in told) / len(told)
         return (1.0 + fresh * (slices - 1)) / slices
 
@@ -255,356 +312,428 @@
         """How far word of this age counts."""
         return min(1.0, max(0.0, (SILENT - now + at) / (SILENT - FRESH)))
 
-    def at_home(self, account: Account) -> bool:
-        near = self.gossip or self.rights or account.slices == 1
-        return self.home(account) == self.s.position if self.asks(account) else near
+    def at_home(self, account: TenantAccount) -> bool:
+        near = self.gossip or self.rights or account.static_shares == 1
+        return self.home(account) == self.settings.gateway_index if self.asks(account) else near
 
-    def asks(self, account: Account) -> bool:
+    def asks(self, account: TenantAccount) -> bool:
         """Whether one home grants for all: places among a few are gone before all could tell all."""
-        return self.homes or (self.gossip and account.plan.open_limit > 0)
+        return self.has_owners or (self.gossip and account.plan.concurrency_limit > 0)
 
-    def refill(self, now: int, account: Account) -> None:
-        dt, account.at = (now - account.at) / SECOND, now
+    def refill(self, now: int, account: TenantAccount) -> None:
+        dt, account.refilled_at_ns = (now - account.refilled_at_ns) / SECOND, now
         if self.barred(now):
             # What is here stays as it is until something may be acted on again; all else is others'.
-            room = account.plan.burst - account.level
-            account.absent = min(room, account.absent + account.plan.rate * dt)
+            room = account.plan.burst_units - account.tokens
+            account.unresponsive_units = min(room, account.unresponsive_units + account.plan.rate_per_s * dt)
             return
-        near = self.homes and self.at_home(account)
+        near = self.has_owners and self.at_home(account)
         shared = self.gossip or self.rights or (near and self.view is not None)
         plan, share = account.plan, self.share(now, account) if shared else 1.0
         even = self.even(now, account)
-        most = plan.burst * share
+        most = plan.burst_units * share
         if dt and self.rights:
-            most = max(most, account.level)  # a share that falls takes no units along: what is filled stays
-            over = account.level + plan.rate * share * dt - most
-            account.over = min(plan.rate, account.over + max(0.0, over))  # of a second: words come sooner
+            most = max(most, account.tokens)  # a share that falls takes no units along: what is filled stays
+            over = account.tokens + plan.rate_per_s * share * dt - most
+            account.overflow_units = min(
+                plan.rate_per_s, account.overflow_units + max(0.0, over)
+            )  # of a second: words come sooner
         if dt:
-            before, account.level = account.level, min(most, account.level + plan.rate * share * dt)
-            if self.homes or (share < 1.0 and self.gossip):
-                account.over += plan.rate * dt - (account.level - before)
+            before, account.tokens = account.tokens, min(most, account.tokens + plan.rate_per_s * share * dt)
+            if self.has_owners or (share < 1.0 and self.gossip):
+                account.overflow_units += plan.rate_per_s * dt - (account.tokens - before)
             if share < 1.0 and not self.rights:
-                grown = account.absent + plan.rate * (1.0 - share) * dt + max(0.0, before - most)
-                account.absent = min(plan.burst - account.level, grown)
-            elif account.absent and now - self.back_at >= RETURNING:
+                grown = (
+                    account.unresponsive_units
+                    + plan.rate_per_s * (1.0 - share) * dt
+                    + max(0.0, before - most)
+                )
+                account.unresponsive_units = min(plan.burst_units - account.tokens, grown)
+            elif account.unresponsive_units and now - self.back_at >= RETURNING:
                 # All are heard again, and have told what they used: the rest is there to be used.
-                account.level = min(most, account.level + account.absent)
-                account.absent = 0.0
-        account.part = min(max(plan.burst * even, self.s.largest), account.part + plan.rate * even * dt)
-        even = (1.0 - POOLED) * even + POOLED * near * share if self.homes else even
-        even = account.hard if self.rights else even
-        account.ceiling = min(plan.ceiling_burst * even, account.ceiling + plan.ceiling_rate * even * dt)
-
-    def may(self, now: int, account: Account, units: float) -> bool:
+                account.tokens = min(most, account.tokens + account.unresponsive_units)
+                account.unresponsive_units = 0.0
+        account.static_tokens = min(
+            max(plan.burst_units * even, self.settings.largest_request_units),
+            account.static_tokens + plan.rate_per_s * even * dt,
+        )
+        even = (1.0 - POOLED) * even + POOLED * near * share if self.has_owners else even
+        even = account.hard_limit_share if self.rights else even
+        account.hard_limit_tokens = min(
+            plan.hard_limit_burst_units * even, account.hard_limit_tokens + plan.hard_limit_per_s * even * dt
+        )
+
+    def may(self, now: int, account: TenantAccount, units: float) -> bool:
         """The ceiling's slice, and open attempts: others' count while word is new, else an even slice."""
-        limit, told = account.plan.open_limit, now - account.open_at < FRESH // 4
+        limit, told = account.plan.concurrency_limit, now - account.in_flight_known_at_ns < FRESH // 4
         own = self.even(now, account) or (self.view is None)
         most = ceil(limit * (1.0 if told else own) - 1e-9)
-        most = int(limit * account.places + 1e-6) if self.rights else most
-        few = not limit or account.open + told * account.others < most
-        if limit and (self.gossip or (self.homes and self.at_home(account))):
-            others = sum(out for out, at in account.out.values() if now - at < SILENT)
-            few = account.open + others < limit * self.share(now, account)
-        limited = account.plan.rate or limit or account.plan.ceiling_rate
+        most = int(limit * account.concurrency_share + 1e-6) if self.rights else most
+        few = not limit or account.in_flight + told * account.in_flight_elsewhere < most
+        if limit and (self.gossip or (self.has_owners and self.at_home(account))):
+            others = sum(out for out, at in account.peers_in_flight.values() if now - at < SILENT)
+            few = account.in_flight + others < limit * self.share(now, account)
+        limited = account.plan.rate_per_s or limit or account.plan.hard_limit_per_s
         return (
             few
-            and (not account.plan.ceiling_rate or account.ceiling >= units)
+            and (not account.plan.hard_limit_per_s or account.hard_limit_tokens >= units)
             and not (limited and self.barred(now))
         )
 
-    def opened(self, account: Account, more: int) -> None:
+    def opened(self, account: TenantAccount, more: int) -> None:
         """An attempt of the customer's is out, or over."""
-        account.open += more
-        if account.plan.open_limit:
-            account.tells = 3
+        account.in_flight += more
+        if account.plan.concurrency_limit:
+            account.announcements_due = 3
 
-    def short(self, now: int, account: Account) -> list[api.Action]:
+    def short(self, now: int, account: TenantAccount) -> list[Action]:
         """Ask a peer for some of its part of a ceiling that runs short here. Parts are even while demand is
         not: a customer that comes through one gateway would get that one's part alone."""
         plan, demand = account.plan, account.demand
         others = self._others(account)
         if self.view is not None:  # who has none of it can give none
-            theirs = zip(others, self.view.theirs, strict=True)
+            theirs = zip(others, self.view.peer_slots, strict=True)
             others = tuple(peer for peer, slots in theirs if self._width(account, slots))
-        if not (self.gossip and plan.ceiling_rate and others) or now < self.lack_at:
+        if not (self.gossip and plan.hard_limit_per_s and others) or now < self.lack_at:
             return []
-        most = plan.ceiling_burst * self.even(now, account)
-        if account.ceiling >= min(most / 2, demand.rate(now) * demand.value * LACK_SPAN / SECOND):
+        most = plan.hard_limit_burst_units * self.even(now, account)
+        if account.hard_limit_tokens >= min(
+            most / 2, demand.rate_per_s(now) * demand.value * LACK_SPAN / SECOND
+        ):
             return []
         # Each ask is one message to a peer, and brings one at most.
-        self.lack_at = now + int(2 * SECOND / max(1.0, LACK_MESSAGES * self.s.messages_per_s))
-        self.tag = account.lacked = self.tag + 1 & 0xFFFFFFFF
+        self.lack_at = now + int(2 * SECOND / max(1.0, LACK_MESSAGES * self.settings.peer_messages_per_s))
+        self.tag = account.transfer_request = self.tag + 1 & 0xFFFFFFFF
         to = others[self.tag % len(others)]
-        return [self._tell(now, to, account, Kind.LACK, most - account.ceiling, self.tag)]
+        return [
+            self._tell(
+                now,
+                to,
+                account,
+                QuotaMessageKind.TRANSFER_REQUEST,
+                most - account.hard_limit_tokens,
+                self.tag,
+            )
+        ]
 
-    def _lent(self, now: int, sender: int, draw: Draw) -> list[api.Action]:
+    def _lent(self, now: int, sender: int, draw: QuotaMessage) -> list[Action]:
         """A peer asks for some of the part here, or gives of its own. What is given has left that part
         before it is told, and no part ever holds more than its even one: together they never hold more than
         the ceiling."""
-        account = self.accounts.get(draw.customer)
+        account = self.accounts.get(draw.tenant)
         if account is None and self.view is not None:
             account = self._drawn_on(now, draw)  # by the view it may have slots here
-        if account is None or account.index != draw.plan or sender not in self._others(account):
+        if account is None or account.plan_index != draw.plan or sender not in self._others(account):
             return []
         self.refill(now, account)
-        if draw.kind == Kind.GIVE and draw.tag == account.lacked:
-            account.lacked = 0  # a second copy of it is none
-            most = account.plan.ceiling_burst * self.even(now, account)
-            account.ceiling = min(most, account.ceiling + draw.units)
-        if draw.kind != Kind.LACK:
+        if draw.kind == QuotaMessageKind.TRANSFER and draw.tag == account.transfer_request:
+            account.transfer_request = 0  # a second copy of it is none
+            most = account.plan.hard_limit_burst_units * self.even(now, account)
+            account.hard_limit_tokens = min(most, account.hard_limit_tokens + draw.units)
+        if draw.kind != QuotaMessageKind.TRANSFER_REQUEST:
             return []
-        own = account.demand.rate(now) * account.demand.value * KEPT_SPAN / SECOND
-        spare = GIVEN * (account.ceiling - max(self.s.largest, own))
+        own = account.demand.rate_per_s(now) * account.demand.value * KEPT_SPAN / SECOND
+        spare = GIVEN * (account.hard_limit_tokens - max(self.settings.largest_request_units, own))
         given = QUARTER * int(min(draw.units, spare) / QUARTER)
         if given <= 0.0:
             return []
-        account.ceiling -= given
-        return [self._tell(now, sender, account, Kind.GIVE, given, draw.tag)]
+        account.hard_limit_tokens -= given
+        return [self._tell(now, sender, account, QuotaMessageKind.TRANSFER, given, draw.tag)]
 
-    def known_spent(self, account: Account, units: float) -> bool:
+    def known_spent(self, account: TenantAccount, units: float) -> bool:
         """Whether the home's last word, and what filled its store since, fall short of these units: others
         can only have taken more. Not to ask then spares a home whose customer asks more than it can hear."""
-        told = self.homes and account.plan.rate > 0.0 and account.told_at > self.born
-        return told and account.level + QUARTER / 2 < units
+        told = (
+            self.has_owners
+            and account.plan.rate_per_s > 0.0
+            and account.tokens_known_at_ns > self.started_at_ns
+        )
+        return told and account.tokens + QUARTER / 2 < units
 
-    def lacking(self, now: int, account: Account, units: float) -> str:
+    def lacking(self, now: int, account: TenantAccount, units: float) -> str:
         """Which limit does not let these units through here, for people."""
         if self.barred(now):
             return "fleet"
-        if account.plan.ceiling_rate and account.ceiling < units:
+        if account.plan.hard_limit_per_s and account.hard_limit_tokens < units:
             return "ceiling"
         return "quota" if self.may(now, account, units) else "open limit"
 
-    def book(self, account: Account, units: float, pays: bool) -> bool:
-        within = not account.plan.rate or account.level >= units
-        if not (within or pays) or (account.plan.ceiling_rate and account.ceiling < units):
+    def book(self, account: TenantAccount, units: float, pays: bool) -> bool:
+        within = not account.plan.rate_per_s or account.tokens >= units
+        if not (within or pays) or (account.plan.hard_limit_per_s and account.hard_limit_tokens < units):
             return False
-        account.ceiling -= units
-        if within and account.plan.rate:
-            account.level, account.tells = account.level - units, 3
+        account.hard_limit_tokens -= units
+        if within and account.plan.rate_per_s:
+            account.tokens, account.announcements_due = account.tokens - units, 3
             account.spend(units)
         return True
 
-    def alone(self, now: int, account: Account, units: float) -> bool:
+    def alone(self, now: int, account: TenantAccount, units: float) -> bool:
         """Without the store's word: by the even slice, else by chance, as home, counter or meter lately said
         of this customer, or else of its plan. That ages away, and even slices are left."""
         if self.rights or self.gossip:
             return self.may(now, account, units) and self.book(account, units, False)
         if self.blind:
             return self._unheard(now, account, units)
-        usual, even = self.granted[account.index].blend(now, 0.0, 0.1), account.part >= units
+        usual, even = self.granted[account.plan_index].blend(now, 0.0, 0.1), account.static_tokens >= units
         # Seen here more than its even slice, beyond the one request that says nothing, a customer is busy.
-        seen, one = account.seen.rate(now) * account.seen.value, units * SECOND / LONG
+        seen, one = (
+            account.long_term_demand.rate_per_s(now) * account.long_term_demand.value,
+            units * SECOND / LONG_TERM,
+        )
         own = self.even(now, account) or (self.view is None)
-        fits = min(1.0, (account.plan.rate * own + 2 * one) / (seen + one))
-        fits *= UNTOLD if account.plan.open_limit else 1.0
-        lucky = even or self.rng.random() < account.granted.blend(now, usual, 0.5) * fits
+        fits = min(1.0, (account.plan.rate_per_s * own + 2 * one) / (seen + one))
+        fits *= UNTOLD if account.plan.concurrency_limit else 1.0
+        lucky = even or self.rng.random() < account.grant_ratio.blend(now, usual, 0.5) * fits
         if not lucky or not self.may(now, account, units):
             return False
-        account.part -= units * even
-        account.ceiling -= units
+        account.static_tokens -= units * even
+        account.hard_limit_tokens -= units
         if self.view is not None:  # by what was told, if the next home is to hear of it
-            account.level = max(0.0, account.level - units)
+            account.tokens = max(0.0, account.tokens - units)
         return True
 
-    def _unheard(self, now: int, account: Account, units: float) -> bool:
+    def _unheard(self, now: int, account: TenantAccount, units: float) -> bool:
         """Where nobody is ever heard: by the even slice, which one request by chance may overdraw. What goes
         beyond the quota is thus one request for each gateway at most, and is filled up again. The more
         requests the slice pays for of itself, the less it takes chance that some other gateway's goes
         unused."""
-        plan, span = account.plan, min(LONG, now - self.born) / SECOND
-        limited, owed = plan.rate or plan.open_limit or plan.ceiling_rate, units - account.part
-        largest = max(self.s.largest, units)
-        paid = (plan.burst + plan.rate * span) * self.even(now, account) / largest
-        chance = blind_chance(plan.over_cost, OVER_PRICE) * (1.0 + paid) if plan.rate else 1.0
-        chance *= UNTOLD if plan.open_limit else 1.0
+        plan, span = account.plan, min(LONG_TERM, now - self.started_at_ns) / SECOND
+        limited, owed = (
+            plan.rate_per_s or plan.concurrency_limit or plan.hard_limit_per_s,
+            units - account.static_tokens,
+        )
+        largest = max(self.settings.largest_request_units, units)
+        paid = (plan.burst_units + plan.rate_per_s * span) * self.even(now, account) / largest
+        chance = blind_chance(plan.overage_cost, OVER_PRICE) * (1.0 + paid) if plan.rate_per_s else 1.0
+        chance *= UNTOLD if plan.concurrency_limit else 1.0
         lucky = not limited or owed <= 0.0 or (owed <= largest and self.rng.random() < chance)
         if not lucky or not self.may(now, account, units):
             return False
-        account.part -= units if plan.rate else 0.0
-        account.ceiling -= units
+        account.static_tokens -= units if plan.rate_per_s else 0.0
+        account.hard_limit_tokens -= units
         return True
 
-    def answered(self, now: int, account: Account, level: float, granted: bool) -> None:
-        account.level, account.told_at = level, now
-        account.granted.add(now, float(granted))
-        self.granted[account.index].add(now, float(granted))
+    def answered(self, now: int, account: TenantAccount, level: float, granted: bool) -> None:
+        account.tokens, account.tokens_known_at_ns = level, now
+        account.grant_ratio.add(now, float(granted))
+        self.granted[account.plan_index].add(now, float(granted))
 
-    def ask(self, now: int, account: Account, units: float, kind: Kind) -> tuple[int, api.Action]:
+    def ask(
+        self, now: int, account: TenantAccount, units: float, kind: QuotaMessageKind
+    ) -> tuple[int, Action]:
         self.tag = self.tag + 1 & 0xFFFFFFFF
         if self.asks(account):
             action = self._tell(now, self.home(account), account, kind, units, self.tag)
-            account.asking += kind == Kind.ASK
+            account.pending_queries += kind == QuotaMessageKind.REQUEST
             return self.tag, action
         # While not all are counted, each that is stands for those that are not.
         amount = units / self.pace + self.place(account)
-        return self.tag, self.call(now, account, amount, self.tag * (kind == Kind.ASK))
-
-    def _tell(self, now: int, to: int, account: Account, kind: Kind, units: float, tag: int) -> api.Action:
-        age = (now - self.born) * 10 // SECOND
-        out = (account.open + account.asking) * (account.plan.open_limit > 0)
-        draw = Draw(kind, account.customer, account.index, units, tag, age, account.sent, out=out)
+        return self.tag, self.call(now, account, amount, self.tag * (kind == QuotaMessageKind.REQUEST))
+
+    def _tell(
+        self, now: int, to: int, account: TenantAccount, kind: QuotaMessageKind, units: float, tag: int
+    ) -> Action:
+        age = (now - self.started_at_ns) * 10 // SECOND
+        out = (account.in_flight + account.pending_queries) * (account.plan.concurrency_limit > 0)
+        draw = QuotaMessage(
+            kind,
+            account.tenant,
+            account.plan_index,
+            units,
+            tag,
+            age,
+            account.forwarded_quarter_units,
+            in_flight=out,
+        )
         if self.view is not None:  # whoever keeps slots has to know which of them are the customer's
-            teller = account.teller * (now - account.told_at < TAKEN_OVER)
+            teller = account.tokens_reported_by * (now - account.tokens_known_at_ns < TAKEN_OVER)
             draw = draw._replace(
-                first=account.first, spread=account.spread, level=max(0.0, account.level), teller=teller
+                first_gateway=account.first_gateway,
+                gateway_span=account.gateway_span,
+                tokens=max(0.0, account.tokens),
+                tokens_reported_by=teller,
+            )
+        return SendToPeers(to, pack_quota_message(draw))
+
+    def _drawn_on(self, now: int, draw: QuotaMessage) -> TenantAccount:
+        account = self.account(now, draw.tenant, draw.plan)
+        if draw.gateway_span and not account.gateway_span and self.view is not None:
+            seats = len(self.view.gateway_slots)
+            account.first_gateway, account.gateway_span = (
+                draw.first_gateway % seats,
+                min(draw.gateway_span, seats),
             )
-        return api.Tell(to, pack_draw(draw))
-
-    def _drawn_on(self, now: int, draw: Draw) -> Account:
-        account = self.account(now, draw.customer, draw.plan)
-        if draw.spread and not account.spread and self.view is not None:
-            seats = len(self.view.seats)
-            account.first, account.spread = draw.first % seats, min(draw.spread, seats)
         return account
 
-    def _take_over(self, now: int, account: Account, sender: int, draw: Draw) -> None:
+    def _take_over(self, now: int, account: TenantAccount, sender: int, draw: QuotaMessage) -> None:
         """The asker comes from another home, whose store goes into the one here, once: each kept what was its
         side's, and what its askers used was taken off there."""
-        account.heard.pop(sender, None)
-        account.asked.pop(sender, None)
-        account.given.pop(sender, None)
-        if now - account.tellers.get(draw.teller, now - TAKEN_OVER) >= TAKEN_OVER:
-            here, most = account.level * (not account.taking), account.plan.burst * self.share(now, account)
-            account.level, account.absent = min(most, here + draw.level), 0.0
-        account.tellers[draw.teller] = now
-
-    def drawn(self, now: int, event: api.PeerMessage) -> Word:
+        account.peer_totals.pop(sender, None)
+        account.queried_at_ns.pop(sender, None)
+        account.unsettled_grants.pop(sender, None)
+        if now - account.taken_over_at_ns.get(draw.tokens_reported_by, now - TAKEN_OVER) >= TAKEN_OVER:
+            here, most = (
+                account.tokens * (not account.is_taking_over),
+                account.plan.burst_units * self.share(now, account),
+            )
+            account.tokens, account.unresponsive_units = min(most, here + draw.tokens), 0.0
+        account.taken_over_at_ns[draw.tokens_reported_by] = now
+
+    def drawn(self, now: int, event: PeerMessage) -> Word:
         """Word with a home, either way, or of ceilings between equals: the number of the ask it answers, the
         answer, what to send."""
-        draw = unpack_draw(event.data)
-        if draw is None or draw.plan >= len(self.s.plans):
+        draw = unpack_quota_message(event.data)
+        if draw is None or draw.plan >= len(self.settings.plans):
             return 0, None, []
-        if draw.kind in (Kind.LACK, Kind.GIVE):
+        if draw.kind in (QuotaMessageKind.TRANSFER_REQUEST, QuotaMessageKind.TRANSFER):
             return 0, None, self._lent(now, event.sender, draw) if self.gossip else []
-        self._note_age(now, draw.age)
-        if draw.kind in (Kind.GRANT, Kind.DENY):
-            if (mine := self.accounts.get(draw.customer)) and self.homes:
+        self._note_age(now, draw.age_tenths_s)
+        if draw.kind in (QuotaMessageKind.GRANT, QuotaMessageKind.DENY):
+            if (mine := self.accounts.get(draw.tenant)) and self.has_owners:
                 self.refill(now, mine)
-                self.answered(now, mine, draw.units, draw.kind == Kind.GRANT)
-                mine.teller = event.sender
-            return draw.tag, draw.kind == Kind.GRANT, []
+                self.answered(now, mine, draw.units, draw.kind == QuotaMessageKind.GRANT)
+                mine.tokens_reported_by = event.sender
+            return draw.tag, draw.kind == QuotaMessageKind.GRANT, []
         account = self._drawn_on(now, draw)
         if not self.at_home(account):
             return 0, None, []
         self.refill(now, account)
-        if draw.teller not in (0, self.s.position):
+        if draw.tokens_reported_by not in (0, self.settings.gateway_index):
             self._take_over(now, account, event.sender, draw)
-        account.taking, account.last = False, now
-        account.out[event.sender] = draw.out, now
-        if draw.kind == Kind.DONE:
+        account.is_taking_over, account.last_request_ns = False, now
+        account.peers_in_flight[event.sender] = draw.in_flight, now
+        if draw.kind == QuotaMessageKind.RELEASED:
             return 0, None, []
-        pays = account.plan.over_worth > account.plan.over_cost
-        if not pays and draw.kind == Kind.ASK and self.homes:
-            self._settle(now, account, event.sender, draw.taken)
-        room = not account.plan.open_limit or pays or self.may(now, account, draw.units)
-        kind = Kind.GRANT if room and self.book(account, draw.units, pays) else Kind.DENY
-        if kind == Kind.GRANT:
-            account.out[event.sender] = draw.out + 1, now
-            account.given[event.sender] = account.given.get(event.sender, (0.0, 0))[0] + draw.units, now
-        word = self._tell(now, event.sender, account, kind, account.level, draw.tag)
-        return 0, None, [word] * (draw.kind == Kind.ASK)
+        pays = account.plan.overage_weight > account.plan.overage_cost
+        if not pays and draw.kind == QuotaMessageKind.REQUEST and self.has_owners:
+            self._settle(now, account, event.sender, draw.forwarded_quarter_units)
+        room = not account.plan.concurrency_limit or pays or self.may(now, account, draw.units)
+        kind = (
+            QuotaMessageKind.GRANT if room and self.book(account, draw.units, pays) else QuotaMessageKind.DENY
+        )
+        if kind == QuotaMessageKind.GRANT:
+            account.peers_in_flight[event.sender] = draw.in_flight + 1, now
+            account.unsettled_grants[event.sender] = (
+                account.unsettled_grants.get(event.sender, (0.0, 0))[0] + draw.units,
+                now,
+            )
+        word = self._tell(now, event.sender, account, kind, account.tokens, draw.tag)
+        return 0, None, [word] * (draw.kind == QuotaMessageKind.REQUEST)
 
     @staticmethod
-    def _used_elsewhere(account: Account, units: float, silence: int) -> None:
+    def _used_elsewhere(account: TenantAccount, units: float, silence: int) -> None:
         """Taken off the store here, also below nothing, or two gateways would both spend the same refill.
         What was used in a `silence` of so many ns (0: heard all along) comes off that time's refill first, as
         far as that never was in the store here; what both sides spent beyond it is spent: to save it up
         serves nobody."""
-        floor = -account.plan.burst
+        floor = -account.plan.burst_units
         if silence:
-            less, floor = min(units, account.over, account.plan.rate * silence / SECOND), 0.0
-            account.over, units = account.over - less, units - less
-            account.absent = max(0.0, account.absent - less - units)
-        account.level = min(account.level, max(floor, account.level - units))
+            less, floor = min(units, account.overflow_units, account.plan.rate_per_s * silence / SECOND), 0.0
+            account.overflow_units, units = account.overflow_units - less, units - less
+            account.unresponsive_units = max(0.0, account.unresponsive_units - less - units)
+        account.tokens = min(account.tokens, max(floor, account.tokens - units))
 
-    def _settle(self, now: int, account: Account, sender: int, taken: int) -> None:
+    def _settle(self, now: int, account: TenantAccount, sender: int, taken: int) -> None:
         """Grants whose answer was lost count once its asker tells of what it took; what it took beyond all
         grants, alone, is taken off the store; and a grant that nobody took for long goes back into it."""
-        last, (given, at) = account.heard.get(sender, taken), account.given.get(sender, (0.0, now))
+        last, (given, at) = (
+            account.peer_totals.get(sender, taken),
+            account.unsettled_grants.get(sender, (0.0, now)),
+        )
         grown = (taken - last) & 0xFFFF
         used = (grown if grown < 0x8000 else taken) / 4  # one that went back has begun anew
         rest = max(0.0, given - used)
         if rest and now - at > FRESH:
-            account.level, rest = min(account.plan.burst, account.level + rest), 0.0
-        silence = now - account.asked.get(sender, now)  # a short one may be chance where messages get lost
+            account.tokens, rest = min(account.plan.burst_units, account.tokens + rest), 0.0
+        silence = now - account.queried_at_ns.get(
+            sender, now
+        )  # a short one may be chance where messages get lost
         self._used_elsewhere(account, max(0.0, used - given), silence * (silence > SILENT))
-        account.asked[sender] = now
-        account.heard[sender], account.given[sender] = taken, (rest, at)
-
-    def call(self, now: int, account: Account, amount: float, tag: int = 0, fix: bool = False) -> api.Action:
-        name = account.customer << 16 | (now // COUNTER_LIFE) & 0xFFFF
-        self.calls.setdefault(name, deque()).append((tag, amount, fix, account.owed))
-        amount, account.owed = amount + account.owed, 0.0
-        return api.AddToCounter(name, COUNTER_LIFE, amount)
-
-    def free(self, now: int, account: Account) -> list[api.Action]:
+        account.queried_at_ns[sender] = now
+        account.peer_totals[sender], account.unsettled_grants[sender] = taken, (rest, at)
+
+    def call(
+        self, now: int, account: TenantAccount, amount: float, tag: int = 0, fix: bool = False
+    ) -> Action:
+        name = account.tenant << 16 | (now // COUNTER_LIFE) & 0xFFFF
+        self.calls.setdefault(name, deque()).append((tag, amount, fix, account.counter_correction_units))
+        amount, account.counter_correction_units = amount + account.counter_correction_units, 0.0
+        return AddToCounter(name, COUNTER_LIFE, amount)
+
+    def free(self, now: int, account: TenantAccount) -> list[Action]:
         """Nothing of a request that was counted as out elsewhere is out any more."""
         if self.place(account):
             return [self.call(now, account, -OPEN)]
-        if not account.plan.open_limit or not self.asks(account) or self.at_home(account):
+        if not account.plan.concurrency_limit or not self.asks(account) or self.at_home(account):
             return []
-        return [self._tell(now, self.home(account), account, Kind.DONE, 0.0, 0)]
+        return [self._tell(now, self.home(account), account, QuotaMessageKind.RELEASED, 0.0, 0)]
 
-    def place(self, account: Account) -> float:
+    def place(self, account: TenantAccount) -> float:
         """What an attempt out adds to the counter's number where a plan limits how many may be."""
-        return OPEN * (self.counter and account.plan.open_limit > 0)
+        return OPEN * (self.counter and account.plan.concurrency_limit > 0)
 
-    def counted(self, now: int, event: api.Counted) -> Word:
+    def counted(self, now: int, event: CounterAnswered) -> Word:
         """The counter's answer. Its number stands for a store: what was taken since its name began, and the
         attempts out. When the store was full for a while (the number lags behind the fill) it is put right;
         who finds that another did so first takes it back."""
-        queue, account = self.calls.get(event.name), self.accounts.get(event.name >> 16)
+        queue, account = self.calls.get(event.key), self.accounts.get(event.key >> 16)
         if not queue or account is None:
             return 0, None, []
         tag, amount, fix, owed = queue.popleft()
-        if event.outcome is not api.Outcome.OK:
+        if event.outcome is not Outcome.OK:
             # A crowded counter answers nobody: fewer calls from here, and slowly more once it answers.
             self.pace = max(PACE_LEAST, self.pace * PACE_DOWN)
-            if event.outcome is api.Outcome.TIMEOUT:
-                account.owed -= self.place(account) * (tag > 0)  # surely added late, and nobody holds it
+            if event.outcome is Outcome.TIMEOUT:
+                account.counter_correction_units -= self.place(account) * (
+                    tag > 0
+                )  # surely added late, and nobody holds it
             else:
-                account.owed += owed + amount * (not tag and not fix)  # known not to have been added
+                account.counter_correction_units += owed + amount * (
+                    not tag and not fix
+                )  # known not to have been added
             return tag, None, []
         self.pace = min(1.0, self.pace + PACE_UP)
         plan, place, before = account.plan, self.place(account), event.total - amount
         out = (before + OPEN / 2) // OPEN if place else 0.0
-        surplus = plan.rate * ((now - event.elapsed) % COUNTER_LIFE) / SECOND - (before - out * OPEN)
-        level, units = min(plan.burst, plan.burst + surplus), amount - place
+        surplus = plan.rate_per_s * ((now - event.elapsed_ns) % COUNTER_LIFE) / SECOND - (before - out * OPEN)
+        level, units = min(plan.burst_units, plan.burst_units + surplus), amount - place
         self.refill(now, account)
         if fix or amount <= 0:
             return 0, None, [self.call(now, account, -amount)] if fix and surplus < amount / 2 else []
-        room = not plan.rate or level >= min(units, plan.burst / 2)
-        granted, calls = room and (not place or out < plan.open_limit), []
-        account.open_at, account.others = now, max(0, int(out) - account.open)
-        if not granted and (tag or plan.over_worth > plan.over_cost):
+        room = not plan.rate_per_s or level >= min(units, plan.burst_units / 2)
+        granted, calls = room and (not place or out < plan.concurrency_limit), []
+        account.in_flight_known_at_ns, account.in_flight_elsewhere = now, max(0, int(out) - account.in_flight)
+        if not granted and (tag or plan.overage_weight > plan.overage_cost):
             calls.append(self.call(now, account, -amount))
-        elif surplus * self.pace > plan.burst * LAG:
+        elif surplus * self.pace > plan.burst_units * LAG:
             calls.append(self.call(now, account, surplus, 0, True))
         self.answered(now, account, level - units * granted, granted)
         return tag, granted, calls
 
     def message(self, now: int) -> bytes:
         """Running totals, so that a lost message costs nothing once the next one comes."""
-        telling = [a for a in self.accounts.values() if a.tells and (a.peers or self.view is not None)]
-        telling.sort(key=lambda a: (-a.tells, a.customer))
-        for account in telling[:TOTALS]:
-            account.tells -= 1
-        totals = ((a.customer, a.sent, a.open) for a in telling[:TOTALS])
-        return pack_totals(self.me, (now - self.born) * 10 // SECOND, totals)
+        telling = [
+            a for a in self.accounts.values() if a.announcements_due and (a.peers or self.view is not None)
+        ]
+        telling.sort(key=lambda a: (-a.announcements_due, a.tenant))
+        for account in telling[:MAX_TOTALS]:
+            account.announcements_due -= 1
+        totals = ((a.tenant, a.forwarded_quarter_units, a.in_flight) for a in telling[:MAX_TOTALS])
+        return pack_usage_totals(self.incarnation, (now - self.started_at_ns) * 10 // SECOND, totals)
 
     def _note_age(self, now: int, age: int) -> bool:
         """An older peer shows that this gateway came back: the stores are not full as on a first day."""
-        older = age * SECOND // 10 > now - self.born + SECOND
+        older = age * SECOND // 10 > now - self.started_at_ns + SECOND
         if older and not self.restarted:
             self.restarted = True
             for mine in self.accounts.values():
-                own = 0.5 if self.homes else self.even(now, mine) or 1.0
-                mine.level = min(mine.level, mine.plan.burst * own)
+                own = 0.5 if self.has_owners else self.even(now, mine) or 1.0
+                mine.tokens = min(mine.tokens, mine.plan.burst_units * own)
         return older
 
-    def heard(self, now: int, event: api.PeerMessage) -> None:
-        if (word := unpack_totals(event.data)) is None:
+    def heard(self, now: int, event: PeerMessage) -> None:
+        if (word := unpack_usage_totals(event.data)) is None:
             return
         last_word = self.peers.get(event.sender, (-1, 0, 0))
         known = last_word[0] == word[0]
@@ -620,21 +749,21 @@
             self.back.pop(oldest, None)
         if not known:  # restarted: it counts from nothing, for each customer whenever first told
             for each in self.accounts.values():
-                each.heard.pop(event.sender, None)
-                each.out.pop(event.sender, None)
+                each.peer_totals.pop(event.sender, None)
+                each.peers_in_flight.pop(event.sender, None)
         older = self._note_age(now, word[1])
         for customer, sent, out in word[2]:
             account = self.accounts.get(customer)
             if account is None:
                 continue
-            last = account.heard.get(event.sender) if known else None
+            last = account.peer_totals.get(event.sender) if known else None
             # A home hears of what it granted by draws, and of what went out without its answer thus alone.
-            if not self.at_home(account) or out > account.out.get(event.sender, (0, now))[0]:
-                account.out[event.sender] = out, now
+            if not self.at_home(account) or out > account.peers_in_flight.get(event.sender, (0, now))[0]:
+                account.peers_in_flight[event.sender] = out, now
             self.refill(now, account)
-            used = min(sent / 4, account.plan.burst) * (not older)
+            used = min(sent / 4, account.plan.burst_units) * (not older)
             grown = 0x8000 if last is None else (sent - last) & 0xFFFF
             # A total that went back was begun anew, after the peer had forgotten the account.
             used = used if grown >= 0x8000 else grown / 4
             self._used_elsewhere(account, used, silence * (now - back < RETURNING))
-            account.heard[event.sender] = sent
+            account.peer_totals[event.sender] = sent
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -33,7 +33,7 @@
 
 def _excluded(broker: Broker, now: int) -> int:
     servers = broker.fleet.servers.values()
-    return sum(s.listed and (not s.usable or now < s.suspended) for s in servers)
+    return sum(s.is_listed and (not s.is_usable or now < s.ejected_until_ns) for s in servers)
 
 
 def excluded(module: Module, now: int) -> int:
@@ -50,7 +50,7 @@
 def kept(quota: Quota, customer: int) -> tuple[float, float]:
     """Units of the customer's quota spent here so far, and in its store: what a shared counter is told."""
     account = quota.accounts.get(customer)
-    return (account.sent / 4, account.level) if account is not None else (0.0, 0.0)
+    return (account.forwarded_quarter_units / 4, account.tokens) if account is not None else (0.0, 0.0)
 
 
 def services(module: ServiceBrokers, now: int) -> list[ServiceReport]:
@@ -58,12 +58,12 @@
     return [
         ServiceReport(
             name,
-            sum(s.listed for s in broker.fleet.servers.values()),
-            broker.fleet.warm,
+            sum(s.is_listed for s in broker.fleet.servers.values()),
+            broker.fleet.warm_backends,
             _excluded(broker, now),
-            broker.out,
-            broker.model.limit,
-            len(broker.active),
+            broker.in_flight,
+            broker.model.concurrency_limit,
+            len(broker.active_commitments),
         )
         for name, broker in zip(module.carried, module.brokers, strict=True)
     ]
--- a/trackspread/decide/services.py
+++ b/trackspread/decide/services.py
@@ -13,37 +13,29 @@
 from dataclasses import replace
 
 from .broker import Broker
-from .interface import (
-    Action,
-    Arrival,
+from .actions import Action, LogMessage, Reject, SetTimer, WatchEndpoints
+from .backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
+from .events import (
+    AllocationChanged,
     AttemptEnded,
-    Backend,
-    Begun,
     ClassesChanged,
-    ClientLeft,
-    Counted,
+    ClientDisconnected,
+    CounterAnswered,
     Event,
     FleetChanged,
-    Health,
-    ListKind,
-    LogLine,
+    HealthChecked,
     PeerMessage,
     PlansChanged,
-    Probed,
-    Refuse,
-    RequestClass,
-    RightsChanged,
-    SetTimer,
-    Settings,
+    RequestArrived,
+    ResponseStarted,
     TimerFired,
-    Topology,
-    Watch,
 )
-from .mail import is_draw
+from .settings import RequestClass, Settings
+from .peer_messages import is_quota_message
 
 ServiceOf = Callable[[RequestClass], str]
 NOWHERE = -1  # the place of a class whose service this gateway does not carry
-_START = Topology(ListKind.DELTA, 0, ())  # an event that changes nothing
+_START = EndpointUpdate(EndpointUpdateKind.DELTA, 0, ())  # an event that changes nothing
 
 
 class ClassTable:
@@ -93,13 +85,13 @@
             self._place(number, event.classes[number])
         heirs = [list(range(len(classes))) for classes in self.classes]
         named: list[set[int]] = [set() for _ in self.classes]
-        for number, heir in enumerate(event.heirs):
+        for number, heir in enumerate(event.predecessors):
             broker, own = self.brokers[number], self.numbers[number]
             if broker == NOWHERE:
                 continue
             inside = heir >= 0 and old_brokers[heir] == broker
             heirs[broker][own] = old_numbers[heir] if inside else NOWHERE
-            if number in event.named:
+            if number in event.active:
                 named[broker].add(own)
         return [
             ClassesChanged(tuple(classes), frozenset(named[n]), tuple(heirs[n]), event.max_attempts)
@@ -116,7 +108,7 @@
     def __init__(
         self, settings: Settings, seed: int, now: int, carried: Sequence[str], service_of: ServiceOf
     ) -> None:
-        self.s, self.carried = settings, tuple(carried)
+        self.settings, self.carried = settings, tuple(carried)
         self._table = ClassTable(settings.classes, self.carried, service_of)
         first = Broker(self._of_service(0), seed, now)
         self.quota = first.quota
@@ -129,7 +121,7 @@
         self._started = False
 
     def _of_service(self, place: int) -> Settings:
-        return replace(self.s, classes=tuple(self._table.classes[place]))
+        return replace(self.settings, classes=tuple(self._table.classes[place]))
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Take in one event; the actions take effect at `now`."""
@@ -141,35 +133,37 @@
 
     def _actions(self, now: int, event: Event) -> Iterable[Action]:
         match event:
-            case Arrival():
+            case RequestArrived():
                 return self._arrived(now, event)
-            case AttemptEnded() | Begun():
+            case AttemptEnded() | ResponseStarted():
                 return self._of_attempt(now, event)
-            case ClientLeft():
+            case ClientDisconnected():
                 return [
                     action
                     for broker in self.brokers
-                    if event.request in broker.open
+                    if event.request in broker.open_requests
                     for action in broker.handle(now, event)
                 ]
-            case Topology():
+            case EndpointUpdate():
                 return self._listed(now, event)
             case ClassesChanged():
                 return self._reclassed(now, event)
-            case PlansChanged() | FleetChanged() | RightsChanged() | PeerMessage() | Counted():
+            case PlansChanged() | FleetChanged() | AllocationChanged() | PeerMessage() | CounterAnswered():
                 return self._of_quota(now, event)
-            case TimerFired() | Probed():
+            case TimerFired() | HealthChecked():
                 return [action for broker in self.brokers for action in broker.handle(now, event)]
 
     # Requests.
 
-    def _arrived(self, now: int, event: Arrival) -> Iterable[Action]:
-        place = self._table.brokers[event.cls]
+    def _arrived(self, now: int, event: RequestArrived) -> Iterable[Action]:
+        place = self._table.brokers[event.request_class]
         if place == NOWHERE:
-            return [Refuse(event.request, 0)]
-        return self.brokers[place].handle(now, replace(event, cls=self._table.numbers[event.cls]))
+            return [Reject(event.request, 0)]
+        return self.brokers[place].handle(
+            now, replace(event, request_class=self._table.numbers[event.request_class])
+        )
 
-    def _of_attempt(self, now: int, event: AttemptEnded | Begun) -> Iterable[Action]:
+    def _of_attempt(self, now: int, event: AttemptEnded | ResponseStarted) -> Iterable[Action]:
         """Attempts are numbered over all services: just one broker has it, or none any more."""
         key = event.request, event.attempt
         return [
@@ -181,31 +175,33 @@
 
     # Backends and classes.
 
-    def _listed(self, now: int, event: Topology) -> Iterable[Action]:
+    def _listed(self, now: int, event: EndpointUpdate) -> Iterable[Action]:
         """Each broker hears of its own backends; that which a backend leaves for another, of its end."""
-        whole = event.kind in (ListKind.FULL, ListKind.CACHED)
+        whole = event.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
         entries: list[list[Backend]] = [[] for _ in self.brokers]
         before, here = self._backends, {} if whole else self._backends
-        for entry in event.entries:
+        for entry in event.backends:
             place = before.get(entry.id, entry.service)
-            if place != entry.service and not whole and entry.health is not Health.GONE:
-                entries[place].append(replace(entry, health=Health.GONE))
-            if entry.health is Health.GONE:
+            if place != entry.service and not whole and entry.health is not Health.REMOVED:
+                entries[place].append(replace(entry, health=Health.REMOVED))
+            if entry.health is Health.REMOVED:
                 here.pop(entry.id, None)
                 entries[place].append(entry)
             else:
                 here[entry.id] = entry.service
                 entries[entry.service].append(entry)
         self._backends = here
-        concerned = [n for n, mine in enumerate(entries) if mine or whole or event.kind is ListKind.FAILED]
+        concerned = [
+            n for n, mine in enumerate(entries) if mine or whole or event.kind is EndpointUpdateKind.FAILED
+        ]
         return [
             action
             for n in concerned
-            for action in self.brokers[n].handle(now, replace(event, entries=tuple(entries[n])))
+            for action in self.brokers[n].handle(now, replace(event, backends=tuple(entries[n])))
         ]
 
     def _reclassed(self, now: int, event: ClassesChanged) -> Iterable[Action]:
-        self.s = replace(self.s, classes=event.classes, max_attempts=event.max_attempts)
+        self.settings = replace(self.settings, classes=event.classes, max_attempts=event.max_attempts)
         told = self._table.change(event)
         for place, broker in enumerate(self.brokers):
             yield from self._named(place, broker.handle(now, told[place]))
@@ -213,7 +209,7 @@
     # What all services share.
 
     def _of_quota(
-        self, now: int, event: PlansChanged | FleetChanged | RightsChanged | PeerMessage | Counted
+        self, now: int, event: PlansChanged | FleetChanged | AllocationChanged | PeerMessage | CounterAnswered
     ) -> Iterable[Action]:
         """Taken in once, then told to each broker."""
         match event:
@@ -225,28 +221,28 @@
                 self.quota.joined(now, event)
                 for broker in self.brokers:
                     broker.joined(event)
-            case RightsChanged():
+            case AllocationChanged():
                 self.quota.entitle(now, event)
                 for broker in self.brokers:
-                    yield from broker.entitled(now, event.customer)
-            case PeerMessage() if self.quota.gossip and not is_draw(event.data):
+                    yield from broker.entitled(now, event.tenant)
+            case PeerMessage() if self.quota.gossip and not is_quota_message(event.data):
                 self.quota.heard(now, event)
             case PeerMessage():
                 yield from self._answered(now, *self.quota.drawn(now, event))
-            case Counted():
+            case CounterAnswered():
                 yield from self._answered(now, *self.quota.counted(now, event))
 
     def _answered(self, now: int, ask: int, granted: bool | None, more: list[Action]) -> Iterator[Action]:
         """An answer goes to the broker that holds a request for it; `more` is to be sent anyway."""
-        asked = next((broker for broker in self.brokers if ask in broker.held), self.brokers[0])
+        asked = next((broker for broker in self.brokers if ask in broker.queued), self.brokers[0])
         yield from asked.decided(now, ask, granted, more)
 
     def _named(self, place: int, actions: Iterable[Action]) -> Iterator[Action]:
         """Lines for the operators say of which service they are."""
         for action in actions:
             yield (
-                LogLine(f"{self.carried[place] or 'default'}: {action.text}")
-                if isinstance(action, LogLine)
+                LogMessage(f"{self.carried[place] or 'default'}: {action.text}")
+                if isinstance(action, LogMessage)
                 else action
             )
 
@@ -271,7 +267,7 @@
             if action.token in tokens:
                 continue
             tokens.add(action.token)
-        if isinstance(action, Watch):
+        if isinstance(action, WatchEndpoints):
             if watched:
                 continue
             watched = True
--- /dev/null
+++ b/trackspread/decide/time_units.py
@@ -0,0 +1,5 @@
+"""Time units of the decision module's clock, in nanoseconds."""
+
+from __future__ import annotations
+
+SECOND = 1_000_000_000
--- a/trackspread/fronts/resp.py
+++ b/trackspread/fronts/resp.py
@@ -11,7 +11,7 @@
 
 from ..call import RETRY_FLAG, BadCall, Call
 from ..config.roster import Roster
-from ..decide.interface import Repeat, Settings
+from ..decide.settings import Idempotency, Settings
 from ..framing.resp import LONG_FROM, LONG_MOST, CommandFrames, FrameError, Words
 from .seam import PING, Broken, Item
 
@@ -31,11 +31,11 @@
     def __init__(self, settings: Settings, classes: Roster, plans: tuple[bytes, ...]) -> None:
         self.configure(classes)
         self._plans = {name: i for i, name in enumerate(plans)}
-        self._gateways, self._largest = settings.gateways, max(1.0, settings.largest)
+        self._gateways, self._largest = settings.gateway_count, max(1.0, settings.largest_request_units)
 
     def configure(self, classes: Roster) -> None:
         """These classes may be named from now on."""
-        self._classes = {name: (n, classes.rules[n].repeat) for name, n in classes.numbers().items()}
+        self._classes = {name: (n, classes.rules[n].idempotency) for name, n in classes.numbers().items()}
 
     def read(self, args: list[bytes]) -> Call:
         """A call from a command's words; raises `BadCall` with a plain reason."""
@@ -53,17 +53,17 @@
             raise BadCall("a name stands twice")
         if not all(name and equals for name, equals, _ in pairs):
             raise BadCall("expected a list of name=value")
-        cls, repeat = self._classes.get(named.get(b"c", b""), (-1, Repeat.SAFE))
+        cls, repeat = self._classes.get(named.get(b"c", b""), (-1, Idempotency.IDEMPOTENT))
         if cls < 0:
             raise BadCall("unknown class")
         plan = self._plans.get(named.get(b"t", b""), -1)
         if plan < 0:
             raise BadCall("unknown plan")
-        if (args[0].upper() == b"CALL.GET") != (repeat is Repeat.SAFE):
+        if (args[0].upper() == b"CALL.GET") != (repeat is Idempotency.IDEMPOTENT):
             raise BadCall("the class is not served by this command")
-        if repeat is Repeat.SAFE and len(args) == 5:
+        if repeat is Idempotency.IDEMPOTENT and len(args) == 5:
             raise BadCall("the class takes no value")
-        if repeat is Repeat.KEYED and not _KEY.fullmatch(named.get(b"k", b"")):
+        if repeat is Idempotency.WITH_KEY and not _KEY.fullmatch(named.get(b"k", b"")):
             raise BadCall("k missing: the class wants an idempotency key")
         if b"d" not in named:
             raise BadCall("d missing")
--- a/trackspread/lists/agent.py
+++ b/trackspread/lists/agent.py
@@ -13,7 +13,7 @@
 import h11
 
 from ..config.addresses import Address, ConfigError, address
-from ..decide.interface import Backend, Health, ListKind, Topology
+from ..decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from ..lag import Later
 from ..logs import Sparing
 from .seam import ListError, Update, backend_id
@@ -33,7 +33,7 @@
 LINE = 4 << 20  # bytes of one line: some 20,000 entries; more is no list
 LEAVING_MOST = 1024  # backends that are remembered as leaving: several whole fleets
 MILLISECOND = 1_000_000
-_HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.GONE}
+_HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
 
 
 def parse_update(
@@ -45,7 +45,13 @@
 ) -> Update:
     """Discovery's form to the module's; zone, kind and service become indices, as on the simulator's wire."""
     try:
-        kind = ListKind.CACHED if cached else ListKind.FULL if raw["whole"] else ListKind.DELTA
+        kind = (
+            EndpointUpdateKind.CACHED
+            if cached
+            else EndpointUpdateKind.FULL
+            if raw["whole"]
+            else EndpointUpdateKind.DELTA
+        )
         addresses: dict[int, Address] = {}
         entries, seen = [], set[int]()
         for host in raw["hosts"]:
@@ -54,11 +60,11 @@
             if service is None:
                 if not services.listed(number):
                     continue
-                service, health = DEFAULT, Health.GONE  # it was of a service that is carried here
+                service, health = DEFAULT, Health.REMOVED  # it was of a service that is carried here
             if number in seen:
                 log.warning("the list names %.64s more than once: its last entry holds", host["host"])
             seen.add(number)
-            if health is not Health.GONE:
+            if health is not Health.REMOVED:
                 addresses[number] = address(host["dial"], "dial")
             entries.append(
                 Backend(
@@ -73,7 +79,7 @@
                     service,
                 )
             )
-        return Update(Topology(kind, int(raw["seq"]), tuple(entries)), addresses)
+        return Update(EndpointUpdate(kind, int(raw["seq"]), tuple(entries)), addresses)
     except (AttributeError, KeyError, TypeError, ValueError, ConfigError) as error:
         raise ListError(f"{type(error).__name__}: {error}") from None
 
@@ -159,25 +165,27 @@
         """A whole list that is older than what is known, as of an agent that lags behind the one before it:
         followed, as the changes after it come in order, but a drain once told holds (rule 3)."""
         entries = tuple(
-            replace(entry, health=Health.DRAINING) if self._leaving.get(entry.id) == entry.booted else entry
-            for entry in update.topology.entries
+            replace(entry, health=Health.DRAINING)
+            if self._leaving.get(entry.id) == entry.started_at_ns
+            else entry
+            for entry in update.topology.backends
         )
-        return Update(replace(update.topology, entries=entries), update.addresses, update.old)
+        return Update(replace(update.topology, backends=entries), update.addresses, update.old)
 
     def _line(self, line: bytes, first: bool) -> None:
         update = parse_update(json.loads(line), self._zones, self._kinds, services=self._services)
         update.old = first
-        whole = update.topology.kind is ListKind.FULL
+        whole = update.topology.kind is EndpointUpdateKind.FULL
         # A second watch may tell again what is known: an older version must not undo a newer one.
         if not whole and self._index is not None and update.topology.version < self._index:
             return
         if whole and self._index is not None and update.topology.version < self._index:
             update = self._behind(update)
         self._told(update)
-        for entry in update.topology.entries:
+        for entry in update.topology.backends:
             self._leaving.pop(entry.id, None)
             if entry.health is not Health.READY:
-                self._leaving[entry.id] = entry.booted
+                self._leaving[entry.id] = entry.started_at_ns
         while len(self._leaving) > LEAVING_MOST:
             del self._leaving[next(iter(self._leaving))]
         self._index = update.topology.version
--- a/trackspread/lists/seam.py
+++ b/trackspread/lists/seam.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ..config.addresses import Address
-from ..decide.interface import Topology
+from ..decide.backends import EndpointUpdate
 
 
 class ListError(ValueError):
@@ -21,7 +21,7 @@
 
     __slots__ = ("addresses", "old", "topology")
 
-    def __init__(self, topology: Topology, addresses: dict[int, Address], old: bool = False) -> None:
+    def __init__(self, topology: EndpointUpdate, addresses: dict[int, Address], old: bool = False) -> None:
         """`old`: it may have been told to others long ago, and counts as told from then on: the first word
         that a call brings."""
         self.topology = topology
--- a/trackspread/node/counted.py
+++ b/trackspread/node/counted.py
@@ -26,7 +26,8 @@
 from ..counter.quota_client import QuotaClient
 from ..counter.report import Report, report
 from ..counter.routes import Routes
-from ..decide.interface import Event, Plan
+from ..decide.events import Event
+from ..decide.settings import Plan
 from ..decide.report import Module, cap, kept
 
 log = logging.getLogger(__name__)
@@ -89,7 +90,7 @@
             counter.prefix,
             counter.partitions,
         )
-        slot = config.settings.position
+        slot = config.settings.gateway_index
         self.host = CounterHost(self.client, routes, access(counter), counter.prefix, slot, now, handle)
 
     async def start(self) -> None:
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -21,13 +21,8 @@
 from ..config.platform import Config, needs_restart
 from ..config.roster import change
 from ..control.door import Answer, Door
-from ..decide.interface import (
-    Health,
-    ListKind,
-    PeerMessage,
-    PlansChanged,
-    Topology,
-)
+from ..decide.backends import EndpointUpdate, EndpointUpdateKind, Health
+from ..decide.events import PeerMessage, PlansChanged
 from ..decide.report import excluded, services
 from ..decide.services import ServiceBrokers
 from ..fronts.connections import Clients, PassOn
@@ -69,7 +64,9 @@
         """`vacated` is called once another process has taken over and nothing is owed here any more."""
         if operator.counter.servers:
             # No word from peers beside it: two sources would each hand out the whole.
-            config = replace(config, settings=replace(config.settings, rights=True, may_message=False))
+            config = replace(
+                config, settings=replace(config.settings, has_leased_quotas=True, may_gossip=False)
+            )
         super().__init__(config, operator.services)
         self.operator, self._vacated = operator, vacated
         self.predecessor: Predecessor | None = None
@@ -92,7 +89,7 @@
             reserved += viewed.descriptors
         spare = max(16, config.sockets - reserved)
         settings, most = config.settings, int(spare * operator.backends.descriptor_part)
-        grace = settings.drain_grace / SECOND * operator.backends.grace_part  # a loop may lag
+        grace = settings.drain_grace_ns / SECOND * operator.backends.grace_part  # a loop may lag
         self.backends = Backends(
             most,
             config.connect_timeout / SECOND,
@@ -115,7 +112,7 @@
         self.book = self._book()
         self.uses = self._uses()
         self.counted = self._counted()
-        self.peers = Peers(config.peers, config.peers_all, settings.position, self.heard)
+        self.peers = Peers(config.peers, config.peers_all, settings.gateway_index, self.heard)
         self._spare = spare - most, most  # descriptors for clients and backends
         self._datagrams: int | None = None  # the peers' socket, kept in case that process does not live
         index = None
@@ -128,15 +125,15 @@
             except ListError as error:
                 log.warning("known list passed over: %s", error)
         if index is None:
-            self.handle(Topology(ListKind.CACHED, 0, ()))
+            self.handle(EndpointUpdate(EndpointUpdateKind.CACHED, 0, ()))
         self.discovery = Discovery(
             config.discovery,
             config.zones,
             config.kinds,
             index,
             self._listed,
-            settings.gateways,
-            settings.drain_grace / SECOND,
+            settings.gateway_count,
+            settings.drain_grace_ns / SECOND,
             carried,
         )
         if self.membered is not None:
@@ -172,7 +169,7 @@
             return None
         from .membered import Membered  # not needed otherwise: it takes memory
 
-        place = self.config.settings.position, self.config.settings.gateways
+        place = self.config.settings.gateway_index, self.config.settings.gateway_count
         return Membered(self.config.name, self.operator.fleet, self.now, place, self.handle, self.heard)
 
     def _celled(self) -> Celled | None:
@@ -256,7 +253,7 @@
             return None
 
     async def _open_peers(self, given: int | None = None) -> None:
-        at = self.config.peer_listen if self.config.settings.may_message and self.membered is None else None
+        at = self.config.peer_listen if self.config.settings.may_gossip and self.membered is None else None
         if at is not None:
             await self.peers.start(at, given, self.config.accept_fd is not None)
         elif given is not None:
@@ -350,7 +347,7 @@
             self.celled.close(leave=not handed)
         if self.configured is not None:
             self.configured.close()
-        if settings.may_message and settings.gateways > 1 and not handed and self.membered is None:
+        if settings.may_gossip and settings.gateway_count > 1 and not handed and self.membered is None:
             # The module's beat goes on telling that nothing is used here. Its peers, on which the customers
             # now lean, would hold this gateway's slices of the quotas back for one that fell silent.
             await asyncio.sleep(max(0.0, began + longest / SECOND + TELL_ON - self._loop.time()))
@@ -366,7 +363,7 @@
 
     def _longest(self) -> int:
         """The longest time, ns, that a request which comes now or is open may take."""
-        return max(rule.deadline for rule in self.roster.rules)
+        return max(rule.deadline_ns for rule in self.roster.rules)
 
     def _reclass(self, fresh: Config) -> None:
         """Other classes and number of attempts for what comes from now on."""
@@ -430,16 +427,16 @@
             log.info("first word from discovery %.2f s after the start", self._loop.time() - self._began)
 
     def _learn(self, update: Update) -> None:
-        named = {entry.id for entry in update.topology.entries}
-        if update.topology.kind is not ListKind.DELTA:
+        named = {entry.id for entry in update.topology.backends}
+        if update.topology.kind is not EndpointUpdateKind.DELTA:
             for backend in self._seen - named:
                 self.backends.learn(backend, None, update.old)
             self._seen = set()
-        for entry in update.topology.entries:
+        for entry in update.topology.backends:
             gone = entry.health is not Health.READY
             at = None if gone else update.addresses[entry.id]
-            self.backends.learn(entry.id, at, update.old, entry.booted)
-            (self._seen.discard if entry.health is Health.GONE else self._seen.add)(entry.id)
+            self.backends.learn(entry.id, at, update.old, entry.started_at_ns)
+            (self._seen.discard if entry.health is Health.REMOVED else self._seen.add)(entry.id)
         self.handle(update.topology)
 
     def tell(self, to: int | None, data: bytes) -> None:
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -15,9 +15,9 @@
 from ..call import Call
 from ..clock import Clock
 from ..config.platform import Config
-from ..decide import carried
+from ..decide import snapshot
 from ..decide.broker import Broker
-from ..decide.interface import AttemptEnded, Event, Outcome
+from ..decide.events import AttemptEnded, Event, Outcome
 from ..handover import wire
 
 NUMBERS_APART = 1 << 32  # the new process counts its requests from so far on: both sides' numbers never meet
@@ -75,7 +75,7 @@
     """All that goes along. `base`: of the clock that all times lie on; `ids`: of the requests that are open;
     `clients`, `links`: descriptors that the old process still holds; `index`: the list's version."""
 
-    module: carried.Plain
+    module: snapshot.Plain
     base: int
     ids: list[tuple[int, bytes]]
     next: int
@@ -117,7 +117,7 @@
         number = table.next_number()
         return wire.encode(
             HandoverState(
-                carried.portrait(table.broker, table.class_names(), out),
+                snapshot.portrait(table.broker, table.class_names(), out),
                 table.now.base,
                 ids,
                 number,
@@ -132,7 +132,7 @@
     def sent(self, attempt: Attempt) -> None:
         """An attempt was sent here after the state was exported."""
         if (call := attempt.call) is not None:
-            names, plans = self._table.class_names(), self._table.broker.s.plans
+            names, plans = self._table.class_names(), self._table.broker.settings.plans
             self._send(
                 Progress(
                     "sent",
@@ -155,8 +155,8 @@
                 event.attempt,
                 event.backend,
                 int(event.outcome),
-                event.elapsed,
-                event.report,
+                event.elapsed_ns,
+                event.load_report,
             )
         )
 
@@ -177,7 +177,7 @@
         """Raises `WireError` or `ValueError` before anything is changed."""
         state: HandoverState = wire.decode(whole, HandoverState)
         table = self._table
-        carried.restore(table.broker, state.module, table.class_names())
+        snapshot.restore(table.broker, state.module, table.class_names())
         table.now.base = state.base
         self._out = {(number, attempt): by for number, attempt, by, *_ in state.module["out"]}
         self._ids = dict(state.ids)
@@ -192,7 +192,7 @@
         match progress.what:
             case "sent":
                 self._out[key] = progress.backend
-                carried.mirror(
+                snapshot.mirror(
                     self._table.broker,
                     self._table.class_names(),
                     [*key, progress.backend, progress.cls, progress.plan, progress.customer, progress.units],
@@ -200,7 +200,7 @@
             case "ended" if self._out.pop(key, None) is not None:
                 known = progress.outcome in Outcome.__members__.values()
                 outcome = Outcome(progress.outcome) if known else Outcome.ERROR
-                names = self._table.config.settings.report_names
+                names = self._table.config.settings.load_report_names
                 report = progress.report if len(progress.report) == len(names) else ()
                 self._end(key, progress.backend, outcome, progress.elapsed, report)
             case "closed" if (id_ := self._ids.pop(progress.request, None)) is not None:
--- a/trackspread/node/membered.py
+++ b/trackspread/node/membered.py
@@ -16,8 +16,8 @@
 
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
-from ..decide.interface import FleetChanged
-from ..decide.mail import MESSAGE
+from ..decide.events import FleetChanged
+from ..decide.peer_messages import MAX_MESSAGE_BYTES
 from ..membership.host import DESCRIPTORS, Host, born_now
 from ..membership.report import Report, report
 from ..membership.slots import slots_of
@@ -110,7 +110,7 @@
         if self._theirs.get(sender) != part and sender in self._names:
             self._theirs[sender] = part
             self._look()
-        if len(data) <= MESSAGE:
+        if len(data) <= MAX_MESSAGE_BYTES:
             self._heard(sender, data)
 
     def _look(self) -> None:
--- a/trackspread/node/planned.py
+++ b/trackspread/node/planned.py
@@ -14,7 +14,8 @@
 from pathlib import Path
 
 from ..config.platform import Config
-from ..decide.interface import Plan, PlansChanged
+from ..decide.events import PlansChanged
+from ..decide.settings import Plan
 from ..plans.calendar import MEMBERS_BURST_S
 from ..plans.registry import SCHEMA, PlanRegistry, Version, VersionFollower
 from ..storage.document import DocumentError
@@ -96,10 +97,10 @@
         return plan
     return replace(
         plan,
-        rate=figures.rate,
-        burst=figures.burst,
-        open_limit=figures.open_limit,
-        ceiling_rate=figures.ceiling_rate,
-        ceiling_burst=figures.ceiling_burst,
-        ceiling_slack=figures.ceiling_slack,
+        rate_per_s=figures.rate,
+        burst_units=figures.burst,
+        concurrency_limit=figures.open_limit,
+        hard_limit_per_s=figures.ceiling_rate,
+        hard_limit_burst_units=figures.ceiling_burst,
+        hard_limit_slack_units=figures.ceiling_slack,
     )
--- a/trackspread/node/requests.py
+++ b/trackspread/node/requests.py
@@ -24,28 +24,30 @@
 from ..config.roster import Roster
 from ..control.figures import Figures
 from ..decide.broker import Broker
-from ..decide.interface import (
+from ..decide.actions import (
     Action,
-    Arrival,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    RequestAllocation,
+    SendToPeers,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from ..decide.backends import EndpointUpdate
+from ..decide.events import (
     AttemptEnded,
-    Begun,
-    Cancel,
-    ClientLeft,
-    CloseIdle,
+    ClientDisconnected,
     Event,
-    Fail,
-    LogLine,
+    HealthChecked,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
-    Send,
-    SetTimer,
-    Tell,
+    RequestArrived,
+    ResponseStarted,
     TimerFired,
-    Topology,
-    WantRights,
-    Watch,
 )
 from ..decide.report import Module
 from ..decide.services import ServiceBrokers
@@ -142,7 +144,7 @@
         if call.id in self.ids:
             raise BadCall("a request with this id is open")
         now, number = self.now(), next(self._numbers)
-        wait = min(call.wait_ms * MILLISECOND, self.roster.rules[call.cls].deadline)
+        wait = min(call.wait_ms * MILLISECOND, self.roster.rules[call.cls].deadline_ns)
         valid_until = now + max(0, wait - int(waited * SECOND) - MARGIN)
         if self.answer_by is not None:
             # A backend may hang for all of a late comer's time, and this process is killed before that is up.
@@ -154,7 +156,7 @@
         if self.counted is not None:
             self.counted.before(call)
         self.handle(
-            Arrival(
+            RequestArrived(
                 number,
                 call.cls,
                 call.plan,
@@ -175,7 +177,7 @@
         request = self.requests.get(number)
         if request is not None and not request.closed:
             self._close(number, request, Ending.LEFT)
-            self.handle(ClientLeft(number))
+            self.handle(ClientDisconnected(number))
             if request.begun is not None:
                 self._loop.call_soon(self._cancel, request.begun)
             for attempt in list(request.out.values()):
@@ -196,7 +198,7 @@
         if not request.closed:
             # The module left it open, perhaps after a fault: a failure promises nothing.
             self._fail(number, request, "out of time")
-            self.handle(ClientLeft(number))
+            self.handle(ClientDisconnected(number))
 
     def wanted(self, attempt: Attempt) -> bool:
         """Whether somebody still waits for what this attempt is to bring."""
@@ -248,7 +250,7 @@
             if other is not attempt:
                 self._loop.call_soon(self._cancel, other)
         elapsed = max(0, self.now() - attempt.started)
-        self.handle(Begun(number, elapsed, attempt.index, attempt.backend), number)
+        self.handle(ResponseStarted(number, elapsed, attempt.index, attempt.backend), number)
         request.slot.begins(request.call, length, source)
         return True
 
@@ -267,10 +269,10 @@
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: Report) -> None:
         elapsed = max(0, self.now() - attempt.started)
-        names = self.config.settings.report_names
+        names = self.config.settings.load_report_names
         load = tuple(report[name] for name in names) if report and report.keys() >= set(names) else ()
         if attempt.call is None:
-            self.handle(Probed(outcome, attempt.backend, elapsed, load))
+            self.handle(HealthChecked(outcome, attempt.backend, elapsed, load))
             return
         self._ends[outcome] += 1
         number = attempt.request
@@ -300,7 +302,7 @@
             self._fault(number)
             if isinstance(event, TimerFired):
                 self.act(SetTimer(FAULT_RETRY, event.token))
-            if isinstance(event, Topology):
+            if isinstance(event, EndpointUpdate):
                 # A lost notice of a drain would break rule 3: the watch is taken up again before it.
                 raise ListError("not taken in by the module") from None
             return
@@ -317,13 +319,13 @@
         request = self.requests.get(number)
         if request is not None and not request.closed:
             self._fail(number, request, "internal fault")
-            self.handle(ClientLeft(number))
+            self.handle(ClientDisconnected(number))
 
     def act(self, action: Action) -> None:
         match action:
-            case Send():
+            case StartAttempt():
                 self._send(action)
-            case Refuse(number, retry_in):
+            case Reject(number, retry_in):
                 if (request := self.requests.get(number)) is not None and not request.closed:
                     wait = -(-retry_in // MILLISECOND)
                     self._close(number, request, Ending.REFUSED)
@@ -333,27 +335,27 @@
                     self._fail(number, request, "failed")
             case SetTimer(after, token):
                 self._loop.call_later(after / SECOND, self.handle, TimerFired(token))
-            case Tell(to, data):
+            case SendToPeers(to, data):
                 self.tell(to, data)
-            case Cancel(number, index):
+            case CancelAttempt(number, index):
                 request = self.requests.get(number)
                 if request is not None and (attempt := request.out.get(index)) is not None:
                     self._loop.call_soon(self._cancel, attempt)
-            case WantRights(customer) if self.counted is not None:
+            case RequestAllocation(customer) if self.counted is not None:
                 self.counted.wanted(customer)
-            case CloseIdle(backend):
+            case CloseIdleConnections(backend):
                 self.backends.close_idle(backend)
-            case LogLine(text):
+            case LogMessage(text):
                 log.info("%s", text)
-            case Probe(backend) if self.config.settings.may_probe:
+            case CheckHealth(backend) if self.config.settings.may_check_health:
                 now, wait = self.now(), self.config.connect_timeout
                 self.backends.start(Attempt(0, 0, backend, now, now + wait, None), wait / SECOND)
-            case Watch():
+            case WatchEndpoints():
                 pass  # the watch is open from the start
             case _:
                 log.error("%s is not possible on sockets", type(action).__name__)
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: StartAttempt) -> None:
         request, now = self.requests.get(action.request), self.now()
         if request is None:
             # The module counts it as out all the same, until it is told that it is not.
@@ -371,16 +373,18 @@
             self._moot(action, index, True)
             return
         left = request.valid_until - now
-        timeout = action.timeout / SECOND if 0 < action.timeout < left else None
-        expires = now + (action.timeout if timeout is not None else left)
-        attempt = Attempt(action.request, index, action.backend, now, expires, request.call, action.until)
+        timeout = action.timeout_ns / SECOND if 0 < action.timeout_ns < left else None
+        expires = now + (action.timeout_ns if timeout is not None else left)
+        attempt = Attempt(
+            action.request, index, action.backend, now, expires, request.call, action.not_after_ns
+        )
         request.out[index] = attempt
         if self.testator is not None:
             self.testator.sent(attempt)
         self.backends.start(attempt, timeout)
 
-    def _moot(self, action: Send, index: int, finished: bool) -> None:
-        event = AttemptEnded(action.request, finished, 0, action.backend, 0, Outcome.MOOT, 0, index, ())
+    def _moot(self, action: StartAttempt, index: int, finished: bool) -> None:
+        event = AttemptEnded(action.request, finished, 0, action.backend, 0, Outcome.NOT_SENT, 0, index, ())
         self._loop.call_soon(self.handle, event, action.request)
 
     def _cancel(self, attempt: Attempt) -> None:
--- a/trackspread/peers/datagrams.py
+++ b/trackspread/peers/datagrams.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from ..config.addresses import Address
-from ..decide.mail import MESSAGE
+from ..decide.peer_messages import MAX_MESSAGE_BYTES
 
 STRANGERS_MOST = 16  # senders off the list of peers that the log tells of, once each
 log = logging.getLogger(__name__)
@@ -63,7 +63,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         number = self._numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= MESSAGE:
+        if number is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._heard(number, data)
         elif number is None and addr not in self._strangers and len(self._strangers) < STRANGERS_MOST:
             self._strangers.add(addr)
@@ -74,7 +74,7 @@
 
     def tell(self, to: int | None, data: bytes) -> None:
         """To one peer by number, or to all. One that is too long is dropped here."""
-        if len(data) > MESSAGE:
+        if len(data) > MAX_MESSAGE_BYTES:
             log.error("message of %d bytes to a peer dropped", len(data))
             return
         if self._transport is None:
--- a/trackspread/testing/virtual/booked.py
+++ b/trackspread/testing/virtual/booked.py
@@ -18,23 +18,12 @@
 
 from ...decide import quota
 from ...decide.broker import Broker
-from ...decide.interface import (
-    Arrival,
-    AttemptEnded,
-    Backend,
-    Event,
-    Health,
-    ListKind,
-    Outcome,
-    Plan,
-    PlansChanged,
-    Send,
-    SetTimer,
-    TimerFired,
-    Topology,
-)
+from ...decide.actions import SetTimer, StartAttempt
+from ...decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
+from ...decide.events import AttemptEnded, Event, Outcome, PlansChanged, RequestArrived, TimerFired
+from ...decide.settings import Plan
 from ...decide.quota import Quota
-from ...decide.state import carried
+from ...decide.tenant_account import rescaled_tokens
 from .clock import Clock
 from .patches import held
 from .plain import plain_settings
@@ -74,15 +63,18 @@
     base = Plan("team", rng.uniform(2, 20), rng.uniform(4, 40), 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
     module = Broker(plain_settings(base), seed, clock.now)
     entries = tuple(Backend(n, 0, 0, 0, Health.READY, 1.0, 0) for n in (1, 2, 3))
-    store, owed = Reference(base.rate, base.burst, clock.now), Reference(base.rate, base.burst, clock.now)
+    store, owed = (
+        Reference(base.rate_per_s, base.burst_units, clock.now),
+        Reference(base.rate_per_s, base.burst_units, clock.now),
+    )
     wrong, counts = list[str](), [0, 0]  # sent on, owed
     current, extra = base, (0.0, 0.0)
 
     def handle(event: Event) -> None:
         for action in module.handle(clock.now, event):
             if isinstance(action, SetTimer):
-                clock.after(action.after, partial(handle, TimerFired(action.token)))
-            elif isinstance(action, Send):
+                clock.after(action.after_ns, partial(handle, TimerFired(action.token)))
+            elif isinstance(action, StartAttempt):
                 store.advance(clock.now)
                 store.level -= 1
                 counts[0] += 1
@@ -96,25 +88,25 @@
         if owed.level >= 1:
             owed.level -= 1
             counts[1] += 1
-        handle(Arrival(number, 0, 0, 77, clock.now + 3 * SECOND, 1.0, 1, 0, 0))
-        pause = rng.expovariate(3 * (current.rate + extra[0]))
+        handle(RequestArrived(number, 0, 0, 77, clock.now + 3 * SECOND, 1.0, 1, 0, 0))
+        pause = rng.expovariate(3 * (current.rate_per_s + extra[0]))
         clock.after(int(pause * SECOND) + 1, partial(ask, number + 1))
 
     def change() -> None:
         nonlocal current, extra
         if rng.random() < 0.5:
             factor = rng.choice((0.25, 0.5, 2.0, 4.0))
-            rate = min(40.0, max(1.0, current.rate * factor))
-            current = replace(current, rate=rate, burst=max(2.0, rate * rng.uniform(1.0, 3.0)))
+            rate = min(40.0, max(1.0, current.rate_per_s * factor))
+            current = replace(current, rate_per_s=rate, burst_units=max(2.0, rate * rng.uniform(1.0, 3.0)))
         else:
             rate = rng.uniform(1, 20)
             extra = (0.0, 0.0) if extra[0] else (rate, 2 * rate)
         for each in (store, owed):
-            each.change(clock.now, current.rate + extra[0], current.burst + extra[1])
+            each.change(clock.now, current.rate_per_s + extra[0], current.burst_units + extra[1])
         handle(PlansChanged((current,), ((77, *extra),) if extra[0] else ()))
         clock.after(rng.randint(SECOND, 6 * SECOND), change)
 
-    handle(Topology(ListKind.FULL, 1, entries))
+    handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, entries))
     clock.after(0, partial(ask, 1))
     clock.after(3 * SECOND, change)
     clock.run(clock.now + SPAN)
@@ -125,16 +117,20 @@
 
 def _formula(mutant: Callable[[float, float, float], float]) -> list[Any]:
     """Where there was a store before; without one nothing is carried in any mutant."""
-    return [patch.object(quota, "carried", lambda level, old, new: mutant(level, old, new) if old else 0.0)]
+    return [
+        patch.object(
+            quota, "rescaled_tokens", lambda level, old, new: mutant(level, old, new) if old else 0.0
+        )
+    ]
 
 
 def _not_refilled_before() -> list[Any]:
     """What came in until the change is filled by the new rate."""
 
     def mutant(self: Quota, now: int, account: Any, index: int) -> None:
-        old, new = account.plan, self.figures(account.customer, index)
-        account.plan, account.index = new, index
-        account.level = carried(account.level, old.burst, new.burst)
+        old, new = account.plan, self.figures(account.tenant, index)
+        account.plan, account.plan_index = new, index
+        account.tokens = rescaled_tokens(account.tokens, old.burst_units, new.burst_units)
 
     return [patch.object(Quota, "carry", mutant)]
 
@@ -144,7 +140,7 @@
     real = Quota.replan
 
     def mutant(self: Quota, now: int, event: PlansChanged) -> None:
-        kept = tuple((customer, *extra) for customer, extra in self.reserved.items())
+        kept = tuple((customer, *extra) for customer, extra in self.reservations.items())
         real(self, now, PlansChanged(event.plans, event.reserved or kept))
 
     return [patch.object(Quota, "replan", mutant)]
@@ -155,8 +151,8 @@
     real = Quota.figures
 
     def mutant(self: Quota, customer: int, index: int) -> Plan:
-        plan, (rate, burst) = real(self, customer, index), self.reserved.get(customer, (0.0, 0.0))
-        return replace(plan, rate=rate, burst=burst) if rate else plan
+        plan, (rate, burst) = real(self, customer, index), self.reservations.get(customer, (0.0, 0.0))
+        return replace(plan, rate_per_s=rate, burst_units=burst) if rate else plan
 
     return [patch.object(Quota, "figures", mutant)]
 
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -12,7 +12,9 @@
 from functools import partial
 
 from ...config.platform import flatten
-from ...decide.interface import Backend, Health, ListKind, Outcome, Settings, Topology
+from ...decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
+from ...decide.events import Outcome
+from ...decide.settings import Settings
 from ..judge.ledger import Answered, Asked, Attempted, Booted, Cut, Fell, Killed, Ledger, Left, Started, Told
 from ...lists.seam import backend_id
 from ...simulator.wire import parse_settings
@@ -103,8 +105,8 @@
         host = self.hosts[position] = Host(self.clock, self, position, self._settings[position], seed)
         self._list_at[position] = 0
         known = self._known[position] or self._entries()
-        host.learn(Topology(ListKind.CACHED, 0, known))
-        self._news(host, ListKind.FULL, self._entries())
+        host.learn(EndpointUpdate(EndpointUpdateKind.CACHED, 0, known))
+        self._news(host, EndpointUpdateKind.FULL, self._entries())
         self.ledger.write(Started(self.clock.now, f"n{position}"))
 
     def kill(self, position: int) -> None:
@@ -121,34 +123,38 @@
     # The list.
 
     def _entries(self) -> tuple[Backend, ...]:
-        return tuple(node.entry for node in self.nodes.values() if node.entry.health is not Health.GONE)
+        return tuple(node.entry for node in self.nodes.values() if node.entry.health is not Health.REMOVED)
 
     def _change(self, node: Node, health: Health) -> None:
         self.version += 1
         node.entry = replace(node.entry, health=health)
         for host in self.hosts:
             if host is not None:
-                self._news(host, ListKind.DELTA, (node.entry,))
+                self._news(host, EndpointUpdateKind.DELTA, (node.entry,))
 
-    def _news(self, host: Host, kind: ListKind, entries: tuple[Backend, ...]) -> None:
+    def _news(self, host: Host, kind: EndpointUpdateKind, entries: tuple[Backend, ...]) -> None:
         position, version = host.position, self.version
         wait = self.rng.randint(MILLISECOND, self.weather.list_delay)
         at = self._list_at[position] = max(self._list_at[position], self.clock.now + wait)
         self.clock.at(at, partial(self._told, host, kind, version, entries))
 
-    def _told(self, host: Host, kind: ListKind, version: int, entries: tuple[Backend, ...]) -> None:
+    def _told(self, host: Host, kind: EndpointUpdateKind, version: int, entries: tuple[Backend, ...]) -> None:
         if not host.alive:
             return
         names = {entry.id: entry.health is Health.READY for entry in entries}
         for node in self.nodes.values():
-            if node.id in names or kind is ListKind.FULL:
+            if node.id in names or kind is EndpointUpdateKind.FULL:
                 self.ledger.write(
                     Told(self.clock.now, f"n{host.position}", node.spec.name, names.get(node.id, False))
                 )
-        known = {} if kind is ListKind.FULL else {entry.id: entry for entry in self._known[host.position]}
+        known = (
+            {}
+            if kind is EndpointUpdateKind.FULL
+            else {entry.id: entry for entry in self._known[host.position]}
+        )
         known.update({entry.id: entry for entry in entries})
-        self._known[host.position] = tuple(e for e in known.values() if e.health is not Health.GONE)
-        host.learn(Topology(kind, version, entries))
+        self._known[host.position] = tuple(e for e in known.values() if e.health is not Health.REMOVED)
+        host.learn(EndpointUpdate(kind, version, entries))
 
     # Rating nodes.
 
@@ -176,7 +182,7 @@
 
     def remove(self, node: Node) -> None:
         self.down(node)
-        self._change(node, Health.GONE)
+        self._change(node, Health.REMOVED)
 
     def _fall(self, node: Node) -> None:
         self.ledger.write(Fell(self.clock.now, node.spec.name))
@@ -221,7 +227,7 @@
             host.ended(attempt, Outcome.RESET)
             return
         if taken is None and not node.silent:
-            self.clock.after(self._delay(), partial(host.ended, attempt, Outcome.FULL))
+            self.clock.after(self._delay(), partial(host.ended, attempt, Outcome.REJECTED))
             return
         node.out[attempt] = host
         if taken is None or node.silent:
--- a/trackspread/testing/virtual/host.py
+++ b/trackspread/testing/virtual/host.py
@@ -11,26 +11,28 @@
 from typing import Literal, Protocol
 
 from ...decide.broker import Broker
-from ...decide.interface import (
+from ...decide.actions import (
     Action,
-    Arrival,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    Reject,
+    SendToPeers,
+    SetTimer,
+    StartAttempt,
+)
+from ...decide.backends import EndpointUpdate
+from ...decide.events import (
     AttemptEnded,
-    Cancel,
-    ClientLeft,
+    ClientDisconnected,
     Event,
-    Fail,
+    HealthChecked,
     Outcome,
     PeerMessage,
-    Probe,
-    Probed,
-    Refuse,
-    Send,
-    SetTimer,
-    Settings,
-    Tell,
+    RequestArrived,
     TimerFired,
-    Topology,
 )
+from ...decide.settings import Settings
 from .clock import Clock
 
 MILLISECOND = 1_000_000
@@ -102,7 +104,7 @@
         self._count += 1
         number, now = self._count, self.clock.now
         held = self.held[number] = Held(name, now + max(0, wait - MARGIN), answer)
-        self.handle(Arrival(number, cls, plan, customer, held.valid_until, units, spread, first, 0))
+        self.handle(RequestArrived(number, cls, plan, customer, held.valid_until, units, spread, first, 0))
         if number in self.held:
             self.clock.at(held.valid_until, partial(self._time_is_up, number))
         return number
@@ -111,12 +113,12 @@
         held = self.held.get(number)
         if held is not None and not held.closed:
             self._close(number, held)
-            self.handle(ClientLeft(number))
+            self.handle(ClientDisconnected(number))
             for attempt in list(held.out.values()):
                 if not attempt.written:
-                    self.ended(attempt, Outcome.MOOT)
+                    self.ended(attempt, Outcome.NOT_SENT)
 
-    def learn(self, topology: Topology) -> None:
+    def learn(self, topology: EndpointUpdate) -> None:
         self.handle(topology)
 
     def heard(self, sender: int, data: bytes) -> None:
@@ -125,7 +127,7 @@
     def writes(self, attempt: Attempt) -> bool:
         """Its connection is up: whether it is written, as a repeat is within its window alone."""
         if attempt.until and self.clock.now >= attempt.until:
-            self.ended(attempt, Outcome.MOOT)
+            self.ended(attempt, Outcome.NOT_SENT)
         return not attempt.over
 
     def ended(self, attempt: Attempt, outcome: Outcome, value: str = "") -> None:
@@ -155,7 +157,7 @@
         if not held.closed:
             self._close(number, held)
             held.answer("failed", "", 0)
-            self.handle(ClientLeft(number))
+            self.handle(ClientDisconnected(number))
 
     def _expire(self, attempt: Attempt) -> None:
         if not attempt.over and self.alive:
@@ -179,22 +181,22 @@
 
     def _act(self, action: Action) -> None:
         match action:
-            case Send():
+            case StartAttempt():
                 self._send(action)
-            case Refuse(number, retry_in):
+            case Reject(number, retry_in):
                 self.reply(number, "refused", -(-retry_in // MILLISECOND))
             case Fail(number):
                 self.reply(number, "failed", 0)
             case SetTimer(after, token):
                 self.clock.after(after, partial(self.handle, TimerFired(token)))
-            case Tell(to, data):
+            case SendToPeers(to, data):
                 self.network.tell(self, to, data)
-            case Cancel(number, index):
+            case CancelAttempt(number, index):
                 held = self.held.get(number)
                 if held is not None and (attempt := held.out.get(index)) is not None:
                     self.clock.after(0, partial(self._cancel, attempt))
-            case Probe(backend):
-                self.handle(Probed(Outcome.ERROR, backend, 0, ()))
+            case CheckHealth(backend):
+                self.handle(HealthChecked(Outcome.ERROR, backend, 0, ()))
 
     def reply(self, number: int, kind: Kind, advice_ms: int) -> None:
         """The module's own final answer."""
@@ -207,7 +209,7 @@
         self.network.hang_up(self, attempt)
         self.ended(attempt, Outcome.CANCELLED)
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: StartAttempt) -> None:
         held, now = self.held.get(action.request), self.clock.now
         if held is None:
             self._moot(action, 0, True)
@@ -218,13 +220,15 @@
             self._moot(action, index, held.closed)
             return
         left = held.valid_until - now
-        patience = action.timeout if 0 < action.timeout < left else left
-        attempt = Attempt(action.request, index, action.backend, now, now + patience, until=action.until)
+        patience = action.timeout_ns if 0 < action.timeout_ns < left else left
+        attempt = Attempt(
+            action.request, index, action.backend, now, now + patience, until=action.not_after_ns
+        )
         held.out[index] = attempt
         self.network.send(self, held.name, attempt)
         if patience < left:
             self.clock.after(patience, partial(self._expire, attempt))
 
-    def _moot(self, action: Send, index: int, finished: bool) -> None:
-        event = AttemptEnded(action.request, finished, 0, action.backend, 0, Outcome.MOOT, 0, index, ())
+    def _moot(self, action: StartAttempt, index: int, finished: bool) -> None:
+        event = AttemptEnded(action.request, finished, 0, action.backend, 0, Outcome.NOT_SENT, 0, index, ())
         self.clock.after(0, partial(self.handle, event))
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ...decide.interface import Health
+from ...decide.backends import Health
 from ..judge.judge import judge
 from ..judge.verdict import Verdict
 from ..standins.crowd import Habit
