--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -172,7 +172,7 @@
     customer = 1
     while len(found) < count:
         account = quota.account(driver.now, customer, 0, 1, 0)
-        if quota.at_home(account):
+        if quota.is_local(account):
             found.append(customer)
         else:
             del quota.accounts[customer]
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -22,8 +22,8 @@
 def _before(name: str, seed: int) -> Shape:
     former = (
         patch.object(broker, "CHANCE", 0.0),
-        patch.object(Quota, "_spared", lambda *words: 0.0),
-        patch.object(Quota, "known_spent", lambda *words: False),
+        patch.object(Quota, "_unspent_hard_limit", lambda *words: 0.0),
+        patch.object(Quota, "is_known_spent", lambda *words: False),
     )
     with held(former):
         return play(name, seed)
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -258,8 +258,8 @@
     g.handle(0, arrival(1, 0))
     account = g.quota.accounts[1]
     g.quota.peers[1] = 0, 0, 0
-    assert g.quota.share(0, account) == 1.0
-    assert g.quota.share(10 * SECOND, account) == 0.5
+    assert g.quota.local_share(0, account) == 1.0
+    assert g.quota.local_share(10 * SECOND, account) == 0.5
 
 
 def test_latency_moves_the_caps() -> None:
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -109,7 +109,7 @@
                     1,
                     0,
                     1.0,
-                    self.gateway.quota.tag,
+                    self.gateway.quota.last_query,
                     0,
                 )
                 self.give(PeerMessage(action.recipient, pack_quota_message(word)))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -54,20 +54,24 @@
 
 def words(made: Quota, now: int, *senders: int) -> None:
     for sender in senders:
-        made.heard(now, PeerMessage(sender, pack_usage_totals(1, (now - START) * 10 // SECOND, [])))
+        made.receive_usage_totals(
+            now, PeerMessage(sender, pack_usage_totals(1, (now - START) * 10 // SECOND, []))
+        )
 
 
 def test_a_members_set_has_its_whole_limits_where_its_traffic_comes() -> None:
     made = quota(6, 1000.0)
-    made.joined(START, view(6))
+    made.change_fleet(START, view(6))
     words(made, START, *range(11, 16))
     one, all_ = made.account(START, 1, 0, 2, 0), made.account(START, 2, 0, 6, 0)
-    assert (made.even(START, one), made.even(START, all_)) == pytest.approx((0.5, 1 / 6), abs=0.01)
-    assert made.share(START, one) == made.share(START, all_) == 1.0
+    assert (made.static_share(START, one), made.static_share(START, all_)) == pytest.approx(
+        (0.5, 1 / 6), abs=0.01
+    )
+    assert made.local_share(START, one) == made.local_share(START, all_) == 1.0
     # Half of all fall silent, the set of one member among them: what is here is what is left for it.
     late = START + SILENT
     words(made, late, 11, 12)
-    assert made.share(late, one) == 1.0 and made.share(late, all_) == pytest.approx(0.5, abs=0.01)
+    assert made.local_share(late, one) == 1.0 and made.local_share(late, all_) == pytest.approx(0.5, abs=0.01)
 
 
 def test_without_slots_nothing_that_all_share_is_acted_on_and_a_stopped_process_looks_at_its_clock() -> None:
@@ -82,51 +86,53 @@
 
     assert asks(START, 1) and broker.quota.accounts[7].rejection_reason == "fleet"
     broker.handle(START, view(3, valid_until_ns=START + 2 * SECOND, reassigned_at_ns=START + 30 * SECOND))
-    assert broker.quota.may(START, broker.quota.accounts[7], 1.0)
-    assert not broker.quota.may(START + 2 * SECOND, broker.quota.accounts[7], 1.0)
+    assert broker.quota.has_capacity(START, broker.quota.accounts[7], 1.0)
+    assert not broker.quota.has_capacity(START + 2 * SECOND, broker.quota.accounts[7], 1.0)
     assert asks(START + 2 * SECOND, 2) and broker.quota.accounts[7].rejection_reason == "fleet"
 
 
 def test_slots_that_others_may_have_had_come_back_with_an_empty_ceiling() -> None:
     made = quota(3, 1000.0, CAPPED)
-    made.joined(START, view(3, valid_until_ns=START + SECOND, reassigned_at_ns=START + 30 * SECOND))
+    made.change_fleet(START, view(3, valid_until_ns=START + SECOND, reassigned_at_ns=START + 30 * SECOND))
     account = made.account(START, 7, 0, 3, 0)
     made.refill(START + SECOND - 1, account)
     held = account.hard_limit_tokens
     assert held > 0.0
-    made.joined(
+    made.change_fleet(
         START + 29 * SECOND, view(3, valid_until_ns=START + 40 * SECOND, reassigned_at_ns=START + 60 * SECOND)
     )
     assert account.hard_limit_tokens >= held, "in time: as it was"
-    made.joined(START + 70 * SECOND, view(3))
+    made.change_fleet(START + 70 * SECOND, view(3))
     assert account.hard_limit_tokens == 0.0
 
 
 def test_a_gateway_that_joins_or_goes_moves_few_homes_and_a_slow_one_has_none() -> None:
     made = quota(12, 10.0)
-    made.joined(START, view(12))
-    assert made.has_owners and not made.gossip
+    made.change_fleet(START, view(12))
+    assert made.has_owners and not made.gossips
     accounts = [made.account(START, n, 0, 12, 0) for n in range(600)]
-    before = [made.home(a) for a in accounts]
+    before = [made.owner_of(a) for a in accounts]
     assert set(before) == set(range(10, 22))
-    made.joined(START, view(12, gone=(5,)))
-    moved = [(was, made.home(a)) for was, a in zip(before, accounts, strict=True) if made.home(a) != was]
+    made.change_fleet(START, view(12, gone=(5,)))
+    moved = [
+        (was, made.owner_of(a)) for was, a in zip(before, accounts, strict=True) if made.owner_of(a) != was
+    ]
     assert {was for was, _ in moved} == {15} and len({home for _, home in moved}) > 5
     slow = view(12, quota_owners=tuple(n for n in range(10, 22) if n != 13))
-    made.joined(START, slow)
-    assert 13 not in {made.home(a) for a in accounts}
-    assert all(home_of(a.tenant, slow.quota_owners) == made.home(a) for a in accounts)
+    made.change_fleet(START, slow)
+    assert 13 not in {made.owner_of(a) for a in accounts}
+    assert all(home_of(a.tenant, slow.quota_owners) == made.owner_of(a) for a in accounts)
 
 
 def test_halves_of_a_fleet_with_homes_keep_them() -> None:
     made = quota(12, 80.0)
-    made.joined(START, view(12))
+    made.change_fleet(START, view(12))
     assert made.has_owners
-    made.joined(START, view(12, gone=tuple(range(6, 12))))
+    made.change_fleet(START, view(12, gone=tuple(range(6, 12))))
     assert made.has_owners, "else both halves would tell otherwise than they hear, once healed"
-    made.joined(START, view(12, gone=tuple(range(3, 12))))
-    assert made.gossip
-    made.joined(START, view(12))
+    made.change_fleet(START, view(12, gone=tuple(range(3, 12))))
+    assert made.gossips
+    made.change_fleet(START, view(12))
     assert made.has_owners
 
 
@@ -140,7 +146,7 @@
     """A quota of twelve that is, or is not, the home of customer 7, and its place."""
     for me in range(12):
         made = quota(12, 10.0)
-        made.joined(START, view(12, me))
+        made.change_fleet(START, view(12, me))
         if (home_of(7, tuple(range(10, 22))) == 10 + me) is me_is_home:
             return made, me
     raise AssertionError
@@ -148,13 +154,13 @@
 
 def test_a_new_home_takes_over_the_store_of_the_former_one_once() -> None:
     made, me = homed()
-    made.joined(START, view(12, me, quota_owners=tuple(n for n in range(10, 22) if n != 10 + me)))
+    made.change_fleet(START, view(12, me, quota_owners=tuple(n for n in range(10, 22) if n != 10 + me)))
     account = made.account(START, 7, 0)
-    assert not made.at_home(account)
-    made.joined(START, view(12, me))
+    assert not made.is_local(account)
+    made.change_fleet(START, view(12, me))
     for sender, level in ((11, 5.0), (12, 5.0)):
         asked = draw(START, made, sender=sender, tokens=level, tokens_reported_by=99)
-        _, _, (answer,) = made.drawn(START, asked)
+        _, _, (answer,) = made.receive_quota_message(START, asked)
         assert isinstance(answer, SendToPeers)
     assert account.tokens == pytest.approx(5.0 - 2.0), (
         "what two were granted, and not twice what one home had"
@@ -163,18 +169,18 @@
     told = unpack_quota_message(answer.data)
     assert told is not None and told.kind == QuotaMessageKind.GRANT
     # Another home's store, of another side of a cut, is another one.
-    made.drawn(START, draw(START, made, sender=13, tokens=4.0, tokens_reported_by=98))
+    made.receive_quota_message(START, draw(START, made, sender=13, tokens=4.0, tokens_reported_by=98))
     assert account.tokens == pytest.approx(3.0 + 4.0 - 1.0)
 
 
 def test_an_asker_tells_its_set_and_what_the_home_told_it_only_while_that_is_fresh() -> None:
     made = homed(False)[0]
     account = made.account(START, 7, 0, 2, 3)
-    home = made.home(account)
+    home = made.owner_of(account)
     grant = QuotaMessage(QuotaMessageKind.GRANT, 7, 0, 6.5, 1, 0)
-    made.drawn(START, PeerMessage(home, pack_quota_message(grant)))
+    made.receive_quota_message(START, PeerMessage(home, pack_quota_message(grant)))
     for age, teller in ((SECOND, home), (10 * SECOND, 0)):
-        _, action = made.ask(START + age, account, 1.0, QuotaMessageKind.REQUEST)
+        _, action = made.query(START + age, account, 1.0, QuotaMessageKind.REQUEST)
         assert isinstance(action, SendToPeers)
         told = unpack_quota_message(action.data)
         assert told is not None and (told.first_gateway, told.gateway_span, told.tokens_reported_by) == (
@@ -186,17 +192,17 @@
 
 def test_what_the_silent_did_not_use_is_there_once_all_have_told() -> None:
     made = quota(2, 1000.0)
-    made.joined(START, view(2))
+    made.change_fleet(START, view(2))
     account = made.account(START, 7, 0, 2, 0)
     now = START
     words(made, now, 11)
     made.refill(now, account)
-    assert made.book(account, account.tokens, False)
+    assert made.spend(account, account.tokens, False)
     now += 10 * SECOND
     for at in range(START + SECOND, now, SECOND // 4):
         made.refill(at, account)
         if account.tokens >= 1.0:
-            made.book(account, 1.0, False)
+            made.spend(account, 1.0, False)
     assert account.unresponsive_units > 6.0
     words(made, now, 11)  # it is back, and has used nothing
     for at in range(now, now + RETURNING + 1, SECOND // 2):
@@ -216,7 +222,7 @@
     )
     assert unpack_quota_message(b"\1" * 21) is None
     made = quota(3, 1000.0)
-    made.joined(START, view(3, peer_slots=(0, 0), peers=(11, 12)))
+    made.change_fleet(START, view(3, peer_slots=(0, 0), peers=(11, 12)))
     assert WHOLE.bit_count() == sum(slots_of((n, 3)).bit_count() for n in range(3))
     for sender in range(2000):
         words(made, START, 10_000 + sender)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -47,7 +47,7 @@
             )
             self.gateways.append(made)
             self.give(0, number, full_list(*[backend(i) for i in range(1, 9)]))
-        assert made.quota.gossip is (gateways == FEW) and made.quota.has_owners is (gateways == MANY)
+        assert made.quota.gossips is (gateways == FEW) and made.quota.has_owners is (gateways == MANY)
 
     def give(self, now: int, gateway: int, event: Event) -> None:
         self.play(gateway, self.gateways[gateway].handle(now, event))
@@ -115,7 +115,7 @@
 
 def _home_forgets() -> Any:
     """The home keeps no word of what is out elsewhere."""
-    real = Quota.drawn
+    real = Quota.receive_quota_message
 
     def mutant(self: Quota, now: int, event: PeerMessage) -> Any:
         word = real(self, now, event)
@@ -123,13 +123,13 @@
             account.peers_in_flight.clear()
         return word
 
-    return patch.object(Quota, "drawn", mutant)
+    return patch.object(Quota, "receive_quota_message", mutant)
 
 
 PLANTED: dict[str, Callable[[], Any]] = {
     "home-forgets": _home_forgets,
-    "home-unasked": lambda: patch.object(Quota, "at_home", lambda self, account: True),
-    "end-untold": lambda: patch.object(Quota, "free", lambda self, now, account: []),
+    "home-unasked": lambda: patch.object(Quota, "is_local", lambda self, account: True),
+    "end-untold": lambda: patch.object(Quota, "release", lambda self, now, account: []),
     "none-told-as-out": lambda: patch.object(
         quota, "QuotaMessage", lambda *told, in_flight: QuotaMessage(*told)
     ),
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -30,7 +30,7 @@
         self.now = 100 * SECOND
         settings = plain_settings(PLAN, gateway_count=2, may_gossip=True, peer_messages_per_s=40.0)
         self.quota = Quota(settings, 1, self.now, random.Random(1))
-        assert self.quota.gossip
+        assert self.quota.gossips
         self.account: TenantAccount = self.quota.account(self.now, 7, 0, 2, 0)
         self.told = 0.0
 
@@ -47,10 +47,10 @@
     def word(self) -> None:
         totals = [(7, round(4 * self.told), 0)]
         age = (self.now - 100 * SECOND) * 10 // SECOND
-        self.quota.heard(self.now, PeerMessage(1, pack_usage_totals(9, age, totals)))
+        self.quota.receive_usage_totals(self.now, PeerMessage(1, pack_usage_totals(9, age, totals)))
 
     def spend(self, units: float) -> None:
-        assert self.quota.book(self.account, units, False)
+        assert self.quota.spend(self.account, units, False)
 
 
 @pytest.fixture
@@ -119,7 +119,7 @@
         self.alone += alone
         age = (self.now - 100 * SECOND) * 10 // SECOND
         draw = QuotaMessage(QuotaMessageKind.REQUEST, 12, 0, 1.0, 5, age, round(4 * self.alone))
-        _, _, word = self.quota.drawn(self.now, PeerMessage(1, pack_quota_message(draw)))
+        _, _, word = self.quota.receive_quota_message(self.now, PeerMessage(1, pack_quota_message(draw)))
         assert len(word) == 1
         granted = self.account.unsettled_grants[1][1] == self.now
         self.alone += granted
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -129,7 +129,7 @@
     front.counter_ok = False
     front.flood(20.0, 100)
     assert 0 < len(front.sent) <= 1.5 * 220
-    assert max(g.quota.pace for g in front.gateways) < 1.0
+    assert max(g.quota.counter_call_rate for g in front.gateways) < 1.0
 
 
 def test_open_attempts_are_limited_over_all_gateways_by_the_counter() -> None:
@@ -284,11 +284,11 @@
         taken = 0
         for customer in range(200):
             account = g.quota.account(0, customer, 0, MANY, 0)
-            g.quota.granted[0].add(0, 1.0)
+            g.quota.grant_ratio_by_plan[0].add(0, 1.0)
             account.static_tokens = 0.0
             for _ in range(asked):
                 account.long_term_demand.add(0, 1.0)
-            taken += g.quota.alone(0, account, 1.0)
+            taken += g.quota.spend_without_answer(0, account, 1.0)
         passed.append(taken)
     assert passed[1] < 0.5 * passed[0]
 
@@ -296,7 +296,7 @@
 def test_each_counted_try_stands_for_those_not_counted() -> None:
     g = Broker(settings(gateway_count=MANY, may_gossip=False, has_shared_counter=True), 7, 0)
     g.handle(0, full_list(backend(1)))
-    g.quota.pace = 0.5
+    g.quota.counter_call_rate = 0.5
     calls = [a for i in range(20) for a in g.handle(MS, arrival(i, MS, customer=i, gateway_span=MANY))]
     amounts = {a.amount for a in calls if isinstance(a, AddToCounter)}
     assert amounts == {2.0}
@@ -352,7 +352,7 @@
                 )
                 super().feed(now, PeerMessage(1, word))
         if not self.gateway.quota.has_owners:
-            for name, calls in list(self.gateway.quota.calls.items()):
+            for name, calls in list(self.gateway.quota.counter_calls.items()):
                 if calls:
                     super().feed(now, CounterAnswered(MS, Outcome(1 + len(self.log) % 3), name, 2.0))
 
@@ -504,6 +504,8 @@
     assert _least_of_a_ceiling(pays=True) >= -2.0
     # The planted breach: what is granted beyond the quota, too, counts as if it were inside.
     with patch.object(
-        Quota, "_spared", lambda quota, figures: 0.75 * figures.hard_limit_burst_units - figures.burst_units
+        Quota,
+        "_unspent_hard_limit",
+        lambda quota, figures: 0.75 * figures.hard_limit_burst_units - figures.burst_units,
     ):
         assert _least_of_a_ceiling(pays=True) < -2.0
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -79,7 +79,7 @@
 
 
 def test_planted_chance_without_the_bound_of_a_slice_and_one_request_is_told() -> None:
-    with patch.object(Quota, "_unheard", lambda self, now, account, units: self.rng.random() < 0.37):
+    with patch.object(Quota, "_spend_uninformed", lambda self, now, account, units: self.rng.random() < 0.37):
         inside, beyond = play(6, {50.0: 1}, 1.3, 1)
     assert (inside + beyond - 1.0) * (BURST + RATE * 45) > 10 * 6
 
@@ -110,10 +110,10 @@
 
 def test_where_a_view_brings_word_of_others_nobody_is_unheard() -> None:
     quota = Broker(settings(gateway_count=200, may_gossip=False), 7, 0).quota
-    assert quota.blind
+    assert quota.is_uninformed
     seats = tuple(1 << n for n in range(2))
-    quota.joined(0, FleetChanged(0, (1,), (0, 1), seats, 1, (2,), 30 * SECOND, 60 * SECOND))
-    assert not quota.blind
+    quota.change_fleet(0, FleetChanged(0, (1,), (0, 1), seats, 1, (2,), 30 * SECOND, 60 * SECOND))
+    assert not quota.is_uninformed
 
 
 def test_a_plan_without_limits_is_let_through_though_nobody_is_heard() -> None:
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -75,6 +75,6 @@
 
     seeds = range(1, 5)
     now = sum(map(beyond, seeds)) / len(seeds)
-    with patch.object(Quota, "_settle", lambda *words: None):
+    with patch.object(Quota, "_settle_grants", lambda *words: None):
         before = sum(map(beyond, seeds)) / len(seeds)
     assert now < 0.1 and now < 0.7 * before
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -110,26 +110,26 @@
                 if event.kind is EndpointUpdateKind.FAILED:
                     actions.append(SetTimer(SECOND, RETRY_LIST))
             case PlansChanged():
-                self.quota.replan(now, event)
+                self.quota.change_plans(now, event)
                 actions.append(self.replan(now))
             case ClassesChanged():
                 actions.append(self._reclass(event))
             case FleetChanged():
-                self.quota.joined(now, event)
+                self.quota.change_fleet(now, event)
                 self.joined(event)
             case AllocationChanged():
-                self.quota.entitle(now, event)
+                self.quota.change_allocation(now, event)
                 actions += self.entitled(now, event.tenant)
             case ClientDisconnected():
                 self.open_requests.pop(event.request, None)
             case TimerFired(token):
                 actions += self._tick(now) if token == EVERY_TICK else [WatchEndpoints(True)]
-            case PeerMessage() if self.quota.gossip and not is_quota_message(event.data):
-                self.quota.heard(now, event)
+            case PeerMessage() if self.quota.gossips and not is_quota_message(event.data):
+                self.quota.receive_usage_totals(now, event)
             case PeerMessage():
-                actions += self.decided(now, *self.quota.drawn(now, event))
+                actions += self.decided(now, *self.quota.receive_quota_message(now, event))
             case CounterAnswered():
-                actions += self.decided(now, *self.quota.counted(now, event))
+                actions += self.decided(now, *self.quota.receive_counter_answer(now, event))
         return actions
 
     def _tick(self, now: int) -> list[Action]:
@@ -150,12 +150,12 @@
         self._evaluate_all(now)
         quota = self.quota
         if (
-            quota.gossip
+            quota.gossips
             and not self.retired
-            and now - quota.told_at >= max(1, quota.gossip_interval_ns - TICK // 2)
+            and now - quota.gossiped_at_ns >= max(1, quota.gossip_interval_ns - TICK // 2)
         ):
-            quota.told_at = now
-            actions.append(SendToPeers(None, quota.message(now)))
+            quota.gossiped_at_ns = now
+            actions.append(SendToPeers(None, quota.usage_message(now)))
         pressed = (
             self.model.concurrency_limit is not None
             and self.in_flight >= CHEAPEST * self.model.concurrency_limit
@@ -219,7 +219,9 @@
             self._evaluate(now, commitment)
         if now - self.swept_at_ns >= IDLE:
             self.swept_at_ns, known = now, self.quota.accounts
-            self.quota.calls = {name: calls for name, calls in self.quota.calls.items() if calls}
+            self.quota.counter_calls = {
+                name: calls for name, calls in self.quota.counter_calls.items() if calls
+            }
             kept = {c: a for c, a in known.items() if a.in_flight or now - a.last_request_ns <= self._keep(a)}
             self.quota.accounts = kept
             self.commitments = {c: m for c, m in self.commitments.items() if kept.get(c) is m.account}
@@ -227,7 +229,7 @@
     def _keep(self, account: TenantAccount) -> int:
         """How long a customer's account outlasts its last request; the store must be full by then."""
         plan = account.plan
-        if self.quota.blind and account.static_tokens < 0.0:
+        if self.quota.is_uninformed and account.static_tokens < 0.0:
             return FORGET  # with it would go what it overdrew
         full = (
             2 * plan.burst_units / max(plan.rate_per_s, 1e-9),
@@ -243,7 +245,7 @@
     def _wanted(self, now: int, commitment: Commitment) -> tuple[int, float]:
         """Nreq and XMIN: quota slice x aim plus a slice of the burst, or else the places; two at least."""
         account, demand = commitment.account, commitment.demand
-        part = self.quota.share(now, account) / (demand.value or 1.0)
+        part = self.quota.local_share(now, account) / (demand.value or 1.0)
         rate, burst = account.plan.rate_per_s * part, account.plan.burst_units * part
         places = account.plan.concurrency_limit * (not account.plan.rate_per_s)
         return max(2, places, ceil(rate * commitment.latency_objective_ns / SECOND + burst)), min(
@@ -319,28 +321,30 @@
         quota, account, a, plan = self.quota, request.account, request.arrival, request.account.plan
         pays = plan.overage_weight > plan.overage_cost and not self.model.is_congested
         # Word this fresh is acted on at once, and the use told afterwards: no wait where gateways are few.
-        knows = quota.counter and now - account.tokens_known_at_ns < FRESH // 4
+        knows = quota.uses_counter and now - account.tokens_known_at_ns < FRESH // 4
         request.balances_before = account.balances()
-        if knows or quota.at_home(account):
-            may = pays or quota.may(now, account, a.units)
-            if may and quota.book(account, a.units, pays):
-                return self._admit(now, request, knows) + quota.short(now, account)
+        if knows or quota.is_local(account):
+            may = pays or quota.has_capacity(now, account, a.units)
+            if may and quota.spend(account, a.units, pays):
+                return self._admit(now, request, knows) + quota.request_transfer(now, account)
             if not account.more_expected or request.queued_at_ns or a.expires_at_ns - now < 4 * TICK:
-                account.rejection_reason = quota.lacking(now, account, a.units)
-                return [self._refusal(a), *quota.short(now, account)]
-            quota.tag, request.queued_at_ns = quota.tag + 1 & 0xFFFFFFFF, now
-            self.queued[quota.tag] = self.open_requests[a.request] = request
+                account.rejection_reason = quota.missing_limit(now, account, a.units)
+                return [self._refusal(a), *quota.request_transfer(now, account)]
+            quota.last_query, request.queued_at_ns = quota.last_query + 1 & 0xFFFFFFFF, now
+            self.queued[quota.last_query] = self.open_requests[a.request] = request
             return [RequestAllocation(a.tenant)]
-        if not pays and quota.known_spent(account, a.units):
+        if not pays and quota.is_known_spent(account, a.units):
             return [self._refusal(a)]
-        if not (quota.asks(account) or (quota.counter and self.rng.random() < quota.pace)):
+        if not (
+            quota.has_owner(account) or (quota.uses_counter and self.rng.random() < quota.counter_call_rate)
+        ):
             return self._alone(now, request)
         if pays and not plan.hard_limit_per_s:
-            return self._admit(now, request, quota.pace >= 1.0)
+            return self._admit(now, request, quota.counter_call_rate >= 1.0)
         short = a.expires_at_ns - now < 4 * TICK
-        if short and plan.concurrency_limit and quota.asks(account):
+        if short and plan.concurrency_limit and quota.has_owner(account):
             return self._alone(now, request)  # a place would be granted that nobody takes
-        tag, action = quota.ask(now, account, a.units, QuotaMessageKind.REQUEST)
+        tag, action = quota.query(now, account, a.units, QuotaMessageKind.REQUEST)
         if short:
             return [action, *self._alone(now, request)]
         request.queued_at_ns = now
@@ -356,7 +360,7 @@
 
     def _alone(self, now: int, request: OpenRequest) -> list[Action]:
         request.balances_before = request.account.balances()
-        may = self.quota.alone(now, request.account, request.arrival.units)
+        may = self.quota.spend_without_answer(now, request.account, request.arrival.units)
         return self._admit(now, request, False) if may else [self._refusal(request.arrival)]
 
     def _admit(self, now: int, request: OpenRequest, tell: bool) -> list[Action]:
@@ -366,11 +370,11 @@
             return [self._refusal(a)]
         self.open_requests[a.request] = request
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
-        request.counted_remotely |= tell or self.quota.asks(account)
-        if self.quota.has_owners and not self.quota.at_home(account):
-            account.spend(a.units)
+        request.counted_remotely |= tell or self.quota.has_owner(account)
+        if self.quota.has_owners and not self.quota.is_local(account):
+            account.count_forwarded(a.units)
         request.balances_taken = account.taken_since(request.balances_before)
-        return [send, self.quota.ask(now, account, a.units, QuotaMessageKind.SPENT)[1]] if tell else [send]
+        return [send, self.quota.query(now, account, a.units, QuotaMessageKind.SPENT)[1]] if tell else [send]
 
     def decided(self, now: int, tag: int, granted: bool | None, more: list[Action]) -> list[Action]:
         """A held request goes on, or is refused; without an answer this gateway decides alone."""
@@ -378,7 +382,7 @@
         if request is None:
             return more
         request.counted_remotely, request.balances_before = granted is True, request.account.balances()
-        request.account.pending_queries -= self.quota.asks(request.account)
+        request.account.pending_queries -= self.quota.has_owner(request.account)
         if self.open_requests.pop(request.arrival.request, None):
             if granted is None:
                 more += self._alone(now, request)
@@ -390,7 +394,7 @@
         if request.attempts_in_flight or not request.counted_remotely:
             return []
         request.counted_remotely = False
-        return self.quota.free(now, request.account)
+        return self.quota.release(now, request.account)
 
     def _overdue(self, now: int) -> list[Action]:
         overdue = [tag for tag, request in self.queued.items() if now - request.queued_at_ns >= HOLD]
@@ -401,7 +405,11 @@
             for c in self.active_commitments.values()
             if c.account.counter_correction_units <= -OPEN / 2
         ]
-        return actions + [self.quota.call(now, a, 0.0) for a in late if self.rng.random() < self.quota.pace]
+        return actions + [
+            self.quota.call_counter(now, a, 0.0)
+            for a in late
+            if self.rng.random() < self.quota.counter_call_rate
+        ]
 
     def _over_limit(self, now: int, density: float) -> bool:
         """Under pressure the model's limit on all in flight holds too; the least worth meets it first."""
@@ -455,7 +463,7 @@
     def opened(self, request: OpenRequest, change: int) -> None:
         """So many attempts more of the request's customer are out."""
         request.commitment.in_flight += change
-        self.quota.opened(request.account, change)
+        self.quota.count_attempts(request.account, change)
 
     def _patience(self, now: int, request: OpenRequest) -> int:
         """Time-out of an attempt, or 0: guards against lost answers, hung backends, classes left unanswered,
--- a/trackspread/decide/services.py
+++ b/trackspread/decide/services.py
@@ -214,23 +214,23 @@
         """Taken in once, then told to each broker."""
         match event:
             case PlansChanged():
-                self.quota.replan(now, event)
+                self.quota.change_plans(now, event)
                 for place, broker in enumerate(self.brokers):
                     yield from self._named(place, [broker.replan(now)])
             case FleetChanged():
-                self.quota.joined(now, event)
+                self.quota.change_fleet(now, event)
                 for broker in self.brokers:
                     broker.joined(event)
             case AllocationChanged():
-                self.quota.entitle(now, event)
+                self.quota.change_allocation(now, event)
                 for broker in self.brokers:
                     yield from broker.entitled(now, event.tenant)
-            case PeerMessage() if self.quota.gossip and not is_quota_message(event.data):
-                self.quota.heard(now, event)
+            case PeerMessage() if self.quota.gossips and not is_quota_message(event.data):
+                self.quota.receive_usage_totals(now, event)
             case PeerMessage():
-                yield from self._answered(now, *self.quota.drawn(now, event))
+                yield from self._answered(now, *self.quota.receive_quota_message(now, event))
             case CounterAnswered():
-                yield from self._answered(now, *self.quota.counted(now, event))
+                yield from self._answered(now, *self.quota.receive_counter_answer(now, event))
 
     def _answered(self, now: int, ask: int, granted: bool | None, more: list[Action]) -> Iterator[Action]:
         """An answer goes to the broker that holds a request for it; `more` is to be sent anyway."""
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -130,14 +130,14 @@
         ],
         "in_flight": _mean(model.mean_in_flight),
         "retries": module.retry_tokens,
-        "told_at": quota.told_at,
+        "told_at": quota.gossiped_at_ns,
         "me": quota.incarnation,
         "born": quota.started_at_ns,
-        "tag": quota.tag,
-        "pace": quota.pace,
-        "restarted": quota.restarted,
+        "tag": quota.last_query,
+        "pace": quota.counter_call_rate,
+        "restarted": quota.has_restarted,
         "peers": [[p, *word] for p, word in quota.peers.items()],
-        "granted": [[plans[n], _mean(m)] for n, m in enumerate(quota.granted)],
+        "granted": [[plans[n], _mean(m)] for n, m in enumerate(quota.grant_ratio_by_plan)],
         "accounts": accounts,
         "servers": servers,
         "sends": _mean(fleet.warm_attempts),
@@ -158,13 +158,13 @@
     classes = {name: n for n, name in enumerate(names) if n in module.model.active_classes}
     plans = {plan.name: n for n, plan in enumerate(module.settings.plans)}
     quota, fleet, model = module.quota, module.fleet, module.model
-    quota.incarnation, quota.started_at_ns, quota.tag = told["me"], told["born"], told["tag"]
-    quota.pace, quota.restarted = told["pace"], told["restarted"]
+    quota.incarnation, quota.started_at_ns, quota.last_query = told["me"], told["born"], told["tag"]
+    quota.counter_call_rate, quota.has_restarted = told["pace"], told["restarted"]
     quota.peers = {peer: (incarnation, heard, age) for peer, incarnation, heard, age in told["peers"]}
-    module.retry_tokens, quota.told_at = told["retries"], told["told_at"]
+    module.retry_tokens, quota.gossiped_at_ns = told["retries"], told["told_at"]
     for name, mean in told["granted"]:
         if name in plans:
-            quota.granted[plans[name]] = _to_mean(mean)
+            quota.grant_ratio_by_plan[plans[name]] = _to_mean(mean)
     for name, latency, shortest, silence in told["classes"]:
         if (n := classes.get(name)) is not None:
             model.latency[n], model.shortest_ns[n] = _to_mean(latency), shortest
@@ -195,7 +195,7 @@
     values["peers"] = tuple(values["peers"])
     values["open"] = 0  # those that are out are told one by one
     account = TenantAccount(
-        plan=quota.figures(customer, index),
+        plan=quota.plan_of(customer, index),
         plan_index=index,
         quota_owner=customer % module.settings.gateway_count,
         **{_ACCOUNT_KEYS[key]: value for key, value in values.items()},
@@ -203,7 +203,7 @@
     quota.accounts[customer] = account
     if told["_commitment"] is None:
         return
-    commitment = module.commitment(module.quota.told_at, account)
+    commitment = module.commitment(module.quota.gossiped_at_ns, account)
     for key, name in _COMMITMENT_KEYS.items():
         value = told["_commitment"][key]
         setattr(commitment, name, _to_mean(value) if key in ("in_flight", "demand") else value)
@@ -240,9 +240,9 @@
     if plan not in plans or cls not in number_of:
         return
     arrival = RequestArrived(number, number_of[cls], plans.index(plan), customer, 0, units, 0, 0, 0)
-    now = module.quota.told_at
+    now = module.quota.gossiped_at_ns
     account = module.quota.account(now, customer, arrival.plan)
-    placed = module.quota.asks(account)  # its end is told to the home, as by whoever sent it
+    placed = module.quota.has_owner(account)  # its end is told to the home, as by whoever sent it
     request = OpenRequest(
         arrival,
         module.commitment(now, account),
--- a/trackspread/decide/tenant_account.py
+++ b/trackspread/decide/tenant_account.py
@@ -77,7 +77,7 @@
         0  # quarter units counted in `sent` that never came to a backend: later ones count for it
     )
 
-    def spend(self, units: float) -> None:
+    def count_forwarded(self, units: float) -> None:
         """Count units as sent on inside the quota. What is told of them to others may only grow."""
         quarters = round(4 * units)
         again = min(quarters, self.refunded_quarter_units)
--- a/trackspread/testing/virtual/booked.py
+++ b/trackspread/testing/virtual/booked.py
@@ -128,33 +128,33 @@
     """What came in until the change is filled by the new rate."""
 
     def mutant(self: Quota, now: int, account: Any, index: int) -> None:
-        old, new = account.plan, self.figures(account.tenant, index)
+        old, new = account.plan, self.plan_of(account.tenant, index)
         account.plan, account.plan_index = new, index
         account.tokens = rescaled_tokens(account.tokens, old.burst_units, new.burst_units)
 
-    return [patch.object(Quota, "carry", mutant)]
+    return [patch.object(Quota, "change_plan", mutant)]
 
 
 def _never_ends() -> list[Any]:
     """A reservation stays when its time is over."""
-    real = Quota.replan
+    real = Quota.change_plans
 
     def mutant(self: Quota, now: int, event: PlansChanged) -> None:
         kept = tuple((customer, *extra) for customer, extra in self.reservations.items())
         real(self, now, PlansChanged(event.plans, event.reserved or kept))
 
-    return [patch.object(Quota, "replan", mutant)]
+    return [patch.object(Quota, "change_plans", mutant)]
 
 
 def _reserved_only() -> list[Any]:
     """A reservation takes the plan's place."""
-    real = Quota.figures
+    real = Quota.plan_of
 
     def mutant(self: Quota, customer: int, index: int) -> Plan:
         plan, (rate, burst) = real(self, customer, index), self.reservations.get(customer, (0.0, 0.0))
         return replace(plan, rate_per_s=rate, burst_units=burst) if rate else plan
 
-    return [patch.object(Quota, "figures", mutant)]
+    return [patch.object(Quota, "plan_of", mutant)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
@@ -165,7 +165,7 @@
     "not-refilled-before": _not_refilled_before,
     "never-ends": _never_ends,
     "reserved-only": _reserved_only,
-    "not-taken-up": lambda: [patch.object(Quota, "replan", lambda self, now, event: None)],
+    "not-taken-up": lambda: [patch.object(Quota, "change_plans", lambda self, now, event: None)],
 }
 
 
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -117,25 +117,25 @@
 
 def _whole_ceiling_each() -> list[Any]:
     """Each gateway grants the whole of ceiling and quota."""
-    real = Quota._slice
+    real = Quota._assign_static_share
 
     def mutant(self: Quota, now: int, account: Any, n: int, first: int) -> None:
         real(self, now, account, 1, self.settings.gateway_index)
         account.hard_limit_tokens = account.plan.hard_limit_burst_units
 
-    return [patch.object(Quota, "_slice", mutant)]
+    return [patch.object(Quota, "_assign_static_share", mutant)]
 
 
 def _peers_unheard() -> list[Any]:
     """Others' use is believed to be nothing, and the whole quota to be here."""
     return [
-        patch.object(Quota, "heard", lambda self, now, event: None),
-        patch.object(Quota, "share", lambda self, now, account: 1.0),
+        patch.object(Quota, "receive_usage_totals", lambda self, now, event: None),
+        patch.object(Quota, "local_share", lambda self, now, account: 1.0),
     ]
 
 
 def _quota_unbooked() -> list[Any]:
-    return [patch.object(Quota, "book", lambda self, account, units, pays: True)]
+    return [patch.object(Quota, "spend", lambda self, account, units, pays: True)]
 
 
 def _used_units_back() -> list[Any]:
