--- a/benchmarks/counter_clients.py
+++ b/benchmarks/counter_clients.py
@@ -16,9 +16,10 @@
 import redis.asyncio
 import uvloop
 
-from trackspread.counter.commands import Command, commands
-from trackspread.counter.link import Access, Link
-from trackspread.counter.terms import Call
+from trackspread.counter.commands import Command
+from trackspread.counter.commands import commands_for
+from trackspread.counter.connection import CounterConnection, Credentials
+from trackspread.counter.calls import Call
 from trackspread.testing.standins.counter import Shard
 from trackspread.testing.standins.counter_server import CounterServer
 
@@ -36,13 +37,13 @@
 
 
 def _words(number: int) -> list[Command]:
-    return commands(Call(number, 0, number % AT_ONCE, b"x" * 48), "ts", 0, b"token")
+    return commands_for(Call(number, 0, number % AT_ONCE, b"x" * 48), "ts", 0, b"token")
 
 
 async def _link(address: tuple[str, int]) -> float:
-    link = Link(address, Access(), lambda: None)
+    link = CounterConnection(address, Credentials(), lambda: None)
     link.start()
-    while not link.ready:
+    while not link.is_ready:
         await asyncio.sleep(0.01)
     loop, began = asyncio.get_running_loop(), time.process_time()
     for _ in range(CALLS):
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -4,8 +4,8 @@
 
 from trackspread.backends.pools import RETIRE
 from trackspread.cells.seeding import FRESHEN, FRESHEN_OTHERS
-from trackspread.counter.commands import MOST_FIELDS
-from trackspread.counter.terms import HEARTBEAT
+from trackspread.counter.commands import MAX_FIELDS
+from trackspread.counter.timing import HEARTBEAT_NS
 from trackspread.decide.broker import FORGET, IDLE, RETRY_SHARE
 from trackspread.decide.time_units import SECOND
 from trackspread.lists.turns import SPREAD_MOST
@@ -45,7 +45,7 @@
     "rest_s": 30 * RETIRE,
     "spread_s": SPREAD_MOST,
     "partitions": 8,
-    "counter_beat_s": HEARTBEAT / SECOND,
+    "counter_beat_s": HEARTBEAT_NS / SECOND,
     "share": 0.018,
     "budget": 5_000,
     "memory": 64e6,
@@ -53,7 +53,7 @@
     "report_others_s": FRESHEN_OTHERS / SECOND,
     "slots": SLOTS,
     "fleet_most": 4_096,
-    "counter_most": MOST_FIELDS,
+    "counter_most": MAX_FIELDS,
 }
 # What a gateway would carry if requests were dealt out by service: see the lines on connections.
 CARRIED = 16
--- a/benchmarks/scale/quota_traffic.py
+++ b/benchmarks/scale/quota_traffic.py
@@ -14,9 +14,11 @@
 
 import hiredis
 
-from trackspread.counter.commands import TOKEN, reply
+from trackspread.counter.commands import TOKEN_FIELD, parse_reply
 from trackspread.counter.lease_manager import LeaseManager
-from trackspread.counter.terms import HEARTBEAT, Call, Heartbeat, pack_heartbeat
+from trackspread.counter.calls import Call
+from trackspread.counter.claims import Heartbeat, pack_heartbeat
+from trackspread.counter.timing import HEARTBEAT_NS
 from trackspread.decide.actions import Action, SendToPeers, StartAttempt
 from trackspread.decide.events import AttemptEnded, FleetChanged, Outcome, PeerMessage
 from trackspread.decide.rendezvous import home_of
@@ -116,19 +118,19 @@
     now, taken, read = START, list[float](), 0
     for beat in range(2 * REPEATS):
         raw = _beats(size, beat)
-        now += HEARTBEAT
+        now += HEARTBEAT_NS
         calls = [out for out in leases.tick(now) if isinstance(out, Call)]
         used = sum(took(partial(_answer, leases, now, call, raw)) for call in calls)
         taken.append(used)
         read = len(raw)
-    each_second = SECOND / HEARTBEAT
+    each_second = SECOND / HEARTBEAT_NS
     return {"bytes": PARTITIONS * read * each_second, "cpu": median(taken) * each_second}
 
 
 def _beats(size: int, beat: int) -> bytes:
     """The counter's replies to one beat: the write's, all fields, the name's life, the time."""
-    fields = [(TOKEN, b"t" * 8)]
-    clock = 1_000_000 + beat * HEARTBEAT // 1_000_000
+    fields = [(TOKEN_FIELD, b"t" * 8)]
+    clock = 1_000_000 + beat * HEARTBEAT_NS // 1_000_000
     fields += [(b"%d" % slot, pack_heartbeat(Heartbeat(slot + 1, beat + 1, clock))) for slot in range(size)]
     words = b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for pair in fields for word in pair)
     time = [b"%d" % (clock // 1000), b"%d" % (clock % 1000 * 1000)]
@@ -143,7 +145,7 @@
     results = []
     while (part := reader.gets()) is not False:
         results.append(part)
-    leases.answered(now, call.number, reply(call, results))
+    leases.on_reply(now, call.call_id, parse_reply(call, results))
 
 
 SUBJECTS = {subject.__name__: subject for subject in (asks, counter_heartbeats)}
--- a/tests/test_client_left_process.py
+++ b/tests/test_client_left_process.py
@@ -22,7 +22,7 @@
 
 from trackspread.backends.pools import SETTLE
 from trackspread.config.operator import DEFAULTS
-from trackspread.counter.commands import name_of
+from trackspread.counter.commands import key_of
 from trackspread.decide.peer_messages import (
     MAX_MESSAGE_BYTES,
     QuotaMessage,
@@ -328,7 +328,7 @@
         plan = plan_settings("team", 10.0, 2.0)  # none of it is kept here before a word comes
         async with gateway(tmp_path, operator=own, packages=[plan]) as process:
             await heard_counter(process)
-            (shard,), asked_of = server.shards, name_of("ts", 0, ELSEWHERE)
+            (shard,), asked_of = server.shards, key_of("ts", 0, ELSEWHERE)
             execute = shard.execute
 
             def held(gateway: int, words: tuple[bytes, ...], now: int, asking: bool = False) -> Any:
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -7,26 +7,16 @@
 
 import pytest
 
-from trackspread.counter.allot import allot
-from trackspread.counter.commands import CounterError, Refused, commands, name_of, reply
+from trackspread.counter.fair_shares import fair_shares
+from trackspread.counter.commands import CounterError
+from trackspread.counter.commands import ErrorReply, commands_for, key_of, parse_reply
 from trackspread.counter.failure_detector import FailureDetector
 from trackspread.counter.quota_client import terms_of
-from trackspread.counter.terms import (
-    HEARTBEAT,
-    KEPT,
-    MILLISECOND,
-    OUT,
-    SECOND,
-    Call,
-    Claim,
-    Heartbeat,
-    Reply,
-    Terms,
-    even,
-    pack_claim,
-    pack_heartbeat,
-    unpack_claim,
-)
+from trackspread.counter.calls import Call, Reply
+from trackspread.counter.claims import Claim, Heartbeat, pack_claim, pack_heartbeat, unpack_claim
+from trackspread.counter.lease_terms import LeaseTerms, static_share
+from trackspread.counter.timing import EXPIRY_NS, HEARTBEAT_NS, LEASE_NS
+from trackspread.decide.time_units import MILLISECOND, SECOND
 from trackspread.decide.settings import Plan
 from trackspread.testing.standins.counter import Cluster, Failure, Shard, slot_of
 from trackspread.testing.virtual.counter.world import Plant, World
@@ -40,7 +30,7 @@
     tight_world,
 )
 
-TERMS = Terms(10.0, 1.0, 0.1, (0, 1, 2))
+TERMS = LeaseTerms(10.0, 1.0, 0.1, (0, 1, 2))
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -68,27 +58,27 @@
 
 
 def test_shares_never_sum_to_more_than_there_is_and_the_least_of_wants_are_met_whole() -> None:
-    shares = allot(7, TERMS, {}, {0: 0.5, 1: 9.0, 2: 9.0, 3: 0.0}, 1.0, 1)
+    shares = fair_shares(7, TERMS, {}, {0: 0.5, 1: 9.0, 2: 9.0, 3: 0.0}, 1.0, 1)
     assert shares == {0: pytest.approx(0.1), 1: pytest.approx(0.45), 2: pytest.approx(0.45)}
-    assert sum(allot(7, TERMS, {}, dict.fromkeys(range(30), 9.0), 1.0, 1).values()) <= 1.0 + 1e-9
+    assert sum(fair_shares(7, TERMS, {}, dict.fromkeys(range(30), 9.0), 1.0, 1).values()) <= 1.0 + 1e-9
 
 
 def test_where_few_shares_hold_a_request_turns_bring_everybody_to_one() -> None:
-    narrow = Terms(10.0, 1.0, 0.5, (0, 1, 2))
-    served = [set(allot(7, narrow, {}, dict.fromkeys(range(5), 9.0), 1.0, turn)) for turn in range(40)]
+    narrow = LeaseTerms(10.0, 1.0, 0.5, (0, 1, 2))
+    served = [set(fair_shares(7, narrow, {}, dict.fromkeys(range(5), 9.0), 1.0, turn)) for turn in range(40)]
     assert all(len(each) == 2 for each in served) and set.union(*served) == set(range(5))
 
 
 def test_even_slices_sum_to_the_whole_also_where_few_hold_a_request() -> None:
     for least in (0.01, 0.2, 0.4, 1.0):
-        terms = Terms(10.0, 1.0, least, tuple(range(7)))
-        slices = [even(99, terms, slot) for slot in range(9)]
+        terms = LeaseTerms(10.0, 1.0, least, tuple(range(7)))
+        slices = [static_share(99, terms, slot) for slot in range(9)]
         assert sum(slices) == pytest.approx(1.0) and min(s for s in slices if s) >= min(least, 1 / 7)
 
 
 def test_terms_hold_one_request_in_every_store_and_one_place() -> None:
     plan = Plan("p", 10.0, 20.0, 4, 1.0, 0.0, 1.0, 20.0, 40.0, 0.0)
-    assert terms_of(plan, 2.0, (0,)) == Terms(10.0, 20.0, 0.25, (0,), True)
+    assert terms_of(plan, 2.0, (0,)) == LeaseTerms(10.0, 20.0, 0.25, (0,), True)
     assert terms_of(Plan("p", 0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0), 2.0, (0,)) is None
 
 
@@ -96,8 +86,8 @@
     """A read at `now` that shows gateway 1's beat, which lay `late` ns on its way."""
     clock = now // MILLISECOND
     beat = pack_heartbeat(Heartbeat(5, number, clock - late // MILLISECOND))
-    detector.answered(now, now, wrote, Reply(clock, {1: beat}, b"x"))
-    detector.look(now)
+    detector.on_reply(now, now, wrote, Reply(clock, {1: beat}, b"x"))
+    detector.review(now)
 
 
 def test_a_gateway_is_seen_by_beats_that_change_and_from_the_read_before() -> None:
@@ -106,29 +96,29 @@
     for number in range(2, 6):
         _read(detector, number * SECOND // 2 + SECOND, number)
     last = 3 * SECOND + SECOND // 2
-    assert detector.seen[1].since == last - SECOND // 2 and not detector.quiet
-    detector.look(last - SECOND // 2 + KEPT + 1)
-    assert detector.quiet == {1} and not detector.gone
-    detector.look(last - SECOND // 2 + OUT + 1)
-    assert detector.gone == {1}
+    assert detector.observations[1].alive_since_ns == last - SECOND // 2 and not detector.unresponsive
+    detector.review(last - SECOND // 2 + LEASE_NS + 1)
+    assert detector.unresponsive == {1} and not detector.expired
+    detector.review(last - SECOND // 2 + EXPIRY_NS + 1)
+    assert detector.expired == {1}
 
 
 def test_a_beat_that_lay_on_its_way_is_as_old_as_the_counters_clock_says() -> None:
     detector = FailureDetector(0, 2, 9, 100 * SECOND)
     for number in range(1, 5):
-        _read(detector, 100 * SECOND + number * HEARTBEAT, number)
-    since = detector.seen[1].since
-    _read(detector, 100 * SECOND + 5 * HEARTBEAT, 5, late=SECOND * 10)
-    assert detector.seen[1].since == since
+        _read(detector, 100 * SECOND + number * HEARTBEAT_NS, number)
+    since = detector.observations[1].alive_since_ns
+    _read(detector, 100 * SECOND + 5 * HEARTBEAT_NS, 5, late=SECOND * 10)
+    assert detector.observations[1].alive_since_ns == since
 
 
 def test_what_a_healed_half_brings_up_again_is_no_sign_of_life() -> None:
     detector = FailureDetector(0, 2, 9, 100 * SECOND)
     for number in range(1, 5):
-        _read(detector, 100 * SECOND + number * HEARTBEAT, number)
-    seen = detector.seen[1]
-    _read(detector, 100 * SECOND + 6 * HEARTBEAT, 2)
-    assert detector.seen[1] == seen
+        _read(detector, 100 * SECOND + number * HEARTBEAT_NS, number)
+    seen = detector.observations[1]
+    _read(detector, 100 * SECOND + 6 * HEARTBEAT_NS, 2)
+    assert detector.observations[1] == seen
 
 
 def test_claims_that_are_none_are_passed_over() -> None:
@@ -142,17 +132,17 @@
 def test_a_reply_is_read_whole_or_not_at_all() -> None:
     call = Call(1, 0, 7, b"v")
     good = [1, [b"0", b"v", b"id", b"t", b"junk", b"x"], 1, [b"12", b"345000"]]
-    assert reply(call, good) == Reply(12_345, {0: b"v"}, b"t", True)
-    assert not reply(call, [0, *good[1:]]).fresh
+    assert parse_reply(call, good) == Reply(12_345, {0: b"v"}, b"t", True)
+    assert not parse_reply(call, [0, *good[1:]]).field_was_missing
     for wrong in ([1, [b"0"], 1, [b"1", b"2"]], [1, None, 1, [b"1", b"2"]], [1, [], 1, [b"x", b"2"]], []):
         with pytest.raises(CounterError):
-            reply(call, wrong)
+            parse_reply(call, wrong)
     with pytest.raises(CounterError, match="LOADING"):
-        reply(call, [Refused("LOADING later"), *good[1:]])
+        parse_reply(call, [ErrorReply("LOADING later"), *good[1:]])
 
 
 def test_all_names_of_a_partition_lie_in_one_slot() -> None:
-    names = [name_of("ts", 3, member) for member in (None, 1, 2, -5)]
+    names = [key_of("ts", 3, member) for member in (None, 1, 2, -5)]
     assert len({slot_of(name) for name in names}) == 1 and len(set(names)) == 4
     # From the cluster specification: the reference value of its CRC16.
     assert slot_of(b"123456789") == 0x31C3 % 16384
@@ -160,10 +150,10 @@
 
 def test_the_stand_in_sends_away_what_lies_elsewhere() -> None:
     cluster = Cluster(2)
-    name = name_of("ts", 0, None)
+    name = key_of("ts", 0, None)
     owner = cluster.shards[cluster.owner[slot_of(name)]]
     other = cluster.shards[1 - owner.number]
-    words = commands(Call(1, 0, None, b"v"), "ts", 0, b"t")[1]
+    words = commands_for(Call(1, 0, None, b"v"), "ts", 0, b"t")[1]
     assert owner.execute(0, words, 0) == 1
     assert str(other.execute(0, words, 0)).startswith("MOVED ")
     cluster.moving[slot_of(name)] = other.number
--- a/tests/test_counter_process.py
+++ b/tests/test_counter_process.py
@@ -18,11 +18,11 @@
 from trackspread.commands.quota import ask
 from trackspread.config.addresses import ConfigError
 from trackspread.config.operator import parse
-from trackspread.counter.commands import Refused
+from trackspread.counter.commands import ErrorReply
 from trackspread.counter.host import CounterHost
-from trackspread.counter.link import Access, Link
+from trackspread.counter.connection import CounterConnection, Credentials
 from trackspread.counter.quota_client import QuotaClient
-from trackspread.counter.routes import Routes
+from trackspread.counter.routing import Router
 from trackspread.decide.events import AllocationChanged
 from trackspread.decide.settings import Plan
 from trackspread.testing.harness import counted
@@ -56,20 +56,20 @@
         settings = plain_settings(PLAN, gateway_index=number, gateway_count=gateways, has_leased_quotas=True)
         now = CLOCK()
         self.client = QuotaClient(settings, partitions, number + 1, number, now, lambda member: (0.0, 10.0))
-        self.routes = Routes(
+        self.routes = Router(
             [server.addresses[shard.number, number] for shard in server.shards],
             server.shards[0].cluster is not None,
             "ts",
             partitions,
         )
         self.events: list[AllocationChanged] = []
-        self.host = CounterHost(self.client, self.routes, Access(), "ts", number, CLOCK, self._told)
+        self.host = CounterHost(self.client, self.routes, Credentials(), "ts", number, CLOCK, self._told)
 
     def _told(self, event: AllocationChanged) -> None:
         self.events.append(event)
 
     def ask(self, member: int) -> None:
-        self.host.do(self.client.before(CLOCK(), member, 0, 1.0, 0, 0))
+        self.host.carry_out(self.client.before_request(CLOCK(), member, 0, 1.0, 0, 0))
 
     async def until(self, fits: Callable[[], bool], members: range = range(0)) -> None:
         """Asks for the members meanwhile, as their clients would."""
@@ -82,27 +82,27 @@
         await asyncio.sleep(0.02)
 
     def known(self) -> set[int]:
-        return {member for member, held in self.client.manager.leases.items() if held.known}
+        return {member for member, held in self.client.manager.leases.items() if held.is_established}
 
 
 def test_partitions_lie_where_rendezvous_puts_them_and_few_move_with_a_server() -> None:
     servers = [("127.0.0.1", 7000 + n) for n in range(4)]
-    before = [Routes(servers, False, "ts", 64).server(p) for p in range(64)]
-    after = [Routes(servers[:3], False, "ts", 64).server(p) for p in range(64)]
+    before = [Router(servers, False, "ts", 64).server(p) for p in range(64)]
+    after = [Router(servers[:3], False, "ts", 64).server(p) for p in range(64)]
     assert len(set(before)) == 4
     assert all(old == new for old, new in zip(before, after, strict=True) if old != servers[3])
 
 
 def test_redirections_are_followed_to_literal_addresses_alone() -> None:
-    routes = Routes([("127.0.0.1", 7000)], True, "ts", 2)
+    routes = Router([("127.0.0.1", 7000)], True, "ts", 2)
     by = ("127.0.0.1", 7000)
-    assert routes.redirected(0, Refused("ASK 5 127.0.0.2:7001"), by) == (("127.0.0.2", 7001), True)
+    assert routes.redirect_target(0, ErrorReply("ASK 5 127.0.0.2:7001"), by) == (("127.0.0.2", 7001), True)
     assert routes.server(0) == by
-    assert routes.redirected(0, Refused("MOVED 5 :7002"), by) == (("127.0.0.1", 7002), False)
-    assert routes.server(0) == ("127.0.0.1", 7002) and routes.stale
+    assert routes.redirect_target(0, ErrorReply("MOVED 5 :7002"), by) == (("127.0.0.1", 7002), False)
+    assert routes.server(0) == ("127.0.0.1", 7002) and routes.is_stale
     for wrong in ("MOVED 5 elsewhere.example:7000", "MOVED 5", "MOVED 5 x", "ERR no", "MOVED 5 127.0.0.1:x"):
-        assert routes.redirected(0, Refused(wrong), by) is None
-    assert not Routes([by], True, "ts", 2).learn([[0, "x", []]])
+        assert routes.redirect_target(0, ErrorReply(wrong), by) is None
+    assert not Router([by], True, "ts", 2).update_cluster_map([[0, "x", []]])
 
 
 def test_two_gateways_share_members_over_a_cluster_whose_slots_move() -> None:
@@ -128,7 +128,7 @@
                 members,
             )
             assert set(side.client.manager.states(CLOCK())) <= {"sound", "rebuilding"}
-            failed = side.client.manager.calls["failed"]
+            failed = side.client.manager.call_counts["failed"]
             assert failed == 0, "a slot that moved must not fail a call"
         finally:
             for side in sides:
@@ -172,13 +172,13 @@
         await server.start()
         secret = tmp_path / "secret"
         secret.write_text("wrong\n")
-        link = Link(server.addresses[0, 0], Access("", str(secret)), lambda: None)
+        link = CounterConnection(server.addresses[0, 0], Credentials("", str(secret)), lambda: None)
         try:
             link.start()
             await asyncio.sleep(0.1)
-            assert not link.ready
+            assert not link.is_ready
             secret.write_text("right\n")
-            while not link.ready:
+            while not link.is_ready:
                 await asyncio.sleep(0.01)
             done: asyncio.Future[list[Any] | None] = asyncio.get_running_loop().create_future()
             link.send([(b"PING",)], done.set_result)
@@ -196,13 +196,13 @@
     stranger.cert_pem.write_to_path(tmp_path / "other.pem")
     own.issue_cert("gateway").private_key_and_cert_chain_pem.write_to_path(tmp_path / "own.pem")
 
-    async def reached(server: CounterServer, told: Access) -> bool:
+    async def reached(server: CounterServer, told: Credentials) -> bool:
         failed = asyncio.Event()
-        link = Link(server.addresses[0, 0], told, failed.set)
+        link = CounterConnection(server.addresses[0, 0], told, failed.set)
         link.start()
-        while not link.ready and not failed.is_set():
+        while not link.is_ready and not failed.is_set():
             await asyncio.sleep(0.01)
-        found = link.ready
+        found = link.is_ready
         await link.close()
         return found
 
@@ -216,7 +216,7 @@
         await server.start()
         try:
 
-            def table(**keys: str) -> Access:
+            def table(**keys: str) -> Credentials:
                 made = "".join(f'{key} = "{tmp_path / name}"\n' for key, name in keys.items())
                 return access(parse(f"[counter]\ntls = true\n{made}", "f").counter)
 
--- a/trackspread/commands/quota.py
+++ b/trackspread/commands/quota.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..config.addresses import ConfigError
-from ..counter.report import Report
+from ..counter.report import TenantReport
 
 PATIENCE = 3.0  # s for the answer
 ANSWER_MOST = 1 << 20  # bytes: a claim of each of some thousand gateways
@@ -28,7 +28,7 @@
         print(data.decode().rstrip())
         return 0
     try:
-        told = msgspec.json.decode(data, type=Report)
+        told = msgspec.json.decode(data, type=TenantReport)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{given.socket}: not a gateway's answer: {error}") from None
     print("\n".join(lines(told)))
@@ -53,7 +53,7 @@
     return data
 
 
-def lines(told: Report) -> list[str]:
+def lines(told: TenantReport) -> list[str]:
     """For a person."""
     replaced = f"; found replaced {told.replaced} time(s)" if told.replaced else ""
     made = [
--- a/trackspread/counter/host.py
+++ b/trackspread/counter/host.py
@@ -1,6 +1,5 @@
-"""The quota client on sockets: its calls to servers, its ticks from the loop, its events to the module.
-
-May know: quota client, routes, links. Decides nothing.
+"""The quota client on sockets: calls to the counter's servers, ticks of the event loop, events to the
+decision module. Decides nothing.
 """
 
 from __future__ import annotations
@@ -9,118 +8,150 @@
 import logging
 import secrets
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 from typing import Any
 
 from ..decide.events import AllocationChanged
-from .commands import Command, CounterError, Refused, commands, reply
-from .link import Access, Link
+from ..decide.time_units import SECOND
+from .calls import Call
+from .commands import Command, CounterError, ErrorReply, commands_for, parse_reply
+from .connection import CounterConnection, Credentials
 from .quota_client import Action, QuotaClient
-from .routes import Routes, Server
-from .terms import SECOND, Call
+from .routing import Router, Server
 
 log = logging.getLogger(__name__)
 
-REFRESH = 0.5  # s at least between looks at a cluster's map
-LEAST = 0.001  # s between ticks, whatever went wrong
-LINKS_MOST = 128  # servers that are spoken to: a cluster that names more is not followed further
+MAP_REFRESH_S = 0.5  # at least, between requests for a cluster's map
+MIN_TICK_S = 0.001  # between ticks, whatever went wrong
+MAX_CONNECTIONS = 128  # a cluster that names more servers is not followed further
+MAX_REDIRECTS = 2  # of one call
+ASKING: Command = (b"ASKING",)
+
+
+@dataclass(frozen=True, slots=True)
+class _SentCall:
+    """A call as it was sent to one server, after so many redirects."""
+
+    call: Call
+    server: Server
+    commands: list[Command]
+    redirects: int = 0
 
 
 class CounterHost:
-    """`events` takes what the module is to be told."""
+    """Runs a quota client: `on_event` gets the events for the decision module, `now` is its clock, ns."""
 
     def __init__(
         self,
         client: QuotaClient,
-        routes: Routes,
-        access: Access,
-        prefix: str,
-        slot: int,
+        router: Router,
+        credentials: Credentials,
+        key_prefix: str,
+        gateway: int,
         now: Callable[[], int],
-        events: Callable[[AllocationChanged], None],
+        on_event: Callable[[AllocationChanged], None],
     ) -> None:
-        self.client, self.routes = client, routes
-        self._access, self._prefix, self._slot, self._now, self._events = access, prefix, slot, now, events
-        self._links: dict[Server, Link] = {}
+        self.client = client
+        self.router = router
+        self._credentials = credentials
+        self._key_prefix = key_prefix
+        self._gateway = gateway
+        self._now = now
+        self._on_event = on_event
+        self._connections: dict[Server, CounterConnection] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._asked_at = -REFRESH
+        self._map_requested_at_s = -MAP_REFRESH_S
 
     def start(self) -> None:
         """Connect to the servers that are known, and begin to tick."""
-        for server in self.routes.servers:
-            self._link(server)
+        for server in self.router.servers:
+            self._connection(server)
         self._tick()
 
     async def close(self) -> None:
         """End the ticks and all connections."""
         if self._timer is not None:
             self._timer.cancel()
-        for link in self._links.values():
-            await link.close()
+        for connection in self._connections.values():
+            await connection.close()
 
-    def do(self, actions: list[Action]) -> None:
-        """Send the calls to the counter, hand the module its changed rights."""
+    def carry_out(self, actions: list[Action]) -> None:
+        """Send the calls to the counter, hand the decision module its changed allocations."""
         for action in actions:
             if isinstance(action, Call):
-                server = self.routes.server(action.partition)
+                server = self.router.server(action.partition)
                 # For a counter that has none yet: another each time, or a new one would look like the old.
-                token = secrets.token_hex(8).encode() if action.member is None else b""
-                self._send(action, server, commands(action, self._prefix, self._slot, token), 0)
+                token = secrets.token_hex(8).encode() if action.tenant is None else b""
+                commands = commands_for(action, self._key_prefix, self._gateway, token)
+                self._send(_SentCall(action, server, commands))
             else:
-                self._events(action)
+                self._on_event(action)
 
     def _tick(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            self.do(self.client.tick(self._now()))
-        except Exception:  # the next one must come all the same, or rights would outlive their time
-            log.exception("fault in a tick")
-        if self.routes.stale and loop.time() - self._asked_at >= REFRESH:
-            self._asked_at = loop.time()
-            ready = [link for link in self._links.values() if link.ready]
-            if ready:
-                ready[0].send([(b"CLUSTER", b"SLOTS")], self._mapped)
-        wait = max(LEAST, (self.client.due - self._now()) / SECOND)
-        self._timer = loop.call_later(wait, self._tick)
-
-    def _mapped(self, replies: list[Any] | None) -> None:
-        if replies is not None and not isinstance(replies[0], Refused):
-            self.routes.learn(replies[0])
-
-    def _link(self, server: Server) -> Link | None:
-        link = self._links.get(server)
-        if link is None and len(self._links) < LINKS_MOST:
-            link = self._links[server] = Link(server, self._access, partial(self.routes.lost, server))
-            link.start()
-        return link
-
-    def _send(self, call: Call, server: Server, sent: list[Command], tries: int) -> None:
-        link = self._link(server)
-        if link is None:
-            asyncio.get_running_loop().call_soon(self._done, call, server, sent, tries, None)
+            self.carry_out(self.client.tick(self._now()))
+        except Exception:  # the next one must come all the same, or leases would outlive their time
+            log.exception("counter: fault in a tick")
+        if self.router.is_stale and loop.time() - self._map_requested_at_s >= MAP_REFRESH_S:
+            self._map_requested_at_s = loop.time()
+            self._request_cluster_map()
+        wait_s = max(MIN_TICK_S, (self.client.due_ns - self._now()) / SECOND)
+        self._timer = loop.call_later(wait_s, self._tick)
+
+    def _request_cluster_map(self) -> None:
+        ready = [connection for connection in self._connections.values() if connection.is_ready]
+        if ready:
+            ready[0].send([(b"CLUSTER", b"SLOTS")], self._on_cluster_map)
+
+    def _on_cluster_map(self, replies: list[Any] | None) -> None:
+        if replies is not None and not isinstance(replies[0], ErrorReply):
+            self.router.update_cluster_map(replies[0])
+
+    def _connection(self, server: Server) -> CounterConnection | None:
+        connection = self._connections.get(server)
+        if connection is None and len(self._connections) < MAX_CONNECTIONS:
+            on_lost = partial(self.router.on_server_lost, server)
+            connection = CounterConnection(server, self._credentials, on_lost)
+            self._connections[server] = connection
+            connection.start()
+        return connection
+
+    def _send(self, sent: _SentCall) -> None:
+        connection = self._connection(sent.server)
+        if connection is None:
+            asyncio.get_running_loop().call_soon(self._on_replies, sent, None)
             return
-        link.send(sent, partial(self._done, call, server, sent, tries))
+        connection.send(sent.commands, partial(self._on_replies, sent))
 
-    def _done(
-        self, call: Call, server: Server, sent: list[Command], tries: int, replies: list[Any] | None
-    ) -> None:
+    def _on_replies(self, sent: _SentCall, replies: list[Any] | None) -> None:
         if replies is None:
-            self.do(self.client.failed(self._now(), call.number))
+            self.carry_out(self.client.on_failure(self._now(), sent.call.call_id))
             return
-        if sent and sent[0] == (b"ASKING",):
+        commands = sent.commands
+        if commands and commands[0] == ASKING:
             replies = replies[1::2]
-            sent = sent[1::2]
-        refused = next((each for each in replies if isinstance(each, Refused)), None)
-        if refused is not None and tries < 2:
-            further = self.routes.redirected(call.partition, refused, server)
-            if further is not None:
-                to, asking = further
-                again = [each for command in sent for each in ((b"ASKING",), command)] if asking else sent
-                self._send(call, to, again, tries + 1)
-                return
+            commands = commands[1::2]
+        if self._redirect(sent, commands, replies):
+            return
         try:
-            told = reply(call, replies)
+            reply = parse_reply(sent.call, replies)
         except CounterError:
-            self.do(self.client.failed(self._now(), call.number))
+            self.carry_out(self.client.on_failure(self._now(), sent.call.call_id))
         else:
-            self.do(self.client.answered(self._now(), call.number, told))
+            self.carry_out(self.client.on_reply(self._now(), sent.call.call_id, reply))
+
+    def _redirect(self, sent: _SentCall, commands: list[Command], replies: list[Any]) -> bool:
+        """Send the call to the server that an error names; False where none is named."""
+        error = next((each for each in replies if isinstance(each, ErrorReply)), None)
+        if error is None or sent.redirects >= MAX_REDIRECTS:
+            return False
+        target = self.router.redirect_target(sent.call.partition, error, sent.server)
+        if target is None:
+            return False
+        server, with_asking = target
+        if with_asking:
+            commands = [each for command in commands for each in (ASKING, command)]
+        self._send(_SentCall(sent.call, server, commands, sent.redirects + 1))
+        return True
--- a/trackspread/counter/lease.py
+++ b/trackspread/counter/lease.py
@@ -1,353 +1,490 @@
-"""One member's right at this gateway: what it claimed, what of that is usable, and until when.
-
-The rules of this file:
-- Claim, then look: a claim is written first and counts once the same answer shows that all claims fit. Of two
-  who claim at once the later sees both. No transaction is needed.
-- Lowered here first, told afterwards; raised only after the answer. A call whose answer was lost changes
-  nothing here, whatever it did there.
-- A quota is soft: each keeps the whole store less the parts of who is silent, and takes off what others say
-  that they spent. Until told, one may spend what another has: a part of the burst (`REPORT_AFTER`), never
-  twice.
-- A ceiling is hard: its raise counts only when it is proven: every other gateway has shown two beats since,
-  or has been silent until it can hold its even slice alone, and a further look shows that all claims still
-  fit. By then whoever held something that the counter has lost has written it anew.
-- What others said is not forgotten because the counter forgot it: a claim that is gone, or that went back to
-  an older one, counts as it was for `OUT`. Who lets go says so; nobody's field just ends.
-- Where others fall silent, their even slices are theirs: all who are seen come down alike until it fits.
-- Without an answer to a claim (`KEPT`) a gateway comes down to its even slice; up to it only from `OUT` on.
-
-May know: its terms, the detector, answers. May not know: other members, when calls are made.
+"""The lease of one tenant at this gateway: what it claimed, what of that is usable, and until when.
+
+Rules:
+- Claim, then read: a claim is written first and counts once the same reply shows that all claims fit. Of two
+  gateways that claim at once the later sees both claims. No transaction is needed.
+- A share is lowered here first and announced afterwards; it is raised only after the reply. A call whose
+  reply was lost changes nothing here, whatever it did on the counter.
+- A quota is soft: each gateway uses the whole bucket less the parts of unresponsive gateways, and takes off
+  what others say that they spent. Until it is notified, a gateway may spend what another has: a part of the
+  burst (`REPORT_AFTER_PART`), never twice.
+- A hard limit's raise counts only when it is proven: every other gateway has shown two heartbeats since, or
+  has been unresponsive until it can hold its static share alone, and a further read shows that all claims
+  still fit. By then whoever held something that the counter has lost has written it anew.
+- What others claimed is not forgotten because the counter forgot it: a claim that is gone, or that went back
+  to an older one, counts as it was for `EXPIRY_NS`. A gateway that lets go says so; no field just ends.
+- Where others are unresponsive, their static shares are theirs: all who are seen come down alike until it
+  fits.
+- Without a reply to a claim for `LEASE_NS` a gateway comes down to its static share; up to it only from
+  `EXPIRY_NS` on.
+
+No I/O; knows nothing of other tenants, nor of when calls are made.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Mapping
 from dataclasses import dataclass
 from math import exp
 
-from .allot import allot, desired
+from ..decide.time_units import SECOND
+from .calls import Reply
+from .claims import Claim, pack_claim, unpack_claim
 from .failure_detector import FailureDetector
-from .terms import (
+from .fair_shares import desired_share, fair_shares
+from .lease_terms import LeaseTerms, static_share
+from .timing import (
+    CLAIM_RENEWAL_NS,
     EPSILON,
-    FIRST,
-    FLOOR,
-    GUARANTEED,
-    IDLE,
-    KEPT,
-    OUT,
-    PROVE,
-    RENEW,
-    REPORT_AFTER,
-    SECOND,
+    EXPIRY_NS,
+    FIRST_CLAIM_PART,
+    GUARANTEED_PART,
+    IDLE_NS,
+    LEASE_NS,
+    MINIMUM_PART,
+    PROOF_NS,
+    REPORT_AFTER_PART,
     TURN_MS,
-    Claim,
-    Reply,
-    Terms,
-    even,
-    pack_claim,
-    unpack_claim,
 )
 
-MEMORY = 6 * SECOND // 10  # ns, time constant of what is asked for here: followed within two renewals
-SHORT = RENEW // 4  # ns between claims while something is wanted that is not had
-CHANGE = 0.05  # of a share by which what is fair must differ before anything moves
-STEPS_MOST = 6  # raises of a ceiling's share that wait for their proof; more are one
-WRITTEN = 1e-6  # of a share: claims are written as floats of four bytes
-WANT_LEAST = 0.01  # units a second below which nothing is asked for any more
+DEMAND_MEMORY_NS = 6 * SECOND // 10  # time constant of the demand: followed within two renewals
+DEMAND_SAMPLE_NS = SECOND // 10  # least time over which requests are counted
+FOLLOW_UP_NS = CLAIM_RENEWAL_NS // 4  # between claims while more is wanted than is held
+MIN_CHANGE = 0.05  # of a share by which the fair one must differ before anything moves
+MAX_UNPROVEN_RAISES = 6  # that wait for their proof; more are one
+WRITTEN_PRECISION = 1e-6  # of a share: claims are written as floats of four bytes
+MIN_DEMAND_PER_S = 0.01  # units a second below which there is no demand
+UNKNOWN = -1.0
 
 
 @dataclass(slots=True)
-class Step:
-    """A raise that is not proven: up to `share`, claimed `at`, with the beats seen until then."""
+class UnprovenRaise:
+    """A raise of the claimed share up to `share` that is not proven yet, with the heartbeats seen until
+    then."""
 
     share: float
-    at: int
-    marks: dict[int, int]
+    claimed_at_ns: int
+    heartbeat_counts: dict[int, int]
+
+
+@dataclass(frozen=True, slots=True)
+class UsableShares:
+    """Shares of one tenant's limits that this gateway may use now, from 0 to 1."""
+
+    quota: float
+    hard_limit: float
+    concurrency: float
 
 
 class Lease:
-    """`claimed` and `proven`: shares of a ceiling's pool that were claimed, and of these what may be used."""
-
-    def __init__(self, member: int, terms: Terms, slot: int, now: int) -> None:
-        self.member, self.slot = member, slot
-        self.change(terms)
-        self.claimed = self.proven = self.said = 0.0
-        self.others: dict[int, Claim] = {}
-        self._heard: dict[int, int] = {}  # when each was last read as it is
-        self._number = 0
-        self.want, self.asked, self.asked_at, self.last = 0.0, 0.0, now, now
-        self._steps: deque[Step] = deque()  # raises that are not proven, the oldest first
-        self.clock, self.read_at = 0, -RENEW
-        self.due = now  # when the next claim is due
-        self.proving = 0.0  # the share that the call that is out may prove
-        self.known = False  # whether a claim of this lease was answered
-        self.taken = 0.0  # units that others spent, not handed over yet
-        self.level: float | None = None  # what they know of the quota's store, not handed over yet
-        self.spent, self._base = 0.0, -1.0  # units spent here; the module's own count of them
-        self._since = 0.0  # units asked for since the last claim
-
-    def change(self, terms: Terms) -> None:
-        """Other figures from now on. The share stays: it is one of whatever the figures are."""
+    """`claimed_share` and `proven_share`: of a hard limit's pool, what was claimed and what may be used of
+    it."""
+
+    def __init__(self, tenant: int, terms: LeaseTerms, gateway: int, now: int) -> None:
+        self.tenant = tenant
+        self.gateway = gateway
+        self.change_terms(terms)
+        self.claimed_share = 0.0
+        self.proven_share = 0.0
+        self.announced_share = 0.0  # in the last claim that was written
+        self.share_under_proof = 0.0  # that the pending call may prove
+        self.other_claims: dict[int, Claim] = {}  # by gateway
+        self._claims_read_at_ns: dict[int, int] = {}  # when each was last read as it is
+        self._unproven_raises: deque[UnprovenRaise] = deque()  # the oldest first
+        self._sequence = 0
+        self.demand_per_s = 0.0
+        self.requested_units = 0.0  # since the demand was last measured
+        self.demand_measured_at_ns = now
+        self.last_request_ns = now
+        self._unreported_units = 0.0  # requested since the last claim
+        self.counter_clock_ms = 0
+        self.read_at_ns = -CLAIM_RENEWAL_NS
+        self.due_ns = now  # when the next claim is due
+        self.is_established = False  # whether a claim of this lease was answered
+        self.spent_elsewhere_units = 0.0  # by others, not handed over to the decision module yet
+        self.tokens: float | None = None  # of the quota's bucket as others know it, not handed over yet
+        self.spent_units = 0.0  # here
+        self._module_count_units = UNKNOWN  # the decision module's own count of them
+
+    def change_terms(self, terms: LeaseTerms) -> None:
+        """Other limits from now on. The share stays: it is a share of whatever the limits are."""
         self.terms = terms
-        self._evens = {each: even(self.member, terms, each) for each in terms.slots}
-        self.even = self._evens.get(self.slot, 0.0)
-        self._parts = dict(self._evens)  # of a quota, for when others are not heard: by their last wants
-
-    # What is asked for.
-
-    def ask(self, now: int, units: float) -> None:
-        """A request of so many units has come."""
-        self.asked, self.last, self._since = self.asked + units, now, self._since + units
-        if self._since >= self.terms.burst * REPORT_AFTER and self.known:
-            self.due = min(self.due, self.read_at + SHORT)
-
-    def rate(self, now: int) -> float:
-        """Units a second asked for here; a first request stands for one second of it."""
-        span = now - self.asked_at
-        if span >= SECOND // 10 or not self.want:
-            fresh = self.asked * SECOND / (span if self.want else max(span, SECOND))
-            fresh = min(fresh, self.terms.rate)  # more would say no more, and be remembered for longer
-            left = exp(-span / MEMORY) if self.want else 0.0
-            self.want = self.want * left + fresh * (1.0 - left)
-            self.asked, self.asked_at = 0.0, now
-            self.want = 0.0 if self.want < WANT_LEAST else self.want
-        return self.want
-
-    def idle(self, now: int) -> bool:
-        """Whether no request has come for so long that the lease is given back."""
-        return now - self.last > IDLE
+        self._static_shares = {each: static_share(self.tenant, terms, each) for each in terms.gateways}
+        self.static_share = self._static_shares.get(self.gateway, 0.0)
+        # Of a quota, where others are unresponsive: by the demand that they last claimed.
+        self._fallback_shares = dict(self._static_shares)
+
+    # Demand.
+
+    def record_request(self, now: int, units: float) -> None:
+        """A request of so many units has arrived."""
+        self.requested_units += units
+        self.last_request_ns = now
+        self._unreported_units += units
+        if self._unreported_units >= self.terms.burst_units * REPORT_AFTER_PART and self.is_established:
+            self.due_ns = min(self.due_ns, self.read_at_ns + FOLLOW_UP_NS)
+
+    def measure_demand(self, now: int) -> float:
+        """Units a second requested here; a first request stands for one second of it."""
+        span = now - self.demand_measured_at_ns
+        if span < DEMAND_SAMPLE_NS and self.demand_per_s:
+            return self.demand_per_s
+        sample_span = span if self.demand_per_s else max(span, SECOND)
+        sample = self.requested_units * SECOND / sample_span
+        sample = min(sample, self.terms.rate_per_s)  # more would say no more, and be remembered for longer
+        weight = exp(-span / DEMAND_MEMORY_NS) if self.demand_per_s else 0.0
+        demand = self.demand_per_s * weight + sample * (1.0 - weight)
+        self.demand_per_s = 0.0 if demand < MIN_DEMAND_PER_S else demand
+        self.requested_units = 0.0
+        self.demand_measured_at_ns = now
+        return self.demand_per_s
+
+    def is_idle(self, now: int) -> bool:
+        """Whether no request has arrived for so long that the lease is given back."""
+        return now - self.last_request_ns > IDLE_NS
 
     # What the claims of others leave.
 
-    def reserved(self, detector: FailureDetector) -> float:
-        """Shares of those who are not seen: their even slice, or what they claimed while they may hold it."""
+    def share_of_unresponsive(self, detector: FailureDetector) -> float:
+        """Of gateways that are not seen: the static share, or what they claimed while they may hold it."""
         total = 0.0
-        for slot in detector.quiet:
-            claim = self.others.get(slot)
-            held = claim.share if claim is not None and slot not in detector.gone else 0.0
-            total += max(self._evens.get(slot, 0.0), held)
-        for slot in detector.back:
-            claim = self.others.get(slot)
-            total += max(0.0, self._evens.get(slot, 0.0) - (claim.share if claim is not None else 0.0))
+        for gateway in detector.unresponsive:
+            claim = self.other_claims.get(gateway)
+            claimed = claim.share if claim is not None and gateway not in detector.expired else 0.0
+            total += max(self._static_shares.get(gateway, 0.0), claimed)
+        for gateway in detector.returned:
+            claim = self.other_claims.get(gateway)
+            claimed = claim.share if claim is not None else 0.0
+            total += max(0.0, self._static_shares.get(gateway, 0.0) - claimed)
         return total
 
-    def others_hold(self, detector: FailureDetector) -> float:
-        """By others who are seen, whether or not the member's requests usually come there."""
+    def share_of_others(self, detector: FailureDetector) -> float:
+        """Of gateways that are seen, whether or not the tenant's requests usually come there."""
         total = 0.0
-        for slot, claim in self.others.items():
-            known = detector.seen.get(slot)
-            dead = known is not None and claim.incarnation < known.beat.incarnation
-            if slot not in detector.quiet and not dead:
+        for gateway, claim in self.other_claims.items():
+            known = detector.observations.get(gateway)
+            is_outdated = known is not None and claim.incarnation < known.heartbeat.incarnation
+            if gateway not in detector.unresponsive and not is_outdated:
                 total += claim.share
         return total
 
-    def free(self, detector: FailureDetector) -> float:
+    def available_share(self, detector: FailureDetector) -> float:
         """What this gateway may hold in all."""
-        return max(0.0, 1.0 - self.others_hold(detector) - self.reserved(detector))
+        return max(0.0, 1.0 - self.share_of_others(detector) - self.share_of_unresponsive(detector))
 
-    def fit(self, detector: FailureDetector) -> None:
-        """Come down so that even slices of the silent have room; all who are seen do so alike."""
-        kept = sum(share for slot, share in self._evens.items() if slot in detector.quiet)
-        if not kept:
+    def reduce_to_fit(self, detector: FailureDetector) -> None:
+        """Come down so that static shares of the unresponsive have room; all who are seen do so alike."""
+        unresponsive = sum(
+            share for gateway, share in self._static_shares.items() if gateway in detector.unresponsive
+        )
+        if not unresponsive:
             return
-        others = self.others_hold(detector)
-        for name in ("proven", "claimed"):
-            mine = getattr(self, name)
-            if mine and mine + others > 1.0 - kept + EPSILON:
-                self._lower(name, mine * max(0.0, 1.0 - kept) / (mine + others))
-
-    def _lower(self, name: str, share: float) -> None:
-        setattr(self, name, share)
-        self.proven = min(self.proven, self.claimed)
-        while self._steps and self._steps[-1].share > self.claimed + EPSILON:
-            last = self._steps.pop()
-            if not self._steps or self._steps[-1].share < self.claimed - EPSILON:
-                self._steps.append(Step(self.claimed, last.at, last.marks))
+        others = self.share_of_others(detector)
+        proven = self.proven_share
+        if proven and proven + others > 1.0 - unresponsive + EPSILON:
+            self.proven_share = proven * max(0.0, 1.0 - unresponsive) / (proven + others)
+            self._follow_reduction()
+        claimed = self.claimed_share
+        if claimed and claimed + others > 1.0 - unresponsive + EPSILON:
+            self._reduce_claim(claimed * max(0.0, 1.0 - unresponsive) / (claimed + others))
+
+    def _reduce_claim(self, share: float) -> None:
+        self.claimed_share = share
+        self._follow_reduction()
+
+    def _follow_reduction(self) -> None:
+        """What is proven, and raises that wait for their proof, come down with the claimed share."""
+        self.proven_share = min(self.proven_share, self.claimed_share)
+        raises = self._unproven_raises
+        while raises and raises[-1].share > self.claimed_share + EPSILON:
+            last = raises.pop()
+            if not raises or raises[-1].share < self.claimed_share - EPSILON:
+                raises.append(UnprovenRaise(self.claimed_share, last.claimed_at_ns, last.heartbeat_counts))
                 break
-        self.due = min(self.due, self.read_at)  # to be told at once
-
-    def usable(self, now: int, detector: FailureDetector) -> tuple[float, float, float]:
-        """Shares of quota, ceiling and open attempts that may be used from now on, until anything changes."""
-        own = detector.own(now) and (now - self.read_at <= KEPT or not self.claimed)
-        if own:
-            self.fit(detector)
-            places, hard = self.claimed, self.proven
-        elif detector.even_due(now):
-            places = hard = self.even
-        else:  # also where its own claim on this member is too old: what vanished may be another's by now
-            places, hard = min(self.claimed, self.even), min(self.proven, self.even)
-        if own and detector.trusting and self.known:
-            soft = 1.0 - sum(part for slot, part in self._parts.items() if slot in detector.quiet)
-        else:
-            soft = self._parts.get(self.slot, 0.0) if self.known else FLOOR * self.even
-        return max(0.0, soft), GUARANTEED * self.even + (1.0 - GUARANTEED) * hard, places
+        self.due_ns = min(self.due_ns, self.read_at_ns)  # to be announced at once
+
+    def usable_shares(self, now: int, detector: FailureDetector) -> UsableShares:
+        """What may be used from now on, until anything changes."""
+        is_current = now - self.read_at_ns <= LEASE_NS or not self.claimed_share
+        is_held = detector.is_known_alive(now) and is_current
+        if is_held:
+            self.reduce_to_fit(detector)
+            concurrency = self.claimed_share
+            pooled = self.proven_share
+        elif detector.is_static_share_free(now):
+            concurrency = self.static_share
+            pooled = self.static_share
+        else:  # also where its own claim is too old: what vanished may be another's by now
+            concurrency = min(self.claimed_share, self.static_share)
+            pooled = min(self.proven_share, self.static_share)
+        hard_limit = GUARANTEED_PART * self.static_share + (1.0 - GUARANTEED_PART) * pooled
+        return UsableShares(max(0.0, self._usable_quota(detector, is_held)), hard_limit, concurrency)
+
+    def _usable_quota(self, detector: FailureDetector, is_held: bool) -> float:
+        if not self.is_established:
+            return MINIMUM_PART * self.static_share
+        if is_held and detector.may_write:
+            shares = self._fallback_shares.items()
+            return 1.0 - sum(share for gateway, share in shares if gateway in detector.unresponsive)
+        return self._fallback_shares.get(self.gateway, 0.0)
 
     # Claims written to the counter.
 
-    def next_claim(self, now: int, detector: FailureDetector, sent: float, level: float) -> bytes:
-        """What to write now; it counts once it was answered. `sent`: units of the quota that the module has
-        spent here, counted from whenever; `level`: in its store."""
-        self.due, self._since = now + RENEW, 0.0
-        if self._base >= 0.0:
-            # A count that went back was begun anew, after the module had forgotten the member.
-            self.spent += sent - self._base if sent >= self._base else sent
-        self._base = sent
-        want = 0.0 if self.idle(now) else self.rate(now)
-        if not detector.own(now):
-            # Back from a loss: what is used now is written down before anybody hears that this one lives.
-            held = self.even if detector.even_due(now) else min(self.proven, self.even)
-            self.claimed = self.proven = self.said = held
-            self._steps.clear()
+    def next_claim(
+        self, now: int, detector: FailureDetector, module_count_units: float, tokens: float
+    ) -> bytes:
+        """What to write now; it counts once it was answered.
+
+        `module_count_units`: of the quota that the decision module has spent here, counted from whenever;
+        `tokens`: in its bucket."""
+        self.due_ns = now + CLAIM_RENEWAL_NS
+        self._unreported_units = 0.0
+        self._count_spent(module_count_units)
+        demand = 0.0 if self.is_idle(now) else self.measure_demand(now)
+        if not detector.is_known_alive(now):
+            self._claim_what_is_used(now, detector)
         else:
-            self.fit(detector)
-            self._aim(now, detector, want)
-        ripe = [
-            step.share
-            for step in self._steps
-            if now - step.at >= PROVE and detector.advanced_since(step.marks)
-        ]
-        self.proving = max(ripe, default=0.0)
-        self._number = max(self._number + 1, now)  # by the clock: a member that comes again goes on
-        if not self.known:
-            level = self.terms.burst  # nothing is known of it here
-        clock = detector.clock(now)
+            self.reduce_to_fit(detector)
+            self._choose_share(now, detector, demand)
+        self.share_under_proof = self._ripe_share(now, detector)
+        # By the clock, so that a lease that was given up and comes again goes on.
+        self._sequence = max(self._sequence + 1, now)
+        if not self.is_established:
+            tokens = self.terms.burst_units  # nothing is known of the bucket here
+        clock_ms = detector.counter_clock_ms(now)
         return pack_claim(
             Claim(
-                detector.incarnation,
-                self._number,
-                self.said,
-                want,
-                self.spent,
-                level,
-                clock if self.known else 0,
+                incarnation=detector.incarnation,
+                sequence=self._sequence,
+                share=self.announced_share,
+                demand_per_s=demand,
+                spent_units=self.spent_units,
+                tokens=tokens,
+                clock_ms=clock_ms if self.is_established else 0,
             )
         )
 
-    def _aim(self, now: int, detector: FailureDetector, want: float) -> None:
-        budget = max(0.0, 1.0 - self.reserved(detector))
-        seen = {slot: claim for slot, claim in self.others.items() if slot not in detector.quiet}
-        wants = {slot: claim.want for slot, claim in seen.items()}
-        turn = self.clock // TURN_MS
-        fair = allot(self.member, self.terms, self._evens, {**wants, self.slot: want}, budget, turn)
-        mine, room = fair.get(self.slot, 0.0), self.free(detector)
-        unmet = any(claim.share < fair.get(slot, 0.0) * (1.0 - CHANGE) for slot, claim in seen.items())
-        if not want:
-            mine = 0.0
-        held = self.claimed
-        if mine < held * (1.0 - CHANGE) and (unmet or not want):
-            self.said = mine
-            self._lower("claimed", mine)
-            self.due = now + RENEW
-        elif mine > held * (1.0 + CHANGE):
-            if not self.others and not held and room > mine:  # the first leaves some for who comes next
-                self.said = min(room, max(self.terms.least, FIRST * room))
-            else:
-                self.said = max(held, min(mine, room))
+    def _count_spent(self, module_count_units: float) -> None:
+        last = self._module_count_units
+        if last >= 0.0:
+            # A count that went back was begun anew, after the module had forgotten the tenant.
+            self.spent_units += (
+                module_count_units - last if module_count_units >= last else module_count_units
+            )
+        self._module_count_units = module_count_units
+
+    def _claim_what_is_used(self, now: int, detector: FailureDetector) -> None:
+        """Back from a loss: what is used now is written down before anybody sees that this gateway lives."""
+        if detector.is_static_share_free(now):
+            share = self.static_share
         else:
-            self.said = held
-        least = self.terms.least - WRITTEN
-        if 0.0 < self.said < least:
-            self.said = held if held >= least else 0.0  # it would not hold a request
-        if self.said < self.claimed:
-            self._lower("claimed", self.said)
-            self.due = now + RENEW
-
-    def answered(self, now: int, sent: int, said: float, reply: Reply, detector: FailureDetector) -> None:
-        """The answer to a claim of `said`, sent at `sent`."""
-        claims = {
-            slot: claim
-            for slot, data in reply.fields.items()
-            if slot != self.slot and (claim := unpack_claim(data)) is not None
+            share = min(self.proven_share, self.static_share)
+        self.claimed_share = share
+        self.proven_share = share
+        self.announced_share = share
+        self._unproven_raises.clear()
+
+    def _ripe_share(self, now: int, detector: FailureDetector) -> float:
+        """The highest share whose proof the next reply may complete."""
+        ripe = [
+            each.share
+            for each in self._unproven_raises
+            if now - each.claimed_at_ns >= PROOF_NS
+            and detector.have_all_advanced_since(each.heartbeat_counts)
+        ]
+        return max(ripe, default=0.0)
+
+    def _choose_share(self, now: int, detector: FailureDetector, demand: float) -> None:
+        """The share that the next claim announces: the fair one, where it differs enough from what is
+        held."""
+        seen = {
+            gateway: claim
+            for gateway, claim in self.other_claims.items()
+            if gateway not in detector.unresponsive
         }
-        if not self.known:
-            self.known, self.level = True, self._level_from_claims(now, reply, detector, claims)
-            self.due = min(self.due, now + SHORT)
-        elif reply.fresh:
-            # The name lost what was written: so may others' claims be lost, and proofs begin anew.
-            self._steps = deque(Step(step.share, now, detector.marks()) for step in self._steps)
-            self.proving, self.due = 0.0, min(self.due, now + SHORT)
-        self._merge(sent, claims, detector)
-        self.clock, self.read_at = reply.clock, sent
-        if not detector.own(now):
-            return
-        self._share_out(detector)
-        room = self.free(detector)
-        self._raise(now, said, room, detector)
-        self._prove(room)
-        if said > room + EPSILON and self.claimed > self.proven:
-            # More is claimed than there is: who has not proven his part gives way.
-            self._lower("claimed", max(self.proven, min(self.claimed, room)))
-        if self.claimed < said - EPSILON:
-            self.said, self.due = self.claimed, now + SHORT
-        self.proving = 0.0
-        if self.wanting(now):
-            self.due = min(self.due, now + SHORT)
-
-    def _raise(self, now: int, said: float, room: float, detector: FailureDetector) -> None:
-        """What was claimed counts as far as there is room, and begins its proof."""
-        before = self.claimed
-        if said <= before + EPSILON:
+        fair = self._fair_shares(detector, seen, demand)
+        mine = fair.get(self.gateway, 0.0) if demand else 0.0
+        available = self.available_share(detector)
+        held = self.claimed_share
+        are_others_short = any(
+            claim.share < fair.get(gateway, 0.0) * (1.0 - MIN_CHANGE) for gateway, claim in seen.items()
+        )
+        if mine < held * (1.0 - MIN_CHANGE) and (are_others_short or not demand):
+            self.announced_share = mine
+            self._reduce_claim(mine)
+            self.due_ns = now + CLAIM_RENEWAL_NS
+        elif mine > held * (1.0 + MIN_CHANGE):
+            self.announced_share = self._raised_share(mine, available)
+        else:
+            self.announced_share = held
+        least = self.terms.min_share - WRITTEN_PRECISION
+        if 0.0 < self.announced_share < least:
+            self.announced_share = held if held >= least else 0.0  # it would not hold a request
+        if self.announced_share < self.claimed_share:
+            self._reduce_claim(self.announced_share)
+            self.due_ns = now + CLAIM_RENEWAL_NS
+
+    def _fair_shares(
+        self, detector: FailureDetector, seen: Mapping[int, Claim], demand: float
+    ) -> dict[int, float]:
+        """By gateway, as all that read the same claims compute them."""
+        budget = max(0.0, 1.0 - self.share_of_unresponsive(detector))
+        demands = {gateway: claim.demand_per_s for gateway, claim in seen.items()}
+        turn = self.counter_clock_ms // TURN_MS
+        return fair_shares(
+            self.tenant, self.terms, self._static_shares, {**demands, self.gateway: demand}, budget, turn
+        )
+
+    def _raised_share(self, mine: float, available: float) -> float:
+        held = self.claimed_share
+        if not self.other_claims and not held and available > mine:
+            # The first leaves some for who comes next.
+            return min(available, max(self.terms.min_share, FIRST_CLAIM_PART * available))
+        return max(held, min(mine, available))
+
+    def on_reply(
+        self, now: int, sent_at_ns: int, claimed_share: float, reply: Reply, detector: FailureDetector
+    ) -> None:
+        """The reply to a claim of `claimed_share` that was sent at `sent_at_ns`."""
+        claims = self._claims_of_others(reply)
+        self._note_state_of_counter(now, reply, claims, detector)
+        self._merge_claims(sent_at_ns, claims, detector)
+        self.counter_clock_ms = reply.clock_ms
+        self.read_at_ns = sent_at_ns
+        if not detector.is_known_alive(now):
             return
-        self.claimed = max(before, min(said, room))
-        if self.claimed > before + EPSILON:
-            if len(self._steps) >= STEPS_MOST:
-                self._steps.pop()
-            self._steps.append(Step(self.claimed, now, detector.marks()))
+        self._update_fallback_shares(detector)
+        available = self.available_share(detector)
+        self._raise_claim(now, claimed_share, available, detector)
+        self._accept_proof(available)
+        if claimed_share > available + EPSILON and self.claimed_share > self.proven_share:
+            # More is claimed than there is: a gateway that has not proven its part gives way.
+            self._reduce_claim(max(self.proven_share, min(self.claimed_share, available)))
+        if self.claimed_share < claimed_share - EPSILON:
+            self.announced_share = self.claimed_share
+            self.due_ns = now + FOLLOW_UP_NS
+        self.share_under_proof = 0.0
+        if self.wants_more(now):
+            self.due_ns = min(self.due_ns, now + FOLLOW_UP_NS)
+
+    def _claims_of_others(self, reply: Reply) -> dict[int, Claim]:
+        return {
+            gateway: claim
+            for gateway, data in reply.fields.items()
+            if gateway != self.gateway and (claim := unpack_claim(data)) is not None
+        }
 
-    def _prove(self, room: float) -> None:
+    def _note_state_of_counter(
+        self, now: int, reply: Reply, claims: dict[int, Claim], detector: FailureDetector
+    ) -> None:
+        """What a first reply says of the quota's bucket; or whether the counter has lost what was written."""
+        if not self.is_established:
+            self.is_established = True
+            self.tokens = self._tokens_from_claims(now, reply, detector, claims)
+            self.due_ns = min(self.due_ns, now + FOLLOW_UP_NS)
+        elif reply.field_was_missing:
+            # Others' claims may be lost as well, and proofs begin anew.
+            self._unproven_raises = deque(
+                UnprovenRaise(each.share, now, detector.heartbeat_counts()) for each in self._unproven_raises
+            )
+            self.share_under_proof = 0.0
+            self.due_ns = min(self.due_ns, now + FOLLOW_UP_NS)
+
+    def _raise_claim(
+        self, now: int, claimed_share: float, available: float, detector: FailureDetector
+    ) -> None:
+        """What was claimed counts as far as it is available, and begins its proof."""
+        before = self.claimed_share
+        if claimed_share <= before + EPSILON:
+            return
+        self.claimed_share = max(before, min(claimed_share, available))
+        if self.claimed_share > before + EPSILON:
+            if len(self._unproven_raises) >= MAX_UNPROVEN_RAISES:
+                self._unproven_raises.pop()
+            raised = UnprovenRaise(self.claimed_share, now, detector.heartbeat_counts())
+            self._unproven_raises.append(raised)
+
+    def _accept_proof(self, available: float) -> None:
         """What the answered call was to prove is proven, if all claims still fit."""
-        if min(self.claimed, self.proving) <= room + EPSILON:
-            self.proven = max(self.proven, min(self.claimed, self.proving))
-            while self._steps and self._steps[0].share <= self.proven + EPSILON:
-                self._steps.popleft()
-
-    def _share_out(self, detector: FailureDetector) -> None:
-        """What each would have of the quota if nobody heard of anybody from now on: a part even, which those
-        have too who are new, and the rest as it is asked for. All know nearly the same wants."""
-        if detector.quiet or not detector.trusting:
+        share = min(self.claimed_share, self.share_under_proof)
+        if share > available + EPSILON:
+            return
+        self.proven_share = max(self.proven_share, share)
+        raises = self._unproven_raises
+        while raises and raises[0].share <= self.proven_share + EPSILON:
+            raises.popleft()
+
+    def _update_fallback_shares(self, detector: FailureDetector) -> None:
+        """What each gateway would have of the quota if none were seen from now on: a part static, which new
+        ones have too, and the rest by demand. All know nearly the same demands."""
+        if detector.unresponsive or not detector.may_write:
             return
-        wants = {slot: claim.want for slot, claim in self.others.items()} | {self.slot: self.want}
-        total = sum(wants.values())
+        demands = {gateway: claim.demand_per_s for gateway, claim in self.other_claims.items()}
+        demands |= {self.gateway: self.demand_per_s}
+        total = sum(demands.values())
         if total:
-            self._parts = {
-                slot: FLOOR * self._evens.get(slot, 0.0) + (1.0 - FLOOR) * wants.get(slot, 0.0) / total
-                for slot in self._evens.keys() | wants.keys()
+            self._fallback_shares = {
+                gateway: MINIMUM_PART * self._static_shares.get(gateway, 0.0)
+                + (1.0 - MINIMUM_PART) * demands.get(gateway, 0.0) / total
+                for gateway in self._static_shares.keys() | demands.keys()
             }
 
-    def _level_from_claims(
+    def _tokens_from_claims(
         self, now: int, reply: Reply, detector: FailureDetector, claims: dict[int, Claim]
     ) -> float:
-        """The quota's store by the claims of those who knew it, filled since; where nobody did, what it
-        filled by since this counter is known."""
-        own = reply.fields.get(self.slot)
-        known = [*claims.values(), *([mine] if own is not None and (mine := unpack_claim(own)) else [])]
-        rate, burst = self.terms.rate, self.terms.burst
-        levels = [
-            claim.level + rate * max(0, reply.clock - claim.clock) / 1000 for claim in known if claim.clock
+        """The quota's tokens by the claims of gateways that knew them, refilled since; where none did, what
+        was refilled since this counter is known."""
+        own = reply.fields.get(self.gateway)
+        known = list(claims.values())
+        if own is not None and (claim := unpack_claim(own)) is not None:
+            known.append(claim)
+        rate, burst = self.terms.rate_per_s, self.terms.burst_units
+        tokens = [
+            claim.tokens + rate * max(0, reply.clock_ms - claim.clock_ms) / 1000
+            for claim in known
+            if claim.clock_ms
         ]
-        levels = levels or [rate * (now - detector.token_since) / SECOND]
-        return max(-burst, min(burst, *levels))
-
-    def _merge(self, sent: int, claims: dict[int, Claim], detector: FailureDetector) -> None:
-        for slot, claim in claims.items():
-            known, seen = self.others.get(slot), detector.seen.get(slot)
-            if seen is not None and claim.incarnation < seen.beat.incarnation:
-                continue
-            if known is not None and claim.incarnation < known.incarnation and slot not in detector.gone:
+        tokens = tokens or [rate * (now - detector.token_since_ns) / SECOND]
+        return max(-burst, min(burst, *tokens))
+
+    def _merge_claims(self, sent_at_ns: int, claims: dict[int, Claim], detector: FailureDetector) -> None:
+        """Take in what others claim now, and what they spent since their last claims."""
+        for gateway, claim in claims.items():
+            known = self.other_claims.get(gateway)
+            if self._is_outdated(gateway, claim, known, detector):
                 continue
             if known is not None and claim.incarnation == known.incarnation:
-                if claim.number < known.number:
-                    continue  # what a lagging replica or a healed half brings up again
-                # A count that went back was begun anew, after that gateway had given the member up.
-                grown = claim.spent - known.spent
-                self.taken += grown if grown >= 0.0 else claim.spent
-            elif self._heard or self.level is None:
-                self.taken += claim.spent  # begun since the last claim; the level read covers what was before
-            self.others[slot], self._heard[slot] = claim, sent
-        for slot in [slot for slot, at in self._heard.items() if sent - at > OUT]:
-            del self.others[slot], self._heard[slot]
-
-    def wanting(self, now: int) -> bool:
+                # A count that went back was begun anew, after that gateway had given the tenant up.
+                grown = claim.spent_units - known.spent_units
+                self.spent_elsewhere_units += grown if grown >= 0.0 else claim.spent_units
+            elif self._claims_read_at_ns or self.tokens is None:
+                # Begun since the last claim; the tokens that were read cover what was before.
+                self.spent_elsewhere_units += claim.spent_units
+            self.other_claims[gateway] = claim
+            self._claims_read_at_ns[gateway] = sent_at_ns
+        expired = [g for g, read_at in self._claims_read_at_ns.items() if sent_at_ns - read_at > EXPIRY_NS]
+        for gateway in expired:
+            del self.other_claims[gateway]
+            del self._claims_read_at_ns[gateway]
+
+    @staticmethod
+    def _is_outdated(gateway: int, claim: Claim, known: Claim | None, detector: FailureDetector) -> bool:
+        """Whether a claim is older than what is known: a lagging replica or a healed half brings it up
+        again."""
+        seen = detector.observations.get(gateway)
+        if seen is not None and claim.incarnation < seen.heartbeat.incarnation:
+            return True
+        if known is None:
+            return False
+        if claim.incarnation == known.incarnation:
+            return claim.sequence < known.sequence
+        return claim.incarnation < known.incarnation and gateway not in detector.expired
+
+    def wants_more(self, now: int) -> bool:
         """Whether more would be taken than is held."""
-        needed = desired(self.terms, self.want, self.even)
-        return self.claimed < needed * (1.0 - CHANGE) or self.proven < self.claimed - EPSILON
+        needed = desired_share(self.terms, self.demand_per_s, self.static_share)
+        return (
+            self.claimed_share < needed * (1.0 - MIN_CHANGE)
+            or self.proven_share < self.claimed_share - EPSILON
+        )
--- a/trackspread/counter/lease_manager.py
+++ b/trackspread/counter/lease_manager.py
@@ -1,12 +1,14 @@
-"""The whole of it at one gateway: events in, calls to the counter and rights for the decision module out.
+"""The leases of all tenants at one gateway: requests and replies in, calls to the counter and grants out.
 
-The rules of this file:
-- Nothing is waited for: whoever asks gets at once what is usable, and more when the counter has answered.
-- One call on a name at a time; a call without an answer within `TIMEOUT` has failed, whatever comes later.
-- Before the first beat after a loss all that is used here is written down (`lease.py`, `next_claim`).
-- Calls have a pace: what failed halves it, what was answered raises it. Beats come before members.
+Rules:
+- Nothing is waited for: a request gets at once what is usable, and more when the counter has answered.
+- One call on a key at a time; a call without a reply within `CALL_TIMEOUT_NS` has failed, whatever comes
+  later.
+- Before the first heartbeat after a loss all that is used here is written down (`Lease.next_claim`).
+- Calls are limited in rate: one that failed halves it, one that was answered raises it. Heartbeats come
+  before claims.
 
-May know: leases, failure detectors. May not know: sockets, the loop, the decision module.
+No I/O; knows nothing of sockets, the event loop or the decision module.
 """
 
 from __future__ import annotations
@@ -17,305 +19,395 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush
 
+from ..decide.time_units import MILLISECOND, SECOND
+from .calls import Call, Grant, Reply
+from .claims import pack_heartbeat
 from .failure_detector import FailureDetector
-from .lease import SHORT, Lease
-from .terms import (
-    EPSILON,
-    FLOOR,
-    GUARANTEED,
-    HEARTBEAT,
-    MOST_MEMBERS,
-    SECOND,
-    TIMEOUT,
-    Call,
-    Grant,
-    Reply,
-    Terms,
-    even,
-    pack_heartbeat,
-    partition_of,
-)
-
-TICK = 50_000_000  # ns between looks: an eighth of a beat
-PACE_LEAST, PACE_MOST = 50.0, 20_000.0  # calls a second, of one gateway
-PACE_START = 1_000.0  # a second, at a start: it doubles within some twenty answers
-PACE_UP = 1.05  # for each answer
-PACE_SAVED = 0.1  # s of the pace that may be saved up, and so come at once
-MOST_OUT = 512  # calls without an answer
-NOTED = 1e-4  # change of a share that the module is told of
+from .lease import FOLLOW_UP_NS, Lease, UsableShares
+from .lease_terms import LeaseTerms, partition_of, static_share
+from .timing import CALL_TIMEOUT_NS, EPSILON, GUARANTEED_PART, HEARTBEAT_NS, MAX_TENANTS, MINIMUM_PART
+
+TICK_NS = 50 * MILLISECOND  # between reviews: an eighth of a heartbeat interval
+MIN_CALLS_PER_S = 50.0  # of one gateway
+MAX_CALLS_PER_S = 20_000.0
+INITIAL_CALLS_PER_S = 1_000.0  # doubles within some twenty replies
+RATE_RAISE = 1.05  # of the rate, for each reply
+BUDGET_S = 0.1  # of the rate that may be saved up, and so be called at once
+MAX_PENDING_CALLS = 512
+NOTABLE_CHANGE = 1e-4  # of a share that the decision module is notified of
+MAX_QUEUE_SURPLUS = 64  # outdated entries of the queue, beside four for each lease
 
 Output = Call | Grant
-UsageCount = Callable[[int], tuple[float, float]]  # of a member: units spent here, and in the quota's store
+UsageCount = Callable[
+    [int], tuple[float, float]
+]  # of a tenant: units spent here, tokens of the quota's bucket
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that is out. `said`: the share it claims."""
+    """A call without a reply yet; `claimed_share`: what it claims, `has_value`: whether it writes."""
 
     call: Call
-    at: int
-    said: float = 0.0
-    wrote: bool = False
+    sent_at_ns: int
+    claimed_share: float = 0.0
+    has_value: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class Review:
+    """What a partition's failure detector says that any lease may depend on."""
+
+    is_known_alive: bool
+    may_use_static_share: bool
+    unresponsive: frozenset[int]
+    expired: frozenset[int]
+    may_write: bool
 
 
 @dataclass(slots=True)
 class PartitionState:
-    """One partition. `unwritten`: members whose use is to be written down before the next beat."""
+    """One partition. `unwritten_tenants`: whose use is to be written down before the next heartbeat, while
+    this gateway `is_returning` from a loss."""
 
     detector: FailureDetector
-    due: int
-    members: set[int] = field(default_factory=set)
-    unwritten: set[int] = field(default_factory=set)
-    returning: bool = False
-    out: bool = False
-    shown: tuple[object, ...] = ()
+    heartbeat_due_ns: int
+    tenants: set[int] = field(default_factory=set)
+    unwritten_tenants: set[int] = field(default_factory=set)
+    is_returning: bool = False
+    heartbeat_pending: bool = False
+    last_review: Review | None = None
 
 
 class LeaseManager:
-    """`asked` before each request, `short` where it found too little, `tick` when `due`, `answered` and
-    `failed` for each call. All give what is to be done, in order."""
+    """All leases of one gateway.
+
+    Call `before_request` before each request, `on_shortage` where the decision module found too little,
+    `tick` when `due_ns` has come, `on_reply` and `on_failure` for each call. All return what is to be done,
+    in order."""
 
     def __init__(
-        self, slot: int, slots: int, partitions: int, incarnation: int, seed: int, now: int, store: UsageCount
+        self,
+        gateway: int,
+        gateway_count: int,
+        partitions: int,
+        incarnation: int,
+        seed: int,
+        now: int,
+        usage: UsageCount,
     ) -> None:
-        self._store = store
-        self.slot, self.slots, self.partitions = slot, slots, partitions
+        self._usage = usage
+        self.gateway = gateway
+        self.gateway_count = gateway_count
+        self.partition_count = partitions
         self._rng = random.Random(seed)
-        self.parts = [
-            PartitionState(FailureDetector(slot, slots, incarnation, now), now + self._rng.randrange(TICK))
+        self.partition_states = [
+            PartitionState(
+                FailureDetector(gateway, gateway_count, incarnation, now),
+                now + self._rng.randrange(TICK_NS),
+            )
             for _ in range(partitions)
         ]
         self.leases: dict[int, Lease] = {}
-        self.due = now
-        self.calls: Counter[str] = Counter()  # beats, members, failed
-        self.pace, self._saved, self._paced_at = PACE_START, PACE_START * PACE_SAVED, now
-        self._sent: dict[int, PendingCall] = {}
-        self._out: set[int] = set()  # members with a call out
-        self._owed: set[int] = set()  # members for whom the module waits
-        self._told: dict[int, tuple[float, float, float]] = {}
-        self._queue: list[tuple[int, int]] = []  # when due, member; those that moved are passed over
-        self._numbers = 0
-
-    # From the module.
-
-    def asked(self, now: int, member: int, terms: Terms, units: float) -> list[Output]:
-        """A request has come; to be called before the module sees it."""
-        out: list[Output] = self.tick(now) if now >= self.due else []
-        held = self.leases.get(member)
-        if held is None:
-            if len(self.leases) >= MOST_MEMBERS:
-                share = even(member, terms, self.slot)
-                return [*out, Grant(member, FLOOR * share, GUARANTEED * share, 0.0, 0.0, None, False)]
-            held = self._hold(now, member, terms)
-        elif held.terms is not terms and held.terms != terms:
-            held.change(terms)
-        due = held.due
-        held.ask(now, units)
-        if held.due != due:
-            self._push(held)
-        out += self._tell(now, held)
-        return out + (self._members(now) if held.due <= now else [])
-
-    def short(self, now: int, member: int) -> list[Output]:
-        """The module has too little for a request that it holds: one `Grant` follows, now or with the answer
-        to the first claim on the member."""
-        held = self.leases.get(member)
-        if held is None:
-            return []
-        self._owed.add(member)
-        return self._members(now) + self._tell(now, held)
-
-    def _hold(self, now: int, member: int, terms: Terms) -> Lease:
-        held = self.leases[member] = Lease(member, terms, self.slot, now)
-        part = self._part(member)
-        part.members.add(member)
-        if part.returning:
-            part.unwritten.add(member)
-        self._push(held)
-        return held
+        self.due_ns = now
+        self.call_counts: Counter[str] = Counter()  # by kind: beats, members, failed
+        self.calls_per_s = INITIAL_CALLS_PER_S
+        self._call_budget = INITIAL_CALLS_PER_S * BUDGET_S
+        self._budget_updated_ns = now
+        self._pending_calls: dict[int, PendingCall] = {}
+        self._tenants_in_call: set[int] = set()  # with a pending call
+        self._waiting_tenants: set[int] = set()  # for whom the decision module waits
+        self._last_shares: dict[int, UsableShares] = {}  # as last granted
+        self._due_queue: list[tuple[int, int]] = []  # ns when due, tenant; outdated ones are passed over
+        self._last_call_id = 0
+
+    # From the decision module.
+
+    def before_request(self, now: int, tenant: int, terms: LeaseTerms, units: float) -> list[Output]:
+        """A request has arrived; to be called before the decision module gets it."""
+        outputs: list[Output] = self.tick(now) if now >= self.due_ns else []
+        lease = self.leases.get(tenant)
+        if lease is None:
+            if len(self.leases) >= MAX_TENANTS:
+                return [*outputs, self._grant_without_lease(tenant, terms)]
+            lease = self._open_lease(now, tenant, terms)
+        elif lease.terms is not terms and lease.terms != terms:
+            lease.change_terms(terms)
+        due_ns = lease.due_ns
+        lease.record_request(now, units)
+        if lease.due_ns != due_ns:
+            self._schedule(lease)
+        outputs += self._grant_changes(now, lease)
+        if lease.due_ns <= now:
+            outputs += self._send_due_claims(now)
+        return outputs
+
+    def _grant_without_lease(self, tenant: int, terms: LeaseTerms) -> Grant:
+        share = static_share(tenant, terms, self.gateway)
+        return Grant(
+            tenant=tenant,
+            quota_share=MINIMUM_PART * share,
+            hard_limit_share=GUARANTEED_PART * share,
+            concurrency_share=0.0,
+            spent_elsewhere_units=0.0,
+            tokens=None,
+            more_expected=False,
+        )
 
-    def _part(self, member: int) -> PartitionState:
-        return self.parts[partition_of(member, self.partitions)]
+    def on_shortage(self, now: int, tenant: int) -> list[Output]:
+        """The decision module has too little for a request that it queues: one `Grant` follows, now or with
+        the reply to the first claim on the tenant."""
+        lease = self.leases.get(tenant)
+        if lease is None:
+            return []
+        self._waiting_tenants.add(tenant)
+        return self._send_due_claims(now) + self._grant_changes(now, lease)
+
+    def _open_lease(self, now: int, tenant: int, terms: LeaseTerms) -> Lease:
+        lease = Lease(tenant, terms, self.gateway, now)
+        self.leases[tenant] = lease
+        partition = self._partition_of(tenant)
+        partition.tenants.add(tenant)
+        if partition.is_returning:
+            partition.unwritten_tenants.add(tenant)
+        self._schedule(lease)
+        return lease
+
+    def _partition_of(self, tenant: int) -> PartitionState:
+        return self.partition_states[partition_of(tenant, self.partition_count)]
 
     # From the clock.
 
     def tick(self, now: int) -> list[Output]:
-        """What is due at `now`, ns: calls without an answer fail, heartbeats and claims go out."""
-        out: list[Output] = []
-        self.due = now + TICK
-        for number in [n for n, sent in self._sent.items() if now - sent.at >= TIMEOUT]:
-            out += self.failed(now, number)
-        for index, part in enumerate(self.parts):
-            out += self._look(now, part)
-            if now >= part.due and not part.out:
-                out.append(self._heartbeat(now, index, part))
-        return out + self._members(now)
-
-    def _look(self, now: int, part: PartitionState) -> list[Output]:
-        """Who is silent, and what that changes for the members here."""
-        detector = part.detector
-        detector.look(now)
-        own, quiet, gone = detector.own(now), detector.quiet, detector.gone
-        shown = own, own or detector.even_due(now), quiet, gone, detector.trusting
-        if shown == part.shown:
+        """What is due at `now`, ns: calls without a reply fail, heartbeats and claims go out."""
+        outputs: list[Output] = []
+        self.due_ns = now + TICK_NS
+        overdue = [
+            call_id
+            for call_id, pending in self._pending_calls.items()
+            if now - pending.sent_at_ns >= CALL_TIMEOUT_NS
+        ]
+        for call_id in overdue:
+            outputs += self.on_failure(now, call_id)
+        for index, partition in enumerate(self.partition_states):
+            outputs += self._review(now, partition)
+            if now >= partition.heartbeat_due_ns and not partition.heartbeat_pending:
+                outputs.append(self._heartbeat(now, index, partition))
+        return outputs + self._send_due_claims(now)
+
+    def _review(self, now: int, partition: PartitionState) -> list[Output]:
+        """Which gateways are unresponsive, and what that changes for the tenants here."""
+        detector = partition.detector
+        detector.review(now)
+        is_known_alive = detector.is_known_alive(now)
+        review = Review(
+            is_known_alive,
+            is_known_alive or detector.is_static_share_free(now),
+            detector.unresponsive,
+            detector.expired,
+            detector.may_write,
+        )
+        if review == partition.last_review:
             return []
-        part.shown = shown
-        out: list[Output] = []
-        for member in part.members:
-            out += self._tell(now, self.leases[member])
-        return out
-
-    def _heartbeat(self, now: int, index: int, part: PartitionState) -> Call:
-        detector = part.detector
-        part.due = now + HEARTBEAT - self._rng.randrange(HEARTBEAT // 8)
-        back = detector.trusting and not (part.returning and part.unwritten)
-        value = pack_heartbeat(detector.next_heartbeat(now)) if back else None
-        part.out = True
-        self.calls["beats"] += 1
-        return self._call(now, index, None, value)
-
-    def _speaking(self, now: int, part: PartitionState) -> bool:
+        partition.last_review = review
+        outputs: list[Output] = []
+        for tenant in partition.tenants:
+            outputs += self._grant_changes(now, self.leases[tenant])
+        return outputs
+
+    def _heartbeat(self, now: int, index: int, partition: PartitionState) -> Call:
+        detector = partition.detector
+        partition.heartbeat_due_ns = now + HEARTBEAT_NS - self._rng.randrange(HEARTBEAT_NS // 8)
+        is_unwritten = partition.is_returning and bool(partition.unwritten_tenants)
+        value: bytes | None = None
+        if detector.may_write and not is_unwritten:
+            value = pack_heartbeat(detector.next_heartbeat(now))
+        partition.heartbeat_pending = True
+        self.call_counts["beats"] += 1
+        return self._start_call(now, index, None, value)
+
+    def _may_claim(self, now: int, partition: PartitionState) -> bool:
         """Whether claims are worth a call."""
-        return part.detector.trusting and (part.detector.own(now) or part.returning)
-
-    def _members(self, now: int) -> list[Output]:
-        """Claims that are due, as the pace allows."""
-        self._saved = min(
-            self.pace * PACE_SAVED + 1.0, self._saved + self.pace * (now - self._paced_at) / SECOND
-        )
-        self._paced_at = now
-        out: list[Output] = []
-        while self._queue and self._queue[0][0] <= now and self._saved >= 1.0 and len(self._sent) < MOST_OUT:
-            due, member = heappop(self._queue)
-            held = self.leases.get(member)
-            if held is None or held.due != due or member in self._out:
+        detector = partition.detector
+        return detector.may_write and (detector.is_known_alive(now) or partition.is_returning)
+
+    def _send_due_claims(self, now: int) -> list[Output]:
+        """Claims that are due, as the rate of calls allows."""
+        self._refill_call_budget(now)
+        outputs: list[Output] = []
+        while self._has_due_claim(now):
+            due_ns, tenant = heappop(self._due_queue)
+            lease = self.leases.get(tenant)
+            if lease is None or lease.due_ns != due_ns or tenant in self._tenants_in_call:
                 continue
-            index = partition_of(member, self.partitions)
-            part = self.parts[index]
-            if not self._speaking(now, part):
-                held.due = now + HEARTBEAT // 2
-                self._push(held)
+            index = partition_of(tenant, self.partition_count)
+            partition = self.partition_states[index]
+            if not self._may_claim(now, partition):
+                lease.due_ns = now + HEARTBEAT_NS // 2
+                self._schedule(lease)
                 continue
-            self._saved -= 1.0
-            value = held.next_claim(now, part.detector, *self._store(member))
-            out += self._tell(now, held)
-            self._out.add(member)
-            self.calls["members"] += 1
-            out.append(self._call(now, index, member, value, held.said))
-        return out
-
-    def _call(self, now: int, index: int, member: int | None, value: bytes | None, said: float = 0.0) -> Call:
-        self._numbers += 1
-        call = Call(self._numbers, index, member, value)
-        self._sent[call.number] = PendingCall(call, now, said, value is not None)
+            self._call_budget -= 1.0
+            value = lease.next_claim(now, partition.detector, *self._usage(tenant))
+            outputs += self._grant_changes(now, lease)
+            self._tenants_in_call.add(tenant)
+            self.call_counts["members"] += 1
+            outputs.append(self._start_call(now, index, tenant, value, lease.announced_share))
+        return outputs
+
+    def _refill_call_budget(self, now: int) -> None:
+        saved = self._call_budget + self.calls_per_s * (now - self._budget_updated_ns) / SECOND
+        self._call_budget = min(self.calls_per_s * BUDGET_S + 1.0, saved)
+        self._budget_updated_ns = now
+
+    def _has_due_claim(self, now: int) -> bool:
+        """Whether a claim is due that may be called now."""
+        if not self._due_queue or self._due_queue[0][0] > now:
+            return False
+        return self._call_budget >= 1.0 and len(self._pending_calls) < MAX_PENDING_CALLS
+
+    def _start_call(
+        self, now: int, index: int, tenant: int | None, value: bytes | None, claimed_share: float = 0.0
+    ) -> Call:
+        self._last_call_id += 1
+        call = Call(self._last_call_id, index, tenant, value)
+        self._pending_calls[call.call_id] = PendingCall(call, now, claimed_share, value is not None)
         return call
 
-    def _push(self, held: Lease) -> None:
-        heappush(self._queue, (held.due, held.member))
-        if len(self._queue) > 64 + 4 * len(self.leases):  # those that moved are in the way
-            self._queue = [(each.due, member) for member, each in self.leases.items()]
-            heapify(self._queue)
+    def _schedule(self, lease: Lease) -> None:
+        heappush(self._due_queue, (lease.due_ns, lease.tenant))
+        if len(self._due_queue) > MAX_QUEUE_SURPLUS + 4 * len(self.leases):
+            self._due_queue = [(each.due_ns, tenant) for tenant, each in self.leases.items()]
+            heapify(self._due_queue)
 
     # From the counter.
 
-    def answered(self, now: int, number: int, reply: Reply) -> list[Output]:
-        """The counter's reply to call `number`."""
-        sent = self._sent.get(number)
-        if sent is None or now - sent.at >= TIMEOUT:
-            return self.failed(now, number)  # also after this process stood still: what it says is old
-        del self._sent[number]
-        self.pace = min(PACE_MOST, self.pace * PACE_UP)
-        part, member = self.parts[sent.call.partition], sent.call.member
-        if member is None:
-            return self._heartbeat_answered(now, part, sent, reply)
-        self._out.discard(member)
-        held = self.leases.get(member)
-        if held is None:
+    def on_reply(self, now: int, call_id: int, reply: Reply) -> list[Output]:
+        """The counter's reply to a call."""
+        pending = self._pending_calls.get(call_id)
+        if pending is None or now - pending.sent_at_ns >= CALL_TIMEOUT_NS:
+            return self.on_failure(now, call_id)  # also after this process stood still: the reply is old
+        del self._pending_calls[call_id]
+        self.calls_per_s = min(MAX_CALLS_PER_S, self.calls_per_s * RATE_RAISE)
+        partition = self.partition_states[pending.call.partition]
+        tenant = pending.call.tenant
+        if tenant is None:
+            return self._on_heartbeat_reply(now, partition, pending, reply)
+        self._tenants_in_call.discard(tenant)
+        lease = self.leases.get(tenant)
+        if lease is None:
             return []
-        part.detector.look(now)
-        held.answered(now, sent.at, sent.said, reply, part.detector)
-        part.unwritten.discard(member)
-        if held.idle(now) and not sent.said and not held.claimed and not held.asked:
-            return self._drop(now, held, part)
-        self._push(held)
-        return self._tell(now, held)
-
-    def _drop(self, now: int, held: Lease, part: PartitionState) -> list[Output]:
-        del self.leases[held.member]
-        part.members.discard(held.member)
-        self._owed.discard(held.member)
-        out = self._tell(now, held)
-        self._told.pop(held.member, None)
-        return out
-
-    def _heartbeat_answered(
-        self, now: int, part: PartitionState, sent: PendingCall, reply: Reply
+        partition.detector.review(now)
+        lease.on_reply(now, pending.sent_at_ns, pending.claimed_share, reply, partition.detector)
+        partition.unwritten_tenants.discard(tenant)
+        is_unused = lease.is_idle(now) and not lease.claimed_share and not lease.requested_units
+        if is_unused and not pending.claimed_share:
+            return self._release(now, lease, partition)
+        self._schedule(lease)
+        return self._grant_changes(now, lease)
+
+    def _release(self, now: int, lease: Lease, partition: PartitionState) -> list[Output]:
+        del self.leases[lease.tenant]
+        partition.tenants.discard(lease.tenant)
+        self._waiting_tenants.discard(lease.tenant)
+        outputs = self._grant_changes(now, lease)
+        self._last_shares.pop(lease.tenant, None)
+        return outputs
+
+    def _on_heartbeat_reply(
+        self, now: int, partition: PartitionState, pending: PendingCall, reply: Reply
     ) -> list[Output]:
-        detector, part.out = part.detector, False
-        detector.answered(now, sent.at, sent.wrote, reply)
-        if not sent.wrote and not detector.trusting:
-            # There again. What is used here goes first, if others may have taken this one for dead.
-            detector.trusting = True
-            part.returning = not detector.own(now)
-            part.unwritten = set(part.members) if part.returning else set()
-            for member in part.unwritten:
-                held = self.leases[member]
-                held.due = now
-                self._push(held)
-            part.due = min(part.due, now + TICK)
-        elif sent.wrote:
-            part.returning = False
-            part.unwritten.clear()
-        elif part.returning and not part.unwritten:
-            part.due = now
-        out = self._look(now, part)
-        return out + self._members(now)
-
-    def failed(self, now: int, number: int) -> list[Output]:
-        """No answer, or one that is none: it may have been carried out all the same."""
-        sent = self._sent.pop(number, None)
-        if sent is None:
+        detector = partition.detector
+        partition.heartbeat_pending = False
+        detector.on_reply(now, pending.sent_at_ns, pending.has_value, reply)
+        if not pending.has_value and not detector.may_write:
+            self._return_from_loss(now, partition)
+        elif pending.has_value:
+            partition.is_returning = False
+            partition.unwritten_tenants.clear()
+        elif partition.is_returning and not partition.unwritten_tenants:
+            partition.heartbeat_due_ns = now
+        outputs = self._review(now, partition)
+        return outputs + self._send_due_claims(now)
+
+    def _return_from_loss(self, now: int, partition: PartitionState) -> None:
+        """The counter answers again. What is used here is written first, if others may take this one for
+        dead."""
+        detector = partition.detector
+        detector.may_write = True
+        partition.is_returning = not detector.is_known_alive(now)
+        partition.unwritten_tenants = set(partition.tenants) if partition.is_returning else set()
+        for tenant in partition.unwritten_tenants:
+            lease = self.leases[tenant]
+            lease.due_ns = now
+            self._schedule(lease)
+        partition.heartbeat_due_ns = min(partition.heartbeat_due_ns, now + TICK_NS)
+
+    def on_failure(self, now: int, call_id: int) -> list[Output]:
+        """No reply, or one that can't be read: the call may have been carried out all the same."""
+        pending = self._pending_calls.pop(call_id, None)
+        if pending is None:
             return []
-        self.calls["failed"] += 1
-        self.pace = max(PACE_LEAST, self.pace / 2)
-        part, member = self.parts[sent.call.partition], sent.call.member
-        if member is None:
-            part.out = False
-            part.detector.failed()
-            part.returning = False
-            return self._look(now, part)
-        self._out.discard(member)
-        held = self.leases.get(member)
-        if held is None:
+        self.call_counts["failed"] += 1
+        self.calls_per_s = max(MIN_CALLS_PER_S, self.calls_per_s / 2)
+        partition = self.partition_states[pending.call.partition]
+        tenant = pending.call.tenant
+        if tenant is None:
+            partition.heartbeat_pending = False
+            partition.detector.on_failure()
+            partition.is_returning = False
+            return self._review(now, partition)
+        self._tenants_in_call.discard(tenant)
+        lease = self.leases.get(tenant)
+        if lease is None:
             return []
-        held.proving = 0.0
-        held.due = now + SHORT + self._rng.randrange(SHORT)
-        self._push(held)
-        return self._tell(now, held)
-
-    # To the module.
-
-    def _tell(self, now: int, held: Lease) -> list[Output]:
-        part, due = self._part(held.member), held.due
-        soft, hard, places = held.usable(now, part.detector)
-        if held.due != due and held.member in self.leases:
-            self._push(held)
-        old = self._told.get(held.member, (-1.0, -1.0, -1.0))
-        more = not held.known and self._speaking(now, part)
-        owed = held.member in self._owed and not more
-        fresh = soft, hard, places
-        # Less is told at once and to the last bit: the sum over all gateways rests on it.
-        same = all(was - EPSILON <= is_now < was + NOTED for was, is_now in zip(old, fresh, strict=True))
-        if same and not held.taken and held.level is None and not owed:
+        lease.share_under_proof = 0.0
+        lease.due_ns = now + FOLLOW_UP_NS + self._rng.randrange(FOLLOW_UP_NS)
+        self._schedule(lease)
+        return self._grant_changes(now, lease)
+
+    # To the decision module.
+
+    def _grant_changes(self, now: int, lease: Lease) -> list[Output]:
+        """One `Grant` where anything has changed that the decision module acts on."""
+        partition = self._partition_of(lease.tenant)
+        due_ns = lease.due_ns
+        shares = lease.usable_shares(now, partition.detector)
+        if lease.due_ns != due_ns and lease.tenant in self.leases:
+            self._schedule(lease)
+        more_expected = not lease.is_established and self._may_claim(now, partition)
+        is_waited_for = lease.tenant in self._waiting_tenants and not more_expected
+        is_same = _is_unchanged(self._last_shares.get(lease.tenant), shares)
+        if is_same and not lease.spent_elsewhere_units and lease.tokens is None and not is_waited_for:
             return []
-        self._told[held.member] = fresh
-        taken, level, held.taken, held.level = held.taken, held.level, 0.0, None
-        if owed:
-            self._owed.discard(held.member)
-        return [Grant(held.member, *fresh, taken, level, more)]
+        self._last_shares[lease.tenant] = shares
+        if is_waited_for:
+            self._waiting_tenants.discard(lease.tenant)
+        grant = Grant(
+            tenant=lease.tenant,
+            quota_share=shares.quota,
+            hard_limit_share=shares.hard_limit,
+            concurrency_share=shares.concurrency,
+            spent_elsewhere_units=lease.spent_elsewhere_units,
+            tokens=lease.tokens,
+            more_expected=more_expected,
+        )
+        lease.spent_elsewhere_units = 0.0
+        lease.tokens = None
+        return [grant]
 
     def states(self, now: int) -> list[str]:
-        """Of each partition, for people."""
-        for part in self.parts:
-            part.detector.look(now)
-        return [part.detector.state(now) for part in self.parts]
+        """Of each partition, for operators (`FailureDetector.state`)."""
+        for partition in self.partition_states:
+            partition.detector.review(now)
+        return [partition.detector.state(now) for partition in self.partition_states]
+
+
+def _is_unchanged(last: UsableShares | None, shares: UsableShares) -> bool:
+    """Less counts to the last bit, as the sum over all gateways rests on it; more counts once notable."""
+    if last is None:
+        return False
+    pairs = (
+        (last.quota, shares.quota),
+        (last.hard_limit, shares.hard_limit),
+        (last.concurrency, shares.concurrency),
+    )
+    return all(was - EPSILON <= is_now < was + NOTABLE_CHANGE for was, is_now in pairs)
--- a/trackspread/counter/quota_client.py
+++ b/trackspread/counter/quota_client.py
@@ -1,9 +1,7 @@
-"""Between the decision module and the lease manager: requests and wants in, calls and `RightsChanged` out.
+"""Between the decision module and the lease manager: requests in, calls and `AllocationChanged` out.
 
-The same object stands in a running gateway and in virtual time; whoever hosts it sends the calls and hands
-the events to the module, in the order given.
-
-May know: the module's vocabulary, the lease manager. May not know: sockets, the module itself.
+The same object runs in a gateway and in simulation; its host sends the calls and hands the events to the
+decision module, in the order given. No I/O.
 """
 
 from __future__ import annotations
@@ -11,105 +9,121 @@
 from ..decide.events import AllocationChanged
 from ..decide.settings import Plan, Settings
 from .lease_manager import LeaseManager, Output, UsageCount
-from .terms import GUARANTEED, Call, Grant, Reply, Terms
+from .calls import Call, Grant, Reply
+from .lease_terms import LeaseTerms
+from .timing import GUARANTEED_PART
 
 Action = Call | AllocationChanged
 
 
-def terms_of(plan: Plan, largest: float, slots: tuple[int, ...]) -> Terms | None:
-    """A plan's figures for the lease manager; None where it has no limits. `largest`: units of the largest
-    request.
+def terms_of(plan: Plan, largest_request_units: float, gateways: tuple[int, ...]) -> LeaseTerms | None:
+    """A plan's limits for the lease manager; None where it has none. `largest_request_units`: of one request.
 
-    The least share holds one request in every store, and one place where open attempts are limited."""
-    needs = [largest / plan.burst_units] if plan.rate_per_s else []
+    The smallest share holds one request in every bucket, and one attempt where those in flight are
+    limited."""
+    shares = []
+    if plan.rate_per_s:
+        shares.append(largest_request_units / plan.burst_units)
     if plan.hard_limit_per_s:
-        needs.append(largest / (plan.hard_limit_burst_units * (1.0 - GUARANTEED)))
+        shares.append(largest_request_units / (plan.hard_limit_burst_units * (1.0 - GUARANTEED_PART)))
     if plan.concurrency_limit:
-        needs.append(1.0 / plan.concurrency_limit)
-    if not needs:
+        shares.append(1.0 / plan.concurrency_limit)
+    if not shares:
         return None
-    rate, burst = (
-        (plan.rate_per_s, plan.burst_units)
-        if plan.rate_per_s
-        else (plan.hard_limit_per_s, plan.hard_limit_burst_units)
+    return LeaseTerms(
+        rate_per_s=plan.rate_per_s or plan.hard_limit_per_s,
+        burst_units=plan.burst_units if plan.rate_per_s else plan.hard_limit_burst_units,
+        min_share=min(1.0, max(shares)),
+        gateways=gateways,
+        limits_concurrency=plan.concurrency_limit > 0,
     )
-    return Terms(rate, burst, min(1.0, max(needs)), slots, plan.concurrency_limit > 0)
 
 
 class QuotaClient:
-    """`before` each request, `wanted` for each `WantRights`, `tick` when `due`; `answered`, `failed`."""
+    """One gateway's client of the shared counter.
+
+    Call `before_request` before each request, `on_shortage` for each `RequestAllocation`, `tick` when
+    `due_ns` has come, `on_reply` and `on_failure` for each call."""
 
     def __init__(
-        self, settings: Settings, partitions: int, incarnation: int, seed: int, now: int, store: UsageCount
+        self, settings: Settings, partitions: int, incarnation: int, seed: int, now: int, usage: UsageCount
     ) -> None:
-        """`store`: the module's `Quota.kept`, which is asked whenever a claim goes out."""
-        self._settings, self._plans = settings, settings.plans
+        """`usage`: of a tenant here, which is queried whenever a claim goes out."""
+        self._settings = settings
+        self._plans = settings.plans
         self.manager = LeaseManager(
-            settings.gateway_index, settings.gateway_count, partitions, incarnation, seed, now, store
+            settings.gateway_index, settings.gateway_count, partitions, incarnation, seed, now, usage
         )
-        self._terms: dict[tuple[int, int, int], Terms | None] = {}
-        self._index: dict[int, int] = {}  # by customer: of its plan
+        self._terms: dict[tuple[int, int, int], LeaseTerms | None] = {}
+        self._plan_index: dict[int, int] = {}  # by tenant
 
     @property
-    def due(self) -> int:
+    def due_ns(self) -> int:
         """When `tick` is to be called next, ns."""
-        return self.manager.due
+        return self.manager.due_ns
 
-    def replan(self, plans: tuple[Plan, ...]) -> None:
-        """Other figures: taken up with each customer's next request."""
+    def change_plans(self, plans: tuple[Plan, ...]) -> None:
+        """Other limits: taken up with each tenant's next request."""
         self._plans = plans
         self._terms.clear()
 
-    def before(
-        self, now: int, customer: int, plan: int, units: float, spread: int, first: int
+    def before_request(
+        self, now: int, tenant: int, plan: int, units: float, gateway_span: int, first_gateway: int
     ) -> list[Action]:
-        """To be called, and its actions done, before the module sees the request."""
-        key = plan, spread, first
+        """To be called, and its actions carried out, before the decision module gets the request."""
+        key = plan, gateway_span, first_gateway
         if key not in self._terms:
-            n = self._settings.gateway_count
-            named = tuple((first + i) % n for i in range(min(spread, n))) if spread >= 1 else tuple(range(n))
-            self._terms[key] = terms_of(self._plans[plan], self._settings.largest_request_units, named)
+            gateways = self._gateways_of(gateway_span, first_gateway)
+            largest = self._settings.largest_request_units
+            self._terms[key] = terms_of(self._plans[plan], largest, gateways)
         terms = self._terms[key]
         if terms is None:
             return []
-        self._index[customer] = plan
-        return self._actions(self.manager.asked(now, customer, terms, units))
+        self._plan_index[tenant] = plan
+        return self._actions(self.manager.before_request(now, tenant, terms, units))
 
-    def wanted(self, now: int, customer: int) -> list[Action]:
-        """The module has too little for a request of this customer that it holds."""
-        return self._actions(self.manager.short(now, customer))
+    def _gateways_of(self, gateway_span: int, first_gateway: int) -> tuple[int, ...]:
+        """`gateway_span` gateways in a row from the first one on; 0: all of them."""
+        count = self._settings.gateway_count
+        if gateway_span < 1:
+            return tuple(range(count))
+        return tuple((first_gateway + offset) % count for offset in range(min(gateway_span, count)))
+
+    def on_shortage(self, now: int, tenant: int) -> list[Action]:
+        """The decision module has too little for a request of this tenant that it queues."""
+        return self._actions(self.manager.on_shortage(now, tenant))
 
     def tick(self, now: int) -> list[Action]:
         """What is due at `now`, ns."""
         return self._actions(self.manager.tick(now))
 
-    def answered(self, now: int, number: int, reply: Reply) -> list[Action]:
-        """The counter's reply to call `number`."""
-        return self._actions(self.manager.answered(now, number, reply))
-
-    def failed(self, now: int, number: int) -> list[Action]:
-        """Call `number` had no answer, or none that can be read."""
-        return self._actions(self.manager.failed(now, number))
-
-    def _actions(self, out: list[Output]) -> list[Action]:
-        made: list[Action] = []
-        for each in out:
-            if not isinstance(each, Grant):
-                made.append(each)
-            elif each.member in self._index:
-                plan = self._index[each.member]
-                made.append(
-                    AllocationChanged(
-                        each.member,
-                        plan,
-                        each.soft,
-                        each.hard,
-                        each.places,
-                        each.taken,
-                        each.level,
-                        each.more,
-                    )
-                )
-                if each.member not in self.manager.leases:
-                    del self._index[each.member]
-        return made
+    def on_reply(self, now: int, call_id: int, reply: Reply) -> list[Action]:
+        """The counter's reply to a call."""
+        return self._actions(self.manager.on_reply(now, call_id, reply))
+
+    def on_failure(self, now: int, call_id: int) -> list[Action]:
+        """A call had no reply, or none that can be read."""
+        return self._actions(self.manager.on_failure(now, call_id))
+
+    def _actions(self, outputs: list[Output]) -> list[Action]:
+        actions: list[Action] = []
+        for output in outputs:
+            if isinstance(output, Call):
+                actions.append(output)
+            elif output.tenant in self._plan_index:
+                actions.append(self._allocation(output))
+                if output.tenant not in self.manager.leases:
+                    del self._plan_index[output.tenant]
+        return actions
+
+    def _allocation(self, grant: Grant) -> AllocationChanged:
+        return AllocationChanged(
+            tenant=grant.tenant,
+            plan=self._plan_index[grant.tenant],
+            quota_share=grant.quota_share,
+            hard_limit_share=grant.hard_limit_share,
+            concurrency_share=grant.concurrency_share,
+            used_elsewhere_units=grant.spent_elsewhere_units,
+            tokens=grant.tokens,
+            more_expected=grant.more_expected,
+        )
--- a/trackspread/counter/report.py
+++ b/trackspread/counter/report.py
@@ -1,13 +1,18 @@
-"""What an operator is told of one member at one gateway. Plain values; decides nothing."""
+"""What one gateway reports to operators of one tenant: the JSON of `trackspread quota`. Decides nothing."""
 
 from __future__ import annotations
 
 import msgspec
 
 from ..decide.tenant_account import TenantAccount
+from ..decide.time_units import SECOND
+from .failure_detector import FailureDetector
+from .lease import Lease
 from .lease_manager import LeaseManager
-from .terms import SECOND, partition_of
+from .lease_terms import TENANT_MASK, partition_of
 
+ROUNDING = 1e-6  # of attempts in flight: a limit times a share may fall just short of a whole number
+# Where the shares of each state of the failure detector come from, in the words of the command's page.
 SOURCES = {
     "sound": "the counter",
     "doubted": "the counter, as last heard",
@@ -17,8 +22,8 @@
 }
 
 
-class Other(msgspec.Struct, frozen=True):
-    """Another gateway's claim, as last read."""
+class OtherGateway(msgspec.Struct, frozen=True):
+    """Another gateway's claim, as last read. Field names are those of the JSON."""
 
     gateway: int
     share: float
@@ -26,8 +31,9 @@
     seen_s: float  # since it was known to live; negative: never seen
 
 
-class Report(msgspec.Struct, frozen=True):
-    """Shares are of the whole; levels and rates are in units and units a second."""
+class TenantReport(msgspec.Struct, frozen=True):
+    """Shares are of the whole limit; levels and bursts are in units, rates in units a second. Field names are
+    those of the JSON."""
 
     member: str
     partition: int
@@ -51,52 +57,68 @@
     open_most: int = 0
     cap: int = 0
     refused_for: str = ""
-    others: tuple[Other, ...] = ()
-
-
-def report(now: int, manager: LeaseManager, member: int, account: TenantAccount | None, cap: int) -> Report:
-    """`account`: the module's, filled until now; None where no request of the member came here. `cap`: on the
-    member's requests in flight."""
-    partition = partition_of(member, manager.partitions)
-    detector = manager.parts[partition].detector
-    detector.look(now)
-    state, held = detector.state(now), manager.leases.get(member)
-    made = Report(
-        f"{member & (1 << 64) - 1:016x}",
-        partition,
-        state,
-        SOURCES[state],
-        detector.replaced,
-        held is not None,
+    others: tuple[OtherGateway, ...] = ()
+
+
+def tenant_report(
+    now: int, manager: LeaseManager, tenant: int, account: TenantAccount | None, cap: int
+) -> TenantReport:
+    """The report of one tenant at `now`, ns.
+
+    `account`: the decision module's, refilled until now; None where no request of the tenant came here.
+    `cap`: on the tenant's requests in flight."""
+    partition = partition_of(tenant, manager.partition_count)
+    detector = manager.partition_states[partition].detector
+    detector.review(now)
+    state = detector.state(now)
+    lease = manager.leases.get(tenant)
+    report = TenantReport(
+        member=f"{tenant & TENANT_MASK:016x}",
+        partition=partition,
+        state=state,
+        source=SOURCES[state],
+        replaced=detector.replacements,
+        held=lease is not None,
     )
-    if held is not None:
-        others = tuple(
-            Other(
-                slot,
-                claim.share,
-                claim.want,
-                detector.age(now, slot) / SECOND if slot in detector.seen else -1.0,
-            )
-            for slot, claim in sorted(held.others.items())
-        )
-        made = msgspec.structs.replace(
-            made, claimed=held.claimed, proven=held.proven, even=held.even, want=held.want, others=others
-        )
-    if account is not None:
-        plan = account.plan
-        made = msgspec.structs.replace(
-            made,
-            soft=account.quota_share,
-            hard=account.hard_limit_share,
-            plan=plan.name,
-            level=account.tokens,
-            burst=plan.burst_units * account.quota_share,
-            rate=plan.rate_per_s * account.quota_share,
-            ceiling=account.hard_limit_tokens,
-            ceiling_burst=plan.hard_limit_burst_units * account.hard_limit_share,
-            open=account.in_flight,
-            open_most=int(plan.concurrency_limit * account.concurrency_share + 1e-6),
-            cap=cap,
-            refused_for=account.rejection_reason,
+    if lease is not None:
+        report = _with_lease(report, now, lease, detector)
+    return report if account is None else _with_account(report, account, cap)
+
+
+def _with_lease(report: TenantReport, now: int, lease: Lease, detector: FailureDetector) -> TenantReport:
+    others = tuple(
+        OtherGateway(
+            gateway=gateway,
+            share=claim.share,
+            want=claim.demand_per_s,
+            seen_s=detector.age_ns(now, gateway) / SECOND if gateway in detector.observations else -1.0,
         )
-    return made
+        for gateway, claim in sorted(lease.other_claims.items())
+    )
+    return msgspec.structs.replace(
+        report,
+        claimed=lease.claimed_share,
+        proven=lease.proven_share,
+        even=lease.static_share,
+        want=lease.demand_per_s,
+        others=others,
+    )
+
+
+def _with_account(report: TenantReport, account: TenantAccount, cap: int) -> TenantReport:
+    plan = account.plan
+    return msgspec.structs.replace(
+        report,
+        soft=account.quota_share,
+        hard=account.hard_limit_share,
+        plan=plan.name,
+        level=account.tokens,
+        burst=plan.burst_units * account.quota_share,
+        rate=plan.rate_per_s * account.quota_share,
+        ceiling=account.hard_limit_tokens,
+        ceiling_burst=plan.hard_limit_burst_units * account.hard_limit_share,
+        open=account.in_flight,
+        open_most=int(plan.concurrency_limit * account.concurrency_share + ROUNDING),
+        cap=cap,
+        refused_for=account.rejection_reason,
+    )
--- a/trackspread/decide/time_units.py
+++ b/trackspread/decide/time_units.py
@@ -3,3 +3,4 @@
 from __future__ import annotations
 
 SECOND = 1_000_000_000
+MILLISECOND = 1_000_000
--- a/trackspread/node/counted.py
+++ b/trackspread/node/counted.py
@@ -22,10 +22,10 @@
 from ..config.operator import Counter
 from ..config.platform import Config
 from ..counter.host import CounterHost
-from ..counter.link import Access
+from ..counter.connection import Credentials
 from ..counter.quota_client import QuotaClient
-from ..counter.report import Report, report
-from ..counter.routes import Routes
+from ..counter.report import TenantReport, tenant_report
+from ..counter.routing import Router
 from ..decide.events import Event
 from ..decide.settings import Plan
 from ..decide.report import Module, cap, kept
@@ -36,7 +36,7 @@
 ASKED_MOST = 5.0  # s that whoever asks may take
 
 
-def access(counter: Counter) -> Access:
+def access(counter: Counter) -> Credentials:
     """Raises `ConfigError`."""
     context = None
     try:
@@ -49,7 +49,7 @@
                 pass
     except (OSError, ssl.SSLError) as error:
         raise ConfigError(f"counter.ca, counter.certificate or counter.password: {error}") from None
-    return Access(counter.user, counter.password, context)
+    return Credentials(counter.user, counter.password, context)
 
 
 def _clear(path: str) -> None:
@@ -84,7 +84,7 @@
             now(),
             partial(kept, module.quota),
         )
-        routes = Routes(
+        routes = Router(
             [address(server, "counter.servers") for server in counter.servers],
             counter.cluster,
             counter.prefix,
@@ -110,27 +110,29 @@
     def before(self, call: Call) -> None:
         """A fault here must not cost the request: it is decided by what is kept."""
         try:
-            self.host.do(
-                self.client.before(self._now(), call.customer, call.plan, call.units, call.spread, call.first)
+            self.host.carry_out(
+                self.client.before_request(
+                    self._now(), call.customer, call.plan, call.units, call.spread, call.first
+                )
             )
         except Exception:
             log.exception("fault before a request")
 
     def replan(self, plans: tuple[Plan, ...]) -> None:
         """Other figures for the plans, from each customer's next request on."""
-        self.client.replan(plans)
+        self.client.change_plans(plans)
 
     def wanted(self, customer: int) -> None:
-        self.host.do(self.client.wanted(self._now(), customer))
+        self.host.carry_out(self.client.on_shortage(self._now(), customer))
 
     # For operators.
 
-    def report(self, customer: int) -> Report:
+    def report(self, customer: int) -> TenantReport:
         now = self._now()
         account = self._module.quota.accounts.get(customer)
         if account is not None:
             self._module.quota.refill(now, account)
-        return report(now, self.client.manager, customer, account, cap(self._module, customer))
+        return tenant_report(now, self.client.manager, customer, account, cap(self._module, customer))
 
     async def _asked(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One line with a member in hexadecimal digits; one line of JSON."""
--- a/trackspread/testing/virtual/counter/mutants.py
+++ b/trackspread/testing/virtual/counter/mutants.py
@@ -12,62 +12,65 @@
 
 from ....counter import failure_detector, lease, lease_manager
 from ....counter.failure_detector import FailureDetector
-from ....counter.lease import Lease
+from ....counter.lease import Lease, UsableShares
 from ....counter.lease_manager import LeaseManager, PartitionState
-from ....counter.terms import KEPT, SECOND, Claim, Reply
+from ....counter.calls import Reply
+from ....counter.claims import Claim
+from ....counter.timing import LEASE_NS
+from ....decide.time_units import SECOND
 from . import schedules
 from ..patches import held
 
 
 def _proof_not_awaited() -> list[Any]:
     """A raise of a ceiling counts with the answer that shows room."""
-    real = Lease.answered
+    real = Lease.on_reply
 
     def mutant(self: Lease, *words: Any) -> None:
         real(self, *words)
-        self.proven = max(self.proven, self.claimed)
+        self.proven_share = max(self.proven_share, self.claimed_share)
 
-    return [patch.object(Lease, "answered", mutant)]
+    return [patch.object(Lease, "on_reply", mutant)]
 
 
 def _proof_without_beats() -> list[Any]:
-    return [patch.object(FailureDetector, "advanced_since", lambda self, marks: True)]
+    return [patch.object(FailureDetector, "have_all_advanced_since", lambda self, marks: True)]
 
 
 def _proof_without_time() -> list[Any]:
-    return [patch.object(lease, "PROVE", 0)]
+    return [patch.object(lease, "PROOF_NS", 0)]
 
 
 def _fresh_counter_trusted() -> list[Any]:
     """What the counter has lost is forgotten here too."""
-    real = Lease._merge
+    real = Lease._merge_claims
 
     def mutant(self: Lease, sent: int, claims: dict[int, Claim], seen: FailureDetector) -> None:
         real(self, sent, claims, seen)
-        self.others = {slot: claim for slot, claim in self.others.items() if slot in claims}
-        self._heard = {slot: at for slot, at in self._heard.items() if slot in claims}
+        self.other_claims = {slot: claim for slot, claim in self.other_claims.items() if slot in claims}
+        self._claims_read_at_ns = {slot: at for slot, at in self._claims_read_at_ns.items() if slot in claims}
 
-    return [patch.object(Lease, "_merge", mutant), patch.object(lease, "PROVE", 0)]
+    return [patch.object(Lease, "_merge_claims", mutant), patch.object(lease, "PROOF_NS", 0)]
 
 
 def _not_fitted() -> list[Any]:
-    return [patch.object(Lease, "fit", lambda self, seen: None)]
+    return [patch.object(Lease, "reduce_to_fit", lambda self, seen: None)]
 
 
 def _even_at_once() -> list[Any]:
     """Up to the even slice as soon as the counter is lost."""
-    return [patch.object(FailureDetector, "even_due", lambda self, now: True)]
+    return [patch.object(FailureDetector, "is_static_share_free", lambda self, now: True)]
 
 
 def _beats_after_a_failure() -> list[Any]:
-    return [patch.object(FailureDetector, "failed", lambda self: None)]
+    return [patch.object(FailureDetector, "on_failure", lambda self: None)]
 
 
 def _beat_before_writing_back() -> list[Any]:
     real = LeaseManager._heartbeat
 
     def mutant(self: LeaseManager, now: int, index: int, part: PartitionState) -> Any:
-        part.unwritten.clear()
+        part.unwritten_tenants.clear()
         return real(self, now, index, part)
 
     return [patch.object(LeaseManager, "_heartbeat", mutant)]
@@ -75,29 +78,29 @@
 
 def _alive_by_the_last_look() -> list[Any]:
     """A beat counts from when it was seen, not from when it can have been written."""
-    real = FailureDetector.answered
+    real = FailureDetector.on_reply
 
     def mutant(self: FailureDetector, now: int, sent: int, wrote: bool, reply: Reply) -> None:
-        before = {slot: seen.changes for slot, seen in self.seen.items()}
+        before = {slot: seen.heartbeats_seen for slot, seen in self.observations.items()}
         real(self, now, sent, wrote, reply)
-        for slot, seen in self.seen.items():
-            if seen.changes > before.get(slot, seen.changes):
-                seen.since = now
+        for slot, seen in self.observations.items():
+            if seen.heartbeats_seen > before.get(slot, seen.heartbeats_seen):
+                seen.alive_since_ns = now
 
-    return [patch.object(FailureDetector, "answered", mutant)]
+    return [patch.object(FailureDetector, "on_reply", mutant)]
 
 
 def _old_claims_believed() -> list[Any]:
     """A claim that a lagging replica brings up again replaces the newer one."""
-    real = Lease._merge
+    real = Lease._merge_claims
 
     def mutant(self: Lease, sent: int, claims: dict[int, Claim], seen: FailureDetector) -> None:
         for slot in claims:
-            self.others.pop(slot, None)
-            self._heard.pop(slot, None)
+            self.other_claims.pop(slot, None)
+            self._claims_read_at_ns.pop(slot, None)
         real(self, sent, claims, seen)
 
-    return [patch.object(Lease, "_merge", mutant), patch.object(lease, "PROVE", 0)]
+    return [patch.object(Lease, "_merge_claims", mutant), patch.object(lease, "PROOF_NS", 0)]
 
 
 def _raised_before_the_answer() -> list[Any]:
@@ -105,7 +108,7 @@
 
     def mutant(self: Lease, *words: Any) -> bytes:
         made = real(self, *words)
-        self.proven = self.claimed = max(self.proven, self.said)
+        self.proven_share = self.claimed_share = max(self.proven_share, self.announced_share)
         return made
 
     return [patch.object(Lease, "next_claim", mutant)]
@@ -113,92 +116,93 @@
 
 def _kept_without_word() -> list[Any]:
     return [
-        patch.object(FailureDetector, "own", lambda self, now: self.acked != failure_detector.NEVER),
-        patch.object(lease, "KEPT", 1 << 62),
+        patch.object(
+            FailureDetector, "is_known_alive", lambda self, now: self.acked != failure_detector.NEVER
+        ),
+        patch.object(lease, "LEASE_NS", 1 << 62),
     ]
 
 
 def _out_too_short() -> list[Any]:
-    return [patch.object(failure_detector, "OUT", KEPT // 2)]
+    return [patch.object(failure_detector, "EXPIRY_NS", LEASE_NS // 2)]
 
 
 def _return_not_noticed() -> list[Any]:
     """Who is seen again counts at once as if it had never been away."""
-    real = FailureDetector.look
+    real = FailureDetector.review
 
     def mutant(self: FailureDetector, now: int) -> None:
         real(self, now)
-        self.back = {}
+        self.returned = {}
 
-    return [patch.object(FailureDetector, "look", mutant)]
+    return [patch.object(FailureDetector, "review", mutant)]
 
 
 def _floor_of_the_whole() -> list[Any]:
     """All of a ceiling lies in even slices beside the pool."""
-    return [patch.object(lease, "GUARANTEED", 1.5)]
+    return [patch.object(lease, "GUARANTEED_PART", 1.5)]
 
 
 def _late_answers_taken() -> list[Any]:
     """An answer to a call that had failed still counts."""
-    real = LeaseManager.answered
+    real = LeaseManager.on_reply
 
     def mutant(self: LeaseManager, now: int, number: int, reply: Reply) -> Any:
-        sent = self._sent.get(number)
+        sent = self._pending_calls.get(number)
         if sent is not None:
-            sent.at = max(sent.at, now - 8 * SECOND + 1)
+            sent.sent_at_ns = max(sent.sent_at_ns, now - 8 * SECOND + 1)
         return real(self, now, number, reply)
 
     return [
-        patch.object(LeaseManager, "answered", mutant),
-        patch.object(lease_manager, "TIMEOUT", 8 * SECOND),
+        patch.object(LeaseManager, "on_reply", mutant),
+        patch.object(lease_manager, "CALL_TIMEOUT_NS", 8 * SECOND),
     ]
 
 
 def _use_not_taken_off() -> list[Any]:
     """What others spent of a quota stays in the store here."""
-    real = Lease._merge
+    real = Lease._merge_claims
 
     def mutant(self: Lease, *words: Any) -> None:
         real(self, *words)
-        self.taken = 0.0
+        self.spent_elsewhere_units = 0.0
 
-    return [patch.object(Lease, "_merge", mutant)]
+    return [patch.object(Lease, "_merge_claims", mutant)]
 
 
 def _full_at_first() -> list[Any]:
     """A member that comes to a gateway for the first time has its whole burst there."""
-    return [patch.object(Lease, "_level_from_claims", lambda self, *words: self.terms.burst)]
+    return [patch.object(Lease, "_tokens_from_claims", lambda self, *words: self.terms.burst)]
 
 
 def _lost_field_not_noticed() -> list[Any]:
     """Who finds his own field gone goes on with his proofs."""
-    real = Lease.answered
+    real = Lease.on_reply
 
     def mutant(self: Lease, now: int, sent: int, said: float, reply: Reply, seen: FailureDetector) -> None:
-        real(self, now, sent, said, replace(reply, fresh=False), seen)
+        real(self, now, sent, said, replace(reply, field_was_missing=False), seen)
 
-    return [patch.object(Lease, "answered", mutant)]
+    return [patch.object(Lease, "on_reply", mutant)]
 
 
 def _whole_while_deaf() -> list[Any]:
     """A quota stays whole here while no call is answered."""
-    real = Lease.usable
+    real = Lease.usable_shares
 
-    def mutant(self: Lease, now: int, seen: FailureDetector) -> tuple[float, float, float]:
-        _, hard, places = real(self, now, seen)
-        return 1.0, hard, places
+    def mutant(self: Lease, now: int, seen: FailureDetector) -> UsableShares:
+        return replace(real(self, now, seen), quota=1.0)
 
-    return [patch.object(Lease, "usable", mutant)]
+    return [patch.object(Lease, "usable_shares", mutant)]
 
 
 def _release_stuck() -> list[Any]:
     """What is not asked for any more is never given back."""
-    real = Lease._aim
+    real = Lease._choose_share
 
     def mutant(self: Lease, now: int, seen: FailureDetector, want: float) -> None:
-        real(self, now, seen, want if want >= 1.0 else max(1.0, self.terms.rate))
+        real(self, now, seen, want if want >= 1.0 else max(1.0, self.terms.rate_per_s))
 
-    return [patch.object(Lease, "_aim", mutant)]
+    return [patch.object(Lease, "_choose_share", mutant)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
--- a/trackspread/testing/virtual/counter/schedules.py
+++ b/trackspread/testing/virtual/counter/schedules.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ....counter.terms import MILLISECOND, SECOND
+from ....decide.time_units import MILLISECOND, SECOND
 from ..clock import START
 from .world import TOLD_MS, Plant, World
 
--- a/trackspread/testing/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -14,10 +14,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ....counter.commands import CounterError, Refused, commands, reply
+from ....counter.commands import CounterError
+from ....counter.commands import ErrorReply, commands_for, parse_reply
 from ....counter.quota_client import Action as CounterAction
 from ....counter.quota_client import QuotaClient
-from ....counter.terms import MILLISECOND, SECOND, Call
+from ....counter.calls import Call
+from ....decide.time_units import MILLISECOND, SECOND
 from ....decide.broker import Broker
 from ....decide.actions import Action, RequestAllocation, SetTimer, StartAttempt
 from ....decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
@@ -203,7 +205,7 @@
     def _tick(self, gateway: Gateway) -> None:
         now = gateway.now(self.clock.now)
         self._do(gateway, gateway.client.tick(now))
-        self._later(gateway, max(1, gateway.client.due - now), partial(self._tick, gateway))
+        self._later(gateway, max(1, gateway.client.due_ns - now), partial(self._tick, gateway))
 
     def _do(self, gateway: Gateway, actions: list[CounterAction]) -> None:
         for action in actions:
@@ -244,9 +246,9 @@
         now = TOLD_MS + (self.clock.now - START) // MILLISECOND
         token = b"%d" % self.rng.getrandbits(48)
         results = []
-        for words in commands(call, "ts", gateway.number, token):
+        for words in commands_for(call, "ts", gateway.number, token):
             result = shard.execute(gateway.number, words, now)
-            results.append(Refused(str(result)) if isinstance(result, Failure) else result)
+            results.append(ErrorReply(str(result)) if isinstance(result, Failure) else result)
         if silent:
             return
         wait = self.rng.randint(100_000, MILLISECOND) + self.rng.randint(0, self.slow)
@@ -255,11 +257,11 @@
     def _answered(self, gateway: Gateway, call: Call, results: list[object]) -> None:
         now = gateway.now(self.clock.now)
         try:
-            told = reply(call, results)
+            told = parse_reply(call, results)
         except CounterError:
-            self._do(gateway, gateway.client.failed(now, call.number))
+            self._do(gateway, gateway.client.on_failure(now, call.call_id))
         else:
-            self._do(gateway, gateway.client.answered(now, call.number, told))
+            self._do(gateway, gateway.client.on_reply(now, call.call_id, told))
 
     # Requests.
 
@@ -297,7 +299,7 @@
         self._request += 1
         gateway.open[self._request] = member
         first = self.first[index]
-        self._do(gateway, gateway.client.before(now, member, 0, 1.0, self.spread, first))
+        self._do(gateway, gateway.client.before_request(now, member, 0, 1.0, self.spread, first))
         arrival = RequestArrived(self._request, 0, 0, member, now + 3 * SECOND, 1.0, self.spread, first, 0)
         self._handle(gateway, arrival)
 
@@ -314,7 +316,7 @@
             case SetTimer(after, token):
                 self._later(gateway, after, partial(self._handle, gateway, TimerFired(token)))
             case RequestAllocation(customer):
-                self._do(gateway, gateway.client.wanted(gateway.now(self.clock.now), customer))
+                self._do(gateway, gateway.client.on_shortage(gateway.now(self.clock.now), customer))
             case _:
                 gateway.open.pop(getattr(action, "request", 0), None)
 
