--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -14,7 +14,8 @@
 import time
 from functools import partial
 
-from trackspread.planning.terms import LEASE, SECOND
+from trackspread.decide.time_units import SECOND
+from trackspread.planning.timing import LEASE_NS
 from trackspread.testing.virtual.planning.world import Plan, World
 from trackspread.testing.virtual.planning import saturated
 from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
@@ -87,7 +88,7 @@
                 world.clock.after(at, partial(world.kill, process))
                 world.clock.after(at + AWAY, partial(world.revive, process))
         if all_gone:
-            world.run(2 * LEASE)  # gone for longer than a lease
+            world.run(2 * LEASE_NS)  # gone for longer than a lease
         served.append(_served(world, SPAN))
         beyond = sum(c.beyond for c in world.counts) / sum(c.sent for c in world.counts)
     return served[1] / served[0], beyond
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -24,7 +24,7 @@
 from trackspread.testing.mutation.plant import put, put_all
 
 PLACEMENT = "trackspread.planning.placement"
-TURNS = "trackspread.planning.turns"
+TURNS = "trackspread.planning.rotation"
 
 
 def test_places_name_every_mutant_of_a_module_and_no_two_mean_the_same() -> None:
@@ -43,11 +43,11 @@
 
 
 def test_a_sample_hangs_on_its_seed_alone_and_has_no_twins() -> None:
-    first, again = ([m.key for m in sample(["planning.turns"], 20, seed)] for seed in (3, 3))
+    first, again = ([m.key for m in sample(["planning.rotation"], 20, seed)] for seed in (3, 3))
     assert first == again and len(set(first)) == 20
-    assert first == [m.key for m in sample(["planning.turns"], 20, 3, workers=2)]
-    assert first != [m.key for m in sample(["planning.turns"], 20, 4)]
-    assert modules("planning.turns") == [TURNS] and PLACEMENT in modules("planning")
+    assert first == [m.key for m in sample(["planning.rotation"], 20, 3, workers=2)]
+    assert first != [m.key for m in sample(["planning.rotation"], 20, 4)]
+    assert modules("planning.rotation") == [TURNS] and PLACEMENT in modules("planning")
 
 
 def test_a_mutant_is_found_by_the_checks_and_the_file_stays_as_it_is() -> None:
--- a/tests/test_planned.py
+++ b/tests/test_planned.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from trackspread.planning.terms import SECOND
+from trackspread.decide.time_units import SECOND
 from trackspread.testing.virtual.planning import saturated
 from trackspread.testing.virtual.planning.world import Plan, World
 from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
@@ -31,7 +31,7 @@
     plans = [saturated.make(seed).schedule.plan for seed in range(60)]
     assert {plan.over < 1.0 for plan in plans} == {True, False}
     assert all(plan.asked >= 1.4 * min(1.0, plan.over) for plan in plans)
-    assert any(cap.limit.burst * cap.planned < plan.used for plan in plans for cap in plan.caps(0))
+    assert any(cap.limit.burst_units * cap.planned_part < plan.used for plan in plans for cap in plan.caps(0))
 
 
 def test_schedules_bring_every_fault_and_the_full_size() -> None:
--- a/trackspread/membership/acceptor.py
+++ b/trackspread/membership/acceptor.py
@@ -31,7 +31,7 @@
     def newer(self, round_: int) -> None:
         """A ballot of this round was won: the next bid is beyond it."""
         if self.election is not None:
-            self.election.newer(round_)
+            self.election.on_newer_epoch(round_)
 
     def tick(self, now: int) -> Votes:
         return self._sent(now, self.election.tick(now)) if self.election is not None else []
@@ -40,7 +40,7 @@
         if self.election is None or not 0 <= vote.seed < len(self._seeds):
             return []
         word = ElectionMessage(vote.kind, (vote.round, vote.by), vote.owner)  # type: ignore[arg-type]
-        return self._sent(now, self.election.heard(now, vote.seed, word))
+        return self._sent(now, self.election.on_message(now, vote.seed, word))
 
     def _sent(self, now: int, out: list[tuple[int | None, ElectionMessage]]) -> Votes:
         """To the seeds; to oneself at once."""
@@ -51,5 +51,5 @@
                     vote = Vote(self.number, word.kind, word.ballot[0], word.ballot[1], word.owner)
                     made.append((self._seeds[voter], vote))
                 elif self.election is not None:
-                    made += self._sent(now, self.election.heard(now, voter, word))
+                    made += self._sent(now, self.election.on_message(now, voter, word))
         return made
--- a/trackspread/membership/terms.py
+++ b/trackspread/membership/terms.py
@@ -13,7 +13,9 @@
 
 import msgspec
 
-from ..planning.terms import DRIFT as DRIFT
+from ..planning.timing import CLOCK_DRIFT
+
+DRIFT = CLOCK_DRIFT
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/trackspread/planning/__init__.py
+++ b/trackspread/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Who may send how much for a member: leases that planners grant to forwarders. Without I/O or clocks."""
+"""Leases on tenants' limits that planners grant to forwarders. Without I/O or clocks; no role uses it yet."""
--- a/trackspread/planning/forwarder.py
+++ b/trackspread/planning/forwarder.py
@@ -1,10 +1,8 @@
-"""One forwarder's side of planning: its holders, and which planner it asks for which slot.
+"""One forwarder's side of planning: its lease holders, and which planner it sends requests for which slot.
 
-A planner that does not answer by the next beat, or says that it does not plan the slot, is followed by the
-next in rank; who answers is asked again. What is held serves on meanwhile. A member that asks for nothing any
-more is forgotten once its lease has run out.
-
-May know: its own clock, grants, that a planner said no. May not know: sockets, who is alive.
+A planner that does not answer by the next heartbeat, or declines as it does not own the slot, is followed by
+the next in rank; one that answers is kept. What is held serves on meanwhile. A tenant without requests is
+forgotten once its lease has expired. No I/O; knows nothing of who is alive.
 """
 
 from __future__ import annotations
@@ -12,108 +10,122 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from .holder import Holder
-from .placement import ranked, slot
-from .terms import LEASE, Ask, Cap, Grant
+from .lease_holder import LeaseHolder
+from .limits import TenantLimit
+from .messages import Grant, LeaseRequest
+from .placement import ranked_planners, slot_of
+from .timing import LEASE_NS
 
-FORGET = 4 * LEASE  # ns without a request after which a member's state goes: its lease ended long before
-Parts = Callable[[int], Sequence[float]]  # of a member's caps, what lies here and needs no planner
+FORGET_NS = 4 * LEASE_NS  # without a request after which a tenant's state goes: its lease expired long before
+StaticParts = Callable[[int], Sequence[float]]  # of a tenant's limits, what lies here and needs no planner
+AddressedRequests = list[tuple[int, LeaseRequest]]  # each with the planner that it goes to
 
 
 @dataclass(slots=True)
-class Member:
-    """One member here: a holder for each of its caps."""
+class TenantState:
+    """One tenant here: a holder for each of its limits.
+
+    `declines`: by planners, since the last heartbeat. `acknowledged_cuts`: limits that were lowered and
+    acknowledged since then: once is enough."""
 
-    holders: list[Holder]
-    last: int  # when a request last came
-    tries: int = 0  # planners that said no since the last beat
-    answered: bool = True
-    # caps that were acknowledged since the last beat: once is enough
-    cut: set[int] = field(default_factory=set)
+    holders: list[LeaseHolder]
+    last_request_ns: int
+    declines: int = 0
+    is_answered: bool = True
+    acknowledged_cuts: set[int] = field(default_factory=set)
 
 
 class Forwarder:
-    """`take` for each request, `beat` once a `BEAT`, `granted` and `declined` for what comes back."""
+    """Call `admit` for each request, `heartbeat` once in `HEARTBEAT_NS`, `on_grant` and `on_decline` for what
+    planners answer."""
 
     def __init__(
         self,
-        me: int,
+        number: int,
         incarnation: int,
         planners: int,
-        caps_of: Callable[[int], tuple[Cap, ...]],
-        parts_of: Parts,
+        limits_of: Callable[[int], tuple[TenantLimit, ...]],
+        static_parts_of: StaticParts,
     ) -> None:
-        self.me, self._incarnation, self._planners = me, incarnation, planners
-        self._caps_of, self._parts_of = caps_of, parts_of
-        self.members: dict[int, Member] = {}
-        self._turns: dict[int, int] = {}  # by slot: the place in its rank of the planner that is asked
-
-    def take(self, now: int, number: int, units: float) -> bool:
-        """Whether a request may be sent on, by all of its member's caps; if so, its units are gone."""
-        member = self.members.get(number)
-        if member is None:
-            caps, parts = self._caps_of(number), self._parts_of(number)
-            holders = [Holder(cap, part, now) for cap, part in zip(caps, parts, strict=True)]
-            member = self.members[number] = Member(holders, now)
-        member.last = now
-        if not all([holder.may(now, units) for holder in member.holders]):
-            for holder in member.holders:
-                holder.waits = units  # at all of them: a turn that waits for another cap's right is kept
+        self.number = number
+        self._incarnation = incarnation
+        self._planners = planners
+        self._limits_of = limits_of
+        self._static_parts_of = static_parts_of
+        self.tenants: dict[int, TenantState] = {}
+        self._planner_offsets: dict[int, int] = {}  # by slot: the rank of the planner that gets its requests
+
+    def admit(self, now: int, tenant: int, units: float) -> bool:
+        """Whether a request may be forwarded, by all limits of its tenant; if so, its units are spent."""
+        state = self.tenants.get(tenant)
+        if state is None:
+            limits_and_parts = zip(self._limits_of(tenant), self._static_parts_of(tenant), strict=True)
+            holders = [LeaseHolder(limit, part, now) for limit, part in limits_and_parts]
+            state = TenantState(holders, now)
+            self.tenants[tenant] = state
+        state.last_request_ns = now
+        # Each is asked, as each counts the demand.
+        if not all([holder.may_spend(now, units) for holder in state.holders]):
+            for holder in state.holders:
+                # At all of them: a turn that waits for another limit's lease is kept.
+                holder.waiting_units = units
             return False
-        for holder in member.holders:
+        for holder in state.holders:
             holder.spend(units)
         return True
 
-    def _planner(self, number: int) -> int:
-        where = slot(number)
-        return ranked(where, self._planners)[self._turns.get(where, 0) % self._planners]
+    def _planner_of(self, tenant: int) -> int:
+        slot = slot_of(tenant)
+        offset = self._planner_offsets.get(slot, 0) % self._planners
+        return ranked_planners(slot, self._planners)[offset]
 
-    def _next(self, where: int) -> None:
-        self._turns[where] = self._turns.get(where, 0) + 1
+    def _try_next_planner(self, slot: int) -> None:
+        self._planner_offsets[slot] = self._planner_offsets.get(slot, 0) + 1
 
-    def _asks(self, now: int, number: int, member: Member) -> list[tuple[int, Ask]]:
-        to = self._planner(number)
+    def _requests(self, now: int, tenant: int, state: TenantState) -> AddressedRequests:
+        planner = self._planner_of(tenant)
         return [
-            (to, holder.ask(now, self.me, self._incarnation, number, which))
-            for which, holder in enumerate(member.holders)
+            (planner, holder.next_request(now, self.number, self._incarnation, tenant, index))
+            for index, holder in enumerate(state.holders)
         ]
 
-    def beat(self, now: int) -> list[tuple[int, Ask]]:
-        """To whom to say what."""
-        for where in {slot(number) for number, member in self.members.items() if not member.answered}:
-            self._next(where)
-        out = []
-        for number, member in list(self.members.items()):
-            if now - member.last > FORGET:
-                del self.members[number]
+    def heartbeat(self, now: int) -> AddressedRequests:
+        """The requests of this heartbeat."""
+        for slot in {slot_of(tenant) for tenant, state in self.tenants.items() if not state.is_answered}:
+            self._try_next_planner(slot)
+        requests: AddressedRequests = []
+        for tenant, state in list(self.tenants.items()):
+            if now - state.last_request_ns > FORGET_NS:
+                del self.tenants[tenant]
                 continue
-            member.tries, member.answered = 0, False
-            member.cut.clear()
-            out += self._asks(now, number, member)
-        return out
-
-    def granted(self, now: int, grant: Grant) -> list[tuple[int, Ask]]:
-        """Take up a grant, or leave it be; what to say to that."""
-        member = self.members.get(grant.member)
-        if member is None or not 0 <= grant.which < len(member.holders):
+            state.declines = 0
+            state.is_answered = False
+            state.acknowledged_cuts.clear()
+            requests += self._requests(now, tenant, state)
+        return requests
+
+    def on_grant(self, now: int, grant: Grant) -> AddressedRequests:
+        """Take up a grant, or leave it; what was taken back is acknowledged at once."""
+        state = self.tenants.get(grant.tenant)
+        if state is None or not 0 <= grant.limit_index < len(state.holders):
             return []
-        member.answered = True
-        holder = member.holders[grant.which]
-        before = holder.right
-        if not holder.granted(now, grant) or grant.which in member.cut:
+        state.is_answered = True
+        holder = state.holders[grant.limit_index]
+        before = holder.limit
+        if not holder.accept(now, grant) or grant.limit_index in state.acknowledged_cuts:
             return []
-        if grant.right.rate >= before.rate and grant.right.burst >= before.burst:
+        if grant.limit.rate_per_s >= before.rate_per_s and grant.limit.burst_units >= before.burst_units:
             return []
-        member.cut.add(grant.which)
-        word = holder.again(now, self.me, self._incarnation, grant.member, grant.which)
-        return [(self._planner(grant.member), word)]
-
-    def declined(self, now: int, planner: int, number: int) -> list[tuple[int, Ask]]:
-        """A planner does not plan this member: the next one is asked at once, each once a beat."""
-        member = self.members.get(number)
-        wrong = self._planner(number) != planner  # told of before
-        if member is None or member.answered or wrong or member.tries >= self._planners - 1:
+        state.acknowledged_cuts.add(grant.limit_index)
+        request = holder.repeat_request(now, self.number, self._incarnation, grant.tenant, grant.limit_index)
+        return [(self._planner_of(grant.tenant), request)]
+
+    def on_decline(self, now: int, planner: int, tenant: int) -> AddressedRequests:
+        """A planner does not own this tenant's slot: the next one is tried at once, each once a heartbeat."""
+        state = self.tenants.get(tenant)
+        is_outdated = self._planner_of(tenant) != planner
+        if state is None or state.is_answered or is_outdated or state.declines >= self._planners - 1:
             return []
-        member.tries += 1
-        self._next(slot(number))
-        return self._asks(now, number, member)
+        state.declines += 1
+        self._try_next_planner(slot_of(tenant))
+        return self._requests(now, tenant, state)
--- a/trackspread/planning/lease_table.py
+++ b/trackspread/planning/lease_table.py
@@ -1,171 +1,246 @@
-"""One member's lease table at its planner: rights that are out never sum to more than the limit.
-
-The rules of this file:
-- What may be out counts as out: of all grants to one holder since the newest that it is known to have, the
-  greatest rate and burst, each until `LEASE` longer by the drift has passed since it was granted.
-- Fill: the rates that are out and the rate at which the table's own tokens fill sum to the planned rate.
-- Stock: the bursts that are out and the table's own tokens sum to the planned burst at most. Tokens are
-  handed out from the stock alone; what a holder loses with a lease that runs out comes back by the fill.
-- Learning: a table that knows nothing renews what holders say they hold and hands out nothing else, until
-  all that a planner before it granted has run out.
-- Turns (`turns.py`): where the burst is too small to give each who asks a whole request's, those whose
-  turn it is share the rate.
-
-May know: its own clock, asks in the order in which they come. May not know: other members, who is planner.
+"""One limit of one tenant at its planner: leases that are outstanding never sum to more than the limit.
+
+Rules:
+- What may be outstanding counts as outstanding: of all grants to one holder since the newest that it is known
+  to have, the greatest rate and burst, each until `OUTSTANDING_NS` after it was granted.
+- Refill: the rates that are outstanding and the rate at which the table's own tokens refill sum to the
+  planned rate.
+- Tokens: the bursts that are outstanding and the table's own tokens sum to the planned burst at most. A
+  grant's tokens come from the table's alone; what a holder loses with a lease that expires comes back by the
+  refill.
+- Learning: a table that knows nothing renews what holders say they hold and grants nothing else, until all
+  that a planner before it granted has expired.
+- Turns (`rotation.py`): where the burst is too small to give each holder a complete request's, those that
+  have a turn share the rate.
+
+Knows its own clock and requests in the order in which they come; knows nothing of other tenants.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .terms import BEAT, DRIFT, LEASE, ROUNDING, SECOND, Ask, Cap, Grant, Limit, Number
-from .turns import Turns, Who
+from ..decide.time_units import SECOND
+from .limits import ROUNDING, Limit, TenantLimit
+from .messages import Grant, LeaseNumber, LeaseRequest
+from .rotation import ForwarderStart, Rotation
+from .timing import CLOCK_DRIFT, HEARTBEAT_NS, LEASE_NS
 
-OUT = int(LEASE * (1.0 + 2 * DRIFT))  # ns for which a grant counts as out, on a clock that may run fast
-FLOOR = 0.1  # of an even share that whoever asks at all gets: it can start at once when its demand grows
-PLAN_EVERY = BEAT // 4  # ns for which shares are as they were reckoned
-NOTHING = Limit(0.0, 0.0)
-IDLE = 0.02  # units a second under which a holder without a waiting request needs no rate
+OUTSTANDING_NS = int(LEASE_NS * (1.0 + 2 * CLOCK_DRIFT))  # of a grant, on a clock that may run fast
+# Of an even share that every holder with demand gets: it can start at once when that grows.
+MIN_SHARE_PART = 0.1
+PLAN_INTERVAL_NS = HEARTBEAT_NS // 4  # for which shares stay as they were computed
+# Over the rate that refills one request in a lease: rounding must not leave it short.
+SPARE_FOR_REQUEST = 1.01
+NO_LIMIT = Limit(0.0, 0.0)
+IDLE_PER_S = 0.02  # units a second under which a holder without a waiting request needs no rate
+
+
+class _Outstanding(NamedTuple):
+    """One grant that may still be in use."""
+
+    lease: LeaseNumber
+    limit: Limit
+    until_ns: int
 
 
 @dataclass(slots=True)
-class _Holder:
-    """One start of one forwarder."""
+class _HolderState:
+    """One incarnation of one forwarder; `greatest`: rate and burst of what is outstanding there."""
 
     sequence: int = -1
-    rate: float = 0.0  # its demand
-    waits: float = 0.0  # units of the request that waits there, if any
-    seen: int = 0  # when it last asked
-    out: list[tuple[Number, Limit, int]] = field(default_factory=list)  # grants, and until when each counts
-    most: Limit = NOTHING  # the greatest rate and burst of these
+    demand_per_s: float = 0.0
+    waiting_units: float = 0.0  # of a request that waits there
+    last_request_ns: int = 0
+    outstanding: list[_Outstanding] = field(default_factory=list)
+    greatest: Limit = NO_LIMIT
 
-    def wants(self) -> bool:
-        return self.rate > IDLE or self.waits > 0.0
+    def wants_share(self) -> bool:
+        return self.demand_per_s > IDLE_PER_S or self.waiting_units > 0.0
 
 
-def _grant(ask: Ask, number: Number, right: Limit, tokens: float) -> Grant:
-    return Grant(number[0], ask.member, ask.which, ask.sequence, ask.base, number, right, tokens)
+def _grant(request: LeaseRequest, lease: LeaseNumber, limit: Limit, tokens: float) -> Grant:
+    return Grant(
+        epoch=lease[0],
+        tenant=request.tenant,
+        limit_index=request.limit_index,
+        sequence=request.sequence,
+        base_lease=request.base_lease,
+        lease=lease,
+        limit=limit,
+        tokens=tokens,
+    )
 
 
 class LeaseTable:
-    """The leases on one cap of one member, under one epoch."""
+    """The leases on one limit of one tenant, under one epoch."""
 
     def __init__(
-        self, cap: Cap, least: float, epoch: int, now: int, learns_until: int, turns: Turns | None = None
+        self,
+        tenant_limit: TenantLimit,
+        min_units: float,
+        epoch: int,
+        now: int,
+        learns_until_ns: int,
+        rotation: Rotation | None = None,
     ) -> None:
-        """`least`: units of the smallest right of use, the largest request. `turns`: those of the member,
-        which all its tables share. A table starts with an empty stock: what others granted before it may
-        still be spent."""
-        rate, burst = cap.limit
-        self.limit = Limit(rate * cap.planned / (1.0 + DRIFT), burst * cap.planned)
-        self.least, self.epoch, self.learns_until = least, epoch, learns_until
-        self.stock, self.at, self.count = 0.0, now, 0
-        self.holders: dict[tuple[int, int], _Holder] = {}
-        self._rate = self._burst = 0.0  # what may be out in all
-        self._expires = now + OUT  # nothing runs out before
-        self._planned_at, self._planned_for, self._wanting = -PLAN_EVERY, 0, 1
-        self._turns, self._whole = turns or Turns(), cap.planned >= 1.0
-        self._places = max(1, int(self.limit.burst / least + ROUNDING))  # of whole requests in the burst
-        self._floor = self._part = self._scale = 0.0
-
-    def out(self) -> Limit:
-        """What may be out in all."""
-        return Limit(self._rate, self._burst)
-
-    def _set(self, holder: _Holder, out: list[tuple[Number, Limit, int]]) -> None:
-        """Another list of what may be out there; the sums follow."""
-        most = Limit(
-            max((limit.rate for _, limit, _ in out), default=0.0),
-            max((limit.burst for _, limit, _ in out), default=0.0),
+        """`min_units`: of the largest request. `rotation`: the tenant's, which all its tables share. A table
+        starts without tokens: what others granted before it may still be spent."""
+        rate, burst = tenant_limit.limit
+        planned_part = tenant_limit.planned_part
+        self.limit = Limit(rate * planned_part / (1.0 + CLOCK_DRIFT), burst * planned_part)
+        self.min_units = min_units
+        self.epoch = epoch
+        self.learns_until_ns = learns_until_ns
+        self.tokens = 0.0
+        self.refilled_at_ns = now
+        self.leases_granted = 0
+        self.holders: dict[ForwarderStart, _HolderState] = {}
+        self._outstanding_per_s = 0.0
+        self._outstanding_units = 0.0
+        self._next_expiry_ns = now + OUTSTANDING_NS  # nothing expires before
+        self._planned_at_ns = -PLAN_INTERVAL_NS
+        self._planned_holders = 0
+        self._wanting_holders = 1
+        self._rotation = rotation or Rotation()
+        self._is_fully_planned = planned_part >= 1.0
+        self._parts = max(1, int(self.limit.burst_units / min_units + ROUNDING))  # requests in the burst
+        self._min_share_per_s = 0.0
+        self._fair_share_per_s = 0.0
+        self._surplus_factor = 0.0
+
+    def outstanding_limit(self) -> Limit:
+        """The sum of what may be outstanding."""
+        return Limit(self._outstanding_per_s, self._outstanding_units)
+
+    def _set_outstanding(self, holder: _HolderState, outstanding: list[_Outstanding]) -> None:
+        """Another list of what may be outstanding at a holder; the sums follow."""
+        greatest = Limit(
+            max((each.limit.rate_per_s for each in outstanding), default=0.0),
+            max((each.limit.burst_units for each in outstanding), default=0.0),
         )
-        self._rate += most.rate - holder.most.rate
-        self._burst += most.burst - holder.most.burst
-        holder.out, holder.most = out, most
-        self._expires = min([self._expires, *(until for _, _, until in out)])
-
-    def advance(self, now: int) -> None:
-        """Fill the stock, then drop what has run out: what it leaves was not its to fill before."""
-        if now > self.learns_until:
-            span = (now - max(self.at, self.learns_until)) / SECOND
-            self._keep(self.stock + max(0.0, self.limit.rate - self._rate) * span)
-        self.at = now
-        if now < self._expires:
-            return
-        self._expires = now + OUT
+        self._outstanding_per_s += greatest.rate_per_s - holder.greatest.rate_per_s
+        self._outstanding_units += greatest.burst_units - holder.greatest.burst_units
+        holder.outstanding = outstanding
+        holder.greatest = greatest
+        self._next_expiry_ns = min([self._next_expiry_ns, *(each.until_ns for each in outstanding)])
+
+    def refill(self, now: int) -> None:
+        """Refill the tokens, then drop what has expired: what it leaves was not there to refill before."""
+        if now > self.learns_until_ns:
+            span = (now - max(self.refilled_at_ns, self.learns_until_ns)) / SECOND
+            self._set_tokens(self.tokens + max(0.0, self.limit.rate_per_s - self._outstanding_per_s) * span)
+        self.refilled_at_ns = now
+        if now >= self._next_expiry_ns:
+            self._drop_expired(now)
+
+    def _drop_expired(self, now: int) -> None:
+        self._next_expiry_ns = now + OUTSTANDING_NS
         for key, holder in list(self.holders.items()):
-            self._set(holder, [grant for grant in holder.out if grant[2] > now])
-            if not holder.out:
-                # Silent for longer than its lease: what it asked for is no demand any more.
-                holder.rate = holder.waits = 0.0
-                self._planned_at = -PLAN_EVERY
-                if now - holder.seen > 4 * OUT:
+            self._set_outstanding(holder, [each for each in holder.outstanding if each.until_ns > now])
+            if not holder.outstanding:
+                # Without a request for longer than its lease: what it requested is no demand any more.
+                holder.demand_per_s = 0.0
+                holder.waiting_units = 0.0
+                self._planned_at_ns = -PLAN_INTERVAL_NS
+                if now - holder.last_request_ns > 4 * OUTSTANDING_NS:
                     del self.holders[key]
         # Sums of floats drift; from here they start anew.
-        self._rate = sum(holder.most.rate for holder in self.holders.values())
-        self._burst = sum(holder.most.burst for holder in self.holders.values())
-
-    def ask(self, now: int, ask: Ask) -> Grant | None:
-        """The answer to one ask; None where it is older than one that was answered."""
-        self.advance(now)
-        holder = self.holders.setdefault((ask.forwarder, ask.incarnation), _Holder())
-        if ask.sequence <= holder.sequence:
+        self._outstanding_per_s = sum(holder.greatest.rate_per_s for holder in self.holders.values())
+        self._outstanding_units = sum(holder.greatest.burst_units for holder in self.holders.values())
+
+    def on_request(self, now: int, request: LeaseRequest) -> Grant | None:
+        """The grant that answers a request; None where it is older than one that was answered."""
+        self.refill(now)
+        who = request.forwarder, request.incarnation
+        holder = self.holders.setdefault(who, _HolderState())
+        if request.sequence <= holder.sequence:
             return None
-        holder.sequence, holder.rate, holder.waits, holder.seen = ask.sequence, ask.rate, ask.least, now
-        out = [grant for grant in holder.out if grant[0] >= ask.base]
-        if ask.base[0] < self.epoch and ask.held.burst > 0.0:
-            # Granted under an epoch before: it counts as out, whoever granted it.
-            out.append((ask.base, ask.held, now + OUT))
-        self._set(holder, out)
-        self.count += 1
-        number = self.epoch, self.count
-        if now < self.learns_until:
-            self._set(holder, [*holder.out, (number, ask.held, now + OUT)])
-            return _grant(ask, number, ask.held, 0.0)
-        self._keep(self.stock + ask.returned)
-        right = self._share(now, holder, (ask.forwarder, ask.incarnation))
-        self._set(holder, [*holder.out, (number, right, now + OUT)])
-        tokens = min(self.stock, max(0.0, right.burst - ask.level))
-        self._keep(self.stock - tokens)
-        return _grant(ask, number, right, tokens)
-
-    def _keep(self, stock: float) -> None:
-        self.stock = min(stock, max(0.0, self.limit.burst - self._burst))
-
-    def _share(self, now: int, holder: _Holder, who: Who) -> Limit:
-        """By demand, as far as what the others may hold leaves room."""
-        if not (holder.wants() and self.limit.rate):
-            return NOTHING
-        if now - self._planned_at >= PLAN_EVERY or len(self.holders) != self._planned_for:
-            self._plan(now)
-        own = holder.most
-        room = Limit(self.limit.rate - (self._rate - own.rate), self.limit.burst - (self._burst - own.burst))
-        rate = max(0.0, min(room.rate, min(max(self._floor, holder.rate), self._part) * self._scale))
-        burst = self.limit.burst * rate / self.limit.rate
-        if burst < self.least:
-            burst = self.least
-            if room.burst < self.least * self._wanting:
-                self._turns.among(self._places, self._whole)
-                rate = self.limit.rate / min(self._places, self._turns.places)
-                if not self._turns.wants(now, who, holder.waits > 0.0, holder.rate >= rate):
-                    return NOTHING
-                rate = max(0.0, min(room.rate, rate))
-        burst = min(burst, room.burst)
-        return Limit(rate, burst) if burst >= self.least else NOTHING
-
-    def _plan(self, now: int) -> None:
-        """Max-min: nobody gets more than it asks for while another gets less than its part; what is left when
-        all have theirs goes to all by what they ask. Looked at anew some times a beat, not for every ask."""
-        wants = [holder for holder in self.holders.values() if holder.wants()]
-        self._planned_at, self._planned_for, self._wanting = now, len(self.holders), max(1, len(wants))
-        whole = 1.01 * self.limit.rate * self.least / max(self.least, self.limit.burst)
-        few = whole * self._wanting <= self.limit.rate / 2  # enough for one request each, and half for demand
-        self._floor = max(FLOOR * self.limit.rate / self._wanting, whole * few)
-        asked = sorted(max(self._floor, holder.rate) for holder in wants)
-        left, self._part, self._scale = self.limit.rate, self.limit.rate, 1.0
-        for number, rate in enumerate(asked):
-            part = left / (len(asked) - number)
+        holder.sequence = request.sequence
+        holder.demand_per_s = request.demand_per_s
+        holder.waiting_units = request.waiting_units
+        holder.last_request_ns = now
+        until_ns = now + OUTSTANDING_NS
+        outstanding = [each for each in holder.outstanding if each.lease >= request.base_lease]
+        if request.base_lease[0] < self.epoch and request.held_limit.burst_units > 0.0:
+            # Granted under an epoch before: it counts as outstanding, whichever planner granted it.
+            outstanding.append(_Outstanding(request.base_lease, request.held_limit, until_ns))
+        self._set_outstanding(holder, outstanding)
+        self.leases_granted += 1
+        lease = self.epoch, self.leases_granted
+        if now < self.learns_until_ns:
+            renewed = _Outstanding(lease, request.held_limit, until_ns)
+            self._set_outstanding(holder, [*holder.outstanding, renewed])
+            return _grant(request, lease, request.held_limit, 0.0)
+        self._set_tokens(self.tokens + request.returned_tokens)
+        limit = self._share_for(now, holder, who)
+        self._set_outstanding(holder, [*holder.outstanding, _Outstanding(lease, limit, until_ns)])
+        tokens = min(self.tokens, max(0.0, limit.burst_units - request.tokens))
+        self._set_tokens(self.tokens - tokens)
+        return _grant(request, lease, limit, tokens)
+
+    def _set_tokens(self, tokens: float) -> None:
+        self.tokens = min(tokens, max(0.0, self.limit.burst_units - self._outstanding_units))
+
+    def _share_for(self, now: int, holder: _HolderState, who: ForwarderStart) -> Limit:
+        """By demand, as far as what the others may hold leaves capacity."""
+        if not (holder.wants_share() and self.limit.rate_per_s):
+            return NO_LIMIT
+        if now - self._planned_at_ns >= PLAN_INTERVAL_NS or len(self.holders) != self._planned_holders:
+            self._plan_shares(now)
+        available = self._available_to(holder)
+        demand = max(self._min_share_per_s, holder.demand_per_s)
+        fair = min(demand, self._fair_share_per_s) * self._surplus_factor
+        rate = max(0.0, min(available.rate_per_s, fair))
+        burst = self.limit.burst_units * rate / self.limit.rate_per_s
+        if burst < self.min_units:
+            burst = self.min_units
+            if available.burst_units < self.min_units * self._wanting_holders:
+                self._rotation.add_limit(self._parts, self._is_fully_planned)
+                rate = self.limit.rate_per_s / min(self._parts, self._rotation.concurrent_turns)
+                is_waiting = holder.waiting_units > 0.0
+                if not self._rotation.has_turn(now, who, is_waiting, holder.demand_per_s >= rate):
+                    return NO_LIMIT
+                rate = max(0.0, min(available.rate_per_s, rate))
+        burst = min(burst, available.burst_units)
+        return Limit(rate, burst) if burst >= self.min_units else NO_LIMIT
+
+    def _available_to(self, holder: _HolderState) -> Limit:
+        """What the other holders leave of the limit."""
+        own = holder.greatest
+        return Limit(
+            self.limit.rate_per_s - (self._outstanding_per_s - own.rate_per_s),
+            self.limit.burst_units - (self._outstanding_units - own.burst_units),
+        )
+
+    def _plan_shares(self, now: int) -> None:
+        """Max-min: no holder gets more than its demand while another gets less than its part; what is left
+        when all have theirs goes to all by demand. Computed some times a heartbeat, not for every request."""
+        wanting = [holder for holder in self.holders.values() if holder.wants_share()]
+        self._planned_at_ns = now
+        self._planned_holders = len(self.holders)
+        self._wanting_holders = max(1, len(wanting))
+        self._min_share_per_s = self._smallest_share()
+        demands = sorted(max(self._min_share_per_s, holder.demand_per_s) for holder in wanting)
+        left = self.limit.rate_per_s
+        self._fair_share_per_s = self.limit.rate_per_s
+        self._surplus_factor = 1.0
+        for number, rate in enumerate(demands):
+            part = left / (len(demands) - number)
             if rate > part:
-                self._part = part
+                self._fair_share_per_s = part
                 return
             left -= rate
-        self._scale = self.limit.rate / max(1e-9, self.limit.rate - left)
+        self._surplus_factor = self.limit.rate_per_s / max(1e-9, self.limit.rate_per_s - left)
+
+    def _smallest_share(self) -> float:
+        """Units a second that every holder with demand gets: one request's, where half of the rate is
+        left."""
+        limit = self.limit
+        one_request = SPARE_FOR_REQUEST * limit.rate_per_s * self.min_units
+        one_request /= max(self.min_units, limit.burst_units)
+        smallest = MIN_SHARE_PART * limit.rate_per_s / self._wanting_holders
+        if one_request * self._wanting_holders <= limit.rate_per_s / 2:
+            return max(smallest, one_request)
+        return max(smallest, 0.0)
--- a/trackspread/planning/planner.py
+++ b/trackspread/planning/planner.py
@@ -1,9 +1,8 @@
-"""One planner: for each slot that it owns by a majority's lease, the lease tables of the slot's members.
+"""One planner: for each slot that it owns by a majority's lease, the lease tables of the slot's tenants.
 
 A table lives as long as its planner owns the slot without a break; under a new epoch it starts anew and
-learns until all that may have been granted before has run out. Without ownership nothing is answered.
-
-May know: its own clock, words of planners, asks. May not know: sockets, who is alive.
+learns until all that may have been granted before has expired. Without ownership no request is answered. No
+I/O.
 """
 
 from __future__ import annotations
@@ -11,55 +10,73 @@
 import random
 from collections.abc import Callable
 
-from .lease_table import OUT, LeaseTable
-from .election import Election, Out, ElectionMessage
-from .placement import SLOTS, ranked, slot
-from .terms import Ask, Cap, Grant
-from .turns import Turns
+from ..decide.time_units import MILLISECOND
+from .lease_table import LeaseTable
+from .lease_table import OUTSTANDING_NS
+from .election import Election, ElectionMessage
+from .election import Outbox
+from .placement import SLOTS
+from .placement import ranked_planners, slot_of
+from .limits import TenantLimit
+from .messages import Grant, LeaseRequest
+from .rotation import Rotation
 
-BEHIND = 300_000_000  # ns by which each next in rank waits before it first tries for a slot
-CapsOf = Callable[[int], tuple[Cap, ...]]
+# By which each next in rank waits before it first proposes itself for a slot.
+RANK_DELAY_NS = 300 * MILLISECOND
+LimitsOf = Callable[[int], tuple[TenantLimit, ...]]
 
 
 class Planner:
-    """`tick` several times in a term, `heard` for words of planners (its own too), `ask` for forwarders'."""
+    """Call `tick` several times in a term, `on_message` for messages of planners (its own too), `on_request`
+    for forwarders' requests."""
 
-    def __init__(self, me: int, planners: int, caps_of: CapsOf, least: float, now: int, seed: int) -> None:
+    def __init__(
+        self, planner: int, planners: int, limits_of: LimitsOf, min_units: float, now: int, seed: int
+    ) -> None:
+        """`min_units`: of the largest request."""
         rng = random.Random(f"planner:{seed}")
-        self.me, self._caps_of, self._least = me, caps_of, least
+        self.planner = planner
+        self._limits_of = limits_of
+        self._min_units = min_units
         self.elections = [
-            Election(me, planners, now + BEHIND * ranked(number, planners).index(me), rng)
+            Election(
+                planner, planners, now + RANK_DELAY_NS * ranked_planners(number, planners).index(planner), rng
+            )
             for number in range(SLOTS)
         ]
-        self._learns_until = [0] * SLOTS
+        self._learns_until_ns = [0] * SLOTS
         self._epochs = [0] * SLOTS
         self.tables: dict[tuple[int, int], LeaseTable] = {}
-        self._turns: dict[int, Turns] = {}  # by member
+        self._rotations: dict[int, Rotation] = {}  # by tenant
 
-    def tick(self, now: int) -> list[tuple[int, Out]]:
-        """By slot, what to send."""
+    def tick(self, now: int) -> list[tuple[int, Outbox]]:
+        """Messages to send, by slot."""
         return [(n, out) for n, each in enumerate(self.elections) if (out := each.tick(now))]
 
-    def heard(self, now: int, sender: int, number: int, word: ElectionMessage) -> Out:
-        return self.elections[number].heard(now, sender, word)
+    def on_message(self, now: int, sender: int, slot: int, message: ElectionMessage) -> Outbox:
+        """Messages to send in answer to one of another planner on a slot."""
+        return self.elections[slot].on_message(now, sender, message)
 
-    def ask(self, now: int, ask: Ask) -> Grant | None:
-        """The grant, or None from one that may not speak for the member."""
-        number = slot(ask.member)
-        election = self.elections[number]
-        if ask.base[0] > election.epoch:
-            election.newer(ask.base[0])
+    def on_request(self, now: int, request: LeaseRequest) -> Grant | None:
+        """The grant, or None where this planner does not own the tenant's slot."""
+        slot = slot_of(request.tenant)
+        election = self.elections[slot]
+        if request.base_lease[0] > election.epoch:
+            election.on_newer_epoch(request.base_lease[0])
         if not election.owns(now):
             return None
-        if self._epochs[number] != election.epoch:
-            self._epochs[number], self._learns_until[number] = election.epoch, now + OUT
-        caps, key = self._caps_of(ask.member), (ask.member, ask.which)
-        if not 0 <= ask.which < len(caps):
+        if self._epochs[slot] != election.epoch:
+            self._epochs[slot] = election.epoch
+            self._learns_until_ns[slot] = now + OUTSTANDING_NS
+        limits = self._limits_of(request.tenant)
+        if not 0 <= request.limit_index < len(limits):
             return None
+        key = request.tenant, request.limit_index
         table = self.tables.get(key)
         if table is None or table.epoch != election.epoch:
-            until, turns = self._learns_until[number], self._turns.setdefault(ask.member, Turns())
-            table = self.tables[key] = LeaseTable(
-                caps[ask.which], self._least, election.epoch, now, until, turns
-            )
-        return table.ask(now, ask)
+            rotation = self._rotations.setdefault(request.tenant, Rotation())
+            learns_until_ns = self._learns_until_ns[slot]
+            limit = limits[request.limit_index]
+            table = LeaseTable(limit, self._min_units, election.epoch, now, learns_until_ns, rotation)
+            self.tables[key] = table
+        return table.on_request(now, request)
--- a/trackspread/testing/virtual/planning/account.py
+++ b/trackspread/testing/virtual/planning/account.py
@@ -18,7 +18,8 @@
 from collections.abc import Iterable
 
 from ...judge.judge import Store
-from ....planning.terms import DRIFT, Cap, Limit
+from ....planning.limits import Limit, TenantLimit
+from ....planning.timing import CLOCK_DRIFT
 
 ROUNDING = 1e-6  # units: stores are floats
 
@@ -32,11 +33,11 @@
 class CapAccount:
     """One cap of one member. What is wrong comes back as a text, or an empty one."""
 
-    def __init__(self, cap: Cap, now: int) -> None:
+    def __init__(self, cap: TenantLimit, now: int) -> None:
         rate, burst = cap.limit
-        part = cap.planned
+        part = cap.planned_part
         self.cap = cap
-        self.most = Limit(rate * part / (1.0 + DRIFT), burst * part)
+        self.most = Limit(rate * part / (1.0 + CLOCK_DRIFT), burst * part)
         self._leased = _empty(rate * part, burst * part, now)
         self._even = _empty(rate * (1.0 - part), burst * (1.0 - part), now)
         self.excess = 0.0  # units, the worst
@@ -53,12 +54,13 @@
     def rights(self, out: Iterable[Limit]) -> str:
         rate = burst = 0.0
         for right in out:
-            rate, burst = rate + right.rate, burst + right.burst
-        if rate > self.most.rate + ROUNDING or burst > self.most.burst + ROUNDING:
+            rate, burst = rate + right.rate_per_s, burst + right.burst_units
+        if rate > self.most.rate_per_s + ROUNDING or burst > self.most.burst_units + ROUNDING:
             return f"rights to {rate:.3f} a second and {burst:.3f} at once are out, of {self.most}"
         return ""
 
     def table(self, stock: float, out: Limit) -> str:
-        if stock < -ROUNDING or stock + out.burst > self.most.burst + ROUNDING:
-            return f"the table has {stock:.3f} in stock and {out.burst:.3f} out, of {self.most.burst:.3f}"
+        if stock < -ROUNDING or stock + out.burst_units > self.most.burst_units + ROUNDING:
+            most = self.most.burst_units
+            return f"the table has {stock:.3f} in stock and {out.burst_units:.3f} out, of {most:.3f}"
         return ""
--- a/trackspread/testing/virtual/planning/mutants.py
+++ b/trackspread/testing/virtual/planning/mutants.py
@@ -13,65 +13,66 @@
 from ....planning import lease_table, planner
 from ....planning.lease_table import LeaseTable
 from ....planning.election import Election
-from ....planning.holder import KEPT, Holder
-from ....planning.placement import slot
+from ....planning.lease_holder import HELD_NS, LeaseHolder
+from ....planning.placement import slot_of
 from ....planning.planner import Planner
-from ....planning.terms import LEASE, Ask, Grant
+from ....planning.messages import Grant, LeaseRequest
+from ....planning.timing import LEASE_NS
 from . import saturated
 from . import schedules
 from ..patches import held
 
 
 def _no_learning() -> list[Any]:
-    return [patch.object(planner, "OUT", 0)]
+    return [patch.object(planner, "OUTSTANDING_NS", 0)]
 
 
 def _taken_whatever() -> list[Any]:
     """A grant is taken however old it is, and under whatever epoch."""
 
-    def mutant(self: Holder, now: int, grant: Grant) -> bool:
-        self.advance(now)
-        self.number, self.right, self.until = grant.number, grant.right, now + KEPT
-        self.level = min(self.right.burst, self.level + grant.tokens)
+    def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
+        self.refill(now)
+        self.lease, self.limit, self.expires_at_ns = grant.lease, grant.limit, now + HELD_NS
+        self.tokens = min(self.limit.burst_units, self.tokens + grant.tokens)
         return True
 
-    return [patch.object(Holder, "granted", mutant)]
+    return [patch.object(LeaseHolder, "accept", mutant)]
 
 
 def _counted_from_receipt() -> list[Any]:
-    real = Holder.granted
+    real = LeaseHolder.accept
 
-    def mutant(self: Holder, now: int, grant: Grant) -> bool:
-        sequence, _, base = self._asked
-        self._asked = sequence, now, base
+    def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
+        sequence, _, base = self._open_request
+        self._open_request = sequence, now, base
         return real(self, now, grant)
 
-    return [patch.object(Holder, "granted", mutant)]
+    return [patch.object(LeaseHolder, "accept", mutant)]
 
 
 def _lease_outlived() -> list[Any]:
     """A right goes on after its lease."""
-    real = Holder.granted
+    real = LeaseHolder.accept
 
-    def mutant(self: Holder, now: int, grant: Grant) -> bool:
+    def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
         taken = real(self, now, grant)
-        self.until += LEASE * taken
+        self.expires_at_ns += LEASE_NS * taken
         return taken
 
-    return [patch.object(Holder, "granted", mutant)]
+    return [patch.object(LeaseHolder, "accept", mutant)]
 
 
 def _only_the_newest() -> list[Any]:
     """A grant that was not heard of counts as gone."""
-    real = LeaseTable.ask
+    real = LeaseTable.on_request
 
-    def mutant(self: LeaseTable, now: int, ask: Ask) -> Grant | None:
+    def mutant(self: LeaseTable, now: int, ask: LeaseRequest) -> Grant | None:
         holder = self.holders.get((ask.forwarder, ask.incarnation))
         if holder is not None:
-            holder.out = []
+            holder.outstanding = []
         return real(self, now, ask)
 
-    return [patch.object(LeaseTable, "ask", mutant)]
+    return [patch.object(LeaseTable, "on_request", mutant)]
 
 
 def _minority() -> list[Any]:
@@ -85,25 +86,28 @@
 
 
 def _out_too_short() -> list[Any]:
-    return [patch.object(lease_table, "OUT", LEASE // 2)]
+    return [patch.object(lease_table, "OUTSTANDING_NS", LEASE_NS // 2)]
 
 
 def _others_forgotten() -> list[Any]:
     """Each holder gets the whole."""
-    return [patch.object(LeaseTable, "_share", lambda self, *words: self.limit)]
+    return [patch.object(LeaseTable, "_share_for", lambda self, *words: self.limit)]
 
 
 def _epoch_ignored() -> list[Any]:
     """A planner that owns a slot again goes on with the table that it had before others planned it."""
-    real = Planner.ask
+    real = Planner.on_request
 
-    def mutant(self: Planner, now: int, ask: Ask) -> Grant | None:
-        known, epoch = self.tables.get((ask.member, ask.which)), self.elections[slot(ask.member)].epoch
+    def mutant(self: Planner, now: int, ask: LeaseRequest) -> Grant | None:
+        known, epoch = (
+            self.tables.get((ask.tenant, ask.limit_index)),
+            self.elections[slot_of(ask.tenant)].epoch,
+        )
         if known is not None:
-            known.epoch = self._epochs[slot(ask.member)] = epoch
+            known.epoch = self._epochs[slot_of(ask.tenant)] = epoch
         return real(self, now, ask)
 
-    return [patch.object(Planner, "ask", mutant)]
+    return [patch.object(Planner, "on_request", mutant)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
--- a/trackspread/testing/virtual/planning/saturated.py
+++ b/trackspread/testing/virtual/planning/saturated.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from ....planning.terms import SECOND, Limit, places
+from ....decide.time_units import SECOND
+from ....planning.limits import Limit, max_parts
 from .world import UNIT, Plan, World
 from .schedules import FAULTS, PlannedSchedule, begun
 
@@ -62,7 +63,7 @@
     kind = KINDS[seed % len(KINDS)]
     limit = rng.choice(LIMITS)
     forwarders = rng.randint(1, 5)
-    over = rng.choice([each for each in (0.3, 0.5, 1.0, 2.0, 3.0) if each * limit.burst >= UNIT])
+    over = rng.choice([each for each in (0.3, 0.5, 1.0, 2.0, 3.0) if each * limit.burst_units >= UNIT])
     planned = rng.choice((0.2, 0.5, 0.8, 0.95))
     plan = Plan(
         seed,
@@ -71,7 +72,7 @@
         rng.randint(1, 2),
         limit,
         rng.randint(1, forwarders),
-        rng.uniform(3.0, 20.0) * min(1.0, 20.0 / limit.rate),
+        rng.uniform(3.0, 20.0) * min(1.0, 20.0 / limit.rate_per_s),
         planned,
         over,
         rng.choice((0.5, 0.9, 0.95)),
@@ -98,7 +99,10 @@
     before = [count.sent for count in world.counts]
     spread = [list(each) for each in world.sent_by]
     world.run(SPAN - since)
-    turns = any(places(cap.limit.burst * cap.planned, UNIT, plan.used) < plan.used for cap in plan.caps(0))
+    turns = any(
+        max_parts(cap.limit.burst_units * cap.planned_part, UNIT, plan.used) < plan.used
+        for cap in plan.caps(0)
+    )
     if made.kind != "wild":
         least = USED_IN_TURNS if turns else USED_LEAST if made.kind == "calm" else BACK_LEAST
         for member, used in enumerate(shares(world, before, SPAN - since)):
@@ -115,12 +119,12 @@
     """Requests a second that a perfect planner could let through: what is planned follows the demand; a slice
     serves what is asked where it lies."""
     plan, weights = world.plan, world.weights[member]
-    asked = [plan.limit.rate * plan.asked * weight / sum(weights) for weight in weights]
+    asked = [plan.limit.rate_per_s * plan.asked * weight / sum(weights) for weight in weights]
     most = sum(asked)
     for which, cap in enumerate(plan.caps(member)):
         parts = [plan.parts(member, number)[which] for number in world.ways[member]]
-        slices = sum(min(a, part * cap.limit.rate) for a, part in zip(asked, parts, strict=True))
-        most = min(most, cap.limit.rate * cap.planned + slices)
+        slices = sum(min(a, part * cap.limit.rate_per_s) for a, part in zip(asked, parts, strict=True))
+        most = min(most, cap.limit.rate_per_s * cap.planned_part + slices)
     return most
 
 
--- a/trackspread/testing/virtual/planning/schedules.py
+++ b/trackspread/testing/virtual/planning/schedules.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ....planning.terms import SECOND, Limit
+from ....decide.time_units import SECOND
+from ....planning.limits import Limit
 from ...standins.crowd import draw_weights
 from .world import MS, Plan, World
 
--- a/trackspread/testing/virtual/planning/small.py
+++ b/trackspread/testing/virtual/planning/small.py
@@ -20,21 +20,25 @@
 from unittest.mock import patch
 
 from ....planning import placement, planner
-from ....planning.election import ACCEPTED, TERM, Out, ElectionMessage
+from ....planning.election import ElectionMessage
+from ....planning.election import ACCEPTED_NS, TERM_NS, Outbox
 from ....planning.forwarder import Forwarder
 from ....planning.planner import Planner
-from ....planning.terms import BEAT, LEASE, SECOND, Ask, Cap, Grant, Limit
+from ....decide.time_units import SECOND
+from ....planning.limits import Limit, TenantLimit
+from ....planning.messages import Grant, LeaseRequest
+from ....planning.timing import HEARTBEAT_NS, LEASE_NS
 from .account import CapAccount
 from ..patches import held
 from .saturated import DRIFT_STATED
 
 MEMBER = 1
-CAP = Cap(Limit(4.0, 4.0), 1.0, False)
-STEP = BEAT  # ns by which time goes on: a term is two and a half of them, a lease four
+CAP = TenantLimit(Limit(4.0, 4.0), 1.0, False)
+STEP = HEARTBEAT_NS  # ns by which time goes on: a term is two and a half of them, a lease four
 START = 1000 * SECOND
 STEPS, LATE, STARTS = 8, 1, 1  # budgets of one exploration: steps of time, late words at once, new starts
 
-Message = tuple[str, int, int, ElectionMessage | Ask | Grant]  # kind, from, to, what
+Message = tuple[str, int, int, ElectionMessage | LeaseRequest | Grant]  # kind, from, to, what
 
 
 class _Even(random.Random):
@@ -47,7 +51,7 @@
         return _Even, ()
 
 
-def _caps(member: int) -> tuple[Cap, ...]:
+def _caps(member: int) -> tuple[TenantLimit, ...]:
     return (CAP,)
 
 
@@ -70,12 +74,12 @@
         made = Planner(number, 2, _caps, 1.0, self._at("p", number), number)
         for election in made.elections:
             election._rng = _Even()
-            election._next = self._at("p", number) + ACCEPTED
+            election._next_attempt_ns = self._at("p", number) + ACCEPTED_NS
         return made
 
     def _forwarder(self, number: int, start: int) -> Forwarder:
         made = Forwarder(number, start, 2, _caps, _parts)
-        made.take(self._at("f", number), MEMBER, 1.0)  # it asks for something from the first
+        made.admit(self._at("f", number), MEMBER, 1.0)  # it asks for something from the first
         return made
 
     def _at(self, kind: str, number: int) -> int:
@@ -88,7 +92,7 @@
     def happenings(self) -> Iterable[str]:
         yield from (f"late word {number} comes" for number in range(len(self.late)))
         for number in range(2):
-            if self.planners[number].elections[0]._next <= self._at("p", number):
+            if self.planners[number].elections[0]._next_attempt_ns <= self._at("p", number):
                 yield f"planner {number} bids"
                 if len(self.late) < LATE:
                     yield f"planner {number} bids and the last word is late"
@@ -127,16 +131,16 @@
         """The word of this beat, to whichever planner: ranks are no matter of safety."""
         self.asked[number] = True
         forwarder, now = self.forwarders[number], self._at("f", number)
-        forwarder.take(now, MEMBER, 1.0)
-        return [("ask", number, to, ask) for _, ask in forwarder.beat(now)]
+        forwarder.admit(now, MEMBER, 1.0)
+        return [("ask", number, to, ask) for _, ask in forwarder.heartbeat(now)]
 
-    def _said(self, number: int, out: Out) -> list[Message]:
+    def _said(self, number: int, out: Outbox) -> list[Message]:
         """To others; what one says to oneself comes at once."""
         made: list[Message] = []
         for to, word in out:
             for target in (0, 1) if to is None else (to,):
                 if target == number:
-                    answer = self.planners[number].heard(self._at("p", number), number, 0, word)
+                    answer = self.planners[number].on_message(self._at("p", number), number, 0, word)
                     made += self._said(number, answer)
                 else:
                     made.append(("word", number, target, word))
@@ -157,12 +161,12 @@
     def _came(self, message: Message) -> list[Message]:
         match message:
             case ("word", source, to, ElectionMessage() as word):
-                return self._said(to, self.planners[to].heard(self._at("p", to), source, 0, word))
-            case ("ask", source, to, Ask() as ask):
-                grant = self.planners[to].ask(self._at("p", to), ask)
+                return self._said(to, self.planners[to].on_message(self._at("p", to), source, 0, word))
+            case ("ask", source, to, LeaseRequest() as ask):
+                grant = self.planners[to].on_request(self._at("p", to), ask)
                 return [("grant", to, source, grant)] if grant is not None else []
             case ("grant", source, to, Grant() as grant):
-                again = self.forwarders[to].granted(self._at("f", to), grant)
+                again = self.forwarders[to].on_grant(self._at("f", to), grant)
                 return [("ask", to, source, ask) for _, ask in again]
         return []
 
@@ -174,9 +178,9 @@
             return "two planners own the slot"
         rights = []
         for number, forwarder in enumerate(self.forwarders):
-            member = forwarder.members.get(MEMBER)
-            if member is not None and self._at("f", number) < member.holders[0].until:
-                rights.append(member.holders[0].right)
+            member = forwarder.tenants.get(MEMBER)
+            if member is not None and self._at("f", number) < member.holders[0].expires_at_ns:
+                rights.append(member.holders[0].limit)
         return CapAccount(CAP, self.now).rights(rights)
 
     def settled(self) -> Self:
@@ -187,11 +191,11 @@
     """The first planner owns the slot, has learnt, and the first forwarder holds a right; budgets are
     whole."""
     world = SmallWorld()
-    while world.now < START + ACCEPTED + LEASE + 2 * TERM:
+    while world.now < START + ACCEPTED_NS + LEASE_NS + 2 * TERM_NS:
         world.happen("time goes on")
         world.happen("planner 0 bids")
         world.happen("forwarder 0 asks planner 0")
-    if not world.forwarders[0].members[MEMBER].holders[0].right.rate:
+    if not world.forwarders[0].tenants[MEMBER].holders[0].limit.rate_per_s:
         raise RuntimeError("the first forwarder got no right: the prefix no longer fits planning")
     world.steps = STEPS
     return world
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -13,11 +13,15 @@
 
 from ...judge.judge import Store
 from ....planning.lease_table import LeaseTable
-from ....planning.election import Out, ElectionMessage
+from ....planning.election import ElectionMessage
+from ....planning.election import Outbox
 from ....planning.forwarder import Forwarder
-from ....planning.placement import even_part
+from ....planning.placement import static_part
 from ....planning.planner import Planner
-from ....planning.terms import BEAT, SECOND, Ask, Cap, Grant, Limit
+from ....decide.time_units import SECOND
+from ....planning.limits import Limit, TenantLimit
+from ....planning.messages import Grant, LeaseRequest
+from ....planning.timing import HEARTBEAT_NS
 from ...standins.crowd import draw_weights
 from .account import ROUNDING, CapAccount
 from ..clock import Clock
@@ -62,11 +66,11 @@
     level: bool = False  # a member's traffic is spread evenly over its forwarders
     calm: bool = False  # no word is lost and nobody stops: soft rights are held to the account as well
 
-    def caps(self, member: int) -> tuple[Cap, Cap]:
+    def caps(self, member: int) -> tuple[TenantLimit, TenantLimit]:
         """A quota and a ceiling."""
-        ceiling = Limit(self.over * self.limit.rate, self.over * self.limit.burst)
-        quota = Cap(self.limit, self.quota_planned, True).fitted(UNIT, self.used)
-        return quota, Cap(ceiling, self.planned, False).fitted(UNIT, self.used)
+        ceiling = Limit(self.over * self.limit.rate_per_s, self.over * self.limit.burst_units)
+        quota = TenantLimit(self.limit, self.quota_planned, True).fitted(UNIT, self.used)
+        return quota, TenantLimit(ceiling, self.planned, False).fitted(UNIT, self.used)
 
     @property
     def used(self) -> int:
@@ -78,7 +82,7 @@
         return [(member + i) % self.forwarders for i in range(self.used)]
 
     def parts(self, member: int, me: int) -> list[float]:
-        return [even_part(member, me, self.ways(member), cap, UNIT) for cap in self.caps(member)]
+        return [static_part(member, me, self.ways(member), cap, UNIT) for cap in self.caps(member)]
 
 
 class Process:
@@ -129,7 +133,7 @@
         for slot, out in self.planner.tick(self.now()):
             self._send(slot, out)
 
-    def _send(self, slot: int, out: Out) -> None:
+    def _send(self, slot: int, out: Outbox) -> None:
         for to, word in out:
             for target in self.world.planners if to is None else [self.world.planners[to]]:
                 if target is self:
@@ -138,19 +142,19 @@
                     self.world.send(self, target, partial(target._hear, self.number, slot, word))
 
     def _hear(self, sender: int, slot: int, word: ElectionMessage) -> None:
-        self._send(slot, self.planner.heard(self.now(), sender, slot, word))
+        self._send(slot, self.planner.on_message(self.now(), sender, slot, word))
         self.world.one_owner(slot)
 
     def owns(self, slot: int) -> bool:
         return self.alive and self.planner.elections[slot].owns(self.now())
 
-    def ask(self, forwarder: ForwarderProcess, ask: Ask) -> None:
-        grant = self.planner.ask(self.now(), ask)
+    def ask(self, forwarder: ForwarderProcess, ask: LeaseRequest) -> None:
+        grant = self.planner.on_request(self.now(), ask)
         if grant is not None:
-            self.world.granted_by(ask, self.planner.tables[ask.member, ask.which])
+            self.world.granted_by(ask, self.planner.tables[ask.tenant, ask.limit_index])
             self.world.send(self, forwarder, partial(forwarder.granted, grant))
         else:
-            self.world.send(self, forwarder, partial(forwarder.declined, self.number, ask.member))
+            self.world.send(self, forwarder, partial(forwarder.declined, self.number, ask.tenant))
 
 
 class ForwarderProcess(Process):
@@ -170,48 +174,48 @@
             plan.caps,
             lambda member: plan.parts(member, self.number),
         )
-        self.every(BEAT, self._beat, self.starts)
+        self.every(HEARTBEAT_NS, self._beat, self.starts)
 
-    def _ask(self, planner: int, ask: Ask) -> None:
+    def _ask(self, planner: int, ask: LeaseRequest) -> None:
         target = self.world.planners[planner]
         self.world.send(self, target, partial(target.ask, self, ask))
 
     def _beat(self) -> None:
-        for planner, ask in self.forwarder.beat(self.now()):
+        for planner, ask in self.forwarder.heartbeat(self.now()):
             self._ask(planner, ask)
         if self.pauses_for:
             self.world.pause(self, self.pauses_for)
             self.pauses_for = 0
 
     def granted(self, grant: Grant) -> None:
-        for to, ask in self.forwarder.granted(self.now(), grant):
+        for to, ask in self.forwarder.on_grant(self.now(), grant):
             self._ask(to, ask)
-        self.world.sum_rights(grant.member)
+        self.world.sum_rights(grant.tenant)
 
     def declined(self, planner: int, member: int) -> None:
-        for to, ask in self.forwarder.declined(self.now(), planner, member):
+        for to, ask in self.forwarder.on_decline(self.now(), planner, member):
             self._ask(to, ask)
 
     def take(self, member: int) -> None:
-        held = self.forwarder.members.get(member)
+        held = self.forwarder.tenants.get(member)
         if held is None:
             before = [(0.0, 0.0)] * len(self.world.plan.caps(member))
         else:
             for holder in held.holders:
-                holder.advance(self.now())
-            before = [(holder.level, holder.slice) for holder in held.holders]
-        taken = self.forwarder.take(self.now(), member, UNIT)
-        after = [(holder.level, holder.slice) for holder in self.forwarder.members[member].holders]
+                holder.refill(self.now())
+            before = [(holder.tokens, holder.static_tokens) for holder in held.holders]
+        taken = self.forwarder.admit(self.now(), member, UNIT)
+        after = [(holder.tokens, holder.static_tokens) for holder in self.forwarder.tenants[member].holders]
         self.world.taken(self.number, member, taken)
         self.world.spent(member, taken, before, after)
         self.world.sum_rights(member)
 
     def right(self, member: int, which: int) -> Limit:
         """What it may use of its lease now, by its own clock."""
-        held = self.forwarder.members.get(member)
-        if held is None or not self.alive or self.now() >= held.holders[which].until:
+        held = self.forwarder.tenants.get(member)
+        if held is None or not self.alive or self.now() >= held.holders[which].expires_at_ns:
             return Limit(0.0, 0.0)
-        return held.holders[which].right
+        return held.holders[which].limit
 
 
 @dataclass(slots=True)
@@ -230,7 +234,7 @@
     @property
     def excess(self) -> float:
         """Units of a ceiling that were spent and never due, at the worst."""
-        return max(account.excess for account in self.accounts if not account.cap.soft)
+        return max(account.excess for account in self.accounts if not account.cap.is_soft)
 
 
 class World:
@@ -247,8 +251,8 @@
         self.counts = [
             Count(
                 tuple(CapAccount(cap, now) for cap in plan.caps(member)),
-                Store(limit.rate, limit.burst, now),
-                Store(limit.rate, limit.burst, now),
+                Store(limit.rate_per_s, limit.burst_units, now),
+                Store(limit.rate_per_s, limit.burst_units, now),
             )
             for member in range(plan.members)
         ]
@@ -288,7 +292,7 @@
         number = self.rng.choices(self.ways[member], self.weights[member])[0]
         target = self.forwarders[number]
         self.clock.after(0, partial(target.run, partial(target.take, member), target.starts))
-        wait = self.rng.expovariate(self.plan.limit.rate * self.plan.asked)
+        wait = self.rng.expovariate(self.plan.limit.rate_per_s * self.plan.asked)
         self.clock.after(int(wait * SECOND), partial(self._request, member))
 
     def taken(self, number: int, member: int, sent: bool) -> None:
@@ -312,7 +316,7 @@
     def _held_to(self, member: int) -> list[tuple[int, CapAccount]]:
         """What is carried on without a planner may be given again: that is measured, as beyond quotas."""
         accounts = enumerate(self.counts[member].accounts)
-        return [(which, each) for which, each in accounts if self.plan.calm or not each.cap.soft]
+        return [(which, each) for which, each in accounts if self.plan.calm or not each.cap.is_soft]
 
     def _never(self, member: int, which: int, wrong: str) -> None:
         if wrong:
@@ -336,12 +340,12 @@
             rights = (forwarder.right(member, which) for forwarder in self.forwarders)
             self._never(member, which, account.rights(rights))
 
-    def granted_by(self, ask: Ask, table: LeaseTable) -> None:
-        if table.learns_until > table.at:
+    def granted_by(self, ask: LeaseRequest, table: LeaseTable) -> None:
+        if table.learns_until_ns > table.refilled_at_ns:
             return  # one that learns hands out nothing of its own
-        for which, account in self._held_to(ask.member):
-            if which == ask.which:
-                self._never(ask.member, which, account.table(table.stock, table.out()))
+        for which, account in self._held_to(ask.tenant):
+            if which == ask.limit_index:
+                self._never(ask.tenant, which, account.table(table.tokens, table.outstanding_limit()))
 
     def one_owner(self, slot: int) -> None:
         owners = [planner.name for planner in self.planners if planner.owns(slot)]
