--- a/benchmarks/scale/control_state.py
+++ b/benchmarks/scale/control_state.py
@@ -16,18 +16,12 @@
 from trackspread.cells.leading import LOOK
 from trackspread.cells.terms import ControlMachine, Locate, Policy, Zone
 from trackspread.distribution.log import Log
-from trackspread.distribution.serving import Serving, digest
+from trackspread.distribution.poll_server import PollServer, subscription_digest
 from trackspread.distribution.subscriber import Subscriber
-from trackspread.distribution.terms import (
-    Delta,
-    Entry,
-    Poll,
-    ReplicaSettings,
-    Send,
-    Subscribe,
-    SubscriberSettings,
-    Version,
-)
+from trackspread.distribution.actions import Send
+from trackspread.distribution.messages import Delta, Poll, Subscribe
+from trackspread.distribution.settings import ReplicaSettings, SubscriberSettings
+from trackspread.distribution.versions import Entry, Version
 from trackspread.membership.terms import Who
 
 from .demand import ASKED, CARRIED
@@ -56,7 +50,7 @@
 
 def logged(routes: int) -> Log:
     """A replica's log in which each of so many routes was set once."""
-    log = Log(ReplicaSettings(0, 1, (REPLICA,)).recent)
+    log = Log(ReplicaSettings(0, 1, (REPLICA,)).max_recent_entries)
     for route in range(routes):
         change(log, entry(route + 1, route))
     return log
@@ -75,10 +69,10 @@
     held = resident() - empty
     changes = [entry(size + number, number % size) for number in range(1, 1 + REPEATED)]
     took_changes = [took(partial(change, log, made)) for made in changes]
-    serving = Serving(log, 10**6)
+    serving = PollServer(log, 10**6)
     carried = tuple(service(number) for number in range(CARRIED))
-    subscription = digest(carried)
-    serving.subscriptions.take(GATEWAY, Subscribe(subscription, 0, 1, carried))
+    subscription = subscription_digest(carried)
+    serving.subscriptions.add_part(GATEWAY, Subscribe(subscription, 0, 1, carried))
     now, numbers = count(START, SECOND), count(1)
     newest, before = log.committed, changes[-2].version
 
@@ -103,7 +97,7 @@
     """A gateway that follows so many routes, told of them by deltas; then one change of one of them."""
     empty = resident()
     subscriber = Subscriber(SubscriberSettings((REPLICA,), None), START, 1)
-    now = count(START + 2 * subscriber.settings.period, 2 * subscriber.settings.period)
+    now = count(START + 2 * subscriber.settings.period_ns, 2 * subscriber.settings.period_ns)
     for first in range(0, size, AT_ONCE):
         some = tuple(entry(at + 1, at) for at in range(first, min(size, first + AT_ONCE)))
         _told(subscriber, next(now), some)
@@ -121,7 +115,7 @@
     if not sent or not isinstance(sent[0], Poll):
         raise RuntimeError(f"{sent}: no poll, no fair work")
     delta = Delta(sent[0].number, entries[-1].version, 0, entries, False)
-    used = took(partial(subscriber.received, now, delta, REPLICA))
+    used = took(partial(subscriber.on_message, now, delta, REPLICA))
     if subscriber.version != delta.version:
         raise RuntimeError(f"{delta.version} is not acted on: no fair work")
     return used
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -19,7 +19,9 @@
 from trackspread.distribution.log import Snapshot
 from trackspread.distribution.replica import Replica
 from trackspread.distribution.subscriber import Subscriber
-from trackspread.distribution.terms import MS, SECOND, Entry, Noticed, Version
+from trackspread.decide.time_units import MILLISECOND, SECOND
+from trackspread.distribution.versions import Entry, Version
+from trackspread.membership.terms import Noticed
 from trackspread.testing.virtual.distribution.world import Process, World
 
 from .fit import Point
@@ -30,7 +32,7 @@
 VALUE = 64  # bytes of a route's value
 REPLICAS = 5
 MOST = 120 * SECOND  # ns of virtual time: nothing here takes as long
-STEP = 20 * MS
+STEP = 20 * MILLISECOND
 DATAGRAMS = 2000  # with entries that a replica may send gateways in a second, the default
 IN_FORCE = 9.0  # s
 
@@ -88,7 +90,7 @@
     """Whether a gateway holds all that it wants."""
     return (
         isinstance(process.core, Subscriber)
-        and process.core.fresh_at is not None
+        and process.core.fresh_at_ns is not None
         and process.core.version.sequence > 1 << 20
     )
 
@@ -120,7 +122,7 @@
     world.kill(process)
     world.bytes.clear()
     world.start(process)
-    seconds = world.until(lambda: isinstance(process.core, Replica) and process.core.whole)
+    seconds = world.until(lambda: isinstance(process.core, Replica) and process.core.is_complete)
     return {"s": seconds, "bytes": world.bytes[process.name]}
 
 
--- a/benchmarks/scale/handing.py
+++ b/benchmarks/scale/handing.py
@@ -16,15 +16,10 @@
 
 from trackspread.distribution.replica import Replica
 from trackspread.distribution.subscriber import Subscriber
-from trackspread.distribution.terms import (
-    Action,
-    Epoch,
-    Message,
-    ReplicaSettings,
-    Send,
-    SubscriberSettings,
-    Noticed,
-)
+from trackspread.distribution.actions import Action, Send
+from trackspread.distribution.messages import Message
+from trackspread.distribution.settings import ReplicaSettings, SubscriberSettings
+from trackspread.membership.terms import Epoch, Noticed
 from trackspread.distribution.wire import Wire
 from trackspread.membership.host import born_now
 from trackspread.membership.wire import Keys
@@ -79,14 +74,14 @@
         self.epoch: Epoch | None = None
 
     def tick(self, now: int) -> None:
-        self.do(self.core.lead(now, self.epoch))
+        self.do(self.core.set_leadership(now, self.epoch))
         self.do(self.core.tick(now))
 
     def came(self, now: int, data: bytes, source: Address) -> None:
         message = self._wire.unpack(data)
         if message is not None:
-            self.do(self.core.lead(now, self.epoch))
-            self.do(self.core.received(now, message.replica, message.born, message.body, source))
+            self.do(self.core.set_leadership(now, self.epoch))
+            self.do(self.core.on_message(now, message.replica, message.incarnation, message.body, source))
 
 
 class GatewaySocket(DistributionSocket):
@@ -106,7 +101,7 @@
     def came(self, now: int, data: bytes, source: Address) -> None:
         message = self._wire.unpack(data)
         if message is not None:
-            self.do(self.core.received(now, message.body, source))
+            self.do(self.core.on_message(now, message.body, source))
 
     def notice(self, noticed: Noticed) -> None:
         if noticed.kind == "acts":
--- a/benchmarks/scale/operator.py
+++ b/benchmarks/scale/operator.py
@@ -8,7 +8,15 @@
 import asyncio
 import time
 
-from trackspread.distribution.terms import Begin, Bodies, Done, Message, NotLeader, Put, Refused
+from trackspread.distribution.messages import (
+    BeginHistory,
+    Committed,
+    Message,
+    MessageBody,
+    NotLeader,
+    Put,
+    Rejected,
+)
 from trackspread.distribution.wire import Wire
 from trackspread.membership.wire import Keys
 
@@ -28,7 +36,7 @@
     def __init__(self, fleet: str, replicas: tuple[Address, ...]) -> None:
         self._wire, self._replicas = Wire(fleet, Keys()), replicas
         self._transport: asyncio.DatagramTransport | None = None
-        self._waiting: dict[int, asyncio.Future[Done]] = {}
+        self._waiting: dict[int, asyncio.Future[Committed]] = {}
         self._number = 0
         self.leader = 0
 
@@ -43,18 +51,18 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         message = self._wire.unpack(data)
         match message.body if message is not None else None:
-            case Done() as done if (waiting := self._waiting.get(done.number)) is not None:
+            case Committed() as done if (waiting := self._waiting.get(done.number)) is not None:
                 if not waiting.done():
                     waiting.set_result(done)
             case NotLeader(leader=leader) if leader >= 0:
                 self.leader = leader
-            case Refused():
+            case Rejected():
                 pass  # sent again after `AGAIN`
 
     async def begin(self) -> None:
         """Begin the first history. Raises `NotDone`."""
         self._number += 1
-        await self._until_done(self._number, Begin(self._number))
+        await self._until_done(self._number, BeginHistory(self._number))
 
     async def put(self, service: str, key: str, value: bytes) -> tuple[int, int]:
         """When it was first sent, in ns of the clock, and its place in the log. Raises `NotDone`."""
@@ -63,7 +71,7 @@
         done = await self._until_done(self._number, Put(self._number, service, key, value))
         return put_at, done.version.sequence
 
-    async def _until_done(self, number: int, body: Bodies) -> Done:
+    async def _until_done(self, number: int, body: MessageBody) -> Committed:
         waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
         end = time.monotonic() + DONE_MOST
         try:
@@ -79,7 +87,7 @@
             del self._waiting[number]
         raise NotDone(f"{type(body).__name__}: not done within {DONE_MOST:g} s")
 
-    def _send(self, body: Bodies) -> None:
+    def _send(self, body: MessageBody) -> None:
         if self._transport is not None:
             data = self._wire.pack(Message(self._wire.fleet, -1, 0, body))
             self._transport.sendto(data, self._replicas[self.leader])
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -15,7 +15,7 @@
 from trackspread.config.addresses import ConfigError
 from trackspread.config.operator import DEFAULTS, parse
 from trackspread.distribution.host import ReplicaHost
-from trackspread.distribution.terms import ReplicaSettings
+from trackspread.distribution.settings import ReplicaSettings
 from trackspread.distribution.wire import Wire
 from trackspread.membership.wire import Keys
 from trackspread.node.configured import Configured
--- a/tests/test_configuration_process.py
+++ b/tests/test_configuration_process.py
@@ -14,7 +14,8 @@
 import uvloop
 
 from trackspread.distribution.host import SubscriberHost
-from trackspread.distribution.terms import SubscriberSettings, Version
+from trackspread.distribution.settings import SubscriberSettings
+from trackspread.distribution.versions import Version
 from trackspread.distribution.wire import Wire
 from trackspread.testing.harness.process import BOUNDED
 from trackspread.membership.wire import Keys
--- a/tests/test_handing_down.py
+++ b/tests/test_handing_down.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from trackspread.distribution.terms import MS, SECOND
+from trackspread.decide.time_units import MILLISECOND, SECOND
 from trackspread.testing.virtual.distribution.mutants import MUTANTS, convict
 from trackspread.testing.virtual.distribution.schedules import LONG, SHORT, changes, leader_dies
 from trackspread.testing.virtual.distribution.world import World
@@ -44,7 +44,7 @@
         world.begin()
         world.bytes.clear()
         if changing:
-            changes(world, 30 * SECOND, 250 * MS)
+            changes(world, 30 * SECOND, 250 * MILLISECOND)
         world.run(30 * SECOND)
         means.append(sum(world.bytes[each.name] for each in world.gateways) / gateways / 30)
     assert means[1] < 1.1 * means[0] and means[1] < 600, means
@@ -56,7 +56,7 @@
         world = World(2, replicas=5, gateways=gateways)
         world.begin()
         world.sent.clear()
-        changes(world, 20 * SECOND, 500 * MS)
+        changes(world, 20 * SECOND, 500 * MILLISECOND)
         world.run(20 * SECOND)
         sent.append(sum(world.sent.values()))
     assert sent[2] - sent[1] < 2.2 * (sent[1] - sent[0]), sent
--- a/tests/test_handing_down_process.py
+++ b/tests/test_handing_down_process.py
@@ -11,8 +11,8 @@
 import pytest
 import uvloop
 
-from trackspread.distribution.client import Unanswered
-from trackspread.distribution.terms import Version
+from trackspread.distribution.client import LeaderUnavailable
+from trackspread.distribution.versions import Version
 from trackspread.testing.harness.configured import Configured
 from trackspread.testing.virtual.distribution.judged import Broken
 
@@ -231,6 +231,6 @@
         folder.mkdir()
         try:
             play(work, folder, mutant=name, recent=recent)
-        except (Broken, AssertionError, Unanswered):
+        except (Broken, AssertionError, LeaderUnavailable):
             return
     raise AssertionError(f"{name} is not told by {TRIES} runs of {work.__name__}")
--- a/trackspread/commands/configuration.py
+++ b/trackspread/commands/configuration.py
@@ -13,9 +13,11 @@
 
 from ..config import operator
 from ..config.addresses import ConfigError
-from ..distribution.client import Client, TooMany, Unanswered
-from ..distribution.report import Report
-from ..distribution.terms import NAME_MOST, VALUE_MOST, Epoch, Shown, Version
+from ..distribution.client import KeyLimitReached, LeaderUnavailable, ReplicaClient
+from ..distribution.report import SubscriptionReport
+from ..distribution.messages import Inspected
+from ..distribution.versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
+from ..membership.terms import Epoch
 from ..distribution.wire import Wire
 from ..node.membered import keys
 from .fleet import ask
@@ -28,24 +30,24 @@
     replicas = made.configuration.addresses()
     if not replicas:
         raise ConfigError(f"{path}: configuration.replicas: found nothing, wanted the replicas' addresses")
-    client = Client(Wire(made.fleet.name, keys(made.fleet)), replicas)
+    client = ReplicaClient(Wire(made.fleet.name, keys(made.fleet)), replicas)
     try:
         return _act(given, client, made.configuration.replicas)
-    except TooMany as error:
+    except KeyLimitReached as error:
         raise ConfigError(f"KEY: {error}") from None
-    except Unanswered as error:
+    except LeaderUnavailable as error:
         raise ConfigError(
             f"{path}: configuration.replicas: {error}; wanted a majority of them up, with the "
             "fleet's key, and a history begun"
         ) from None
 
 
-def _act(given: argparse.Namespace, client: Client, replicas: Sequence[str]) -> int:
+def _act(given: argparse.Namespace, client: ReplicaClient, replicas: Sequence[str]) -> int:
     match given.configuration:
         case "put":
             value = given.value.encode()
-            if len(value) > VALUE_MOST:
-                raise ConfigError(f"VALUE: found {len(value)} bytes, wanted {VALUE_MOST} at most")
+            if len(value) > MAX_VALUE_BYTES:
+                raise ConfigError(f"VALUE: found {len(value)} bytes, wanted {MAX_VALUE_BYTES} at most")
             print(f"version {plain(client.put(*_names(given.service, given.key), value))}")
         case "delete":
             print(f"version {plain(client.put(*_names(given.service, given.key), None))}")
@@ -60,8 +62,8 @@
 
 def _names(service: str, key: str) -> tuple[str, str]:
     for what, name in (("SERVICE", service), ("KEY", key)):
-        if not 0 < len(name) <= NAME_MOST or "\0" in name:
-            raise ConfigError(f"{what}: found {len(name)} characters, wanted 1 to {NAME_MOST}")
+        if not 0 < len(name) <= MAX_NAME_CHARACTERS or "\0" in name:
+            raise ConfigError(f"{what}: found {len(name)} characters, wanted 1 to {MAX_NAME_CHARACTERS}")
     return service, key
 
 
@@ -74,7 +76,7 @@
     return f"{history}.{epoch[0]}.{epoch[1]}.{sequence}"
 
 
-def held(client: Client, replicas: Sequence[str], named: str) -> int:
+def held(client: ReplicaClient, replicas: Sequence[str], named: str) -> int:
     """What each replica holds; exit status 0 where those that answer have committed the same."""
     service, _, key = named.partition("/")
     if named:
@@ -96,7 +98,7 @@
     return 0 if same and leading == 1 and None not in answers else 1
 
 
-def _line(shown: Shown) -> str:
+def _line(shown: Inspected) -> str:
     return f"{shown.role:<12} version {plain(shown.committed)}, {shown.keys} keys, last {plain(shown.last)}"
 
 
@@ -106,7 +108,7 @@
     for door in doors:
         answer = ask(door, "/configuration", "configuration.listen")
         try:
-            reports.append(msgspec.json.decode(answer, type=Report))
+            reports.append(msgspec.json.decode(answer, type=SubscriptionReport))
         except msgspec.DecodeError as error:
             raise ConfigError(f"{door}: not a gateway's answer: {error}") from None
     for each in reports:
--- a/trackspread/distribution/__init__.py
+++ b/trackspread/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration handed down: replicas that number and keep changes, gateways that pull what they need."""
+"""Configuration distributed from control replicas to gateways: a replicated log, and subscriptions to it."""
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -1,7 +1,7 @@
-"""The cores on sockets: datagrams at one address, timers, the log and the records.
+"""Replicas and subscribers on sockets: datagrams at one address, timers, the log and the records.
 
-Decides nothing. All that comes is bounded by the wire. A fault in the core's handling of one word must cost
-that word alone. Hundreds of gateways may share a process: each is a socket and one timer.
+Decides nothing. All that comes is bounded by the wire. A fault in the handling of one message must cost that
+message alone. Hundreds of gateways may share a process: each is a socket and one timer.
 """
 
 from __future__ import annotations
@@ -18,26 +18,18 @@
 from .log import fingerprint
 from .replica import Replica
 from .subscriber import Subscriber
-from .terms import (
-    SECOND,
-    TICK,
-    Action,
-    Address,
-    Bodies,
-    Epoch,
-    Message,
-    Noticed,
-    ReplicaSettings,
-    Send,
-    SubscriberSettings,
-)
+from ..decide.time_units import SECOND
+from .actions import Action, Send
+from .messages import Message, MessageBody
+from .settings import TICK_NS, ReplicaSettings, SubscriberSettings
+from ..membership.terms import Address, Epoch, Noticed
 from .wire import Wire
 
 log = logging.getLogger(__name__)
 log.addFilter(Sparing())
 
-NOTED = {"leads", "outdone", "whole", "forgot", "installed"}  # of a replica, for the log
-RECEIVE = 1 << 20  # bytes of the socket's buffer that are asked for: a snapshot's pieces come in bursts
+LOGGED_KINDS = {"leads", "outdone", "whole", "forgot", "installed"}  # events of a replica that are logged
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket: a snapshot's pieces come in bursts
 
 
 class _Datagrams(asyncio.DatagramProtocol):
@@ -45,14 +37,14 @@
         self._host = host
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._host.came(data, (addr[0], addr[1]))
+        self._host.on_datagram(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
         """A dead replica's port answers with an ICMP error; datagrams may be lost anyway."""
 
 
 class Endpoint:
-    """A socket for a core; `counts`: datagrams and bytes, sent and received."""
+    """A socket and a timer for a core; `counts`: datagrams and bytes, sent and received."""
 
     def __init__(
         self,
@@ -66,27 +58,31 @@
     ) -> None:
         """`replica`: the core's number, -1 for a gateway. Raises `OSError` where the record can't be
         written."""
-        self.name, self.wire, self.now = name, wire, now
+        self.name = name
+        self.wire = wire
+        self.now = now
         self.counts: Counter[str] = Counter()
-        self._replica, self._born, self._listen = replica, born, listen
+        self._replica = replica
+        self._incarnation = born
+        self._listen = listen
         self._recorder = Recorder(record, name, born) if record is not None else None
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def address(self) -> Address:
-        """Where it listens, once it has been opened."""
+        """Where it listens: as bound, once it has been started."""
         if self._transport is None:
             return self._listen
         host, port = self._transport.get_extra_info("sockname")[:2]
         return str(host), int(port)
 
     async def start(self) -> None:
-        """Raises `OSError` where the address can't be had."""
+        """Listen and begin to tick. Raises `OSError` where the address can't be bound."""
         made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             made.setblocking(False)
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             made.bind(self._listen)
         except OSError:
             made.close()
@@ -96,6 +92,7 @@
         self.tick()
 
     def close(self) -> None:
+        """End the socket, the timer and the record."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -105,39 +102,42 @@
             self._recorder.close()
             self._recorder = None
 
-    def came(self, data: bytes, source: Address) -> None:
+    def on_datagram(self, data: bytes, source: Address) -> None:
+        """A datagram was received."""
         self.counts["received"] += 1
         self.counts["bytes received"] += len(data)
         message = self.wire.unpack(data)
         if message is not None and self._transport is not None:
-            self.guarded(lambda: self.heard(message, source))
+            self.carry_out(lambda: self.on_message(message, source))
 
-    def guarded(self, call: Callable[[], Iterable[Action]]) -> None:
-        """What the core wants done."""
+    def carry_out(self, call: Callable[[], Iterable[Action]]) -> None:
+        """Carry out what a call to the core wants done; a fault is logged."""
         try:
             for action in call():
                 match action:
                     case Send(to, body):
                         self.send(to, body)
                     case Noticed():
-                        self.notice(action)
+                        self.on_notice(action)
         except Exception:
-            log.exception("fault in handing configuration down")
+            log.exception("configuration: fault in %s", self.name)
 
-    def send(self, to: Address, body: Bodies) -> None:
+    def send(self, to: Address, body: MessageBody) -> None:
+        """Send one datagram, where the socket is open."""
         if self._transport is None:
             return
-        data = self.wire.pack(Message(self.wire.fleet, self._replica, self._born, body))
+        data = self.wire.pack(Message(self.wire.fleet, self._replica, self._incarnation, body))
         self.counts["sent"] += 1
         self.counts["bytes sent"] += len(data)
         self._transport.sendto(data, to)
 
     def record(self, kind: str, about: dict[str, object]) -> None:
+        """Write a line to the record, if one is kept."""
         if self._recorder is not None:
             self._recorder.write(kind, about)
 
-    def call_at(self, due: int) -> None:
-        """`tick` is called then, ns of the core's clock, and not at any moment that was named before."""
+    def schedule_tick(self, due: int) -> None:
+        """Call `tick` at `due`, ns of the core's clock, in place of any time that was scheduled before."""
         if self._timer is not None:
             self._timer.cancel()
         loop = asyncio.get_running_loop()
@@ -146,15 +146,15 @@
     def tick(self) -> None:
         raise NotImplementedError
 
-    def heard(self, message: Message, source: Address) -> Iterable[Action]:
+    def on_message(self, message: Message, source: Address) -> Iterable[Action]:
         raise NotImplementedError
 
-    def notice(self, noticed: Noticed) -> None:
+    def on_notice(self, noticed: Noticed) -> None:
         raise NotImplementedError
 
 
 class ReplicaHost(Endpoint):
-    """One replica that runs."""
+    """A replica on a socket."""
 
     def __init__(
         self,
@@ -167,35 +167,36 @@
         outdone: Callable[[Epoch], None] = lambda epoch: None,
         record: Path | None = None,
     ) -> None:
-        """`leads`: the lease election's word at this instant, asked before each thing that is done;
-        `outdone`: a newer epoch is known than the one that the election named."""
+        """`leads`: the epoch that this replica is elected for at this instant, queried before each call to
+        the core; `outdone`: called with a newer epoch than the elected one, once that is known."""
         name, number = f"replica {settings.number}", settings.number
-        super().__init__(name, number, settings.born, listen, wire, now, record)
+        super().__init__(name, number, settings.incarnation, listen, wire, now, record)
         self.core = Replica(settings, now(), seed)
-        self._leads, self._outdone = leads, outdone
+        self._current_epoch = leads
+        self._on_outdone = outdone
 
     def tick(self) -> None:
         now = self.now()
-        self.guarded(lambda: self.core.lead(now, self._leads()))
-        self.guarded(lambda: self.core.tick(self.now()))
-        self.call_at(now + TICK)
+        self.carry_out(lambda: self.core.set_leadership(now, self._current_epoch()))
+        self.carry_out(lambda: self.core.tick(self.now()))
+        self.schedule_tick(now + TICK_NS)
 
-    def heard(self, message: Message, source: Address) -> Iterable[Action]:
+    def on_message(self, message: Message, source: Address) -> Iterable[Action]:
         now = self.now()
-        made = self.core.lead(now, self._leads())
-        return made + self.core.received(now, message.replica, message.born, message.body, source)
+        made = self.core.set_leadership(now, self._current_epoch())
+        return made + self.core.on_message(now, message.replica, message.incarnation, message.body, source)
 
-    def notice(self, noticed: Noticed) -> None:
+    def on_notice(self, noticed: Noticed) -> None:
         self.record(noticed.kind, noticed.about)
-        if noticed.kind in NOTED:
+        if noticed.kind in LOGGED_KINDS:
             about = ", ".join(f"{key} {value}" for key, value in noticed.about.items())
             log.info("configuration: %s: %s %s", self.name, noticed.kind, about)
         if noticed.kind == "outdone":
-            self._outdone(noticed.about["by"])  # type: ignore[arg-type]
+            self._on_outdone(noticed.about["by"])  # type: ignore[arg-type]
 
 
 class SubscriberHost(Endpoint):
-    """One gateway's subscription that runs."""
+    """A gateway's subscription on a socket."""
 
     def __init__(
         self,
@@ -209,31 +210,32 @@
         changed: Callable[[], None] = lambda: None,
         record: Path | None = None,
     ) -> None:
-        """`changed` is called after other values are in force."""
+        """`changed`: called after other values have come into force."""
         super().__init__(name, -1, born, listen, wire, now, record)
         self.core = Subscriber(settings, now(), seed)
-        self._changed, self._due = changed, -1
+        self._on_change = changed
+        self._scheduled_ns = -1
 
-    def subscribe(self, services: frozenset[str]) -> None:
-        """Other services from now on."""
-        self.core.subscribe(self.now(), services)
-        self._again()
+    def change_services(self, services: frozenset[str]) -> None:
+        """Subscribe to other services from now on."""
+        self.core.change_services(self.now(), services)
+        self._reschedule()
 
     def tick(self) -> None:
-        self.guarded(lambda: self.core.tick(self.now()))
-        self._again(True)
+        self.carry_out(lambda: self.core.tick(self.now()))
+        self._reschedule(True)
 
-    def _again(self, ticked: bool = False) -> None:
-        if ticked or self.core.due != self._due:
-            self._due = self.core.due
-            self.call_at(self._due)
+    def _reschedule(self, ticked: bool = False) -> None:
+        if ticked or self.core.due_ns != self._scheduled_ns:
+            self._scheduled_ns = self.core.due_ns
+            self.schedule_tick(self._scheduled_ns)
 
-    def heard(self, message: Message, source: Address) -> Iterable[Action]:
-        made = self.core.received(self.now(), message.body, source)
-        self._again()
+    def on_message(self, message: Message, source: Address) -> Iterable[Action]:
+        made = self.core.on_message(self.now(), message.body, source)
+        self._reschedule()
         return made
 
-    def notice(self, noticed: Noticed) -> None:
+    def on_notice(self, noticed: Noticed) -> None:
         if self._recorder is not None:
             self.record(noticed.kind, noticed.about | {"values": fingerprint(self.core.snapshot)})
-        self._changed()
+        self._on_change()
--- a/trackspread/distribution/replica.py
+++ b/trackspread/distribution/replica.py
@@ -1,344 +1,369 @@
-"""One replica: follows the newest epoch that it has promised, leads when it is told to, and serves gateways.
+"""One replica: follows the newest epoch that it has promised, leads when it is elected, and answers gateways.
 
-The rules of this file:
-- Who leads is said from outside, by the lease election of the control tier (`leads`: the epoch, or none).
+Rules:
+- Who leads is decided outside, by the lease election of the control tier (`set_leadership`).
 - A replica accepts entries of the newest epoch that it has promised alone, and behind what its leader has
   before them.
-- There is no lasting disk. A replica that starts is not *whole*: it counts for no majority until it has heard
-  the promises of a majority of whole others, has the state of a leader that is no older than any of them, and
-  its log has reached all that this leader had when it was asked.
-- Where fewer than a majority is whole, nothing is committed and nobody becomes whole any more: what the whole
-  ones hold is still served, and an operator begins a new history with the best that is left.
+- There is no lasting disk. A replica that starts is not complete: it counts for no majority until it has the
+  promises of a majority of complete others, has the state of a leader that is no older than any of them, and
+  its log has reached all that this leader had when it was queried.
+- Where fewer than a majority is complete, nothing is committed and none becomes complete any more: what the
+  complete ones hold is still served, and an operator begins a new history with the best that is left.
 
-May know: its own clock, words in any order, any number of times. May not know: how words travel.
+Knows its own clock, and messages in any order, any number of times. No I/O.
 """
 
 from __future__ import annotations
 
-from .leading import AHEAD, Leading
-from .log import Log, fitting
-from .serving import Serving
+from .leader import PIPELINED_DATAGRAMS, Leader
+from .log import Log
+from .log import entries_that_fit
+from .poll_server import PollServer
 from .subscriber import Subscriber
-from .terms import (
-    MS,
-    NAME_MOST,
-    SECOND,
-    VALUE_MOST,
+from ..decide.time_units import MILLISECOND, SECOND
+from .actions import Action, Send
+from .messages import (
     Accepted,
-    Action,
-    Address,
     Append,
-    Begin,
-    Behind,
-    Bodies,
-    Done,
-    Epoch,
-    Noticed,
+    BeginHistory,
+    Committed,
+    Inspect,
+    Inspected,
+    LogCompacted,
+    MessageBody,
     NotLeader,
     Poll,
     Prepare,
     Promise,
     Put,
+    ReadTail,
     Recover,
-    Refused,
-    ReplicaSettings,
-    Send,
-    Show,
-    Shown,
-    Stale,
-    Standing,
+    Rejected,
+    ReplicaState,
+    StaleEpoch,
     Subscribe,
-    SubscriberSettings,
-    Tail,
     TailEntries,
-    Version,
 )
+from .settings import ReplicaSettings, SubscriberSettings
+from .versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
+from ..membership.terms import Address, Epoch, Noticed
 
-RECOVER = 300 * MS  # ns between questions of one that is not whole
-EARLY_MOST = 2 * AHEAD  # words of the leader that came too early and are kept
-LONG = 3600 * SECOND  # ns: nothing was ever heard
-FIRST: Epoch = (0, -1)
+RECOVERY_RETRY_NS = 300 * MILLISECOND  # between queries of a replica that is not complete
+MAX_EARLY_APPENDS = 2 * PIPELINED_DATAGRAMS  # from the leader that came too early and are cached
+NEVER_NS = 3600 * SECOND  # ago: nothing was ever received
+FIRST_EPOCH: Epoch = (0, -1)
 
 
 class Replica:
-    """`whole`: it has forgotten nothing that it ever accepted or promised, or has caught up since."""
+    """`is_complete`: it has lost nothing that it ever accepted or promised, or has caught up since."""
 
     def __init__(self, settings: ReplicaSettings, now: int, seed: int) -> None:
-        self.settings, self._seed = settings, seed
-        self.log = Log(settings.recent)
-        self.serving = Serving(self.log, settings.pieces)
-        self.promised: Epoch = FIRST
-        self.whole = False
-        self.leading: Leading | None = None
-        self.leader = -1  # the replica that leads, as far as is known
-        self._last_led = FIRST  # the epoch of the election's last word that this one leads
-        self._heard_at = now - LONG  # when all that the leader had committed then was here
-        self._begun: Epoch | None = None  # in which this process promised to begin a new history
-        self._early: dict[Version, Append] = {}  # by what they follow
-        self._standing: dict[int, Epoch] = {}  # what whole others have promised, by replica
-        self._goal: tuple[Epoch, Version] | None = None  # what it needs to become whole
-        self._pull: Subscriber | None = None  # takes a snapshot from another replica
-        self._asked_at = now - RECOVER
+        self.settings = settings
+        self._seed = seed
+        self.log = Log(settings.max_recent_entries)
+        self.serving = PollServer(self.log, settings.pieces_per_s)
+        self.promised: Epoch = FIRST_EPOCH
+        self.is_complete = False
+        self.leadership: Leader | None = None
+        self.leader_number = -1  # the replica that leads, as far as is known
+        self._last_led_epoch = FIRST_EPOCH  # the epoch under which this one was elected last
+        self._in_touch_at_ns = now - NEVER_NS  # when it last had all that the leader had committed then
+        self._begun_epoch: Epoch | None = None  # in which this process has promised to begin a new history
+        self._early_appends: dict[Version, Append] = {}  # by what they follow
+        self._promised_by_others: dict[int, Epoch] = {}  # by replica, what complete others have promised
+        # The epoch and version that make it complete.
+        self._catch_up_goal: tuple[Epoch, Version] | None = None
+        self._snapshot_pull: Subscriber | None = None  # takes a snapshot from another replica
+        self._recovery_requested_ns = now - RECOVERY_RETRY_NS
 
     @property
     def role(self) -> str:
-        if self.leading is not None:
-            return "leader" if self.leading.established else "establishing"
-        return "follower" if self.whole else "recovering"
-
-    def lead(self, now: int, epoch: Epoch | None) -> list[Action]:
-        """The election's word, to be handed in whenever it may have changed."""
-        if epoch is None or (epoch < self.promised and epoch == self._last_led):
-            self.leading = None
+        """`leader`, `establishing`, `follower` or `recovering`."""
+        if self.leadership is not None:
+            return "leader" if self.leadership.is_established else "establishing"
+        return "follower" if self.is_complete else "recovering"
+
+    def set_leadership(self, now: int, epoch: Epoch | None) -> list[Action]:
+        """Take the election's result: the epoch that this replica leads, or None. To be called whenever it
+        may have changed."""
+        if epoch is None or (epoch < self.promised and epoch == self._last_led_epoch):
+            self.leadership = None
             return []
-        if epoch == self._last_led:
+        if epoch == self._last_led_epoch:
             return []
-        self._last_led = epoch
+        self._last_led_epoch = epoch
         if epoch < self.promised:
-            self.leading = None
+            self.leadership = None
             return [Noticed("outdone", {"by": self.promised})]
-        self.promised, self.leader = epoch, self.settings.number
-        self.leading = Leading(self.settings, self.log, epoch, now, self.whole)
-        return self.leading.tick(now)
+        self.promised = epoch
+        self.leader_number = self.settings.number
+        self.leadership = Leader(self.settings, self.log, epoch, now, self.is_complete)
+        return self.leadership.tick(now)
 
     def tick(self, now: int) -> list[Action]:
+        """What is due at `now`, ns."""
         made: list[Action] = []
-        if self.leading is not None:
-            made += self._led(now, self.leading.tick(now))
-            if self.leading.wants_snapshot and (source := self.leading.adopting) is not None:
-                made += self._begin_pull(now, self.settings.replicas[source])
-        elif not self.whole and now - self._asked_at >= RECOVER:
-            self._asked_at = now
-            made += [Send(at, Recover()) for at in self._others()]
-        if self._pull is not None:
-            made += self._pulled(now, self._pull.tick(now))
+        if self.leadership is not None:
+            made += self._after_leadership(now, self.leadership.tick(now))
+            if self.leadership.needs_snapshot and (source := self.leadership.adopted_replica) is not None:
+                made += self._start_pull(now, self.settings.replicas[source])
+        elif not self.is_complete and now - self._recovery_requested_ns >= RECOVERY_RETRY_NS:
+            self._recovery_requested_ns = now
+            made += [Send(at, Recover()) for at in self._other_replicas()]
+        if self._snapshot_pull is not None:
+            made += self._after_pull(now, self._snapshot_pull.tick(now))
         return made
 
-    def _others(self) -> list[Address]:
+    def _other_replicas(self) -> list[Address]:
         return [at for n, at in enumerate(self.settings.replicas) if n != self.settings.number]
 
-    def _led(self, now: int, made: list[Action]) -> list[Action]:
-        """What the leader's part wants done; an established one is whole, and hears itself."""
-        if self.leading is not None and self.leading.established:
-            if not self.whole:
-                self._become_whole()
-            self._pull, self._heard_at = None, self.leading.in_touch_at(now)
+    def _after_leadership(self, now: int, made: list[Action]) -> list[Action]:
+        """What the leader wants done; an established one is complete, and in touch with itself."""
+        if self.leadership is not None and self.leadership.is_established:
+            if not self.is_complete:
+                self._become_complete()
+            self._snapshot_pull, self._in_touch_at_ns = None, self.leadership.in_touch_at_ns(now)
         return made
 
-    def _become_whole(self) -> None:
-        self.whole, self._goal, self._pull = True, None, None
-        self._standing.clear()
+    def _become_complete(self) -> None:
+        self.is_complete = True
+        self._catch_up_goal = None
+        self._snapshot_pull = None
+        self._promised_by_others.clear()
 
-    def received(self, now: int, replica: int, born: int, body: Bodies, source: Address) -> list[Action]:
+    def on_message(
+        self, now: int, replica: int, born: int, body: MessageBody, source: Address
+    ) -> list[Action]:
         """`replica`: the sender's number, -1 for a gateway or a command; `born`: which process of it."""
         match body:
             case Poll():
-                return [Send(source, each) for each in self._answer(now, body, replica >= 0)]
+                return [Send(source, each) for each in self._answer_poll(now, body, replica >= 0)]
             case Subscribe():
-                self.serving.subscriptions.take(source, body)
+                self.serving.subscriptions.add_part(source, body)
                 return []
-            case Put() | Begin() | Show():
-                return self._operator(now, body, source)
-        if self._pull is not None:
-            made = self._pulled(now, self._pull.received(now, body, source))
+            case Put() | BeginHistory() | Inspect():
+                return self._on_command(now, body, source)
+        if self._snapshot_pull is not None:
+            made = self._after_pull(now, self._snapshot_pull.on_message(now, body, source))
             if made:
                 return made
         if not 0 <= replica < len(self.settings.replicas) or replica == self.settings.number:
             return []
         return self._from_replica(now, replica, born, body, source)
 
-    def _answer(self, now: int, poll: Poll, replica: bool) -> list[Bodies]:
-        if not self.whole:
-            return [Refused(poll.number, 0)]
-        return self.serving.answer(now, poll, self._heard_at, bounded=not replica)
+    def _answer_poll(self, now: int, poll: Poll, replica: bool) -> list[MessageBody]:
+        if not self.is_complete:
+            return [Rejected(poll.number, 0)]
+        return self.serving.answer(now, poll, self._in_touch_at_ns, bounded=not replica)
 
     def _from_replica(
         self,
         now: int,
         replica: int,
         born: int,
-        body: Bodies,
+        body: MessageBody,
         source: Address,
     ) -> list[Action]:
         match body:
             case Prepare():
-                return self._prepare(body, source)
+                return self._on_prepare(body, source)
             case Append():
-                return self._append(now, replica, body, source)
-            case Behind():
-                return self._behind(now, replica, body, source)
-            case Tail():
-                return self._tail(body, source)
+                return self._on_append(now, replica, body, source)
+            case LogCompacted():
+                return self._on_log_compacted(now, replica, body, source)
+            case ReadTail():
+                return self._on_read_tail(body, source)
             case Recover():
-                return [Send(source, self._my_standing(born))] if self.whole else []
-            case Standing():
-                return self._stands(now, replica, body)
-            case Stale(promised) if promised > self.promised:
-                self.promised, self.leader, self.leading = promised, -1, None
+                return [Send(source, self._own_state(born))] if self.is_complete else []
+            case ReplicaState():
+                return self._on_replica_state(now, replica, body)
+            case StaleEpoch(promised) if promised > self.promised:
+                self.promised = promised
+                self.leader_number = -1
+                self.leadership = None
                 return [Noticed("outdone", {"by": promised})]
-        if self.leading is None:
+        if self.leadership is None:
             return []
         match body:
-            case Promise() if body.epoch == self.leading.epoch:
-                return self._led(now, self.leading.promised(now, replica, born, body))
-            case TailEntries() if body.epoch == self.leading.epoch:
-                return self._led(now, self.leading.tail(now, replica, body))
-            case Accepted() if body.epoch == self.leading.epoch and self.leading.established:
-                return self.leading.accepted(now, replica, born, body)
+            case Promise() if body.epoch == self.leadership.epoch:
+                return self._after_leadership(now, self.leadership.on_promise(now, replica, born, body))
+            case TailEntries() if body.epoch == self.leadership.epoch:
+                return self._after_leadership(now, self.leadership.on_tail_entries(now, replica, body))
+            case Accepted() if body.epoch == self.leadership.epoch and self.leadership.is_established:
+                return self.leadership.on_accepted(now, replica, born, body)
         return []
 
     # Following.
 
-    def _prepare(self, told: Prepare, source: Address) -> list[Action]:
-        if told.epoch < self.promised:
-            return [Send(source, Stale(self.promised))]
-        if told.epoch > self.promised:
-            self.promised, self.leader, self.leading = told.epoch, -1, None
-        if told.begin and not self.whole:
-            self._begun = told.epoch
-        return [Send(source, Promise(told.epoch, told.round, self.whole, self.log.committed, self.log.last))]
-
-    def _follows(self, replica: int, epoch: Epoch) -> bool:
-        """Whether this replica is a leader to be followed; from now on it is."""
+    def _on_prepare(self, message: Prepare, source: Address) -> list[Action]:
+        if message.epoch < self.promised:
+            return [Send(source, StaleEpoch(self.promised))]
+        if message.epoch > self.promised:
+            self.promised = message.epoch
+            self.leader_number = -1
+            self.leadership = None
+        if message.begins_history and not self.is_complete:
+            self._begun_epoch = message.epoch
+        return [
+            Send(
+                source,
+                Promise(message.epoch, message.round, self.is_complete, self.log.committed, self.log.last),
+            )
+        ]
+
+    def _follow(self, replica: int, epoch: Epoch) -> bool:
+        """Whether another replica is the leader to be followed; if so, it is from now on."""
         if epoch < self.promised:
             return False
         if epoch > self.promised:
-            self.promised, self.leading = epoch, None
-        if self.leading is not None:
+            self.promised = epoch
+            self.leadership = None
+        if self.leadership is not None:
             return False
-        self.leader = replica
+        self.leader_number = replica
         return True
 
-    def _append(self, now: int, replica: int, told: Append, source: Address) -> list[Action]:
-        if not self._follows(replica, told.epoch):
-            return [Send(source, Stale(self.promised))] if told.epoch < self.promised else []
-        if self.whole and told.last.history != self.log.last.history:
-            return self._forget(now)
-        if not self.whole and (self._goal is None or self._goal[0] != told.epoch):
+    def _on_append(self, now: int, replica: int, message: Append, source: Address) -> list[Action]:
+        if not self._follow(replica, message.epoch):
+            return [Send(source, StaleEpoch(self.promised))] if message.epoch < self.promised else []
+        if self.is_complete and message.last.history != self.log.last.history:
+            return self._forget_history(now)
+        if not self.is_complete and (self._catch_up_goal is None or self._catch_up_goal[0] != message.epoch):
             return []
-        if not self.log.accept(told.previous, told.entries):
-            self._keep_early(told)
-            return [Send(source, Accepted(told.epoch, False, self.whole, self.log.committed))]
-        upto = told.entries[-1].version if told.entries else told.previous
-        while (early := self._early.pop(upto, None)) is not None and early.epoch == told.epoch:
+        if not self.log.accept(message.previous, message.entries):
+            self._keep_early(message)
+            return [Send(source, Accepted(message.epoch, False, self.is_complete, self.log.committed))]
+        upto = message.entries[-1].version if message.entries else message.previous
+        while (early := self._early_appends.pop(upto, None)) is not None and early.epoch == message.epoch:
             self.log.accept(upto, early.entries)
             upto = early.entries[-1].version
         made: list[Action] = []
-        done = self.log.commit(min(upto, told.committed))
-        if self.log.committed >= told.committed:
-            self._heard_at = max(self._heard_at, now - told.age * MS)
+        done = self.log.commit(min(upto, message.committed))
+        if self.log.committed >= message.committed:
+            self._in_touch_at_ns = max(self._in_touch_at_ns, now - message.age_ms * MILLISECOND)
         if done:
             made.append(Noticed("committed", {"entries": tuple(done)}))
-        if self.whole:
-            self._pull = None  # nothing is missing here
-        if self._goal is not None and not self.whole and upto >= self._goal[1]:
-            self._become_whole()
+        if self.is_complete:
+            self._snapshot_pull = None  # nothing is missing here
+        if self._catch_up_goal is not None and not self.is_complete and upto >= self._catch_up_goal[1]:
+            self._become_complete()
             made.append(Noticed("whole", {"version": upto}))
-        return [*made, Send(source, Accepted(told.epoch, True, self.whole, upto))]
-
-    def _keep_early(self, told: Append) -> None:
-        """Entries that came before those that they follow."""
-        if any(each.epoch != told.epoch for each in self._early.values()):
-            self._early.clear()
-        if told.entries and len(self._early) < EARLY_MOST:
-            self._early[told.previous] = told
-
-    def _behind(self, now: int, replica: int, told: Behind, source: Address) -> list[Action]:
-        if self.leading is not None and self.leading.adopts(replica, told.epoch):
-            return self._begin_pull(now, source)
-        if not self._follows(replica, told.epoch):
+        return [*made, Send(source, Accepted(message.epoch, True, self.is_complete, upto))]
+
+    def _keep_early(self, message: Append) -> None:
+        """Cache entries that came before those that they follow."""
+        if any(each.epoch != message.epoch for each in self._early_appends.values()):
+            self._early_appends.clear()
+        if message.entries and len(self._early_appends) < MAX_EARLY_APPENDS:
+            self._early_appends[message.previous] = message
+
+    def _on_log_compacted(
+        self, now: int, replica: int, message: LogCompacted, source: Address
+    ) -> list[Action]:
+        if self.leadership is not None and self.leadership.is_adopting(replica, message.epoch):
+            return self._start_pull(now, source)
+        if not self._follow(replica, message.epoch):
             return []
-        if self.log.committed > told.version:
-            return [Send(source, Accepted(told.epoch, False, self.whole, self.log.committed))]
-        return self._begin_pull(now, source)
-
-    def _forget(self, now: int) -> list[Action]:
-        """Another history has begun: what was held of the former one holds no longer."""
-        self.whole, self._asked_at = False, now - RECOVER
-        self.log = Log(self.settings.recent)
-        self.serving.replace(self.log)
-        self._standing.clear()
-        self._goal, self._begun = None, self.promised
+        if self.log.committed > message.version:
+            return [Send(source, Accepted(message.epoch, False, self.is_complete, self.log.committed))]
+        return self._start_pull(now, source)
+
+    def _forget_history(self, now: int) -> list[Action]:
+        """Another history has begun: this replica starts anew."""
+        self.is_complete = False
+        self._recovery_requested_ns = now - RECOVERY_RETRY_NS
+        self.log = Log(self.settings.max_recent_entries)
+        self.serving.replace_log(self.log)
+        self._promised_by_others.clear()
+        self._catch_up_goal = None
+        self._begun_epoch = self.promised
         return [Noticed("forgot", {})]
 
-    def _tail(self, told: Tail, source: Address) -> list[Action]:
-        """For a new leader, whose log is shorter."""
-        if told.epoch != self.promised or not self.whole:
+    def _on_read_tail(self, message: ReadTail, source: Address) -> list[Action]:
+        """Answer a new leader, whose log is shorter."""
+        if message.epoch != self.promised or not self.is_complete:
             return []
-        entries = self.log.after(told.after) if self.log.holds(told.after) else None
+        entries = self.log.entries_after(message.after) if self.log.holds(message.after) else None
         if entries is None:
-            return [Send(source, Behind(told.epoch, told.after))]
-        fit, _ = fitting(entries)
-        return [Send(source, TailEntries(told.epoch, told.after, fit, self.log.last))]
-
-    # Becoming whole.
-
-    def _my_standing(self, born: int) -> Standing:
-        leads = self.leading is not None and self.leading.established
-        return Standing(born, self.promised, leads, self.log.last)
-
-    def _stands(self, now: int, replica: int, told: Standing) -> list[Action]:
-        if self.whole or self.leading is not None or told.born != self.settings.born:
+            return [Send(source, LogCompacted(message.epoch, message.after))]
+        fit, _ = entries_that_fit(entries)
+        return [Send(source, TailEntries(message.epoch, message.after, fit, self.log.last))]
+
+    # Becoming complete.
+
+    def _own_state(self, born: int) -> ReplicaState:
+        leads = self.leadership is not None and self.leadership.is_established
+        return ReplicaState(born, self.promised, leads, self.log.last)
+
+    def _on_replica_state(self, now: int, replica: int, message: ReplicaState) -> list[Action]:
+        if (
+            self.is_complete
+            or self.leadership is not None
+            or message.incarnation != self.settings.incarnation
+        ):
             return []
-        self._standing[replica] = told.promised
-        self.promised = max(self.promised, told.promised)
-        enough = len(self._standing) >= self.settings.majority or self._begun == told.promised
-        if not told.leads or told.promised != self.promised or not enough:
+        self._promised_by_others[replica] = message.promised
+        self.promised = max(self.promised, message.promised)
+        enough = (
+            len(self._promised_by_others) >= self.settings.majority or self._begun_epoch == message.promised
+        )
+        if not message.is_leader or message.promised != self.promised or not enough:
             return []
-        if self._goal is None or self._goal[0] != told.promised:
-            self._goal = told.promised, told.last
-            self.leader = replica
-            return self._begin_pull(now, self.settings.replicas[replica])
+        if self._catch_up_goal is None or self._catch_up_goal[0] != message.promised:
+            self._catch_up_goal = message.promised, message.last
+            self.leader_number = replica
+            return self._start_pull(now, self.settings.replicas[replica])
         return []
 
-    def _begin_pull(self, now: int, source: Address) -> list[Action]:
-        """Takes a snapshot from there, unless one is being taken."""
-        if self._pull is not None and self._pull.settings.replicas == (source,):
+    def _start_pull(self, now: int, source: Address) -> list[Action]:
+        """Take a snapshot from another replica, unless one is being taken."""
+        if self._snapshot_pull is not None and self._snapshot_pull.settings.replicas == (source,):
             return []
-        self._pull = Subscriber(SubscriberSettings((source,), None), now, self._seed)
-        return self._pull.tick(now)
-
-    def _pulled(self, now: int, made: list[Action]) -> list[Action]:
-        """The pull's own; what it has got is taken into the log."""
-        pull = self._pull
-        if pull is None or pull.fresh_at is None:
-            if made and self.leading is not None and pull is not None and pull.answered_at == now:
-                self.leading.progressed(now)
+        self._snapshot_pull = Subscriber(SubscriberSettings((source,), None), now, self._seed)
+        return self._snapshot_pull.tick(now)
+
+    def _after_pull(self, now: int, made: list[Action]) -> list[Action]:
+        """What the snapshot's subscriber wants done; a complete snapshot is installed in the log."""
+        pull = self._snapshot_pull
+        if pull is None or pull.fresh_at_ns is None:
+            if made and self.leadership is not None and pull is not None and pull.answered_at_ns == now:
+                self.leadership.on_progress(now)
             return [each for each in made if isinstance(each, Send)]
-        self._pull, made = None, []
+        self._snapshot_pull = None
+        made = []
         if pull.version > self.log.committed:
             self.log.install(pull.snapshot, pull.version)
-        if self.leading is not None:
-            self.leading.pulled(now)
-        elif self.leader >= 0:
-            has = Accepted(self.promised, False, self.whole, self.log.committed)
-            made = [Send(self.settings.replicas[self.leader], has)]
+        if self.leadership is not None:
+            self.leadership.on_snapshot_installed(now)
+        elif self.leader_number >= 0:
+            has = Accepted(self.promised, False, self.is_complete, self.log.committed)
+            made = [Send(self.settings.replicas[self.leader_number], has)]
         return [*made, Noticed("installed", {"version": pull.version, "keys": len(self.log)})]
 
     # For operators.
 
-    def _operator(self, now: int, body: Put | Begin | Show, source: Address) -> list[Action]:
-        if isinstance(body, Show):
-            return [Send(source, self._shown(body))]
-        if self.leading is None:
-            return [Send(source, NotLeader(body.number, self.leader))]
-        if isinstance(body, Begin):
-            if self.leading.established and self.log.committed.epoch == self.leading.epoch:
-                return [Send(source, Done(body.number, self.log.committed))]
-            self.leading.want_begin(now)
+    def _on_command(self, now: int, body: Put | BeginHistory | Inspect, source: Address) -> list[Action]:
+        if isinstance(body, Inspect):
+            return [Send(source, self._inspect(body))]
+        if self.leadership is None:
+            return [Send(source, NotLeader(body.number, self.leader_number))]
+        if isinstance(body, BeginHistory):
+            if self.leadership.is_established and self.log.committed.epoch == self.leadership.epoch:
+                return [Send(source, Committed(body.number, self.log.committed))]
+            self.leadership.request_new_history(now)
             return [Send(source, NotLeader(body.number, self.settings.number))]
         if not _fits(body):
             return []
-        return self.leading.put(now, source, body.number, body.service, body.key, body.value)
+        return self.leadership.put(now, source, body.number, body.service, body.key, body.value)
 
-    def _shown(self, asked: Show) -> Shown:
+    def _inspect(self, asked: Inspect) -> Inspected:
         entry = self.log.snapshot.get(asked.service, {}).get(asked.key)
-        return Shown(
+        return Inspected(
             asked.number, self.role, self.promised, self.log.committed, self.log.last, len(self.log), entry
         )
 
 
 def _fits(put: Put) -> bool:
-    """Within the bounds of an entry."""
-    names = all(0 < len(each) <= NAME_MOST and "\0" not in each for each in (put.service, put.key))
-    return names and len(put.value or b"") <= VALUE_MOST
+    """Whether a change is within the bounds of an entry."""
+    names = all(0 < len(each) <= MAX_NAME_CHARACTERS and "\0" not in each for each in (put.service, put.key))
+    return names and len(put.value or b"") <= MAX_VALUE_BYTES
--- a/trackspread/distribution/report.py
+++ b/trackspread/distribution/report.py
@@ -1,7 +1,4 @@
-"""What one gateway holds of the configuration that is handed down, for operators.
-
-May know: the host and its core. Decides nothing.
-"""
+"""What one gateway has of the configuration that is distributed, as JSON for operators. Decides nothing."""
 
 from __future__ import annotations
 
@@ -9,12 +6,14 @@
 
 from .host import SubscriberHost
 from .log import fingerprint
-from .terms import SECOND, Epoch
+from ..decide.time_units import SECOND
+from ..membership.terms import Epoch
 
 
-class Report(msgspec.Struct, frozen=True):
-    """`age_s`: for how long replicas may have had something newer; None where nothing was ever had.
-    `values`: the same at all gateways with the same services and version."""
+class SubscriptionReport(msgspec.Struct, frozen=True):
+    """Field names are those of the JSON. `age_s`: for how long replicas may have had something newer; None
+    where nothing was ever received. `values`: a digest, the same at all gateways with the same services and
+    version."""
 
     name: str
     history: int
@@ -29,19 +28,20 @@
     dropped: dict[str, int]
 
 
-def report(now: int, host: SubscriberHost) -> Report:
+def subscription_report(now: int, host: SubscriberHost) -> SubscriptionReport:
+    """The report of one gateway at `now`, ns."""
     core = host.core
-    age, version = core.age(now), core.version
-    return Report(
-        host.name,
-        version.history,
-        version.epoch,
-        version.sequence,
-        round(age / SECOND, 3) if age is not None else None,
-        "{}:{}".format(*core.target),
-        len(core.snapshot),
-        sum(map(len, core.snapshot.values())),
-        fingerprint(core.snapshot),
-        dict(host.counts),
-        dict(host.wire.dropped),
+    age_ns = core.age_ns(now)
+    return SubscriptionReport(
+        name=host.name,
+        history=core.version.history,
+        epoch=core.version.epoch,
+        sequence=core.version.sequence,
+        age_s=round(age_ns / SECOND, 3) if age_ns is not None else None,
+        replica="{}:{}".format(*core.replica),
+        services=len(core.snapshot),
+        keys=sum(map(len, core.snapshot.values())),
+        values=fingerprint(core.snapshot),
+        counts=dict(host.counts),
+        dropped=dict(host.wire.dropped),
     )
--- a/trackspread/node/configured.py
+++ b/trackspread/node/configured.py
@@ -15,8 +15,8 @@
 from ..config.addresses import Address, address
 from ..config.operator import Fleet, Operator
 from ..distribution.host import SubscriberHost
-from ..distribution.report import report
-from ..distribution.terms import SubscriberSettings
+from ..distribution.report import subscription_report
+from ..distribution.settings import SubscriberSettings
 from ..distribution.wire import Wire
 from ..membership.host import born_now
 from .bind_retry import bound_within
@@ -82,4 +82,4 @@
         """For the operators' door."""
         if self.host is None:
             return 503, "takes no configuration at this moment\n"
-        return 200, msgspec.json.encode(report(self._now(), self.host)).decode() + "\n"
+        return 200, msgspec.json.encode(subscription_report(self._now(), self.host)).decode() + "\n"
--- a/trackspread/node/replicating.py
+++ b/trackspread/node/replicating.py
@@ -13,7 +13,8 @@
 from ..cells.controller import Controller
 from ..config.operator import Operator
 from ..distribution.host import ReplicaHost
-from ..distribution.terms import Epoch, ReplicaSettings
+from ..distribution.settings import ReplicaSettings
+from ..membership.terms import Epoch
 from ..distribution.wire import Wire
 from ..membership.host import born_now
 from .membered import keys
--- a/trackspread/testing/harness/configured.py
+++ b/trackspread/testing/harness/configured.py
@@ -15,9 +15,10 @@
 
 import msgspec
 
-from ...distribution.client import Client, Unanswered
+from ...distribution.client import LeaderUnavailable, ReplicaClient
 from ...distribution.log import fingerprint
-from ...distribution.terms import NOTHING, Entry, Shown, Version
+from ...distribution.messages import Inspected
+from ...distribution.versions import NO_VERSION, Entry, Version
 from ...distribution.wire import Wire
 from ..judge.beliefs import Belief, Reader
 from ...membership.wire import Keys
@@ -145,8 +146,8 @@
         for each in (*self.replicas, self.gateways):
             await each.kill()
 
-    def client(self, patience: float = 5.0, first: int | None = None) -> Client:
-        return Client(Wire(FLEET, Keys(self._key.encode())), self.addresses, patience, first)
+    def client(self, patience: float = 5.0, first: int | None = None) -> ReplicaClient:
+        return ReplicaClient(Wire(FLEET, Keys(self._key.encode())), self.addresses, patience, first)
 
     def appoint(self, number: int, former: bool = True) -> None:
         """The election's word; `former` False: those that led before are not told."""
@@ -200,12 +201,12 @@
         first."""
         try:
             version = await asyncio.to_thread(self.client(patience, first).put, service, key, value)
-        except Unanswered:
+        except LeaderUnavailable:
             return None
         self.put_at.append((time.monotonic_ns(), version))
         return version
 
-    async def show(self, number: int) -> Shown | None:
+    async def show(self, number: int) -> Inspected | None:
         return await asyncio.to_thread(self.client().show, number)
 
     # What came to be.
@@ -215,7 +216,7 @@
 
     def acted(self) -> dict[str, Version]:
         """The newest version of each gateway's present process."""
-        found: dict[str, Version] = {each.name: NOTHING for each in self._gateways}
+        found: dict[str, Version] = {each.name: NO_VERSION for each in self._gateways}
         for each in self.records():
             if each.kind == "acts":
                 found[each.name] = _version(each.about["version"])
--- a/trackspread/testing/harness/configuring.py
+++ b/trackspread/testing/harness/configuring.py
@@ -21,7 +21,9 @@
 import uvloop
 
 from ...distribution.host import Endpoint, ReplicaHost, SubscriberHost
-from ...distribution.terms import Address, Bodies, Epoch, ReplicaSettings, SubscriberSettings
+from ...distribution.messages import MessageBody
+from ...distribution.settings import ReplicaSettings, SubscriberSettings
+from ...membership.terms import Address, Epoch
 from ...distribution.wire import Wire
 from ...membership.wire import Keys
 from ..virtual.distribution.mutants import MUTANTS
@@ -71,9 +73,9 @@
 
     def plant(self, endpoint: Endpoint) -> None:
         """Its datagrams go by what holds."""
-        send, came = endpoint.send, endpoint.came
+        send, came = endpoint.send, endpoint.on_datagram
 
-        def sent(to: Address, body: Bodies) -> None:
+        def sent(to: Address, body: MessageBody) -> None:
             if to not in self.told.cut and self._rng.random() >= self.told.loss:
                 send(to, body)
 
@@ -81,7 +83,7 @@
             if source not in self.told.deaf:
                 came(data, source)
 
-        endpoint.send, endpoint.came = sent, arrived  # type: ignore[method-assign]
+        endpoint.send, endpoint.on_datagram = sent, arrived  # type: ignore[method-assign]
 
     async def listen(self) -> None:
         """To standard input, until it ends."""
@@ -96,7 +98,7 @@
     """All that runs in this process."""
     wire, born, folder = Wire(FLEET, Keys(spec.key.encode())), time.time_ns() // 1_000_000, Path(spec.folder)
     if spec.replica >= 0:
-        settings = ReplicaSettings(spec.replica, born, spec.replicas, spec.recent, pieces=spec.pieces)
+        settings = ReplicaSettings(spec.replica, born, spec.replicas, spec.recent, pieces_per_s=spec.pieces)
         return [
             ReplicaHost(
                 settings,
--- a/trackspread/testing/virtual/distribution/judged.py
+++ b/trackspread/testing/virtual/distribution/judged.py
@@ -6,7 +6,8 @@
 from __future__ import annotations
 
 from ....distribution.log import Snapshot
-from ....distribution.terms import NOTHING, SECOND, Entry, Version
+from ....decide.time_units import SECOND
+from ....distribution.versions import NO_VERSION, Entry, Version
 
 IN_FORCE = 9 * SECOND  # ns from a commit until all that are in reach act on it
 
@@ -20,9 +21,9 @@
 
     def __init__(self) -> None:
         self.committed: dict[Version, tuple[int, Entry]] = {}
-        self.newest = NOTHING
+        self.newest = NO_VERSION
         self._by_sequence: dict[tuple[int, int], Entry] = {}
-        self._states: dict[Version, Snapshot] = {NOTHING: {}}
+        self._states: dict[Version, Snapshot] = {NO_VERSION: {}}
         self._numbered: dict[Version, str] = {}
         self.acted: dict[str, Version] = {}
 
@@ -61,7 +62,7 @@
         lower = [v for v in self.committed if v.sequence == version.sequence - 1 and v < version]
         if not lower and version.sequence > 1:
             raise Broken(f"what {version} follows was never committed")
-        return max(lower, default=NOTHING)
+        return max(lower, default=NO_VERSION)
 
     def acts(
         self,
@@ -71,7 +72,7 @@
         services: frozenset[str] | None,
     ) -> None:
         """A process of a gateway acts on these values, as those of this version."""
-        if version <= self.acted.get(gateway, NOTHING):
+        if version <= self.acted.get(gateway, NO_VERSION):
             raise Broken(f"{gateway} goes from {self.acted[gateway]} back to {version}")
         self.acted[gateway] = version
         state = self.state(version)
@@ -86,6 +87,6 @@
     def missing(self, now: int, gateways: list[str]) -> str:
         """Whether what was committed long enough ago is in force at all of these: nothing, or what is
         amiss."""
-        due = max((v for v, (at, _) in self.committed.items() if now - at > IN_FORCE), default=NOTHING)
-        late = [name for name in gateways if self.acted.get(name, NOTHING) < due]
+        due = max((v for v, (at, _) in self.committed.items() if now - at > IN_FORCE), default=NO_VERSION)
+        late = [name for name in gateways if self.acted.get(name, NO_VERSION) < due]
         return f"{late[0]} and {len(late) - 1} others do not act on {due}" if late else ""
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -9,26 +9,17 @@
 from typing import Any
 from unittest.mock import patch
 
-from ....distribution.leading import Leading
+from ....distribution.leader import Leader
 from ....distribution.log import Log
 from ....distribution.replica import Replica
-from ....distribution.serving import Serving
-from ....distribution.subscriber import Staged, Subscriber
-from ....distribution.terms import (
-    NOTHING,
-    Action,
-    Address,
-    Append,
-    Delta,
-    Entry,
-    Epoch,
-    Piece,
-    Prepare,
-    ReplicaSettings,
-    Send,
-    TailEntries,
-    Version,
-)
+from ....distribution.poll_server import PollServer
+from ....distribution.subscriber import Subscriber
+from ....distribution.subscriber import StagedSnapshot
+from ....distribution.actions import Action, Send
+from ....distribution.messages import Append, Delta, Prepare, SnapshotPiece, TailEntries
+from ....distribution.settings import ReplicaSettings
+from ....distribution.versions import NO_VERSION, Entry, Version
+from ....membership.terms import Address, Epoch
 from ..patches import held
 from .judged import Broken
 from .schedules import LONG, SHORT
@@ -44,33 +35,37 @@
 
     def mutant(self: Replica, *words: Any) -> None:
         real(self, *words)
-        self.whole = self.settings.born > 1_790_000_000_000  # those of the world's beginning are in order
+        self.is_complete = (
+            self.settings.incarnation > 1_790_000_000_000
+        )  # those of the world's beginning are in order
 
     return [patch.object(Replica, "__init__", mutant)]
 
 
 def _caught_up_too_early() -> list[Any]:
     """Whole once it has any state of a leader, whatever that had beside."""
-    real = Replica._pulled
+    real = Replica._after_pull
 
     def mutant(self: Replica, now: int, made: list[Action]) -> list[Action]:
         out = real(self, now, made)
-        self.whole = self.whole or (self._goal is not None and self._pull is None)
+        self.is_complete = self.is_complete or (
+            self._catch_up_goal is not None and self._snapshot_pull is None
+        )
         return out
 
-    return [patch.object(Replica, "_pulled", mutant)]
+    return [patch.object(Replica, "_after_pull", mutant)]
 
 
 def _old_epochs_accepted() -> list[Any]:
-    real = Replica._follows
+    real = Replica._follow
 
     def mutant(self: Replica, replica: int, epoch: Epoch) -> bool:
-        if epoch < self.promised and self.leading is None:
-            self.leader = replica
+        if epoch < self.promised and self.leadership is None:
+            self.leader_number = replica
             return True
         return real(self, replica, epoch)
 
-    return [patch.object(Replica, "_follows", mutant)]
+    return [patch.object(Replica, "_follow", mutant)]
 
 
 def _any_previous() -> list[Any]:
@@ -94,63 +89,63 @@
 def _not_asked_first() -> list[Any]:
     """A new leader numbers at once, by the log that it has."""
 
-    def mutant(self: Leading, now: int) -> list[Action]:
+    def mutant(self: Leader, now: int) -> list[Action]:
         return self._establish(now)
 
-    return [patch.object(Leading, "_choose", mutant)]
+    return [patch.object(Leader, "_choose_log", mutant)]
 
 
 def _adopting_forgets() -> list[Any]:
     """What is pending is dropped before another log is taken over, as was once planned."""
-    real = Leading._choose
+    real = Leader._choose_log
 
-    def mutant(self: Leading, now: int) -> list[Action]:
+    def mutant(self: Leader, now: int) -> list[Action]:
         made = real(self, now)
-        if self.adopting is not None and self.whole:
+        if self.adopted_replica is not None and self.is_complete:
             self.log.pending.clear()
             self.log.last = self.log.committed
         return made
 
-    return [patch.object(Leading, "_choose", mutant)]
+    return [patch.object(Leader, "_choose_log", mutant)]
 
 
 def _lost_leader_goes_on() -> list[Any]:
     """A replica takes changes for committed that it has merely accepted."""
-    real = Replica._append
+    real = Replica._on_append
 
     def mutant(self: Replica, now: int, replica: int, told: Append, source: Address) -> list[Action]:
-        ahead = Append(told.epoch, told.previous, told.entries, told.last, told.last, told.age)
+        ahead = Append(told.epoch, told.previous, told.entries, told.last, told.last, told.age_ms)
         return real(self, now, replica, ahead, source)
 
-    return [patch.object(Replica, "_append", mutant)]
+    return [patch.object(Replica, "_on_append", mutant)]
 
 
 def _one_promise_is_enough() -> list[Any]:
-    real = Leading._count
+    real = Leader._count_complete
 
-    def mutant(self: Leading, answers: dict[int, Any]) -> int:
-        return real(self, answers) + (self.settings.majority - 1 if self.whole else 0)
+    def mutant(self: Leader, answers: dict[int, Any]) -> int:
+        return real(self, answers) + (self.settings.majority - 1 if self.is_complete else 0)
 
-    return [patch.object(Leading, "_count", mutant)]
+    return [patch.object(Leader, "_count_complete", mutant)]
 
 
 def _history_in_place() -> list[Any]:
     """An operator's new history goes on under the former one's number."""
-    real = Leading._establish
+    real = Leader._establish
 
-    def mutant(self: Leading, now: int) -> list[Action]:
-        if self.log.last != NOTHING:
-            self._new = False
+    def mutant(self: Leader, now: int) -> list[Action]:
+        if self.log.last != NO_VERSION:
+            self._is_new_history = False
         return real(self, now)
 
-    return [patch.object(Leading, "_establish", mutant)]
+    return [patch.object(Leader, "_establish", mutant)]
 
 
 def _goes_back() -> list[Any]:
     """A gateway takes what a replica has that is behind."""
-    real = Serving.answer
+    real = PollServer.answer
 
-    def mutant(self: Serving, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
+    def mutant(self: PollServer, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
         if poll.version > self._log.committed and bounded:
             return [Delta(poll.number, self._log.committed, 0, (), False)]
         return real(self, now, poll, heard_at, bounded)
@@ -160,90 +155,90 @@
             self.version = told.version
         return real_delta(self, now, told, asked_at)
 
-    real_delta = Subscriber._delta
-    return [patch.object(Serving, "answer", mutant), patch.object(Subscriber, "_delta", delta)]
+    real_delta = Subscriber._on_delta
+    return [patch.object(PollServer, "answer", mutant), patch.object(Subscriber, "_on_delta", delta)]
 
 
 def _acts_on_pieces() -> list[Any]:
     """A snapshot is acted on as soon as its last piece is there."""
-    real = Staged.take
+    real = StagedSnapshot.add
 
-    def mutant(self: Staged, piece: Piece) -> None:
+    def mutant(self: StagedSnapshot, piece: SnapshotPiece) -> None:
         real(self, piece)
-        self.base = piece.committed
+        self.oldest_version = piece.committed
 
-    return [patch.object(Staged, "take", mutant)]
+    return [patch.object(StagedSnapshot, "add", mutant)]
 
 
 def _skips_what_does_not_fit() -> list[Any]:
     """A delta that is cut names the newest version all the same."""
-    real = Serving._delta
+    real = PollServer._delta
 
-    def mutant(self: Serving, *words: Any) -> Any:
+    def mutant(self: PollServer, *words: Any) -> Any:
         made = real(self, *words)
         return (
-            Delta(made.number, self._log.committed, made.age, made.entries, False)
+            Delta(made.number, self._log.committed, made.age_ms, made.entries, False)
             if isinstance(made, Delta)
             else made
         )
 
-    return [patch.object(Serving, "_delta", mutant)]
+    return [patch.object(PollServer, "_delta", mutant)]
 
 
 def _never_elsewhere() -> list[Any]:
     """A gateway keeps to the replica that does not answer."""
-    return [patch.object(Subscriber, "target", property(lambda self: self._near[0]))]
+    return [patch.object(Subscriber, "replica", property(lambda self: self._regional_replicas[0]))]
 
 
 def _always_fresh() -> list[Any]:
     """A replica that does not hear its leader says that it does."""
-    real = Serving.answer
+    real = PollServer.answer
 
-    def mutant(self: Serving, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
+    def mutant(self: PollServer, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
         return real(self, now, poll, now, bounded)
 
-    return [patch.object(Serving, "answer", mutant)]
+    return [patch.object(PollServer, "answer", mutant)]
 
 
 def _leader_always_in_touch() -> list[Any]:
     """A leader that hears no majority says that it does."""
-    return [patch.object(Leading, "in_touch_at", lambda self, now: now)]
+    return [patch.object(Leader, "in_touch_at_ns", lambda self, now: now)]
 
 
 def _unbounded_pieces() -> list[Any]:
     """Everybody is answered at once, and asks on at once."""
-    real = Serving.__init__
+    real = PollServer.__init__
 
-    def mutant(self: Serving, log: Log, pieces: int) -> None:
+    def mutant(self: PollServer, log: Log, pieces: int) -> None:
         real(self, log, 1_000_000_000)
 
-    return [patch.object(Serving, "__init__", mutant)]
+    return [patch.object(PollServer, "__init__", mutant)]
 
 
 def _tail_out_of_order() -> list[Any]:
     """A part of the log that is taken over is taken wherever it lies."""
 
-    def mutant(self: Leading, now: int, replica: int, told: TailEntries) -> list[Action]:
-        if replica != self.adopting or not self._based:
+    def mutant(self: Leader, now: int, replica: int, told: TailEntries) -> list[Action]:
+        if replica != self.adopted_replica or not self._has_base:
             return []
         self.log.accept(told.after, told.entries)
         return self._establish(now)
 
-    return [patch.object(Leading, "tail", mutant)]
+    return [patch.object(Leader, "on_tail_entries", mutant)]
 
 
 def _promise_without_fence() -> list[Any]:
     """A replica promises, and still follows the former leader."""
-    real = Replica._prepare
+    real = Replica._on_prepare
 
     def mutant(self: Replica, told: Prepare, source: Address) -> list[Action]:
         before = self.promised
         made = real(self, told, source)
-        if any(isinstance(each, Send) for each in made) and self.leader < 0:
+        if any(isinstance(each, Send) for each in made) and self.leader_number < 0:
             self.promised = before
         return made
 
-    return [patch.object(Replica, "_prepare", mutant)]
+    return [patch.object(Replica, "_on_prepare", mutant)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
--- a/trackspread/testing/virtual/distribution/schedules.py
+++ b/trackspread/testing/virtual/distribution/schedules.py
@@ -10,7 +10,8 @@
 from functools import partial
 
 from ....distribution.replica import Replica
-from ....distribution.terms import MS, SECOND, Begin
+from ....decide.time_units import MILLISECOND, SECOND
+from ....distribution.messages import BeginHistory
 from .judged import IN_FORCE, Broken
 from .world import Process, World, held
 
@@ -33,7 +34,7 @@
 
 def whole(world: World) -> list[Process]:
     """Replicas that count for a majority."""
-    return [p for p in world.replicas if isinstance(p.core, Replica) and p.core.whole]
+    return [p for p in world.replicas if isinstance(p.core, Replica) and p.core.is_complete]
 
 
 def crash(world: World, process: Process, away: int) -> None:
@@ -61,7 +62,7 @@
 def trouble(world: World) -> None:
     """One fault, drawn, which ends by itself."""
     rng = world.rng
-    span = rng.randint(100 * MS, 6 * SECOND)
+    span = rng.randint(100 * MILLISECOND, 6 * SECOND)
     some = rng.choice(list(world.processes.values()))
     replica = rng.choice(world.replicas)
     match rng.randrange(9):
@@ -98,8 +99,8 @@
     world.begin()
     weather, rng = world.weather, world.rng
     weather.loss, weather.twice = rng.choice([0.0, 0.02, 0.2]), rng.choice([0.0, 0.1])
-    weather.jitter = rng.choice([0, 0, 300 * MS])
-    changes(world, SPAN, rng.choice([30 * MS, 300 * MS, 2 * SECOND]))
+    weather.jitter = rng.choice([0, 0, 300 * MILLISECOND])
+    changes(world, SPAN, rng.choice([30 * MILLISECOND, 300 * MILLISECOND, 2 * SECOND]))
     for _ in range(rng.randint(3, 14)):
         world.after(rng.randint(0, SPAN), partial(trouble, world))
     world.run(SPAN + 7 * SECOND)
@@ -119,13 +120,13 @@
     """In the middle of handing a burst down, and another is elected."""
     world = World(seed, replicas=5, gateways=10)
     world.begin()
-    changes(world, SECOND, 10 * MS)
+    changes(world, SECOND, 10 * MILLISECOND)
     world.run(world.rng.randint(1, SECOND))
     crash(world, world.replicas[0], 4 * SECOND)
-    world.run(world.rng.randint(500 * MS, 2 * SECOND))
+    world.run(world.rng.randint(500 * MILLISECOND, 2 * SECOND))
     world.appoint(1 + seed % 4)
     world.run(6 * SECOND)
-    changes(world, SECOND, 100 * MS)
+    changes(world, SECOND, 100 * MILLISECOND)
     world.calm()
     if len(world.done) < 5:
         raise Broken("hardly a change was committed")
@@ -141,7 +142,7 @@
         ways = world.part(["r2"], ["r0"], both=False)
     else:
         ways = world.part(["r0"], [f"r{n}" for n in (1, 2, 3)[: seed % 4]])
-    changes(world, 8 * SECOND, 40 * MS)
+    changes(world, 8 * SECOND, 40 * MILLISECOND)
     world.run(SECOND)
     world.appoint(2, former=False)
     world.run(3 * SECOND)
@@ -157,10 +158,10 @@
     world = World(seed, replicas=3, gateways=4)
     world.begin()
     ways = world.part(["r2"], ["r0", "r1"])
-    changes(world, 2 * SECOND, 10 * MS)
+    changes(world, 2 * SECOND, 10 * MILLISECOND)
     world.run(SECOND)
     world.appoint(1, former=False)
-    world.run(world.rng.randint(60 * MS, 350 * MS))
+    world.run(world.rng.randint(60 * MILLISECOND, 350 * MILLISECOND))
     crash(world, world.replicas[0], SECOND)
     world.heal(ways)
     world.appoint(2)
@@ -174,7 +175,7 @@
     world.begin()
     ways = world.part(["r0", "r1"], ["r2", "r3", "r4"])
     world.appoint(2, former=False)
-    changes(world, 15 * SECOND, 100 * MS)
+    changes(world, 15 * SECOND, 100 * MILLISECOND)
     world.run(20 * SECOND)
     if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
         raise Broken(f"while a minority goes on by itself, {amiss}")
@@ -187,13 +188,13 @@
     """Replicas that promise, or accept, die at once and come back with nothing, while leaders change."""
     world = World(seed, replicas=[3, 5][seed % 2], gateways=4)
     world.begin()
-    world.weather.jitter = 200 * MS
-    changes(world, 20 * SECOND, 50 * MS)
+    world.weather.jitter = 200 * MILLISECOND
+    changes(world, 20 * SECOND, 50 * MILLISECOND)
     for turn in range(12):
         number = world.rng.randrange(len(world.replicas))
         world.appoint(number, former=False)
-        world.run(world.rng.randint(1 * MS, 400 * MS))
-        crash(world, world.rng.choice(world.replicas), world.rng.randint(0, 100 * MS))
+        world.run(world.rng.randint(1 * MILLISECOND, 400 * MILLISECOND))
+        crash(world, world.rng.choice(world.replicas), world.rng.randint(0, 100 * MILLISECOND))
         if turn % 3 == 2:
             world.run(2 * SECOND)
     settle(world)
@@ -204,7 +205,7 @@
     """A leader stands still, another is elected, and the first wakes with its old lease and goes on."""
     world = World(seed, replicas=3 + 2 * (seed % 2), gateways=6)
     world.begin()
-    changes(world, 12 * SECOND, 30 * MS)
+    changes(world, 12 * SECOND, 30 * MILLISECOND)
     world.run(SECOND)
     world.halt(world.replicas[0], 4 * SECOND)
     world.run(world.rng.randint(0, SECOND))
@@ -219,7 +220,7 @@
     """For minutes; it goes on by what it has, and its heal makes no storm."""
     world = World(seed, replicas=5, gateways=60, regions=2, pieces=200, recent=20)
     world.begin()
-    changes(world, 5 * SECOND, 50 * MS)
+    changes(world, 5 * SECOND, 50 * MILLISECOND)
     world.run(7 * SECOND)
     ways = cut_region(world, 1)
     inside = [p for p in world.gateways if p.region == 1]
@@ -246,13 +247,13 @@
     world.begin()
     for number in range(400):
         world.put(world.services[number % 40], f"key-{number // 40}", b"v" * 300)
-        world.run(5 * MS)
+        world.run(5 * MILLISECOND)
     world.run(5 * SECOND)
     again = world.rng.sample(world.gateways, 40)
     for process in again:
-        crash(world, process, 500 * MS)
+        crash(world, process, 500 * MILLISECOND)
     others = [process.name for process in world.gateways if process not in again]
-    changes(world, 5 * SECOND, 500 * MS)
+    changes(world, 5 * SECOND, 500 * MILLISECOND)
     for _ in range(14):
         sent = dict(world.sent)
         world.run(SECOND)
@@ -285,7 +286,7 @@
     """Some replicas are heard by nobody, or hear nobody, or hear gateways alone, and the others go on."""
     world = World(seed, replicas=5, gateways=20)
     world.begin()
-    changes(world, 20 * SECOND, 100 * MS)
+    changes(world, 20 * SECOND, 100 * MILLISECOND)
     some = [f"r{n}" for n in (1, 2)]
     names = [p.name for p in (world.replicas if seed % 3 == 2 else world.processes.values())]
     names = [name for name in names if name not in some]
@@ -302,7 +303,7 @@
     """At once: nothing is committed and nothing forgotten, until an operator begins a new history."""
     world = World(seed, replicas=5, gateways=10)
     world.begin()
-    changes(world, 3 * SECOND, 50 * MS)
+    changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.run(5 * SECOND)
     before, survivors = {p.name: held(p) for p in world.gateways}, world.rng.sample(world.replicas, 2)
     for process in world.replicas:
@@ -310,16 +311,16 @@
             world.kill(process)
             world.start(process)
     world.appoint(world.rng.randrange(5))
-    changes(world, 3 * SECOND, 50 * MS)
+    changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.run(15 * SECOND)
     if world.leader() is not None or any(held(p) != before[p.name] for p in world.gateways):
         raise Broken("something was handed down without a majority")
     leads = next(p for p in world.replicas if p.epoch is not None)
-    world.command(leads.number, Begin(0))
+    world.command(leads.number, BeginHistory(0))
     world.run(10 * SECOND)
     if world.judged.newest.history <= before["g0"].history:
         raise Broken("no new history has begun")
-    changes(world, 3 * SECOND, 50 * MS)
+    changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.calm()
     return world
 
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -18,31 +18,22 @@
 
 from ....distribution.replica import Replica
 from ....distribution.subscriber import Subscriber
-from ....distribution.terms import (
-    MS,
-    NOTHING,
-    SECOND,
-    TICK,
-    Action,
-    Address,
-    Begin,
-    Bodies,
-    Done,
-    Epoch,
-    Noticed,
-    Put,
-    ReplicaSettings,
-    Send,
-    SubscriberSettings,
-    Version,
-)
+from ....decide.time_units import MILLISECOND, SECOND
+from ....distribution.actions import Action, Send
+from ....distribution.messages import BeginHistory, Committed, MessageBody, Put
+from ....distribution.settings import TICK_NS, ReplicaSettings, SubscriberSettings
+from ....distribution.versions import NO_VERSION, Version
+from ....membership.terms import Address, Epoch, Noticed
 from ..clock import Clock
 from ..stage import Weather
 from .judged import Broken, Judged
 
 WALL = 1_790_000_000_000  # ms of wall clock at the beginning of every world
-NEAR, FAR = (100_000, 2 * MS), (20 * MS, 60 * MS)  # ns that a way takes, within a region and beyond
-LATE_MOST = 5 * MS  # ns by which a tick comes late on a busy machine
+NEAR, FAR = (
+    (100_000, 2 * MILLISECOND),
+    (20 * MILLISECOND, 60 * MILLISECOND),
+)  # ns that a way takes, within a region and beyond
+LATE_MOST = 5 * MILLISECOND  # ns by which a tick comes late on a busy machine
 OVERHEAD = 47  # bytes of a datagram beside its body, at most: mark, digest, envelope
 COMMAND: Address = ("10.9.0.0", 1)
 
@@ -124,12 +115,12 @@
     def start(self, process: Process) -> None:
         """A new process under the name, from nothing."""
         now, seed = self.clock.now, self.rng.getrandbits(60)
-        process.born, process.halted_until, process.epoch = WALL + self.now // MS, 0, None
+        process.born, process.halted_until, process.epoch = WALL + self.now // MILLISECOND, 0, None
         process.waiting.clear()
         addresses = tuple(p.address for p in self.replicas)
         if process.number >= 0:
             settings = ReplicaSettings(
-                process.number, process.born, addresses, self._recent, pieces=self._pieces
+                process.number, process.born, addresses, self._recent, pieces_per_s=self._pieces
             )
             process.core = Replica(settings, now, seed)
         else:
@@ -137,14 +128,14 @@
             others = tuple(each for each in addresses if each not in near)
             process.core = Subscriber(SubscriberSettings(near, process.services, others), now, seed)
             self.judged.starts(process.name)
-        self.clock.after(self.rng.randint(0, TICK), partial(self._tick, process, process.core))
+        self.clock.after(self.rng.randint(0, TICK_NS), partial(self._tick, process, process.core))
 
     def begin(self) -> None:
         """All start; the first replica leads, and an operator begins the history."""
         for process in list(self.processes.values()):
             self.start(process)
         self.appoint(0)
-        self.command(0, Begin(0))
+        self.command(0, BeginHistory(0))
         self.run(5 * SECOND)
         if self.leader() is None:
             raise Broken("no leader within 5 s of an operator's word")
@@ -176,7 +167,7 @@
         found = [p for p in self.replicas if isinstance(p.core, Replica) and p.core.role == "leader"]
         return max(found, key=lambda p: p.epoch or (0, -1), default=None)
 
-    def command(self, number: int, body: Bodies) -> None:
+    def command(self, number: int, body: MessageBody) -> None:
         """An operator's word to this replica."""
         process = self.replicas[number]
         if (core := process.core) is not None:
@@ -199,7 +190,7 @@
             process.waiting.append(partial(self._on, process, core, call))
             return
         if isinstance(core, Replica):
-            self._do(process, core.lead(self.clock.now, process.epoch))
+            self._do(process, core.set_leadership(self.clock.now, process.epoch))
         self._do(process, call())
 
     def _tick(self, process: Process, core: Replica | Subscriber) -> None:
@@ -209,7 +200,7 @@
             process.waiting.append(partial(self._tick, process, core))
             return
         self._on(process, core, lambda: core.tick(self.clock.now))
-        self.clock.after(TICK + self.rng.randint(0, LATE_MOST), partial(self._tick, process, core))
+        self.clock.after(TICK_NS + self.rng.randint(0, LATE_MOST), partial(self._tick, process, core))
 
     # The network.
 
@@ -231,9 +222,9 @@
                 case Noticed():
                     self._told(process, action)
 
-    def _send(self, process: Process, to: Address, body: Bodies) -> None:
+    def _send(self, process: Process, to: Address, body: MessageBody) -> None:
         if to == COMMAND:
-            if isinstance(body, Done) and body.number:
+            if isinstance(body, Committed) and body.number:
                 self.done[body.number] = body.version
             return
         target = self._by_address[to]
@@ -246,7 +237,7 @@
                 late += self.rng.randint(0, self.weather.jitter)
                 self.clock.after(late, partial(self._arrive, process, process.born, target, body, size))
 
-    def _arrive(self, source: Process, born: int, target: Process, body: Bodies, size: int) -> None:
+    def _arrive(self, source: Process, born: int, target: Process, body: MessageBody, size: int) -> None:
         core = target.core
         if core is None or self.cut[source.name, target.name] > 0:
             return
@@ -259,13 +250,13 @@
         process: Process,
         number: int,
         born: int,
-        body: Bodies,
+        body: MessageBody,
         source: Address,
     ) -> Iterable[Action]:
         core, now = process.core, self.clock.now
         if isinstance(core, Replica):
-            return core.received(now, number, born, body, source)
-        return core.received(now, body, source) if core is not None else []
+            return core.on_message(now, number, born, body, source)
+        return core.on_message(now, body, source) if core is not None else []
 
     # What came to be, and whether it may.
 
@@ -307,4 +298,4 @@
 
 def held(process: Process) -> Version:
     """What a gateway acts on."""
-    return process.core.version if isinstance(process.core, Subscriber) else NOTHING
+    return process.core.version if isinstance(process.core, Subscriber) else NO_VERSION
