--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -15,7 +15,8 @@
 from trackspread.backends.pools import Attempt, Backends
 from trackspread.backends.resp import RespDialect
 from trackspread.backends.seam import Report
-from trackspread.call import Call, Source
+from trackspread.call import Call
+from trackspread.call import PausableSource
 from trackspread.clock import Clock
 from trackspread.decide.events import Outcome
 from trackspread.framing.resp import AnswerFrames, Words
@@ -53,7 +54,7 @@
     def attempt_written(self) -> None:
         self.written += 1
 
-    def value_begins(self, attempt: Attempt, length: int, source: Source) -> bool:
+    def value_begins(self, attempt: Attempt, length: int, source: PausableSource) -> bool:
         return False
 
     def value_piece(self, attempt: Attempt, data: bytes) -> None:
--- a/trackspread/backends/resp.py
+++ b/trackspread/backends/resp.py
@@ -104,11 +104,11 @@
 
     def request(self, call: Call, left_ms: int) -> bytes | list[bytes]:
         """The client's own bytes, but for `d`; a long body is not copied."""
-        form = cast(Words, call.form)
-        if call.size:
+        form = cast(Words, call.raw_request)
+        if call.body_bytes:
             words = (*form.front, b"%bd=%d%b" % (form.head, left_ms, form.tail), b"")
             packed = cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]
-            return [packed.removesuffix(b"$0\r\n\r\n"), b"$%d\r\n" % call.size, *form.body, b"\r\n"]
+            return [packed.removesuffix(b"$0\r\n\r\n"), b"$%d\r\n" % call.body_bytes, *form.body, b"\r\n"]
         words = (*form.front, b"%bd=%d%b" % (form.head, left_ms, form.tail), *form.body)
         return cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]
 
--- a/trackspread/backends/seam.py
+++ b/trackspread/backends/seam.py
@@ -8,7 +8,8 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from ..call import Call, Source
+from ..call import Call
+from ..call import PausableSource
 from ..decide.events import Outcome
 
 if TYPE_CHECKING:
@@ -42,7 +43,7 @@
     def attempt_written(self) -> None:
         """Once for each request whose last byte has gone out."""
 
-    def value_begins(self, attempt: Attempt, length: int, source: Source) -> bool:
+    def value_begins(self, attempt: Attempt, length: int, source: PausableSource) -> bool:
         """A long value has begun; whether anybody wants it."""
 
     def value_piece(self, attempt: Attempt, data: bytes) -> None: ...
--- a/trackspread/call.py
+++ b/trackspread/call.py
@@ -1,64 +1,46 @@
-"""One request as a client put it: what a front makes of bytes, and what a backend's dialect makes bytes of.
+"""One request as a client sent it: what a front parses from bytes, and what a backend's adapter encodes.
 
 May know: the decision module's vocabulary. May not know: any protocol, connection or pool.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Protocol
 
-RETRY_FLAG = 2  # bit of `options`: a client's repeat
+RETRY_FLAG = 2  # bit of `options`: a client's retry
 
 
-class BadCall(ValueError):
-    """A request that cannot be taken; the text is a plain reason, for the client to read."""
+class InvalidCall(ValueError):
+    """A request that cannot be accepted; its text is the reason that the client is given."""
 
 
-class Source(Protocol):
-    """Where a long value comes from; what has been read of it already may still follow a pause."""
+class PausableSource(Protocol):
+    """Where a long value comes from; bytes that were read before a pause may still follow it."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Read no more of the value until `resume`."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read on after `pause`."""
 
 
+@dataclass(slots=True, eq=False)
 class Call:
-    """One request. `cls` and `plan` are indices in the settings, `wait_ms` counts from when it came.
+    """One request. `request_class` and `plan` are indices in the settings.
 
-    `form` is the request in its own protocol, for a backend's dialect that speaks the same: passed on as it
-    came, nothing is worded anew.
+    `raw_request` is the request in its own protocol, for an adapter that speaks the same: it is forwarded
+    unchanged. `wait_ms` counts from its arrival.
     """
 
-    __slots__ = (
-        "cls",
-        "customer",
-        "first",
-        "form",
-        "id",
-        "options",
-        "plan",
-        "size",
-        "spread",
-        "units",
-        "wait_ms",
-    )
-
-    def __init__(
-        self,
-        form: object,
-        id: bytes,
-        cls: int,
-        plan: int,
-        customer: int,
-        wait_ms: int,
-        units: float,
-        spread: int,
-        first: int,
-        options: int,
-        size: int = 0,
-    ) -> None:
-        """`size`: bytes of a long body, 0 for a short one."""
-        self.form, self.id = form, id
-        self.cls, self.plan, self.customer, self.wait_ms = cls, plan, customer, wait_ms
-        self.size = size
-        self.units, self.spread, self.first, self.options = units, spread, first, options
+    raw_request: object
+    request_id: bytes
+    request_class: int
+    plan: int
+    tenant: int
+    wait_ms: int
+    units: float
+    gateway_span: int
+    first_gateway: int
+    options: int
+    body_bytes: int = 0  # of a long body; 0 for a short one, which is part of `raw_request`
--- a/trackspread/fronts/client.py
+++ b/trackspread/fronts/client.py
@@ -17,7 +17,8 @@
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
-from ..call import BadCall, Call, Source
+from ..call import Call
+from ..call import InvalidCall, PausableSource
 from ..logs import Sparing
 from .seam import Broken, Front, Item, Ping
 
@@ -43,10 +44,10 @@
     def __init__(self, client: Client, request: int = -1) -> None:
         self.client, self.request = client, request
         self.answer: bytes | None = None
-        self.source: Source | None = None  # of a long value that is passed on as it comes
+        self.source: PausableSource | None = None  # of a long value that is passed on as it comes
         self.waiting: list[bytes] | None = None  # what came of it before its turn; None once it has its turn
 
-    def begins(self, call: Call, length: int, source: Source) -> None:
+    def begins(self, call: Call, length: int, source: PausableSource) -> None:
         self.source, self.waiting = source, [self.client.front.begins(call, length)]
         self.client.begins(self)
 
@@ -243,7 +244,7 @@
             source.pause()
         self._gate()
 
-    def _source(self) -> Source | None:
+    def _source(self) -> PausableSource | None:
         """Of the long value that is going out."""
         return self.slots[0].source if self.slots and self.slots[0].waiting is None else None
 
@@ -270,11 +271,11 @@
         self.slots.append(slot)
         self._owner.spoke(self)
         if self._reading.had:
-            self._owner.bodies.whole(self, slot, item.size if isinstance(item, Call) else 0)
+            self._owner.bodies.whole(self, slot, item.body_bytes if isinstance(item, Call) else 0)
         if isinstance(item, Call):
             try:
                 self._owner.requests.take(item, slot, waited)
-            except BadCall as error:
+            except InvalidCall as error:
                 self.answer(slot, self.front.bad(str(error)))
         elif isinstance(item, Ping):
             self.answer(slot, self.front.pong(self._owner.requests.ready()))
@@ -316,7 +317,7 @@
 
     def begins(self, slot: Slot) -> None:
         """A long value has begun to come: it goes out in its turn, at the client's pace."""
-        source = cast(Source, slot.source)
+        source = cast(PausableSource, slot.source)
         if self.slots[0] is not slot:
             return source.pause()
         transport, waiting = cast(asyncio.Transport, self._transport), slot.waiting or []
--- a/trackspread/fronts/resp.py
+++ b/trackspread/fronts/resp.py
@@ -9,7 +9,8 @@
 
 import hiredis
 
-from ..call import RETRY_FLAG, BadCall, Call
+from ..call import RETRY_FLAG, Call
+from ..call import InvalidCall
 from ..config.roster import Roster
 from ..decide.settings import Idempotency, Settings
 from ..framing.resp import LONG_FROM, LONG_MOST, CommandFrames, FrameError, Words
@@ -40,66 +41,66 @@
     def read(self, args: list[bytes]) -> Call:
         """A call from a command's words; raises `BadCall` with a plain reason."""
         if len(args) not in (4, 5):
-            raise BadCall("wrong number of arguments")
+            raise InvalidCall("wrong number of arguments")
         customer = _customer(args[1])
         if not _ID.fullmatch(args[2]):
-            raise BadCall("bad request id")
+            raise InvalidCall("bad request id")
         if len(args[3]) > PAIRS_MOST:
-            raise BadCall("list of names and values too long")
+            raise InvalidCall("list of names and values too long")
         items = args[3].split(b",")
         pairs = [item.partition(b"=") for item in items]
         named = {name: value for name, _, value in pairs}
         if len(named) != len(pairs):
-            raise BadCall("a name stands twice")
+            raise InvalidCall("a name stands twice")
         if not all(name and equals for name, equals, _ in pairs):
-            raise BadCall("expected a list of name=value")
+            raise InvalidCall("expected a list of name=value")
         cls, repeat = self._classes.get(named.get(b"c", b""), (-1, Idempotency.IDEMPOTENT))
         if cls < 0:
-            raise BadCall("unknown class")
+            raise InvalidCall("unknown class")
         plan = self._plans.get(named.get(b"t", b""), -1)
         if plan < 0:
-            raise BadCall("unknown plan")
+            raise InvalidCall("unknown plan")
         if (args[0].upper() == b"CALL.GET") != (repeat is Idempotency.IDEMPOTENT):
-            raise BadCall("the class is not served by this command")
+            raise InvalidCall("the class is not served by this command")
         if repeat is Idempotency.IDEMPOTENT and len(args) == 5:
-            raise BadCall("the class takes no value")
+            raise InvalidCall("the class takes no value")
         if repeat is Idempotency.WITH_KEY and not _KEY.fullmatch(named.get(b"k", b"")):
-            raise BadCall("k missing: the class wants an idempotency key")
+            raise InvalidCall("k missing: the class wants an idempotency key")
         if b"d" not in named:
-            raise BadCall("d missing")
+            raise InvalidCall("d missing")
         at = next(i for i, pair in enumerate(pairs) if pair[0] == b"d")
         before, after = b",".join(items[:at]), b",".join(items[at + 1 :])
         return Call(
-            form=Words(
+            raw_request=Words(
                 (args[0], args[1], args[2]),
                 before + b"," if before else b"",
                 b"," + after if after else b"",
                 tuple(args[4:]),
             ),
-            id=args[2],
-            cls=cls,
+            request_id=args[2],
+            request_class=cls,
             plan=plan,
-            customer=customer,
+            tenant=customer,
             wait_ms=_whole(named, b"d", 0, WAIT_MOST),
             units=_units(named, self._largest),
-            spread=_whole(named, b"spread", 1, self._gateways),
-            first=_whole(named, b"first", 0, self._gateways - 1),
+            gateway_span=_whole(named, b"spread", 1, self._gateways),
+            first_gateway=_whole(named, b"first", 0, self._gateways - 1),
             options=RETRY_FLAG if named.get(b"r") == b"1" else 0,
-            size=len(args[4]) if len(args) == 5 and len(args[4]) > LONG_FROM else 0,
+            body_bytes=len(args[4]) if len(args) == 5 and len(args[4]) > LONG_FROM else 0,
         )
 
 
 def _customer(word: bytes) -> int:
     number = int(word, 16) if _CUSTOMER.fullmatch(word) else -1
     if not 0 <= number < 1 << 33:
-        raise BadCall("bad customer")
+        raise InvalidCall("bad customer")
     return number
 
 
 def _whole(named: dict[bytes, bytes], key: bytes, least: int, most: int) -> int:
     word = named.get(key, b"")
     if not (word.isdigit() and len(word) < 12 and least <= int(word) <= most):
-        raise BadCall(f"bad or missing {key.decode()}")
+        raise InvalidCall(f"bad or missing {key.decode()}")
     return int(word)
 
 
@@ -107,7 +108,7 @@
     word = named.get(b"units", b"1")
     units = float(word) if _UNITS.fullmatch(word) else -1.0
     if not 0.0 < units <= most:
-        raise BadCall("bad units")
+        raise InvalidCall("bad units")
     return units
 
 
@@ -178,7 +179,7 @@
         if name in (b"CALL.GET", b"CALL.POST"):
             try:
                 return self._catalogue.read(words)
-            except BadCall as error:
+            except InvalidCall as error:
                 return b"-ERR %b\r\n" % _line(str(error))
         # The platform's own front takes a gateway in on the answer to PING.
         return PING if name == b"PING" and len(words) == 1 else b"-ERR unknown command\r\n"
--- a/trackspread/node/counted.py
+++ b/trackspread/node/counted.py
@@ -111,7 +111,9 @@
         """A fault here must not cost the request: it is decided by what is kept."""
         try:
             self.host.do(
-                self.client.before(self._now(), call.customer, call.plan, call.units, call.spread, call.first)
+                self.client.before(
+                    self._now(), call.tenant, call.plan, call.units, call.gateway_span, call.first_gateway
+                )
             )
         except Exception:
             log.exception("fault before a request")
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -367,7 +367,7 @@
 
     def _reclass(self, fresh: Config) -> None:
         """Other classes and number of attempts for what comes from now on."""
-        held = {request.call.cls for request in self.requests.values()}
+        held = {request.call.request_class for request in self.requests.values()}
         roster, heirs = self.roster.follow(fresh.classes, fresh.settings.classes, held)
         most = fresh.settings.max_attempts
         if roster == self.roster and most == self.config.settings.max_attempts:
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -113,7 +113,7 @@
             for number, request in table.requests.items()
             for index, attempt in request.out.items()
         }
-        ids = [(number, r.call.id) for number, r in table.requests.items() if not r.closed]
+        ids = [(number, r.call.request_id) for number, r in table.requests.items() if not r.closed]
         number = table.next_number()
         return wire.encode(
             HandoverState(
@@ -139,9 +139,9 @@
                     attempt.request,
                     attempt.index,
                     attempt.backend,
-                    cls=names[call.cls],
+                    cls=names[call.request_class],
                     plan=plans[call.plan].name,
-                    customer=call.customer,
+                    customer=call.tenant,
                     units=call.units,
                 )
             )
--- a/trackspread/node/requests.py
+++ b/trackspread/node/requests.py
@@ -17,7 +17,8 @@
 
 from ..backends.pools import Attempt, Backends
 from ..backends.seam import Report
-from ..call import BadCall, Call, Source
+from ..call import Call
+from ..call import InvalidCall, PausableSource
 from ..clock import Clock
 from ..config.operator import Services
 from ..config.platform import Config
@@ -141,16 +142,16 @@
 
     def take(self, call: Call, slot: Slot, waited: float) -> None:
         """`waited`: seconds that the command lay here already. Raises `BadCall`."""
-        if call.id in self.ids:
-            raise BadCall("a request with this id is open")
+        if call.request_id in self.ids:
+            raise InvalidCall("a request with this id is open")
         now, number = self.now(), next(self._numbers)
-        wait = min(call.wait_ms * MILLISECOND, self.roster.rules[call.cls].deadline_ns)
+        wait = min(call.wait_ms * MILLISECOND, self.roster.rules[call.request_class].deadline_ns)
         valid_until = now + max(0, wait - int(waited * SECOND) - MARGIN)
         if self.answer_by is not None:
             # A backend may hang for all of a late comer's time, and this process is killed before that is up.
             valid_until = min(valid_until, max(now, self.answer_by))
         request = Request(call, slot, valid_until)
-        self.ids.add(call.id)
+        self.ids.add(call.request_id)
         slot.request = number
         self.requests[number] = request
         if self.counted is not None:
@@ -158,13 +159,13 @@
         self.handle(
             RequestArrived(
                 number,
-                call.cls,
+                call.request_class,
                 call.plan,
-                call.customer,
+                call.tenant,
                 valid_until,
                 call.units,
-                call.spread,
-                call.first,
+                call.gateway_span,
+                call.first_gateway,
                 call.options,
             ),
             number,
@@ -211,11 +212,11 @@
         """The final answer is given, or nobody is there for it: no other follows."""
         if not request.closed:
             request.closed = True
-            self.figures.ended(self.roster.names[request.call.cls], ending)
+            self.figures.ended(self.roster.names[request.call.request_class], ending)
             if self.uses is not None:
                 version = self.book.version if self.book is not None else 0
                 self.uses.count(request.call, ending, request.attempts, version)
-            self.ids.discard(request.call.id)
+            self.ids.discard(request.call.request_id)
             if self.testator is not None:
                 self.testator.closed(number)
         self._forget(number, request)
@@ -237,7 +238,7 @@
     def attempt_written(self) -> None:
         self.figures.attempts += 1
 
-    def value_begins(self, attempt: Attempt, length: int, source: Source) -> bool:
+    def value_begins(self, attempt: Attempt, length: int, source: PausableSource) -> bool:
         """From its first byte on the value is the answer: nobody's time cuts it off, nothing else follows."""
         number = attempt.request
         request = self.requests.get(number)
--- a/trackspread/node/uses.py
+++ b/trackspread/node/uses.py
@@ -56,4 +56,4 @@
         self.start, self.stop = self.host.start, self.host.stop
 
     def count(self, call: Call, ending: Ending, attempts: int, version: int) -> None:
-        self.host.count(ending, call.cls, call.plan, version, call.customer, call.units, attempts)
+        self.host.count(ending, call.request_class, call.plan, version, call.tenant, call.units, attempts)
