--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from trackspread.backends.pools import RETIRE
+from trackspread.backends.pools import RETIRE_FRACTION
 from trackspread.cells.seeding import FRESHEN, FRESHEN_OTHERS
 from trackspread.counter.commands import MOST_FIELDS
 from trackspread.counter.terms import HEARTBEAT
@@ -42,7 +42,7 @@
     "retry_share": RETRY_SHARE,
     "idle_s": IDLE / SECOND,
     "forget_s": FORGET / SECOND,
-    "rest_s": 30 * RETIRE,
+    "rest_s": 30 * RETIRE_FRACTION,
     "spread_s": SPREAD_MOST,
     "partitions": 8,
     "counter_beat_s": HEARTBEAT / SECOND,
--- a/tests/test_client_left_process.py
+++ b/tests/test_client_left_process.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from trackspread.backends.pools import SETTLE
+from trackspread.backends.connection_pool import REUSE_DELAY_S
 from trackspread.config.operator import DEFAULTS
 from trackspread.counter.commands import name_of
 from trackspread.decide.peer_messages import (
@@ -130,7 +130,7 @@
     for connection, _ in [await process.backend.command() for _ in range(count)]:
         connection.send(served(b"v"))
     assert [await client.next() for _ in range(count)] == [b"v"] * count
-    await asyncio.sleep(2 * SETTLE)
+    await asyncio.sleep(2 * REUSE_DELAY_S)
 
 
 ANSWERS = {"refused": b"-BUSY\r\n", "failed": b"-ERR failed\r\n", "spoilt": b"+junk\r\n"}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,8 +5,8 @@
 import asyncio
 from dataclasses import replace
 
-from trackspread.backends.pools import Attempt
-from trackspread.backends.seam import Report
+from trackspread.backends.attempt import Attempt
+from trackspread.backends.adapter import LoadReport
 from trackspread.control.door import CALLERS_MOST, HEAD_MOST
 from trackspread.control.figures import CLASSES_MOST, Figures
 from trackspread.decide.events import Outcome
@@ -123,7 +123,7 @@
             assert node.door is not None
             ended = node.attempt_ended
 
-            def twice(attempt: Attempt, outcome: Outcome, value: bytes | None, report: Report) -> None:
+            def twice(attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport) -> None:
                 node.attempt_written()
                 ended(attempt, outcome, value, report)
 
--- a/tests/test_endings_attempts.py
+++ b/tests/test_endings_attempts.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from trackspread.backends import pools
+from trackspread.backends import connection
 from trackspread.config.operator import ClientBounds, Operator
 from trackspread.decide.events import Outcome
 
@@ -91,7 +91,7 @@
 
 
 def test_the_rest_of_an_answer_that_lies_in_the_socket_is_not_missed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pools, "STALL", TIME)
+    monkeypatch.setattr(connection, "STALL_TIMEOUT_S", TIME)
 
     async def test() -> None:
         backend = Backend()
@@ -101,7 +101,7 @@
             whole = served(b"v" * 100)
             at_once(connection, whole[:50])
             began = time.monotonic()
-            while not any(link.timer for link in b.pools._pools[7].links):
+            while not any(link.timer for link in b.pools._pools[7].connections):
                 await asyncio.sleep(0)
             await halted(began + 0.1, lambda: at_once(connection, whole[50:]))
             assert (await b.end())[:3] == (1, Outcome.OK, b"v" * 100)
@@ -164,7 +164,7 @@
                 loop = asyncio.get_running_loop()
                 taken, _ = await soon(loop.sock_accept(server))
                 assert (await b.end())[:2] == (1, Outcome.NOT_SENT)
-                assert not attempt.written and CLOCK() >= attempt.until
+                assert not attempt.is_written and CLOCK() >= attempt.not_after_ns
                 got = 0
                 try:
                     while piece := await soon(loop.sock_recv(taken, 1 << 16)):
@@ -173,6 +173,6 @@
                     pass
                 assert got == 0 if late == "to come up" else got < len(body)
                 taken.close()
-                assert b.pools.open == 0
+                assert b.pools.open_connections == 0
 
     run(test)
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -16,6 +16,7 @@
 from trackspread.decide.actions import Fail, StartAttempt
 from trackspread.decide.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 
+from .test_net_backends import connection_is_up
 from .fakes import LOCAL, Connection, World, busy_listener, call, host, listing, run, soon, until, world
 from .test_net_clients import Script, only_backend, script
 
@@ -46,7 +47,7 @@
                 s = script(w, lambda a: [StartAttempt(a.request, backend, 0)])
                 client = await w.client()
                 client.send(call("charge", body=b"B"))
-                await until(lambda: w.node.backends.open == 1)
+                await until(lambda: w.node.backends.open_connections == 1)
                 leave(client, how)
                 await until(lambda: bool(s.of(ClientDisconnected)))
                 # The backend takes connections now: the gateway's comes up, if it still wants it.
@@ -61,7 +62,7 @@
                         came.append(await loop.sock_recv(taken, 1 << 16))
 
                 accepting = asyncio.create_task(accept())
-                await until(lambda: w.node.backends.open == 0 or any(came))
+                await until(lambda: w.node.backends.open_connections == 0 or any(came))
                 accepting.cancel()
                 assert not any(came)
                 (ended,) = s.of(AttemptEnded)
@@ -87,8 +88,8 @@
                 await until(lambda: bool(s.events) and bool(w.node.requests))
                 (request,) = w.node.requests.values()
                 (attempt,) = request.out.values()
-                await until(lambda: attempt.link is not None and attempt.link.transport is not None)
-                assert not attempt.written
+                await until(lambda: connection_is_up(attempt))
+                assert not attempt.is_written
                 leave(client, how)
                 await until(lambda: bool(s.of(ClientDisconnected)))
                 (ended,) = s.of(AttemptEnded)
--- a/tests/test_endings_close.py
+++ b/tests/test_endings_close.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from trackspread.backends import pools
+from trackspread.backends import connection_pool
 from trackspread.config.operator import ClientBounds, Operator
 from trackspread.decide.events import Outcome
 from trackspread.fronts import connections
@@ -138,7 +138,7 @@
             client = await w.client()
             client.send(call())
             connection, _ = await w.backend.command()
-            (link,) = [link for pool in w.node.backends._pools.values() for link in pool.links]
+            (link,) = [link for pool in w.node.backends._pools.values() for link in pool.connections]
             (server,) = w.node.clients._clients
             assert no_delay(link.transport) and no_delay(server._transport)
             connection.send(served(b"v"))
@@ -151,7 +151,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """In one turn: the copy lies unread on a connection at rest when the repeat looks for one."""
-    monkeypatch.setattr(pools, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         backend = Backend()
@@ -162,7 +162,7 @@
             await backend.command()
             first.send(served(b"one"))
             assert (await b.end())[:3] == (1, Outcome.OK, b"one")
-            assert b.pools.idle() == 1
+            assert b.pools.idle_connections() == 1
             made = first.writer.get_extra_info("socket")
             with socket.socket(fileno=os.dup(made.fileno())) as again:
                 again.send(served(b"one"))
--- a/tests/test_endings_stop.py
+++ b/tests/test_endings_stop.py
@@ -34,7 +34,7 @@
             stopping = asyncio.create_task(w.node.stop())
             await until(lambda: w.node.clients.closing)
             # As if the drain had lasted until all but 0.3 s of what is left until SIGKILL.
-            w.node.now.base += longest + int((KILLED - 0.4) * SECOND)
+            w.node.now.base_ns += longest + int((KILLED - 0.4) * SECOND)
             number = 2 if kept == "behind another" else 2 * w.node.clients.bounds.pipeline
             client.send(b"".join(call(number=2 + n) for n in range(number - 1)))
             await until(lambda: len(w.node.requests) > 1)
--- a/tests/test_given_back.py
+++ b/tests/test_given_back.py
@@ -126,14 +126,18 @@
 def test_over_sockets_a_refused_connect_leaves_the_quota_as_it_was() -> None:
     async def test() -> None:
         async with world(packages=[plan_settings("team", 0.001, 1.0)]) as w:
-            (first,) = w.node.backends.known()
+            (first,) = w.node.backends.known_backends()
             w.agent.tell(listing(2, host("s-1", 1)))  # where nobody listens
             await until(lambda: w.node.backends._pools[first].address[1] == 1)
             client = await w.client()
             client.send(one_gateway(call(number=1)))
             assert str(await client.next()).startswith("BUSY")
             w.agent.tell(listing(3, host("s-2", w.backend.port)))
-            await until(lambda: w.node.backends.usable() and w.node.backends.known() != [first])
+            await until(
+                lambda: (
+                    w.node.backends.has_available_backend() and w.node.backends.known_backends() != [first]
+                )
+            )
             client.send(one_gateway(call(number=2)))
             connection, _ = await w.backend.command()
             connection.send(served(b"v"))
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -44,7 +44,7 @@
     "cli",
 )
 # Modules that still import one another in a circle, by package: this only gets shorter.
-CIRCLES = {"backends": {"pools", "seam"}, "fronts": {"client", "connections"}}
+CIRCLES = {"fronts": {"client", "connections"}}
 TESTING = {f"testing.{name}" for name in ("judge", "standins", "virtual", "harness", "mutation")}
 
 
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -106,7 +106,10 @@
             (held,) = w.node.clients._clients
             assert held._transport is not None
             waiting = sum(len(part) for slot in held.slots for part in slot.waiting or [])
-            assert held._transport.get_write_buffer_size() + waiting <= 4 * w.node.backends.unread
+            assert (
+                held._transport.get_write_buffer_size() + waiting
+                <= 4 * w.node.backends.context.receive_buffer_bytes
+            )
             assert sum(before) > 0  # the rest waits where it is
             whole = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
             assert await exactly(client, 2 * len(whole)) == 2 * whole
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -11,10 +11,13 @@
 
 import pytest
 
-from trackspread.backends import pools as backends
-from trackspread.backends.pools import Attempt, Backends
-from trackspread.backends.resp import RespDialect
-from trackspread.backends.seam import Report
+from trackspread.backends import connection as connections
+from trackspread.backends import connection_pool
+from trackspread.backends.attempt import Attempt
+from trackspread.backends.connection import BackendConnection
+from trackspread.backends.pools import ConnectionPools
+from trackspread.backends.resp import RespAdapter
+from trackspread.backends.adapter import LoadReport
 from trackspread.call import Call
 from trackspread.call import PausableSource
 from trackspread.clock import Clock
@@ -25,7 +28,7 @@
 
 SECOND = 1_000_000_000
 CLOCK = Clock()
-Ended = tuple[int, Outcome, bytes | None, Report]
+Ended = tuple[int, Outcome, bytes | None, LoadReport]
 
 
 class Bench:
@@ -34,13 +37,13 @@
     def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[Ended] = asyncio.Queue()
         self.written = 0
-        self.pools = Backends(
+        self.pools = ConnectionPools(
             most,
             connect,
             idle,
             grace,
             CLOCK,
-            RespDialect(),
+            RespAdapter(),
             self,
             64 << 20,
         )
@@ -48,7 +51,7 @@
     def attempt_ended(self, attempt: Attempt, *end: Any) -> None:
         self.ends.put_nowait((attempt.request, *end))
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_wanted(self, attempt: Attempt) -> bool:
         return True
 
     def attempt_written(self) -> None:
@@ -79,6 +82,11 @@
         return await soon(self.ends.get())
 
 
+def connection_is_up(attempt: Attempt) -> bool:
+    """Whether the attempt is on a connection that is established."""
+    return isinstance(attempt.connection, BackendConnection) and attempt.connection.transport is not None
+
+
 @asynccontextmanager
 async def bench(
     backend: Backend | None = None,
@@ -91,11 +99,11 @@
     made = Bench(most, connect, idle, grace)
     try:
         if backend is None:
-            made.pools.learn(7, (LOCAL, port))
+            made.pools.update_backend(7, (LOCAL, port))
             yield made
         else:
             async with listening(backend):
-                made.pools.learn(7, (LOCAL, backend.port))
+                made.pools.update_backend(7, (LOCAL, backend.port))
                 yield made
     finally:
         made.pools.close()
@@ -118,7 +126,9 @@
         (b"*3\r\n$1\r\nv\r\n-odd\r\n+odd\r\n", Outcome.OK, b"v", {}),
     ],
 )
-def test_outcome_of_each_answer(answer: bytes, outcome: Outcome, value: bytes | None, report: Report) -> None:
+def test_outcome_of_each_answer(
+    answer: bytes, outcome: Outcome, value: bytes | None, report: LoadReport
+) -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -176,7 +186,7 @@
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
-    monkeypatch.setattr(backends, "STALL", 0.05)
+    monkeypatch.setattr(connections, "STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         backend = Backend()
@@ -189,13 +199,13 @@
             connection.send(answer[len(head) :])
             assert await b.end() == (1, Outcome.RESET, None, {})
             await until(lambda: backend.ended == 1)
-            assert b.pools.open == 0 and b.ends.empty()
+            assert b.pools.open_connections == 0 and b.ends.empty()
 
     run(test)
 
 
 def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "STALL", 0.02)
+    monkeypatch.setattr(connections, "STALL_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         faults: list[object] = []
@@ -205,13 +215,13 @@
             attempt = b.start(1)
             connection, _ = await backend.command()
             connection.send(b"*3\r\n$5\r\nhal")
-            link = attempt.link
-            assert link is not None
+            link = attempt.connection
+            assert isinstance(link, BackendConnection)
             await until(lambda: link.timer is not None)
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
-            await asyncio.sleep(2 * backends.STALL)  # nothing is left that could come then
+            await asyncio.sleep(2 * connections.STALL_TIMEOUT_S)  # nothing is left that could come then
             assert faults == [] and b.ends.empty()
 
     run(test)
@@ -243,8 +253,8 @@
         async with bench(backend) as b:
             attempt = b.start(1)
             connection, _ = await backend.command()
-            assert attempt.link is not None
-            monkeypatch.setattr(attempt.link.answers, "_reader", Noted())
+            assert isinstance(attempt.connection, BackendConnection)
+            monkeypatch.setattr(attempt.connection.answers, "_reader", Noted())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
@@ -255,7 +265,7 @@
 def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as server:
@@ -283,7 +293,7 @@
         backend = Backend()
         async with bench(backend) as b:
             clock = [100.0]
-            b.pools.time = lambda: clock[0]
+            b.pools.context.time = lambda: clock[0]
             b.start(1)
             connection, _ = await backend.command()
             connection.send(served(b"v"))
@@ -305,7 +315,7 @@
         async with bench(port=port) as b:
             b.start(1)
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
 
     run(test)
 
@@ -326,7 +336,7 @@
             async with bench(port=address[1], connect=0.05 if late else 20.0) as b:
                 b.start(1, timeout=None if late else 0.05)
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-                assert b.pools.open == 0
+                assert b.pools.open_connections == 0
             for one in fill:
                 one.close()
 
@@ -354,7 +364,7 @@
             assert await b.end() == (1, wanted, None, {})
             # The connection is closed too: an answer that still comes belongs to nobody.
             await until(lambda: backend.ended == 1)
-            assert b.pools.open == 0 and b.ends.empty()
+            assert b.pools.open_connections == 0 and b.ends.empty()
 
     run(test)
 
@@ -369,7 +379,7 @@
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
                 taken, _ = await soon(loop.sock_accept(server))
-                await until(lambda: attempt.link is not None and attempt.link.transport is not None)
+                await until(lambda: connection_is_up(attempt))
                 if how == "reset":
                     taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     taken.close()
--- a/tests/test_net_client_bounds.py
+++ b/tests/test_net_client_bounds.py
@@ -159,7 +159,7 @@
             connection, _ = await w.backend.command()
             value = b"v" * 60_000
             connection.send(served(value))
-            await until(lambda: w.node.backends.idle() == 1)
+            await until(lambda: w.node.backends.idle_connections() == 1)
             for _ in range(20):
                 client.send(b"x" * 10_000)
                 await asyncio.sleep(0)
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -63,13 +63,13 @@
 
 def let_time_pass(w: World, s: Script) -> None:
     """As if the latest request's time were over, however fast the machine is."""
-    w.node.now.base += 60 * SECOND
+    w.node.now.base_ns += 60 * SECOND
     w.node.time_is_up(s.of(RequestArrived)[-1].request)
-    w.node.now.base -= 60 * SECOND
+    w.node.now.base_ns -= 60 * SECOND
 
 
 def only_backend(w: World) -> int:
-    return w.node.backends.known()[0]
+    return w.node.backends.known_backends()[0]
 
 
 def test_request_and_value_pass_through_unchanged() -> None:
@@ -140,13 +140,13 @@
                 client = await w.client()
                 client.send(call("charge", number, wait_ms=1500))
                 connection, _ = await w.backend.command()
-                busy = backends.open - backends.idle()
+                busy = backends.open_connections - backends.idle_connections()
                 assert (
                     module.in_flight == busy == sum(s.in_flight for s in module.fleet.servers.values()) == 1
                 )
                 if number == len(endings) - 1:
                     w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating")))
-                    await until(lambda: not backends.usable())
+                    await until(lambda: not backends.has_available_backend())
                 if ending is None:
                     client.abort()
                     await until(lambda: not module.open_requests)
@@ -159,11 +159,11 @@
                 connection.send(ending) if ending else connection.abort()
                 await until(lambda: module.in_flight == 0)
                 assert not module.attempts and not module.open_requests and not w.node.requests
-                assert backends.open == backends.idle() and not w.node.ids
+                assert backends.open_connections == backends.idle_connections() and not w.node.ids
                 assert all(s.in_flight == 0 for s in module.fleet.servers.values())
                 for server in module.fleet.servers.values():
                     server.ejected_until_ns = 0  # symptoms would have it rest
-            await until(lambda: backends.open == 0)
+            await until(lambda: backends.open_connections == 0)
             assert all(a.in_flight == 0 for a in module.quota.accounts.values())
 
     run(test)
@@ -179,7 +179,9 @@
                 connection, words = await w.backend.command()
                 by_id[words[2]] = connection
             by_id[b"%016x" % 2].send(served(b"two"))
-            await until(lambda: w.node.backends.idle() == 1)  # the second's answer has been taken in
+            await until(
+                lambda: w.node.backends.idle_connections() == 1
+            )  # the second's answer has been taken in
             by_id[b"%016x" % 1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", b"two", b"PONG"]
 
@@ -304,7 +306,7 @@
             (ended,) = s.of(AttemptEnded)
             assert (ended.outcome, ended.request_finished) == (Outcome.TIMEOUT, True)
             await until(lambda: w.backend.ended == 1)
-            assert w.node.backends.open == 0
+            assert w.node.backends.open_connections == 0
 
     run(test)
 
@@ -435,7 +437,7 @@
             client.send(call(number=1) + call(number=2))
             await until(lambda: bool(s.of(AttemptEnded)))
             assert s.of(AttemptEnded)[0].outcome is Outcome.CANCELLED
-            assert w.node.backends.open == 0
+            assert w.node.backends.open_connections == 0
 
     run(test)
 
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from trackspread.backends import pools as backends
-from trackspread.backends.ages import Ages
+from trackspread.backends import connection_pool
+from trackspread.backends.idle_age import IdleAgeLimit
 from trackspread.backends.resp import read_answer, read_report
 from trackspread.decide.events import Outcome
 
@@ -19,7 +19,7 @@
 
 
 def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as server:
@@ -47,32 +47,32 @@
 ) -> None:
     """A machine that vanished is back at its address: it never closed them, and a request that cannot be
     repeated would be written, reset and lost."""
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
-            b.pools.learn(7, (LOCAL, backend.port), booted=1)
+            b.pools.update_backend(7, (LOCAL, backend.port), incarnation=1)
             b.start(1)
             first, _ = await backend.command()
             first.send(served(b"v"))
             assert (await b.end())[:2] == (1, Outcome.OK)
-            b.pools.learn(7, (LOCAL, backend.port), booted=1)
-            assert b.pools.idle() == 1
+            b.pools.update_backend(7, (LOCAL, backend.port), incarnation=1)
+            assert b.pools.idle_connections() == 1
             b.start(2)
             out, _ = await backend.command()
             assert out is first
-            b.pools.learn(7, (LOCAL, backend.port), booted=2)
+            b.pools.update_backend(7, (LOCAL, backend.port), incarnation=2)
             out.send(served(b"w"))  # what is out may still be answered
             assert (await b.end())[:2] == (2, Outcome.OK)
-            assert b.pools.idle() == 0
+            assert b.pools.idle_connections() == 0
             b.start(3)
             second, _ = await backend.command()
             assert second is not first
             second.send(served(b"x"))
             assert (await b.end())[:2] == (3, Outcome.OK)
-            b.pools.learn(7, (LOCAL, backend.port), booted=3)
-            assert b.pools.idle() == 0
+            b.pools.update_backend(7, (LOCAL, backend.port), incarnation=3)
+            assert b.pools.idle_connections() == 0
 
     run(test)
 
@@ -104,7 +104,7 @@
             connection.send(served(b"v") + served(b"again"))
             assert (await b.end())[1] is Outcome.OK
             await until(lambda: backend.ended == 1)
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
 
     run(test)
 
@@ -112,7 +112,7 @@
 def test_connections_are_reused_last_in_first_out_with_one_request_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         backend = Backend()
@@ -130,7 +130,7 @@
                 assert connection is held[1][0]
                 connection.send(served(b"v"))
                 await b.end()
-            assert b.pools.open == 2
+            assert b.pools.open_connections == 2
 
     run(test)
 
@@ -158,7 +158,7 @@
         backend = Backend()
         async with bench(backend) as b:
             clock = [100.0]
-            b.pools.time = lambda: clock[0]
+            b.pools.context.time = lambda: clock[0]
 
             async def rested(seconds: float, broken: bool) -> bool:
                 """A good answer, then another request after that rest; whether it came on the same one."""
@@ -179,29 +179,29 @@
             assert not await rested(0.3, False)
             assert await rested(0.15, False)
             for _ in range(120):
-                b.pools.ages.decay()
+                b.pools.context.idle_age.decay()
             assert await rested(0.3, False)  # after a while it is tried again
 
     run(test)
 
 
 def test_breaks_that_come_at_any_age_or_seldom_shorten_no_rest() -> None:
-    ages = Ages(15.0)
+    ages = IdleAgeLimit(15.0)
     for age in (0.01, 0.02) * 10:
-        ages.tried(age)
-        ages.broke(age)
+        ages.record_use(age)
+        ages.record_reset(age)
     for _ in range(100):
-        ages.tried(1.0)
+        ages.record_use(1.0)
     for _ in range(4):
-        ages.broke(1.0)
-    assert ages.limit == 15.0
+        ages.record_reset(1.0)
+    assert ages.limit_s == 15.0
 
 
 def test_connections_are_bounded_and_idle_ones_give_way() -> None:
     async def test() -> None:
         one, two = Backend(), Backend()
         async with listening(two), bench(one, most=1) as b:
-            b.pools.learn(8, (LOCAL, two.port))
+            b.pools.update_backend(8, (LOCAL, two.port))
             b.start(1)
             connection, _ = await one.command()
             b.start(2, backend=8)
@@ -212,7 +212,7 @@
             connection, _ = await two.command()
             connection.send(served(b"v"))
             assert (await b.end())[:2] == (3, Outcome.OK)
-            assert b.pools.open == 1
+            assert b.pools.open_connections == 1
 
     run(test)
 
@@ -226,7 +226,7 @@
             held = [await backend.command() for _ in range(2)]
             held[0][0].send(served(b"v"))
             await b.end()
-            b.pools.learn(7, None)
+            b.pools.update_backend(7, None)
             await until(lambda: backend.ended == 1)
             held[1][0].send(served(b"w"))
             assert (await b.end())[1:3] == (Outcome.OK, b"w")
@@ -243,12 +243,12 @@
         backend = Backend()
         async with bench(backend, grace=grace) as b:
             b.start(1)
-            b.pools.learn(7, None, old)
+            b.pools.update_backend(7, None, old)
             if grace and not old:
                 await backend.command()
                 return
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-            assert backend.commands.empty() and b.pools.open == 0
+            assert backend.commands.empty() and b.pools.open_connections == 0
 
     run(test)
 
--- a/tests/test_net_lists.py
+++ b/tests/test_net_lists.py
@@ -347,13 +347,13 @@
     async def test() -> None:
         async with world() as w:
             told: list[bool] = []
-            learn = w.node.backends.learn
+            learn = w.node.backends.update_backend
 
             def noted(number: int, where: tuple[str, int] | None, old: bool = False, booted: int = 0) -> None:
                 told.append(old)
                 learn(number, where, old, booted)
 
-            w.node.backends.learn = noted  # type: ignore[method-assign,assignment]
+            w.node.backends.update_backend = noted  # type: ignore[method-assign,assignment]
             w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating"), whole=False))
             await until(lambda: told == [False])
             w.agent.hang_up()
--- a/tests/test_net_logs.py
+++ b/tests/test_net_logs.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from trackspread.backends.pools import log as backends_log
+from trackspread.backends.connection import log as connections_log
+from trackspread.backends.pools import log as pools_log
 from trackspread.fronts.client import log as clients_log
 from trackspread.logs import LINES_MOST, SPAN, Sparing
 
@@ -27,5 +28,5 @@
 
 
 def test_logs_of_clients_and_backends_are_bounded() -> None:
-    for log in (backends_log, clients_log):
+    for log in (connections_log, pools_log, clients_log):
         assert any(isinstance(one, Sparing) for one in log.filters)
--- /dev/null
+++ b/trackspread/backends/connection_pool.py
@@ -0,0 +1,156 @@
+"""The connections to one backend.
+
+May know: connections, attempts, time. May not know: other pools, the protocol spoken.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import cast
+
+from ..config.addresses import Address
+from ..lag import LagTolerantTimer
+from .attempt import Attempt
+from .connection import BackendConnection
+from .pool_context import PoolContext
+
+REUSE_DELAY_S = 0.005  # idle after an answer, where another is free: a second copy of the answer may follow
+
+
+class ConnectionPool:
+    """The connections to one backend."""
+
+    def __init__(
+        self, context: PoolContext, address: Address, incarnation: int, has_capacity: Callable[[], bool]
+    ) -> None:
+        """`incarnation`: of the backend's process; `has_capacity`: whether one more may be opened."""
+        self.context = context
+        self.address = address
+        self.incarnation = incarnation
+        self._has_capacity = has_capacity
+        self.idle: list[BackendConnection] = []  # the longest idle first
+        self.connections: set[BackendConnection] = set()
+        self.closes_at_s: float | None = None  # end of the grace time once the backend is draining
+
+    @property
+    def is_closing(self) -> bool:
+        """Whether the backend is draining or gone and gets nothing new."""
+        return self.closes_at_s is not None
+
+    def start(self, attempt: Attempt, now_ns: int) -> None:
+        """Write the attempt on an idle connection, or open one for it."""
+        connection = self._take_idle(REUSE_DELAY_S)
+        if connection is None and not self._has_capacity():
+            connection = self._take_idle(0.0)
+            if connection is None:
+                # Out of descriptors: reported as what it is, a connection that was never established.
+                self.context.loop.call_soon(self.context.attempts.fail_unsent, attempt)
+                return
+        if connection is not None:
+            connection.write(attempt, now_ns)
+        else:
+            self._open(attempt)
+
+    def _take_idle(self, min_idle_s: float) -> BackendConnection | None:
+        """The latest used connection that has been idle so long, reusable and not about to be closed."""
+        now_s = self.context.time()
+        for position in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[position]
+            idle_s = now_s - connection.idle_since_s
+            if idle_s < min_idle_s:
+                continue
+            if idle_s < self.context.idle_age.limit_s and connection.is_reusable():
+                del self.idle[position]
+                return connection
+            connection.drop()
+        return None
+
+    def _open(self, attempt: Attempt) -> None:
+        context = self.context
+        connection = BackendConnection(self, self.incarnation, attempt)
+        attempt.connection = connection
+        self.connections.add(connection)
+        context.open_connections += 1
+        connection.timer = LagTolerantTimer(
+            context.loop, context.connect_timeout_s, partial(self._connect_failed, connection)
+        )
+        connection.task = context.loop.create_task(self._connect(connection))
+
+    async def _connect(self, connection: BackendConnection) -> None:
+        try:
+            await self.context.loop.create_connection(lambda: connection, *self.address)
+        except OSError:
+            self._connect_failed(connection)
+
+    def _connect_failed(self, connection: BackendConnection) -> None:
+        """Refused, or not established in time: the request is known never to have run."""
+        attempt = connection.attempt
+        connection.drop()
+        if attempt is not None:
+            self.context.attempts.fail_unsent(attempt)
+
+    def connected(self, connection: BackendConnection) -> None:
+        """Write the attempt that the connection was opened for, if it may still be written."""
+        attempt = cast(Attempt, connection.attempt)
+        connection.cancel_timer()
+        if self.closes_at_s is not None and self.context.loop.time() >= self.closes_at_s:
+            # Rule 3: decided before the drain was notified, but too late to be written now.
+            self._connect_failed(connection)
+            return
+        now_ns = self.context.clock()
+        if attempt.not_after_ns and now_ns >= attempt.not_after_ns:
+            # Rule 2: decided within the window for retries, but established too late.
+            self.context.attempts.withdraw(attempt)
+            return
+        if attempt.call is not None and not self.context.attempts.observer.is_wanted(attempt):
+            self.context.attempts.withdraw(attempt)
+            return
+        connection.write(attempt, now_ns)
+
+    def release(self, connection: BackendConnection) -> None:
+        """Back to the end of the list: those before it stay idle and are retired."""
+        if self.is_closing or connection.incarnation != self.incarnation:
+            connection.drop()
+            return
+        connection.idle_since_s = self.context.time()
+        self.idle.append(connection)
+
+    def lost(self, connection: BackendConnection) -> None:
+        """It is closed."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+            self.context.open_connections -= 1
+            if connection in self.idle:
+                self.idle.remove(connection)
+
+    def begin_closing(self, grace_s: float) -> None:
+        """Close what is idle; connections that are being opened are not written to after the grace time."""
+        self.closes_at_s = self.closes_at_s or self.context.loop.time() + grace_s
+        self.close_idle()
+
+    def has_closed(self) -> bool:
+        """Whether the grace time is over and no connection is left."""
+        if self.closes_at_s is None or self.connections:
+            return False
+        return self.context.loop.time() > self.closes_at_s
+
+    def restart(self, incarnation: int) -> None:
+        """The backend's process is another one: no connection to the former is used again."""
+        self.incarnation = incarnation
+        self.close_idle()
+
+    def retire(self, idle_before_s: float) -> None:
+        """Close what has been idle since that time or longer."""
+        while self.idle and self.idle[0].idle_since_s <= idle_before_s:
+            self.idle[0].drop()
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        for connection in self.idle[:]:
+            connection.drop()
+
+    def close(self) -> None:
+        """Close all connections."""
+        for connection in list(self.connections):
+            connection.drop()
--- a/trackspread/backends/resp.py
+++ b/trackspread/backends/resp.py
@@ -1,6 +1,6 @@
-"""RESP2 towards backends: attempts and probes to bytes, answers to outcomes.
+"""RESP2 towards backends: attempts and health checks to bytes, answers to outcomes.
 
-May know: words and framing. May not know: connections, time-outs, decisions.
+May know: RESP's commands and framing. May not know: connections, time-outs, decisions.
 """
 
 from __future__ import annotations
@@ -13,15 +13,17 @@
 from ..call import Call
 from ..decide.events import Outcome
 from ..framing.resp import ANSWER_ITEMS, AnswerFrames, FrameError, Words
-from .seam import Ending, Report, Sink, Spoilt
+from .adapter import INCOMPLETE, Answer, InvalidAnswer, LoadReport, ReadResult, ValueReceiver
 
+_EMPTY_VALUE = b"*%d\r\n$0\r\n" % ANSWER_ITEMS  # an answer's beginning, as hiredis gets it for a long value
+_ERROR_LINES = (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.REJECTED))
 # What the protocol writes, not all that Python reads as a number: no sign and no infinity.
 _NUMBER = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
-def read_report(text: bytes) -> Report:
-    """`name=number` pairs; what is no such text is no report."""
-    report: Report = {}
+def read_report(text: bytes) -> LoadReport:
+    """The load report in `name=number` pairs; empty where the text is none."""
+    report: LoadReport = {}
     for item in text.split(b","):
         name, _, number = item.partition(b"=")
         if not (name.isascii() and _NUMBER.fullmatch(number)):
@@ -30,87 +32,122 @@
     return report
 
 
-def read_answer(answer: object) -> Ending:
-    """What a whole answer means: outcome, the value if it was served, the load report.
+def read_answer(reply: object) -> Answer:
+    """What a complete reply means.
 
-    Value and framing must be right; a report or figures that can't be read spoil nothing."""
-    if isinstance(answer, list) and isinstance(answer[0], bytes):
-        told = answer[2]
-        return Outcome.OK, answer[0], read_report(told) if isinstance(told, bytes) else {}
-    if isinstance(answer, hiredis.ReplyError):
-        line = str(answer)
-        for words, outcome in (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.REJECTED)):
-            if line == words:
-                return outcome, None, {}
-            if line.startswith(words + " "):
-                return outcome, None, read_report(line[len(words) + 1 :].encode())
-    raise Spoilt(f"{answer!r:.80}")
+    Value and framing must be right; a report or figures that cannot be read invalidate nothing. Raises
+    `InvalidAnswer`.
+    """
+    if isinstance(reply, list) and isinstance(reply[0], bytes):
+        report = reply[2]
+        return Answer(Outcome.OK, reply[0], read_report(report) if isinstance(report, bytes) else {})
+    if isinstance(reply, hiredis.ReplyError):
+        line = str(reply)
+        for prefix, outcome in _ERROR_LINES:
+            if line == prefix:
+                return Answer(outcome, None, {})
+            if line.startswith(prefix + " "):
+                return Answer(outcome, None, read_report(line[len(prefix) + 1 :].encode()))
+    raise InvalidAnswer(f"{reply!r:.80}")
 
 
-def read_probe(answer: object) -> Ending:
-    """What `INFO load` brought: the report as a string, or an error line."""
-    return (Outcome.OK, None, read_report(answer)) if isinstance(answer, bytes) else read_answer(answer)
+def read_health_check(reply: object) -> Answer:
+    """What `INFO load` was answered with: the report as a string, or an error line."""
+    if isinstance(reply, bytes):
+        return Answer(Outcome.OK, None, read_report(reply))
+    return read_answer(reply)
 
 
-EMPTIED = b"*%d\r\n$0\r\n" % ANSWER_ITEMS  # an answer's beginning, as the reader is told of a long value
+class _RespAnswerReader:
+    """One connection's answers; hiredis parses what `AnswerFrames` has found to be complete."""
 
-
-class _Answers:
-    """One connection's answers; hiredis reads what `AnswerFrames` has found to be whole."""
-
-    __slots__ = ("_frames", "_parts", "_passing", "_reader")
+    __slots__ = ("_frames", "_is_forwarding", "_parts", "_reader")
 
     def __init__(self) -> None:
-        self._reader, self._frames = hiredis.Reader(), AnswerFrames()
+        self._reader = hiredis.Reader()
+        self._frames = AnswerFrames()
         self._parts: list[bytes] = []  # of the answer that has begun
-        self._passing = False  # whether a long value is under way
+        self._is_forwarding = False  # whether a long value is under way
 
     @property
-    def midway(self) -> bool:
+    def is_midway(self) -> bool:
+        """Whether an answer has begun and not ended."""
         return self._frames.midway
 
-    def read(self, data: bytes, probe: bool, sink: Sink) -> tuple[int, Ending | None]:
-        frames, at = self._frames, 0
+    def read(self, data: bytes, is_health_check: bool, receiver: ValueReceiver) -> ReadResult:
+        """Read the answer that `data` begins or continues; see `adapter.AnswerReader`."""
         try:
-            while (end := -1 if frames.long else frames.scan(data, at)) < 0:
+            start, end = self._scan(data, receiver)
+            if end < 0:
+                return INCOMPLETE
+            reply = self._parse(data[start:end])
+            return ReadResult(end, read_health_check(reply) if is_health_check else read_answer(reply))
+        except (FrameError, hiredis.ProtocolError, ValueError) as error:
+            raise InvalidAnswer(str(error)) from None
+
+    def _scan(self, data: bytes, receiver: ValueReceiver) -> tuple[int, int]:
+        """Where the part of `data` begins that is still to be parsed, and where the answer ends.
+
+        The end is -1 where the answer goes on in later data.
+        """
+        frames = self._frames
+        at = 0
+        while True:
+            if not frames.long:
+                end = frames.scan(data, at)
+                if end >= 0:
+                    return at, end
                 if not frames.long:
                     self._parts.append(data[at:])
-                    return -1, None
-                if not self._passing:
-                    self._passing, self._parts, at = True, [EMPTIED], frames.long_at
-                    sink.begins(frames.rest)
-                if taken := min(frames.rest, len(data) - at):
-                    sink.piece(data[at : at + taken])
-                    frames.take(taken)
-                    at += taken
-                if frames.long:
-                    return -1, None
-                self._passing = False
-            for part in self._parts:
-                self._reader.feed(part)
-            self._parts.clear()
-            self._reader.feed(data[at:end])
-            answer = self._reader.gets()
-            return end, read_probe(answer) if probe else read_answer(answer)
-        except (FrameError, hiredis.ProtocolError, ValueError) as error:
-            raise Spoilt(str(error)) from None
+                    return at, -1
+            at = self._forward(data, at, receiver)
+            if frames.long:
+                return at, -1
+
+    def _forward(self, data: bytes, at: int, receiver: ValueReceiver) -> int:
+        """Give the long value's bytes to the receiver; where in `data` those end."""
+        frames = self._frames
+        if not self._is_forwarding:
+            self._is_forwarding = True
+            self._parts = [_EMPTY_VALUE]
+            at = frames.long_at
+            receiver.value_begins(frames.rest)
+        if available := min(frames.rest, len(data) - at):
+            receiver.value_piece(data[at : at + available])
+            frames.take(available)
+            at += available
+        if not frames.long:
+            self._is_forwarding = False
+        return at
+
+    def _parse(self, last_part: bytes) -> object:
+        for part in self._parts:
+            self._reader.feed(part)
+        self._parts.clear()
+        self._reader.feed(last_part)
+        return self._reader.gets()
+
+
+class RespAdapter:
+    """RESP2, for all connections of one gateway."""
 
+    def answer_reader(self) -> _RespAnswerReader:
+        """The reading side of a new connection."""
+        return _RespAnswerReader()
+
+    def request(self, call: Call, time_left_ms: int) -> bytes | list[bytes]:
+        """The client's own bytes, except for `d`, the time left; a long body is not copied."""
+        words = cast(Words, call.raw_request)
+        parameters = b"%bd=%d%b" % (words.head, time_left_ms, words.tail)
+        if not call.body_bytes:
+            return _pack((*words.front, parameters, *words.body))
+        packed = _pack((*words.front, parameters, b""))
+        return [packed.removesuffix(b"$0\r\n\r\n"), b"$%d\r\n" % call.body_bytes, *words.body, b"\r\n"]
+
+    def health_check(self) -> bytes:
+        """The bytes of a health check."""
+        return _pack((b"INFO", b"load"))
 
-class RespDialect:
-    """RESP2, for all connections of one gateway."""
 
-    def answers(self) -> _Answers:
-        return _Answers()
-
-    def request(self, call: Call, left_ms: int) -> bytes | list[bytes]:
-        """The client's own bytes, but for `d`; a long body is not copied."""
-        form = cast(Words, call.raw_request)
-        if call.body_bytes:
-            words = (*form.front, b"%bd=%d%b" % (form.head, left_ms, form.tail), b"")
-            packed = cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]
-            return [packed.removesuffix(b"$0\r\n\r\n"), b"$%d\r\n" % call.body_bytes, *form.body, b"\r\n"]
-        words = (*form.front, b"%bd=%d%b" % (form.head, left_ms, form.tail), *form.body)
-        return cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]
-
-    def probe(self) -> bytes:
-        return cast(bytes, hiredis.pack_command((b"INFO", b"load")))  # type: ignore[arg-type]
+def _pack(words: tuple[bytes, ...]) -> bytes:
+    return cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]
--- a/trackspread/clock.py
+++ b/trackspread/clock.py
@@ -6,14 +6,16 @@
 
 
 class Clock:
-    """Never goes back and reads Unix time at its start, in ns, so that `born_ms` lies on it. `base`: the
-    Unix time at which the machine's own clock read 0; two processes with the same base read the same
-    time."""
+    """The time in ns: Unix time at the start of the process, and never going back from then on.
 
-    __slots__ = ("base",)
+    `base_ns` is the Unix time at which the machine's own clock read 0; two processes with the same base read
+    the same time.
+    """
+
+    __slots__ = ("base_ns",)
 
     def __init__(self) -> None:
-        self.base = time.time_ns() - time.monotonic_ns()
+        self.base_ns = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        return self.base + time.monotonic_ns()
+        return self.base_ns + time.monotonic_ns()
--- a/trackspread/fronts/connections.py
+++ b/trackspread/fronts/connections.py
@@ -17,7 +17,7 @@
 from ..call import Call
 from ..config.addresses import Address
 from ..config.operator import ClientBounds
-from ..lag import Later
+from ..lag import LagTolerantTimer
 from .bodies import Bodies
 from .client import Client, Slot
 from .seam import Front
@@ -77,7 +77,7 @@
         self._servers: list[asyncio.Server] = []
         self._unread: set[Client] = set()  # those that are not read for the time being
         self._gone_looker: asyncio.TimerHandle | None = None  # while there are any
-        self._looker: Later | None = None
+        self._looker: LagTolerantTimer | None = None
         self._last_came = 0.0
         self.closing = False
         self.handing = False  # another process takes over: nothing new is taken here
@@ -142,7 +142,7 @@
         for client in [*self._fresh, *self._clients]:
             client.look(now, crowded)
         # What has come, or has been read, while this process lagged counts before a look does.
-        self._looker = Later(self._loop, LOOK, self._look)
+        self._looker = LagTolerantTimer(self._loop, LOOK, self._look)
 
     def reads(self, client: Client, read_on: bool) -> None:
         """Whether the client's connection is read from now on; nothing else tells of its end meanwhile."""
--- a/trackspread/lists/agent.py
+++ b/trackspread/lists/agent.py
@@ -14,7 +14,7 @@
 
 from ..config.addresses import Address, ConfigError, address
 from ..decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
-from ..lag import Later
+from ..lag import LagTolerantTimer
 from ..logs import Sparing
 from .seam import ListError, Update, backend_id
 from .services import ALL_ALIKE, DEFAULT, CarriedServices
@@ -205,7 +205,7 @@
         self._host, self._index, self._line = host, index, line
         self._rest, self._first = b"", True
         self._moved_at = self._loop.time()  # when the call was made, its answer began or its last line ended
-        self._timer: Later | None = None
+        self._timer: LagTolerantTimer | None = None
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -228,7 +228,7 @@
             self.silent = True
             self._end("silent")
         else:
-            self._timer = Later(self._loop, left, self._listen)
+            self._timer = LagTolerantTimer(self._loop, left, self._listen)
 
     def data_received(self, data: bytes) -> None:
         try:
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ..backends.pools import Backends
-from ..backends.resp import RespDialect
+from ..backends.pools import ConnectionPools
+from ..backends.resp import RespAdapter
 from ..config.addresses import ConfigError
 from ..config.operator import DEFAULTS, Operator
 from ..config.operator import needs_restart as tables_need_restart
@@ -90,13 +90,13 @@
         spare = max(16, config.sockets - reserved)
         settings, most = config.settings, int(spare * operator.backends.descriptor_part)
         grace = settings.drain_grace_ns / SECOND * operator.backends.grace_part  # a loop may lag
-        self.backends = Backends(
+        self.backends = ConnectionPools(
             most,
             config.connect_timeout / SECOND,
             config.connection_idle / SECOND,
             grace,
             self.now,
-            RespDialect(),
+            RespAdapter(),
             self,
             config.memory,
         )
@@ -268,7 +268,7 @@
     def share(self, clients: int, links: int) -> None:
         """Descriptors that another process holds of those that both have together."""
         self.clients.bound = max(1, self._spare[0] - clients)
-        self.backends.most = max(1, self._spare[1] - links)
+        self.backends.limit_connections(max(1, self._spare[1] - links))
 
     def freeze(self) -> int | None:
         """Take nothing more; the descriptor is of the peers' socket, for the other process."""
@@ -321,8 +321,8 @@
             ends or "none",
             len(self.requests),
             self.clients.count(),
-            self.backends.open,
-            self.backends.idle(),
+            self.backends.open_connections,
+            self.backends.idle_connections(),
         )
         self._ends.clear()
         self._teller = self._loop.call_later(self.operator.log.tally_s, self._tally)
@@ -430,12 +430,12 @@
         named = {entry.id for entry in update.topology.backends}
         if update.topology.kind is not EndpointUpdateKind.DELTA:
             for backend in self._seen - named:
-                self.backends.learn(backend, None, update.old)
+                self.backends.update_backend(backend, None, update.old)
             self._seen = set()
         for entry in update.topology.backends:
             gone = entry.health is not Health.READY
             at = None if gone else update.addresses[entry.id]
-            self.backends.learn(entry.id, at, update.old, entry.started_at_ns)
+            self.backends.update_backend(entry.id, at, update.old, entry.started_at_ns)
             (self._seen.discard if entry.health is Health.REMOVED else self._seen.add)(entry.id)
         self.handle(update.topology)
 
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..backends.pools import Attempt
+from ..backends.attempt import Attempt
 from ..call import Call
 from ..clock import Clock
 from ..config.platform import Config
@@ -118,7 +118,7 @@
         return wire.encode(
             HandoverState(
                 snapshot.portrait(table.broker, table.class_names(), out),
-                table.now.base,
+                table.now.base_ns,
                 ids,
                 number,
                 len(ids),
@@ -178,7 +178,7 @@
         state: HandoverState = wire.decode(whole, HandoverState)
         table = self._table
         snapshot.restore(table.broker, state.module, table.class_names())
-        table.now.base = state.base
+        table.now.base_ns = state.base
         self._out = {(number, attempt): by for number, attempt, by, *_ in state.module["out"]}
         self._ids = dict(state.ids)
         table.ids.update(self._ids.values())
--- a/trackspread/node/requests.py
+++ b/trackspread/node/requests.py
@@ -15,8 +15,9 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from ..backends.pools import Attempt, Backends
-from ..backends.seam import Report
+from ..backends.attempt import Attempt
+from ..backends.pools import ConnectionPools
+from ..backends.adapter import LoadReport
 from ..call import Call
 from ..call import InvalidCall, PausableSource
 from ..clock import Clock
@@ -53,7 +54,7 @@
 from ..decide.report import Module
 from ..decide.services import ServiceBrokers
 from ..fronts.client import Slot
-from ..lag import Later
+from ..lag import LagTolerantTimer
 from ..lists.seam import ListError
 from ..peers.datagrams import Peers
 from ..usage.record import Ending
@@ -83,14 +84,14 @@
         self.closed = False
         self.attempts = 0
         self.out: dict[int, Attempt] = {}
-        self.timer: Later | None = None
+        self.timer: LagTolerantTimer | None = None
         self.begun: Attempt | None = None  # whose long value is being passed on
 
 
 class Requests:
     """The table of requests, and the module that decides on them; a gateway is one with sockets round it."""
 
-    backends: Backends
+    backends: ConnectionPools
     peers: Peers
     book: PlanFollower | None
     uses: Uses | None
@@ -138,7 +139,7 @@
     # From the clients.
 
     def ready(self) -> bool:
-        return self.backends.usable()
+        return self.backends.has_available_backend()
 
     def take(self, call: Call, slot: Slot, waited: float) -> None:
         """`waited`: seconds that the command lay here already. Raises `BadCall`."""
@@ -172,7 +173,7 @@
         )
         if number in self.requests:
             delay = (valid_until - self.now()) / SECOND
-            request.timer = Later(self._loop, max(0.0, delay), partial(self.time_is_up, number))
+            request.timer = LagTolerantTimer(self._loop, max(0.0, delay), partial(self.time_is_up, number))
 
     def left(self, number: int) -> None:
         request = self.requests.get(number)
@@ -192,7 +193,7 @@
             return
         left = request.valid_until - self.now()
         if left > 0:  # timers count in milliseconds and may come early
-            request.timer = Later(self._loop, left / SECOND, partial(self.time_is_up, number))
+            request.timer = LagTolerantTimer(self._loop, left / SECOND, partial(self.time_is_up, number))
             return
         for attempt in list(request.out.values()):
             self.backends.expire(attempt)
@@ -201,7 +202,7 @@
             self._fail(number, request, "out of time")
             self.handle(ClientDisconnected(number))
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_wanted(self, attempt: Attempt) -> bool:
         """Whether somebody still waits for what this attempt is to bring."""
         request = self.requests.get(attempt.request)
         return request is not None and not request.closed and not request.slot.client.ended()
@@ -250,7 +251,7 @@
         for other in request.out.values():
             if other is not attempt:
                 self._loop.call_soon(self._cancel, other)
-        elapsed = max(0, self.now() - attempt.started)
+        elapsed = max(0, self.now() - attempt.started_at_ns)
         self.handle(ResponseStarted(number, elapsed, attempt.index, attempt.backend), number)
         request.slot.begins(request.call, length, source)
         return True
@@ -268,8 +269,10 @@
             self._close(number, request, Ending.FAILED)
             request.slot.cut(request.call)
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: Report) -> None:
-        elapsed = max(0, self.now() - attempt.started)
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
+    ) -> None:
+        elapsed = max(0, self.now() - attempt.started_at_ns)
         names = self.config.settings.load_report_names
         load = tuple(report[name] for name in names) if report and report.keys() >= set(names) else ()
         if attempt.call is None:
--- a/trackspread/testing/harness/mutant.py
+++ b/trackspread/testing/harness/mutant.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...backends.pools import Backends as Pools
+from ...backends.pools import ConnectionPools
 from ...fronts.client import Slot
 from ..judge.verdict import Rule
 from ...node import serve
@@ -59,13 +59,15 @@
 
 def _written_late() -> list[Any]:
     """A drained backend gets what was decided before, however late."""
-    real = Pools.learn
+    real = ConnectionPools.update_backend
 
-    def mutant(self: Pools, backend: int, address: Any, old: bool = False, booted: int = 0) -> None:
+    def mutant(
+        self: ConnectionPools, backend: int, address: Any, is_old: bool = False, incarnation: int = 0
+    ) -> None:
         if address is not None:
-            real(self, backend, address, old, booted)
+            real(self, backend, address, is_old, incarnation)
 
-    return [patch.object(Pools, "learn", mutant), *MUTANTS["drains-ignored"].patches()]
+    return [patch.object(ConnectionPools, "update_backend", mutant), *MUTANTS["drains-ignored"].patches()]
 
 
 def _crashes() -> list[Any]:
