--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -11,7 +11,7 @@
 from trackspread.lists.turns import SPREAD_MOST
 from trackspread.membership.host import DESCRIPTORS
 from trackspread.membership.slots import SLOTS
-from trackspread.node.gateway import RESERVED
+from trackspread.node.gateway import RESERVED_DESCRIPTORS
 
 from .sums import Line
 
@@ -37,7 +37,7 @@
 # Bounds that the program and its platform set.
 BOUNDS: dict[str, float] = {
     "descriptors": 1_024,
-    "descriptors_kept": RESERVED + DESCRIPTORS,
+    "descriptors_kept": RESERVED_DESCRIPTORS + DESCRIPTORS,
     "backends_part": 0.5,
     "retry_share": RETRY_SHARE,
     "idle_s": IDLE / SECOND,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -235,8 +235,8 @@
         try:
             yield World(node, agent, backend)
         finally:
-            if node.book is not None:
-                node.book.stop()
+            if node.parts.plan_registry is not None:
+                node.parts.plan_registry.stop()
             await node.discovery.close()
             node.backends.close()
             node.peers.close()
--- a/tests/test_cells_file.py
+++ b/tests/test_cells_file.py
@@ -9,8 +9,8 @@
 from trackspread.cli import main
 from trackspread.config.addresses import ConfigError
 from trackspread.config.operator import Fleet, parse
-from trackspread.node.celled import Celled, machines
-from trackspread.node.controlling import made
+from trackspread.node.cell_part import CellPart, control_machines
+from trackspread.node.control_machine import make_host
 
 GATEWAY = '[fleet]\nname = "f"\nlisten = "127.0.0.1:7400"\n'
 PLACED = GATEWAY + 'region = "r"\nzone = "z"\n'
@@ -67,19 +67,19 @@
 
 def test_one_file_serves_gateways_and_control_machines() -> None:
     both = fleet(PLACED + seat(1) + seat(2))
-    assert [machine.name for machine in machines(both)] == ["c1", "c2"]
-    host = made("c2", both)
+    assert [machine.name for machine in control_machines(both)] == ["c1", "c2"]
+    host = make_host("c2", both)
     assert host.core.who[0] == "c2"
-    assert Celled("g", both, lambda: 0).report() is None
+    assert CellPart("g", both, lambda: 0).report() is None
 
 
 def test_names_that_contradict_the_file_are_one_line() -> None:
     with pytest.raises(ConfigError, match=r"NAME: found 'c9', wanted a control machine's: c1, c2$"):
-        made("c9", fleet(PLACED + seat(1) + seat(2)))
+        make_host("c9", fleet(PLACED + seat(1) + seat(2)))
     with pytest.raises(ConfigError, match=r"name: found 'c1', which fleet.control has too"):
-        Celled("c1", fleet(PLACED + seat(1)), lambda: 0)
+        CellPart("c1", fleet(PLACED + seat(1)), lambda: 0)
     with pytest.raises(ConfigError, match=r"fleet.region: found nothing, wanted this gateway's"):
-        Celled("g", fleet(GATEWAY + seat(1)), lambda: 0)
+        CellPart("g", fleet(GATEWAY + seat(1)), lambda: 0)
 
 
 def test_the_commands_say_what_is_wrong(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -18,7 +18,7 @@
 from trackspread.distribution.terms import ReplicaSettings
 from trackspread.distribution.wire import Wire
 from trackspread.membership.wire import Keys
-from trackspread.node.configured import Configured
+from trackspread.node.configuration_part import ConfigurationPart
 from trackspread.testing.standins.loopback import Ports
 
 from .fakes import LOCAL, run, until, world
@@ -59,7 +59,7 @@
 
     async def test() -> None:
         async with world() as w:
-            assert w.node.configured is None
+            assert w.node.parts.configuration is None
 
     run(test)
 
@@ -110,8 +110,8 @@
             status, out, _ = await command("show", "--key", "rating/route-1")
             assert status == 0 and "leader" in out and "rating/route-1 = 'a=1', since version 1.1.0.2" in out
             async with world(operator) as w:
-                taken = w.node.configured
-                assert isinstance(taken, Configured) and taken.host is not None
+                taken = w.node.parts.configuration
+                assert isinstance(taken, ConfigurationPart) and taken.host is not None
                 await until(lambda: taken.host is not None and taken.host.core.version.sequence == 3)
                 assert taken.host.core.value("rating", "route-1") == b"a=1"
                 assert taken.host.core.value("unwanted", "route-2") is None
@@ -123,8 +123,8 @@
                 await until(lambda: taken.host is not None and not taken.host.core.snapshot)
                 taken.close()
                 assert taken.answer()[0] == 503
-                assert w.node.membered is not None
-                w.node.membered.close()
+                assert w.node.parts.membership is not None
+                w.node.parts.membership.close()
 
     run(test)
 
--- a/tests/test_counter_process.py
+++ b/tests/test_counter_process.py
@@ -27,7 +27,7 @@
 from trackspread.decide.settings import Plan
 from trackspread.testing.harness import counted
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.node.counted import _clear, access
+from trackspread.node.quota_counter_part import _remove_stale_socket, counter_access
 from trackspread.testing.standins.counter import SLOTS, Cluster, Shard
 from trackspread.testing.standins.counter_server import CounterServer
 from trackspread.testing.standins.loopback import own_address
@@ -218,7 +218,7 @@
 
             def table(**keys: str) -> Access:
                 made = "".join(f'{key} = "{tmp_path / name}"\n' for key, name in keys.items())
-                return access(parse(f"[counter]\ntls = true\n{made}", "f").counter)
+                return counter_access(parse(f"[counter]\ntls = true\n{made}", "f").counter)
 
             assert await reached(server, table(ca="ca.pem", certificate="own.pem"))
             assert not await reached(server, table(ca="other.pem", certificate="own.pem"))
@@ -251,7 +251,7 @@
 
 def test_a_file_that_is_not_there_is_told() -> None:
     with pytest.raises(ConfigError, match=r"counter\.password"):
-        access(parse('[counter]\npassword = "/nowhere/x"\n', "f").counter)
+        counter_access(parse('[counter]\npassword = "/nowhere/x"\n', "f").counter)
 
 
 async def _troubled(folder: Path, found: list[Verdict], capsys: pytest.CaptureFixture[str]) -> None:
@@ -287,9 +287,9 @@
     path = tmp_path / "kept"
     path.write_text("of somebody")
     with pytest.raises(ConfigError, match="no socket"):
-        _clear(str(path))
+        _remove_stale_socket(str(path))
     assert path.read_text() == "of somebody"
-    _clear(str(tmp_path / "none"))
+    _remove_stale_socket(str(tmp_path / "none"))
 
 
 def test_asking_where_no_gateway_listens_is_one_line(
--- a/tests/test_endings_clients.py
+++ b/tests/test_endings_clients.py
@@ -67,7 +67,7 @@
                 assert not any(came)
                 (ended,) = s.of(AttemptEnded)
                 assert (ended.outcome, ended.request_finished) == (Outcome.NOT_SENT, True)
-                assert not w.node.requests and not w.node.ids
+                assert not w.node.requests and not w.node.open_request_ids
 
     run(test)
 
@@ -87,7 +87,7 @@
                 taken, _ = await soon(asyncio.get_running_loop().sock_accept(server))
                 await until(lambda: bool(s.events) and bool(w.node.requests))
                 (request,) = w.node.requests.values()
-                (attempt,) = request.out.values()
+                (attempt,) = request.attempts_in_flight.values()
                 await until(lambda: connection_is_up(attempt))
                 assert not attempt.is_written
                 leave(client, how)
@@ -113,7 +113,7 @@
 async def held_back(w: World) -> tuple[Script, Connection]:
     """A client with as many commands open as are worked on at once, which no time ends, and as many held."""
     s = script(w, *[lambda a: []] * (2 * MOST))
-    w.node.time_is_up = lambda number: None  # type: ignore[method-assign]
+    w.node.deadline_reached = lambda number: None  # type: ignore[method-assign]
     client = await w.client()
     client.send(b"".join(call(number=n) for n in range(2 * MOST)))
     await until(lambda: len(w.node.requests) == MOST and w.node.clients.held > 0)
@@ -149,7 +149,7 @@
             transport = cast(asyncio.Transport, server._transport)
             left.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
             await until(lambda: bool(left.poll(0)))
-            w.node.act(Fail(min(w.node.requests)))
+            w.node.execute(Fail(min(w.node.requests)))
             await until(lambda: not w.node.clients.count())
             assert len(s.of(RequestArrived)) == MOST and not w.node.requests and not w.node.clients.held
 
@@ -177,7 +177,7 @@
         await until(lambda: len(server.slots) == 1)
         w.node.requests[server.slots[0].request].slot.served(call_of(w), b"v" * 60_000)
         w.node.requests.clear()
-        w.node.ids.clear()
+        w.node.open_request_ids.clear()
         number += 1
         await asyncio.sleep(0)
     assert not server._blocked and not server.slots
@@ -228,7 +228,7 @@
         async with world(Operator(clients=ClientBounds(unread_s=3600.0))) as w:
             client = await unread(w)
             s = script(w, lambda a: [])
-            w.node.time_is_up = lambda number: None  # type: ignore[method-assign]
+            w.node.deadline_reached = lambda number: None  # type: ignore[method-assign]
             client.send(call(number=999))
             await until(lambda: len(s.of(RequestArrived)) == 1)
             client.writer.write_eof()
@@ -256,7 +256,7 @@
             await until(lambda: any(c.roomless for c in w.node.clients._fresh))
             leave(second, how)
             await until(lambda: w.node.clients.count() == 1)
-            w.node.act(Fail(min(w.node.requests)))  # room for all of the second's body
+            w.node.execute(Fail(min(w.node.requests)))  # room for all of the second's body
             assert str(await first.next()) == "ERR failed"
             assert len(s.of(RequestArrived)) == 1 and w.node.clients.bodies.held == 0
 
--- a/tests/test_endings_stop.py
+++ b/tests/test_endings_stop.py
@@ -55,7 +55,7 @@
 
     async def test() -> None:
         async with world() as w:
-            w.node._longest = lambda: 12 * SECOND  # type: ignore[method-assign]
+            w.node._longest_deadline_ns = lambda: 12 * SECOND  # type: ignore[method-assign]
             w.node.roster = replace(
                 w.node.roster,
                 rules=tuple(replace(rule, deadline_ns=12 * SECOND) for rule in w.node.roster.rules),
@@ -65,12 +65,12 @@
             before, _ = await w.backend.command()
             stopped = w.node.now()
             stopping = asyncio.create_task(w.node.stop())
-            await until(lambda: w.node.answer_by is not None)
+            await until(lambda: w.node.answer_by_ns is not None)
             client.send(call(number=2, wait_ms=12_000))
             after, _ = await w.backend.command()
             open_now = sorted(w.node.requests.items())
-            assert [request.valid_until > stopped + 11 * SECOND for _, request in open_now] == [True, False]
-            assert open_now[1][1].valid_until <= stopped + int((3 + KILLED) * SECOND)
+            assert [request.expires_at_ns > stopped + 11 * SECOND for _, request in open_now] == [True, False]
+            assert open_now[1][1].expires_at_ns <= stopped + int((3 + KILLED) * SECOND)
             before.send(served(b"one"))
             after.send(served(b"two"))
             assert [await client.next(), await client.next()] == [b"one", b"two"]
--- a/tests/test_handover_process.py
+++ b/tests/test_handover_process.py
@@ -14,7 +14,7 @@
 
 from trackspread.handover import wire
 from trackspread.handover.wire import Kind
-from trackspread.node.membered import READY_MOST
+from trackspread.node.membership_part import READY_TIMEOUT_S
 
 from .fakes import (
     LOCAL,
@@ -102,7 +102,7 @@
                 fresh = await h.client()
                 fresh.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await fresh.next() == b"PONG"
-                assert asyncio.get_running_loop().time() - began < READY_MOST / 2
+                assert asyncio.get_running_loop().time() - began < READY_TIMEOUT_S / 2
                 await starting
 
     run(test)
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -243,7 +243,7 @@
                 connection, words = await w.backend.command()
                 held[int(words[2], 16)] = connection
             held[5].send(head(100_000) + VALUE[:10])
-            await until(lambda: any(r.begun for r in w.node.requests.values()))
+            await until(lambda: any(r.forwarded_attempt for r in w.node.requests.values()))
             held[5].abort()
             await until(lambda: len(w.node.requests) == 1)
             held[4].send(served(b"four"))
@@ -260,7 +260,7 @@
             client.send(call(number=1))
             connection, _ = await w.backend.command()
             connection.send(head(LONG_MOST) + VALUE[:100_000])
-            await until(lambda: any(r.begun for r in w.node.requests.values()))
+            await until(lambda: any(r.forwarded_attempt for r in w.node.requests.values()))
             client.abort()
             await until(lambda: not w.node.requests and w.backend.ended == 1)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,7 +35,7 @@
     Who,
 )
 from trackspread.membership.wire import DATAGRAM, Keys, Wire
-from trackspread.node.membered import keys
+from trackspread.node.fleet_keys import read_keys
 from trackspread.testing.virtual.membership.world import KEEP, World
 
 ME = GossipUpdate("me", 10, 0, State.ALIVE, "127.0.0.1", 1)
@@ -350,9 +350,9 @@
     short = tmp_path / "short"
     short.write_bytes(b"secret\n")
     with pytest.raises(ConfigError, match=r"fleet.key: .*none: No such file"):
-        keys(Fleet(key=str(tmp_path / "none")))
+        read_keys(Fleet(key=str(tmp_path / "none")))
     with pytest.raises(ConfigError, match=r"fleet.key: .*short: found 6 bytes, wanted 16 or more"):
-        keys(Fleet(key=str(short)))
+        read_keys(Fleet(key=str(short)))
 
 
 # Whole fleets in virtual time.
--- a/tests/test_net_client_bounds.py
+++ b/tests/test_net_client_bounds.py
@@ -36,7 +36,7 @@
 
 
 def busy_requests(w: World) -> int:
-    return len(w.node.module.events)  # type: ignore[union-attr]
+    return len(w.node.decision_module.events)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -237,12 +237,12 @@
             while len(arrived) < number:
                 assert len(w.node.requests) <= DEFAULTS.clients.pipeline
                 before = len(arrived)
-                w.node.act(Reject(arrived[before - 1], 7 * MS))  # out of order: the last of them first
+                w.node.execute(Reject(arrived[before - 1], 7 * MS))  # out of order: the last of them first
                 for request in arrived[before - DEFAULTS.clients.pipeline : before - 1]:
-                    w.node.act(Reject(request, 7 * MS))
+                    w.node.execute(Reject(request, 7 * MS))
                 await until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
             for request in arrived[-DEFAULTS.clients.pipeline :]:
-                w.node.act(Reject(request, 7 * MS))
+                w.node.execute(Reject(request, 7 * MS))
             assert {str(await client.next()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next() == b"PONG"
             assert w.node.clients.held == 0
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -57,14 +57,14 @@
 
 def script(w: World, *plans: Any) -> Script:
     made = Script(*plans)
-    w.node.module = made  # type: ignore[assignment]
+    w.node.decision_module = made  # type: ignore[assignment]
     return made
 
 
 def let_time_pass(w: World, s: Script) -> None:
     """As if the latest request's time were over, however fast the machine is."""
     w.node.now.base_ns += 60 * SECOND
-    w.node.time_is_up(s.of(RequestArrived)[-1].request)
+    w.node.deadline_reached(s.of(RequestArrived)[-1].request)
     w.node.now.base_ns -= 60 * SECOND
 
 
@@ -159,7 +159,9 @@
                 connection.send(ending) if ending else connection.abort()
                 await until(lambda: module.in_flight == 0)
                 assert not module.attempts and not module.open_requests and not w.node.requests
-                assert backends.open_connections == backends.idle_connections() and not w.node.ids
+                assert (
+                    backends.open_connections == backends.idle_connections() and not w.node.open_request_ids
+                )
                 assert all(s.in_flight == 0 for s in module.fleet.servers.values())
                 for server in module.fleet.servers.values():
                     server.ejected_until_ns = 0  # symptoms would have it rest
@@ -343,7 +345,7 @@
     async def test() -> None:
         async with world() as w:
             s = Faulty()
-            w.node.module = s  # type: ignore[assignment]
+            w.node.decision_module = s  # type: ignore[assignment]
             await until(lambda: len(s.of(TimerFired)) >= 2)
 
     run(test)
@@ -362,7 +364,7 @@
     async def test() -> None:
         async with world() as w:
             s = Faulty()
-            w.node.module = s  # type: ignore[assignment]
+            w.node.decision_module = s  # type: ignore[assignment]
             await soon(w.agent.asked.get())
             drain = listing(2, host("s-1", w.backend.port, "terminating"), whole=False)
             w.agent.tell(drain)
--- a/tests/test_net_lists.py
+++ b/tests/test_net_lists.py
@@ -315,7 +315,7 @@
 
 def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST", 0.01)
+        monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST_TIMEOUT_S", 0.01)
         node = Gateway(config(1, listing(5, host("s-1", 1))))
         assert node.ready()
         await soon(node.start())
@@ -328,7 +328,7 @@
 
 def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST", 0.01)
+        monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST_TIMEOUT_S", 0.01)
         async with world() as w:
             w.agent.tell(listing(2))
             await until(lambda: not w.node.ready())
@@ -395,7 +395,7 @@
 ) -> None:
     """Or they would hold its slices of the quotas back for one that fell silent, while its customers lean
     on them."""
-    monkeypatch.setattr(gateway, "TELL_ON", -0.5)  # short of the deadline here, to be quick
+    monkeypatch.setattr(gateway, "PEER_MESSAGES_MARGIN_S", -0.5)  # short of the deadline here, to be quick
 
     async def test() -> None:
         agent, told = Agent(), Told()
@@ -498,8 +498,8 @@
             for junk in (b"", b"\xff" * 7, b"\x01" * 256):
                 w.node.peers.datagram_received(junk, (LOCAL, 1))
             s = Script()
-            w.node.module = s  # type: ignore[assignment]
-            w.node.heard(1, b"word")
+            w.node.decision_module = s  # type: ignore[assignment]
+            w.node.peer_message_received(1, b"word")
             assert s.events == [PeerMessage(1, b"word")]
 
     run(test)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -208,14 +208,14 @@
 
     async def body() -> None:
         async with world(operator) as made:
-            registry = made.node.book
+            registry = made.node.parts.plan_registry
             assert registry is not None and registry.version == 0
             now = time.time_ns() // 1_000_000
             version = Version(1, now + 300, now, "", {"team": Figures(1.0, 2.0)})
             path.write_bytes(SCHEMA.pack(PlanRegistry((version,))))
             await until(lambda: registry.version == 1)
             assert time.time_ns() // 1_000_000 >= version.since
-            assert made.node.module.quota.settings.plans[0].burst_units == 2.0
+            assert made.node.decision_module.quota.settings.plans[0].burst_units == 2.0
             path.write_bytes(b"broken")
             os.utime(path, ns=(1, 1))
             await asyncio.sleep(0)
--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -128,9 +128,9 @@
 
                 return fleet.run(given)
             case "control":
-                from .node import controlling
+                from .node import control_machine
 
-                return controlling.run(given.name, Path(given.file))
+                return control_machine.run(given.name, Path(given.file))
             case "configuration":
                 from .commands import configuration
 
--- a/trackspread/commands/configuration.py
+++ b/trackspread/commands/configuration.py
@@ -17,7 +17,7 @@
 from ..distribution.report import Report
 from ..distribution.terms import NAME_MOST, VALUE_MOST, Epoch, Shown, Version
 from ..distribution.wire import Wire
-from ..node.membered import keys
+from ..node.fleet_keys import read_keys
 from .fleet import ask
 
 
@@ -28,7 +28,7 @@
     replicas = made.configuration.addresses()
     if not replicas:
         raise ConfigError(f"{path}: configuration.replicas: found nothing, wanted the replicas' addresses")
-    client = Client(Wire(made.fleet.name, keys(made.fleet)), replicas)
+    client = Client(Wire(made.fleet.name, read_keys(made.fleet)), replicas)
     try:
         return _act(given, client, made.configuration.replicas)
     except TooMany as error:
--- a/trackspread/commands/fleet.py
+++ b/trackspread/commands/fleet.py
@@ -22,8 +22,8 @@
 from ..membership.slots import SLOTS
 from ..membership.terms import Address, Forget, Forgotten, MemberMessage
 from ..membership.wire import DATAGRAM, Wire
-from ..node.celled import machines
-from ..node.membered import keys
+from ..node.cell_part import control_machines
+from ..node.fleet_keys import read_keys
 
 PATIENCE = 3.0  # s for one answer
 AGAIN = 0.2  # s between questions while waiting
@@ -45,9 +45,9 @@
     fleet = operator.load(file).fleet
     if not fleet.control:
         raise ConfigError(f"{file}: fleet.control: found nothing, wanted a fleet's that has cells")
-    wire = CellsWire(fleet.name, keys(fleet), fleet.most)
+    wire = CellsWire(fleet.name, read_keys(fleet), fleet.most)
     rows, refused, page, pages = list[CellRow](), 0, 0, 1
-    to = [machine.address for machine in machines(fleet)]
+    to = [machine.address for machine in control_machines(fleet)]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as line:
         line.settimeout(AGAIN)
         while page < pages:
@@ -92,7 +92,7 @@
         raise ConfigError(f"{file}: fleet.name: found nothing, wanted a gateway's that keeps a view")
     if fleet.control:
         raise ConfigError(f"{file}: fleet.control: found control machines, wanted a fleet without cells")
-    wire = Wire(fleet.name, keys(fleet), fleet.most)
+    wire = Wire(fleet.name, read_keys(fleet), fleet.most)
     word = wire.pack(MemberMessage(fleet.name, "", 0, Forget(name), 0))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as line:
         line.settimeout(AGAIN)
--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -17,7 +17,7 @@
 
 from ..config import operator, platform
 from ..config.addresses import ConfigError
-from ..node.uses import named
+from ..node.usage_part import record_names
 from ..storage.directory import Directory
 from ..storage.document import DocumentError
 from ..usage import senders
@@ -184,7 +184,7 @@
         return 0
     names = Names("", (), ())
     if config:
-        names = named(platform.load({**os.environ, "ROUTER_CONFIG": config}))
+        names = record_names(platform.load({**os.environ, "ROUTER_CONFIG": config}))
     files = Directory(folder)
     try:
         control = rebuild_control(files, names, os.urandom(16).hex())
--- /dev/null
+++ b/trackspread/node/action_executor.py
@@ -0,0 +1,173 @@
+"""Carries out the decision module's actions.
+
+May know: actions, requests, the connection pools. May not know: what becomes of an answer, how events are
+made. Decides nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Mapping
+from typing import Protocol
+
+from ..backends.attempt import Attempt
+from ..backends.pools import ConnectionPools
+from ..clock import Clock
+from ..config.platform import Config
+from ..decide.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    LogMessage,
+    Reject,
+    RequestAllocation,
+    SendToPeers,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from ..decide.events import AttemptEnded, Event, Outcome, TimerFired
+from .request import NS_PER_S, Request
+
+log = logging.getLogger(__name__)
+
+
+class ActionHost(Protocol):
+    """What actions are carried out on; a gateway is one."""
+
+    config: Config
+    now: Clock
+    backends: ConnectionPools
+
+    @property
+    def requests(self) -> Mapping[int, Request]:
+        """All that were accepted and are not over, by number."""
+
+    def handle(self, event: Event, number: int = 0) -> None:
+        """One event for the decision module."""
+
+    def reject(self, number: int, retry_after_ns: int) -> None:
+        """Answer a request that it is rejected."""
+
+    def fail(self, number: int, reason: str) -> None:
+        """Answer a request that it failed."""
+
+    def left(self, number: int) -> None:
+        """The request's client has left."""
+
+    def attempt_starts(self, attempt: Attempt) -> None:
+        """An attempt is about to start."""
+
+    def send_to_peers(self, recipient: int | None, data: bytes) -> None:
+        """Send a message to one other gateway, or to all."""
+
+    def request_allocation(self, tenant: int) -> bool:
+        """Ask the shared counter for more of a tenant's quota; False where there is no counter."""
+
+
+class ActionExecutor:
+    """Carries out actions on a gateway."""
+
+    def __init__(self, host: ActionHost) -> None:
+        self._host = host
+        self._loop = asyncio.get_running_loop()
+
+    def execute(self, action: Action) -> None:
+        """Carry out one action."""
+        match action:
+            case StartAttempt():
+                self._start_attempt(action)
+            case Reject(number, retry_after_ns):
+                self._host.reject(number, retry_after_ns)
+            case Fail(number):
+                self._host.fail(number, "failed")
+            case CancelAttempt(number, index):
+                self._cancel_soon(number, index)
+            case SetTimer(after_ns, token):
+                self._loop.call_later(after_ns / NS_PER_S, self._host.handle, TimerFired(token))
+            case _:
+                self._execute_without_request(action)
+
+    def _execute_without_request(self, action: Action) -> None:
+        match action:
+            case SendToPeers(recipient, data):
+                self._host.send_to_peers(recipient, data)
+            case RequestAllocation(tenant):
+                if not self._host.request_allocation(tenant):
+                    _log_unsupported(action)
+            case CloseIdleConnections(backend):
+                self._host.backends.close_idle(backend)
+            case LogMessage(text):
+                log.info("%s", text)
+            case CheckHealth(backend) if self._host.config.settings.may_check_health:
+                self._check_health(backend)
+            case WatchEndpoints():
+                pass  # the watch is open from the start
+            case _:
+                _log_unsupported(action)
+
+    def _check_health(self, backend: int) -> None:
+        now_ns = self._host.now()
+        timeout_ns = self._host.config.connect_timeout
+        health_check = Attempt(0, 0, backend, now_ns, now_ns + timeout_ns, None)
+        self._host.backends.start(health_check, timeout_ns / NS_PER_S)
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request = self._host.requests.get(action.request)
+        now_ns = self._host.now()
+        if request is None:
+            # The module counts it as in flight all the same, until it is notified that it is not.
+            log.error("request %d: an attempt was decided after its end, it is not sent", action.request)
+            self._report_not_sent(action, 0, is_request_finished=True)
+            return
+        index = request.attempt_count
+        request.attempt_count += 1
+        if request.is_closed or now_ns >= request.expires_at_ns:
+            self._report_not_sent(action, index, request.is_closed)
+            return
+        if request.slot.client.ended():
+            # The loop has not come to that yet; nothing is forwarded for a client that has left.
+            self._loop.call_soon(self._host.left, action.request)
+            self._report_not_sent(action, index, is_request_finished=True)
+            return
+        time_left_ns = request.expires_at_ns - now_ns
+        has_timeout = 0 < action.timeout_ns < time_left_ns
+        attempt = Attempt(
+            action.request,
+            index,
+            action.backend,
+            now_ns,
+            now_ns + (action.timeout_ns if has_timeout else time_left_ns),
+            request.call,
+            action.not_after_ns,
+        )
+        request.attempts_in_flight[index] = attempt
+        self._host.attempt_starts(attempt)
+        self._host.backends.start(attempt, action.timeout_ns / NS_PER_S if has_timeout else None)
+
+    def _report_not_sent(self, action: StartAttempt, index: int, is_request_finished: bool) -> None:
+        event = AttemptEnded(
+            action.request, is_request_finished, 0, action.backend, 0, Outcome.NOT_SENT, 0, index, ()
+        )
+        self._loop.call_soon(self._host.handle, event, action.request)
+
+    def _cancel_soon(self, number: int, index: int) -> None:
+        request = self._host.requests.get(number)
+        if request is not None and (attempt := request.attempts_in_flight.get(index)) is not None:
+            self.cancel_soon(attempt)
+
+    def cancel_soon(self, attempt: Attempt) -> None:
+        """Cancel an attempt, not within the module's own turn: its outcome is an event of its own."""
+        self._loop.call_soon(self._cancel, attempt)
+
+    def _cancel(self, attempt: Attempt) -> None:
+        request = self._host.requests.get(attempt.request)
+        if request is not None and attempt.index in request.attempts_in_flight:
+            self._host.backends.cancel(attempt)
+
+
+def _log_unsupported(action: Action) -> None:
+    log.error("action %s: this gateway cannot carry it out", type(action).__name__)
--- a/trackspread/node/bind_retry.py
+++ b/trackspread/node/bind_retry.py
@@ -1,4 +1,4 @@
-"""Binding an address that the process which is replaced may still hold for a moment.
+"""Binding an address that the process which is replaced may still hold for a short time.
 
 May know: time. May not know: what is bound. Decides nothing.
 """
@@ -8,17 +8,17 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-AGAIN = 0.05  # s between tries
+RETRY_INTERVAL_S = 0.05
 
 
-async def bound_within(patience: float, bind: Callable[[], Awaitable[None]]) -> None:
-    """Try `bind` until it succeeds, for `patience` s; raises the last try's `OSError`."""
+async def bind_within(patience_s: float, bind: Callable[[], Awaitable[None]]) -> None:
+    """Call `bind` until it succeeds, for `patience_s`; raises the last attempt's `OSError`."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + patience
+    give_up_at_s = loop.time() + patience_s
     while True:
         try:
             return await bind()
         except OSError:
-            if loop.time() >= end:
+            if loop.time() >= give_up_at_s:
                 raise
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RETRY_INTERVAL_S)
--- /dev/null
+++ b/trackspread/node/cell_part.py
@@ -0,0 +1,111 @@
+"""The gateway's part in its cell: the operator's table to a host, and what operators ask of it.
+
+It takes part in its cell's view and reports who is in it. Limits are not shared by it: they go on as without
+a view, by the platform's list of gateways. May know: configuration, cells. Decides nothing.
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from pathlib import Path
+
+from msgspec import structs
+
+from ..cells.gateway import Gateway, GatewaySettings
+from ..cells.host import Host
+from ..cells.terms import ControlMachine, Zone
+from ..cells.wire import CellsWire
+from ..config.addresses import ConfigError, address
+from ..config.operator import Fleet
+from ..membership.host import born_now
+from ..membership.report import Report, report
+from ..membership.terms import MS, SECOND
+from .fleet_keys import program_version
+from .fleet_view_part import FleetViewPart
+
+MAX_CELL_MEMBERS = 64  # of one view
+
+
+def control_machines(fleet: Fleet) -> tuple[ControlMachine, ...]:
+    """The control machines, as the operator's file lists them."""
+    return tuple(
+        ControlMachine(machine.name, machine.region, machine.zone, address(machine.address, "fleet.control"))
+        for machine in fleet.control
+    )
+
+
+class CellPart(FleetViewPart[Host]):
+    """The gateway's part in the view of its cell."""
+
+    unavailable = "is in no cell yet: no control machine has said which\n"
+
+    def __init__(self, name: str, fleet: Fleet, now: Callable[[], int]) -> None:
+        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        super().__init__(name, fleet, now)
+        self._core: Gateway | None = None
+
+    def _check_settings(self) -> None:
+        super()._check_settings()
+        if not self._fleet.region:
+            raise ConfigError("fleet.region: found nothing, wanted this gateway's: fleet.control is set")
+        if any(machine.name == self._name for machine in self._fleet.control):
+            raise ConfigError(f"name: found {self._name!r}, which fleet.control has too, wanted another")
+
+    async def _start(self) -> None:
+        fleet = self._fleet
+        core = Gateway(self._settings(), self._now(), int.from_bytes(os.urandom(8)))
+        host = Host(
+            core,
+            address(fleet.listen, "fleet.listen"),
+            CellsWire(fleet.name, self._keys, MAX_CELL_MEMBERS),
+            self._now,
+            Path(fleet.record) if fleet.record else None,
+        )
+        try:
+            await host.start()
+        except OSError:
+            host.close(leave=False)
+            raise
+        self.host = host
+        self._core = core
+
+    def _settings(self) -> GatewaySettings:
+        fleet = self._fleet
+        advertised = (
+            address(fleet.advertise, "fleet.advertise")
+            if fleet.advertise
+            else address(fleet.listen, "fleet.listen")
+        )
+        return GatewaySettings(
+            fleet.name,
+            self._name,
+            born_now(),
+            advertised,
+            Zone(fleet.region, fleet.zone),
+            control_machines(fleet),
+            program_version(),
+            int(fleet.period_ms * MS),
+            int(fleet.keep_s * SECOND),
+        )
+
+    def close(self, leave: bool = True) -> None:
+        """Take part no more; `leave` False: another process goes on under this name."""
+        if self.host is not None:
+            self.host.close(leave)
+            self.host = None
+            self._core = None
+
+    def report(self) -> Report | None:
+        """The cell's view as it is now; None while this gateway takes no part, or is in no cell yet."""
+        host, core = self.host, self._core
+        if host is None or core is None or core.member is None or core.held is None:
+            return None
+        now = self._now()
+        answered_s = None if core.answered_at is None else round((now - core.answered_at) / SECOND, 1)
+        return structs.replace(
+            report(now, core.member, host.counts, host.wire.dropped),
+            fleet=self._fleet.name,
+            cell=core.held.cell.name,
+            answered_s=answered_s,
+        )
--- a/trackspread/node/configured.py
+++ b/trackspread/node/configuration_part.py
@@ -1,6 +1,6 @@
-"""The gateway's side of configuration that replicas hand down: the operator's table to a host.
+"""The gateway's subscription to configuration that replicas distribute: the operator's table to a host.
 
-What is held is shown to operators; no setting of the gateway is taken from it yet. May know: configuration,
+What it has is shown to operators; no setting of the gateway is taken from it yet. May know: configuration,
 the subscription. Decides nothing.
 """
 
@@ -19,25 +19,30 @@
 from ..distribution.terms import SubscriberSettings
 from ..distribution.wire import Wire
 from ..membership.host import born_now
-from .bind_retry import bound_within
-from .membered import keys
+from .bind_retry import bind_within
+from .fleet_keys import read_keys
 
 
-class Configured:
-    """What the gateway holds of it; a new host each time that it takes part."""
+class ConfigurationPart:
+    """The gateway's subscription; a new host each time that it takes part."""
 
     def __init__(self, name: str, operator: Operator, now: Callable[[], int]) -> None:
-        """Raises `ConfigError`."""
-        self._name, self._operator, self._now = name, operator, now
-        self._wire = Wire(operator.fleet.name, keys(operator.fleet))
+        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        self._name = name
+        self._operator = operator
+        self._now = now
+        self._wire = Wire(operator.fleet.name, read_keys(operator.fleet))
         self.host: SubscriberHost | None = None
 
-    async def start(self, patience: float = 0.0) -> None:
-        """Raises `OSError`. `patience`: s for which a process that goes may still hold the address."""
-        await bound_within(patience, self._start)
+    async def start(self, patience_s: float = 0.0) -> None:
+        """Subscribe. `patience_s`: how long a process that ends may still hold the address.
+
+        Raises `OSError` where the address cannot be bound.
+        """
+        await bind_within(patience_s, self._start)
 
     async def _start(self) -> None:
-        host = self._made()
+        host = self._make_host()
         try:
             await host.start()
         except OSError:
@@ -45,10 +50,12 @@
             raise
         self.host = host
 
-    def _made(self) -> SubscriberHost:
+    def _make_host(self) -> SubscriberHost:
         table = self._operator.configuration
         replicas = table.addresses()
-        near = tuple(address(each, "configuration.near") for each in table.near) or self._of_region(replicas)
+        near = tuple(address(each, "configuration.near") for each in table.near) or self._in_own_region(
+            replicas
+        )
         others = tuple(each for each in replicas if each not in near)
         carried = frozenset(self._operator.services.carries)
         services = frozenset(table.services) or carried or None
@@ -63,23 +70,24 @@
             record=Path(table.record) if table.record else None,
         )
 
-    def _of_region(self, replicas: tuple[Address, ...]) -> tuple[Address, ...]:
-        """Those on control machines of this gateway's region; all, where it is not told."""
+    def _in_own_region(self, replicas: tuple[Address, ...]) -> tuple[Address, ...]:
+        """Those on control machines of this gateway's region; all where none is known to be."""
         fleet = self._operator.fleet
-        seats = zip(replicas, fleet.control, strict=False)
-        return tuple(each for each, seat in seats if seat.region == fleet.region) or replicas
+        placed = zip(replicas, fleet.control, strict=False)
+        return tuple(each for each, machine in placed if machine.region == fleet.region) or replicas
 
-    def rekey(self, fleet: Fleet) -> None:
-        """Keys that changed; raises `ConfigError`, and the old ones go on."""
-        self._wire.keys = keys(fleet)
+    def replace_keys(self, fleet: Fleet) -> None:
+        """Read the keys again; raises `ConfigError`, and the present ones stay in force."""
+        self._wire.keys = read_keys(fleet)
 
     def close(self) -> None:
+        """End the subscription."""
         if self.host is not None:
             self.host.close()
             self.host = None
 
     def answer(self) -> tuple[int, str]:
-        """For the operators' door."""
+        """Status and text for the operators' door."""
         if self.host is None:
             return 503, "takes no configuration at this moment\n"
         return 200, msgspec.json.encode(report(self._now(), self.host)).decode() + "\n"
--- a/trackspread/node/replicating.py
+++ b/trackspread/node/configuration_replica.py
@@ -1,7 +1,7 @@
-"""A control machine's replica of the configuration that is handed down: led by whoever leads the machines.
+"""A control machine's replica of the configuration that is distributed; its leader is the machines' leader.
 
 The n-th of `configuration.replicas` is on the n-th of `fleet.control`. No election is held here: the lease of
-the control machines' own view says who leads, and is asked at each instant. Decides nothing.
+the control machines' own view says who leads, and is checked at each use. Decides nothing.
 """
 
 from __future__ import annotations
@@ -16,33 +16,37 @@
 from ..distribution.terms import Epoch, ReplicaSettings
 from ..distribution.wire import Wire
 from ..membership.host import born_now
-from .membered import keys
+from .fleet_keys import read_keys
 
 
-def made(operator: Operator, core: Controller) -> ReplicaHost | None:
-    """The replica of this control machine, not yet started; None where no configuration is handed down.
-    Raises `ConfigError`, and `OSError` where its record can't be written."""
+def make_replica(operator: Operator, core: Controller) -> ReplicaHost | None:
+    """The replica of this control machine, not yet started; None where no configuration is distributed.
+
+    Raises `ConfigError`, and `OSError` where its record cannot be written.
+    """
     table = operator.configuration
     if not table.replicas:
         return None
     addresses = table.addresses()
     number = core.settings.machines.index(core.me)
 
-    def leads() -> Epoch | None:
+    def leading_epoch() -> Epoch | None:
         tier = core.tier
-        return tier.coordinating.epoch if tier.coordinating is not None and tier.owns(now()) else None
+        if tier.coordinating is None or not tier.owns(now()):
+            return None
+        return tier.coordinating.epoch
 
-    def outdone(epoch: Epoch) -> None:
+    def superseded(epoch: Epoch) -> None:
         core.tier.acceptor.newer(epoch[0])  # the lease is given up, and the next bid is beyond it
 
     now = time.monotonic_ns
     return ReplicaHost(
         ReplicaSettings(number, born_now(), addresses),
         addresses[number],
-        Wire(operator.fleet.name, keys(operator.fleet)),
+        Wire(operator.fleet.name, read_keys(operator.fleet)),
         int.from_bytes(os.urandom(8)),
         now,
-        leads,
-        outdone,
+        leading_epoch,
+        superseded,
         Path(table.record) if table.record else None,
     )
--- a/trackspread/node/controlling.py
+++ b/trackspread/node/control_machine.py
@@ -24,19 +24,24 @@
 from ..config.operator import Fleet
 from ..membership.host import born_now
 from ..membership.terms import MS, SECOND, Epoch
-from . import replicating
-from .celled import machines
-from .membered import keys, program_version
+from .cell_part import control_machines
+from .configuration_replica import make_replica
+from .fleet_keys import program_version, read_keys
 
 log = logging.getLogger("trackspread")
 
 
-def made(name: str, fleet: Fleet, led: Callable[[Epoch | None], None] = lambda epoch: None) -> Host:
-    """The control machine of this name, not yet started. `led`: told of the epoch under which it leads, or
-    none. Raises `ConfigError`, and `OSError` where its record can't be written."""
-    known = machines(fleet)
-    me = next((machine for machine in known if machine.name == name), None)
-    if me is None:
+def make_host(
+    name: str, fleet: Fleet, leadership_changed: Callable[[Epoch | None], None] = lambda epoch: None
+) -> Host:
+    """The control machine of this name, not yet started.
+
+    `leadership_changed` is called with the epoch under which it leads, or None once it no longer does.
+    Raises `ConfigError`, and `OSError` where its record cannot be written.
+    """
+    known = control_machines(fleet)
+    own = next((machine for machine in known if machine.name == name), None)
+    if own is None:
         names = ", ".join(machine.name for machine in known) or "none, as fleet.control is empty"
         raise ConfigError(f"NAME: found {name!r}, wanted a control machine's: {names}")
     settings = ControlSettings(
@@ -50,33 +55,39 @@
         int(fleet.keep_s * SECOND),
     )
     core = Controller(settings, time.monotonic_ns(), int.from_bytes(os.urandom(8)))
-    wire = CellsWire(fleet.name, keys(fleet), max(CELL_MOST, 2 * len(known)))
+    wire = CellsWire(fleet.name, read_keys(fleet), max(CELL_MOST, 2 * len(known)))
     record = Path(fleet.record) if fleet.record else None
-    listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else me.address
-    return Host(core, listen, wire, time.monotonic_ns, record, led=led)
+    listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else own.address
+    return Host(core, listen, wire, time.monotonic_ns, record, led=leadership_changed)
 
 
 async def serve(name: str, file: Path) -> None:
-    """Until SIGTERM or SIGINT, then it ends in good order; SIGHUP has the keys read again."""
-    loop, stop = asyncio.get_running_loop(), asyncio.Event()
+    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP has the keys read again.
+
+    Raises `ConfigError`.
+    """
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     given = operator.load(file)
     try:
-        host = made(name, given.fleet)
-        replica = replicating.made(given, host.core) if isinstance(host.core, Controller) else None
+        host = make_host(name, given.fleet)
+        replica = make_replica(given, host.core) if isinstance(host.core, Controller) else None
     except OSError as error:
         raise ConfigError(f"{file}: record: {error.strerror}; wanted a file to write") from None
 
-    def reread() -> None:
+    def reload_keys() -> None:
         try:
-            host.wire.keys = keys(operator.load(file).fleet)
+            host.wire.keys = read_keys(operator.load(file).fleet)
             if replica is not None:
                 replica.wire.keys = host.wire.keys
         except ConfigError as error:
-            log.error("configuration: the fleet's keys are not taken, the old ones go on: %s", error)
+            log.error(
+                "configuration: the fleet's keys could not be read, the present ones stay in force: %s", error
+            )
 
-    loop.add_signal_handler(signal.SIGHUP, reread)
+    loop.add_signal_handler(signal.SIGHUP, reload_keys)
     try:
         await host.start()
         if replica is not None:
@@ -91,7 +102,7 @@
 
 
 def run(name: str, file: Path) -> int:
-    """In the foreground; raises `ConfigError`."""
+    """Run the control machine in the foreground; raises `ConfigError`."""
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(name)s %(levelname)s %(message)s")
     log.setLevel(operator.load(file).log.level.upper())
     uvloop.run(serve(name, file))
--- /dev/null
+++ b/trackspread/node/door_reports.py
@@ -0,0 +1,52 @@
+"""What operators read of a gateway at its door: health, figures, services.
+
+May know: requests, backends, the decision module's reports. Decides nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from ..control.door import Answer, Answers
+from ..decide.report import excluded, services
+from ..decide.services import ServiceBrokers
+from .backend_list import BackendList
+from .request_handler import RequestHandler
+
+
+class DoorReports:
+    """One gateway's reports."""
+
+    def __init__(
+        self, handler: RequestHandler, backend_list: BackendList, is_serving: Callable[[], bool]
+    ) -> None:
+        """`is_serving`: whether the gateway accepts requests and is not about to stop."""
+        self._handler = handler
+        self._backend_list = backend_list
+        self._is_serving = is_serving
+
+    def answers(self) -> Answers:
+        """The reports by path."""
+        answers: Answers = {b"/healthcheck": self._health, b"/stats": self._stats}
+        if isinstance(self._handler.decision_module, ServiceBrokers):
+            answers[b"/services"] = self._services
+        return answers
+
+    def _health(self) -> Answer:
+        """OK only while requests are accepted and can be served."""
+        if self._is_serving() and self._handler.ready():
+            return 200, "ok\n"
+        return 503, "not ready\n"
+
+    def _stats(self) -> Answer:
+        handler = self._handler
+        open_requests = sum(not request.is_closed for request in handler.requests.values())
+        excluded_backends = excluded(handler.decision_module, handler.now())
+        return 200, handler.figures.lines(open_requests, len(self._backend_list), excluded_backends)
+
+    def _services(self) -> Answer:
+        module = self._handler.decision_module
+        reports = services(module, self._handler.now()) if isinstance(module, ServiceBrokers) else []
+        return 200, msgspec.json.encode(reports).decode() + "\n"
--- /dev/null
+++ b/trackspread/node/fleet_keys.py
@@ -0,0 +1,37 @@
+"""What a process shows the others of its fleet: keys from the operator's files, and the program's version."""
+
+from __future__ import annotations
+
+from importlib.metadata import PackageNotFoundError, version
+from pathlib import Path
+
+from ..config.addresses import ConfigError
+from ..config.operator import Fleet
+from ..membership.wire import Keys
+
+MIN_KEY_BYTES = 16  # of a key file: fewer can be guessed
+
+
+def read_keys(fleet: Fleet) -> Keys:
+    """The fleet's present and previous key, read from their files; raises `ConfigError`."""
+    return Keys(_read_key("key", fleet.key), _read_key("previous", fleet.previous))
+
+
+def _read_key(setting: str, path: str) -> bytes:
+    if not path:
+        return b""
+    try:
+        key = Path(path).read_bytes().strip()
+    except OSError as error:
+        raise ConfigError(f"fleet.{setting}: {path}: {error.strerror}; wanted a file with a key") from None
+    if len(key) < MIN_KEY_BYTES:
+        raise ConfigError(f"fleet.{setting}: {path}: found {len(key)} bytes, wanted {MIN_KEY_BYTES} or more")
+    return key
+
+
+def program_version() -> str:
+    """The version of this program, as the others of the fleet are shown it."""
+    try:
+        return version("trackspread")
+    except PackageNotFoundError:
+        return "source"
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -31,11 +31,11 @@
         """What was asked for."""
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether its final answer was given."""
 
     @property
-    def out(self) -> Mapping[int, Attempt]:
+    def attempts_in_flight(self) -> Mapping[int, Attempt]:
         """Its attempts at backends, by index."""
 
 
@@ -49,7 +49,7 @@
     def broker(self) -> Broker:
         """The decision module."""
 
-    ids: set[bytes]
+    open_request_ids: set[bytes]
 
     @property
     def requests(self) -> Mapping[int, OpenRequest]:
@@ -61,10 +61,10 @@
     def next_number(self) -> int:
         """The number of the next request."""
 
-    def number_from(self, numbers: Iterator[int]) -> None:
+    def continue_numbers(self, numbers: Iterator[int]) -> None:
         """Where the next requests' numbers come from."""
 
-    def share(self, clients: int, links: int) -> None:
+    def share_descriptors(self, clients: int, links: int) -> None:
         """Descriptors that the other process holds."""
 
     def handle(self, event: Event, number: int = 0) -> None:
@@ -111,9 +111,9 @@
         out = {
             (number, index): attempt.backend
             for number, request in table.requests.items()
-            for index, attempt in request.out.items()
+            for index, attempt in request.attempts_in_flight.items()
         }
-        ids = [(number, r.call.request_id) for number, r in table.requests.items() if not r.closed]
+        ids = [(number, r.call.request_id) for number, r in table.requests.items() if not r.is_closed]
         number = table.next_number()
         return wire.encode(
             HandoverState(
@@ -181,9 +181,9 @@
         table.now.base_ns = state.base
         self._out = {(number, attempt): by for number, attempt, by, *_ in state.module["out"]}
         self._ids = dict(state.ids)
-        table.ids.update(self._ids.values())
-        table.number_from(count(state.next + NUMBERS_APART))
-        table.share(state.clients, state.links)
+        table.open_request_ids.update(self._ids.values())
+        table.continue_numbers(count(state.next + NUMBERS_APART))
+        table.share_descriptors(state.clients, state.links)
 
     def progressed(self, body: bytes) -> None:
         """Raises `WireError`."""
@@ -204,7 +204,7 @@
                 report = progress.report if len(progress.report) == len(names) else ()
                 self._end(key, progress.backend, outcome, progress.elapsed, report)
             case "closed" if (id_ := self._ids.pop(progress.request, None)) is not None:
-                self._table.ids.discard(id_)
+                self._table.open_request_ids.discard(id_)
 
     def _end(
         self, key: tuple[int, int], backend: int, outcome: Outcome, elapsed: int, report: tuple[float, ...]
@@ -218,5 +218,5 @@
             key, backend = self._out.popitem()
             self._end(key, backend, Outcome.CANCELLED, 0, ())
         while self._ids:
-            self._table.ids.discard(self._ids.popitem()[1])
-        self._table.share(0, 0)
+            self._table.open_request_ids.discard(self._ids.popitem()[1])
+        self._table.share_descriptors(0, 0)
--- /dev/null
+++ b/trackspread/node/membership_part.py
@@ -0,0 +1,174 @@
+"""The gateway's part in the fleet's view: the operator's table to a host, and what operators ask of it.
+
+May know: configuration, the view. Decides nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Callable
+from pathlib import Path
+
+import xxhash
+
+from ..config.addresses import address
+from ..config.operator import Fleet
+from ..decide.events import FleetChanged
+from ..decide.peer_messages import MAX_MESSAGE_BYTES
+from ..membership.host import Host, born_now
+from ..membership.report import Report, report
+from ..membership.slots import slots_of
+from ..membership.terms import MS, SECOND, Place, Settings
+from ..membership.wire import Wire
+from .fleet_keys import program_version
+from .fleet_view_part import FleetViewPart
+
+READY_TIMEOUT_S = 5.0  # of a start's wait for an allocation: over an election; what needs none is served then
+READY_POLL_S = 0.02
+
+
+def gateway_number(name: str) -> int:
+    """The number by which the decision module knows a gateway: the same everywhere, 32 bits."""
+    return xxhash.xxh32_intdigest(name.encode())
+
+
+class MembershipPart(FleetViewPart[Host]):
+    """The gateway's part in the view of the fleet."""
+
+    unavailable = "takes no part in the fleet at this moment\n"
+
+    def __init__(
+        self,
+        name: str,
+        fleet: Fleet,
+        now: Callable[[], int],
+        place: Place = (0, 1),
+        changed: Callable[[FleetChanged], None] = lambda event: None,
+        heard: Callable[[int, bytes], None] = lambda sender, data: None,
+    ) -> None:
+        """`place`: in the platform's list of gateways, and how many that has.
+
+        `changed` is called with the fleet whenever it differs, `heard` with another gateway's number and
+        message. Raises `ConfigError`.
+        """
+        super().__init__(name, fleet, now)
+        self._number = gateway_number(name)
+        self._place = place
+        self._changed = changed
+        self._heard = heard
+        self._names: dict[int, str] = {}  # of the other gateways, by number
+        self._peer_slots: dict[int, int] = {}  # slots that each says it holds, by number
+        count = place[1]
+        self._place_slots = tuple(slots_of((index, count)) for index in range(count))
+        self._last = FleetChanged(self._number, (), (self._number,), self._place_slots, 0, (), 0, 0)
+
+    def begin(self) -> None:
+        """Report an empty fleet: no shared quota is used before slots are granted."""
+        self._changed(self._last)
+
+    async def wait_until_ready(self) -> None:
+        """Return once slots are granted, or after `READY_TIMEOUT_S`."""
+        loop = asyncio.get_running_loop()
+        give_up_at_s = loop.time() + READY_TIMEOUT_S
+        while self.host is not None and not self.host.core.part(self._now()):
+            if loop.time() >= give_up_at_s:
+                return
+            await asyncio.sleep(READY_POLL_S)
+
+    def send(self, to: int | None, data: bytes) -> None:
+        """Send a message to one gateway by its number, or to all."""
+        if self.host is None:
+            return
+        if to is None:
+            self.host.tell(self._names.values(), data)
+        else:
+            self.host.tell([self._names[to]] if to in self._names else [], data)
+
+    def _received(self, name: str, data: bytes, slots: int) -> None:
+        sender = gateway_number(name)
+        if self._peer_slots.get(sender) != slots and sender in self._names:
+            self._peer_slots[sender] = slots
+            self._report_changes()
+        if len(data) <= MAX_MESSAGE_BYTES:
+            self._heard(sender, data)
+
+    def _report_changes(self) -> None:
+        """Report the fleet as it is now, unless it is as last reported."""
+        if self.host is None:
+            return
+        members = self.host.core.member_table
+        peers = {gateway_number(peer.update.name): peer.update for peer in members.here()}
+        peers.pop(self._number, None)  # of two names with one number, one gets no messages: that is safe
+        slow = {number for number, update in peers.items() if update.slow}
+        if members.me.slow:
+            slow.add(self._number)
+        self._names = {number: update.name for number, update in peers.items()}
+        event = self._fleet_changed(self.host, tuple(sorted(peers)), slow)
+        self._peer_slots = {number: slots for number, slots in self._peer_slots.items() if number in peers}
+        if event != self._last:
+            self._last = event
+            self._changed(event)
+
+    def _fleet_changed(self, host: Host, others: tuple[int, ...], slow: set[int]) -> FleetChanged:
+        holding = host.core.holding
+        slots, until = (0, 0) if host.core.gone else (holding.granted, holding.until)
+        everybody = tuple(sorted((self._number, *others)))
+        owners = tuple(number for number in everybody if number not in slow) or everybody
+        peer_slots = tuple(self._peer_slots.get(number, 0) for number in others)
+        return FleetChanged(
+            self._number, others, owners, self._place_slots, slots, peer_slots, until, holding.granted_until
+        )
+
+    async def _start(self) -> None:
+        fleet = self._fleet
+        host = Host(
+            self._settings(),
+            address(fleet.listen, "fleet.listen"),
+            Wire(fleet.name, self._keys, fleet.most),
+            int.from_bytes(os.urandom(8)),
+            self._now,
+            Path(fleet.record) if fleet.record else None,
+            self._report_changes,
+            self._received,
+        )
+        self.host = host
+        try:
+            await host.start()
+        except OSError:
+            self.host = None
+            host.close(leave=False)
+            raise
+
+    def _settings(self) -> Settings:
+        fleet = self._fleet
+        advertised = (
+            address(fleet.advertise, "fleet.advertise")
+            if fleet.advertise
+            else address(fleet.listen, "fleet.listen")
+        )
+        return Settings(
+            fleet.name,
+            self._name,
+            born_now(),
+            advertised,
+            fleet.seed_addresses(),
+            program_version(),
+            int(fleet.period_ms * MS),
+            fleet.most,
+            self._place,
+            int(fleet.keep_s * SECOND),
+        )
+
+    def close(self, leave: bool = True) -> None:
+        """Take part no more; `leave` False: another process goes on under this name."""
+        if self.host is not None:
+            self.host.close(leave)
+            self._report_changes()
+            self.host = None
+
+    def report(self) -> Report | None:
+        """The fleet's view as it is now; None while this gateway takes no part."""
+        if self.host is None:
+            return None
+        return report(self._now(), self.host.core, self.host.counts, self.host.wire.dropped)
--- a/trackspread/node/counted.py
+++ b/trackspread/node/quota_counter_part.py
@@ -1,6 +1,7 @@
-"""The gateway's side of the counter: settings to a host, requests to the quota client, operators' questions.
+"""The gateway's side of a shared quota counter: settings to a host, requests to the quota client.
 
-May know: calls, configuration, the module's stores to show them. Decides nothing.
+It also answers operators' queries about a tenant. May know: calls, configuration, the decision module's
+accounts to show them. Decides nothing.
 """
 
 from __future__ import annotations
@@ -32,12 +33,13 @@
 
 log = logging.getLogger(__name__)
 
-LINE_MOST = 256  # bytes of a question
-ASKED_MOST = 5.0  # s that whoever asks may take
+MAX_QUERY_BYTES = 256
+QUERY_TIMEOUT_S = 5.0  # until a query is read and its answer is taken
+NS_PER_MS = 1_000_000
 
 
-def access(counter: Counter) -> Access:
-    """Raises `ConfigError`."""
+def counter_access(counter: Counter) -> Access:
+    """What the servers ask for: TLS, user and password; raises `ConfigError`."""
     context = None
     try:
         if counter.tls:
@@ -52,8 +54,8 @@
     return Access(counter.user, counter.password, context)
 
 
-def _clear(path: str) -> None:
-    """A socket that a former life left; raises `ConfigError` where something else lies there."""
+def _remove_stale_socket(path: str) -> None:
+    """Remove a socket that an earlier process left; raises `ConfigError` where something else is there."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             raise ConfigError(f"counter.status: found {path!r}, which is no socket, wanted a path of its own")
@@ -62,8 +64,8 @@
         pass
 
 
-class Counted:
-    """What the gateway holds while a counter is shared."""
+class QuotaCounterPart:
+    """The gateway's part in a counter that several gateways share."""
 
     def __init__(
         self,
@@ -73,13 +75,16 @@
         module: Module,
         handle: Callable[[Event], None],
     ) -> None:
-        self._counter, self._now, self._module, self._settings = counter, now, module, config.settings
+        """`handle` takes the events for the decision module. Raises `ConfigError`."""
+        self._counter = counter
+        self._now = now
+        self._module = module
         self._server: asyncio.Server | None = None
         seed = config.seed ^ int.from_bytes(os.urandom(8))  # a name may start twice from one configuration
         self.client = QuotaClient(
             config.settings,
             counter.partitions,
-            time.time_ns() // 1_000_000,
+            time.time_ns() // NS_PER_MS,
             seed,
             now(),
             partial(kept, module.quota),
@@ -91,24 +96,31 @@
             counter.partitions,
         )
         slot = config.settings.gateway_index
-        self.host = CounterHost(self.client, routes, access(counter), counter.prefix, slot, now, handle)
+        self.host = CounterHost(
+            self.client, routes, counter_access(counter), counter.prefix, slot, now, handle
+        )
 
     async def start(self) -> None:
+        """Connect to the servers and open the socket for queries."""
         self.host.start()
         if path := self._counter.status:
-            _clear(path)
-            self._server = await asyncio.start_unix_server(self._asked, path, limit=LINE_MOST)
+            _remove_stale_socket(path)
+            self._server = await asyncio.start_unix_server(self._answer_query, path, limit=MAX_QUERY_BYTES)
             os.chmod(path, 0o600)
 
     async def close(self) -> None:
+        """Close the socket for queries and the connections to the servers."""
         if self._server is not None:
             self._server.close()
             with suppress(FileNotFoundError):
                 os.unlink(self._counter.status)
         await self.host.close()
 
-    def before(self, call: Call) -> None:
-        """A fault here must not cost the request: it is decided by what is kept."""
+    def request_arrived(self, call: Call) -> None:
+        """Prepare the tenant's lease before the request is decided.
+
+        A fault here must not cost the request: it is decided by what is cached.
+        """
         try:
             self.host.do(
                 self.client.before(
@@ -116,28 +128,30 @@
                 )
             )
         except Exception:
-            log.exception("fault before a request")
+            log.exception("quota counter: fault before a request of tenant %016x", call.tenant)
 
-    def replan(self, plans: tuple[Plan, ...]) -> None:
-        """Other figures for the plans, from each customer's next request on."""
+    def update_plans(self, plans: tuple[Plan, ...]) -> None:
+        """Other limits of the plans, from each tenant's next request on."""
         self.client.replan(plans)
 
-    def wanted(self, customer: int) -> None:
-        self.host.do(self.client.wanted(self._now(), customer))
+    def request_allocation(self, tenant: int) -> None:
+        """The decision module wants more of the tenant's quota."""
+        self.host.do(self.client.wanted(self._now(), tenant))
 
     # For operators.
 
-    def report(self, customer: int) -> Report:
+    def report(self, tenant: int) -> Report:
+        """The tenant's lease and account as they are now."""
         now = self._now()
-        account = self._module.quota.accounts.get(customer)
+        account = self._module.quota.accounts.get(tenant)
         if account is not None:
             self._module.quota.refill(now, account)
-        return report(now, self.client.manager, customer, account, cap(self._module, customer))
+        return report(now, self.client.manager, tenant, account, cap(self._module, tenant))
 
-    async def _asked(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One line with a member in hexadecimal digits; one line of JSON."""
+    async def _answer_query(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read one line with a tenant in hexadecimal digits, write one line of JSON."""
         try:
-            async with asyncio.timeout(ASKED_MOST):
+            async with asyncio.timeout(QUERY_TIMEOUT_S):
                 line = (await reader.readline()).strip()
                 try:
                     answer = msgspec.json.encode(self.report(int(line, 16)))
@@ -146,6 +160,6 @@
                 writer.write(answer + b"\n")
                 await writer.drain()
         except (OSError, TimeoutError, ValueError):
-            log.info("a question about a quota was not heard to its end")
+            log.info("quota query: closed before it was read and answered")
         finally:
             writer.close()
--- a/trackspread/node/takeover.py
+++ b/trackspread/node/takeover.py
@@ -37,7 +37,7 @@
     def pass_on(self, pass_on: PassOn) -> None:
         """The clients' connections go to the other process."""
 
-    def vacant(self) -> bool:
+    def is_vacant(self) -> bool:
         """Whether nothing is owed here any more."""
 
     async def unfreeze(self) -> None:
@@ -268,7 +268,7 @@
         self._resuming = self._loop.create_task(self._gateway.unfreeze())
 
     def _look(self) -> None:
-        if self._gateway.vacant():
+        if self._gateway.is_vacant():
             log.info("handover: nothing is owed here any more")
             return self._vacated()
         self._looker = self._loop.call_later(VACATE_LOOK, self._look)
--- /dev/null
+++ b/trackspread/node/usage_part.py
@@ -0,0 +1,78 @@
+"""The gateway's usage records: its names and settings to a host, its final answers to records.
+
+May know: calls, configuration, the host. Decides nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+
+from ..call import Call
+from ..config.addresses import ConfigError
+from ..config.operator import Use
+from ..config.platform import Config
+from ..storage.slots import SLOT
+from ..usage.control import Names
+from ..usage.host import UseHost
+from ..usage.ledger import Bounds
+from ..usage.record import Ending
+from ..usage.senders import Sender, configured_sender
+
+BYTES_PER_MB = 1 << 20
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+MIN_SEGMENT_SLOTS = 64
+MIN_SEGMENTS = 4
+
+
+def ledger_bounds(use: Use) -> Bounds:
+    """Sizes and times of the ledger, from the operator's table."""
+    return Bounds(
+        max(MIN_SEGMENT_SLOTS, int(use.segment_mb * BYTES_PER_MB) // SLOT),
+        max(MIN_SEGMENTS, int(use.disk_mb / use.segment_mb)),
+        int(use.commit_ms * NS_PER_MS),
+        int(use.batch_s * NS_PER_S),
+        use.when_full,
+    )
+
+
+def billing_sender(use: Use) -> Sender | None:
+    """What sends batches to billing, None where they are only kept; raises `ConfigError`."""
+    if not use.billing:
+        return None
+    try:
+        return configured_sender(use.billing, use.secret, use.ca)
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"use.secret, use.ca or use.billing: {error}") from None
+
+
+def record_names(config: Config) -> Names:
+    """The names by which records are shown."""
+    classes = tuple(name.decode() for name in config.classes)
+    plans = tuple(name.decode() for name in config.plans)
+    return Names(config.name, classes, plans)
+
+
+class UsagePart:
+    """The gateway's part in recording usage."""
+
+    def __init__(self, config: Config, use: Use, now: Callable[[], int]) -> None:
+        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        self.host = UseHost(
+            Path(use.folder), ledger_bounds(use), record_names(config), now, billing_sender(use)
+        )
+
+    def start(self) -> None:
+        """Open the ledger and begin to write and send."""
+        self.host.start()
+
+    async def stop(self) -> None:
+        """Write what is still in memory, and close."""
+        await self.host.stop()
+
+    def record(self, call: Call, ending: Ending, attempts: int, plan_version: int) -> None:
+        """One request's final answer, after so many attempts."""
+        self.host.count(
+            ending, call.request_class, call.plan, plan_version, call.tenant, call.units, attempts
+        )
--- a/trackspread/testing/harness/quickened.py
+++ b/trackspread/testing/harness/quickened.py
@@ -15,7 +15,7 @@
 
 from ...cells.terms import Policy
 from ...membership.terms import SECOND
-from ...node import controlling
+from ...node import control_machine
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
 from ..virtual.patches import held
@@ -39,9 +39,9 @@
 def main(names: str, control: str, file: str) -> None:
     """In the foreground."""
     with ExitStack() as stack:
-        stack.enter_context(patch.object(controlling, "Policy", _policy))
+        stack.enter_context(patch.object(control_machine, "Policy", _policy))
         stack.enter_context(held(faults(names)))
-        controlling.run(control, Path(file))
+        control_machine.run(control, Path(file))
 
 
 if __name__ == "__main__":
