--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -92,15 +92,15 @@
 
 def test_planted_a_new_process_that_does_not_look_whether_taken_was_written_is_convicted() -> None:
     class Rash(SuccessorSteps):
-        def took(self, written: bool) -> Actions:
-            return super().took(True)
+        def taken_over(self, is_written: bool) -> Actions:
+            return super().taken_over(True)
 
     def both(successor: SuccessorSteps) -> float:
         world = World(1, successor=successor)
         deaf = world._to_new  # what is given comes after the old process has given up waiting
 
         def late(what: Event) -> None:
-            if what is Event.GIVEN:
+            if what is Event.STATE_RECEIVED:
                 world.later(1.5, lambda: world._new(what))
             else:
                 deaf(what)
@@ -116,11 +116,17 @@
 
 def test_a_stranger_or_a_repeat_changes_nothing() -> None:
     predecessor = PredecessorSteps()
-    assert predecessor.handle(Event.ASKED) == [] == predecessor.handle(Event.TAKEN)
-    assert predecessor.handle(Event.STRANGE) == [(Action.DROP, 0.0)] and predecessor.step == "serving"
+    assert predecessor.handle(Event.STATE_REQUESTED) == [] == predecessor.handle(Event.TAKEN_OVER)
+    assert (
+        predecessor.handle(Event.INVALID_MESSAGE) == [(Action.DISCONNECT, 0.0)]
+        and predecessor.step == "serving"
+    )
     successor = SuccessorSteps()
     successor.found(True)
-    assert [act for act, _ in successor.handle(Event.STRANGE)] == [Action.DROP, Action.COLD]
+    assert [act for act, _ in successor.handle(Event.INVALID_MESSAGE)] == [
+        Action.DISCONNECT,
+        Action.START_COLD,
+    ]
 
 
 # Packets.
@@ -136,7 +142,7 @@
         good[:4] + b"\x09" + good[5:],
         good[:5] + b"\x63" + good[6:],
         good[:-1] + b"1",
-        bytes(wire.PACKET_MOST + 1),
+        bytes(wire.MAX_PACKET_BYTES + 1),
     ]
     for packet in bad:
         with pytest.raises(WireError):
@@ -146,19 +152,19 @@
 
 
 def test_what_is_carried_over_is_taken_only_whole() -> None:
-    whole = random.Random(1).randbytes(3 * wire.PIECE + 5)
-    packets = [wire.unpack(packet) for packet in wire.pieces(whole)]
-    end = wire.unpack(wire.given(whole)).body
+    whole = random.Random(1).randbytes(3 * wire.PIECE_BYTES + 5)
+    packets = [wire.unpack(packet) for packet in wire.state_packets(whole)]
+    end = wire.unpack(wire.state_end_packet(whole)).body
     gathered = Reassembly()
     for packet in packets:
         gathered.add(packet.body)
-    assert gathered.whole(end) == whole
+    assert gathered.complete(end) == whole
     for wrong in (packets[1:], packets[::-1], [*packets, packets[0]]):
         gathered = Reassembly()
         for packet in wrong:
             gathered.add(packet.body)
         with pytest.raises(WireError):
-            gathered.whole(end)
+            gathered.complete(end)
 
 
 def test_messages_have_the_bytes_that_older_processes_write_and_read() -> None:
--- a/tests/test_handover_process.py
+++ b/tests/test_handover_process.py
@@ -119,7 +119,7 @@
                 strange.connect(str(h.folder / name))
                 strange.send(b"junk" if what == "junk" else wire.pack(Kind.HELLO, b"n0"))
                 if what.startswith("asks"):
-                    strange.send(wire.pack(Kind.ASK))
+                    strange.send(wire.pack(Kind.STATE_REQUEST))
                     await asyncio.sleep(0.2)
                 if what != "asks and hangs":
                     strange.close()
--- a/trackspread/handover/link.py
+++ b/trackspread/handover/link.py
@@ -1,4 +1,4 @@
-"""The connection between both processes, and the place in `$TMPDIR` where they meet.
+"""The connection between the old process and the new one, and the name in `$TMPDIR` where they meet.
 
 May know: sockets, descriptors, the loop. May not know: steps, what packets mean. Descriptors travel with
 packets.
@@ -16,10 +16,12 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from .wire import PACKET_MOST
+from .wire import MAX_PACKET_BYTES
 
-WAITING = 4  # newcomers that wait until the one before them is through
-AGAIN = 0.005  # s until a packet is tried again that the kernel had no room for
+BACKLOG = 4  # new processes that wait until the one before them is served
+SEND_RETRY_INTERVAL_S = 0.005  # for a packet that the kernel had no room for
+RETRIED_ERRORS = (errno.EAGAIN, errno.ETOOMANYREFS, errno.ENOBUFS)
+DESCRIPTOR_BYTES = array.array("i").itemsize
 
 Received = Callable[[bytes, "int | None"], None]
 
@@ -27,17 +29,20 @@
 class Link:
     """One connection; packets go out in order, each with a descriptor or without."""
 
-    def __init__(self, made: socket.socket, received: Received, lost: Callable[[], None]) -> None:
+    def __init__(self, connected: socket.socket, received: Received, lost: Callable[[], None]) -> None:
+        """`received` takes each packet and its descriptor, `lost` is called once the other side has ended."""
         self._loop = asyncio.get_running_loop()
-        self._socket, self._received, self._lost = made, received, lost
+        self._socket = connected
+        self._received = received
+        self._lost = lost
         self._out: deque[tuple[bytes, int | None]] = deque()
         self._retry: asyncio.TimerHandle | None = None
         self._closed = False
-        made.setblocking(False)
-        self._loop.add_reader(made.fileno(), self._read)
+        connected.setblocking(False)
+        self._loop.add_reader(connected.fileno(), self._read)
 
     def send(self, packet: bytes, descriptor: int | None = None) -> bool:
-        """Whether it is on its way; the descriptor is closed here once it is."""
+        """Send a packet; False where the connection has ended. The descriptor is closed once sent."""
         if self._closed:
             _close(descriptor)
             return False
@@ -49,16 +54,14 @@
         self._retry = None
         while self._out and not self._closed:
             packet, descriptor = self._out[0]
-            extra = (
-                []
-                if descriptor is None
-                else [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-            )
+            ancillary = []
+            if descriptor is not None:
+                ancillary.append((socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor])))
             try:
-                self._socket.sendmsg([packet], extra)
+                self._socket.sendmsg([packet], ancillary)
             except OSError as error:
-                if error.errno in (errno.EAGAIN, errno.ETOOMANYREFS, errno.ENOBUFS):
-                    self._retry = self._loop.call_later(AGAIN, self._flush)
+                if error.errno in RETRIED_ERRORS:
+                    self._retry = self._loop.call_later(SEND_RETRY_INTERVAL_S, self._flush)
                     return
                 return self._end()
             self._out.popleft()
@@ -67,20 +70,25 @@
     def _read(self) -> None:
         while not self._closed:
             try:
-                data, extra, flags, _ = self._socket.recvmsg(PACKET_MOST + 1, socket.CMSG_SPACE(4))
+                data, ancillary, flags, _ = self._socket.recvmsg(
+                    MAX_PACKET_BYTES + 1, socket.CMSG_SPACE(DESCRIPTOR_BYTES)
+                )
             except BlockingIOError:
                 return
             except OSError:
                 return self._end()
-            descriptor = _taken(extra)
+            descriptor = _received_descriptor(ancillary)
             if not data:
                 _close(descriptor)
                 return self._end()
             self._received(b"" if flags & socket.MSG_TRUNC else data, descriptor)
 
-    def last(self) -> None:
-        """Nothing more is taken from the other side; what it had written by then is still read. From here on
-        it finds that it can't write: whatever it says is either known here or known to be lost there."""
+    def end_reading(self) -> None:
+        """Read what the other side has written by now, and nothing more.
+
+        From here on the other side's writes fail: each of its messages is either known here or known there to
+        be lost.
+        """
         if not self._closed:
             self._socket.shutdown(socket.SHUT_RD)
             self._read()
@@ -103,9 +111,10 @@
             _close(self._out.popleft()[1])
 
 
-def _taken(extra: list[tuple[int, int, bytes]]) -> int | None:
+def _received_descriptor(ancillary: list[tuple[int, int, bytes]]) -> int | None:
+    """The first descriptor that came along; others are closed."""
     found = array.array("i")
-    for level, kind, data in extra:
+    for level, kind, data in ancillary:
         if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
             found.frombytes(data[: len(data) - len(data) % found.itemsize])
     for descriptor in found[1:]:
@@ -119,8 +128,10 @@
 
 
 class Rendezvous:
-    """The name in the common folder where whoever serves listens. The folder's path may be longer than a
-    socket's name can be, so it is reached through its descriptor."""
+    """The name in the common folder where the process that serves listens.
+
+    The folder's path may be longer than a socket's name can be, so it is reached through its descriptor.
+    """
 
     def __init__(self, folder: Path, name: str) -> None:
         self._name = f"trackspread-{blake2b(name.encode(), digest_size=6).hexdigest()}"
@@ -131,28 +142,31 @@
         return f"/proc/self/fd/{self._folder}/{name}"
 
     def seek(self) -> socket.socket | None:
-        """A connection to whoever serves; a name that a dead process left answers nobody."""
-        made = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        made.setblocking(False)
+        """A connection to the process that serves; None where there is none."""
+        connection = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        connection.setblocking(False)
         try:
-            made.connect(self._path(self._name))
-        except OSError:
-            made.close()
+            connection.connect(self._path(self._name))
+        except OSError:  # also where a dead process left the name
+            connection.close()
             return None
-        return made
+        return connection
+
+    def listen(self, arrived: Callable[[], None]) -> None:
+        """Take the name over, in one step, from the process that had it; raises `OSError`.
 
-    def listen(self, came: Callable[[], None]) -> None:
-        """In one step in place of whoever was there; raises `OSError`."""
+        `arrived` is called when a new process connects.
+        """
         self._server = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self._server.setblocking(False)
         fresh = f"{self._name}.{os.getpid()}"
         self._server.bind(self._path(fresh))
-        self._server.listen(WAITING)
+        self._server.listen(BACKLOG)
         os.rename(fresh, self._name, src_dir_fd=self._folder, dst_dir_fd=self._folder)
-        asyncio.get_running_loop().add_reader(self._server.fileno(), came)
+        asyncio.get_running_loop().add_reader(self._server.fileno(), arrived)
 
     def accept(self) -> socket.socket | None:
-        """The next newcomer."""
+        """The connection of the next new process that waits."""
         if self._server is None:
             return None
         try:
@@ -161,7 +175,7 @@
             return None
 
     def close(self) -> None:
-        """The name stays: by then it is the successor's, or one that answers nobody."""
+        """Listen no more. The name stays: by then it is the successor's, or no process answers there."""
         if self._server is not None:
             asyncio.get_running_loop().remove_reader(self._server.fileno())
             self._server.close()
--- a/trackspread/handover/states.py
+++ b/trackspread/handover/states.py
@@ -1,6 +1,6 @@
-"""What the old process and the new one do at each step of a handover, whatever becomes of the other.
+"""What the old process and the new one do at each step of a handover, whatever happens to the other.
 
-May know: steps, waits in seconds. May not know: sockets, clocks, what is carried over. Events in, actions
+May know: steps, waits in seconds. May not know: sockets, clocks, what is handed over. Events in, actions
 out: the same code runs on sockets and in virtual time. The right to serve passes from the old process
 to the new one with the single message TAKEN: before it is written the old one serves on, from then
 on the new one alone.
@@ -8,133 +8,182 @@
 
 from __future__ import annotations
 
-from enum import Enum, auto
+from enum import Enum, StrEnum, auto
+from typing import NamedTuple
 
-PROTOCOL = 1  # of the messages between both; a process that speaks another one is a stranger: a cold start
-GREETING_MOST = 2.5  # s until the old process answers; it may be busy with another newcomer first
-READY_MOST = 6.0  # s that the platform gives a new process; one that has not asked by then never will
-GIVING_MOST = 1.0  # s from the state's first byte until TAKEN: nobody is served meanwhile
-ASKING_MOST = 2.0  # s from the asking on: over the giving, so that the old process decides first
-TRIES = 2  # rounds of a newcomer before it starts cold
+PROTOCOL = 1  # of the messages between both; with a process that speaks another one a start is cold
+HELLO_TIMEOUT_S = 2.5  # until the old process answers; it may be busy with another new process first
+READY_TIMEOUT_S = (
+    6.0  # that the platform gives a new process; one that has sent no request by then never will
+)
+STATE_TIMEOUT_S = 1.0  # from the state's first byte until TAKEN: no request is served meanwhile
+REQUEST_TIMEOUT_S = 2.0  # from the request on: over the state's, so that the old process decides first
+MAX_ROUNDS = 2  # of a new process before it starts cold
 
 
 class Event(Enum):
-    """What befalls either side."""
+    """What happens to either side."""
 
-    MET = auto()  # the other side said hello, in this protocol
-    STRANGE = auto()  # it said so in another one, or nothing that can be read
-    READY = auto()  # new: this process has its list and could serve
-    ASKED = auto()  # old: the new one can serve and asks to take over
-    GIVEN = auto()  # new: all that is carried over has come, and checks
-    TAKEN = auto()  # old: the new one serves
-    LOST = auto()  # the connection to the other has ended
-    LATE = auto()  # the wait that was asked for last has passed
+    HELLO_RECEIVED = auto()  # the other side said hello, in this protocol
+    INVALID_MESSAGE = auto()  # of another protocol, or one that cannot be read
+    READY = auto()  # new: this process has its endpoint list and could serve
+    STATE_REQUESTED = auto()  # old: the new one can serve and wants to take over
+    STATE_RECEIVED = auto()  # new: the complete state has arrived, and its checksum is right
+    TAKEN_OVER = auto()  # old: the new one serves
+    CONNECTION_LOST = auto()  # to the other side
+    TIMED_OUT = auto()  # the wait of the last action is over
 
 
 class Action(Enum):
     """What a side does then."""
 
-    GREET = auto()  # say hello
-    ASK = auto()
-    TAKE = auto()  # new: take up what was carried over, write TAKEN, serve
-    COLD = auto()  # new: serve with nothing carried over
-    SEEK = auto()  # new: look for the old process once more
-    GIVE = auto()  # old: stop serving and hand over all that is known
-    PASS = auto()  # old: pass the clients' connections on, end what was taken
+    SEND_HELLO = auto()
+    REQUEST_STATE = auto()  # new
+    TAKE_OVER = auto()  # new: restore the state, write TAKEN, serve
+    START_COLD = auto()  # new: serve without any state of the old process
+    RECONNECT = auto()  # new: look for the old process once more
+    SEND_STATE = auto()  # old: stop serving and send the complete state
+    PASS_CLIENTS = auto()  # old: pass the clients' connections on, end the requests that are open
     RESUME = auto()  # old: serve on as if nothing had been
-    DROP = auto()  # end the connection to the other
+    DISCONNECT = auto()  # from the other side
 
 
-Actions = list[tuple[Action, float]]  # with the wait from then on, in seconds, 0 for none
+class TimedAction(NamedTuple):
+    """An action, and the wait that begins with it; 0 for none."""
+
+    action: Action
+    wait_s: float
+
+
+Actions = list[TimedAction]
+
+
+class PredecessorStep(StrEnum):
+    """Where the old process is."""
+
+    SERVING = "serving"
+    MET = "met"
+    SENDING = "sending"
+    HANDED_OVER = "handed over"
+
+
+class SuccessorStep(StrEnum):
+    """Where the new process is."""
+
+    SEEKING = "seeking"
+    GREETING = "greeting"
+    MET = "met"
+    REQUESTING = "requesting"
+    TAKING = "taking"
+    SERVING = "serving"
+    COLD = "cold"
 
 
 class PredecessorSteps:
-    """The old process, towards one newcomer at a time."""
+    """The old process, towards one new process at a time."""
 
     def __init__(self) -> None:
-        self.step = "serving"
-
-    def handle(self, what: Event) -> Actions:
-        """What is to be done after `what`, and the next step taken."""
-        match self.step, what:
-            case "serving", Event.MET:
-                self.step = "met"
-                return [(Action.GREET, READY_MOST)]
-            case "met", Event.ASKED:
-                self.step = "giving"
-                return [(Action.GIVE, GIVING_MOST)]
-            case "giving", Event.TAKEN:
-                self.step = "handed"
-                return [(Action.PASS, 0.0)]
-            case (("giving" | "handed"), Event.LOST):
-                # It died after TAKEN, or before it: nobody serves but this process.
-                self.step = "serving"
-                return [(Action.DROP, 0.0), (Action.RESUME, 0.0)]
-            case "giving", (Event.LATE | Event.STRANGE):
-                self.step = "serving"
-                return [(Action.DROP, 0.0), (Action.RESUME, 0.0)]
-            case "handed", _:
+        self.step = PredecessorStep.SERVING
+
+    def handle(self, event: Event) -> Actions:
+        """What is to be done after the event, and the next step taken."""
+        match self.step, event:
+            case PredecessorStep.SERVING, Event.HELLO_RECEIVED:
+                self.step = PredecessorStep.MET
+                return [TimedAction(Action.SEND_HELLO, READY_TIMEOUT_S)]
+            case PredecessorStep.MET, Event.STATE_REQUESTED:
+                self.step = PredecessorStep.SENDING
+                return [TimedAction(Action.SEND_STATE, STATE_TIMEOUT_S)]
+            case PredecessorStep.SENDING, Event.TAKEN_OVER:
+                self.step = PredecessorStep.HANDED_OVER
+                return [TimedAction(Action.PASS_CLIENTS, 0.0)]
+            case ((PredecessorStep.SENDING | PredecessorStep.HANDED_OVER), Event.CONNECTION_LOST):
+                # It ended after TAKEN, or before it: only this process can serve.
+                return self._resume()
+            case PredecessorStep.SENDING, (Event.TIMED_OUT | Event.INVALID_MESSAGE):
+                return self._resume()
+            case PredecessorStep.HANDED_OVER, _:
                 return []
-            case _, (Event.LATE | Event.LOST | Event.STRANGE):
-                self.step = "serving"
-                return [(Action.DROP, 0.0)]
+            case _, (Event.TIMED_OUT | Event.CONNECTION_LOST | Event.INVALID_MESSAGE):
+                self.step = PredecessorStep.SERVING
+                return [TimedAction(Action.DISCONNECT, 0.0)]
         return []  # out of turn: a repeat
 
+    def _resume(self) -> Actions:
+        self.step = PredecessorStep.SERVING
+        return [TimedAction(Action.DISCONNECT, 0.0), TimedAction(Action.RESUME, 0.0)]
+
 
 class SuccessorSteps:
     """The new process."""
 
     def __init__(self) -> None:
-        self.step, self._ready, self._tries = "seeking", False, 0
+        self.step = SuccessorStep.SEEKING
+        self._is_ready = False
+        self._rounds = 0
 
-    def found(self, there: bool) -> Actions:
-        """Whether somebody listens where an old process would."""
-        if self.step != "seeking":
+    def found(self, is_there: bool) -> Actions:
+        """Whether a process listens where an old one would."""
+        if self.step is not SuccessorStep.SEEKING:
             return []
-        if not there:
-            return self._cold()
-        self.step = "greeting"
-        return [(Action.GREET, GREETING_MOST)]
-
-    def _cold(self) -> Actions:
-        self.step = "cold"
-        return [(Action.DROP, 0.0), (Action.COLD, 0.0)]
-
-    def handle(self, what: Event) -> Actions:
-        """What is to be done after `what`, and the next step taken."""
-        if what is Event.READY:
-            self._ready = True
-        match self.step, what:
-            case "greeting", Event.MET:
-                self.step = "met"
-                return self._ask()
-            case "met", Event.READY:
-                return self._ask()
-            case "asking", Event.GIVEN:
-                self.step = "taking"
-                return [(Action.TAKE, 0.0)]
-            case (("greeting" | "met" | "asking" | "taking"), Event.LOST):
-                # It may have handed over to another newcomer meanwhile: that one is there now.
-                self._tries += 1
-                if self._tries >= TRIES:
-                    return self._cold()
-                self.step = "seeking"
-                return [(Action.DROP, 0.0), (Action.SEEK, 0.0)]
-            case (("greeting" | "met" | "asking"), (Event.LATE | Event.STRANGE)):
-                return self._cold()
+        if not is_there:
+            return self._start_cold()
+        self.step = SuccessorStep.GREETING
+        return [TimedAction(Action.SEND_HELLO, HELLO_TIMEOUT_S)]
+
+    def _start_cold(self) -> Actions:
+        self.step = SuccessorStep.COLD
+        return [TimedAction(Action.DISCONNECT, 0.0), TimedAction(Action.START_COLD, 0.0)]
+
+    def handle(self, event: Event) -> Actions:
+        """What is to be done after the event, and the next step taken."""
+        if event is Event.READY:
+            self._is_ready = True
+        match self.step, event:
+            case SuccessorStep.GREETING, Event.HELLO_RECEIVED:
+                self.step = SuccessorStep.MET
+                return self._request_state()
+            case SuccessorStep.MET, Event.READY:
+                return self._request_state()
+            case SuccessorStep.REQUESTING, Event.STATE_RECEIVED:
+                self.step = SuccessorStep.TAKING
+                return [TimedAction(Action.TAKE_OVER, 0.0)]
+            case (
+                (
+                    SuccessorStep.GREETING
+                    | SuccessorStep.MET
+                    | SuccessorStep.REQUESTING
+                    | SuccessorStep.TAKING
+                ),
+                Event.CONNECTION_LOST,
+            ):
+                return self._reconnect()
+            case (
+                (SuccessorStep.GREETING | SuccessorStep.MET | SuccessorStep.REQUESTING),
+                (Event.TIMED_OUT | Event.INVALID_MESSAGE),
+            ):
+                return self._start_cold()
         return []
 
-    def _ask(self) -> Actions:
-        if not self._ready:
+    def _reconnect(self) -> Actions:
+        # It may have handed over to another new process meanwhile: that one is there now.
+        self._rounds += 1
+        if self._rounds >= MAX_ROUNDS:
+            return self._start_cold()
+        self.step = SuccessorStep.SEEKING
+        return [TimedAction(Action.DISCONNECT, 0.0), TimedAction(Action.RECONNECT, 0.0)]
+
+    def _request_state(self) -> Actions:
+        if not self._is_ready:
             return []
-        self.step = "asking"
-        return [(Action.ASK, ASKING_MOST)]
+        self.step = SuccessorStep.REQUESTING
+        return [TimedAction(Action.REQUEST_STATE, REQUEST_TIMEOUT_S)]
 
-    def took(self, written: bool) -> Actions:
-        """Whether TAKEN could be written: if not, the old process had given this one up."""
-        if self.step != "taking":
+    def taken_over(self, is_written: bool) -> Actions:
+        """Whether TAKEN could be written: if not, the old process had stopped waiting for this one."""
+        if self.step is not SuccessorStep.TAKING:
             return []
-        if not written:
-            return self.handle(Event.LOST)
-        self.step = "serving"
+        if not is_written:
+            return self.handle(Event.CONNECTION_LOST)
+        self.step = SuccessorStep.SERVING
         return []
--- a/trackspread/handover/wire.py
+++ b/trackspread/handover/wire.py
@@ -1,7 +1,7 @@
-"""Messages between the old process and the new one: packets with a checked head, bodies as msgpack.
+"""Messages between the old process and the new one: packets with a checksum, bodies as msgpack.
 
-May know: layout. May not know: sockets, steps. Nothing is unpickled, and nothing is taken that is longer
-than said, of another kind, or whose check fails.
+May know: layout. May not know: sockets, steps. Nothing is unpickled; a packet that is too long, of an unknown
+kind, or whose checksum is wrong is rejected.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from .states import PROTOCOL
 
 MAGIC = b"tsho"
-_HEAD = struct.Struct("<4sBBxxI")  # magic, protocol, kind, check
-PACKET_MOST = 40 << 10  # bytes of one packet
-PIECE = 32 << 10  # bytes of what is carried over, in one packet
-CARRIED_MOST = 16 << 20  # bytes of all of it: far over any table's bound
-REST_MOST = 36 << 10  # bytes that a client's connection takes along: read, but not a whole command
+_HEAD = struct.Struct("<4sBBxxI")  # magic, protocol, kind, checksum
+MAX_PACKET_BYTES = 40 << 10
+PIECE_BYTES = 32 << 10  # of the state, in one packet
+MAX_STATE_BYTES = 16 << 20  # far over any table's limit
+MAX_CLIENT_REST_BYTES = 36 << 10  # handed over with a client's connection: read, but no complete command
 
 
 class Kind(IntEnum):
     """What a packet is."""
 
-    HELLO = 1  # body: who speaks
-    ASK = 2
-    PIECE = 3  # body: bytes of what is carried over
-    GIVEN = 4  # body: size and check of all pieces; with the datagram socket, if there is one
+    HELLO = 1  # body: the sender's name
+    STATE_REQUEST = 2
+    STATE_PIECE = 3  # body: bytes of the state
+    STATE_END = 4  # body: size and checksum of the state; with the datagram socket, if there is one
     TAKEN = 5
-    CLIENT = 6  # body: the rest of what it has said; with its connection
-    PROGRESS = 7  # body: what became of an attempt or request that the old process had taken
+    CLIENT = 6  # body: what was read of it and is no complete command; with its connection
+    PROGRESS = 7  # body: what became of an attempt or request that the old process had accepted
 
 
 class WireError(ValueError):
-    """A packet that is none; the text says why."""
+    """A packet that cannot be accepted; the text is the reason."""
 
 
 class Packet(NamedTuple):
@@ -47,15 +47,15 @@
 
 
 def pack(kind: Kind, body: bytes = b"") -> bytes:
-    """The packet's bytes."""
+    """The bytes of a packet."""
     return _HEAD.pack(MAGIC, PROTOCOL, kind, zlib.crc32(body)) + body
 
 
 def unpack(data: bytes) -> Packet:
-    """Raises `WireError`."""
-    if len(data) < _HEAD.size or len(data) > PACKET_MOST:
+    """The packet in these bytes; raises `WireError`."""
+    if len(data) < _HEAD.size or len(data) > MAX_PACKET_BYTES:
         raise WireError(f"packet of {len(data)} bytes")
-    magic, protocol, kind, check = _HEAD.unpack_from(data)
+    magic, protocol, kind, checksum = _HEAD.unpack_from(data)
     if magic != MAGIC:
         raise WireError("not a handover")
     if protocol != PROTOCOL:
@@ -63,52 +63,52 @@
     if kind not in Kind.__members__.values():
         raise WireError(f"kind {kind}")
     body = data[_HEAD.size :]
-    if zlib.crc32(body) != check:
-        raise WireError("check fails")
+    if zlib.crc32(body) != checksum:
+        raise WireError("wrong checksum")
     return Packet(Kind(kind), body)
 
 
 def encode(value: Any) -> bytes:
-    """A plain value as msgpack."""
+    """A value as msgpack."""
     return msgspec.msgpack.encode(value)
 
 
 def decode(body: bytes, kind: Any) -> Any:
-    """Raises `WireError` where it is not of that type."""
+    """The value in msgpack; raises `WireError` where it is not of that type."""
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise WireError(str(error)) from None
 
 
-def pieces(whole: bytes) -> list[bytes]:
-    """As packets, the last of which is to follow as GIVEN by `given`."""
-    return [pack(Kind.PIECE, whole[at : at + PIECE]) for at in range(0, len(whole), PIECE)]
+def state_packets(state: bytes) -> list[bytes]:
+    """The state in pieces; `state_end_packet` has to follow them."""
+    return [pack(Kind.STATE_PIECE, state[at : at + PIECE_BYTES]) for at in range(0, len(state), PIECE_BYTES)]
 
 
-def given(whole: bytes) -> bytes:
+def state_end_packet(state: bytes) -> bytes:
     """The packet that ends the state: its size and checksum."""
-    return pack(Kind.GIVEN, encode((len(whole), zlib.crc32(whole))))
+    return pack(Kind.STATE_END, encode((len(state), zlib.crc32(state))))
 
 
 class Reassembly:
-    """What has come of that which is carried over."""
+    """The pieces of the state that have arrived."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
         self._size = 0
 
     def add(self, body: bytes) -> None:
-        """One more piece; raises `WireError` past the bound."""
+        """One more piece; raises `WireError` past `MAX_STATE_BYTES`."""
         self._size += len(body)
-        if self._size > CARRIED_MOST:
-            raise WireError("too much is carried over")
+        if self._size > MAX_STATE_BYTES:
+            raise WireError("the state is too long")
         self._parts.append(body)
 
-    def whole(self, body: bytes) -> bytes:
-        """All of it, if it is what GIVEN says; raises `WireError`."""
-        size, check = decode(body, tuple[int, int])
-        whole = b"".join(self._parts)
-        if len(whole) != size or zlib.crc32(whole) != check:
-            raise WireError("what was carried over is not whole")
-        return whole
+    def complete(self, end_body: bytes) -> bytes:
+        """The state, if size and checksum are those of STATE_END's body; raises `WireError`."""
+        size, checksum = decode(end_body, tuple[int, int])
+        state = b"".join(self._parts)
+        if len(state) != size or zlib.crc32(state) != checksum:
+            raise WireError("the state is not complete")
+        return state
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -189,10 +189,10 @@
         await self._wait_for_list()
         if successor is not None and rendezvous is not None:
             await successor.decided()
-            await self._open_peers(successor.datagrams)
+            await self._open_peers(successor.peer_descriptor)
             self.predecessor = Predecessor(self, rendezvous, self._vacated)
             self.predecessor.listen()
-        took_over = successor is not None and successor.took
+        took_over = successor is not None and successor.took_over
         if took_over:
             # The old process accepts nothing any more: clients that connect now cannot wait for the fleet.
             await self.clients.start()
@@ -297,7 +297,7 @@
         if self.parts.plan_registry is not None:
             self.parts.plan_registry.stop()
         await self.clients.drain(began_s + longest_s + ANSWER_MARGIN_S + CLOSE_MARGIN_S)
-        handed_over = self.predecessor is not None and self.predecessor.handed
+        handed_over = self.predecessor is not None and self.predecessor.has_handed_over
         if self._summary_timer is not None:
             self._summary_timer.cancel()
         await self.discovery.close()
--- a/trackspread/testing/virtual/handover/world.py
+++ b/trackspread/testing/virtual/handover/world.py
@@ -11,7 +11,14 @@
 from collections.abc import Callable
 from itertools import count
 
-from ....handover.states import Action, Actions, Event, PredecessorSteps, SuccessorSteps
+from ....handover.states import (
+    Action,
+    Actions,
+    Event,
+    PredecessorStep,
+    PredecessorSteps,
+    SuccessorSteps,
+)
 
 LAG = 0.002  # s that a message takes at most
 SPAN = 12.0  # s of a run: over every wait of both sides together
@@ -77,7 +84,7 @@
     def _break(self, other: str) -> None:
         if self.link:
             self.link = False
-            self.later(0.0, lambda: (self._old if other == "old" else self._new)(Event.LOST))
+            self.later(0.0, lambda: (self._old if other == "old" else self._new)(Event.CONNECTION_LOST))
 
     # The two sides; a silent one takes nothing and says nothing, its sockets live on.
 
@@ -90,7 +97,11 @@
     def _old(self, what: Event) -> None:
         if not self.alive["old"] or self.silent["old"]:
             return
-        if what is Event.LATE and self.predecessor.step == "giving" and self.queued_for_old:
+        if (
+            what is Event.TIMED_OUT
+            and self.predecessor.step is PredecessorStep.SENDING
+            and self.queued_for_old
+        ):
             what = self.queued_for_old.pop(0)  # what was written before the end of reading is read first
         self._do_old(self.predecessor.handle(what))
 
@@ -106,7 +117,7 @@
 
             def late() -> None:
                 if self._timers[who] == mine:
-                    side(Event.LATE)
+                    side(Event.TIMED_OUT)
 
             self.later(seconds, late)
 
@@ -131,31 +142,31 @@
         for act, wait in actions:
             self._wait("old", wait)
             match act:
-                case Action.GREET:
-                    self._to_new(Event.MET)
-                case Action.GIVE:
+                case Action.SEND_HELLO:
+                    self._to_new(Event.HELLO_RECEIVED)
+                case Action.SEND_STATE:
                     self.old_grants = False
-                    self._to_new(Event.GIVEN)
+                    self._to_new(Event.STATE_RECEIVED)
                 case Action.RESUME:
                     self.old_grants = True
-                case Action.DROP:
+                case Action.DISCONNECT:
                     self._break("new")
 
     def _do_new(self, actions: Actions) -> None:
         for act, wait in actions:
             self._wait("new", wait)
             match act:
-                case Action.GREET:
-                    self._to_old(Event.MET)
-                case Action.ASK:
-                    self._to_old(Event.ASKED)
-                case Action.TAKE:
-                    written = self._to_old(Event.TAKEN)
+                case Action.SEND_HELLO:
+                    self._to_old(Event.HELLO_RECEIVED)
+                case Action.REQUEST_STATE:
+                    self._to_old(Event.STATE_REQUESTED)
+                case Action.TAKE_OVER:
+                    written = self._to_old(Event.TAKEN_OVER)
                     self.new_grants = written
-                    self._do_new(self.successor.took(written))
-                case Action.COLD:
+                    self._do_new(self.successor.taken_over(written))
+                case Action.START_COLD:
                     self.new_grants = True
-                case Action.DROP:
+                case Action.DISCONNECT:
                     self._break("old")
-                case Action.SEEK:
+                case Action.RECONNECT:
                     self.later(0.0, self._seek)
