--- a/trackspread/node/cell_part.py
+++ b/trackspread/node/cell_part.py
@@ -57,7 +57,7 @@
         core = Gateway(self._settings(), self._now(), int.from_bytes(os.urandom(8)))
         host = Host(
             core,
-            address(fleet.listen, "fleet.listen"),
+            self._listen_address(),
             CellsWire(fleet.name, self._keys, MAX_CELL_MEMBERS),
             self._now,
             Path(fleet.record) if fleet.record else None,
@@ -72,16 +72,11 @@
 
     def _settings(self) -> GatewaySettings:
         fleet = self._fleet
-        advertised = (
-            address(fleet.advertise, "fleet.advertise")
-            if fleet.advertise
-            else address(fleet.listen, "fleet.listen")
-        )
         return GatewaySettings(
             fleet.name,
             self._name,
             born_now(),
-            advertised,
+            self._advertised_address(),
             Zone(fleet.region, fleet.zone),
             control_machines(fleet),
             program_version(),
--- a/trackspread/node/fleet_view_part.py
+++ b/trackspread/node/fleet_view_part.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..config.addresses import ConfigError
+from ..config.addresses import Address, ConfigError, address
 from ..config.operator import Fleet
 from ..membership.port import DESCRIPTORS
 from ..membership.report import Report
@@ -57,6 +57,15 @@
                 f"name: found {len(self._name)} characters, wanted {NAME_MOST} at most: fleet.name is set"
             )
 
+    def _listen_address(self) -> Address:
+        return address(self._fleet.listen, "fleet.listen")
+
+    def _advertised_address(self) -> Address:
+        """Where the others of the fleet reach this gateway."""
+        if self._fleet.advertise:
+            return address(self._fleet.advertise, "fleet.advertise")
+        return self._listen_address()
+
     async def start(self, patience_s: float = 0.0) -> None:
         """Take part. `patience_s`: how long a process that ends may still hold the address.
 
--- a/trackspread/node/membership_part.py
+++ b/trackspread/node/membership_part.py
@@ -12,7 +12,6 @@
 
 import xxhash
 
-from ..config.addresses import address
 from ..config.operator import Fleet
 from ..decide.events import FleetChanged
 from ..decide.peer_messages import MAX_MESSAGE_BYTES
@@ -124,7 +123,7 @@
         fleet = self._fleet
         host = Host(
             self._settings(),
-            address(fleet.listen, "fleet.listen"),
+            self._listen_address(),
             Wire(fleet.name, self._keys, fleet.most),
             int.from_bytes(os.urandom(8)),
             self._now,
@@ -142,16 +141,11 @@
 
     def _settings(self) -> Settings:
         fleet = self._fleet
-        advertised = (
-            address(fleet.advertise, "fleet.advertise")
-            if fleet.advertise
-            else address(fleet.listen, "fleet.listen")
-        )
         return Settings(
             fleet.name,
             self._name,
             born_now(),
-            advertised,
+            self._advertised_address(),
             fleet.seed_addresses(),
             program_version(),
             int(fleet.period_ms * MS),
--- a/trackspread/node/serve.py
+++ b/trackspread/node/serve.py
@@ -13,51 +13,60 @@
 
 import uvloop
 
-from ..config import operator as own
+from ..config import operator as operator_settings
 from ..config import platform
 from ..config.addresses import ConfigError
 from .gateway import Gateway
 
 OWN_FILE = Path("deploy/gateway.toml")  # read where it is there, below the folder that `run` starts in
-HANGUP = {signal.SIGHUP}  # held back, never at its default, wherever no handler is in place: that would kill
+HANGUP = {signal.SIGHUP}  # blocked wherever no handler is in place: its default would end the process
 log = logging.getLogger("trackspread")
 
 
-def operator_file(named: str | None) -> own.Operator:
-    """The operator's file as it is now; raises `ConfigError`."""
-    if named:
-        return own.load(Path(named))
-    return own.load(OWN_FILE) if OWN_FILE.exists() else own.DEFAULTS
+def load_operator_file(path: str | None) -> operator_settings.Operator:
+    """The operator's file as it is now; `path` None: the usual one. Raises `ConfigError`."""
+    if path:
+        return operator_settings.load(Path(path))
+    return operator_settings.load(OWN_FILE) if OWN_FILE.exists() else operator_settings.DEFAULTS
 
 
-def granted(config: platform.Config) -> platform.Config:
-    """With no more descriptors than the system grants the process. Where the settings name more, clients at
-    rest would take those that discovery's call, attempts and the operators' door need."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if most == resource.RLIM_INFINITY or most >= config.sockets:
+def limit_descriptors(config: platform.Config) -> platform.Config:
+    """The configuration with no more descriptors than the system grants the process.
+
+    Where the settings name more, idle clients would take those that discovery's call, attempts and the
+    operators' door need.
+    """
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if limit == resource.RLIM_INFINITY or limit >= config.sockets:
         return config
-    return replace(config, sockets=most)
+    return replace(config, sockets=limit)
+
 
+async def serve(
+    config: platform.Config, operator: operator_settings.Operator, operator_path: str | None
+) -> None:
+    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP has the configuration read again.
 
-async def serve(config: platform.Config, operator: own.Operator, named: str | None) -> None:
-    """Run until SIGTERM or SIGINT, then end in good order; SIGHUP has the configuration read again."""
+    Raises `ConfigError` where an address cannot be bound.
+    """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     gateway = Gateway(config, operator, stop.set)
 
-    def reread() -> None:
-        """A file that can't be used changes nothing: whoever wrote it half will send the signal again."""
+    def reload() -> None:
+        """A file that cannot be used changes nothing: who had written half of it sends the signal again."""
         try:
-            fresh, own_fresh = granted(platform.reload(os.environ)), operator_file(named)
+            fresh = limit_descriptors(platform.reload(os.environ))
+            fresh_operator = load_operator_file(operator_path)
         except ConfigError as error:
-            log.error("configuration not taken, the old one goes on: %s", error)
+            log.error("configuration not taken, the present one stays in force: %s", error)
             gateway.figures.reloads_failed += 1
         else:
-            gateway.reconfigure(fresh, own_fresh)
+            gateway.reconfigure(fresh, fresh_operator)
 
-    loop.add_signal_handler(signal.SIGHUP, reread)
+    loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANGUP)
     try:
         await gateway.start()
@@ -73,17 +82,18 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, HANGUP)
 
 
-def run(named: str | None) -> None:
-    """The running gateway, in the foreground; raises `ConfigError` on what it cannot start with."""
+def run(operator_path: str | None) -> None:
+    """Run the gateway in the foreground; raises `ConfigError` on settings that it cannot start with."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANGUP)
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(name)s %(levelname)s %(message)s")
-    named_config, operator = platform.load(os.environ), operator_file(named)
+    platform_config = platform.load(os.environ)
+    operator = load_operator_file(operator_path)
     log.setLevel(operator.log.level.upper())
-    config = granted(named_config)
-    if config.sockets < named_config.sockets:
+    config = limit_descriptors(platform_config)
+    if config.sockets < platform_config.sockets:
         log.warning(
             "limits.sockets: %d, but the system grants %d descriptors: these bound the connections",
-            named_config.sockets,
+            platform_config.sockets,
             config.sockets,
         )
-    uvloop.run(serve(config, operator, named))
+    uvloop.run(serve(config, operator, operator_path))
