--- a/trackspread/backends/__init__.py
+++ b/trackspread/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Pools of connections to backends and what these speak."""
+"""Connections to backends: attempts, connection pools, and the adapter for the protocol that they speak."""
--- a/trackspread/fronts/resp.py
+++ b/trackspread/fronts/resp.py
@@ -39,7 +39,7 @@
         self._classes = {name: (n, classes.rules[n].idempotency) for name, n in classes.numbers().items()}
 
     def read(self, args: list[bytes]) -> Call:
-        """A call from a command's words; raises `BadCall` with a plain reason."""
+        """A call from a command's words; raises `InvalidCall` with the reason."""
         if len(args) not in (4, 5):
             raise InvalidCall("wrong number of arguments")
         customer = _customer(args[1])
--- a/trackspread/node/cell_part.py
+++ b/trackspread/node/cell_part.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import os
 from collections.abc import Callable
 from pathlib import Path
 
@@ -23,6 +22,7 @@
 from ..membership.terms import MS, SECOND
 from .fleet_keys import program_version
 from .fleet_view_part import FleetViewPart
+from .random_seed import random_seed
 
 MAX_CELL_MEMBERS = 64  # of one view
 
@@ -54,7 +54,7 @@
 
     async def _start(self) -> None:
         fleet = self._fleet
-        core = Gateway(self._settings(), self._now(), int.from_bytes(os.urandom(8)))
+        core = Gateway(self._settings(), self._now(), random_seed())
         host = Host(
             core,
             self._listen_address(),
--- a/trackspread/node/configuration_part.py
+++ b/trackspread/node/configuration_part.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import os
 from collections.abc import Callable
 from pathlib import Path
 
@@ -21,6 +20,7 @@
 from ..membership.host import born_now
 from .bind_retry import bind_within
 from .fleet_keys import read_keys
+from .random_seed import random_seed
 
 
 class ConfigurationPart:
@@ -64,7 +64,7 @@
             SubscriberSettings(near, services, others),
             address(table.listen, "configuration.listen"),
             self._wire,
-            int.from_bytes(os.urandom(8)),
+            random_seed(),
             born_now(),
             self._now,
             record=Path(table.record) if table.record else None,
--- a/trackspread/node/configuration_replica.py
+++ b/trackspread/node/configuration_replica.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import os
 import time
 from pathlib import Path
 
@@ -17,6 +16,7 @@
 from ..distribution.wire import Wire
 from ..membership.host import born_now
 from .fleet_keys import read_keys
+from .random_seed import random_seed
 
 
 def make_replica(operator: Operator, core: Controller) -> ReplicaHost | None:
@@ -44,7 +44,7 @@
         ReplicaSettings(number, born_now(), addresses),
         addresses[number],
         Wire(operator.fleet.name, read_keys(operator.fleet)),
-        int.from_bytes(os.urandom(8)),
+        random_seed(),
         now,
         leading_epoch,
         superseded,
--- a/trackspread/node/control_machine.py
+++ b/trackspread/node/control_machine.py
@@ -7,7 +7,6 @@
 
 import asyncio
 import logging
-import os
 import signal
 import time
 from collections.abc import Callable
@@ -27,6 +26,7 @@
 from .cell_part import control_machines
 from .configuration_replica import make_replica
 from .fleet_keys import program_version, read_keys
+from .random_seed import random_seed
 
 log = logging.getLogger("trackspread")
 
@@ -54,7 +54,7 @@
         int(fleet.period_ms * MS),
         int(fleet.keep_s * SECOND),
     )
-    core = Controller(settings, time.monotonic_ns(), int.from_bytes(os.urandom(8)))
+    core = Controller(settings, time.monotonic_ns(), random_seed())
     wire = CellsWire(fleet.name, read_keys(fleet), max(CELL_MOST, 2 * len(known)))
     record = Path(fleet.record) if fleet.record else None
     listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else own.address
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -35,7 +35,8 @@
 from .optional_parts import OptionalParts, PartContext
 from .request import NS_PER_S
 from .request_handler import RequestHandler
-from .takeover import Predecessor, Successor
+from .predecessor import Predecessor
+from .successor import Successor
 
 log = logging.getLogger(__name__)
 
--- a/trackspread/node/membership_part.py
+++ b/trackspread/node/membership_part.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 from collections.abc import Callable
 from pathlib import Path
 
@@ -22,6 +21,7 @@
 from ..membership.wire import Wire
 from .fleet_keys import program_version
 from .fleet_view_part import FleetViewPart
+from .random_seed import random_seed
 
 READY_TIMEOUT_S = 5.0  # of a start's wait for an allocation: over an election; what needs none is served then
 READY_POLL_S = 0.02
@@ -44,18 +44,18 @@
         now: Callable[[], int],
         place: Place = (0, 1),
         changed: Callable[[FleetChanged], None] = lambda event: None,
-        heard: Callable[[int, bytes], None] = lambda sender, data: None,
+        message_received: Callable[[int, bytes], None] = lambda sender, data: None,
     ) -> None:
         """`place`: in the platform's list of gateways, and how many that has.
 
-        `changed` is called with the fleet whenever it differs, `heard` with another gateway's number and
-        message. Raises `ConfigError`.
+        `changed` is called with the fleet whenever it differs, `message_received` with another gateway's
+        number and message. Raises `ConfigError`.
         """
         super().__init__(name, fleet, now)
         self._number = gateway_number(name)
         self._place = place
         self._changed = changed
-        self._heard = heard
+        self._message_received = message_received
         self._names: dict[int, str] = {}  # of the other gateways, by number
         self._peer_slots: dict[int, int] = {}  # slots that each says it holds, by number
         count = place[1]
@@ -90,7 +90,7 @@
             self._peer_slots[sender] = slots
             self._report_changes()
         if len(data) <= MAX_MESSAGE_BYTES:
-            self._heard(sender, data)
+            self._message_received(sender, data)
 
     def _report_changes(self) -> None:
         """Report the fleet as it is now, unless it is as last reported."""
@@ -125,7 +125,7 @@
             self._settings(),
             self._listen_address(),
             Wire(fleet.name, self._keys, fleet.most),
-            int.from_bytes(os.urandom(8)),
+            random_seed(),
             self._now,
             Path(fleet.record) if fleet.record else None,
             self._report_changes,
--- a/trackspread/node/quota_counter_part.py
+++ b/trackspread/node/quota_counter_part.py
@@ -30,6 +30,7 @@
 from ..decide.events import Event
 from ..decide.settings import Plan
 from ..decide.report import Module, cap, kept
+from .random_seed import random_seed
 
 log = logging.getLogger(__name__)
 
@@ -80,7 +81,7 @@
         self._now = now
         self._module = module
         self._server: asyncio.Server | None = None
-        seed = config.seed ^ int.from_bytes(os.urandom(8))  # a name may start twice from one configuration
+        seed = config.seed ^ random_seed()  # a name may start twice from one configuration
         self.client = QuotaClient(
             config.settings,
             counter.partitions,
