--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from trackspread.backends.pools import RETIRE
+from trackspread.backends.pools import RETIRE_FRACTION
 from trackspread.cells.seeding import FRESHEN, FRESHEN_OTHERS
 from trackspread.counter.commands import MAX_FIELDS
 from trackspread.counter.timing import HEARTBEAT_NS
@@ -11,7 +11,7 @@
 from trackspread.lists.turns import SPREAD_MOST
 from trackspread.membership.host import DESCRIPTORS
 from trackspread.membership.slots import SLOTS
-from trackspread.node.gateway import RESERVED
+from trackspread.node.gateway import RESERVED_DESCRIPTORS
 
 from .sums import Line
 
@@ -37,12 +37,12 @@
 # Bounds that the program and its platform set.
 BOUNDS: dict[str, float] = {
     "descriptors": 1_024,
-    "descriptors_kept": RESERVED + DESCRIPTORS,
+    "descriptors_kept": RESERVED_DESCRIPTORS + DESCRIPTORS,
     "backends_part": 0.5,
     "retry_share": RETRY_SHARE,
     "idle_s": IDLE / SECOND,
     "forget_s": FORGET / SECOND,
-    "rest_s": 30 * RETIRE,
+    "rest_s": 30 * RETIRE_FRACTION,
     "spread_s": SPREAD_MOST,
     "partitions": 8,
     "counter_beat_s": HEARTBEAT_NS / SECOND,
--- a/trackspread/commands/configuration.py
+++ b/trackspread/commands/configuration.py
@@ -19,7 +19,7 @@
 from ..distribution.versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
 from ..membership.terms import Epoch
 from ..distribution.wire import Wire
-from ..node.membered import keys
+from ..node.fleet_keys import read_keys
 from .fleet import ask
 
 
@@ -30,7 +30,7 @@
     replicas = made.configuration.addresses()
     if not replicas:
         raise ConfigError(f"{path}: configuration.replicas: found nothing, wanted the replicas' addresses")
-    client = ReplicaClient(Wire(made.fleet.name, keys(made.fleet)), replicas)
+    client = ReplicaClient(Wire(made.fleet.name, read_keys(made.fleet)), replicas)
     try:
         return _act(given, client, made.configuration.replicas)
     except KeyLimitReached as error:
