--- /dev/null
+++ b/benchmarks/version_handover.py
@@ -0,0 +1,190 @@
+"""Handovers between this version and another one under load, both ways, on real processes.
+
+Gateways of the one version are replaced by processes of the other, one after another, and back. Clients keep
+asking; beside them a customer at each gateway asks for many times its quota round each handover, so a
+process that starts without the state of the former one grants the quota's burst once more and is seen.
+`--before FOLDER` is a checkout of the other version. `--planted` keeps both versions from finding each other:
+then the state has to be missed, or this measures nothing.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import json
+import os
+import sys
+import time
+from collections import Counter
+from pathlib import Path
+from unittest.mock import patch
+
+import uvloop
+
+from benchmarks.common import say
+from trackspread.testing.harness import fleet as fleets
+from trackspread.testing.harness.fleet import Fleet
+from trackspread.testing.harness.upgraded import HeldProcess
+from trackspread.testing.judge.ledger import Answered, Asked, Attempted, Cut, Left
+from trackspread.testing.standins.crowd import Customer, Want
+from trackspread.testing.standins.rating import SECOND
+from trackspread.testing.standins.scene import MILLISECOND, PLANS, Scene
+
+HERE = Path(__file__).parent.parent
+LOAD = 0.3  # of what the rating nodes can do
+GREEDY_PLAN = "full"
+STRAY_UNITS = PLANS[GREEDY_PLAN].burst / 2  # beyond a full store that say nothing: a lost one gives a burst
+GREEDY_PAUSE_S = 0.01  # between requests of a greedy customer
+GREEDY_WAIT = 1200 * MILLISECOND  # ns for an answer
+GREEDY_CUSTOMERS = 0xF00D0000  # number of the first
+GREEDY_REQUESTS = 1 << 36  # number of the first
+BEFORE_S = 1.0  # of greed before a handover: the burst is spent by then
+AFTER_S = 1.0
+GONE_S = 2.0  # until what a client no longer waits for is over
+COLD = "nothing was taken over, a cold start"
+SERVES = "the newer process serves"
+
+
+class Versioned(HeldProcess):
+    """A gateway that runs in `checkout`; the next process may be of another one."""
+
+    checkout = HERE
+
+    def command(self) -> tuple[str, ...]:
+        return "/usr/bin/env", "-C", str(self.checkout), *super().command()
+
+    def runs(self) -> Path:
+        """The checkout of the process that serves."""
+        return Path(os.readlink(f"/proc/{self.pid}/cwd"))
+
+    def lines(self, text: str) -> int:
+        """Lines of its log with this text."""
+        return self.log.read_text(errors="replace").count(text)
+
+
+class Greedy:
+    """A customer of one gateway that asks for all that it can get while this runs."""
+
+    def __init__(self, fleet: Fleet, position: int, first_request: int) -> None:
+        number = GREEDY_CUSTOMERS + position
+        self.customer = Customer(number, GREEDY_PLAN, 0.0, 1, position, [1.0])
+        self._fleet, self._position, self._request = fleet, position, first_request
+        self.began = time.monotonic_ns()
+        self._task = asyncio.get_running_loop().create_task(self._ask())
+
+    async def _ask(self) -> None:
+        clients = self._fleet.clients
+        while True:
+            self._request += 1
+            origin = clients.crowd.name(self._request, 0)
+            want = Want(origin, self.customer, "rate-lookup", self._position, 1.0, "", GREEDY_WAIT, 9)
+            clients._begin(want, 1)
+            await asyncio.sleep(GREEDY_PAUSE_S)
+
+    async def over_quota(self) -> float:
+        """Ends it; units that went on beyond what a full store of its quota gives, negative within."""
+        self._task.cancel()
+        entries = self._fleet.ledger.entries
+        asked = {
+            e.request
+            for e in entries
+            if isinstance(e, Asked) and e.customer == self.customer.number and e.at >= self.began
+        }
+        sent = [e for e in entries if isinstance(e, Attempted) and e.request in asked]
+        rule = PLANS[GREEDY_PLAN]
+        last = max((e.at for e in sent), default=self.began)
+        allowed = rule.burst + rule.rate * (last - self.began) / SECOND
+        return len({e.request for e in sent}) - allowed
+
+
+def answers(fleet: Fleet) -> tuple[int, int]:
+    """Requests without an answer whose client waited for it, and requests with more than one."""
+    entries = fleet.ledger.entries
+    asked = {e.request for e in entries if isinstance(e, Asked)}
+    given = Counter(e.request for e in entries if isinstance(e, Answered))
+    left = {e.request for e in entries if isinstance(e, Left)}
+    cut = {e.request for e in entries if isinstance(e, Cut)}
+    return len((asked - given.keys() - left) | cut), sum(count > 1 for count in given.values())
+
+
+async def handed_over(
+    old: Path, new: Path, rounds: int, span: float, planted: bool, seed: int
+) -> dict[str, float]:
+    """All gateways go from `old` to `new`, back, and so on: `rounds` times to `new`."""
+    scene = Scene(load=LOAD, seed=seed)
+    async with Fleet(scene, held=True, own=lambda name: "[log]\nlevel = 'info'\n") as fleet:
+        held = [each for each in fleet.gateways if isinstance(each, Versioned)]
+        assert len(held) == scene.gateways and all(each.runs() == old for each in held)
+        fleet.ask()
+        await asyncio.sleep(span)
+        overs, waits, numbers = list[float](), list[float](), GREEDY_REQUESTS
+        for turn in range(2 * rounds - 1):
+            for position, gateway in enumerate(held):
+                greedy = Greedy(fleet, position, numbers)
+                numbers += 1 << 16
+                await asyncio.sleep(BEFORE_S)
+                gateway.checkout = (new, old)[turn % 2]
+                if planted:
+                    gateway.common = fleet.folder / f"apart-{turn}-{position}"
+                    gateway.common.mkdir()
+                waits.append(await gateway.upgrade())
+                assert gateway.runs() == gateway.checkout
+                await asyncio.sleep(AFTER_S)
+                overs.append(await greedy.over_quota())
+                say(f"{gateway.name} runs {gateway.checkout.name}: {waits[-1]:.2f} s, {overs[-1]:+.1f} units")
+        await asyncio.sleep(span)
+        taken, cold = sum(each.lines(SERVES) for each in held), sum(each.lines(COLD) for each in held)
+        await fleet.settle()
+        await asyncio.sleep(GONE_S)
+        lost, twice = answers(fleet)
+        verdict = fleet.verdict()
+        for each in verdict.violations[:10]:
+            say(f"{each.rule}: {each.text}")
+        return {
+            "handovers": len(waits),
+            "taken_over": taken,
+            "cold_starts": cold - len(held),  # each first process is one
+            "tries": verdict.figures.tries,
+            "served": verdict.figures.served,
+            "lost": lost,
+            "answered_twice": twice,
+            "left": fleet.clients.kinds["left"],
+            "worst_over_quota": round(max(overs), 2),
+            "state_missed": sum(over > STRAY_UNITS for over in overs),
+            "violations": len(verdict.violations),
+            "void": verdict.state == "void",
+            "slowest_s": round(max(waits), 2),
+        }
+
+
+async def measure(before: Path, quick: bool, planted: bool, seed: int) -> dict[str, float]:
+    made: dict[str, float] = {}
+    rounds, span = (1, 1.5) if quick else (2, 4.0)
+    for name, old, new in (("to_this", before, HERE), ("from_this", HERE, before)):
+        Versioned.checkout = old
+        with patch.object(fleets, "HeldProcess", Versioned):
+            told = await handed_over(old, new, rounds, span, planted, seed)
+        say(f"{name}: {told}")
+        made |= {f"{name}_{key}": value for key, value in told.items()}
+    return made
+
+
+def main() -> int:
+    parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
+    parser.add_argument("--before", type=Path, required=True, metavar="FOLDER", help="the other version")
+    parser.add_argument("--quick", action="store_true", help="one round each way")
+    parser.add_argument("--planted", action="store_true", help="no process finds another: must be seen")
+    parser.add_argument("--seed", type=int, default=7)
+    given = parser.parse_args()
+    made = uvloop.run(measure(given.before.resolve(), given.quick, given.planted, given.seed))
+    print(json.dumps(made))
+    kept = all(
+        not made[f"{way}_{key}"]
+        for way in ("to_this", "from_this")
+        for key in ("lost", "answered_twice", "cold_starts", "state_missed", "violations")
+    )
+    return 0 if kept else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
