--- /dev/null
+++ b/benchmarks/world_digests.py
@@ -0,0 +1,348 @@
+"""Digests of the seeded virtual worlds: whether two versions of the program do the same, to the last byte.
+
+Every world is played with a few seeds. What happens in it goes into one digest: the times of all that is put
+on its clock, each event of the decision module and what it wants done, the bytes between processes, the
+ledger's entries, what billing took, and the state of chance at the end. Values go in by position and enums by
+value, so names of modules, classes and fields make no difference; texts of log lines are left out.
+
+`--write FILE` keeps the digests, `--compare FILE` names those that differ from kept ones. Those of an older
+version come from a copy of this file with that version's import paths.
+"""
+
+from __future__ import annotations
+
+import argparse
+import dataclasses
+import json
+import multiprocessing
+import os
+import random
+import sys
+import time
+from collections.abc import Callable, Iterable, Iterator, Mapping
+from collections.abc import Set as AbstractSet
+from contextlib import ExitStack, contextmanager
+from enum import Enum
+from functools import partial
+from hashlib import blake2b
+from pathlib import Path
+from typing import Any
+from unittest.mock import patch
+
+import msgspec
+
+from trackspread.decide.broker import Broker
+from trackspread.testing.standins.counter import Shard
+from trackspread.testing.virtual import booked, quiet, ramp, schedules, vast
+from trackspread.testing.virtual.cells import schedules as cells_schedules
+from trackspread.testing.virtual.cells import worlds as cells_worlds
+from trackspread.testing.virtual.cells.world import CelledWorld
+from trackspread.testing.virtual.clock import Clock
+from trackspread.testing.virtual.counter import schedules as counter_schedules
+from trackspread.testing.virtual.distribution import schedules as distribution_schedules
+from trackspread.testing.virtual.distribution.world import World as DistributionWorld
+from trackspread.testing.virtual.fleet import VirtualFleet
+from trackspread.testing.virtual.handover.world import World as HandoverWorld
+from trackspread.testing.virtual.membership import schedules as membership_schedules
+from trackspread.testing.virtual.membership.world import World as MembershipWorld
+from trackspread.testing.virtual.planning import saturated
+from trackspread.testing.virtual.planning import schedules as planning_schedules
+from trackspread.testing.virtual.planning.world import World as PlanningWorld
+from trackspread.testing.virtual.usage import schedules as usage_schedules
+from trackspread.testing.virtual.usage.world import World as UsageWorld
+
+DIGEST_BYTES = 16
+WORKERS = 2
+HASH_SEED = "0"  # of the processes that play
+Played = tuple[str, str, float]  # name, digest, seconds
+
+
+class Recorder:
+    """One digest over plain values, in the order in which they come."""
+
+    def __init__(self) -> None:
+        self._digest = blake2b(digest_size=DIGEST_BYTES)
+
+    def add(self, *values: object) -> None:
+        """Values of any depth; objects that are none (processes, callables) are passed over."""
+        for value in values:
+            for part in flattened(value):
+                self._digest.update(part)
+
+    def hexdigest(self) -> str:
+        return self._digest.hexdigest()
+
+
+def flattened(value: object) -> Iterator[bytes]:
+    """A value's parts by position, without a name of a type or field."""
+    if isinstance(value, Enum):
+        yield from flattened(value.value)
+    elif value is None:
+        yield b"n;"
+    elif isinstance(value, bool | int):
+        yield b"i%d;" % int(value)
+    elif isinstance(value, float):
+        yield b"f%s;" % repr(value).encode()
+    elif isinstance(value, str | bytes | bytearray):
+        raw = value.encode() if isinstance(value, str) else bytes(value)
+        yield b"b%d:%s;" % (len(raw), raw)
+    else:
+        yield from _flattened_collection(value)
+
+
+def _flattened_collection(value: object) -> Iterator[bytes]:
+    match value:
+        case msgspec.Struct():
+            parts: Iterable[object] = [getattr(value, name) for name in value.__struct_fields__]
+        case Mapping():
+            yield b"m%d;" % len(value)
+            parts = [part for item in value.items() for part in item]
+        case AbstractSet():
+            yield b"s%d;" % len(value)
+            yield from sorted(b"".join(flattened(part)) for part in value)
+            return
+        case tuple() | list():
+            if not hasattr(value, "_fields"):
+                yield b"l%d;" % len(value)
+            parts = value
+        case _:
+            if not dataclasses.is_dataclass(value):
+                return
+            parts = [getattr(value, field.name) for field in dataclasses.fields(value)]
+    for part in parts:
+        yield from flattened(part)
+
+
+def _is_log_line(action: object) -> bool:
+    """An action that holds a text alone."""
+    if not dataclasses.is_dataclass(action):
+        return False
+    values = [getattr(action, field.name) for field in dataclasses.fields(action)]
+    return bool(values) and all(isinstance(value, str) for value in values)
+
+
+def _before(owner: type, name: str, note: Callable[..., None]) -> Any:
+    """`name` of the class, with its arguments noted first."""
+    real = getattr(owner, name)
+
+    def noted(self: Any, *words: Any, **named: Any) -> Any:
+        note(self, *words, **named)
+        return real(self, *words, **named)
+
+    return patch.object(owner, name, noted)
+
+
+def _decisions(recorder: Recorder) -> Any:
+    real = Broker.handle
+
+    def handle(self: Broker, now: int, event: Any) -> Any:
+        actions = real(self, now, event)
+        recorder.add(now, event, [action for action in actions if not _is_log_line(action)])
+        return actions
+
+    return patch.object(Broker, "handle", handle)
+
+
+def _ledgers(recorder: Recorder) -> Any:
+    real = VirtualFleet.run
+
+    def run(self: VirtualFleet, span: int) -> None:
+        real(self, span)
+        recorder.add(list(self.ledger.entries), self.rng.getstate())
+
+    return patch.object(VirtualFleet, "run", run)
+
+
+@contextmanager
+def recorded(recorder: Recorder) -> Iterator[None]:
+    """Whatever any world does meanwhile goes into the digest."""
+    encode = msgspec.msgpack.encode
+
+    def sent(world: Any, process: Any, to: Any, message: Any) -> None:
+        recorder.add(process.name, to, encode(message))
+
+    def planned(world: Any, source: Any, target: Any, call: Any) -> None:
+        recorder.add(source.name, target.name, call.args)
+
+    def swapped(world: Any, process: Any, core: Any, target: Any, table: Any) -> None:
+        recorder.add(process.name, target.name, encode(table))
+
+    with ExitStack() as stack:
+        for each in (
+            _before(Clock, "at", lambda clock, at, call: recorder.add(clock.now, at)),
+            _before(Shard, "execute", lambda shard, *words: recorder.add(*words)),
+            _before(MembershipWorld, "_send", sent),
+            _before(MembershipWorld, "_swap", swapped),
+            _before(CelledWorld, "_send", sent),
+            _before(CelledWorld, "_swap", swapped),
+            _before(DistributionWorld, "_send", sent),
+            _before(PlanningWorld, "send", planned),
+            _before(UsageWorld, "sent", lambda world, post: recorder.add(post.key, post.body)),
+            _before(HandoverWorld, "_do_old", lambda world, actions: recorder.add(world.now, actions)),
+            _before(HandoverWorld, "_do_new", lambda world, actions: recorder.add(world.now, actions)),
+            _decisions(recorder),
+            _ledgers(recorder),
+        ):
+            stack.enter_context(each)
+        yield
+
+
+# Each world: plays one seed, and returns what came of it beside what is recorded all along.
+
+
+def _gateways(seed: int) -> object:
+    verdict, fleet = schedules.play(schedules.make(seed))
+    return verdict.state, len(verdict.violations), fleet.rng.getstate()
+
+
+def _membership(seed: int) -> object:
+    world, took_ns = membership_schedules.play(membership_schedules.make(seed))
+    return took_ns, world.rights(), world.rng.getstate()
+
+
+def _cells(seed: int) -> object:
+    world, took_ns = cells_schedules.play(seed)
+    return took_ns, dict(world.sent), dict(world.came), world.rng.getstate()
+
+
+def _distribution(play: Callable[[int], Any], seed: int) -> object:
+    world = play(seed)
+    return dict(world.done), dict(world.bytes), dict(world.received), world.rng.getstate()
+
+
+def _counter(seed: int) -> object:
+    world = counter_schedules.play(counter_schedules.make(seed))
+    return list(world.counts.values()), world.broken, world.calls, world.requests, world.rng.getstate()
+
+
+def _planning(seed: int) -> object:
+    world = planning_schedules.play(planning_schedules.make(seed))
+    counts = [(count.asked, count.sent, count.beyond, count.inside) for count in world.counts]
+    return counts, world.broken, world.sent_by, world.rng.getstate()
+
+
+def _saturated(seed: int) -> object:
+    world = saturated.play(saturated.make(seed))
+    counts = [(count.asked, count.sent, count.beyond, count.inside) for count in world.counts]
+    return counts, len(world.broken), world.sent_by, world.rng.getstate()
+
+
+def _usage(seed: int) -> object:
+    player = usage_schedules.Player(usage_schedules.make(seed))
+    wrong, world = player.play(), player.world
+    files = [{name: bytes(file.cached) for name, file in disk.files.items()} for disk in player.disks]
+    return len(wrong), world.memory.rows, files, world.crashes, world.rng.getstate()
+
+
+def _handover(seed: int) -> object:
+    world = HandoverWorld(seed)
+    if kind := seed % 5:
+        who, what = ("old", "new")[kind % 2], ("killed", "silent")[kind // 2 % 2]
+        world.befall(random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02), who, what)
+    world.run()
+    return world.old_grants, world.new_grants, world.both, world.none, world.rng.getstate()
+
+
+WORLDS: dict[str, Callable[[int], object]] = {
+    "gateways": _gateways,
+    "booked": booked.run,
+    "ramp": ramp.play,
+    "ramp, none warm": ramp.play_none_warm,
+    "membership": _membership,
+    "cells": _cells,
+    "counter": _counter,
+    "counter, calm": counter_schedules.calm_world,
+    "counter, deaf": counter_schedules.deaf_world,
+    "counter, tight": counter_schedules.tight_world,
+    "planning": _planning,
+    "planning, saturated": _saturated,
+    "usage": _usage,
+    "handover": _handover,
+    **{
+        f"quiet, {scene}, {trouble}": partial(quiet.play, scene, trouble)
+        for scene in quiet.SCENES
+        for trouble in quiet.TROUBLES
+    },
+    **{f"vast, {shape}": partial(vast.play, shape) for shape in vast.SHAPES},
+    **{f"cells, {play.__name__}": play for play in cells_worlds.WORLDS[1:]},
+    **{
+        f"distribution, {play.__name__}": partial(_distribution, play)
+        for play in distribution_schedules.SHORT + distribution_schedules.LONG
+    },
+}
+# Seeds of each world: in full, and with --quick. A world that is not named has one in full and none quickly.
+SEEDS: dict[str, tuple[Iterable[int], Iterable[int]]] = {
+    "gateways": (range(1, 41), range(1, 13)),
+    "booked": (range(1, 9), range(1, 4)),
+    "membership": (range(1, 7), range(1, 3)),
+    "cells": (range(1, 3), range(1, 2)),
+    "counter": (range(1, 9), range(1, 4)),
+    "counter, calm": (range(1, 3), ()),
+    "counter, deaf": (range(1, 3), range(1, 2)),
+    "counter, tight": (range(1, 5), range(1, 2)),
+    "planning": (range(1, 7), range(1, 3)),
+    "planning, saturated": (range(1, 4), ()),
+    "usage": (range(1, 25), range(1, 9)),
+    "handover": (range(1, 201), range(1, 51)),
+    "ramp": (range(1, 2), ()),
+    "distribution, drawn": (range(1, 4), range(1, 2)),
+    "distribution, two_lead": (range(1, 3), range(1, 2)),
+}
+ONE: tuple[Iterable[int], Iterable[int]] = (range(1, 2), ())
+
+
+def jobs(quick: bool) -> list[tuple[str, int]]:
+    """World and seed."""
+    return [(name, seed) for name in WORLDS for seed in SEEDS.get(name, ONE)[quick]]
+
+
+def digest(job: tuple[str, int]) -> Played:
+    """Plays one world; an invariant that breaks is part of what happened."""
+    name, seed = job
+    began, recorder = time.monotonic(), Recorder()
+    with recorded(recorder):
+        try:
+            recorder.add(WORLDS[name](seed))
+        except Exception as error:
+            print(f"{name}, seed {seed}: {type(error).__name__}: {error}", file=sys.stderr, flush=True)
+            recorder.add("broken")
+    return f"{name}: {seed}", recorder.hexdigest(), time.monotonic() - began
+
+
+def measure(quick: bool) -> tuple[dict[str, str], dict[str, float]]:
+    """Digests by world and seed, and the seconds that each took."""
+    # The digests don't hang on it, but one world does: its control machines go through a set of names.
+    os.environ["PYTHONHASHSEED"] = HASH_SEED
+    digests, seconds = {}, {}
+    with multiprocessing.get_context("spawn").Pool(WORKERS) as pool:
+        for name, made, took_s in pool.imap_unordered(digest, jobs(quick)):
+            digests[name], seconds[name] = made, took_s
+    return dict(sorted(digests.items())), seconds
+
+
+def main() -> int:
+    parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
+    parser.add_argument("--quick", action="store_true", help="fewer seeds, under 50 s")
+    parser.add_argument("--write", type=Path, metavar="FILE", help="keep the digests there")
+    parser.add_argument("--compare", type=Path, metavar="FILE", help="name what differs from those there")
+    parser.add_argument("--times", action="store_true", help="say how long each world took")
+    given = parser.parse_args()
+    began = time.monotonic()
+    digests, seconds = measure(given.quick)
+    for name, made in digests.items():
+        print(f"{made}  {name}" + (f"  {seconds[name]:.2f} s" if given.times else ""))
+    if given.write:
+        given.write.write_text(json.dumps(digests, indent=0) + "\n")
+    figures: dict[str, float] = {"worlds": len(WORLDS), "digests": len(digests)}
+    if given.compare:
+        kept = json.loads(given.compare.read_text())
+        differing = [name for name, made in digests.items() if kept.get(name) != made]
+        for name in differing:
+            print(f"DIFFERS: {name}: {kept.get(name, 'not kept')} before, {digests[name]} now")
+        figures |= {"differing": len(differing)}
+    print(json.dumps({**figures, "seconds": round(time.monotonic() - began, 1)}))
+    return 1 if figures.get("differing") else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
