--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -445,7 +445,7 @@
     g.handle(0, arrival(1, 0, gateway_span=1))
     g.handle(MS, ended(1, 1))
     account = g.quota.accounts[1]
-    account.in_flight_elsewhere, account.in_flight_known_at_ns = 2, MS
+    account.counter.in_flight_elsewhere, account.counter.in_flight_known_at_ns = 2, MS
     assert refusals(g.handle(2 * MS, arrival(2, 2 * MS, gateway_span=1)))
     assert sends(g.handle(SECOND, arrival(3, SECOND, gateway_span=1)))
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,10 +7,11 @@
 import os
 import random
 import socket
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Iterator
 from contextlib import asynccontextmanager
-from dataclasses import fields
+from dataclasses import fields, is_dataclass, replace
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -20,7 +21,7 @@
 from trackspread.decide.events import AttemptEnded, Outcome, PeerMessage
 from trackspread.decide.peer_messages import pack_usage_totals
 from trackspread.decide.decaying_mean import DecayingMean
-from trackspread.decide.tenant_account import PeerAttempts, TenantAccount, UnsettledGrant
+from trackspread.decide.tenant_account import PeerAttempts, UnsettledGrant
 from trackspread.handover import wire
 from trackspread.handover.states import Action, Actions, Event, PredecessorSteps, SuccessorSteps
 from trackspread.handover.wire import Kind, Reassembly, WireError
@@ -222,25 +223,36 @@
     assert twice
 
 
+def plain_fields(part: Any, prefix: str = "") -> Iterator[tuple[str, tuple[type, Any]]]:
+    """Type and value of each field of an account, and of its parts in turn."""
+    for each in fields(part):
+        name, value = prefix + each.name, getattr(part, each.name)
+        if is_dataclass(value):
+            yield from plain_fields(value, f"{name}.")
+        elif isinstance(value, DecayingMean):
+            yield name, (DecayingMean, [getattr(value, slot) for slot in DecayingMean.__slots__])
+        else:
+            yield name, (type(value), value)
+
+
 def test_all_that_is_known_of_a_customer_comes_over_as_it_was() -> None:
     """Seen in review: what peers have out came over as a list, and every word of theirs was a fault then."""
     made = settings(gateway_count=4, plans=(plan(concurrency_limit=3),))
     old, new = Broker(made, 1, 0), Broker(made, 2, 0)
     account = old.quota.account(SECOND, 2, 0, 4, 0)
-    account.peer_totals, account.queried_at_ns, account.unsettled_grants = (
+    account.peer_totals, account.owner_record.queried_at_ns, account.owner_record.unsettled_grants = (
         {1: 5},
         {1: 6},
         {3: UnsettledGrant(2.0, 7)},
     )
-    account.peers_in_flight, account.peers = {1: PeerAttempts(2, 9), 3: PeerAttempts(1, 8)}, (1, 2, 3)
+    account.peers_in_flight = {1: PeerAttempts(2, 9), 3: PeerAttempts(1, 8)}
+    account.gateways = replace(account.gateways, peers=(1, 2, 3))
     told = wire.decode(wire.encode(snapshot.portrait(old, NAMES, {})), dict)
     snapshot.restore(new, told, NAMES)
     fresh = new.quota.accounts[2]
-    for each in fields(TenantAccount):
-        was, now = getattr(account, each.name), getattr(fresh, each.name)
-        if isinstance(was, DecayingMean):
-            was, now = [[getattr(m, name) for name in DecayingMean.__slots__] for m in (was, now)]
-        assert (type(now), now) == (type(was), was), each.name
+    names, values = zip(*plain_fields(account), strict=True)
+    assert len(names) == len(set(names)) > 40
+    assert dict(plain_fields(fresh)) == dict(zip(names, values, strict=True))
     totals = pack_usage_totals(1, 10, [(2, 0, 1)])
     new.handle(SECOND, PeerMessage(1, totals))
     assert new.handle(SECOND, arrival(9, SECOND, customer=2, gateway_span=4))
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -121,7 +121,7 @@
         draw = QuotaMessage(QuotaMessageKind.REQUEST, 12, 0, 1.0, 5, age, round(4 * self.alone))
         _, _, word = self.quota.receive_quota_message(self.now, PeerMessage(1, pack_quota_message(draw)))
         assert len(word) == 1
-        granted = self.account.unsettled_grants[1][1] == self.now
+        granted = self.account.owner_record.unsettled_grants[1][1] == self.now
         self.alone += granted
         return self.account.tokens + granted
 
--- a/trackspread/counter/report.py
+++ b/trackspread/counter/report.py
@@ -86,16 +86,16 @@
         plan = account.plan
         made = msgspec.structs.replace(
             made,
-            soft=account.quota_share,
-            hard=account.hard_limit_share,
+            soft=account.lease.quota_share,
+            hard=account.lease.hard_limit_share,
             plan=plan.name,
             level=account.tokens,
-            burst=plan.burst_units * account.quota_share,
-            rate=plan.rate_per_s * account.quota_share,
+            burst=plan.burst_units * account.lease.quota_share,
+            rate=plan.rate_per_s * account.lease.quota_share,
             ceiling=account.hard_limit_tokens,
-            ceiling_burst=plan.hard_limit_burst_units * account.hard_limit_share,
+            ceiling_burst=plan.hard_limit_burst_units * account.lease.hard_limit_share,
             open=account.in_flight,
-            open_most=int(plan.concurrency_limit * account.concurrency_share + 1e-6),
+            open_most=int(plan.concurrency_limit * account.lease.concurrency_share + 1e-6),
             cap=cap,
             refused_for=account.rejection_reason,
         )
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -327,7 +327,7 @@
             may = pays or quota.has_capacity(now, account, a.units)
             if may and quota.spend(account, a.units, pays):
                 return self._admit(now, request, knows) + quota.request_transfer(now, account)
-            if not account.more_expected or request.queued_at_ns or a.expires_at_ns - now < 4 * TICK:
+            if not account.lease.more_expected or request.queued_at_ns or a.expires_at_ns - now < 4 * TICK:
                 account.rejection_reason = quota.missing_limit(now, account, a.units)
                 return [self._refusal(a), *quota.request_transfer(now, account)]
             quota.last_query, request.queued_at_ns = quota.last_query + 1 & 0xFFFFFFFF, now
@@ -403,7 +403,7 @@
         late = [
             c.account
             for c in self.active_commitments.values()
-            if c.account.counter_correction_units <= -OPEN / 2
+            if c.account.counter.correction_units <= -OPEN / 2
         ]
         return actions + [
             self.quota.call_counter(now, a, 0.0)
--- a/trackspread/decide/quota/accounts.py
+++ b/trackspread/decide/quota/accounts.py
@@ -8,7 +8,7 @@
 from ..events import AllocationChanged, PlansChanged
 from ..peer_messages import QuotaMessage
 from ..settings import Plan
-from ..tenant_account import TenantAccount, rescaled_tokens
+from ..tenant_account import CounterRecord, LeasedShares, TenantAccount, TenantGateways, rescaled_tokens
 from . import token_bucket
 from .freshness import UNRESPONSIVE_NS
 from .sharing import QuotaSharing
@@ -34,7 +34,7 @@
         state.accounts[tenant] = account
     elif account.plan_index != plan_index:
         change_plan(sharing, now, account, plan_index)
-    if gateway_span >= 1 and not account.static_shares and not state.has_leases:
+    if gateway_span >= 1 and not account.gateways.share_count and not state.has_leases:
         gateways = state.settings.gateway_count
         if state.view is not None:
             gateways = len(state.view.gateway_slots)
@@ -54,7 +54,7 @@
         refilled_at_ns=now,
         last_request_ns=now,
         tokens_known_at_ns=-UNRESPONSIVE_NS,
-        in_flight_known_at_ns=-UNRESPONSIVE_NS,
+        counter=CounterRecord(in_flight_known_at_ns=-UNRESPONSIVE_NS),
         demand=DecayingMean(SHORT_TERM),
         grant_ratio=DecayingMean(GRANT_RATIO_NS),
         long_term_demand=DecayingMean(LONG_TERM),
@@ -70,12 +70,11 @@
     limit's starts with its part of the slack alone: a restarted gateway cannot know that it is one."""
     state = sharing.state
     settings = state.settings
-    account.first_gateway = first_gateway
-    account.gateway_span = gateway_span
-    account.peers = sharing.reporting_peers(gateway_span, first_gateway)
-    account.static_shares = gateway_span
+    share_count = gateway_span
     if (settings.gateway_index - first_gateway) % settings.gateway_count >= gateway_span:
-        account.static_shares += 1  # a request came here all the same
+        share_count += 1  # a request came here all the same
+    peers = sharing.reporting_peers(gateway_span, first_gateway)
+    account.gateways = TenantGateways(first_gateway, gateway_span, share_count, peers)
     share = state.static_shares.share(now, account)
     even_units = account.plan.burst_units * share
     account.tokens = sharing.tokens_at_static_share(account, even_units)
@@ -98,10 +97,13 @@
     tenant's."""
     account = account_of(sharing, now, message.tenant, message.plan)
     view = sharing.state.view
-    if message.gateway_span and not account.gateway_span and view is not None:
+    if message.gateway_span and not account.gateways.span and view is not None:
         gateways = len(view.gateway_slots)
-        account.first_gateway = message.first_gateway % gateways
-        account.gateway_span = min(message.gateway_span, gateways)
+        account.gateways = replace(
+            account.gateways,
+            first=message.first_gateway % gateways,
+            span=min(message.gateway_span, gateways),
+        )
     return account
 
 
@@ -158,15 +160,14 @@
     state = sharing.state
     is_new = event.tenant not in state.accounts
     account = account_of(sharing, now, event.tenant, event.plan)
+    lease = LeasedShares(
+        event.quota_share, event.hard_limit_share, event.concurrency_share, event.more_expected
+    )
     if is_new:
         account.refilled_at_ns = state.started_at_ns
-        account.quota_share = event.quota_share
-        account.hard_limit_share = event.hard_limit_share
+        account.lease = lease
     token_bucket.refill(sharing, now, account)
-    account.quota_share = event.quota_share
-    account.hard_limit_share = event.hard_limit_share
-    account.concurrency_share = event.concurrency_share
-    account.more_expected = event.more_expected
+    account.lease = lease
     _set_leased_tokens(account, event)
 
 
--- a/trackspread/decide/quota/concurrency_limit.py
+++ b/trackspread/decide/quota/concurrency_limit.py
@@ -17,8 +17,8 @@
 
 def attempts_elsewhere(now: int, account: TenantAccount) -> int | None:
     """As the shared counter last said; None where that is too old to hold."""
-    if now - account.in_flight_known_at_ns < COUNTER_REPORT_NS:
-        return account.in_flight_elsewhere
+    if now - account.counter.in_flight_known_at_ns < COUNTER_REPORT_NS:
+        return account.counter.in_flight_elsewhere
     return None
 
 
@@ -44,5 +44,5 @@
 
 def has_free_leased_attempt(now: int, account: TenantAccount) -> bool:
     """Whether one more attempt is inside the part of the limit that the host leases to this gateway."""
-    limit = int(account.plan.concurrency_limit * account.concurrency_share + LEASE_ROUNDING)
+    limit = int(account.plan.concurrency_limit * account.lease.concurrency_share + LEASE_ROUNDING)
     return account.in_flight + (attempts_elsewhere(now, account) or 0) < limit
--- a/trackspread/decide/quota/counter_calls.py
+++ b/trackspread/decide/quota/counter_calls.py
@@ -52,8 +52,8 @@
 ) -> Action:
     """Add units, which may be below 0, and what earlier calls left to correct."""
     name = account.tenant << TIME_BITS | (now // NAME_LIFETIME_NS) & TIME_MASK
-    correction_units = account.counter_correction_units
-    account.counter_correction_units = 0.0
+    correction_units = account.counter.correction_units
+    account.counter.correction_units = 0.0
     calls = state.counter_calls.setdefault(name, deque())
     calls.append(CounterCall(query, units, is_correction, correction_units))
     return AddToCounter(name, NAME_LIFETIME_NS, units + correction_units)
@@ -85,13 +85,13 @@
     if outcome is Outcome.TIMEOUT:
         # It surely was added, late, and no attempt came of it.
         if call.query:
-            account.counter_correction_units -= units_of_attempt(state, account)
+            account.counter.correction_units -= units_of_attempt(state, account)
         return
     # It surely was not added.
     missing_units = call.correction_units
     if not call.query and not call.is_correction:
         missing_units += call.units
-    account.counter_correction_units += missing_units
+    account.counter.correction_units += missing_units
 
 
 def _bucket_before(
@@ -127,8 +127,8 @@
     is_within = not plan.rate_per_s or tokens >= min(units, plan.burst_units / 2)
     is_limited = units_of_attempt(state, account) > 0.0
     granted = is_within and (not is_limited or bucket.attempts < plan.concurrency_limit)
-    account.in_flight_known_at_ns = now
-    account.in_flight_elsewhere = max(0, bucket.attempts - account.in_flight)
+    account.counter.in_flight_known_at_ns = now
+    account.counter.in_flight_elsewhere = max(0, bucket.attempts - account.in_flight)
     pays_overage = plan.overage_weight > plan.overage_cost
     calls: list[Action] = []
     if not granted and (call.query or pays_overage):
--- a/trackspread/decide/quota/lease_sharing.py
+++ b/trackspread/decide/quota/lease_sharing.py
@@ -21,15 +21,15 @@
 
     def local_share(self, now: int, account: TenantAccount) -> float:
         """The part of the quota that is leased here."""
-        return account.quota_share
+        return account.lease.quota_share
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
         """Likewise."""
-        return account.quota_share
+        return account.lease.quota_share
 
     def hard_limit_share(self, account: TenantAccount, refill_share: float, static_share: float) -> float:
         """The part of the hard limit that is leased here."""
-        return account.hard_limit_share
+        return account.lease.hard_limit_share
 
     def token_limit(self, account: TenantAccount, share: float) -> float:
         """A share that falls takes no units along: what is in the bucket stays."""
--- a/trackspread/decide/quota/owner_grants.py
+++ b/trackspread/decide/quota/owner_grants.py
@@ -20,24 +20,24 @@
     """The sender comes from another owner, whose bucket goes into the one here, once: each owner kept what
     was its side's, and what its askers used was taken off there."""
     account.peer_totals.pop(sender, None)
-    account.queried_at_ns.pop(sender, None)
-    account.unsettled_grants.pop(sender, None)
+    account.owner_record.queried_at_ns.pop(sender, None)
+    account.owner_record.unsettled_grants.pop(sender, None)
     former_owner = message.tokens_reported_by
-    taken_over_at_ns = account.taken_over_at_ns.get(former_owner, now - REPORTED_TOKENS_NS)
+    taken_over_at_ns = account.owner_record.taken_over_at_ns.get(former_owner, now - REPORTED_TOKENS_NS)
     if now - taken_over_at_ns >= REPORTED_TOKENS_NS:
-        own_units = 0.0 if account.is_taking_over else account.tokens
+        own_units = 0.0 if account.owner_record.is_taking_over else account.tokens
         limit = account.plan.burst_units * sharing.local_share(now, account)
         account.tokens = min(limit, own_units + message.tokens)
         account.unresponsive_units = 0.0
-    account.taken_over_at_ns[former_owner] = now
+    account.owner_record.taken_over_at_ns[former_owner] = now
 
 
 def note_grant(account: TenantAccount, now: int, sender: int, units: float) -> None:
     """These units were granted to the sender, which has not reported yet that it used them."""
-    unsettled = account.unsettled_grants.get(sender)
+    unsettled = account.owner_record.unsettled_grants.get(sender)
     if unsettled is not None:
         units = unsettled.units + units
-    account.unsettled_grants[sender] = UnsettledGrant(units, now)
+    account.owner_record.unsettled_grants[sender] = UnsettledGrant(units, now)
 
 
 def settle_grants(account: TenantAccount, now: int, sender: int, forwarded_quarter_units: int) -> None:
@@ -46,7 +46,7 @@
     A grant whose answer was lost counts once the sender reports units beyond it: what it used beyond all
     grants, without an answer, is taken off the bucket. A grant that was not used for long goes back into
     the bucket."""
-    unsettled = account.unsettled_grants.get(sender, UnsettledGrant(0.0, now))
+    unsettled = account.owner_record.unsettled_grants.get(sender, UnsettledGrant(0.0, now))
     last_total = account.peer_totals.get(sender, forwarded_quarter_units)
     grown = (forwarded_quarter_units - last_total) & TOTAL_MASK
     if grown >= HALF_OF_TOTALS:
@@ -56,10 +56,10 @@
     if unused_units and now - unsettled.granted_at_ns > FRESH_NS:
         account.tokens = min(account.plan.burst_units, account.tokens + unused_units)
         unused_units = 0.0
-    unresponsive_ns = now - account.queried_at_ns.get(sender, now)
+    unresponsive_ns = now - account.owner_record.queried_at_ns.get(sender, now)
     if unresponsive_ns <= UNRESPONSIVE_NS:
         unresponsive_ns = 0  # a short time may be chance where messages get lost
     deduct_use_elsewhere(account, max(0.0, used_units - unsettled.units), unresponsive_ns)
-    account.queried_at_ns[sender] = now
+    account.owner_record.queried_at_ns[sender] = now
     account.peer_totals[sender] = forwarded_quarter_units
-    account.unsettled_grants[sender] = UnsettledGrant(unused_units, unsettled.granted_at_ns)
+    account.owner_record.unsettled_grants[sender] = UnsettledGrant(unused_units, unsettled.granted_at_ns)
--- a/trackspread/decide/quota/quota_messages.py
+++ b/trackspread/decide/quota/quota_messages.py
@@ -72,7 +72,7 @@
     token_bucket.refill(sharing, now, account)
     if message.tokens_reported_by not in (0, state.settings.gateway_index):
         owner_grants.take_over(sharing, now, account, sender, message)
-    account.is_taking_over = False
+    account.owner_record.is_taking_over = False
     account.last_request_ns = now
     account.peers_in_flight[sender] = PeerAttempts(message.in_flight, now)
     if message.kind == QuotaMessageKind.RELEASED:
--- a/trackspread/decide/quota/sharing.py
+++ b/trackspread/decide/quota/sharing.py
@@ -82,10 +82,10 @@
     def share_by_reports(self, now: int, account: TenantAccount) -> float:
         """This gateway's even share of the quota, and those of others as far as their use is known here: by
         their reports, or by what owner or counter said of the bucket."""
-        shares = max(1, account.static_shares)
+        shares = max(1, account.gateways.share_count)
         never_ns = self.state.started_at_ns - FRESH_NS
         reports = self.state.peers
-        reported = [reports[p].received_at_ns if p in reports else never_ns for p in account.peers]
+        reported = [reports[p].received_at_ns if p in reports else never_ns for p in account.gateways.peers]
         if not reported:
             reported = [account.tokens_known_at_ns]
         fresh = sum(freshness(now, at) for at in reported) / len(reported)
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -131,11 +131,11 @@
         account.quota_owner = owner_among(self.view.quota_owners, account.tenant)
         account.owner_of_view = self.fleet_version
         is_owner = account.quota_owner == self.view.own_number
-        if is_owner and not account.is_owner:
+        if is_owner and not account.owner_record.is_owner:
             # Who asks next reports what the former owner had.
             account.forget_owned_state()
-            account.is_taking_over = True
-        account.is_owner = is_owner
+            account.owner_record.is_taking_over = True
+        account.owner_record.is_owner = is_owner
         return account.quota_owner
 
     def is_own(self, account: TenantAccount) -> bool:
@@ -169,8 +169,8 @@
             # Whoever holds slots has to know which of them are the tenant's, a new owner what its bucket had.
             is_recent = now - account.tokens_known_at_ns < REPORTED_TOKENS_NS
             message = message._replace(
-                first_gateway=account.first_gateway,
-                gateway_span=account.gateway_span,
+                first_gateway=account.gateways.first,
+                gateway_span=account.gateways.span,
                 tokens=max(0.0, account.tokens),
                 tokens_reported_by=account.tokens_reported_by if is_recent else 0,
             )
--- a/trackspread/decide/quota/static_shares.py
+++ b/trackspread/decide/quota/static_shares.py
@@ -38,11 +38,11 @@
 
     def share(self, now: int, account: TenantAccount) -> float:
         """One part of as many as there are gateways; 0.0 while no request of the tenant came here."""
-        return 1.0 / account.static_shares if account.static_shares else 0.0
+        return 1.0 / account.gateways.share_count if account.gateways.share_count else 0.0
 
     def share_or_whole(self, now: int, account: TenantAccount) -> float:
         """1.0 while no request of the tenant came here."""
-        return 1.0 / account.static_shares if account.static_shares else 1.0
+        return 1.0 / account.gateways.share_count if account.gateways.share_count else 1.0
 
     def is_cut_off(self, now: int) -> bool:
         """Never: the settings' list of gateways always holds."""
@@ -50,11 +50,11 @@
 
     def peers_of(self, account: TenantAccount) -> tuple[int, ...]:
         """As the tenant's first request here named them."""
-        return account.peers
+        return account.gateways.peers
 
     def peers_with_share(self, account: TenantAccount) -> tuple[int, ...]:
         """All of them: parts are even."""
-        return account.peers
+        return account.gateways.peers
 
 
 class SlotShares(StaticShares):
@@ -71,7 +71,7 @@
 
     def share_of_slots(self, account: TenantAccount, slots: int) -> float:
         """Part of the tenant's limits that these slots are: those of its gateways are all of them."""
-        key = account.first_gateway, account.gateway_span
+        key = account.gateways.first, account.gateways.span
         whole = self._slot_sets.get(key)
         if whole is None:
             whole = self._slot_sets[key] = self._slots_of_gateways(*key)
--- a/trackspread/decide/quota/static_sharing.py
+++ b/trackspread/decide/quota/static_sharing.py
@@ -13,7 +13,7 @@
 
     def is_local(self, account: TenantAccount) -> bool:
         """Where all of the tenant's requests come through this gateway."""
-        return account.static_shares == 1
+        return account.gateways.share_count == 1
 
     def local_share(self, now: int, account: TenantAccount) -> float:
         """The whole where all requests come here, else the even share and others' by age of the last
--- a/trackspread/decide/quota/usage_totals.py
+++ b/trackspread/decide/quota/usage_totals.py
@@ -25,7 +25,7 @@
     due = [
         account
         for account in state.accounts.values()
-        if account.announcements_due and (account.peers or state.view is not None)
+        if account.announcements_due and (account.gateways.peers or state.view is not None)
     ]
     due.sort(key=lambda account: (-account.announcements_due, account.tenant))
     announced = due[:MAX_TOTALS]
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from operator import attrgetter
 from typing import TYPE_CHECKING, Any
 
 from .events import RequestArrived
@@ -14,7 +15,15 @@
 from .decaying_mean import DecayingMean
 from .open_request import OpenRequest
 from .quota.state import PeerReport
-from .tenant_account import PeerAttempts, TenantAccount, UnsettledGrant
+from .tenant_account import (
+    CounterRecord,
+    LeasedShares,
+    OwnerRecord,
+    PeerAttempts,
+    TenantAccount,
+    TenantGateways,
+    UnsettledGrant,
+)
 
 if TYPE_CHECKING:
     from .broker import Broker
@@ -28,32 +37,32 @@
     "at": "refilled_at_ns",
     "last": "last_request_ns",
     "told_at": "tokens_known_at_ns",
-    "open_at": "in_flight_known_at_ns",
+    "open_at": "counter.in_flight_known_at_ns",
     "demand": "demand",
     "granted": "grant_ratio",
     "seen": "long_term_demand",
     "ceiling": "hard_limit_tokens",
     "lacked": "transfer_request",
     "part": "static_tokens",
-    "peers": "peers",
-    "slices": "static_shares",
+    "peers": "gateways.peers",
+    "slices": "gateways.share_count",
     "open": "in_flight",
     "sent": "forwarded_quarter_units",
     "tells": "announcements_due",
     "heard": "peer_totals",
-    "asked": "queried_at_ns",
-    "given": "unsettled_grants",
-    "others": "in_flight_elsewhere",
+    "asked": "owner_record.queried_at_ns",
+    "given": "owner_record.unsettled_grants",
+    "others": "counter.in_flight_elsewhere",
     "out": "peers_in_flight",
-    "owed": "counter_correction_units",
-    "soft": "quota_share",
-    "hard": "hard_limit_share",
-    "places": "concurrency_share",
+    "owed": "counter.correction_units",
+    "soft": "lease.quota_share",
+    "hard": "lease.hard_limit_share",
+    "places": "lease.concurrency_share",
     "over": "overflow_units",
     "absent": "unresponsive_units",
-    "more": "more_expected",
-    "first": "first_gateway",
-    "spread": "gateway_span",
+    "more": "lease.more_expected",
+    "first": "gateways.first",
+    "spread": "gateways.span",
     "teller": "tokens_reported_by",
     "refused_for": "rejection_reason",
     "unspent": "refunded_quarter_units",
@@ -104,7 +113,7 @@
     plans = [plan.name for plan in module.settings.plans]
     accounts = [
         {"_plan": plans[a.plan_index], "_commitment": _commitment(module, a)}
-        | {key: _plain(getattr(a, name)) for key, name in _ACCOUNT_KEYS.items()}
+        | {key: _plain(attrgetter(name)(a)) for key, name in _ACCOUNT_KEYS.items()}
         for a in quota.accounts.values()
     ]
     servers = [
@@ -195,11 +204,19 @@
     values["out"] = {int(p): PeerAttempts(int(word[0]), int(word[1])) for p, word in values["out"]}
     values["peers"] = tuple(values["peers"])
     values["open"] = 0  # those that are out are told one by one
+    parts: dict[str, dict[str, Any]] = {}
+    for key, value in values.items():
+        part, _, name = _ACCOUNT_KEYS[key].rpartition(".")
+        parts.setdefault(part, {})[name] = value
     account = TenantAccount(
         plan=quota.plan_of(customer, index),
         plan_index=index,
         quota_owner=customer % module.settings.gateway_count,
-        **{_ACCOUNT_KEYS[key]: value for key, value in values.items()},
+        gateways=TenantGateways(**parts["gateways"]),
+        counter=CounterRecord(**parts["counter"]),
+        lease=LeasedShares(**parts["lease"]),
+        owner_record=OwnerRecord(**parts["owner_record"]),
+        **parts[""],
     )
     quota.accounts[customer] = account
     if told["_commitment"] is None:
--- a/trackspread/decide/tenant_account.py
+++ b/trackspread/decide/tenant_account.py
@@ -1,4 +1,4 @@
-"""One tenant's quota state at one gateway: token buckets, shares of limits and what others reported."""
+"""One tenant's quota state at one gateway: token buckets, shares of limits, and what others reported."""
 
 from __future__ import annotations
 
@@ -8,13 +8,26 @@
 from .decaying_mean import DecayingMean
 from .settings import Plan
 
-Balances = tuple[float, float, float, int]  # level, part, ceiling, quarter units not told as used
-NO_BALANCES: Balances = (0.0, 0.0, 0.0, 0)
+QUARTERS_PER_UNIT = 4
 
 
-def rescaled_tokens(level: float, old: float, new: float) -> float:
-    """A store's level under another burst; one that begins to count begins empty."""
-    return level * min(1.0, new / old) if level > 0.0 and old > 0.0 else min(level, 0.0)
+class Balances(NamedTuple):
+    """What is in an account's buckets, or was taken out of them."""
+
+    tokens: float
+    static_tokens: float
+    hard_limit_tokens: float
+    unreported_quarter_units: int  # counted as not forwarded: falls with each unit that is
+
+
+NO_BALANCES = Balances(0.0, 0.0, 0.0, 0)
+
+
+def rescaled_tokens(tokens: float, old_burst: float, new_burst: float) -> float:
+    """Units of a bucket under another burst. One that had no burst, and so was not counted, begins empty."""
+    if tokens <= 0.0 or old_burst <= 0.0:
+        return min(tokens, 0.0)
+    return tokens * min(1.0, new_burst / old_burst)
 
 
 class UnsettledGrant(NamedTuple):
@@ -31,87 +44,116 @@
     reported_at_ns: int
 
 
+@dataclass(frozen=True, slots=True)
+class TenantGateways:
+    """Those that a tenant's requests come through: `span` in a row of the settings' list from `first` on."""
+
+    first: int = 0
+    span: int = 0  # 0: not known yet
+    share_count: int = 0  # even shares of the tenant's limits; 0 while no request of it came here
+    peers: tuple[int, ...] = ()  # those whose gossip reports its use here
+
+
+@dataclass(frozen=True, slots=True)
+class LeasedShares:
+    """Parts of a tenant's limits that the host leases to this gateway."""
+
+    quota_share: float = 0.0
+    hard_limit_share: float = 0.0
+    concurrency_share: float = 0.0
+    more_expected: bool = False  # whether it may pay to ask the host for more
+
+
+UNKNOWN_GATEWAYS = TenantGateways()
+NOTHING_LEASED = LeasedShares()
+
+
+@dataclass(slots=True)
+class CounterRecord:
+    """What is known of a tenant's number on the shared counter."""
+
+    in_flight_known_at_ns: int  # when the counter last answered
+    in_flight_elsewhere: int = 0  # attempts at other gateways, by that answer
+    correction_units: float = 0.0  # to be added with the next call
+
+
+@dataclass(slots=True)
+class OwnerRecord:
+    """What a gateway keeps as the owner of a tenant's quota; others by their numbers."""
+
+    is_owner: bool = False  # by the view in which the owner was last looked up
+    is_taking_over: bool = False  # it became so, and nobody has reported yet what the former owner had
+    queried_at_ns: dict[int, int] = field(default_factory=dict)  # when each gateway last asked
+    unsettled_grants: dict[int, UnsettledGrant] = field(default_factory=dict)
+    taken_over_at_ns: dict[int, int] = field(default_factory=dict)  # former owners whose buckets came here
+
+
 @dataclass(slots=True)
 class TenantAccount:
-    """What this gateway knows of one customer: its bucket and its slices, whatever services it asks for."""
+    """What this gateway knows of one tenant, whatever services it asks for."""
 
     tenant: int
     plan: Plan
-    plan_index: int  # the plan's
-    quota_owner: int  # the gateway that keeps the customer's store where gateways are many, as of `homed`
+    plan_index: int
+    quota_owner: int  # the gateway that owns the quota where quotas have owners
+
+    # The token bucket. With an owner or a counter: as it last answered.
     tokens: float
     refilled_at_ns: int
     last_request_ns: int
-    tokens_known_at_ns: int  # when home or counter last told of its store
-    in_flight_known_at_ns: int  # when others' open attempts were last told
-    demand: DecayingMean
-    grant_ratio: DecayingMean  # 1 for units granted, 0 for denied
-    long_term_demand: DecayingMean  # units asked for here, remembered longer than the demand
+    tokens_known_at_ns: int  # when owner or counter last answered
+
+    # Demand and answers.
+    demand: DecayingMean  # units
+    grant_ratio: DecayingMean  # 1 for a request that was granted, 0 for one that was denied
+    long_term_demand: DecayingMean  # units
+
+    counter: CounterRecord
+    gateways: TenantGateways = UNKNOWN_GATEWAYS
+    lease: LeasedShares = NOTHING_LEASED
+    owner_record: OwnerRecord = field(default_factory=OwnerRecord)
+
+    # Other buckets.
+    static_tokens: float = 0.0  # this gateway's static share of the token bucket
     hard_limit_tokens: float = 0.0
-    transfer_request: int = (
-        0  # number of the last ask for some of a peer's part of the ceiling, until it is answered
-    )
-    static_tokens: float = 0.0  # this gateway's even slice of the store
-    peers: tuple[int, ...] = ()
-    static_shares: int = 0  # gateways among which it is sliced; 0 where none of its requests came here yet
-    in_flight: int = 0
-    forwarded_quarter_units: int = 0  # quarter units sent on inside the quota, since this gateway's start
-    announcements_due: int = 0
-    peer_totals: dict[int, int] = field(default_factory=dict)
-    queried_at_ns: dict[int, int] = field(default_factory=dict)  # at home: when each last asked
-    unsettled_grants: dict[int, UnsettledGrant] = field(
-        default_factory=dict
-    )  # at home: granted, not told as taken
-    in_flight_elsewhere: int = 0  # open attempts elsewhere, as told by the counter
-    peers_in_flight: dict[int, PeerAttempts] = field(default_factory=dict)  # as each peer told, and when
-    pending_queries: int = 0  # requests that wait for the home's answer
-    counter_correction_units: float = 0.0  # to be added to the counter with the next call
-    quota_share: float = 0.0  # shares of quota and ceiling kept here, as the host says
-    hard_limit_share: float = 0.0
-    concurrency_share: float = 0.0
+    transfer_request: int = 0  # the last query for some of a peer's part of the hard limit, until answered
     overflow_units: float = (
-        0.0  # refill that never was in the store here: it was full, or others' part while not heard
-    )
-    unresponsive_units: float = (
-        0.0  # what those not heard would have in their part of the store, had they used nothing
+        0.0  # refill that never was in the bucket here: it was full, or not this gateway's
     )
-    more_expected: bool = False  # whether asking the host for more may pay
-    first_gateway: int = (
-        0  # the customer's set: so many gateways in a row from this one of the settings' list on
-    )
-    gateway_span: int = 0  # 0: not told yet
-    is_owner: bool = False  # whether this gateway is the home, as of `homed`
-    is_taking_over: bool = False  # it has become so, and nobody has told yet what the former home had
-    tokens_reported_by: int = 0  # the home that last told of the store
-    taken_over_at_ns: dict[int, int] = field(
-        default_factory=dict
-    )  # at home: others whose stores came here, and when
-    owner_of_view: int = -1  # by which of the views taken in so far its home was found
-    rejection_reason: str = ""  # which limit turned its last refused request away, where the host asks
+    unresponsive_units: float = 0.0  # in the shares of unresponsive peers, if they have used nothing
+
+    # What is reported to others, and by them.
+    in_flight: int = 0  # attempts of this gateway's
+    forwarded_quarter_units: int = 0  # inside the quota, since this gateway's start
     refunded_quarter_units: int = (
-        0  # quarter units counted in `sent` that never came to a backend: later ones count for it
+        0  # counted as forwarded, never came to a backend: later ones count for them
     )
+    announcements_due: int = 0  # messages of totals that are to report it
+    peer_totals: dict[int, int] = field(default_factory=dict)  # quarter units that each last reported
+    peers_in_flight: dict[int, PeerAttempts] = field(default_factory=dict)
+    pending_queries: int = 0  # requests that wait for the owner's answer
+    tokens_reported_by: int = 0  # the owner that last answered
+    owner_of_view: int = -1  # version of the fleet in which the owner was looked up
+    rejection_reason: str = ""  # which limit rejected the last request that was, for operators
 
     def forget_owned_state(self) -> None:
         """What this gateway knew as the tenant's owner is of an earlier time, and holds no longer."""
         self.overflow_units = 0.0
         self.unresponsive_units = 0.0
-        self.taken_over_at_ns = {}
         self.peer_totals = {}
-        self.queried_at_ns = {}
-        self.unsettled_grants = {}
+        self.owner_record = OwnerRecord(self.owner_record.is_owner, self.owner_record.is_taking_over)
 
     def count_forwarded(self, units: float) -> None:
-        """Count units as sent on inside the quota. What is told of them to others may only grow."""
-        quarters = round(4 * units)
-        again = min(quarters, self.refunded_quarter_units)
-        self.refunded_quarter_units, self.forwarded_quarter_units = (
-            self.refunded_quarter_units - again,
-            self.forwarded_quarter_units + quarters - again,
-        )
+        """Count units as forwarded inside the quota. The total that others see may only grow, so what was
+        refunded counts first."""
+        quarters = round(QUARTERS_PER_UNIT * units)
+        covered = min(quarters, self.refunded_quarter_units)
+        self.refunded_quarter_units -= covered
+        self.forwarded_quarter_units += quarters - covered
 
     def balances(self) -> Balances:
-        return (
+        """What is in the buckets now."""
+        return Balances(
             self.tokens,
             self.static_tokens,
             self.hard_limit_tokens,
@@ -119,19 +161,18 @@
         )
 
     def taken_since(self, before: Balances) -> Balances:
-        return (
-            before[0] - self.tokens,
-            before[1] - self.static_tokens,
-            before[2] - self.hard_limit_tokens,
-            before[3] - self.refunded_quarter_units + self.forwarded_quarter_units,
+        """What was taken out of the buckets since they had these balances."""
+        return Balances(
+            before.tokens - self.tokens,
+            before.static_tokens - self.static_tokens,
+            before.hard_limit_tokens - self.hard_limit_tokens,
+            before.unreported_quarter_units - self.refunded_quarter_units + self.forwarded_quarter_units,
         )
 
     def give_back(self, taken: Balances) -> None:
-        """What the stores had more before; they are not overfilled for long, as each refill is bounded."""
-        level, part, ceiling, quarters = taken
-        self.tokens = max(self.tokens, min(self.plan.burst_units, self.tokens + level))
-        self.static_tokens, self.hard_limit_tokens = (
-            self.static_tokens + part,
-            self.hard_limit_tokens + ceiling,
-        )
-        self.refunded_quarter_units += quarters
+        """Refund what was taken. The buckets are not overfilled for long, as each refill is bounded."""
+        refilled = min(self.plan.burst_units, self.tokens + taken.tokens)
+        self.tokens = max(self.tokens, refilled)
+        self.static_tokens += taken.static_tokens
+        self.hard_limit_tokens += taken.hard_limit_tokens
+        self.refunded_quarter_units += taken.unreported_quarter_units
