--- a/benchmarks/scale/gateway_roles.py
+++ b/benchmarks/scale/gateway_roles.py
@@ -9,7 +9,13 @@
     "State: every backend, every plan, an account for each customer of the last two minutes, every member of "
     "one view. It is told every change of the list and of the view.",
     (
-        Row("memory: list of all backends", "module.backends.memory", "backends", "decide/fleet.py", SUBSETS),
+        Row(
+            "memory: list of all backends",
+            "module.backends.memory",
+            "backends",
+            "decide/load_balancer.py",
+            SUBSETS,
+        ),
         Row("memory: a plan for each tenant", "module.plans.memory", "tenants", "decide/quota.py", NUMBERED),
         Row(
             "memory: the same as reservations on one plan",
@@ -24,7 +30,11 @@
             "memory: one flat view", "membership.flat.memory", "gateways", "membership/member_table.py", CELLS
         ),
         Row(
-            "CPU: beat, looks at all backends", "module.backends.beat", "backends", "decide/fleet.py", SUBSETS
+            "CPU: beat, looks at all backends",
+            "module.backends.beat",
+            "backends",
+            "decide/load_balancer.py",
+            SUBSETS,
         ),
         Row("CPU: beat, commitments under way", "module.customers.beat", "tenants_ten", "decide/broker.py"),
         Row("CPU: one flat view", "membership.flat.cpu", "gateways", "membership/member.py", CELLS),
@@ -33,7 +43,7 @@
             "CPU: changes of the list",
             "module.backends.change",
             "backends",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
             SUBSETS,
             by="list_changes",
             unit="share of a core",
@@ -53,7 +63,7 @@
             "stall: a zone's backends go, each by a change of its own",
             "module.backends.change",
             "backends",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
             SUBSETS,
             when="at the peak",
             by="backends_zone",
@@ -72,7 +82,7 @@
             "added: a request that sees all backends",
             "module.backends.arrival",
             "backends",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
             SUBSETS,
         ),
         Row(
@@ -102,7 +112,7 @@
             "stall: the same, taken in",
             "module.backends.list",
             "backends",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
             SUBSETS,
             when="at the peak",
         ),
@@ -110,7 +120,7 @@
             "stall: the first one, before it serves",
             "module.backends.list_first",
             "backends",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
             SUBSETS,
             when="at the peak",
         ),
@@ -234,13 +244,13 @@
             "added: the same where one broker has one service",
             "module.candidates.arrival",
             "backends_service",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
         ),
         Row(
             "added: the same where it sees all that the gateway carries",
             "module.carried.arrival",
             "links_gateway",
-            "decide/fleet.py",
+            "decide/load_balancer.py",
         ),
         Row(
             "stall: a full list of its services, parsed, where no other comes",
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -220,12 +220,12 @@
     (send,) = sends(g.handle(MS, arrival(1, MS)))
     used, others = send.backend, {1, 2, 3, 4} - {send.backend}
     g.handle(MS, full_list(backend(used, Health.REMOVED), kind=EndpointUpdateKind.DELTA))
-    assert set(g.fleet.servers) == {1, 2, 3, 4}
+    assert set(g.load_balancer.backends) == {1, 2, 3, 4}
     g.handle(MS, full_list(backend(5), backend(min(others), Health.DRAINING)))
-    assert set(g.fleet.servers) == {used, 5, min(others)}
+    assert set(g.load_balancer.backends) == {used, 5, min(others)}
     g.handle(2 * MS, ended(1, used))
     g.handle(TICK, TimerFired(EVERY_TICK))
-    assert set(g.fleet.servers) == {5, min(others)}
+    assert set(g.load_balancer.backends) == {5, min(others)}
 
 
 def test_nothing_grows_with_customers_and_backends_that_come_once() -> None:
@@ -242,7 +242,7 @@
             for send in sends(g.handle(now, arrival(number, now, customer=number))):
                 g.handle(now, ended(number, send.backend))
         g.handle(now, TimerFired(EVERY_TICK))
-        sizes.append((len(g.quota.accounts), len(g.fleet.servers), len(g.active_commitments)))
+        sizes.append((len(g.quota.accounts), len(g.load_balancer.backends), len(g.active_commitments)))
     assert max(sizes[120:]) <= max(sizes[60:120]) and sizes[-1][1] <= 6
     assert not g.open_requests and not g.attempts and g.in_flight == 0
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.sums import Line, SumError, Worked, figure, work
 
 RUN = Run(date="2026-12-02T05:10Z", command="python -m benchmarks.scale", commit="abc1234")
-ROW = role_terms.Row("memory: all", "cost", "gateways", "decide/fleet.py", "a mend")
+ROW = role_terms.Row("memory: all", "cost", "gateways", "decide/load_balancer.py", "a mend")
 FIGURES = {"gateways": 7200.0, "calls": 10.0, "memory": 64e6, "share": 0.018, "budget": 5000.0}
 LINES = [line for _, lines in demand.SECTIONS for line in lines]
 
@@ -222,13 +222,17 @@
 
 
 def test_a_row_times_another_figure_has_no_limit_of_its_own() -> None:
-    told = one(slope(), role_terms.Row("bytes: all", "cost", "gateways", "decide/fleet.py", by="calls"))
+    told = one(
+        slope(), role_terms.Row("bytes: all", "cost", "gateways", "decide/load_balancer.py", by="calls")
+    )
     assert told.value == pytest.approx(144_000.0)
     assert (told.limit, told.breaks_at) == (None, None)
 
 
 def test_a_row_times_another_figure_is_held_against_the_limit_that_it_names() -> None:
-    row = role_terms.Row("bytes: all", "cost", "gateways", "decide/fleet.py", by="calls", limit="budget")
+    row = role_terms.Row(
+        "bytes: all", "cost", "gateways", "decide/load_balancer.py", by="calls", limit="budget"
+    )
     told = one(slope(), row)
     assert told.limit == 5000.0
     assert told.room == pytest.approx(5000 / 144_000)
@@ -237,7 +241,7 @@
 
 def test_rows_of_a_kind_are_added_up_and_those_without_a_figure_told() -> None:
     role = role_terms.Role("a role", "state", (), added_up=True)
-    twice = role_terms.Row("memory: the same", "cost", "gateways", "decide/fleet.py", counted=False)
+    twice = role_terms.Row("memory: the same", "cost", "gateways", "decide/load_balancer.py", counted=False)
     (total,) = reckon.totals(role, [one(slope()), one(None), one(slope(), twice)], FIGURES)
     assert (total.kind, total.missing, total.limit) == ("memory", 1, 64e6)
     assert total.value == pytest.approx(14400.0)
@@ -257,7 +261,7 @@
 
 def test_what_breaks_is_told_once_and_grouped_by_what_mends_it() -> None:
     bound = role_terms.Bound("slots", "slots", "gateways", "membership/slots.py", "cells")
-    other = role_terms.Row("bytes: again", "cost", "gateways", "decide/fleet.py", "a mend")
+    other = role_terms.Row("bytes: again", "cost", "gateways", "decide/load_balancer.py", "a mend")
     figures = {"gateways": 7200.0, "slots": 1024.0}
     found = reckon.breaks([one(slope()), one(slope(), other)], (bound,), figures)
     assert [each.what for each in found] == ["slots", "memory: all"]
@@ -265,13 +269,13 @@
 
 
 def test_a_mechanism_that_is_not_in_the_program_is_missing() -> None:
-    assert presence("decide/fleet.py") is Presence.STARTED
+    assert presence("decide/load_balancer.py") is Presence.STARTED
     assert presence("no/such.py") is presence("") is Presence.MISSING
     known = {"decide": Presence.STARTED, "membership": Presence.CORE}
     page = Page(Slopes(), here=lambda path: known.get(path.split("/")[0], Presence.MISSING))
     table = page.parts()["roles"]
     assert "| **missing** |" in table
-    assert "| `decide/fleet.py` |" in table
+    assert "| `decide/load_balancer.py` |" in table
     assert "| `membership/member_table.py`, a core that nothing starts yet |" in table
     assert "`counter/lease_manager.py`" not in table
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -142,7 +142,10 @@
                 connection, _ = await w.backend.command()
                 busy = backends.open - backends.idle()
                 assert (
-                    module.in_flight == busy == sum(s.in_flight for s in module.fleet.servers.values()) == 1
+                    module.in_flight
+                    == busy
+                    == sum(s.in_flight for s in module.load_balancer.backends.values())
+                    == 1
                 )
                 if number == len(endings) - 1:
                     w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating")))
@@ -160,8 +163,8 @@
                 await until(lambda: module.in_flight == 0)
                 assert not module.attempts and not module.open_requests and not w.node.requests
                 assert backends.open == backends.idle() and not w.node.ids
-                assert all(s.in_flight == 0 for s in module.fleet.servers.values())
-                for server in module.fleet.servers.values():
+                assert all(s.in_flight == 0 for s in module.load_balancer.backends.values())
+                for server in module.load_balancer.backends.values():
                     server.ejected_until_ns = 0  # symptoms would have it rest
             await until(lambda: backends.open == 0)
             assert all(a.in_flight == 0 for a in module.quota.accounts.values())
--- a/tests/test_net_lists.py
+++ b/tests/test_net_lists.py
@@ -80,11 +80,11 @@
             now_ms = time.time_ns() // 1_000_000
             entries = host("old", 1, born_ms=0), host("new", 2, born_ms=now_ms)
             w.agent.tell(listing(2, *entries))
-            servers = w.node.broker.fleet.servers
+            servers = w.node.broker.load_balancer.backends
             await until(lambda: backend_id("new") in servers)
             assert servers[backend_id("old")].backend.started_at_ns == 0
             start = w.node.config.settings.slow_start_capacity
-            warmth = w.node.broker.fleet.warmth(w.node.now(), servers[backend_id("new")])
+            warmth = w.node.broker.load_balancer.slow_start.warmth(w.node.now(), servers[backend_id("new")])
             assert start <= warmth < 1.0
 
     run(test)
@@ -378,14 +378,14 @@
             client.send(call(number=2))
             assert str(await client.next()).startswith("BUSY")
             w.agent.tell(listing(3, host("s-1", w.backend.port), whole=False))
-            await until(lambda: w.node.broker.fleet.servers[backend_id("s-1")].is_usable)
+            await until(lambda: w.node.broker.load_balancer.backends[backend_id("s-1")].is_usable)
             client.send(call(number=3))
             connection, _ = await w.backend.command()
             connection.send(served(b"w"))
             assert await client.next() == b"w"
             w.agent.tell(listing(4, host("s-2", w.backend.port)))
             await until(lambda: w.backend.ended == 2)
-            assert backend_id("s-1") not in w.node.broker.fleet.servers
+            assert backend_id("s-1") not in w.node.broker.load_balancer.backends
 
     run(test)
 
@@ -449,7 +449,10 @@
             connection, _ = await second.command()
             connection.send(served(b"v"))
             assert await client.next() == b"v"
-            assert len(w.node.broker.fleet.servers) == 1 and f"is at {LOCAL}:{second.port} now" in caplog.text
+            assert (
+                len(w.node.broker.load_balancer.backends) == 1
+                and f"is at {LOCAL}:{second.port} now" in caplog.text
+            )
 
     run(test)
 
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -2,7 +2,7 @@
 
 Read `settings.py`, `events.py` and `actions.py` first. The mechanism is a QoS broker's: a table of
 commitments, a closed queuing model (`model.py`) and its seven cases that grant each customer a cap on
-requests in flight, beside a companion bucket (`quota.py`) and the choice among backends (`fleet.py`).
+requests in flight, beside a companion bucket (`quota.py`) and the choice among backends (`load_balancer.py`).
 `docs/design/decisions.md` says what was kept of the paper, what was changed and when each exception acts.
 """
 
@@ -41,7 +41,7 @@
     TimerFired,
 )
 from .settings import DeduplicationScope, Idempotency, Settings
-from .fleet import Filter, Fleet
+from .load_balancer import BackendFilter, LoadBalancer
 from .peer_messages import QuotaMessageKind, is_quota_message
 from .model import TARGET, TICK, QueueModel, seven_cases
 from .neighbours import Neighbours
@@ -78,7 +78,7 @@
     def __init__(self, settings: Settings, seed: int, now: int, quota: Quota | None = None) -> None:
         self.settings, self.rng, self.model = settings, random.Random(seed), QueueModel(settings)
         self.quota = quota or Quota(settings, seed, now, self.rng)
-        self.fleet = Fleet(settings, self.rng)
+        self.load_balancer = LoadBalancer(settings, self.rng)
         self.open_requests: dict[int, OpenRequest] = {}
         self.queued: dict[
             int, OpenRequest
@@ -106,7 +106,7 @@
             case ResponseStarted():
                 self._began(event)
             case EndpointUpdate():
-                self.fleet.learn(now, event)
+                self.load_balancer.update_endpoints(now, event)
                 if event.kind is EndpointUpdateKind.FAILED:
                     actions.append(SetTimer(SECOND, RETRY_LIST))
             case PlansChanged():
@@ -140,13 +140,13 @@
             for r in self.open_requests.values()
             if r.attempts_started
             and not r.first_byte_after_ns
-            and not self.fleet.newest_answered_ns - r.last_attempt_at_ns
+            and not self.load_balancer.outliers.newest_answered_ns - r.last_attempt_at_ns
             > usual[r.arrival.request_class]
             > 0.0
         ]
         self.presumed_lost = len(self.open_requests) - len(self.queued) - len(outstanding)
         self.model.fit(now, self.in_flight - self.presumed_lost, outstanding)
-        self.fleet.count(now)
+        self.load_balancer.refresh(now)
         self._evaluate_all(now)
         quota = self.quota
         if (
@@ -169,7 +169,8 @@
 
     def joined(self, event: FleetChanged) -> None:
         """The fleet has another size."""
-        self.settings = self.fleet.settings = replace(self.settings, gateway_count=1 + len(event.peers))
+        self.settings = replace(self.settings, gateway_count=1 + len(event.peers))
+        self.load_balancer.change_settings(self.settings)
 
     def replan(self, now: int) -> LogMessage:
         """Commitments are solved anew beside one another, least worth first; what does not fit is told."""
@@ -182,7 +183,8 @@
     def retire(self, now: int) -> list[Action]:
         """Another process has the word from now on: nothing is granted here any more, nor told to peers.
         What is out ends here; who waited for word that goes elsewhere now is refused at once."""
-        self.retired = self.fleet.retired = True
+        self.retired = True
+        self.load_balancer.slow_start.is_suspended = True
         waiting = [self.queued.pop(tag) for tag in list(self.queued)]
         for request in waiting:
             request.account.pending_queries = 0
@@ -190,13 +192,14 @@
 
     def resume(self) -> None:
         """The other process is gone: this one has the word again."""
-        self.retired = self.fleet.retired = False
+        self.retired = False
+        self.load_balancer.slow_start.is_suspended = False
 
     def _reclass(self, event: ClassesChanged) -> LogMessage:
         """What arrives from now on goes by other classes; open requests keep their class and attempts."""
         self.settings = replace(self.settings, classes=event.classes, max_attempts=event.max_attempts)
         self.model.reclass(event)
-        self.fleet.reclass(event)
+        self.load_balancer.change_classes(event)
         was, self.arrival_priorities = self.arrival_priorities, {}
         for number, heir in enumerate(event.predecessors):
             self.arrival_priorities |= {
@@ -436,11 +439,11 @@
             return None
         allowed = self._repeat_filter(now, request)
         kind = a.request_class, a.plan
-        server = self.fleet.choose(now, kind, request.tried_backends, allowed)
-        server = server or self.fleet.choose(now, kind, set(), allowed)
+        server = self.load_balancer.choose(now, kind, request.tried_backends, allowed)
+        server = server or self.load_balancer.choose(now, kind, set(), allowed)
         if server is None:
             return None
-        self.fleet.sent(now, server)
+        self.load_balancer.attempt_started(now, server)
         request.tried_backends.add(server.backend.id)
         self.attempts[a.request, request.attempts_started] = request
         if not request.may_have_executed:
@@ -476,12 +479,12 @@
         if (
             not again
             or self.model.is_congested
-            or self.fleet.timeout_rate[a.request_class].blend(now, 0.0, 3.0) < SILENCE
+            or self.load_balancer.outliers.recent_timeout_rate(now, a.request_class) < SILENCE
         ):
             return 0
         return max(cls.latency_objective_ns // 2, int(3 * self.model.latency[a.request_class].value))
 
-    def _repeat_filter(self, now: int, request: OpenRequest) -> Filter:
+    def _repeat_filter(self, now: int, request: OpenRequest) -> BackendFilter:
         """Rule 2: where another attempt of a keyed request that may have run may go."""
         cls, first = self.settings.classes[request.arrival.request_class], request.deduplicated_by
         if not request.may_have_executed or cls.idempotency is not Idempotency.WITH_KEY or first is None:
@@ -511,7 +514,7 @@
             if self.settings.units_settled_later and event.actual_units:
                 account.tokens -= event.actual_units - request.arrival.units
         usual = max(1.0, self.model.latency[cls].value)
-        self.fleet.ended(now, event, (cls, request.arrival.plan), event.elapsed_ns / usual)
+        self.load_balancer.attempt_ended(now, event, (cls, request.arrival.plan), event.elapsed_ns / usual)
         if event.outcome not in NOT_EXECUTED:
             request.may_have_executed = True
         request.reached_backend |= event.outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -32,7 +32,7 @@
 
 
 def _excluded(broker: Broker, now: int) -> int:
-    servers = broker.fleet.servers.values()
+    servers = broker.load_balancer.backends.values()
     return sum(s.is_listed and (not s.is_usable or now < s.ejected_until_ns) for s in servers)
 
 
@@ -58,8 +58,8 @@
     return [
         ServiceReport(
             name,
-            sum(s.is_listed for s in broker.fleet.servers.values()),
-            broker.fleet.warm_backends,
+            sum(s.is_listed for s in broker.load_balancer.backends.values()),
+            broker.load_balancer.slow_start.warm_backends,
             _excluded(broker, now),
             broker.in_flight,
             broker.model.concurrency_limit,
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -99,7 +99,7 @@
 def portrait(module: Broker, names: tuple[str, ...], out: dict[tuple[int, int], int]) -> Plain:
     """All that outlives the process. `names`: of the classes, by their numbers; `out`: the backend of each
     attempt, by request and attempt."""
-    quota, fleet, model = module.quota, module.fleet, module.model
+    quota, balancer, model = module.quota, module.load_balancer, module.model
     plans = [plan.name for plan in module.settings.plans]
     accounts = [
         {"_plan": plans[a.plan_index], "_commitment": _commitment(module, a)}
@@ -114,7 +114,7 @@
             "full": [[names[cls], plans[plan], until] for (cls, plan), until in s.rejecting_until_ns.items()],
         }
         | {key: _plain(getattr(s, name)) for key, name in _BACKEND_KEYS.items()}
-        for s in fleet.servers.values()
+        for s in balancer.backends.values()
     ]
     attempts = [
         [number, attempt, by, *_arrival(module.attempts[number, attempt].arrival, names, plans)]
@@ -124,7 +124,7 @@
     return {
         "version": VERSION,
         "classes": [
-            [name, _mean(model.latency[n]), model.shortest_ns[n], _mean(fleet.timeout_rate[n])]
+            [name, _mean(model.latency[n]), model.shortest_ns[n], _mean(balancer.outliers.timeout_rate[n])]
             for n, name in enumerate(names)
             if n in model.active_classes
         ],
@@ -140,8 +140,8 @@
         "granted": [[plans[n], _mean(m)] for n, m in enumerate(quota.grant_ratio_by_plan)],
         "accounts": accounts,
         "servers": servers,
-        "sends": _mean(fleet.warm_attempts),
-        "newest": fleet.newest_answered_ns,
+        "sends": _mean(balancer.slow_start.warm_attempts),
+        "newest": balancer.outliers.newest_answered_ns,
         "out": attempts,
     }
 
@@ -157,7 +157,7 @@
         raise ValueError(f"portrait of version {told.get('version')}, this is {VERSION}")
     classes = {name: n for n, name in enumerate(names) if n in module.model.active_classes}
     plans = {plan.name: n for n, plan in enumerate(module.settings.plans)}
-    quota, fleet, model = module.quota, module.fleet, module.model
+    quota, balancer, model = module.quota, module.load_balancer, module.model
     quota.incarnation, quota.started_at_ns, quota.last_query = told["me"], told["born"], told["tag"]
     quota.counter_call_rate, quota.has_restarted = told["pace"], told["restarted"]
     quota.peers = {peer: (incarnation, heard, age) for peer, incarnation, heard, age in told["peers"]}
@@ -168,14 +168,15 @@
     for name, latency, shortest, silence in told["classes"]:
         if (n := classes.get(name)) is not None:
             model.latency[n], model.shortest_ns[n] = _to_mean(latency), shortest
-            fleet.timeout_rate[n] = _to_mean(silence)
+            balancer.outliers.timeout_rate[n] = _to_mean(silence)
     model.mean_in_flight = _to_mean(told["in_flight"])
-    fleet.warm_attempts, fleet.newest_answered_ns = _to_mean(told["sends"]), told["newest"]
+    balancer.slow_start.warm_attempts = _to_mean(told["sends"])
+    balancer.outliers.newest_answered_ns = told["newest"]
     for each in told["accounts"]:
         if each["_plan"] in plans:
             _account(module, each, plans[each["_plan"]])
     for each in told["servers"]:
-        server = fleet.servers.get(each["id"])
+        server = balancer.backends.get(each["id"])
         if server is not None and server.backend.started_at_ns == each["booted"]:
             _server(server, each, classes, plans)
     for each in told["out"]:
@@ -254,5 +255,5 @@
     module.attempts[number, attempt] = request
     module.opened(request, 1)
     module.in_flight += 1
-    if (server := module.fleet.servers.get(backend)) is not None:
+    if (server := module.load_balancer.backends.get(backend)) is not None:
         server.in_flight += 1
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -14,10 +14,10 @@
 
 from ...decide import broker
 from ...decide.broker import Broker
-from ...decide.fleet import Fleet
 from ...decide.actions import Fail, Reject, StartAttempt
 from ...decide.backends import Health
 from ...decide.events import Outcome
+from ...decide.load_balancer import LoadBalancer
 from ...decide.quota import Quota
 from ..judge.verdict import Rule
 from .host import Host, Kind
@@ -81,28 +81,31 @@
 
 
 def _drains_ignored() -> list[Any]:
-    real = Fleet.learn
+    real = LoadBalancer.update_endpoints
 
-    def mutant(self: Fleet, now: int, event: Any) -> None:
+    def mutant(self: LoadBalancer, now: int, event: Any) -> None:
         kept = tuple(
             replace(e, health=Health.READY) if e.health is Health.DRAINING else e for e in event.backends
         )
         real(self, now, replace(event, backends=kept))
 
-    return [patch.object(Fleet, "learn", mutant)]
+    return [patch.object(LoadBalancer, "update_endpoints", mutant)]
 
 
 def _cold_flooded() -> list[Any]:
     """A new backend stands idle, so it gets all."""
-    real = Fleet.wait
+    real = LoadBalancer.expected_wait
 
-    def mutant(self: Fleet, now: int, server: Any) -> float:
-        return real(self, now, server) * (1.0 if self.warmth(now, server) >= 1.0 else 0.001)
+    def mutant(self: LoadBalancer, now: int, server: Any) -> float:
+        return real(self, now, server) * (1.0 if self.slow_start.warmth(now, server) >= 1.0 else 0.001)
 
-    def ready(self: Fleet, now: int, server: Any) -> bool:
+    def ready(self: LoadBalancer, now: int, server: Any) -> bool:
         return bool(server.is_usable)
 
-    return [patch.object(Fleet, "wait", mutant), patch.object(Fleet, "ready", ready)]
+    return [
+        patch.object(LoadBalancer, "expected_wait", mutant),
+        patch.object(LoadBalancer, "is_available", ready),
+    ]
 
 
 def _ceilings_ignored() -> list[Any]:
@@ -231,7 +234,7 @@
     def mutant(self: Host, number: int, kind: Kind, advice_ms: int) -> None:
         held = self.held.get(number)
         real(self, number, kind, advice_ms)
-        server = next(iter(self.module.fleet.servers), None)
+        server = next(iter(self.module.load_balancer.backends), None)
         if held is not None and server is not None and due():
             held.closed, self.held[number] = False, held
             self.clock.after(100_000_000, lambda: self._send(StartAttempt(number, server, 0)))
