--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -6,7 +6,9 @@
 from trackspread.cells.seeding import FRESHEN, FRESHEN_OTHERS
 from trackspread.counter.commands import MOST_FIELDS
 from trackspread.counter.terms import HEARTBEAT
-from trackspread.decide.broker import FORGET, IDLE, RETRY_SHARE
+from trackspread.decide.commitments import IDLE_COMMITMENT_NS
+from trackspread.decide.idle_accounts import ACCOUNT_LIFETIME_NS
+from trackspread.decide.retry_policy import RETRIES_PER_REQUEST
 from trackspread.decide.time_units import SECOND
 from trackspread.lists.turns import SPREAD_MOST
 from trackspread.membership.host import DESCRIPTORS
@@ -39,9 +41,9 @@
     "descriptors": 1_024,
     "descriptors_kept": RESERVED + DESCRIPTORS,
     "backends_part": 0.5,
-    "retry_share": RETRY_SHARE,
-    "idle_s": IDLE / SECOND,
-    "forget_s": FORGET / SECOND,
+    "retry_share": RETRIES_PER_REQUEST,
+    "idle_s": IDLE_COMMITMENT_NS / SECOND,
+    "forget_s": ACCOUNT_LIFETIME_NS / SECOND,
     "rest_s": 30 * RETIRE,
     "spread_s": SPREAD_MOST,
     "partitions": 8,
@@ -72,7 +74,7 @@
         "attempts at most, all gateways",
         "requests * (1 + retry_share)",
         "/s",
-        "one further for ten first ones: `decide/broker.py`, RETRY_SHARE",
+        "one further for ten first ones: `decide/retry_policy.py`, RETRIES_PER_REQUEST",
     ),
     Line("attempts_gateway", "attempts a gateway at most", "attempts / gateways", "/s"),
     Line("attempts_backend", "attempts a backend at most", "attempts / backends", "/s"),
@@ -168,14 +170,14 @@
         "tenants at most with a commitment",
         "requests_gateway * idle_s",
         "",
-        "none but those with a request within 10 s: `decide/broker.py`, IDLE",
+        "none but those with a request within 10 s: `decide/commitments.py`, IDLE_COMMITMENT_NS",
     ),
     Line(
         "tenants_active",
         "tenants at most with an account",
         "min(tenants, requests_gateway * forget_s)",
         "",
-        "none but those with a request within two minutes: `decide/broker.py`, FORGET",
+        "none but those with a request within two minutes: `decide/idle_accounts.py`, ACCOUNT_LIFETIME_NS",
     ),
 )
 CHANGES = (
--- a/benchmarks/scale/gateway_roles.py
+++ b/benchmarks/scale/gateway_roles.py
@@ -36,7 +36,12 @@
             "decide/load_balancer.py",
             SUBSETS,
         ),
-        Row("CPU: beat, commitments under way", "module.customers.beat", "tenants_ten", "decide/broker.py"),
+        Row(
+            "CPU: beat, commitments under way",
+            "module.customers.beat",
+            "tenants_ten",
+            "decide/commitments.py",
+        ),
         Row("CPU: one flat view", "membership.flat.cpu", "gateways", "membership/member.py", CELLS),
         Row("bytes: one flat view", "membership.flat.bytes", "gateways", "membership/gossip.py", CELLS),
         Row(
@@ -161,7 +166,7 @@
             "stall: commitments solved under pressure",
             "module.pressed.evaluation",
             "tenants_ten",
-            "decide/broker.py",
+            "decide/commitments.py",
             BUSY,
             when="at the peak",
         ),
--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from statistics import median
 
-from trackspread.decide.broker import EVERY_TICK, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
 from trackspread.decide.actions import Action, StartAttempt
 from trackspread.decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from trackspread.decide.events import (
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from trackspread.decide.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from trackspread.decide.model import TICK
+from trackspread.decide.time_units import TICK
 from trackspread.decide.report import brokers
 from trackspread.decide.services import ServiceBrokers
 from trackspread.lists.agent import parse_update
@@ -141,7 +141,7 @@
     def tick(self) -> None:
         """The module's own beat."""
         self.now += TICK
-        self.handle(TimerFired(EVERY_TICK))
+        self.handle(TimerFired(TICK_TIMER))
 
     def ask(self, customer: int, spread: int = 1, first: int = 0, cls: int = 0) -> list[Action]:
         """One request of a customer, at this instant."""
@@ -310,7 +310,7 @@
     for customer in range(size):
         driver.ask(customer)
     held = resident() - empty
-    open_now = len(driver.broker.open_requests)
+    open_now = len(driver.broker.requests.open_requests)
     if open_now < size:
         raise RuntimeError(f"{open_now} of {size} requests under way: no fair work")
     calm = [took(lambda: _beats(driver, 20)) / 2.0 for _ in range(REPEATS)]
@@ -325,12 +325,12 @@
     for customer in range(size):
         driver.ask(customer)
     broker = driver.broker
-    for commitment in broker.active_commitments.values():
+    for commitment in broker.commitments.active.values():
         commitment.mean_in_flight.add(driver.now, 1.0)
     broker.model.is_congested = True
     broker.model.response_times_ns = [0.01 * SECOND * n for n in range(64)]
     driver.now += 3 * SECOND
-    return {"evaluation": took(partial(broker._evaluate_all, driver.now))}
+    return {"evaluation": took(partial(broker.commitments.evaluate_due, driver.now))}
 
 
 def members(size: int) -> Figures:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from trackspread.decide.broker import EVERY_TICK, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
 from trackspread.decide.actions import Action, Fail, Reject, SendToPeers, StartAttempt
 from trackspread.decide.backends import EndpointUpdateKind, Health
 from trackspread.decide.events import (
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from trackspread.decide.peer_messages import pack_usage_totals
-from trackspread.decide.model import TICK
+from trackspread.decide.time_units import TICK
 
 from .helpers import (
     KEYED,
@@ -164,7 +164,7 @@
     for i in range(19):
         there.handle(MS, arrival(i, MS))
         there.handle(MS, ended(i, 1))
-    told = [a for a in there.handle(TICK, TimerFired(EVERY_TICK)) if isinstance(a, SendToPeers)]
+    told = [a for a in there.handle(TICK, TimerFired(TICK_TIMER)) if isinstance(a, SendToPeers)]
     here.handle(TICK, PeerMessage(1, told[0].data))
     assert here.quota.accounts[1].tokens < 5.0
 
@@ -224,7 +224,7 @@
     g.handle(MS, full_list(backend(5), backend(min(others), Health.DRAINING)))
     assert set(g.load_balancer.backends) == {used, 5, min(others)}
     g.handle(2 * MS, ended(1, used))
-    g.handle(TICK, TimerFired(EVERY_TICK))
+    g.handle(TICK, TimerFired(TICK_TIMER))
     assert set(g.load_balancer.backends) == {5, min(others)}
 
 
@@ -241,10 +241,10 @@
             number = second * 20 + i
             for send in sends(g.handle(now, arrival(number, now, customer=number))):
                 g.handle(now, ended(number, send.backend))
-        g.handle(now, TimerFired(EVERY_TICK))
-        sizes.append((len(g.quota.accounts), len(g.load_balancer.backends), len(g.active_commitments)))
+        g.handle(now, TimerFired(TICK_TIMER))
+        sizes.append((len(g.quota.accounts), len(g.load_balancer.backends), len(g.commitments.active)))
     assert max(sizes[120:]) <= max(sizes[60:120]) and sizes[-1][1] <= 6
-    assert not g.open_requests and not g.attempts and g.in_flight == 0
+    assert not g.requests.open_requests and not g.requests.attempts and g.requests.in_flight == 0
 
 
 def test_odd_peer_messages_are_passed_over() -> None:
@@ -273,9 +273,9 @@
             if request >= 10:
                 g.handle(now, ended(request - 10, 1, elapsed=latency))
             if step % 5 == 0:
-                g.handle(now, TimerFired(EVERY_TICK))
+                g.handle(now, TimerFired(TICK_TIMER))
             request += 1
-        caps.append(sum(c.cap for c in g.commitments.values()))
+        caps.append(sum(c.cap for c in g.commitments.by_tenant.values()))
     assert caps[1] < caps[0]
 
 
@@ -336,7 +336,7 @@
                     self.state[request] = "gone"
                 self.feed(now, ClientDisconnected(request))
             elif what == "tick":
-                self.feed(now, TimerFired(EVERY_TICK))
+                self.feed(now, TimerFired(TICK_TIMER))
             elif what == "list":
                 health = list(Health)[pick % 3]
                 self.feed(
@@ -423,15 +423,15 @@
         if i % 10:
             g.handle(now + 10 * MS, ended(i, sent[0].backend))
         if i % 5 == 0:
-            g.handle(now + 10 * MS, TimerFired(EVERY_TICK))
-    assert g.presumed_lost > 10
+            g.handle(now + 10 * MS, TimerFired(TICK_TIMER))
+    assert g.requests.presumed_lost > 10
     assert g.model.concurrency_limit is None
 
 
 def test_older_peer_shows_a_restart_and_the_bucket_starts_with_a_slice() -> None:
     young, old = gateway(), Broker(settings(gateway_index=1), 8, 0)
     old.handle(0, full_list(backend(1)))
-    told = [a for a in old.handle(9 * SECOND, TimerFired(EVERY_TICK)) if isinstance(a, SendToPeers)]
+    told = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendToPeers)]
     young.handle(MS, arrival(1, MS))
     assert young.quota.accounts[1].tokens == 19.0
     young.handle(MS, PeerMessage(1, told[0].data))
@@ -452,10 +452,10 @@
 def test_accounts_of_customers_long_gone_are_dropped() -> None:
     g = gateway()
     g.handle(0, arrival(1, 0))
-    g.handle(600 * SECOND, TimerFired(EVERY_TICK))
+    g.handle(600 * SECOND, TimerFired(TICK_TIMER))
     assert 1 in g.quota.accounts
     g.handle(600 * SECOND, ended(1, 1))
-    g.handle(611 * SECOND, TimerFired(EVERY_TICK))
+    g.handle(611 * SECOND, TimerFired(TICK_TIMER))
     assert 1 not in g.quota.accounts
 
 
--- a/tests/test_client_left_process.py
+++ b/tests/test_client_left_process.py
@@ -30,7 +30,7 @@
     pack_quota_message,
     unpack_quota_message,
 )
-from trackspread.decide.model import TICK
+from trackspread.decide.time_units import TICK
 from trackspread.testing.standins.counter import Shard
 from trackspread.testing.standins.counter_server import CounterServer
 from trackspread.testing.standins.settings import plan_settings
--- a/tests/test_neighbours.py
+++ b/tests/test_competing_commitments.py
@@ -1,4 +1,4 @@
-"""What a commitment finds beside it, against a look at every other one."""
+"""What a commitment competes with, against a look at every other one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 
 import pytest
 
-from trackspread.decide.neighbours import BUSY, LEAST_RATE, Beside, Neighbours
+from trackspread.decide.competing_commitments import (
+    MIN_IN_FLIGHT,
+    MIN_THROUGHPUT_PER_S,
+    CompetingCommitments,
+    CompetingLoad,
+)
 from trackspread.decide.quota import Quota
 from trackspread.decide.commitment import Commitment
 from trackspread.decide.decaying_mean import SHORT_TERM, DecayingMean
@@ -23,7 +28,7 @@
         each = Commitment(
             quota.account(0, customer, 0), 0, 0, DecayingMean(SHORT_TERM), DecayingMean(SHORT_TERM)
         )
-        each.mean_in_flight.add(0, rng.choice((0.0, BUSY, 0.3, rng.uniform(0.1, 9.0))))
+        each.mean_in_flight.add(0, rng.choice((0.0, MIN_IN_FLIGHT, 0.3, rng.uniform(0.1, 9.0))))
         changed(each, rng)
         made.append(each)
     return made
@@ -37,11 +42,11 @@
     commitment.max_wait_ns = rng.uniform(0.1, 2.0) * SECOND
 
 
-def looked_at(one: Commitment, all_of_them: list[Commitment]) -> Beside:
+def looked_at(one: Commitment, all_of_them: list[Commitment]) -> CompetingLoad:
     """By a look at each."""
-    busy = [c for c in all_of_them if c is not one and c.mean_in_flight.value > BUSY]
-    spans = [c.cap * SECOND / max(c.min_throughput_per_s, LEAST_RATE) for c in busy if c.cap > 1]
-    return Beside(
+    busy = [c for c in all_of_them if c is not one and c.mean_in_flight.value > MIN_IN_FLIGHT]
+    spans = [c.cap * SECOND / max(c.min_throughput_per_s, MIN_THROUGHPUT_PER_S) for c in busy if c.cap > 1]
+    return CompetingLoad(
         sum(c.mean_in_flight.value if c.cap > 1 else min(1.0, c.mean_in_flight.value) for c in busy),
         min((c.max_wait_ns for c in busy), default=inf),
         min(spans, default=inf),
@@ -52,17 +57,18 @@
 def test_the_sums_are_those_of_a_look_at_every_other_one(seed: int) -> None:
     rng = random.Random(seed)
     them = commitments(rng.randrange(1, 12), rng)
-    kept = Neighbours(them)
+    kept = CompetingCommitments(them)
     for _ in range(200):
         one = rng.choice(them)
         if rng.random() < 0.6:
             changed(one, rng)
-            kept.put(one)
-        found, wanted = kept.beside(one), looked_at(one, them)
+            kept.update(one)
+        found, wanted = kept.without(one), looked_at(one, them)
         assert found.in_flight == pytest.approx(wanted.in_flight)
-        assert (found.room, found.slowest) == (wanted.room, wanted.slowest)
+        assert found.max_wait_ns == wanted.max_wait_ns
+        assert found.max_response_time_ns == wanted.max_response_time_ns
 
 
 def test_one_that_stands_alone_finds_nobody() -> None:
     (alone,) = commitments(1, random.Random(1))
-    assert Neighbours([alone]).beside(alone) == Beside(0.0, inf, inf)
+    assert CompetingCommitments([alone]).without(alone) == CompetingLoad(0.0, inf, inf)
--- a/tests/test_extreme_settings.py
+++ b/tests/test_extreme_settings.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from trackspread.decide.broker import EVERY_TICK, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
 from trackspread.decide.actions import Fail, Reject, SendToPeers, StartAttempt
 from trackspread.decide.backends import Health
 from trackspread.decide.events import ClientDisconnected, Event, Outcome, PeerMessage, TimerFired
@@ -148,7 +148,7 @@
                 self.open.discard(left)
                 self.give(ClientDisconnected(left))
             else:
-                self.give(TimerFired(EVERY_TICK))
+                self.give(TimerFired(TICK_TIMER))
             if self.rng.random() < 0.02:
                 # As under pressure, with a range of its own.
                 model = self.gateway.model
--- a/tests/test_given_back.py
+++ b/tests/test_given_back.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from trackspread.decide.broker import HOLD, Broker
+from trackspread.decide.broker import Broker
+from trackspread.decide.quota_admission import ANSWER_TIMEOUT_NS
 from trackspread.decide.actions import Reject, SendToPeers, StartAttempt
 from trackspread.decide.events import ClientDisconnected, Outcome, PeerMessage
 from trackspread.decide.peer_messages import (
@@ -111,7 +112,10 @@
         ]
         if not asks:
             assert (
-                g.handle(now + HOLD, arrival(100 + n, now + HOLD, UNSAFE, customer, gateway_span=40))
+                g.handle(
+                    now + ANSWER_TIMEOUT_NS,
+                    arrival(100 + n, now + ANSWER_TIMEOUT_NS, UNSAFE, customer, gateway_span=40),
+                )
                 is not None
             )
         draw = unpack_quota_message(asks[0].data)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -260,15 +260,23 @@
     told = wire.decode(wire.encode(snapshot.portrait(old, NAMES, {(7, 0): sent.backend})), dict)
     snapshot.restore(new, told, NAMES)
     account = new.quota.accounts[1]
-    assert (account.in_flight, new.in_flight, new.load_balancer.backends[sent.backend].in_flight) == (1, 1, 1)
+    assert (
+        account.in_flight,
+        new.requests.in_flight,
+        new.load_balancer.backends[sent.backend].in_flight,
+    ) == (1, 1, 1)
     again = [7, 1, sent.backend, "read", "p", 1, 1.0]
     snapshot.mirror(new, NAMES, again)
     snapshot.mirror(new, NAMES, [8, 0, sent.backend, "no such class", "p", 1, 1.0])
-    assert new.in_flight == 2
+    assert new.requests.in_flight == 2
     for attempt in (0, 1):
         end = AttemptEnded(7, True, 0, sent.backend, 0, Outcome.OK, MS, attempt, ())
         assert new.handle(now + MS, end) == []
-    assert (account.in_flight, new.in_flight, new.load_balancer.backends[sent.backend].in_flight) == (0, 0, 0)
+    assert (
+        account.in_flight,
+        new.requests.in_flight,
+        new.load_balancer.backends[sent.backend].in_flight,
+    ) == (0, 0, 0)
 
 
 # Processes.
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -195,7 +195,7 @@
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
     module.handle(now, ResponseStarted(1, 5 * MS, 0, sent.backend))
-    commitment = module.commitments[1]
+    commitment = module.commitments.by_tenant[1]
     assert (commitment.in_flight, commitment.streaming) == (1, 1)
     module.handle(now + 3 * SECOND, AttemptEnded(1, True, 0, sent.backend, 0, Outcome.OK, 3 * SECOND, 0, ()))
     assert (commitment.in_flight, commitment.streaming) == (0, 0)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -8,7 +8,9 @@
 
 from trackspread.decide.broker import Broker
 from trackspread.decide.mean_value_analysis import mean_values
-from trackspread.decide.model import TICK, Goal, QueueModel, seven_cases
+from trackspread.decide.concurrency_model import QueueModel
+from trackspread.decide.seven_cases import Goal, seven_cases
+from trackspread.decide.time_units import TICK
 
 from .helpers import MS, SECOND, arrival, backend, full_list, plan, settings
 
@@ -38,7 +40,7 @@
 def test_fitted_demand_reproduces_the_recent_mean() -> None:
     model = loaded_model(500 * MS, 20)
     assert model.is_congested
-    assert model.response(model.mean_in_flight.value) == pytest.approx(model.mean_latency_ns, rel=0.1)
+    assert model.response_time_ns(model.mean_in_flight.value) == pytest.approx(model.mean_latency_ns, rel=0.1)
 
 
 def test_no_rise_means_no_limit() -> None:
@@ -132,19 +134,19 @@
         1.0 * MS,
         [n * 100.0 * MS for n in range(60)],
     )
-    response = model.response
+    response = model.response_time_ns
 
-    def counted(n: float) -> float:
+    def counted(in_flight: float) -> float:
         nonlocal asked
         asked += 1
-        return response(n)
+        return response(in_flight)
 
-    model.response = counted  # type: ignore[method-assign]
+    model.response_time_ns = counted  # type: ignore[method-assign]
     for customer in range(3):
-        gateway.commitment(0, gateway.quota.account(0, customer, 0)).mean_in_flight.add(0, 3.0)
+        gateway.commitments.of_account(0, gateway.quota.account(0, customer, 0)).mean_in_flight.add(0, 3.0)
         gateway.handle(0, arrival(customer, 0, customer=customer, gateway_span=1))
     assert 0 < asked < 1_000
-    assert all(1 <= account.cap < 60 for account in list(gateway.active_commitments.values())[1:])
+    assert all(1 <= account.cap < 60 for account in list(gateway.commitments.active.values())[1:])
 
 
 def test_a_gateway_with_few_answers_sees_a_rise() -> None:
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -142,7 +142,7 @@
                 connection, _ = await w.backend.command()
                 busy = backends.open - backends.idle()
                 assert (
-                    module.in_flight
+                    module.requests.in_flight
                     == busy
                     == sum(s.in_flight for s in module.load_balancer.backends.values())
                     == 1
@@ -152,16 +152,18 @@
                     await until(lambda: not backends.usable())
                 if ending is None:
                     client.abort()
-                    await until(lambda: not module.open_requests)
+                    await until(lambda: not module.requests.open_requests)
                     ending = served(b"for nobody")
                 if ending == b"-BUSY\r\n":
                     # Never ran, so it is tried again; there is but one backend to do so.
                     connection.send(ending)
                     connection, _ = await w.backend.command()
-                    assert module.in_flight == 1
+                    assert module.requests.in_flight == 1
                 connection.send(ending) if ending else connection.abort()
-                await until(lambda: module.in_flight == 0)
-                assert not module.attempts and not module.open_requests and not w.node.requests
+                await until(lambda: module.requests.in_flight == 0)
+                assert (
+                    not module.requests.attempts and not module.requests.open_requests and not w.node.requests
+                )
                 assert backends.open == backends.idle() and not w.node.ids
                 assert all(s.in_flight == 0 for s in module.load_balancer.backends.values())
                 for server in module.load_balancer.backends.values():
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,7 +10,7 @@
 import pytest
 
 from trackspread.decide import quota
-from trackspread.decide.broker import EVERY_TICK, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
 from trackspread.decide.actions import Action, Reject, SendToPeers, StartAttempt
 from trackspread.decide.events import ClientDisconnected, Event, PeerMessage, TimerFired
 from trackspread.decide.peer_messages import (
@@ -21,7 +21,7 @@
     pack_quota_message,
     unpack_quota_message,
 )
-from trackspread.decide.model import TICK
+from trackspread.decide.time_units import TICK
 from trackspread.decide.quota import SILENT, Quota
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
@@ -202,8 +202,8 @@
         net.come(0, gateway, gateway + 1)
     net.wire.clear()
     for gateway in range(gateways):
-        net.give(2 * TICK, gateway, TimerFired(EVERY_TICK))
-        assert not net.gateways[gateway].queued
+        net.give(2 * TICK, gateway, TimerFired(TICK_TIMER))
+        assert not net.gateways[gateway].admission.queued
     answered = len(net.sent) + len(net.refused)
     assert answered == gateways and 0 < len(net.sent) <= gateways
     assert gateways == FEW or len(net.sent) <= gateways / 2
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -155,7 +155,7 @@
     refused = module.handle(at, arrival(20, at))
     assert [type(a) for a in refused] == [Reject], "0.4 units are left of 2"
     for number in range(1, 9):
-        tried = module.attempts[number, 0].tried_backends
+        tried = module.requests.attempts[number, 0].tried_backends
         module.handle(100 * MS, ended(number, next(iter(tried)), elapsed=90 * MS))
     at = 5_000 * MS
     assert any(isinstance(a, StartAttempt) for a in module.handle(at, arrival(21, at))), (
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,8 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 
-from trackspread.decide.broker import EVERY_TICK, HOLD, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
+from trackspread.decide.quota_admission import ANSWER_TIMEOUT_NS
 from trackspread.decide.actions import Action, AddToCounter, Fail, Reject, SendToPeers, SetTimer, StartAttempt
 from trackspread.decide.backends import EndpointUpdateKind
 from trackspread.decide.events import CounterAnswered, Event, Outcome, PeerMessage, TimerFired
@@ -22,7 +23,7 @@
     pack_quota_message,
     unpack_quota_message,
 )
-from trackspread.decide.model import TICK
+from trackspread.decide.time_units import TICK
 from trackspread.decide.quota import OPEN, Quota
 
 from .helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
@@ -83,9 +84,9 @@
             request, before = start + i, len(self.sent)
             spread = {"gateway_span": len(self.gateways), **changes}
             self.give(now, position, arrival(request, now, **spread))
-            late = now + 2 * HOLD
-            if request in self.gateways[position].open_requests and len(self.sent) == before:
-                self.give(late, position, TimerFired(EVERY_TICK))
+            late = now + 2 * ANSWER_TIMEOUT_NS
+            if request in self.gateways[position].requests.open_requests and len(self.sent) == before:
+                self.give(late, position, TimerFired(TICK_TIMER))
             for _, send in self.sent[before:]:
                 self.give(late, position, ended(send.request, send.backend))
 
@@ -152,7 +153,7 @@
     )
     g.handle(0, full_list(backend(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_span=MANY)) if isinstance(a, AddToCounter)]
-    g.open_requests.pop(1)
+    g.requests.open_requests.pop(1)
     back = g.handle(2 * MS, CounterAnswered(MS, Outcome.OK, call.key, call.amount))
     assert [a.amount for a in back if isinstance(a, AddToCounter) and a.amount == -OPEN] == [-OPEN]
 
@@ -170,7 +171,7 @@
     g.handle(2 * MS, CounterAnswered(MS, Outcome.OK, call.key, call.amount))
     (back,) = [a for a in g.handle(3 * MS, ended(1, 1)) if isinstance(a, AddToCounter)]
     g.handle(4 * MS, CounterAnswered(MS, Outcome.REJECTED, back.key, 0.0))
-    told = [a for i in range(20) for a in g.handle(i * TICK, TimerFired(EVERY_TICK))]
+    told = [a for i in range(20) for a in g.handle(i * TICK, TimerFired(TICK_TIMER))]
     assert [a.amount for a in told if isinstance(a, AddToCounter)] == [-OPEN]
 
 
@@ -212,11 +213,11 @@
     g = Broker(settings(gateway_count=MANY, peer_messages_per_s=40.0), 7, 0)
     g.handle(0, full_list(backend(1)))
     asked = [a for i in range(5) for a in g.handle(MS, arrival(i, MS, customer=i, gateway_span=MANY))]
-    held = len(g.queued)
+    held = len(g.admission.queued)
     assert held == sum(isinstance(a, SendToPeers) for a in asked) > 0
-    after = g.handle(MS + HOLD, TimerFired(EVERY_TICK))
+    after = g.handle(MS + ANSWER_TIMEOUT_NS, TimerFired(TICK_TIMER))
     assert sum(isinstance(a, StartAttempt | Reject) for a in after) == held
-    assert not g.queued
+    assert not g.admission.queued
 
 
 def test_cold_backend_gets_its_part_from_all_gateways_together() -> None:
@@ -255,7 +256,7 @@
             for i in range(300):
                 g.handle(i * 10 * MS, arrival(i, i * 10 * MS, customer=i % 40, gateway_span=gateways))
                 if i % 10 == 0:
-                    g.handle(i * 10 * MS, TimerFired(EVERY_TICK))
+                    g.handle(i * 10 * MS, TimerFired(TICK_TIMER))
         finally:
             sys.setprofile(None)
         return seen
@@ -342,7 +343,7 @@
 
     def feed(self, now: int, event: Event) -> None:
         super().feed(now, event)
-        for held in list(self.gateway.queued):
+        for held in list(self.gateway.admission.queued):
             answer = self.log and held % 3
             if answer:
                 word = pack_quota_message(
@@ -359,7 +360,7 @@
     def end(self, now: int, attempt: tuple[int, int], outcome: Outcome) -> None:
         super().end(now, attempt, outcome)
         if outcome is Outcome.TIMEOUT:
-            self.feed(now + SECOND, TimerFired(EVERY_TICK))
+            self.feed(now + SECOND, TimerFired(TICK_TIMER))
 
     def play(self, steps: list[tuple[str, int, Outcome, int, int]]) -> None:
         super().play([*steps, ("tick", 0, Outcome.OK, 400, 0)])
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -12,7 +12,7 @@
 
 from trackspread.config.addresses import ConfigError
 from trackspread.config.operator import parse
-from trackspread.decide.broker import EVERY_TICK, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
 from trackspread.decide.actions import (
     Action,
     LogMessage,
@@ -123,10 +123,10 @@
     made.handle(2 * MS, ended(1, second, attempt=1))
     made.handle(2 * MS, arrival(2, 2 * MS, UNSAFE))
     made.handle(3 * MS, ClientDisconnected(2))
-    assert not any(broker.open_requests for broker in made.brokers)
+    assert not any(broker.requests.open_requests for broker in made.brokers)
     made.handle(4 * MS, ended(2, 21, Outcome.CANCELLED))
     made.handle(4 * MS, ended(2, 22, Outcome.CANCELLED))
-    assert not any(broker.attempts or broker.in_flight for broker in made.brokers)
+    assert not any(broker.requests.attempts or broker.requests.in_flight for broker in made.brokers)
 
 
 def test_a_quota_is_one_over_all_services() -> None:
@@ -153,7 +153,7 @@
     for step in range(800):
         now += 10 * MS
         if step % 10 == 0:
-            made.handle(now, TimerFired(EVERY_TICK))
+            made.handle(now, TimerFired(TICK_TIMER))
         for _, request, server, took in [each for each in due if each[0] <= now]:
             made.handle(now, ended(request, server, elapsed=took))
         due = [each for each in due if each[0] > now]
@@ -182,8 +182,8 @@
     made.handle(MS, arrival(2, MS, UNSAFE, gateway_span=1))
     assert alone > 0 and cap(made, 1) > alone
     lookups, charges = made.brokers[LOOKUPS], made.brokers[CHARGES]
-    assert lookups.commitments[1].in_flight == charges.commitments[1].in_flight == 1
-    assert made.quota.accounts[1].in_flight == 2 and not made.brokers[DEFAULT].commitments
+    assert lookups.commitments.by_tenant[1].in_flight == charges.commitments.by_tenant[1].in_flight == 1
+    assert made.quota.accounts[1].in_flight == 2 and not made.brokers[DEFAULT].commitments.by_tenant
 
 
 def test_one_beat_serves_all_and_peers_are_told_once() -> None:
@@ -191,14 +191,14 @@
     timers, words = 0, 0
     for beat in range(1, 101):
         now = beat * 100 * MS
-        actions = made.handle(now, TimerFired(EVERY_TICK))
+        actions = made.handle(now, TimerFired(TICK_TIMER))
         timers += sum(isinstance(each, SetTimer) for each in actions)
         words += sum(isinstance(each, SendToPeers) for each in actions)
     plain = Broker(settings(gateway_count=2, plans=(WIDE,)), 7, 0)
     told = sum(
         isinstance(each, SendToPeers)
         for beat in range(1, 101)
-        for each in plain.handle(beat * 100 * MS, TimerFired(EVERY_TICK))
+        for each in plain.handle(beat * 100 * MS, TimerFired(TICK_TIMER))
     )
     assert timers == 100 and words == told > 0
 
@@ -251,7 +251,7 @@
     assert sends(made.handle(32 * MS, arrival(60, 32 * MS, 3)))[0] in {21, 22}
     assert sends(made.handle(32 * MS, arrival(61, 32 * MS, 4)))[0] in {1, 2}
     made.handle(33 * MS, ended(50, open_before[0]))
-    assert all((50, 0) not in broker.attempts for broker in made.brokers)
+    assert all((50, 0) not in broker.requests.attempts for broker in made.brokers)
 
 
 def test_an_open_request_keeps_its_class_when_another_number_goes_to_another_service() -> None:
@@ -267,12 +267,15 @@
     listed(made)
     (sent,) = sends(made.handle(MS, arrival(1, MS, 1)))
     lookups, charges = made.brokers[LOOKUPS], made.brokers[CHARGES]
-    held = lookups.open_requests[1].arrival.request_class
+    held = lookups.requests.open_requests[1].arrival.request_class
     again = replace(charge, name="charge2")
     # Nobody holds the first class any more: its number is a charge's now, and a lookup comes under a new one.
     event = ClassesChanged((again, second, charge, first), frozenset({0, 1, 2, 3}), (-1, 1, 2, 0), 4)
     made.handle(2 * MS, event)
-    assert lookups.settings.classes[held] == second and lookups.open_requests[1].arrival.request_class == held
+    assert (
+        lookups.settings.classes[held] == second
+        and lookups.requests.open_requests[1].arrival.request_class == held
+    )
     assert lookups.settings.classes == (first, second) and charges.settings.classes == (charge, again)
     assert sends(made.handle(3 * MS, arrival(2, 3 * MS, 0)))[0] in {21, 22}
     assert sends(made.handle(3 * MS, arrival(3, 3 * MS, 3)))[0] in {11, 12}
@@ -328,7 +331,7 @@
         now += rng.randrange(30 * MS)
         events: list[Any] = [arrival(request, now, rng.randrange(3), rng.randrange(6), gateway_span=2)]
         if request % 7 == 0:
-            events.append(TimerFired(EVERY_TICK))
+            events.append(TimerFired(TICK_TIMER))
         if request % 50 == 0:
             events.insert(0, full_list(*(backend(n, booted=rng.choice((0, now))) for n in range(1, 6))))
         if out and rng.random() < 0.8:
@@ -338,7 +341,7 @@
             told = one.handle(now, event)
             assert several.handle(now, event) == told
             out += [
-                (each.request, one.open_requests[each.request].attempts_started - 1, each.backend)
+                (each.request, one.requests.open_requests[each.request].attempts_started - 1, each.backend)
                 for each in told
                 if isinstance(each, StartAttempt)
             ]
--- a/tests/test_unheard.py
+++ b/tests/test_unheard.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from trackspread.decide.broker import EVERY_TICK, FORGET_ONCE, Broker
+from trackspread.decide.broker import TICK_TIMER, Broker
+from trackspread.decide.idle_accounts import RARE_ACCOUNT_LIFETIME_NS
 from trackspread.decide.actions import StartAttempt
 from trackspread.decide.events import FleetChanged, TimerFired
 from trackspread.decide.chance import blind_chance
@@ -96,8 +97,8 @@
     for customer in range(20):
         gateway.handle(0, arrival(customer, 0, customer=customer, gateway_span=200))
         gateway.handle(0, ended(customer, 1))
-    later = int(1.5 * FORGET_ONCE)
-    gateway.handle(later, TimerFired(EVERY_TICK))
+    later = int(1.5 * RARE_ACCOUNT_LIFETIME_NS)
+    gateway.handle(later, TimerFired(TICK_TIMER))
     for customer in range(20):
         actions = gateway.handle(later, arrival(100 + customer, later, customer=customer, gateway_span=200))
         assert not any(isinstance(action, StartAttempt) for action in actions)
--- a/trackspread/decide/commitment.py
+++ b/trackspread/decide/commitment.py
@@ -10,19 +10,17 @@
 
 @dataclass(slots=True)
 class Commitment:
-    """One customer's requests to one service: how many are in flight, and the cap on that."""
+    """One tenant's requests to one service: how many are in flight, and the cap on that."""
 
     account: TenantAccount
-    last_request_ns: int  # when a request last came
+    last_request_ns: int  # when a request last arrived
     evaluated_at_ns: int
-    mean_in_flight: DecayingMean
-    demand: DecayingMean
-    cap: int = 0  # 0: it has ended, or has not begun
-    in_flight: int = 0
-    streaming: int = 0  # of them: long values that are being passed on, at their reader's pace
-    priority: float = 0.0
-    max_wait_ns: float = 0.0
-    latency_objective_ns: int = 0
-    min_throughput_per_s: float = (
-        0.0  # requests a second that it is to be let through, as of its last evaluation
-    )
+    mean_in_flight: DecayingMean  # requests
+    demand: DecayingMean  # units that each request asked for
+    cap: int = 0  # requests in flight; 0: it has ended, or has not begun
+    in_flight: int = 0  # attempts
+    streaming: int = 0  # of them: values that are being passed on, at their reader's pace
+    priority: float = 0.0  # recent priority weight per ns of service
+    max_wait_ns: float = 0.0  # mean wait in the service's queue that its requests bear
+    latency_objective_ns: int = 0  # the longest of its requests' classes
+    min_throughput_per_s: float = 0.0  # requests that it is to be granted, as of its last evaluation
--- /dev/null
+++ b/trackspread/decide/commitments.py
@@ -0,0 +1,154 @@
+"""The commitment table: what each tenant's commitment asks for, and the cap that it is granted.
+
+A commitment begins with a tenant's first request and ends once none came for a while. Without congestion it
+is granted what it asks for; else the model and the seven cases say how much fits beside the others.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from math import ceil, inf
+from typing import NamedTuple
+
+from .commitment import Commitment
+from .competing_commitments import CompetingCommitments
+from .concurrency_model import QueueModel
+from .decaying_mean import SHORT_TERM, DecayingMean
+from .quota import Quota
+from .settings import RequestClass
+from .seven_cases import seven_cases
+from .tenant_account import TenantAccount
+from .time_units import SECOND
+
+EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
+IDLE_COMMITMENT_NS = 10 * SECOND  # without requests, after which it ends; outlasts a steady tenant's lulls
+MIN_REQUESTED = 2  # requests in flight that each commitment asks for at least
+PRIORITY_GAIN = 0.2  # weight of a request's priority in its commitment's
+MAX_WAIT_GROWTH = 1.01  # by each request: a class that has not come for long must not bound the wait
+
+
+class RequestedCapacity(NamedTuple):
+    """What a commitment asks for: requests in flight, and requests a second."""
+
+    concurrency: int
+    min_throughput_per_s: float
+
+
+class CommitmentTable:
+    """All commitments of one service at this gateway."""
+
+    def __init__(self, model: QueueModel, quota: Quota) -> None:
+        self._model = model
+        self._quota = quota
+        self.by_tenant: dict[int, Commitment] = {}  # each for as long as its account
+        self.active: dict[int, Commitment] = {}  # by tenant, those that have a cap
+        self._competing = CompetingCommitments()  # under congestion, as of the last tick
+
+    def of_account(self, now: int, account: TenantAccount) -> Commitment:
+        """The tenant's commitment; one that has not begun where there is none."""
+        found = self.by_tenant.get(account.tenant)
+        if found is None or found.account is not account:
+            found = Commitment(
+                account, now, -EVALUATION_INTERVAL_NS, DecayingMean(SHORT_TERM), DecayingMean(SHORT_TERM)
+            )
+            self.by_tenant[account.tenant] = found
+        return found
+
+    def count_arrival(
+        self,
+        now: int,
+        commitment: Commitment,
+        request_class: RequestClass,
+        priority: float,
+        max_wait_ns: float,
+    ) -> None:
+        """A request of the commitment's has arrived; `priority`: in priority weight per ns of service."""
+        commitment.priority += PRIORITY_GAIN * (priority - commitment.priority)
+        if commitment.max_wait_ns:
+            commitment.max_wait_ns = min(commitment.max_wait_ns, max_wait_ns) * MAX_WAIT_GROWTH
+        else:
+            commitment.max_wait_ns = max_wait_ns
+        commitment.latency_objective_ns = max(
+            commitment.latency_objective_ns, request_class.latency_objective_ns
+        )
+        if not commitment.cap:
+            self.evaluate(now, commitment)
+
+    def evaluate_due(self, now: int) -> None:
+        """End idle commitments, and evaluate those that were not for a while."""
+        for commitment in list(self.active.values()):
+            commitment.mean_in_flight.add(now, commitment.in_flight)
+            if now - commitment.last_request_ns > IDLE_COMMITMENT_NS and not commitment.in_flight:
+                commitment.cap = 0
+                del self.active[commitment.account.tenant]
+        self._competing = CompetingCommitments(self.active.values() if self._model.is_congested else ())
+        self._evaluate_each(
+            now, (c for c in self.active.values() if now - c.evaluated_at_ns >= EVALUATION_INTERVAL_NS)
+        )
+
+    def evaluate_all(self, now: int) -> int:
+        """Evaluate all commitments; returns how many were granted less than they ask for."""
+        evaluated = self._evaluate_each(now, self.active.values())
+        return sum(each.cap < self.requested(now, each).concurrency for each in evaluated)
+
+    def _evaluate_each(self, now: int, commitments: Iterable[Commitment]) -> list[Commitment]:
+        """Evaluate these, the least priority first, so that cuts fall on it."""
+        in_order = sorted(commitments, key=lambda each: (each.priority, each.account.tenant))
+        for commitment in in_order:
+            self.evaluate(now, commitment)
+        return in_order
+
+    def requested(self, now: int, commitment: Commitment) -> RequestedCapacity:
+        """What the commitment asks for: by its rate, this gateway's share of the quota over a latency
+        objective and of the burst; where the plan has no rate, its concurrency limit."""
+        account = commitment.account
+        demand = commitment.demand
+        requests_per_unit = self._quota.local_share(now, account) / (demand.value or 1.0)
+        rate_per_s = account.plan.rate_per_s * requests_per_unit
+        burst = account.plan.burst_units * requests_per_unit
+        concurrency = ceil(rate_per_s * commitment.latency_objective_ns / SECOND + burst)
+        if not account.plan.rate_per_s:
+            concurrency = max(concurrency, account.plan.concurrency_limit)
+        return RequestedCapacity(max(MIN_REQUESTED, concurrency), min(rate_per_s, demand.rate_per_s(now)))
+
+    def evaluate(self, now: int, commitment: Commitment) -> None:
+        """Grant the commitment a cap."""
+        commitment.evaluated_at_ns = now
+        self.active[commitment.account.tenant] = commitment
+        requested = self.requested(now, commitment)
+        commitment.min_throughput_per_s = requested.min_throughput_per_s
+        if not self._model.is_congested:
+            commitment.cap = requested.concurrency
+            return
+        in_use = ceil(commitment.mean_in_flight.value)
+        commitment.cap = max(1, self._offered(commitment, max(requested.concurrency, in_use)))
+        self._competing.update(commitment)
+
+    def _offered(self, commitment: Commitment, requested: int) -> int:
+        """What the seven cases offer under congestion."""
+        model = self._model
+        others = self._competing.without(commitment)
+        others_max_wait_ns = others.max_wait_ns if others.max_wait_ns != inf else commitment.max_wait_ns
+
+        def wait_ns(in_flight: int) -> float:
+            return model.response_time_ns(others.in_flight + in_flight) - model.delay_ns
+
+        def is_fast(in_flight: int) -> bool:
+            return wait_ns(in_flight) <= commitment.max_wait_ns
+
+        def is_throughput_met(in_flight: int) -> bool:
+            response_time_ns = model.delay_ns + wait_ns(in_flight)
+            return in_flight * SECOND >= commitment.min_throughput_per_s * response_time_ns
+
+        def spares_others(in_flight: int) -> bool:
+            wait = wait_ns(in_flight)
+            return wait <= others_max_wait_ns and model.delay_ns + wait <= others.max_response_time_ns
+
+        levels = len(model.response_times_ns)
+        return seven_cases(requested, levels, is_fast, is_throughput_met, spares_others)
+
+    def forget_all_but(self, accounts: dict[int, TenantAccount]) -> None:
+        """Forget the commitments of accounts that are gone."""
+        self.by_tenant = {
+            tenant: each for tenant, each in self.by_tenant.items() if accounts.get(tenant) is each.account
+        }
--- /dev/null
+++ b/trackspread/decide/concurrency_model.py
@@ -0,0 +1,119 @@
+"""The closed queuing model of a service: how response times depend on the number of requests in flight.
+
+May know: latencies and numbers in flight that the broker hands in. May not know: tenants, quotas, backends.
+"""
+
+from __future__ import annotations
+
+from math import ceil
+
+from .decaying_mean import LONG_TERM, SHORT_TERM, DecayingMean, inherited
+from .events import ClassesChanged
+from .mean_value_analysis import mean_values
+from .settings import Settings
+from .time_units import SECOND, TICK
+
+LATENCY_SAMPLES = 8.0  # that a class's recent latency rests on; where few come, its time constant is longer
+MIN_SAMPLES = 0.5  # weight from which a class counts at all
+MIN_SAMPLES_FOR_SHORTEST = 4.0  # weight from which a recent latency may become the shortest
+SHORTEST_LATENCY_GROWTH_PER_S = 0.01  # part by which the shortest latency grows, as backends may get slower
+CONGESTION_WAIT = 0.15  # part of the time between delay and objective; a mean wait below it is noise
+TARGET_WAIT = 0.4  # part of that time which the mean wait may take: latencies vary round their mean
+MIN_HEADROOM = 0.25  # least time for waiting, as a part of the latency objective
+DEMAND_BISECTIONS = 20
+LEVELS_PER_IN_FLIGHT = 4  # levels modelled, for each request in flight ...
+EXTRA_LEVELS = 20  # ... and beyond these
+
+
+class QueueModel:
+    """One delay and one shared queue, whose demand is fitted to the recent latency at the recent number of
+    requests in flight. Times are ns."""
+
+    def __init__(self, settings: Settings) -> None:
+        self.latency_objectives_ns = [float(each.latency_objective_ns) for each in settings.classes]
+        self.active_classes = frozenset(range(len(settings.classes)))  # classes that may arrive
+        self.latency = [DecayingMean(SHORT_TERM) for _ in settings.classes]
+        self.shortest_ns = [0.0] * len(settings.classes)
+        self.mean_in_flight = DecayingMean(SHORT_TERM)
+        self.mean_latency_ns = 0.0
+        self.delay_ns = 0.0
+        self.is_congested = False
+        self.response_times_ns = [0.0]  # by number of requests in flight
+        self.concurrency_limit: int | None = None  # None where there is no congestion
+
+    def change_classes(self, event: ClassesChanged) -> None:
+        """Other classes are in force; what was learned goes with those that inherit it."""
+        self.latency_objectives_ns = [float(each.latency_objective_ns) for each in event.classes]
+        self.active_classes = event.active
+        self.latency = inherited(self.latency, event.predecessors, lambda: DecayingMean(SHORT_TERM))
+        self.shortest_ns = inherited(self.shortest_ns, event.predecessors, float)
+
+    def fit(self, now: int, in_flight: int, outstanding: list[tuple[int, int]]) -> None:
+        """Fit the model anew. `outstanding`: class and age in ns of each attempt without a response; those
+        older than the mean latency count as responses that late, so that a jam shows in time."""
+        total_latency = total_delay = total_headroom = total_time_constant = 0.0
+        weight = 0.0
+        for number, latency in enumerate(self.latency):
+            self._adapt_time_constant(now, latency)
+            if latency.weight < MIN_SAMPLES:
+                continue
+            late = [age for each, age in outstanding if each == number and age > latency.value]
+            class_weight = latency.weight + len(late)
+            mean = (latency.total + sum(late)) / class_weight
+            self._update_shortest(number, latency)
+            total_latency = total_latency + mean * class_weight
+            weight = weight + class_weight
+            total_delay = total_delay + (self.shortest_ns[number] or mean) * class_weight
+            total_headroom += class_weight * self.headroom_ns(number)
+            total_time_constant += class_weight * latency.time_constant_ns
+        # Remembered as long as the latencies: where few come, they outlast a number in flight that fell
+        # since, and at that number would read as a demand that grows the less this gateway sends.
+        self.mean_in_flight.time_constant_ns = int(total_time_constant / weight) if weight else SHORT_TERM
+        self.mean_in_flight.add(now, in_flight)
+        self.is_congested = False
+        self.concurrency_limit = None
+        if not weight:
+            return
+        self.mean_latency_ns = total_latency / weight
+        self.delay_ns = min(total_delay / weight, total_latency / weight)
+        mean_in_flight = ceil(self.mean_in_flight.value)
+        mean_wait_ns = self.mean_latency_ns - self.delay_ns
+        self.is_congested = mean_wait_ns > CONGESTION_WAIT * total_headroom / weight and mean_in_flight > 1
+        if self.is_congested:
+            self._fit_demand(mean_in_flight)
+
+    @staticmethod
+    def _adapt_time_constant(now: int, latency: DecayingMean) -> None:
+        span_ns = LATENCY_SAMPLES * SECOND / max(1e-3, latency.rate_per_s(now))
+        latency.time_constant_ns = int(min(LONG_TERM, max(SHORT_TERM, span_ns)))
+
+    def _update_shortest(self, request_class: int, latency: DecayingMean) -> None:
+        if latency.weight < MIN_SAMPLES_FOR_SHORTEST:
+            return
+        grown = self.shortest_ns[request_class] * (1.0 + SHORTEST_LATENCY_GROWTH_PER_S * TICK / SECOND)
+        self.shortest_ns[request_class] = min(grown, latency.value) if grown else latency.value
+
+    def _fit_demand(self, in_flight: int) -> None:
+        """Find by bisection the demand that gives the mean latency, and the limit that follows from it."""
+        low, high = 0.0, self.mean_latency_ns
+        for _ in range(DEMAND_BISECTIONS):
+            demand = (low + high) / 2
+            if mean_values(demand, self.delay_ns, in_flight)[in_flight] > self.mean_latency_ns:
+                high = demand
+            else:
+                low = demand
+        levels = LEVELS_PER_IN_FLIGHT * in_flight + EXTRA_LEVELS
+        self.response_times_ns = mean_values(high, self.delay_ns, levels)
+        max_wait_ns = TARGET_WAIT * min(self.headroom_ns(number) for number in self.active_classes)
+        within = sum(time_ns - self.delay_ns <= max_wait_ns for time_ns in self.response_times_ns)
+        self.concurrency_limit = max(2, within - 1)
+
+    def headroom_ns(self, request_class: int) -> float:
+        """Time that a request of the class may wait: its objective beyond the shortest latency."""
+        objective_ns = self.latency_objectives_ns[request_class]
+        return max(objective_ns - self.shortest_ns[request_class], objective_ns * MIN_HEADROOM)
+
+    def response_time_ns(self, in_flight: float) -> float:
+        """The modelled response time with so many requests in flight."""
+        last = len(self.response_times_ns) - 1
+        return self.response_times_ns[min(max(0, round(in_flight)), last)]
--- a/trackspread/decide/mean_value_analysis.py
+++ b/trackspread/decide/mean_value_analysis.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 
-def mean_values(demand: float, delay: float, most: int) -> list[float]:
-    """Mean value analysis of one delay and one queue: response times for 0..most in flight."""
-    times, queued = [delay + demand], 0.0
-    for n in range(1, most + 1):
-        wait = demand * (1.0 + queued)
-        times.append(delay + wait)
-        queued = n * wait / (delay + wait)
-    return times
+def mean_values(demand: float, delay: float, max_in_flight: int) -> list[float]:
+    """Response times of one delay and one queue, for 0 to `max_in_flight` requests in flight.
+
+    `demand`: service time at the queue; `delay`: time elsewhere, without queuing. All in the same unit."""
+    response_times = [delay + demand]
+    queue_length = 0.0
+    for in_flight in range(1, max_in_flight + 1):
+        wait = demand * (1.0 + queue_length)
+        response_times.append(delay + wait)
+        queue_length = in_flight * wait / (delay + wait)
+    return response_times
--- a/trackspread/decide/open_request.py
+++ b/trackspread/decide/open_request.py
@@ -7,7 +7,7 @@
 from .backends import Backend
 from .commitment import Commitment
 from .events import RequestArrived
-from .tenant_account import NO_BALANCES, TenantAccount, Balances
+from .tenant_account import NO_BALANCES, Balances, TenantAccount
 
 
 @dataclass(slots=True)
@@ -16,23 +16,22 @@
 
     arrival: RequestArrived
     commitment: Commitment
-    max_attempts: int  # attempts, as the settings had it when it came
+    max_attempts: int  # as the settings had it when the request arrived
     attempts_started: int = 0
     attempts_in_flight: int = 0
-    tried_backends: set[int] = field(default_factory=set)
+    tried_backends: set[int] = field(default_factory=set)  # ids
     may_have_executed: bool = False
-    deduplicated_from_ns: int = 0
-    deduplicated_by: Backend | None = None
+    deduplicated_from_ns: int = 0  # start of the first attempt that may have executed
+    deduplicated_by: Backend | None = None  # where that one went: its zone or cell remembers the key
     last_attempt_at_ns: int = 0
-    first_byte_after_ns: int = 0  # ns from an attempt's start to the first byte of its long value
-    queued_at_ns: int = 0
-    counted_remotely: bool = False  # counted as out on the counter
-    balances_before: Balances = NO_BALANCES  # in the account's stores before it took of them ...
+    first_byte_after_ns: int = 0  # from an attempt's start to the first byte of its long value; 0: none
+    queued_at_ns: int = 0  # when it was queued for an answer; 0: never
+    counted_remotely: bool = False  # counted as in flight at the quota's owner or on the counter
+    balances_before: Balances = NO_BALANCES  # of the account, before the request took of them ...
     balances_taken: Balances = NO_BALANCES  # ... and what it took
-    reached_backend: bool = (
-        False  # whether an attempt may have come whole to a backend: then the units are used
-    )
+    reached_backend: bool = False  # an attempt may have come to a backend: then the units are used
 
     @property
     def account(self) -> TenantAccount:
+        """The quota state of the request's tenant."""
         return self.commitment.account
--- /dev/null
+++ b/trackspread/decide/quota_admission.py
@@ -0,0 +1,206 @@
+"""Admission within the quota: a request is admitted or rejected by what is known here of its tenant's quota,
+or queued for an answer of whoever knows it: the quota's owner, the shared counter, or the host."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+
+from .actions import Action, RequestAllocation
+from .commitment import Commitment
+from .concurrency_model import QueueModel
+from .open_request import OpenRequest
+from .peer_messages import QuotaMessageKind
+from .quota import FRESH, OPEN, Quota
+from .rejection import rejection
+from .request_table import RequestTable
+from .retry_policy import RetryPolicy
+from .settings import Settings
+from .tenant_account import TenantAccount
+from .time_units import TICK
+
+ANSWER_TIMEOUT_NS = TICK // 2  # over a round trip between gateways, far below a latency objective
+MIN_TIME_FOR_ANSWER_NS = 4 * TICK  # that a request must have left to be queued
+FRESH_ENOUGH_NS = FRESH // 4  # age up to which a balance known from the counter is acted upon at once
+MISCOUNTED = -OPEN / 2  # counter correction that stands for an attempt counted though none is in flight
+
+
+class QuotaAdmission:
+    """Admits requests within their tenants' quotas."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        quota: Quota,
+        model: QueueModel,
+        requests: RequestTable,
+        retry_policy: RetryPolicy,
+        rng: random.Random,
+    ) -> None:
+        self.settings = settings
+        self._quota = quota
+        self._model = model
+        self._requests = requests
+        self._retry_policy = retry_policy
+        self._rng = rng
+        self.queued: dict[int, OpenRequest] = {}  # by the number of the query that they wait for
+
+    def decide(self, now: int, request: OpenRequest) -> list[Action]:
+        """Admit or reject a request, or queue it for an answer."""
+        quota = self._quota
+        account = request.account
+        plan = account.plan
+        overage_pays = plan.overage_weight > plan.overage_cost and not self._model.is_congested
+        # So fresh a balance is acted upon at once, and the use announced afterwards.
+        is_balance_fresh = quota.uses_counter and now - account.tokens_known_at_ns < FRESH_ENOUGH_NS
+        request.balances_before = account.balances()
+        if is_balance_fresh or quota.is_local(account):
+            return self._decide_locally(now, request, overage_pays, is_balance_fresh)
+        return self._decide_by_query(now, request, overage_pays)
+
+    def _decide_locally(
+        self, now: int, request: OpenRequest, overage_pays: bool, announces: bool
+    ) -> list[Action]:
+        quota = self._quota
+        account = request.account
+        arrival = request.arrival
+        has_capacity = overage_pays or quota.has_capacity(now, account, arrival.units)
+        if has_capacity and quota.spend(account, arrival.units, overage_pays):
+            return self.admit(now, request, announces) + quota.request_transfer(now, account)
+        if account.more_expected and not request.queued_at_ns and self._has_time_for_answer(now, request):
+            quota.last_query = (quota.last_query + 1) & 0xFFFFFFFF
+            self._queue(now, quota.last_query, request)
+            return [RequestAllocation(arrival.tenant)]
+        account.rejection_reason = quota.missing_limit(now, account, arrival.units)
+        return [rejection(arrival, self.settings), *quota.request_transfer(now, account)]
+
+    def _decide_by_query(self, now: int, request: OpenRequest, overage_pays: bool) -> list[Action]:
+        """Ask the owner of the quota or the counter, and queue the request until it answers."""
+        quota = self._quota
+        account = request.account
+        plan = account.plan
+        if not overage_pays and quota.is_known_spent(account, request.arrival.units):
+            return [rejection(request.arrival, self.settings)]
+        if not self._may_query(account):
+            return self._decide_without_answer(now, request)
+        if overage_pays and not plan.hard_limit_per_s:
+            return self.admit(now, request, quota.counter_call_rate >= 1.0)
+        has_time = self._has_time_for_answer(now, request)
+        if not has_time and plan.concurrency_limit and quota.has_owner(account):
+            # The owner would count an attempt in flight that nobody starts.
+            return self._decide_without_answer(now, request)
+        number, query = quota.query(now, account, request.arrival.units, QuotaMessageKind.REQUEST)
+        if not has_time:
+            return [query, *self._decide_without_answer(now, request)]
+        self._queue(now, number, request)
+        return [query]
+
+    def _may_query(self, account: TenantAccount) -> bool:
+        quota = self._quota
+        if quota.has_owner(account):
+            return True
+        return quota.uses_counter and self._rng.random() < quota.counter_call_rate
+
+    @staticmethod
+    def _has_time_for_answer(now: int, request: OpenRequest) -> bool:
+        return request.arrival.expires_at_ns - now >= MIN_TIME_FOR_ANSWER_NS
+
+    def _queue(self, now: int, query: int, request: OpenRequest) -> None:
+        request.queued_at_ns = now
+        self.queued[query] = request
+        self._requests.open_requests[request.arrival.request] = request
+
+    def _decide_without_answer(self, now: int, request: OpenRequest) -> list[Action]:
+        request.balances_before = request.account.balances()
+        if self._quota.spend_without_answer(now, request.account, request.arrival.units):
+            return self.admit(now, request, False)
+        return [rejection(request.arrival, self.settings)]
+
+    def admit(self, now: int, request: OpenRequest, announces: bool) -> list[Action]:
+        """Start the first attempt of a request within its quota. `announces`: tell the owner or counter of
+        the units used."""
+        quota = self._quota
+        arrival = request.arrival
+        account = request.account
+        attempt = self._requests.start_attempt(now, request)
+        if attempt is None:
+            account.give_back(account.taken_since(request.balances_before))
+            return [rejection(arrival, self.settings)]
+        self._requests.open_requests[arrival.request] = request
+        self._retry_policy.count_request()
+        if announces or quota.has_owner(account):
+            request.counted_remotely = True
+        if quota.has_owners and not quota.is_local(account):
+            account.count_forwarded(arrival.units)
+        request.balances_taken = account.taken_since(request.balances_before)
+        if not announces:
+            return [attempt]
+        return [attempt, quota.query(now, account, arrival.units, QuotaMessageKind.SPENT)[1]]
+
+    def answered(self, now: int, query: int, granted: bool | None, further: list[Action]) -> list[Action]:
+        """The query was answered: admit or reject the request that waits for it. `granted`: None where no
+        answer came; then this gateway decides alone. `further`: actions that precede."""
+        request = self.queued.pop(query, None)
+        if request is None:
+            return further
+        account = request.account
+        request.counted_remotely = granted is True
+        request.balances_before = account.balances()
+        if self._quota.has_owner(account):
+            account.pending_queries -= 1
+        actions = list(further)
+        if self._requests.open_requests.pop(request.arrival.request, None):
+            if granted is None:
+                actions += self._decide_without_answer(now, request)
+            elif granted:
+                actions += self.admit(now, request, False)
+            else:
+                actions.append(rejection(request.arrival, self.settings))
+        return actions + self.release(now, request)
+
+    def allocation_changed(self, now: int, tenant: int) -> list[Action]:
+        """Decide the tenant's queued requests by the allocation that is held here now."""
+        numbers = [number for number, request in self.queued.items() if request.account.tenant == tenant]
+        waiting = [self.queued.pop(number) for number in numbers]
+        open_requests = self._requests.open_requests
+        still_open = [each for each in waiting if open_requests.pop(each.arrival.request, None)]
+        return [action for request in still_open for action in self.decide(now, request)]
+
+    def reject_queued(self) -> list[Action]:
+        """Reject all queued requests: their answers go to another process from now on."""
+        waiting = list(self.queued.values())
+        self.queued.clear()
+        for request in waiting:
+            request.account.pending_queries = 0
+        open_requests = self._requests.open_requests
+        return [
+            rejection(request.arrival, self.settings)
+            for request in waiting
+            if open_requests.pop(request.arrival.request, None)
+        ]
+
+    def resolve_overdue(self, now: int) -> list[Action]:
+        """Decide queued requests whose answer did not come in time."""
+        overdue = [
+            query for query, request in self.queued.items() if now - request.queued_at_ns >= ANSWER_TIMEOUT_NS
+        ]
+        return [action for query in overdue for action in self.answered(now, query, None, [])]
+
+    def correct_counter(self, now: int, commitments: Iterable[Commitment]) -> list[Action]:
+        """Tell the counter again of attempts that it counts though they ended: it would lock tenants out."""
+        quota = self._quota
+        miscounted = [
+            each.account for each in commitments if each.account.counter_correction_units <= MISCOUNTED
+        ]
+        return [
+            quota.call_counter(now, account, 0.0)
+            for account in miscounted
+            if self._rng.random() < quota.counter_call_rate
+        ]
+
+    def release(self, now: int, request: OpenRequest) -> list[Action]:
+        """Tell the owner or the counter where no attempt of the request is in flight any more."""
+        if request.attempts_in_flight or not request.counted_remotely:
+            return []
+        request.counted_remotely = False
+        return self._quota.release(now, request.account)
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -43,7 +43,7 @@
 
 def cap(module: Module, customer: int) -> int:
     """On the customer's requests in flight, to all services together; 0 where it has no commitment."""
-    found = (broker.commitments.get(customer) for broker in brokers(module))
+    found = (broker.commitments.by_tenant.get(customer) for broker in brokers(module))
     return sum(commitment.cap for commitment in found if commitment is not None)
 
 
@@ -61,9 +61,9 @@
             sum(s.is_listed for s in broker.load_balancer.backends.values()),
             broker.load_balancer.slow_start.warm_backends,
             _excluded(broker, now),
-            broker.in_flight,
+            broker.requests.in_flight,
             broker.model.concurrency_limit,
-            len(broker.active_commitments),
+            len(broker.commitments.active),
         )
         for name, broker in zip(module.carried, module.brokers, strict=True)
     ]
--- /dev/null
+++ b/trackspread/decide/request_table.py
@@ -0,0 +1,86 @@
+"""Requests that still owe their final answer, and their attempts in flight."""
+
+from __future__ import annotations
+
+from .actions import StartAttempt
+from .concurrency_model import QueueModel
+from .load_balancer import LoadBalancer
+from .open_request import OpenRequest
+from .quota import Quota
+from .retry_policy import RetryPolicy
+
+LOST_AFTER_LATENCIES = 4.0  # by which later attempts were answered first, before one counts as lost
+
+
+class RequestTable:
+    """The open requests of one service at this gateway."""
+
+    def __init__(
+        self, quota: Quota, model: QueueModel, load_balancer: LoadBalancer, retry_policy: RetryPolicy
+    ) -> None:
+        self._quota = quota
+        self._model = model
+        self._load_balancer = load_balancer
+        self._retry_policy = retry_policy
+        self.open_requests: dict[int, OpenRequest] = {}  # by request number, queued ones among them
+        self.attempts: dict[tuple[int, int], OpenRequest] = {}  # by request and attempt number
+        self.in_flight = 0  # attempts
+        self.presumed_lost = 0  # of them: attempts whose response will not come, as of the last tick
+
+    def start_attempt(self, now: int, request: OpenRequest) -> StartAttempt | None:
+        """Start an attempt of the request; None where its time or attempts are used up, or no backend may
+        get it. A backend that was not tried yet comes first."""
+        arrival = request.arrival
+        if now >= arrival.expires_at_ns or request.attempts_started >= request.max_attempts:
+            return None
+        is_allowed = self._retry_policy.allowed_backends(now, request)
+        class_and_plan = arrival.request_class, arrival.plan
+        balancer = self._load_balancer
+        state = balancer.choose(now, class_and_plan, request.tried_backends, is_allowed)
+        state = state or balancer.choose(now, class_and_plan, set(), is_allowed)
+        if state is None:
+            return None
+        balancer.attempt_started(now, state)
+        request.tried_backends.add(state.backend.id)
+        self.attempts[arrival.request, request.attempts_started] = request
+        if not request.may_have_executed:
+            request.deduplicated_from_ns = now
+            request.deduplicated_by = state.backend
+        request.attempts_started += 1
+        request.attempts_in_flight += 1
+        request.last_attempt_at_ns = now
+        self.count_attempts(request, 1)
+        return StartAttempt(
+            arrival.request,
+            state.backend.id,
+            self._retry_policy.attempt_timeout_ns(now, request),
+            self._retry_policy.not_after_ns(request),
+        )
+
+    def count_attempts(self, request: OpenRequest, change: int) -> None:
+        """So many attempts of the request more are in flight."""
+        self.in_flight += change
+        request.commitment.in_flight += change
+        self._quota.count_attempts(request.account, change)
+
+    def outstanding(self, now: int, queued: int) -> list[tuple[int, int]]:
+        """Class and age in ns of the requests that wait for a response. Where later attempts were answered
+        long since, the response was lost: no request waits in a shared queue then, and there is no overload.
+        Counts those lost; `queued`: requests without an attempt."""
+        lost_after_ns = [LOST_AFTER_LATENCIES * latency.value for latency in self._model.latency]
+        newest_answered_ns = self._load_balancer.outliers.newest_answered_ns
+        outstanding = [
+            (request.arrival.request_class, now - request.last_attempt_at_ns)
+            for request in self.open_requests.values()
+            if request.attempts_started
+            and not request.first_byte_after_ns
+            and not newest_answered_ns - request.last_attempt_at_ns
+            > lost_after_ns[request.arrival.request_class]
+            > 0.0
+        ]
+        self.presumed_lost = len(self.open_requests) - queued - len(outstanding)
+        return outstanding
+
+    def responses_expected(self) -> int:
+        """Attempts in flight whose response is not presumed lost."""
+        return self.in_flight - self.presumed_lost
--- a/trackspread/decide/services.py
+++ b/trackspread/decide/services.py
@@ -30,8 +30,8 @@
     ResponseStarted,
     TimerFired,
 )
+from .quota_events import handle_quota_event
 from .settings import RequestClass, Settings
-from .peer_messages import is_quota_message
 
 ServiceOf = Callable[[RequestClass], str]
 NOWHERE = -1  # the place of a class whose service this gateway does not carry
@@ -141,7 +141,7 @@
                 return [
                     action
                     for broker in self.brokers
-                    if event.request in broker.open_requests
+                    if event.request in broker.requests.open_requests
                     for action in broker.handle(now, event)
                 ]
             case EndpointUpdate():
@@ -169,7 +169,7 @@
         return [
             action
             for broker in self.brokers
-            if key in broker.attempts
+            if key in broker.requests.attempts
             for action in broker.handle(now, event)
         ]
 
@@ -216,26 +216,14 @@
             case PlansChanged():
                 self.quota.change_plans(now, event)
                 for place, broker in enumerate(self.brokers):
-                    yield from self._named(place, [broker.replan(now)])
+                    yield from self._named(place, [broker.evaluate_commitments(now)])
             case FleetChanged():
                 self.quota.change_fleet(now, event)
                 for broker in self.brokers:
-                    broker.joined(event)
-            case AllocationChanged():
-                self.quota.change_allocation(now, event)
-                for broker in self.brokers:
-                    yield from broker.entitled(now, event.tenant)
-            case PeerMessage() if self.quota.gossips and not is_quota_message(event.data):
-                self.quota.receive_usage_totals(now, event)
-            case PeerMessage():
-                yield from self._answered(now, *self.quota.receive_quota_message(now, event))
-            case CounterAnswered():
-                yield from self._answered(now, *self.quota.receive_counter_answer(now, event))
-
-    def _answered(self, now: int, ask: int, granted: bool | None, more: list[Action]) -> Iterator[Action]:
-        """An answer goes to the broker that holds a request for it; `more` is to be sent anyway."""
-        asked = next((broker for broker in self.brokers if ask in broker.queued), self.brokers[0])
-        yield from asked.decided(now, ask, granted, more)
+                    broker.fleet_changed(event)
+            case AllocationChanged() | PeerMessage() | CounterAnswered():
+                admissions = [broker.admission for broker in self.brokers]
+                yield from handle_quota_event(now, event, self.quota, admissions)
 
     def _named(self, place: int, actions: Iterable[Action]) -> Iterator[Action]:
         """Lines for the operators say of which service they are."""
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -117,9 +117,9 @@
         for s in balancer.backends.values()
     ]
     attempts = [
-        [number, attempt, by, *_arrival(module.attempts[number, attempt].arrival, names, plans)]
+        [number, attempt, by, *_arrival(module.requests.attempts[number, attempt].arrival, names, plans)]
         for (number, attempt), by in out.items()
-        if (number, attempt) in module.attempts
+        if (number, attempt) in module.requests.attempts
     ]
     return {
         "version": VERSION,
@@ -129,7 +129,7 @@
             if n in model.active_classes
         ],
         "in_flight": _mean(model.mean_in_flight),
-        "retries": module.retry_tokens,
+        "retries": module.retry_policy.tokens,
         "told_at": quota.gossiped_at_ns,
         "me": quota.incarnation,
         "born": quota.started_at_ns,
@@ -161,7 +161,8 @@
     quota.incarnation, quota.started_at_ns, quota.last_query = told["me"], told["born"], told["tag"]
     quota.counter_call_rate, quota.has_restarted = told["pace"], told["restarted"]
     quota.peers = {peer: (incarnation, heard, age) for peer, incarnation, heard, age in told["peers"]}
-    module.retry_tokens, quota.gossiped_at_ns = told["retries"], told["told_at"]
+    module.retry_policy.tokens = told["retries"]
+    quota.gossiped_at_ns = told["told_at"]
     for name, mean in told["granted"]:
         if name in plans:
             quota.grant_ratio_by_plan[plans[name]] = _to_mean(mean)
@@ -204,17 +205,17 @@
     quota.accounts[customer] = account
     if told["_commitment"] is None:
         return
-    commitment = module.commitment(module.quota.gossiped_at_ns, account)
+    commitment = module.commitments.of_account(module.quota.gossiped_at_ns, account)
     for key, name in _COMMITMENT_KEYS.items():
         value = told["_commitment"][key]
         setattr(commitment, name, _to_mean(value) if key in ("in_flight", "demand") else value)
     if commitment.cap:
-        module.active_commitments[customer] = commitment
+        module.commitments.active[customer] = commitment
 
 
 def _commitment(module: Broker, account: TenantAccount) -> Plain | None:
     """What is known of the customer's requests beside its stores; None where none came here."""
-    commitment: Commitment | None = module.commitments.get(account.tenant)
+    commitment: Commitment | None = module.commitments.by_tenant.get(account.tenant)
     if commitment is None or commitment.account is not account:
         return None
     return {key: _plain(getattr(commitment, name)) for key, name in _COMMITMENT_KEYS.items()}
@@ -246,14 +247,13 @@
     placed = module.quota.has_owner(account)  # its end is told to the home, as by whoever sent it
     request = OpenRequest(
         arrival,
-        module.commitment(now, account),
+        module.commitments.of_account(now, account),
         1,
         attempts_started=1,
         attempts_in_flight=1,
         counted_remotely=placed,
     )
-    module.attempts[number, attempt] = request
-    module.opened(request, 1)
-    module.in_flight += 1
+    module.requests.attempts[number, attempt] = request
+    module.requests.count_attempts(request, 1)
     if (server := module.load_balancer.backends.get(backend)) is not None:
         server.in_flight += 1
--- a/trackspread/decide/time_units.py
+++ b/trackspread/decide/time_units.py
@@ -3,3 +3,4 @@
 from __future__ import annotations
 
 SECOND = 1_000_000_000
+TICK = SECOND // 10  # between two of the module's own timer events; a tenth of usual latency objectives
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -12,13 +12,15 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...decide import broker
+from ...decide import attempt_results
 from ...decide.broker import Broker
 from ...decide.actions import Fail, Reject, StartAttempt
 from ...decide.backends import Health
 from ...decide.events import Outcome
 from ...decide.load_balancer import LoadBalancer
 from ...decide.quota import Quota
+from ...decide.quota_admission import QuotaAdmission
+from ...decide.retry_policy import RetryPolicy
 from ..judge.verdict import Rule
 from .host import Host, Kind
 from .patches import held
@@ -38,29 +40,29 @@
 
 def _effects_forgotten() -> list[Any]:
     """What broke after it was written counts as never run: unsafe requests are sent again."""
-    return [patch.object(broker, "NOT_EXECUTED", frozenset(Outcome))]
+    return [patch.object(attempt_results, "NOT_EXECUTED", frozenset(Outcome))]
 
 
 def _refuses_after_run() -> list[Any]:
-    real = Broker._try_again
+    real = Broker._retry_or_finish
 
     def mutant(self: Broker, now: int, request: Any) -> list[Any]:
         return [Reject(a.request, 0) if isinstance(a, Fail) else a for a in real(self, now, request)]
 
-    return [patch.object(Broker, "_try_again", mutant)]
+    return [patch.object(Broker, "_retry_or_finish", mutant)]
 
 
 def _group_forgotten() -> list[Any]:
-    return [patch.object(Broker, "_repeat_filter", lambda self, now, request: lambda backend: True)]
+    return [patch.object(RetryPolicy, "allowed_backends", lambda self, now, request: lambda backend: True)]
 
 
 def _window_forgotten() -> list[Any]:
-    real = Broker._repeat_filter
+    real = RetryPolicy.allowed_backends
 
-    def mutant(self: Broker, now: int, request: Any) -> Any:
+    def mutant(self: RetryPolicy, now: int, request: Any) -> Any:
         return real(self, min(now, request.deduplicated_from_ns), request)
 
-    return [patch.object(Broker, "_repeat_filter", mutant)]
+    return [patch.object(RetryPolicy, "allowed_backends", mutant)]
 
 
 def _window_outlasted() -> list[Any]:
@@ -70,14 +72,16 @@
 
 def _two_copies() -> list[Any]:
     """A second copy at once, whatever the class."""
-    real = Broker._admit
+    real = QuotaAdmission.admit
 
-    def mutant(self: Broker, now: int, request: Any, tell: bool) -> list[Any]:
-        made = real(self, now, request, tell)
-        again = self._send(now, request) if made and isinstance(made[0], StartAttempt) else None
+    def mutant(self: QuotaAdmission, now: int, request: Any, announces: bool) -> list[Any]:
+        made = real(self, now, request, announces)
+        again = (
+            self._requests.start_attempt(now, request) if made and isinstance(made[0], StartAttempt) else None
+        )
         return [*made, again] if again else made
 
-    return [patch.object(Broker, "_admit", mutant)]
+    return [patch.object(QuotaAdmission, "admit", mutant)]
 
 
 def _drains_ignored() -> list[Any]:
@@ -143,16 +147,16 @@
 
 def _used_units_back() -> list[Any]:
     """Units go back at a request's end though an attempt came to a backend."""
-    real = Broker._ended
+    real = Broker._on_attempt_ended
 
     def mutant(self: Broker, now: int, event: Any) -> list[Any]:
-        request = self.attempts.get((event.request, event.attempt))
+        request = self.requests.attempts.get((event.request, event.attempt))
         made = real(self, now, event)
         if request is not None and not request.attempts_in_flight:
             request.account.give_back(request.balances_taken)
         return made
 
-    return [patch.object(Broker, "_ended", mutant)]
+    return [patch.object(Broker, "_on_attempt_ended", mutant)]
 
 
 def _now_and_then() -> Callable[[], bool]:
