--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from trackspread.decide import snapshot
+from trackspread.decide import snapshot, snapshot_restore
 from trackspread.decide.broker import Broker
 from trackspread.decide.actions import Reject, StartAttempt
 from trackspread.decide.events import AttemptEnded, Outcome, PeerMessage
@@ -199,8 +199,8 @@
                 end = AttemptEnded(number, True, 0, action.backend, 0, Outcome.OK, MS, 0, ())
                 old.handle(now + MS, end)
     if carry:
-        told = wire.decode(wire.encode(snapshot.portrait(old, NAMES, {})), dict)
-        snapshot.restore(new, told, NAMES)
+        told = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {})), dict)
+        snapshot_restore.restore_state(new, told, NAMES)
     old.retire(now)
     sent = [
         n
@@ -229,8 +229,8 @@
     account = old.quota.account(SECOND, 2, 0, 4, 0)
     account.peer_totals, account.queried_at_ns, account.unsettled_grants = {1: 5}, {1: 6}, {3: (2.0, 7)}
     account.peers_in_flight, account.peers = {1: (2, 9), 3: (1, 8)}, (1, 2, 3)
-    told = wire.decode(wire.encode(snapshot.portrait(old, NAMES, {})), dict)
-    snapshot.restore(new, told, NAMES)
+    told = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {})), dict)
+    snapshot_restore.restore_state(new, told, NAMES)
     fresh = new.quota.accounts[2]
     for each in fields(TenantAccount):
         was, now = getattr(account, each.name), getattr(fresh, each.name)
@@ -242,12 +242,15 @@
     assert new.handle(SECOND, arrival(9, SECOND, customer=2, gateway_span=4))
 
 
-def test_a_portrait_of_another_version_changes_nothing() -> None:
+def test_a_state_of_another_version_changes_nothing() -> None:
     module = Broker(settings(gateway_count=1), 1, 0)
-    told = snapshot.portrait(Broker(settings(gateway_count=1), 2, 0), NAMES, {}) | {"version": 1, "me": 77}
+    told = snapshot.export_state(Broker(settings(gateway_count=1), 2, 0), NAMES, {}) | {
+        "version": 1,
+        "me": 77,
+    }
     before = module.quota.incarnation
     with pytest.raises(ValueError, match="version 1, this is 7"):
-        snapshot.restore(module, told, NAMES)
+        snapshot_restore.restore_state(module, told, NAMES)
     assert module.quota.incarnation == before
 
 
@@ -257,17 +260,18 @@
     for module in (old, new):
         module.handle(now, full_list(*(backend(n) for n in range(2))))
     (sent,) = [a for a in old.handle(now, arrival(7, now, gateway_span=1)) if isinstance(a, StartAttempt)]
-    told = wire.decode(wire.encode(snapshot.portrait(old, NAMES, {(7, 0): sent.backend})), dict)
-    snapshot.restore(new, told, NAMES)
+    told = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {(7, 0): sent.backend})), dict)
+    snapshot_restore.restore_state(new, told, NAMES)
     account = new.quota.accounts[1]
     assert (
         account.in_flight,
         new.requests.in_flight,
         new.load_balancer.backends[sent.backend].in_flight,
     ) == (1, 1, 1)
-    again = [7, 1, sent.backend, "read", "p", 1, 1.0]
-    snapshot.mirror(new, NAMES, again)
-    snapshot.mirror(new, NAMES, [8, 0, sent.backend, "no such class", "p", 1, 1.0])
+    again = snapshot.AttemptElsewhere(7, 1, sent.backend, "read", "p", 1, 1.0)
+    snapshot_restore.count_attempt_elsewhere(new, NAMES, again)
+    unknown = snapshot.AttemptElsewhere(8, 0, sent.backend, "no such class", "p", 1, 1.0)
+    snapshot_restore.count_attempt_elsewhere(new, NAMES, unknown)
     assert new.requests.in_flight == 2
     for attempt in (0, 1):
         end = AttemptEnded(7, True, 0, sent.backend, 0, Outcome.OK, MS, attempt, ())
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -32,7 +32,7 @@
     TimerFired,
 )
 from trackspread.decide.settings import RequestClass
-from trackspread.decide.report import ServiceReport, cap, excluded, services
+from trackspread.decide.report import ServiceReport, concurrency_cap, unavailable_backends, service_reports
 from trackspread.decide.services import ServiceBrokers
 from trackspread.lists.agent import parse_update
 from trackspread.lists.seam import ListError, backend_id
@@ -99,8 +99,8 @@
     )
     assert [type(each) for each in made.handle(2 * MS, arrival(1, 2 * MS, UNSAFE))] == [Reject]
     assert sends(made.handle(2 * MS, arrival(2, 2 * MS, SAFE)))
-    assert excluded(made, 2 * MS) == 2
-    assert [(each.service, each.backends, each.excluded) for each in services(made, 2 * MS)] == [
+    assert unavailable_backends(made, 2 * MS) == 2
+    assert [(each.service, each.backends, each.excluded) for each in service_reports(made, 2 * MS)] == [
         ("", 2, 0),
         ("lookups", 2, 0),
         ("charges", 2, 2),
@@ -178,9 +178,9 @@
 def test_a_cap_is_each_services_own() -> None:
     made = listed(module())
     made.handle(MS, arrival(1, MS, SAFE, gateway_span=1))
-    alone = cap(made, 1)
+    alone = concurrency_cap(made, 1)
     made.handle(MS, arrival(2, MS, UNSAFE, gateway_span=1))
-    assert alone > 0 and cap(made, 1) > alone
+    assert alone > 0 and concurrency_cap(made, 1) > alone
     lookups, charges = made.brokers[LOOKUPS], made.brokers[CHARGES]
     assert lookups.commitments.by_tenant[1].in_flight == charges.commitments.by_tenant[1].in_flight == 1
     assert made.quota.accounts[1].in_flight == 2 and not made.brokers[DEFAULT].commitments.by_tenant
--- a/trackspread/decide/actions.py
+++ b/trackspread/decide/actions.py
@@ -10,8 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt; `timeout` 0 means until the client gives up. `until`: when its window ends, 0 for
-    none: what has not gone out whole by then may not go out any more (rule 2)."""
+    """Start an attempt. `timeout_ns`: after which it ends; 0: only when the client gives up. `not_after_ns`:
+    what has not been sent completely by then may not be sent any more (rule 2); 0: no such bound."""
 
     request: int
     backend: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: turned away, trying again is harmless."""
+    """Final answer: rejected; another try is harmless, after `retry_after_ns` (0: not said)."""
 
     request: int
     retry_after_ns: int
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; the request may have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt, by its number within the request."""
 
     request: int
     attempt: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after `after`."""
+    """Ask for a `TimerFired` with this token after `after_ns`."""
 
     after_ns: int
     token: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask a backend how it is."""
+    """Ask a backend for its health and load; a `HealthChecked` follows."""
 
     backend: int
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeers:
-    """Send up to 256 bytes to one peer, or to all (`to` is None)."""
+    """Send up to 256 bytes to one peer, by its number, or to all (`recipient` is None)."""
 
     recipient: int | None
     data: bytes
@@ -74,7 +74,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a named number that all gateways share, and get the total."""
+    """Add `amount` to a counter that all gateways share, and get its total by a `CounterAnswered`.
+
+    A counter begins at 0 and lives for `lifetime_ns`."""
 
     key: int
     lifetime_ns: int
@@ -83,21 +85,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAllocation:
-    """What is kept here does not cover a request; one `RightsChanged` follows soon."""
+    """The tenant's allocation here does not cover a request; one `AllocationChanged` follows soon."""
 
     tenant: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to the list, or stop."""
+    """Subscribe to the endpoint list, or unsubscribe."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask for the whole list once."""
+    """Ask for the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/trackspread/decide/backends.py
+++ b/trackspread/decide/backends.py
@@ -10,7 +10,8 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """What a list event holds."""
+    """What an update of the endpoint list holds: changes, a complete list, one from the cache, or nothing as
+    discovery could not be reached."""
 
     DELTA = 0
     FULL = 1
@@ -19,7 +20,7 @@
 
 
 class Health(IntEnum):
-    """A backend's state in the list."""
+    """A backend's state in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -28,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One entry of the list; `booted` is 0 for a long time ago."""
+    """One entry of the endpoint list.
+
+    `weight`: as discovery gives it. `started_at_ns`: 0 for a long time ago. `service`: an index into
+    those that the gateway carries."""
 
     id: int
     zone: int
@@ -37,12 +41,12 @@
     health: Health
     weight: float
     started_at_ns: int
-    service: int = 0  # an index into those that the gateway carries
+    service: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Discovery's word on the backends."""
+    """What service discovery says of backends; `version`: of the list, with this update."""
 
     kind: EndpointUpdateKind
     version: int
--- a/trackspread/decide/events.py
+++ b/trackspread/decide/events.py
@@ -14,7 +14,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a health check or a counter call ended."""
 
     ERROR = 0
     OK = 1
@@ -26,12 +26,17 @@
     NOT_SENT = 7
 
 
+# The backend has certainly not executed the request.
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; exactly one final answer is owed before `valid_until`."""
+    """A client's request; exactly one final answer is owed before `expires_at_ns`.
+
+    `request`: a number, unique in the process. `request_class`, `plan`: indexes into the settings'. `units`:
+    of the tenant's quota that it takes. `gateway_span`, `first_gateway`: so many gateways of the settings'
+    list, from that one on, get the tenant's requests; 0 where unknown. `options`: flags of the platform."""
 
     request: int
     request_class: int
@@ -46,7 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed answer has started."""
+    """The first byte of a long value has come; the rest follows at its reader's pace.
+
+    `elapsed_ns`: since the attempt's start."""
 
     request: int
     elapsed_ns: int
@@ -56,7 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended; `used` is 1 + percent of the customer's rate in use, or 0."""
+    """How one attempt ended.
+
+    `request_finished`: no final answer is owed any more. `actual_units`: that the request took,
+    where units are settled later, else 0. `quota_usage`: 1 + percent of the tenant's quota in use, or 0 where
+    no meter reported it. `elapsed_ns`: since the attempt's start. `load_report`: by `load_report_names`."""
 
     request: int
     request_finished: bool
@@ -85,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """What one `Probe` found."""
+    """What one `CheckHealth` found; `elapsed_ns`: since it was asked for."""
 
     outcome: Outcome
     backend: int
@@ -95,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another gateway."""
+    """A message from another gateway, by its number."""
 
     sender: int
     data: bytes
@@ -103,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    """The answer to one `AddToCounter`."""
+    """The answer to one `AddToCounter`; `total`: of the counter `key`, with all that was added to it."""
 
     elapsed_ns: int
     outcome: Outcome
@@ -113,9 +124,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PlansChanged:
-    """Other figures are in force from now on, for each plan by its index; there are as many as before.
+    """Other limits are in force from now on, for each plan by its index; there are as many plans as before.
 
-    `reserved`: by customer, units a second on top of the plan's, and units on top of its burst."""
+    `reserved`: tenant, units a second on top of the plan's rate, and units on top of its burst."""
 
     plans: tuple[Plan, ...]
     reserved: tuple[tuple[int, float, float], ...] = ()
@@ -125,8 +136,8 @@
 class ClassesChanged:
     """Other classes are in force for what arrives from now on; open requests keep theirs, by its number.
 
-    `named`: numbers that may arrive from now on. `heirs`: for each number that whose past it goes on with,
-    its own where it stays the same class, -1 where there is none."""
+    `active`: numbers that may arrive from now on. `predecessors`: for each number, the one whose state it
+    goes on with: its own where it stays the same class, -1 where there is none."""
 
     classes: tuple[RequestClass, ...]
     active: frozenset[int]
@@ -136,11 +147,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocationChanged:
-    """Shares of the customer's stores that are kept here from now on: `soft` of the quota, `hard` of the
-    ceiling, `places` of the limit on open attempts.
+    """Parts of the tenant's limits that are allocated to this gateway from now on, each from 0 to 1:
+    `quota_share`, `hard_limit_share` and `concurrency_share`.
 
-    `taken`: units that others spent of the quota, taken off once. `level`: of the quota's store as others
-    know it, in place of that here; None: that stands. `more`: word on it is coming: it pays to wait."""
+    `used_elsewhere_units`: that other gateways used of the quota, deducted once. `tokens`: of the quota, in
+    place of those known here; None: these stand. `more_expected`: a larger allocation is coming, so that it
+    pays to wait."""
 
     tenant: int
     plan: int
@@ -154,13 +166,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetChanged:
-    """The fleet as its gateways see it, in place of what the settings say of their number and places.
+    """The fleet of gateways as its members see it, in place of what the settings say of it.
+
+    `own_number`, `peers`: this gateway and the others, by the numbers that messages between them carry.
+    `quota_owners`: all that may own a tenant's quota, in the same order wherever they are seen.
 
-    `me`, `others`: this gateway and those to ask and tell, by the numbers that peers' messages carry.
-    `homes`: those of all that may keep a customer's store; the same in the same order wherever they are seen.
-    Every limit is worth so many slots, the bits of whole numbers. `seats`: those of each gateway of the
-    settings' list; `slots`: those that may be acted on here before `until`, from `ends` on others may have
-    them; `theirs`: those of `others`, as they say."""
+    Every limit is divided into slots; a set of slots is the bits of a number. `gateway_slots`: of each
+    gateway of the settings' list. `own_slots`: that this one may act on before `valid_until_ns`; from
+    `reassigned_at_ns` on others may have them. `peer_slots`: of `peers`, as they say."""
 
     own_number: int
     peers: tuple[int, ...]
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -1,4 +1,4 @@
-"""What operators and counters are told of the decision module. Reads its state; nothing here decides."""
+"""What operators and the shared counter see of the decision module. Reads its state; nothing here decides."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 class ServiceReport(msgspec.Struct, frozen=True):
-    """One service at one gateway. `backends`: listed; `warm`, `excluded`: of them; `in_flight`: attempts out;
-    `limit`: on these, under pressure alone; `commitments`: customers with requests of late."""
+    """One service at one gateway. `backends`: listed; `warm`, `excluded`: of them; `in_flight`: attempts;
+    `limit`: on these, under congestion alone; `commitments`: tenants with requests of late."""
 
     service: str
     backends: int
@@ -31,39 +31,43 @@
     return module.brokers if isinstance(module, ServiceBrokers) else (module,)
 
 
-def _excluded(broker: Broker, now: int) -> int:
-    servers = broker.load_balancer.backends.values()
-    return sum(s.is_listed and (not s.is_usable or now < s.ejected_until_ns) for s in servers)
+def _unavailable(broker: Broker, now: int) -> int:
+    return sum(
+        state.is_listed and (not state.is_usable or now < state.ejected_until_ns)
+        for state in broker.load_balancer.backends.values()
+    )
 
 
-def excluded(module: Module, now: int) -> int:
-    """Listed backends that get nothing now."""
-    return sum(_excluded(broker, now) for broker in brokers(module))
+def unavailable_backends(module: Module, now: int) -> int:
+    """Listed backends that get no attempts now: draining or ejected."""
+    return sum(_unavailable(broker, now) for broker in brokers(module))
 
 
-def cap(module: Module, customer: int) -> int:
-    """On the customer's requests in flight, to all services together; 0 where it has no commitment."""
-    found = (broker.commitments.by_tenant.get(customer) for broker in brokers(module))
-    return sum(commitment.cap for commitment in found if commitment is not None)
+def concurrency_cap(module: Module, tenant: int) -> int:
+    """On the tenant's requests in flight, to all services together; 0 where it has no commitment."""
+    commitments = (broker.commitments.by_tenant.get(tenant) for broker in brokers(module))
+    return sum(commitment.cap for commitment in commitments if commitment is not None)
 
 
-def kept(quota: Quota, customer: int) -> tuple[float, float]:
-    """Units of the customer's quota spent here so far, and in its store: what a shared counter is told."""
-    account = quota.accounts.get(customer)
-    return (account.forwarded_quarter_units / 4, account.tokens) if account is not None else (0.0, 0.0)
+def quota_units(quota: Quota, tenant: int) -> tuple[float, float]:
+    """Units of the tenant's quota used here so far, and its tokens here: what a shared counter is told."""
+    account = quota.accounts.get(tenant)
+    if account is None:
+        return 0.0, 0.0
+    return account.forwarded_quarter_units / 4, account.tokens
 
 
-def services(module: ServiceBrokers, now: int) -> list[ServiceReport]:
+def service_reports(module: ServiceBrokers, now: int) -> list[ServiceReport]:
     """All that this gateway carries, in their order."""
     return [
         ServiceReport(
-            name,
-            sum(s.is_listed for s in broker.load_balancer.backends.values()),
-            broker.load_balancer.slow_start.warm_backends,
-            _excluded(broker, now),
-            broker.requests.in_flight,
-            broker.model.concurrency_limit,
-            len(broker.commitments.active),
+            service=name,
+            backends=sum(state.is_listed for state in broker.load_balancer.backends.values()),
+            warm=broker.load_balancer.slow_start.warm_backends,
+            excluded=_unavailable(broker, now),
+            in_flight=broker.requests.in_flight,
+            limit=broker.model.concurrency_limit,
+            commitments=len(broker.commitments.active),
         )
         for name, broker in zip(module.carried, module.brokers, strict=True)
     ]
--- a/trackspread/decide/settings.py
+++ b/trackspread/decide/settings.py
@@ -10,7 +10,8 @@
 
 
 class Idempotency(Enum):
-    """What a class allows once an attempt may have run."""
+    """What a class allows once an attempt may have executed: any repetition, one with its idempotency key, or
+    none."""
 
     IDEMPOTENT = "free"
     WITH_KEY = "guarded"
@@ -18,7 +19,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which backends drop a keyed request's repeats."""
+    """Which backends recognize a request's idempotency key: all, those of a zone, or of a cell."""
 
     ALL = "all"
     ZONE = "zone"
--- a/trackspread/node/counted.py
+++ b/trackspread/node/counted.py
@@ -28,7 +28,7 @@
 from ..counter.routes import Routes
 from ..decide.events import Event
 from ..decide.settings import Plan
-from ..decide.report import Module, cap, kept
+from ..decide.report import Module, concurrency_cap, quota_units
 
 log = logging.getLogger(__name__)
 
@@ -82,7 +82,7 @@
             time.time_ns() // 1_000_000,
             seed,
             now(),
-            partial(kept, module.quota),
+            partial(quota_units, module.quota),
         )
         routes = Routes(
             [address(server, "counter.servers") for server in counter.servers],
@@ -130,7 +130,7 @@
         account = self._module.quota.accounts.get(customer)
         if account is not None:
             self._module.quota.refill(now, account)
-        return report(now, self.client.manager, customer, account, cap(self._module, customer))
+        return report(now, self.client.manager, customer, account, concurrency_cap(self._module, customer))
 
     async def _asked(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One line with a member in hexadecimal digits; one line of JSON."""
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -23,7 +23,7 @@
 from ..control.door import Answer, Door
 from ..decide.backends import EndpointUpdate, EndpointUpdateKind, Health
 from ..decide.events import PeerMessage, PlansChanged
-from ..decide.report import excluded, services
+from ..decide.report import unavailable_backends, service_reports
 from ..decide.services import ServiceBrokers
 from ..fronts.connections import Clients, PassOn
 from ..handover.link import Rendezvous
@@ -412,10 +412,12 @@
 
     def _stats(self) -> Answer:
         open_now = sum(not request.closed for request in self.requests.values())
-        return 200, self.figures.lines(open_now, len(self._seen), excluded(self.module, self.now()))
+        return 200, self.figures.lines(
+            open_now, len(self._seen), unavailable_backends(self.module, self.now())
+        )
 
     def _services_report(self) -> Answer:
-        told = services(self.module, self.now()) if isinstance(self.module, ServiceBrokers) else []
+        told = service_reports(self.module, self.now()) if isinstance(self.module, ServiceBrokers) else []
         return 200, msgspec.json.encode(told).decode() + "\n"
 
     # From the list and the peers.
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -15,7 +15,7 @@
 from ..call import Call
 from ..clock import Clock
 from ..config.platform import Config
-from ..decide import snapshot
+from ..decide import snapshot, snapshot_restore
 from ..decide.broker import Broker
 from ..decide.events import AttemptEnded, Event, Outcome
 from ..handover import wire
@@ -117,7 +117,7 @@
         number = table.next_number()
         return wire.encode(
             HandoverState(
-                snapshot.portrait(table.broker, table.class_names(), out),
+                snapshot.export_state(table.broker, table.class_names(), out),
                 table.now.base,
                 ids,
                 number,
@@ -177,7 +177,7 @@
         """Raises `WireError` or `ValueError` before anything is changed."""
         state: HandoverState = wire.decode(whole, HandoverState)
         table = self._table
-        snapshot.restore(table.broker, state.module, table.class_names())
+        snapshot_restore.restore_state(table.broker, state.module, table.class_names())
         table.now.base = state.base
         self._out = {(number, attempt): by for number, attempt, by, *_ in state.module["out"]}
         self._ids = dict(state.ids)
@@ -192,10 +192,12 @@
         match progress.what:
             case "sent":
                 self._out[key] = progress.backend
-                snapshot.mirror(
+                snapshot_restore.count_attempt_elsewhere(
                     self._table.broker,
                     self._table.class_names(),
-                    [*key, progress.backend, progress.cls, progress.plan, progress.customer, progress.units],
+                    snapshot.AttemptElsewhere(
+                        *key, progress.backend, progress.cls, progress.plan, progress.customer, progress.units
+                    ),
                 )
             case "ended" if self._out.pop(key, None) is not None:
                 known = progress.outcome in Outcome.__members__.values()
--- a/trackspread/testing/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -22,8 +22,8 @@
 from ....decide.actions import Action, RequestAllocation, SetTimer, StartAttempt
 from ....decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from ....decide.events import AllocationChanged, AttemptEnded, Event, Outcome, RequestArrived, TimerFired
+from ....decide.report import quota_units
 from ....decide.settings import Plan
-from ....decide.report import kept
 from ...standins.counter import Failure, Shard
 from ..clock import START, Clock
 from ..plain import plain_settings
@@ -163,7 +163,7 @@
         seed = self.rng.getrandbits(32)
         module = Broker(settings, seed, now)
         life = (now - START) // MILLISECOND + 1
-        told = partial(kept, module.quota)
+        told = partial(quota_units, module.quota)
         client = QuotaClient(settings, plant.partitions, life, seed, now, told)
         made = Gateway(
             number,
