--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -142,28 +142,33 @@
                 connection, _ = await w.backend.command()
                 busy = backends.open_connections - backends.idle_connections()
                 assert (
-                    module.in_flight == busy == sum(s.in_flight for s in module.fleet.servers.values()) == 1
+                    module.requests.in_flight
+                    == busy
+                    == sum(s.in_flight for s in module.load_balancer.backends.values())
+                    == 1
                 )
                 if number == len(endings) - 1:
                     w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating")))
                     await until(lambda: not backends.has_available_backend())
                 if ending is None:
                     client.abort()
-                    await until(lambda: not module.open_requests)
+                    await until(lambda: not module.requests.open_requests)
                     ending = served(b"for nobody")
                 if ending == b"-BUSY\r\n":
                     # Never ran, so it is tried again; there is but one backend to do so.
                     connection.send(ending)
                     connection, _ = await w.backend.command()
-                    assert module.in_flight == 1
+                    assert module.requests.in_flight == 1
                 connection.send(ending) if ending else connection.abort()
-                await until(lambda: module.in_flight == 0)
-                assert not module.attempts and not module.open_requests and not w.node.requests
+                await until(lambda: module.requests.in_flight == 0)
+                assert (
+                    not module.requests.attempts and not module.requests.open_requests and not w.node.requests
+                )
                 assert (
                     backends.open_connections == backends.idle_connections() and not w.node.open_request_ids
                 )
-                assert all(s.in_flight == 0 for s in module.fleet.servers.values())
-                for server in module.fleet.servers.values():
+                assert all(s.in_flight == 0 for s in module.load_balancer.backends.values())
+                for server in module.load_balancer.backends.values():
                     server.ejected_until_ns = 0  # symptoms would have it rest
             await until(lambda: backends.open_connections == 0)
             assert all(a.in_flight == 0 for a in module.quota.accounts.values())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 
 from trackspread.cli import main
 from trackspread.commands.plans import change_registry, load_registry
-from trackspread.decide import snapshot
+from trackspread.decide import snapshot, snapshot_restore
 from trackspread.decide.actions import LogMessage, SetTimer, StartAttempt
 from trackspread.decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from trackspread.decide.broker import Broker
@@ -431,13 +431,13 @@
 def _taken_over(state: HandoverState) -> Broker:
     """A new process's broker after it took the state over."""
     broker = made_broker(2)
-    snapshot.restore(broker, state.module, NAMES)
+    snapshot_restore.restore_state(broker, state.decision_state, NAMES)
     return broker
 
 
 def _out(state: HandoverState) -> dict[tuple[int, int], int]:
     """The attempts that the old process had out, by their backends."""
-    return {(request, attempt): backend for request, attempt, backend, *_ in state.module["out"]}
+    return {(request, attempt): backend for request, attempt, backend, *_ in state.decision_state["out"]}
 
 
 def _read(name: str) -> Any:
@@ -448,18 +448,25 @@
     state = _handed_over()
     broker = _taken_over(state)
     out = _out(state)
-    assert len(out) == len(state.module["out"]) == state.links > 0
-    assert broker.attempts.keys() == out.keys() and broker.in_flight == len(out)
-    written = wire.decode(wire.encode(snapshot.portrait(broker, NAMES, out)), dict)
-    assert written == state.module
-    made = HandoverState(written, state.base, state.ids, state.next, state.clients, state.links)
+    assert len(out) == len(state.decision_state["out"]) == state.backend_descriptors > 0
+    assert broker.requests.attempts.keys() == out.keys() and broker.requests.in_flight == len(out)
+    written = wire.decode(wire.encode(snapshot.export_state(broker, NAMES, out)), dict)
+    assert written == state.decision_state
+    made = HandoverState(
+        written,
+        state.clock_base_ns,
+        state.open_request_ids,
+        state.next_number,
+        state.client_descriptors,
+        state.backend_descriptors,
+    )
     assert wire.encode(made) == (DATA / "handover_state.msgpack").read_bytes()
 
 
 def test_a_snapshot_has_the_keys_that_it_had() -> None:
     player = Player(made_broker(1), 11, START, 0)
     player.play(STEPS_BEFORE)
-    told = snapshot.portrait(player.broker, NAMES, player.out)
+    told = snapshot.export_state(player.broker, NAMES, player.out)
     assert told["version"] == 7
     assert tuple(told) == SNAPSHOT_KEYS
     assert {tuple(account) for account in told["accounts"]} == {ACCOUNT_KEYS}
@@ -467,7 +474,7 @@
     assert {tuple(each) for each in commitments if each is not None} == {COMMITMENT_KEYS}
     assert {tuple(server) for server in told["servers"]} == {SERVER_KEYS}
     assert {len(attempt) for attempt in told["out"]} == {7}
-    assert HandoverState.__struct_fields__ == ("module", "base", "ids", "next", "clients", "links")
+    assert HandoverState.__struct_encode_fields__ == ("module", "base", "ids", "next", "clients", "links")
 
 
 def test_a_broker_goes_on_with_a_snapshot_just_as_one_of_then_did() -> None:
@@ -483,16 +490,16 @@
     """Not only the form: today's code makes the very snapshot from the same events."""
     player = Player(made_broker(1), 11, START, 0)
     player.play(STEPS_BEFORE)
-    written = wire.decode(wire.encode(snapshot.portrait(player.broker, NAMES, player.out)), dict)
-    assert written == _handed_over().module
+    written = wire.decode(wire.encode(snapshot.export_state(player.broker, NAMES, player.out)), dict)
+    assert written == _handed_over().decision_state
 
 
 def test_messages_on_what_ended_afterwards_are_read_and_written_as_they_were() -> None:
     bodies = msgspec.msgpack.decode((DATA / "handover_progress.msgpack").read_bytes(), type=list[bytes])
     told = [wire.decode(body, Progress) for body in bodies]
     assert [wire.encode(each) for each in told] == bodies
-    assert [each.what for each in told] == ["sent", "ended", "closed"]
-    assert Progress.__struct_fields__ == (
+    assert [each.kind for each in told] == ["sent", "ended", "closed"]
+    assert Progress.__struct_encode_fields__ == (
         "what",
         "request",
         "attempt",
@@ -507,13 +514,15 @@
     )
     state = _handed_over()
     broker, (sent, ended, closed) = _taken_over(state), told
-    open_before = broker.in_flight
-    names = [sent.request, sent.attempt, sent.backend, sent.cls, sent.plan, sent.customer, sent.units]
-    snapshot.mirror(broker, NAMES, names)
-    assert broker.in_flight == open_before + 1
+    open_before = broker.requests.in_flight
+    elsewhere = snapshot.AttemptElsewhere(
+        sent.request, sent.attempt, sent.backend, sent.request_class, sent.plan, sent.tenant, sent.units
+    )
+    snapshot_restore.count_attempt_elsewhere(broker, NAMES, elsewhere)
+    assert broker.requests.in_flight == open_before + 1
     outcome = Outcome(ended.outcome)
     end = AttemptEnded(
-        ended.request, True, 0, ended.backend, 0, outcome, ended.elapsed, ended.attempt, ended.report
+        ended.request, True, 0, ended.backend, 0, outcome, ended.elapsed_ns, ended.attempt, ended.load_report
     )
-    broker.handle(broker.quota.told_at + MS, end)
-    assert broker.in_flight == open_before and closed.request == state.ids[0][0]
+    broker.handle(broker.quota.gossiped_at_ns + MS, end)
+    assert broker.requests.in_flight == open_before and closed.request == state.open_request_ids[0][0]
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -12,9 +12,8 @@
 
 from trackspread.cells import terms as cells
 from trackspread.cells.wire import CellsWire
-from trackspread.counter.commands import commands, reply
-from trackspread.counter.terms import (
-    Call,
+from trackspread.counter.calls import Call
+from trackspread.counter.claims import (
     Claim,
     Heartbeat,
     pack_claim,
@@ -22,6 +21,7 @@
     unpack_claim,
     unpack_heartbeat,
 )
+from trackspread.counter.commands import commands_for, parse_reply
 from trackspread.decide.peer_messages import (
     QuotaMessage,
     QuotaMessageKind,
@@ -30,7 +30,8 @@
     unpack_quota_message,
     unpack_usage_totals,
 )
-from trackspread.distribution import terms as configuration
+from trackspread.distribution import messages as configuration
+from trackspread.distribution.versions import Cursor, Entry, Version
 from trackspread.distribution.wire import Wire as ConfigurationWire
 from trackspread.handover import wire as handover_wire
 from trackspread.membership import terms as membership
@@ -121,37 +122,37 @@
 
 def configuration_messages() -> dict[str, configuration.Message]:
     """One for each body."""
-    first = configuration.Version(2, (3, 1), 10)
-    last = configuration.Version(2, (4, 0), 12)
+    first = Version(2, (3, 1), 10)
+    last = Version(2, (4, 0), 12)
     entries = (
-        configuration.Entry(first, "billing", "route", b"\x00value"),
-        configuration.Entry(last, "billing", "other", None),
+        Entry(first, "billing", "route", b"\x00value"),
+        Entry(last, "billing", "other", None),
     )
-    bodies: list[configuration.Bodies] = [
+    bodies: list[configuration.MessageBody] = [
         configuration.Prepare(EPOCH, 5, True),
         configuration.Promise(EPOCH, 5, True, first, last),
-        configuration.Stale((4, 0)),
-        configuration.Tail(EPOCH, first),
+        configuration.StaleEpoch((4, 0)),
+        configuration.ReadTail(EPOCH, first),
         configuration.TailEntries(EPOCH, first, entries, last),
         configuration.Append(EPOCH, first, entries, first, last, 120),
         configuration.Accepted(EPOCH, False, True, last),
-        configuration.Behind(EPOCH, first),
+        configuration.LogCompacted(EPOCH, first),
         configuration.Recover(),
-        configuration.Standing(1_790_000_000_123, EPOCH, True, last),
+        configuration.ReplicaState(1_790_000_000_123, EPOCH, True, last),
         configuration.Subscribe(0xABCDEF, 0, 2, ("billing", "search")),
-        configuration.Poll(6, first, 0xABCDEF, configuration.Cursor("billing", "route")),
+        configuration.Poll(6, first, 0xABCDEF, Cursor("billing", "route")),
         configuration.Delta(6, last, 40, entries, True),
-        configuration.Piece(6, 1, 3, last, entries, False),
+        configuration.SnapshotPiece(6, 1, 3, last, entries, False),
         configuration.NeedSnapshot(6),
         configuration.NeedSubscription(6),
-        configuration.Refused(6, 250),
+        configuration.Rejected(6, 250),
         configuration.Put(1, "billing", "route", b"value"),
-        configuration.Done(1, last),
+        configuration.Committed(1, last),
         configuration.NotLeader(1, 2),
-        configuration.Begin(1),
-        configuration.Show(1, "billing", "route"),
-        configuration.Shown(1, "follower", EPOCH, first, last, 3, entries[0]),
-        configuration.Full(1, 262_144),
+        configuration.BeginHistory(1),
+        configuration.Inspect(1, "billing", "route"),
+        configuration.Inspected(1, "follower", EPOCH, first, last, 3, entries[0]),
+        configuration.TooManyKeys(1, 262_144),
     ]
     return {tag(body): configuration.Message("fleet", 1, WHO[1], body) for body in bodies}
 
@@ -169,13 +170,13 @@
     """Every kind of packet."""
     bodies = {
         handover_wire.Kind.HELLO: b"n0",
-        handover_wire.Kind.ASK: b"",
+        handover_wire.Kind.STATE_REQUEST: b"",
         handover_wire.Kind.TAKEN: b"",
         handover_wire.Kind.CLIENT: b"*1\r\n$4\r\nPI",
     }
     made = {kind.name: handover_wire.pack(kind, body) for kind, body in bodies.items()}
-    (made["PIECE"],) = handover_wire.pieces(b"what is carried over")
-    made["GIVEN"] = handover_wire.given(b"what is carried over")
+    (made["STATE_PIECE"],) = handover_wire.state_packets(b"what is carried over")
+    made["STATE_END"] = handover_wire.state_end_packet(b"what is carried over")
     progress = handover_progress()
     return made | {
         f"PROGRESS {what}": handover_wire.pack(handover_wire.Kind.PROGRESS, handover_wire.encode(each))
@@ -431,11 +432,11 @@
 }
 HANDOVER: dict[str, str] = {
     "HELLO": ("7473686f010100007a647e9c6e30"),
-    "ASK": ("7473686f0102000000000000"),
+    "STATE_REQUEST": ("7473686f0102000000000000"),
     "TAKEN": ("7473686f0105000000000000"),
     "CLIENT": ("7473686f010600006cc5103f2a310d0a24340d0a5049"),
-    "PIECE": ("7473686f01030000210d1169776861742069732063617272696564206f766572"),
-    "GIVEN": ("7473686f0104000081b154899214ce69110d21"),
+    "STATE_PIECE": ("7473686f01030000210d1169776861742069732063617272696564206f766572"),
+    "STATE_END": ("7473686f0104000081b154899214ce69110d21"),
     "PROGRESS sent": (
         "7473686f0107000094049bd28ba477686174a473656e74a77265717565737405a7617474656d707401a76261636b656e"
         "6402a76f7574636f6d6500a7656c617073656400a67265706f727490a3636c73a6636861726765a4706c616ea466756c"
@@ -537,7 +538,7 @@
 
 @pytest.mark.parametrize("name", COUNTER)
 def test_calls_to_the_counter_have_the_bytes_of_older_gateways(name: str) -> None:
-    made = commands(counter_calls()[name], "ts", 17, b"a token")
+    made = commands_for(counter_calls()[name], "ts", 17, b"a token")
     assert [b" ".join(words).hex() for words in made] == COUNTER[name]
 
 
@@ -546,8 +547,8 @@
     assert pack_heartbeat(heartbeat()).hex() == HEARTBEAT
     assert unpack_heartbeat(bytes.fromhex(HEARTBEAT)) == heartbeat()
     held = [b"id", b"a token", b"17", bytes.fromhex(HEARTBEAT)]
-    told = reply(counter_calls()["heartbeat"], [0, 1, held, 1, [b"1790000000", b"456789"]])
-    assert (told.clock, told.token, told.fresh) == (1_790_000_000_456, b"a token", True)
+    told = parse_reply(counter_calls()["heartbeat"], [0, 1, held, 1, [b"1790000000", b"456789"]])
+    assert (told.clock_ms, told.token, told.field_was_missing) == (1_790_000_000_456, b"a token", True)
     assert told.fields == {17: bytes.fromhex(HEARTBEAT)}
 
 
@@ -558,5 +559,6 @@
     assert [member_messages().keys(), cell_messages().keys()] == [MEMBER.keys(), CELL.keys()]
     assert configuration_messages().keys() == CONFIGURATION.keys()
     # How many kinds there are is the decoders' word; each body above is one of them.
-    counts = [len(terms.Bodies.__args__) for terms in (membership, cells, configuration)]
+    unions = (membership.Bodies, cells.Bodies, configuration.MessageBody)
+    counts = [len(bodies.__args__) for bodies in unions]
     assert counts == [len(MEMBER) - 1, len(CELL) - 1, len(CONFIGURATION)]
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -144,12 +144,15 @@
         self._timer = loop.call_later(max(0.0, (due - self.now()) / SECOND), self.tick)
 
     def tick(self) -> None:
+        """Call the core and schedule the next tick."""
         raise NotImplementedError
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
+        """Hand a message to the core; returns what it wants done."""
         raise NotImplementedError
 
     def on_notice(self, noticed: Noticed) -> None:
+        """Log and record an event of the core."""
         raise NotImplementedError
 
 
@@ -176,17 +179,20 @@
         self._on_outdone = outdone
 
     def tick(self) -> None:
+        """Call the core and schedule the next tick."""
         now = self.now()
         self.carry_out(lambda: self.core.set_leadership(now, self._current_epoch()))
         self.carry_out(lambda: self.core.tick(self.now()))
         self.schedule_tick(now + TICK_NS)
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
+        """Hand a message to the core; returns what it wants done."""
         now = self.now()
         made = self.core.set_leadership(now, self._current_epoch())
         return made + self.core.on_message(now, message.replica, message.incarnation, message.body, source)
 
     def on_notice(self, noticed: Noticed) -> None:
+        """Log and record an event of the core."""
         self.record(noticed.kind, noticed.about)
         if noticed.kind in LOGGED_KINDS:
             about = ", ".join(f"{key} {value}" for key, value in noticed.about.items())
@@ -222,6 +228,7 @@
         self._reschedule()
 
     def tick(self) -> None:
+        """Call the core and schedule the next tick."""
         self.carry_out(lambda: self.core.tick(self.now()))
         self._reschedule(True)
 
@@ -231,11 +238,13 @@
             self.schedule_tick(self._scheduled_ns)
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
+        """Hand a message to the core; returns what it wants done."""
         made = self.core.on_message(self.now(), message.body, source)
         self._reschedule()
         return made
 
     def on_notice(self, noticed: Noticed) -> None:
+        """Log and record an event of the core."""
         if self._recorder is not None:
             self.record(noticed.kind, noticed.about | {"values": fingerprint(self.core.snapshot)})
         self._on_change()
--- a/trackspread/distribution/replica.py
+++ b/trackspread/distribution/replica.py
@@ -61,7 +61,7 @@
         self.settings = settings
         self._seed = seed
         self.log = Log(settings.max_recent_entries)
-        self.serving = PollServer(self.log, settings.pieces_per_s)
+        self.poll_server = PollServer(self.log, settings.pieces_per_s)
         self.promised: Epoch = FIRST_EPOCH
         self.is_complete = False
         self.leadership: Leader | None = None
@@ -139,7 +139,7 @@
             case Poll():
                 return [Send(source, each) for each in self._answer_poll(now, body, replica >= 0)]
             case Subscribe():
-                self.serving.subscriptions.add_part(source, body)
+                self.poll_server.subscriptions.add_part(source, body)
                 return []
             case Put() | BeginHistory() | Inspect():
                 return self._on_command(now, body, source)
@@ -154,7 +154,7 @@
     def _answer_poll(self, now: int, poll: Poll, replica: bool) -> list[MessageBody]:
         if not self.is_complete:
             return [Rejected(poll.number, 0)]
-        return self.serving.answer(now, poll, self._in_touch_at_ns, bounded=not replica)
+        return self.poll_server.answer(now, poll, self._in_touch_at_ns, bounded=not replica)
 
     def _from_replica(
         self,
@@ -182,6 +182,10 @@
                 self.leader_number = -1
                 self.leadership = None
                 return [Noticed("outdone", {"by": promised})]
+        return self._reply_to_leader(now, replica, born, body)
+
+    def _reply_to_leader(self, now: int, replica: int, born: int, body: MessageBody) -> list[Action]:
+        """An answer to what this replica sent as leader of its epoch."""
         if self.leadership is None:
             return []
         match body:
@@ -273,7 +277,7 @@
         self.is_complete = False
         self._recovery_requested_ns = now - RECOVERY_RETRY_NS
         self.log = Log(self.settings.max_recent_entries)
-        self.serving.replace_log(self.log)
+        self.poll_server.replace_log(self.log)
         self._promised_by_others.clear()
         self._catch_up_goal = None
         self._begun_epoch = self.promised
--- a/trackspread/distribution/subscriber.py
+++ b/trackspread/distribution/subscriber.py
@@ -64,6 +64,7 @@
         self.newest_version = NO_VERSION
 
     def add(self, piece: SnapshotPiece) -> None:
+        """Stage one piece."""
         self.oldest_version = (
             piece.committed if self.oldest_version is None else min(self.oldest_version, piece.committed)
         )
--- a/trackspread/node/door_reports.py
+++ b/trackspread/node/door_reports.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..control.door import Answer, Answers
-from ..decide.report import excluded, services
+from ..decide.report import service_reports, unavailable_backends
 from ..decide.services import ServiceBrokers
 from .backend_list import BackendList
 from .request_handler import RequestHandler
@@ -43,10 +43,10 @@
     def _stats(self) -> Answer:
         handler = self._handler
         open_requests = sum(not request.is_closed for request in handler.requests.values())
-        excluded_backends = excluded(handler.decision_module, handler.now())
+        excluded_backends = unavailable_backends(handler.decision_module, handler.now())
         return 200, handler.figures.lines(open_requests, len(self._backend_list), excluded_backends)
 
     def _services(self) -> Answer:
         module = self._handler.decision_module
-        reports = services(module, self._handler.now()) if isinstance(module, ServiceBrokers) else []
+        reports = service_reports(module, self._handler.now()) if isinstance(module, ServiceBrokers) else []
         return 200, msgspec.json.encode(reports).decode() + "\n"
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -15,7 +15,7 @@
 from ..call import Call
 from ..clock import Clock
 from ..config.platform import Config
-from ..decide import snapshot
+from ..decide import snapshot, snapshot_restore
 from ..decide.broker import Broker
 from ..decide.events import AttemptEnded, Event, Outcome
 from ..handover import wire
@@ -128,7 +128,7 @@
         ]
         return wire.encode(
             HandoverState(
-                snapshot.portrait(table.broker, table.class_names(), in_flight),
+                snapshot.export_state(table.broker, table.class_names(), in_flight),
                 table.now.base_ns,
                 open_request_ids,
                 table.next_number(),
@@ -190,7 +190,7 @@
         """Take up the complete state; raises `WireError` or `ValueError` before anything is changed."""
         state: HandoverState = wire.decode(encoded, HandoverState)
         table = self._table
-        snapshot.restore(table.broker, state.decision_state, table.class_names())
+        snapshot_restore.restore_state(table.broker, state.decision_state, table.class_names())
         table.now.base_ns = state.clock_base_ns
         self._in_flight = {
             (number, index): backend for number, index, backend, *_ in state.decision_state["out"]
@@ -217,7 +217,7 @@
 
     def _mirror(self, progress: Progress) -> None:
         """Have the decision module count an attempt of the old process."""
-        attempt = [
+        attempt = snapshot.AttemptElsewhere(
             progress.request,
             progress.attempt,
             progress.backend,
@@ -225,8 +225,8 @@
             progress.plan,
             progress.tenant,
             progress.units,
-        ]
-        snapshot.mirror(self._table.broker, self._table.class_names(), attempt)
+        )
+        snapshot_restore.count_attempt_elsewhere(self._table.broker, self._table.class_names(), attempt)
 
     def _attempt_ended(self, progress: Progress) -> None:
         is_known = progress.outcome in Outcome.__members__.values()
--- a/trackspread/node/quota_counter_part.py
+++ b/trackspread/node/quota_counter_part.py
@@ -29,7 +29,7 @@
 from ..counter.routing import Router
 from ..decide.events import Event
 from ..decide.settings import Plan
-from ..decide.report import Module, cap, kept
+from ..decide.report import Module, concurrency_cap, quota_units
 from .random_seed import random_seed
 
 log = logging.getLogger(__name__)
@@ -88,7 +88,7 @@
             time.time_ns() // NS_PER_MS,
             seed,
             now(),
-            partial(kept, module.quota),
+            partial(quota_units, module.quota),
         )
         routes = Router(
             [address(server, "counter.servers") for server in counter.servers],
@@ -147,7 +147,7 @@
         account = self._module.quota.accounts.get(tenant)
         if account is not None:
             self._module.quota.refill(now, account)
-        return tenant_report(now, self.client.manager, tenant, account, cap(self._module, tenant))
+        return tenant_report(now, self.client.manager, tenant, account, concurrency_cap(self._module, tenant))
 
     async def _answer_query(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Read one line with a tenant in hexadecimal digits, write one line of JSON."""
