--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from trackspread.membership.terms import SECOND
+from trackspread.membership.identifiers import SECOND
 from trackspread.testing.virtual.cells.world import CelledWorld
 
 START = 60 * SECOND  # ns that the fleet may take to settle from nothing
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 from trackspread.testing.harness.faulted import Played, play_clear
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.harness.player import Player
-from trackspread.membership.terms import SECOND
+from trackspread.membership.identifiers import SECOND
 from trackspread.testing.standins import faults
 from trackspread.testing.standins.faults import Cut, Duty, Fault, Rough, Schedule, draw
 from trackspread.testing.standins.scene import Scene
@@ -243,7 +243,7 @@
 
 def bytes_a_second(count: int) -> float:
     """Of one member in a calm fleet of so many, in virtual time."""
-    world = World(1, count, settings={"most": 2 * count})
+    world = World(1, count, settings={"max_members": 2 * count})
     world.begin(60 * SECOND, every=SECOND)
     while any(p.core is not None and len(p.core.gossip) for p in world.processes.values()):
         world.step(world.true + SECOND)  # until nothing is told of the start any more
--- a/benchmarks/scale/celling.py
+++ b/benchmarks/scale/celling.py
@@ -21,9 +21,10 @@
 from trackspread.cells.host import Host
 from trackspread.cells.terms import ControlMachine, Joined, Left, Zone
 from trackspread.cells.wire import CellsWire
-from trackspread.membership.host import born_now
-from trackspread.membership.member import ENTROPY, Member
-from trackspread.membership.terms import Noticed
+from trackspread.membership.host import created_now_ms
+from trackspread.membership.member import Member
+from trackspread.membership.discovery import ANTI_ENTROPY_INTERVAL_NS
+from trackspread.membership.actions import StatusEvent
 from trackspread.membership.wire import Keys
 
 from .answering import answer_all
@@ -76,13 +77,13 @@
         self._process, self._before = process, (0, 0)
         self._suspected: dict[Who, int] = {}
 
-    def came(self, data: bytes, source: Address) -> None:
+    def datagram_received(self, data: bytes, source: Address) -> None:
         if self._process.partition.passes(source, self._listen):
-            super().came(data, source)
+            super().datagram_received(data, source)
 
-    def _exchange(self, to: Address, fleet: str) -> None:
+    def _start_exchange(self, to: Address, fleet: str) -> None:
         if self._process.partition.passes(self._listen, to):
-            super()._exchange(to, fleet)
+            super()._start_exchange(to, fleet)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -90,14 +91,14 @@
         except asyncio.CancelledError:  # the process ends
             writer.close()
 
-    def _told(self, fleet: str, told: Noticed) -> None:
-        super()._told(fleet, told)
+    def _record_event(self, fleet: str, told: StatusEvent) -> None:
+        super()._record_event(fleet, told)
         if told.kind == "member":
-            who = cast(Who, told.about["who"])
-            self._judged(who, str(told.about["state"]), str(told.about["by"]))
+            who = cast(Who, told.details["who"])
+            self._judged(who, str(told.details["state"]), str(told.details["by"]))
 
     def _judged(self, who: Who, state: str, teller: str) -> None:
-        now, me = time.monotonic_ns(), self.core.who[0]
+        now, me = time.monotonic_ns(), self.core.member_id[0]
         if state == "SUSPECT":
             self._suspected.setdefault(who, now)
             return
@@ -181,7 +182,9 @@
         core: Controller | Gateway
         if isinstance(self._setup, SetControl):
             at = layout.control[number]
-            mine = ControlSettings(layout.fleet, control_name(number), born_now(), machines(layout), "hollow")
+            mine = ControlSettings(
+                layout.fleet, control_name(number), created_now_ms(), machines(layout), "hollow"
+            )
             core = Controller(mine, now, seed)
         else:
             at = layout.address(number)
@@ -189,7 +192,7 @@
                 GatewaySettings(
                     layout.fleet,
                     name_of(number),
-                    born_now(),
+                    created_now_ms(),
                     at,
                     place(gateway_zone(number)),
                     machines(layout),
@@ -200,7 +203,7 @@
             )
         host = self._hosts[number] = HollowCellHost(core, at, self)
         if isinstance(core, Controller):
-            self._lives_as(host, core.who)
+            self._lives_as(host, core.member_id)
         await host.start()
 
     def _kill(self, number: int) -> None:
@@ -208,11 +211,11 @@
         ended = self._ended
         self._ended = (ended[0] + host.counts["sent"], ended[1] + host.sent(), ended[2] + host.received())
         self._lives_as(host, None)
-        host._shut()  # without a word, as `close` would say one
+        host._close_sockets()  # without a word, as `close` would say one
 
     def placed(self, host: HollowCellHost, joined: bool) -> None:
         """A gateway has joined a cell, or left one."""
-        self._lives_as(host, host.core.who if joined else None)
+        self._lives_as(host, host.core.member_id if joined else None)
 
     def _lives_as(self, host: HollowCellHost, who: Who | None) -> None:
         now = time.monotonic_ns()
@@ -240,8 +243,8 @@
 
     def _in_view(self, now: int, host: HollowCellHost, cell: str, member: Member) -> InView:
         held = member.view.members if member.view is not None else ()
-        part = isinstance(host.core, Controller) or bool(member.part(now))
-        return InView(member.who, cell, member.number(), self._digest(cell, held), part)
+        part = isinstance(host.core, Controller) or bool(member.usable_slots(now))
+        return InView(member.member_id, cell, member.view_number(), self._digest(cell, held), part)
 
     def _digest(self, cell: str, members: tuple[Who, ...]) -> int:
         """Made once for all here that hold the same."""
@@ -273,7 +276,9 @@
         """The members' next exchanges of tables at any moment of the interval between two."""
         for host in self._hosts.values():
             for _, member in host.members():
-                member._entropy_at = time.monotonic_ns() + int(ENTROPY * self._rng.random())
+                member.discovery.anti_entropy_at_ns = time.monotonic_ns() + int(
+                    ANTI_ENTROPY_INTERVAL_NS * self._rng.random()
+                )
 
     async def _every_second(self) -> None:
         while True:
--- a/benchmarks/scale/control_state.py
+++ b/benchmarks/scale/control_state.py
@@ -28,7 +28,7 @@
     SubscriberSettings,
     Version,
 )
-from trackspread.membership.terms import Who
+from trackspread.membership.identifiers import MemberId
 
 from .demand import ASKED, CARRIED
 from .subjects import REPEATS, SECOND, START, Figures, print_figures, resident, took
@@ -170,7 +170,7 @@
     """CPU seconds of a seed's report of each cell, after which all that were sent there are in it."""
     used = []
     for known in made.entries.values():
-        inside: list[Who] = [(name, 1) for name in known.coming]
+        inside: list[MemberId] = [(name, 1) for name in known.coming]
         used.append(took(partial(made.reported, START + REBUILD, known.cell, (1, 0, 1), inside)))
     return used
 
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -9,8 +9,8 @@
 from trackspread.decide.broker import FORGET, IDLE, RETRY_SHARE
 from trackspread.decide.time_units import SECOND
 from trackspread.lists.turns import SPREAD_MOST
-from trackspread.membership.host import DESCRIPTORS
-from trackspread.membership.slots import SLOTS
+from trackspread.membership.transport import DESCRIPTORS
+from trackspread.membership.slot_allocation import SLOT_COUNT
 from trackspread.node.gateway import RESERVED
 
 from .sums import Line
@@ -51,7 +51,7 @@
     "memory": 64e6,
     "report_s": FRESHEN / SECOND,
     "report_others_s": FRESHEN_OTHERS / SECOND,
-    "slots": SLOTS,
+    "slots": SLOT_COUNT,
     "fleet_most": 4_096,
     "counter_most": MOST_FIELDS,
 }
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -19,7 +19,7 @@
 from trackspread.distribution.log import Snapshot
 from trackspread.distribution.replica import Replica
 from trackspread.distribution.subscriber import Subscriber
-from trackspread.distribution.terms import MS, SECOND, Entry, Noticed, Version
+from trackspread.distribution.terms import MS, SECOND, Entry, StatusEvent, Version
 from trackspread.testing.virtual.distribution.world import Process, World
 
 from .fit import Point
@@ -71,7 +71,7 @@
             made[service] = {key: Entry(version, service, key, b"v" * VALUE) for key in keys}
         return made
 
-    def _told(self, process: Process, told: Noticed) -> None:
+    def _told(self, process: Process, told: StatusEvent) -> None:
         """Worlds for tests judge."""
 
     def until(self, holds: Callable[[], bool]) -> float:
--- a/benchmarks/scale/handing.py
+++ b/benchmarks/scale/handing.py
@@ -23,10 +23,10 @@
     ReplicaSettings,
     Send,
     SubscriberSettings,
-    Noticed,
+    StatusEvent,
 )
 from trackspread.distribution.wire import Wire
-from trackspread.membership.host import born_now
+from trackspread.membership.host import created_now_ms
 from trackspread.membership.wire import Keys
 
 from .answering import answer_all
@@ -54,7 +54,7 @@
 
     def __init__(self, name: str, address: Address, tier: Tier, number: int) -> None:
         super().__init__(name, address)
-        self._wire, self._number, self._born = Wire(tier.fleet, Keys()), number, born_now()
+        self._wire, self._number, self._born = Wire(tier.fleet, Keys()), number, created_now_ms()
 
     def do(self, actions: Iterable[Action]) -> None:
         for action in actions:
@@ -62,10 +62,10 @@
                 case Send(to, body):
                     message = Message(self._wire.fleet, self._number, self._born, body)
                     self.send(to, self._wire.pack(message))
-                case Noticed():
+                case StatusEvent():
                     self.notice(action)
 
-    def notice(self, noticed: Noticed) -> None:
+    def notice(self, noticed: StatusEvent) -> None:
         """Something came to be."""
 
 
@@ -108,7 +108,7 @@
         if message is not None:
             self.do(self.core.received(now, message.body, source))
 
-    def notice(self, noticed: Noticed) -> None:
+    def notice(self, noticed: StatusEvent) -> None:
         if noticed.kind == "acts":
             self._process.came_to(self.name, self.core.version.sequence)
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -16,9 +16,11 @@
 
 import uvloop
 
-from trackspread.membership.host import Host, born_now
-from trackspread.membership.member import ENTROPY
-from trackspread.membership.terms import Action, Exchange, Noticed, Number, Say, Settings
+from trackspread.membership.host import Host, created_now_ms
+from trackspread.membership.discovery import ANTI_ENTROPY_INTERVAL_NS
+from trackspread.membership.actions import Action, ExchangeTables, SendMessage, StatusEvent
+from trackspread.membership.identifiers import ViewNumber
+from trackspread.membership.settings import MemberSettings
 from trackspread.membership.wire import Keys, Wire
 
 from .answering import answer_all
@@ -53,25 +55,25 @@
 class HollowHost(Host):
     """One hollow member."""
 
-    def __init__(self, settings: Settings, wire: Wire, seed: int, process: HollowProcess) -> None:
+    def __init__(self, settings: MemberSettings, wire: Wire, seed: int, process: HollowProcess) -> None:
         super().__init__(settings, settings.address, wire, seed, time.monotonic_ns)
         self._process = process
         self._last_second = (0, 0)
         self._suspected: dict[Who, int] = {}  # since when each is held for suspect
 
-    def came(self, data: bytes, source: Address) -> None:
+    def datagram_received(self, data: bytes, source: Address) -> None:
         if self._process.partition.passes(source, self.settings.address):
-            super().came(data, source)
+            super().datagram_received(data, source)
 
-    def _do(self, actions: Iterable[Action]) -> None:
-        super()._do(each for each in actions if self._goes(each))
+    def _perform(self, actions: Iterable[Action]) -> None:
+        super()._perform(each for each in actions if self._goes(each))
 
     def _goes(self, action: Action) -> bool:
         """No table goes over a cut way, nor a datagram to a gateway that does not drop it itself."""
         match action:
-            case Exchange(to):
+            case ExchangeTables(to):
                 return self._process.partition.passes(self.settings.address, to)
-            case Say(to, _):
+            case SendMessage(to, _):
                 return self._process.hollow(to) or self._process.partition.passes(self.settings.address, to)
         return True
 
@@ -87,11 +89,11 @@
         except asyncio.CancelledError:  # the process ends
             writer.close()
 
-    def _told(self, told: Noticed) -> None:
-        super()._told(told)
+    def _record_event(self, told: StatusEvent) -> None:
+        super()._record_event(told)
         if told.kind == "member":
-            who = cast(Who, told.about["who"])
-            self._judged(who, str(told.about["state"]), str(told.about["by"]))
+            who = cast(Who, told.details["who"])
+            self._judged(who, str(told.details["state"]), str(told.details["by"]))
 
     def _judged(self, who: Who, state: str, teller: str) -> None:
         now = time.monotonic_ns()
@@ -119,11 +121,13 @@
 
     def spread_entropy(self, rng: random.Random) -> None:
         """Its next exchange of tables with one at random, at any moment of the interval between two."""
-        self.core._entropy_at = time.monotonic_ns() + int(ENTROPY * rng.random())
+        self.core.discovery.anti_entropy_at_ns = time.monotonic_ns() + int(
+            ANTI_ENTROPY_INTERVAL_NS * rng.random()
+        )
 
     def crash(self) -> None:
         """Nothing is said any more; both sockets close."""
-        self.core.gone = True
+        self.core.state.has_left = True
         self.close()
 
 
@@ -141,7 +145,7 @@
         self._rng = random.Random(f"hollow:{setup.process}")
         self._watch = LagWatch()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._digests: dict[Number, tuple[tuple[Who, ...], int]] = {}
+        self._digests: dict[ViewNumber, tuple[tuple[Who, ...], int]] = {}
 
     def start(self) -> None:
         self._watch.start()
@@ -186,24 +190,24 @@
 
     async def _start(self, number: int) -> None:
         setup, place = self.setup, self.setup.placement
-        settings = Settings(
+        settings = MemberSettings(
             setup.fleet,
             name_of(number),
-            born_now(),
+            created_now_ms(),
             place.address(number),
             tuple(place.address(seed) for seed in setup.seeds),
             "hollow",
-            most=setup.most,
+            max_members=setup.most,
         )
         wire = Wire(setup.fleet, Keys(), setup.most)
         host = HollowHost(settings, wire, self._rng.getrandbits(60), self)
         await host.start()
         self._hosts[number] = host
-        self._lives[settings.who] = Life(settings.who, time.monotonic_ns())
+        self._lives[settings.member_id] = Life(settings.member_id, time.monotonic_ns())
 
     def _crash(self, number: int) -> None:
         host = self._hosts.pop(number)
-        traffic, ended, who = host.traffic(), self._ended, host.settings.who
+        traffic, ended, who = host.traffic(), self._ended, host.settings.member_id
         self._ended = ended[0] + host.counts["sent"], ended[1] + traffic.sent, ended[2] + traffic.received
         self._lives[who] = Life(who, self._lives[who].since, time.monotonic_ns())
         host.crash()
@@ -215,14 +219,14 @@
         now = time.monotonic_ns()
         for host in self._hosts.values():
             core = host.core
-            members = self._digest(core.number(), core.view.members) if core.view is not None else 0
-            distinct.add((core.member_table.digest(), members, core.number()))
+            members = self._digest(core.view_number(), core.view.members) if core.view is not None else 0
+            distinct.add((core.member_table.digest(), members, core.view_number()))
             telling += len(core.gossip)
-            without += not core.part(now)
-        running = tuple(host.settings.who for host in self._hosts.values())
+            without += not core.usable_slots(now)
+        running = tuple(host.settings.member_id for host in self._hosts.values())
         return Held(tuple(distinct), running, telling, without)
 
-    def _digest(self, number: Number, members: tuple[Who, ...]) -> int:
+    def _digest(self, number: ViewNumber, members: tuple[Who, ...]) -> int:
         """Of a view's members; made once for all that hold the same."""
         kept = self._digests.get(number)
         if kept is None or kept[0] != members:
@@ -234,7 +238,7 @@
         hosts = self._hosts.values()
         traffics = [host.traffic() for host in hosts]
         now = time.monotonic_ns()
-        leading = tuple(host.traffic() for host in hosts if host.core.owns(now))
+        leading = tuple(host.traffic() for host in hosts if host.core.is_coordinator(now))
         verdicts = tuple(self.verdicts)
         self.verdicts.clear()
         peak, name, self._peak, self._peak_name = self._peak, self._peak_name, 0, ""
--- a/benchmarks/scale/operator_tools.py
+++ b/benchmarks/scale/operator_tools.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from trackspread.commands.fleet import decode, differences
-from trackspread.membership.report import Report, Seen
+from trackspread.membership.report import FleetReport, MemberReport
 
 from .subjects import REPEATS, Figures, print_figures, took
 
@@ -21,7 +21,7 @@
 def answer(size: int) -> bytes:
     """What one gateway of so many says of its fleet."""
     seen = tuple(
-        Seen(
+        MemberReport(
             f"gateway-{number:04}",
             "ALIVE",
             1_764_000_000_000 + number,
@@ -33,18 +33,18 @@
         )
         for number in range(size)
     )
-    report = Report(
+    report = FleetReport(
         fleet="rating-eu",
         name="gateway-0000",
         standing="settled",
         view=(1, 0, 5),
         members=size,
-        part=1.0 / size,
+        usable_fraction=1.0 / size,
         leader="gateway-0001",
-        leads=False,
+        is_coordinator=False,
         health=0,
-        seen=seen,
-        differ=(),
+        known_members=seen,
+        differing_names=(),
         counts={"pings": 100},
         dropped={},
     )
--- a/benchmarks/scale/quota_traffic.py
+++ b/benchmarks/scale/quota_traffic.py
@@ -20,8 +20,8 @@
 from trackspread.decide.actions import Action, SendToPeers, StartAttempt
 from trackspread.decide.events import AttemptEnded, FleetChanged, Outcome, PeerMessage
 from trackspread.decide.rendezvous import home_of
-from trackspread.membership.slots import WHOLE, slots_of, to_bytes
-from trackspread.membership.terms import MemberMessage, PeerData
+from trackspread.membership.slot_allocation import ALL_SLOTS, slots_of, slots_to_bytes
+from trackspread.membership.messages import MemberMessage, PeerData
 from trackspread.membership.wire import Keys, Wire
 
 from .subjects import (
@@ -67,7 +67,7 @@
         self.drivers = [Driver(replace(settings(), gateway_index=number)) for number in (ASKER, HOME)]
         self.bytes = self.sent = 0
         self._wire = Wire("rating-eu", Keys(b"k" * 32), MEMBERS)
-        self._part = to_bytes(slots_of((0, MEMBERS)) & WHOLE)
+        self._part = slots_to_bytes(slots_of((0, MEMBERS)) & ALL_SLOTS)
         for number, driver in enumerate(self.drivers):
             driver.handle(fleet(number))
             driver.handle(full_list(SERVICE, 1))
--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -34,7 +34,7 @@
 from trackspread.decide.report import brokers
 from trackspread.decide.services import ServiceBrokers
 from trackspread.lists.agent import parse_update
-from trackspread.membership.slots import slots_of
+from trackspread.membership.slot_allocation import slots_of
 
 SECOND = 1_000_000_000
 START = 1000 * SECOND
--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -16,7 +16,8 @@
 import msgspec
 
 from trackspread.cells.terms import InCell
-from trackspread.membership.terms import SECOND, Noticed
+from trackspread.membership.actions import StatusEvent
+from trackspread.membership.identifiers import SECOND
 from trackspread.testing.virtual.cells.world import CelledWorld, Process
 
 from .bounds import Guard
@@ -87,9 +88,9 @@
         """Verdicts by own probes on processes that run and were in reach all along."""
         for _, teller, what in self.world.told:
             told = what.action if isinstance(what, InCell) else None
-            if not isinstance(told, Noticed) or told.kind != "member" or told.about["by"] != teller:
+            if not isinstance(told, StatusEvent) or told.kind != "member" or told.details["by"] != teller:
                 continue
-            about = told.about
+            about = told.details
             key = teller, about["who"]
             if about["state"] == "SUSPECT":
                 self._suspects.setdefault(key, self._severed(teller, about["who"]))
@@ -105,7 +106,7 @@
 
     def _runs(self, who: object) -> bool:
         core = self.world.processes[str(who[0])].core  # type: ignore[index]
-        return core is not None and core.who == who
+        return core is not None and core.member_id == who
 
     def _count(self) -> None:
         if self.world.true < self._second + SECOND:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -32,11 +32,13 @@
     Send,
     Zone,
 )
+from trackspread.membership.identifiers import MS, SECOND, ViewNumber
 from trackspread.membership.member import Member
-from trackspread.membership.terms import MS, SECOND, Number, Settings, State, View
-from trackspread.testing.virtual.cells.world import CelledWorld, layout
+from trackspread.membership.messages import State, View
+from trackspread.membership.settings import MemberSettings
 from trackspread.testing.virtual.cells.mutants import MUTANTS, tells
 from trackspread.testing.virtual.cells.schedules import play
+from trackspread.testing.virtual.cells.world import CelledWorld, layout
 from trackspread.testing.virtual.cells.worlds import WORLDS
 
 MACHINES = layout(1, 4)
@@ -45,7 +47,7 @@
 CONTROL, STRANGER = MACHINES[0].address, ("10.9.9.9", 1)
 
 
-def cell(name: str = "a", number: Number = (5, 0, 1), closing: bool = False) -> Cell:
+def cell(name: str = "a", number: ViewNumber = (5, 0, 1), closing: bool = False) -> Cell:
     return Cell(name, *ZONE, number, tuple(m.address for m in MACHINES[:3]), closing)
 
 
@@ -58,7 +60,7 @@
 
 
 def told(core: Gateway, what: Placement, name: str = "c0", fleet: str = "fleet") -> list[CellsAction]:
-    message = Message(fleet, name, 1, Located(core.who, what))
+    message = Message(fleet, name, 1, Located(core.member_id, what))
     return core.message(BEGUN, message, CONTROL)
 
 
@@ -85,12 +87,12 @@
     core = gateway()
     assert isinstance(told(core, placement("a", 3))[0], Joined)
     first = core.member
-    assert first is not None and core.who == ("g", 101)
+    assert first is not None and core.member_id == ("g", 101)
     assert not told(core, placement("b", 2)) and core.member is first, "an older word"
     made = told(core, placement("b", 4))
     kinds = [type(each) for each in made if not isinstance(each, InCell)]
-    assert kinds == [Left, Joined] and first.gone and first.part(BEGUN) == 0
-    assert core.member is not first and core.who == ("g", 102), "to the cell it is another process"
+    assert kinds == [Left, Joined] and first.has_left and first.usable_slots(BEGUN) == 0
+    assert core.member is not first and core.member_id == ("g", 102), "to the cell it is another process"
     assert core.held == placement("b", 4)
     assert all(
         each.fleet == "a" for each in made[: made.index(Left(placement("a", 3)))] if isinstance(each, InCell)
@@ -130,7 +132,7 @@
     core = gateway()
     told(core, placement())
     assert core.member is not None
-    core.member.gone = core.member.fenced = True
+    core.member.state.has_left = core.member.state.is_fenced = True
     assert core.fenced and not [each for each in core.tick(BEGUN + 60 * SECOND) if isinstance(each, Send)]
     assert not told(core, placement("b", 9))
 
@@ -173,9 +175,9 @@
     late = BEGUN + 2 * ALONE
     assert asked(core, None, late) == [], "no view yet"
     member = core.cells["a"].member
-    member.view = View((1, 0, 1), (0, -1, 0), (("c0", 1), ("g1", 1)))
+    member.state.view = View((1, 0, 1), (0, -1, 0), (("c0", 1), ("g1", 1)))
     assert asked(core, None, late) == [Located(("g", 100), Placement((5, 0, 1), cell()))]
-    member.view = View((1, 0, 2), (1, 0, 1), tuple((f"g{n:02d}", 1) for n in range(1, 25)))
+    member.state.view = View((1, 0, 2), (1, 0, 1), tuple((f"g{n:02d}", 1) for n in range(1, 25)))
     assert asked(core, None, late) == [], "full"
     assert asked(core, placement("gone"), late) == [], "one with a cell stays there"
 
@@ -236,9 +238,9 @@
 
 
 def seeding(members: int, name: str = "gateway-{:050d}") -> Seeding:
-    member = Member(Settings("a", "c0", 1, CONTROL, (CONTROL,)), BEGUN, 1)
+    member = Member(MemberSettings("a", "c0", 1, CONTROL, (CONTROL,)), BEGUN, 1)
     who = tuple((name.format(n), 1) for n in range(members))
-    member.view = View((1, 0, 1), (0, -1, 0), (("c0", 1), *who))
+    member.state.view = View((1, 0, 1), (0, -1, 0), (("c0", 1), *who))
     return Seeding(cell(), member)
 
 
@@ -325,5 +327,5 @@
     told(core, placement("a", 3))
     before = core.member
     told(core, placement("b", 4))
-    assert before is not None and before.member_table.me.state == State.LEFT
-    assert core.member is not None and core.member.member_table.me.state == State.ALIVE
+    assert before is not None and before.member_table.own_update.state == State.LEFT
+    assert core.member is not None and core.member.member_table.own_update.state == State.ALIVE
--- a/tests/test_cells_file.py
+++ b/tests/test_cells_file.py
@@ -69,7 +69,7 @@
     both = fleet(PLACED + seat(1) + seat(2))
     assert [machine.name for machine in machines(both)] == ["c1", "c2"]
     host = made("c2", both)
-    assert host.core.who[0] == "c2"
+    assert host.core.member_id[0] == "c2"
     assert Celled("g", both, lambda: 0).report() is None
 
 
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -24,11 +24,12 @@
     Zone,
 )
 from trackspread.cells.wire import MARK, CellsWire
+from trackspread.membership.host import created_now_ms
+from trackspread.membership.identifiers import Epoch
+from trackspread.membership.messages import MemberMessage, Ping
+from trackspread.membership.slot_allocation import ALL_SLOTS
+from trackspread.membership.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 from trackspread.testing.judge.beliefs import Reader
-from trackspread.membership.host import born_now
-from trackspread.membership.slots import WHOLE
-from trackspread.membership.terms import Epoch, MemberMessage, Ping
-from trackspread.membership.wire import DATAGRAM, Keys, Wire
 from trackspread.testing.standins.loopback import Ports
 
 ZONE = Zone("r", "z")
@@ -68,7 +69,7 @@
     long = Cell("x" * 128, "r" * 64, "z" * 64, (1 << 40, 6, 1 << 20), (("255.255.255.255", 65535),) * 3)
     located = Located(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), long))
     placed = Message("f" * 64, "n" * 64, 1 << 42, located)
-    assert len(wire("f" * 64).pack_message(placed)) <= DATAGRAM
+    assert len(wire("f" * 64).pack_message(placed)) <= MAX_DATAGRAM_BYTES
 
 
 class Fleet:
@@ -84,7 +85,7 @@
 
     def controller(self, machine: ControlMachine) -> Host:
         core = Controller(
-            ControlSettings("f", machine.name, born_now(), self.machines),
+            ControlSettings("f", machine.name, created_now_ms(), self.machines),
             time.monotonic_ns(),
             random.getrandbits(60),
         )
@@ -94,13 +95,13 @@
             wire(),
             time.monotonic_ns,
             self.folder / machine.name,
-            led=lambda epoch: self.led.append((machine.name, epoch)),
+            on_leadership=lambda epoch: self.led.append((machine.name, epoch)),
         )
 
     def gateway(self, name: str) -> Host:
         address = self._ports.host(), 7400
         core = Gateway(
-            GatewaySettings("f", name, born_now(), address, ZONE, self.machines),
+            GatewaySettings("f", name, created_now_ms(), address, ZONE, self.machines),
             time.monotonic_ns(),
             random.getrandbits(60),
         )
@@ -110,7 +111,7 @@
             wire(),
             time.monotonic_ns,
             self.folder / name,
-            heard=lambda sender, data, part: self.heard.append((sender, data)),
+            on_data=lambda sender, data, part: self.heard.append((sender, data)),
         )
 
     def hosts(self) -> list[Host]:
@@ -118,7 +119,7 @@
 
     def settled(self) -> bool:
         slots, now = 0, time.monotonic_ns()
-        wanted = {host.core.who[0] for host in self.hosts()}
+        wanted = {host.core.member_id[0] for host in self.hosts()}
         for host in self.gateways:
             core = host.core
             if not isinstance(core, Gateway) or core.member is None or core.member.view is None:
@@ -126,7 +127,7 @@
             if {name for name, _ in core.member.view.members} != wanted:
                 return False
             slots |= core.part(now)
-        return slots == WHOLE
+        return slots == ALL_SLOTS
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -156,7 +157,7 @@
 @pytest.mark.processes
 def test_gateways_find_their_cell_and_one_that_ends_or_a_leader_that_does_is_got_over(tmp_path: Path) -> None:
     async def work(fleet: Fleet) -> None:
-        fleet.gateways[0].tell(["g1", "g2"], b"word")
+        fleet.gateways[0].send_data(["g1", "g2"], b"word")
         await until(lambda: len(fleet.heard) == 2)
         fleet.gateways.pop().close()
         await until(fleet.settled)
--- a/tests/test_cells_process.py
+++ b/tests/test_cells_process.py
@@ -12,9 +12,9 @@
 import pytest
 import uvloop
 
+from trackspread.membership.identifiers import MS
 from trackspread.testing.harness import viewed
 from trackspread.testing.harness.celled import COMMAND, CelledFleet, whole_cells
-from trackspread.membership.terms import MS
 from trackspread.testing.standins.scene import Scene
 
 pytestmark = pytest.mark.processes
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -20,7 +20,7 @@
     MoveWanted,
 )
 from trackspread.cells.terms import SECOND, Cell, ControlMachine, Locate, Placement, Policy, Zone
-from trackspread.membership.terms import Number
+from trackspread.membership.identifiers import ViewNumber
 
 EPOCH = 17, 1
 POLICY = Policy()
@@ -86,7 +86,7 @@
     return made
 
 
-def cell(name: str = "old", number: Number = (16, 0, 4), seeds: int = 3, closing: bool = False) -> Cell:
+def cell(name: str = "old", number: ViewNumber = (16, 0, 4), seeds: int = 3, closing: bool = False) -> Cell:
     return Cell(name, *ZONE, number, tuple(m.address for m in MACHINES[:seeds]), closing)
 
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -25,7 +25,7 @@
     Epoch,
     Full,
     Message,
-    Noticed,
+    StatusEvent,
     Poll,
     Prepare,
     Put,
@@ -208,7 +208,7 @@
 def test_a_lease_under_an_epoch_that_is_outdone_leads_nothing_and_says_so() -> None:
     one = replica()
     one.received(0, 1, 1, Prepare((9, 1), 1, False), ("10.0.0.1", 1))
-    assert one.lead(0, (8, 0)) == [Noticed("outdone", {"by": (9, 1)})] and one.leading is None
+    assert one.lead(0, (8, 0)) == [StatusEvent("outdone", {"by": (9, 1)})] and one.leading is None
     assert one.lead(1, (8, 0)) == [], "once"
     assert one.lead(2, (10, 0)) != [] and one.leading is not None
     one.lead(3, None)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -21,7 +21,7 @@
 from trackspread.decide.quota import RETURNING, SILENT, Quota
 from trackspread.decide.rendezvous import home_of
 from trackspread.decide.time_units import SECOND
-from trackspread.membership.slots import WHOLE, slots_of
+from trackspread.membership.slot_allocation import ALL_SLOTS, slots_of
 from trackspread.testing.virtual.plain import plain_settings
 
 PLAN = Plan("team", 2.0, 12.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
@@ -217,7 +217,7 @@
     assert unpack_quota_message(b"\1" * 21) is None
     made = quota(3, 1000.0)
     made.joined(START, view(3, peer_slots=(0, 0), peers=(11, 12)))
-    assert WHOLE.bit_count() == sum(slots_of((n, 3)).bit_count() for n in range(3))
+    assert ALL_SLOTS.bit_count() == sum(slots_of((n, 3)).bit_count() for n in range(3))
     for sender in range(2000):
         words(made, START, 10_000 + sender)
     assert len(made.peers) <= 512
--- a/tests/test_following_process.py
+++ b/tests/test_following_process.py
@@ -12,7 +12,7 @@
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.judge.beliefs import SLOTS, Belief, slots_of
 from trackspread.testing.judge.ledger import Killed
-from trackspread.membership.terms import SECOND
+from trackspread.membership.identifiers import SECOND
 from trackspread.testing.standins import faults
 from trackspread.testing.standins.faults import Cut, Halt, Schedule
 
--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -2,22 +2,17 @@
 
 from __future__ import annotations
 
-
 import pytest
 
-from trackspread.membership.asking import WANTING
-from trackspread.membership.slots import SLOTS, WHOLE, slots_of
-from trackspread.membership.terms import (
-    SECOND,
-    WITNESS,
-    Ack,
-    Forget,
-    Forgotten,
-    Say,
-)
-from trackspread.testing.virtual.membership.world import KEEP, World
+from trackspread.membership.actions import SendMessage
+from trackspread.membership.identifiers import SECOND, WITNESS
+from trackspread.membership.lease_renewal import EMPTY_INTERVAL_NS
+from trackspread.membership.messages import Ack, ForgetRequest, ForgetResponse
+from trackspread.membership.slot_allocation import ALL_SLOTS, SLOT_COUNT, slots_of
 from trackspread.testing.virtual.membership.mutants import MUTANTS, WORLDS, convict
 from trackspread.testing.virtual.membership.schedules import make, play
+from trackspread.testing.virtual.membership.world import KEEP, World
+
 from .test_membership import message, settled, word
 
 
@@ -25,7 +20,7 @@
     world = settled(12)
     world.start(world.add(12))
     assert world.until_settled(2 * SECOND) < SECOND
-    assert world.rights() == WHOLE
+    assert world.rights() == ALL_SLOTS
 
 
 def test_forty_join_at_once() -> None:
@@ -50,14 +45,18 @@
     world.until_settled(6 * SECOND, with_seeds)
     world.step(world.true + 4 * SECOND)
     cores = [world.processes[name].core for name in without]
-    assert all(c is not None and c.part(world.clock.now) == 0 for c in cores), "nothing that is shared"
-    assert all(c is not None and set(c.member_table.live()) == {d.who for d in cores if d} for c in cores)
+    assert all(c is not None and c.usable_slots(world.clock.now) == 0 for c in cores), (
+        "nothing that is shared"
+    )
+    assert all(
+        c is not None and set(c.member_table.live()) == {d.member_id for d in cores if d} for c in cores
+    )
     world.heal(ways)
     assert world.until_settled(5 * SECOND) <= 5 * SECOND
 
 
 def test_a_part_outlasts_a_cut_that_is_shorter_than_it_is_kept_for_where_a_seed_is_at_hand() -> None:
-    world = World(1, 12, settings={"keep": 8 * SECOND})
+    world = World(1, 12, settings={"lease_duration_ns": 8 * SECOND})
     assert world.begin(6 * SECOND) < 6 * SECOND, "all seeds started anew: nobody waits for the end"
     with_one, with_two = [f"n{n}" for n in (0, 3, 4, 5)], [f"n{n}" for n in (1, 2, 6, 7, 8)]
     with_none = [f"n{n}" for n in (9, 10, 11)]
@@ -70,7 +69,7 @@
     def held_by(names: list[str]) -> set[float]:
         """Twelfths of the whole that each of these holds."""
         cores = [core for name in names if (core := world.processes[name].core)]
-        return {round(12 * core.part(world.clock.now).bit_count() / SLOTS, 1) for core in cores}
+        return {round(12 * core.usable_slots(world.clock.now).bit_count() / SLOT_COUNT, 1) for core in cores}
 
     world.step(world.true + 5 * SECOND)
     assert held_by(with_one) == held_by(with_two) == {1.0} and held_by(with_none) == {0.0}
@@ -81,24 +80,28 @@
 
 
 def test_one_that_let_go_out_of_reach_of_seeds_has_its_slots_again_from_another_coordinator() -> None:
-    world = World(1, 6, settings={"keep": 60 * SECOND})
+    world = World(1, 6, settings={"lease_duration_ns": 60 * SECOND})
     world.begin(6 * SECOND)
-    leads = next(p.name for p in world.processes.values() if p.core and p.core.owns(p.now(world.clock.now)))
+    leads = next(
+        p.name for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
+    )
     without = ["n5"]
     most = [name for name in world.processes if name not in (leads, *without)]
     pieces = ([leads], most), ([leads], without), (most, without)
     ways = [way for a, b in pieces for way in world.part(a, b)]
     world.step(world.true + 6 * SECOND)
     lapsed = world.processes["n5"].core
-    assert lapsed is not None and lapsed.part(world.clock.now) == 0
+    assert lapsed is not None and lapsed.usable_slots(world.clock.now) == 0
     world.heal(ways)
     assert world.until_settled(5 * SECOND) <= 5 * SECOND
 
 
 def test_one_joins_while_what_a_dead_coordinator_knew_is_still_out() -> None:
-    world = World(1, 5, settings={"keep": 20 * SECOND})
+    world = World(1, 5, settings={"lease_duration_ns": 20 * SECOND})
     world.begin(6 * SECOND)
-    leading = next(p for p in world.processes.values() if p.core and p.core.owns(p.now(world.clock.now)))
+    leading = next(
+        p for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
+    )
     world.kill(leading)
     world.step(world.true + 4 * SECOND)
     added = world.add(5)
@@ -106,32 +109,34 @@
     world.step(world.true + SECOND)
     dead = slots_of((int(leading.name[1:]), 5))
     assert added.core is not None
-    assert added.core.part(world.clock.now).bit_count() == (WHOLE ^ dead).bit_count() // 5
+    assert added.core.usable_slots(world.clock.now).bit_count() == (ALL_SLOTS ^ dead).bit_count() // 5
     world.step(world.true + 3 * SECOND)
-    assert world.rights() == WHOLE ^ dead, "the dead one's slots are kept"
+    assert world.rights() == ALL_SLOTS ^ dead, "the dead one's slots are kept"
 
 
 def test_one_that_an_operator_calls_gone_has_its_slots_used_at_once_and_one_that_runs_keeps_its() -> None:
-    world = World(1, 5, settings={"keep": 60 * SECOND})
+    world = World(1, 5, settings={"lease_duration_ns": 60 * SECOND})
     world.begin(6 * SECOND)
-    leads = next(p.core for p in world.processes.values() if p.core and p.core.owns(p.now(world.clock.now)))
+    leads = next(
+        p.core for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
+    )
     name = next(n for n in ("n3", "n4"))
 
     def word(name: str) -> list[object]:
-        told = message(fleet="fleet", name="", born=0, body=Forget(name))
-        said = leads.received(world.clock.now, told, ("10.9.9.9", 1))
-        return [action.message.body for action in said if isinstance(action, Say)]
+        told = message(fleet="fleet", name="", created_at_ms=0, body=ForgetRequest(name))
+        said = leads.receive(world.clock.now, told, ("10.9.9.9", 1))
+        return [action.message.body for action in said if isinstance(action, SendMessage)]
 
-    assert word(name) == [Forgotten(name, True, 0)]
+    assert word(name) == [ForgetResponse(name, True, 0)]
     world.kill(world.processes[name])
     world.step(world.true + 5 * SECOND)
-    assert world.rights() == WHOLE ^ slots_of((int(name[1:]), 5))
-    assert word(name) == [Forgotten(name, False, slots_of((int(name[1:]), 5)).bit_count())]
-    assert word("nobody") == [Forgotten("nobody", False, 0)]
+    assert world.rights() == ALL_SLOTS ^ slots_of((int(name[1:]), 5))
+    assert word(name) == [ForgetResponse(name, False, slots_of((int(name[1:]), 5)).bit_count())]
+    assert word("nobody") == [ForgetResponse("nobody", False, 0)]
     assert world.until_settled(2 * SECOND) < 2 * SECOND
     other = next(p.core for p in world.processes.values() if p.core and p.core is not leads)
-    told = message(fleet="fleet", name="", born=0, body=Forget(name))
-    assert other.received(world.clock.now, told, ("10.9.9.9", 1)) == [], "only the coordinator answers"
+    told = message(fleet="fleet", name="", created_at_ms=0, body=ForgetRequest(name))
+    assert other.receive(world.clock.now, told, ("10.9.9.9", 1)) == [], "only the coordinator answers"
 
 
 def test_in_three_pieces_without_a_majority_of_seeds_no_view_is_made() -> None:
@@ -153,19 +158,23 @@
     for process in world.processes.values():
         world.start(process)
     world.step(6 * SECOND)
-    parts = {name: p.core.part(world.clock.now) for name, p in world.processes.items() if p.core}
+    parts = {name: p.core.usable_slots(world.clock.now) for name, p in world.processes.items() if p.core}
     assert [bool(parts[f"n{n}"]) for n in range(7)] == [False] * 3 + [True] * 4
-    assert world.rights() == WHOLE
-    views = {p.core.number() for p in world.processes.values() if p.core}
+    assert world.rights() == ALL_SLOTS
+    views = {p.core.view_number() for p in world.processes.values() if p.core}
     assert len(views) == 1 and len(world.views[views.pop()].members) == 7
-    asked = [p.core.asking.at - world.clock.now > WANTING for p in world.processes.values() if p.core]
+    asked = [
+        p.core.renewal.next_at_ns - world.clock.now > EMPTY_INTERVAL_NS
+        for p in world.processes.values()
+        if p.core
+    ]
     assert any(asked[:3]), "who wants nothing does not ask as one that lacks its part"
 
 
 def test_a_fleet_of_two_and_one_of_one() -> None:
     for count in (1, 2):
         world = settled(count, seeds=1)
-        assert world.rights() == WHOLE
+        assert world.rights() == ALL_SLOTS
 
 
 def test_a_process_whose_clock_went_back_takes_its_name_again() -> None:
@@ -178,7 +187,7 @@
     fresh = process.core
     assert fresh is not None
     # As a clock that was put back would have it.
-    fresh.member_table.me = word("n4", core.member_table.me.born - 10_000)
+    fresh.member_table.own_update = word("n4", core.member_table.own_update.created_at_ms - 10_000)
     world.until_settled(6 * SECOND)
 
 
@@ -215,5 +224,5 @@
     core, other = world.processes["n1"].core, world.processes["n2"].core
     assert core is not None and other is not None
     digest = core.member_table.digest()
-    said = message(fleet="fleet", name="n2", born=other.who[1], body=Ack(99), digest=digest)
-    assert core.received(world.clock.now, said, other.settings.address) == []
+    said = message(fleet="fleet", name="n2", created_at_ms=other.member_id[1], body=Ack(99), digest=digest)
+    assert core.receive(world.clock.now, said, other.settings.address) == []
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -15,13 +15,14 @@
 import pytest
 import uvloop
 
+from trackspread.membership.identifiers import MS
+from trackspread.membership.messages import Ping
+from trackspread.membership.wire import Keys, Wire
 from trackspread.testing.harness import viewed
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.harness.player import Player
 from trackspread.testing.harness.upgraded import HeldProcess
 from trackspread.testing.judge.beliefs import Belief, Reader, rights, views
-from trackspread.membership.terms import MS, Ping
-from trackspread.membership.wire import Keys, Wire
 from trackspread.testing.standins import faults
 from trackspread.testing.standins.faults import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
 from trackspread.testing.standins.scene import Scene
@@ -239,7 +240,7 @@
         at = fleet.members["n1"]
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         wrong = Wire("test", Keys(b"another key of some length"), 8)
-        ping = message(fleet="test", name="n2", born=1 << 50, body=Ping(1, ("n1", 1)))
+        ping = message(fleet="test", name="n2", created_at_ms=1 << 50, body=Ping(1, ("n1", 1)))
         for n in range(2000):
             stranger.sendto(os.urandom(n % 64), at)
             stranger.sendto(wrong.pack(ping), at)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,7 @@
 from trackspread.decide.actions import LogMessage, SetTimer, StartAttempt
 from trackspread.decide.backends import Backend, EndpointUpdate
 from trackspread.decide.events import AttemptEnded, FleetChanged, Outcome, RequestArrived
-from trackspread.membership.slots import WHOLE, slots_of, to_bytes
+from trackspread.membership.slot_allocation import ALL_SLOTS, slots_of, slots_to_bytes
 from trackspread.simulator import wire
 
 ROOT = Path(__file__).parent.parent
@@ -92,7 +92,7 @@
 def fleet(slots: int, until: int = 10**12) -> bytes:
     """A view of two places: this gateway, 70, has these slots, 71 those of the second place."""
     head = struct.pack("<HIQQHHH", wire.FLEET, 70, until, 10**12, 2, 1, 2)
-    places = [to_bytes(slots_of((n, 2))) for n in range(2)]
+    places = [slots_to_bytes(slots_of((n, 2))) for n in range(2)]
     masks = [slots.to_bytes(128, "little"), struct.pack("<3I", 71, 70, 71), places[1], *places]
     return head + b"".join(masks)
 
@@ -163,21 +163,21 @@
 
 
 def test_a_view_comes_as_a_record_of_this_projects_own() -> None:
-    _, events = wire.decode(struct.pack("<Q", 8) + select(3) + fleet(WHOLE))
+    _, events = wire.decode(struct.pack("<Q", 8) + select(3) + fleet(ALL_SLOTS))
     seats = slots_of((0, 2)), slots_of((1, 2))
-    assert events == [(3, FleetChanged(70, (71,), (70, 71), seats, WHOLE, (seats[1],), 10**12, 10**12))]
+    assert events == [(3, FleetChanged(70, (71,), (70, 71), seats, ALL_SLOTS, (seats[1],), 10**12, 10**12))]
     with pytest.raises(wire.WireError, match="impossible count in fleet"):
         wire.decode(struct.pack("<Q", 8) + select(3) + struct.pack("<HIQQHHH", wire.FLEET, 1, 0, 0, 2, 1, 0))
     with pytest.raises(wire.WireError, match="runs past the end"):
-        wire.decode(struct.pack("<Q", 8) + select(3) + fleet(WHOLE)[:-1])
+        wire.decode(struct.pack("<Q", 8) + select(3) + fleet(ALL_SLOTS)[:-1])
 
 
 def test_without_slots_of_the_view_what_all_share_is_refused_and_with_them_it_is_served() -> None:
     done = run(
         frame(select(3), up(), listed(1, 2), fleet(0), inbound(4))
-        + frame(select(3), fleet(WHOLE))
+        + frame(select(3), fleet(ALL_SLOTS))
         + frame(select(3), inbound(5))
-        + frame(select(3), fleet(WHOLE, until=1), inbound(6))
+        + frame(select(3), fleet(ALL_SLOTS, until=1), inbound(6))
     )
     assert done.returncode == 0
     first, _, third, fourth = replies(done.stdout)
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -22,18 +22,11 @@
 from itertools import zip_longest
 from typing import NamedTuple
 
+from ..membership.actions import Action
+from ..membership.identifiers import WITNESS, Address, Epoch, MemberId
 from ..membership.member import Member
-from ..membership.terms import (
-    WITNESS,
-    Action,
-    Address,
-    Epoch,
-    MemberMessage,
-    Settings,
-    State,
-    Table,
-    Who,
-)
+from ..membership.messages import MemberMessage, State, TableSnapshot
+from ..membership.settings import MemberSettings
 from .leading import Leading
 from .seeding import Seeding
 from .terms import (
@@ -54,13 +47,13 @@
     Message,
     Move,
     Noted,
-    Noticed,
     Placed,
     Placement,
     Policy,
     Retire,
     Seed,
     Send,
+    StatusEvent,
     Zone,
 )
 
@@ -111,9 +104,9 @@
         self._out: list[CellsAction] = []
         self.gone = False
 
-    def _member(self, fleet: str, seeds: tuple[Address, ...], most: int) -> Settings:
+    def _member(self, fleet: str, seeds: tuple[Address, ...], most: int) -> MemberSettings:
         mine = self.settings
-        return Settings(
+        return MemberSettings(
             fleet,
             mine.name,
             mine.born,
@@ -127,11 +120,11 @@
         )
 
     @property
-    def who(self) -> Who:
+    def member_id(self) -> MemberId:
         return self.settings.name, self.settings.born
 
     def leads(self, now: int) -> bool:
-        return self.leading is not None and self.tier.owns(now)
+        return self.leading is not None and self.tier.is_coordinator(now)
 
     # What the host calls.
 
@@ -148,20 +141,20 @@
             self._report(now)
         return self._done()
 
-    def received(self, now: int, member_message: MemberMessage, source: Address) -> list[CellsAction]:
+    def receive(self, now: int, member_message: MemberMessage, source: Address) -> list[CellsAction]:
         """A datagram of a view that this machine may be in."""
-        return self._on(member_message.fleet, lambda member: member.received(now, member_message, source))
+        return self._on(member_message.fleet, lambda member: member.receive(now, member_message, source))
 
-    def merge(self, now: int, table: Table) -> list[CellsAction]:
+    def merge(self, now: int, table: TableSnapshot) -> list[CellsAction]:
         return self._on(table.fleet, lambda member: member.merge(now, table))
 
-    def table(self, now: int, fleet: str) -> Table | None:
+    def table_snapshot(self, fleet: str) -> TableSnapshot | None:
         """What is held of one view, for another member of it."""
         member = self._in(fleet)
-        return member.table(now) if member is not None else None
+        return member.table_snapshot() if member is not None else None
 
     def message(self, now: int, message: Message, source: Address) -> list[CellsAction]:
-        if not self.gone and message.fleet == self.settings.fleet and message.who != self.who:
+        if not self.gone and message.fleet == self.settings.fleet and message.who != self.member_id:
             self._message(now, message, source)
         return self._done()
 
@@ -199,16 +192,16 @@
     # Leading.
 
     def _lead(self, now: int) -> None:
-        if not self.tier.owns(now) or self.tier.coordinating is None:
+        if not self.tier.is_coordinator(now) or self.tier.coordinator is None:
             self._led(None)
             return
-        epoch = self.tier.coordinating.epoch
+        epoch = self.tier.coordinator.epoch
         if self.leading is None or self.leading.epoch != epoch:
             self.leading = Leading(now, epoch, self.settings.policy, self.settings.machines)
             self._led(epoch)
         live = {
-            p.update.name: p.update.born
-            for p in self.tier.member_table.here()
+            p.update.name: p.update.created_at_ms
+            for p in self.tier.member_table.present()
             if p.update.state == State.ALIVE
         }
         live[self.settings.name] = self.settings.born
@@ -226,7 +219,7 @@
 
     def _say(self, now: int, to: Address, body: Bodies, epoch: Epoch | None = None) -> None:
         """Sent, or heard at once where it is for this machine itself."""
-        message = Message(self.settings.fleet, *self.who, body, epoch)
+        message = Message(self.settings.fleet, *self.member_id, body, epoch)
         if to == self.me.address:
             self._message(now, message, to)
         else:
@@ -262,7 +255,7 @@
             if message.epoch >= self.epoch:
                 self.epoch = message.epoch
                 self._led_by(now, message.epoch, body)
-        elif self.leading is not None and self.tier.owns(now):
+        elif self.leading is not None and self.tier.is_coordinator(now):
             self._asked(now, self.leading, self._by_name[message.name], body)
 
     def _asked(self, now: int, leading: Leading, machine: ControlMachine, body: Bodies) -> None:
@@ -273,7 +266,7 @@
                 if (placed := leading.placed(now, body)) is not None:
                     self._say(now, machine.address, placed, leading.epoch)
                 elif leading.directory.refused > refused:
-                    self._out.append(Noticed("full", {"gateways": self.settings.policy.gateways}))
+                    self._out.append(StatusEvent("full", {"gateways": self.settings.policy.gateways}))
             case CellReport():
                 for told in leading.reported(now, machine, body):
                     self._say(now, machine.address, told, leading.epoch)
@@ -309,7 +302,7 @@
             return
         settings = self._member(cell.name, cell.seeds, CELL_MOST)
         seeding = self.cells[cell.name] = Seeding(cell, Member(settings, now, self.rng.getrandbits(60)))
-        self._out.append(Noticed("seeds", {"cell": cell.name, "number": cell.number}))
+        self._out.append(StatusEvent("seeds", {"cell": cell.name, "number": cell.number}))
         self._do(cell.name, seeding.member.start(now))
 
     def _retire(self, retire: Retire) -> None:
@@ -320,36 +313,36 @@
         if len(self.given_up) >= GIVEN_UP_MOST:
             del self.given_up[next(iter(self.given_up))]
         self.given_up[retire.name] = retire
-        self._out.append(Noticed("retired", {"cell": retire.name, "number": retire.number}))
+        self._out.append(StatusEvent("retired", {"cell": retire.name, "number": retire.number}))
 
     def _move(self, now: int, move: Move) -> None:
         if (seeding := self.cells.get(move.cell)) is None:
             return
         for name in move.gateways:
             held = seeding.member.member_table.by_name.get(name)
-            if seeding.moved(name, move.placement) and held is not None and held.here:
+            if seeding.moved(name, move.placement) and held is not None and held.is_present:
                 word = held.update
-                self._say(now, word.address, Located(word.who, move.placement))
+                self._say(now, word.address, Located(word.member_id, move.placement))
 
     def _describe(self, now: int, page: int, source: Address) -> None:
         """For an operator."""
-        if self.leading is not None and self.tier.owns(now):
+        if self.leading is not None and self.tier.is_coordinator(now):
             self._say(now, source, self.leading.described(page, self.me.address))
         else:
             self._say(now, source, Described(self._leader(), page, 0, 0, ()))
 
     # Gateways' questions.
 
-    def _locate(self, now: int, who: Who, locate: Locate) -> None:
+    def _locate(self, now: int, who: MemberId, locate: Locate) -> None:
         placement = self._own(who, locate)
-        if placement is None and now - self.tier.asking.led_at >= ALONE:
+        if placement is None and now - self.tier.renewal.answered_at_ns >= ALONE:
             placement = self._without_leader(now, who, locate)
         if placement is not None:
             self._say(now, locate.address, Located(who, placement))
         elif (leader := self._leader()) is not None:
             self._say(now, leader, Forwarded(who, locate))
 
-    def _own(self, who: Who, locate: Locate) -> Placement | None:
+    def _own(self, who: MemberId, locate: Locate) -> Placement | None:
         """The answer to a gateway of a cell that is seeded here, where it needs no leader."""
         held = locate.held
         seeding = self.cells.get(held.cell.name) if held is not None else None
@@ -362,7 +355,7 @@
             return None
         return Placement(held.number, seeding.cell)
 
-    def _without_leader(self, now: int, who: Who, locate: Locate) -> Placement | None:
+    def _without_leader(self, now: int, who: MemberId, locate: Locate) -> Placement | None:
         """A cell of its zone that is seeded here; the one it was in before rather than another."""
         zone = Zone(locate.region, locate.zone)
         if locate.held is not None:
--- a/trackspread/cells/directory.py
+++ b/trackspread/cells/directory.py
@@ -28,7 +28,7 @@
 
 from msgspec import structs
 
-from ..membership.terms import NO_NUMBER, Address, Epoch, Number, Who
+from ..membership.identifiers import NO_VIEW, Address, Epoch, MemberId, ViewNumber
 from .terms import SECOND, SEEDS, Cell, ControlMachine, Locate, Placement, Policy, Zone
 
 REBUILD = 3 * SECOND  # ns from the first moment of a leader, in which control machines report
@@ -62,7 +62,7 @@
 
     cell: Cell
     since: int  # when it came to be known here
-    view: Number = NO_NUMBER
+    view: ViewNumber = NO_VIEW
     members: dict[str, int] = field(default_factory=dict)  # name: born
     coming: dict[str, int] = field(default_factory=dict)  # sent here, by name: until when that counts
     counted: int = 0  # at the last look
@@ -96,7 +96,7 @@
         """Whether control machines may not have reported yet."""
         return now - self._begun < REBUILD
 
-    def locate(self, now: int, who: Who, locate: Locate) -> Placement | None:
+    def locate(self, now: int, who: MemberId, locate: Locate) -> Placement | None:
         """Where this gateway is to be; None: not known yet, or there is no room."""
         name, zone = who[0], Zone(locate.region, locate.zone)
         if (moving := self._moving.get(name)) is not None:
@@ -125,7 +125,7 @@
         self._sent(now, name, entry)
         return Placement(self._next(), entry.cell)
 
-    def reported(self, now: int, cell: Cell, view: Number, members: Iterable[Who]) -> None:
+    def reported(self, now: int, cell: Cell, view: ViewNumber, members: Iterable[MemberId]) -> None:
         """What a seed holds of a cell; of two reports that of the newer view counts."""
         entry = self._known(now, cell)
         if entry is None or view < entry.view:
@@ -173,7 +173,7 @@
 
     # What is made of it.
 
-    def _next(self) -> Number:
+    def _next(self) -> ViewNumber:
         self._count += 1
         return (*self.epoch, self._count)
 
@@ -306,7 +306,7 @@
     def _emptied(self, now: int, closing: list[Entry]) -> Iterator[MoveWanted]:
         staying = [(e, name) for e in closing for name in sorted(e.members) if name not in self._moving]
         for entry, name in staying[:MOVES]:
-            if (to := self._room(now, entry.cell.place)) is not None and to.view != NO_NUMBER:
+            if (to := self._room(now, entry.cell.place)) is not None and to.view != NO_VIEW:
                 yield self._move(now, entry, name, to)
 
     def _split(self, now: int, zone: Zone) -> Iterator[MoveWanted]:
@@ -317,7 +317,7 @@
             if entry is not None and name in entry.members and name not in self._moving:
                 others = [e for e in self._open(zone) if e is not entry and e.count() < self.policy.target]
                 to = max(others, key=Entry.count) if others else self._opened(now, zone)
-                if to is None or to.view == NO_NUMBER:
+                if to is None or to.view == NO_VIEW:
                     return
                 yield self._move(now, entry, name, to)
             waiting.pop()
--- a/trackspread/cells/gateway.py
+++ b/trackspread/cells/gateway.py
@@ -24,8 +24,11 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
+from ..membership.actions import Action
+from ..membership.identifiers import Address, MemberId
 from ..membership.member import Member
-from ..membership.terms import Action, Address, MemberMessage, Settings, Table, Who
+from ..membership.messages import MemberMessage, TableSnapshot
+from ..membership.settings import MemberSettings
 from .terms import (
     MS,
     SECOND,
@@ -79,16 +82,16 @@
         self.gone = False
 
     @property
-    def who(self) -> Who:
-        return self.member.who if self.member is not None else (self.settings.name, self._born)
+    def member_id(self) -> MemberId:
+        return self.member.member_id if self.member is not None else (self.settings.name, self._born)
 
     @property
     def fenced(self) -> bool:
-        return self.member is not None and self.member.fenced
+        return self.member is not None and self.member.is_fenced
 
     def part(self, now: int) -> int:
         """The slots of what its cell shares that this gateway may act on at this instant."""
-        return self.member.part(now) if self.member is not None else 0
+        return self.member.usable_slots(now) if self.member is not None else 0
 
     # What the host calls.
 
@@ -104,20 +107,26 @@
             self._ask(now)
         return self._done()
 
-    def received(self, now: int, member_message: MemberMessage, source: Address) -> list[CellsAction]:
-        return self._on(member_message.fleet, lambda member: member.received(now, member_message, source))
+    def receive(self, now: int, member_message: MemberMessage, source: Address) -> list[CellsAction]:
+        return self._on(member_message.fleet, lambda member: member.receive(now, member_message, source))
 
-    def merge(self, now: int, table: Table) -> list[CellsAction]:
+    def merge(self, now: int, table: TableSnapshot) -> list[CellsAction]:
         return self._on(table.fleet, lambda member: member.merge(now, table))
 
-    def table(self, now: int, fleet: str) -> Table | None:
+    def table_snapshot(self, fleet: str) -> TableSnapshot | None:
         member = self._in(fleet)
-        return member.table(now) if member is not None else None
+        return member.table_snapshot() if member is not None else None
 
     def message(self, now: int, message: Message, source: Address) -> list[CellsAction]:
         body = message.body
         mine = message.fleet == self.settings.fleet and message.name in self._control
-        if mine and not self.gone and not self.fenced and isinstance(body, Located) and body.to == self.who:
+        if (
+            mine
+            and not self.gone
+            and not self.fenced
+            and isinstance(body, Located)
+            and body.to == self.member_id
+        ):
             self.answered_at, self._failed = now, 0
             self._ask_at = now + int(REFRESH * self.rng.uniform(0.7, 1.3))
             self._placed(now, body.placement)
@@ -136,11 +145,11 @@
             self.gone = True
         return self._done()
 
-    def make_way(self) -> list[CellsAction]:
+    def hand_over(self) -> list[CellsAction]:
         """Another process goes on under this name."""
         if not self.gone:
             if self.member is not None:
-                self._do(self.member.make_way())
+                self._do(self.member.hand_over())
             self.gone = True
         return self._done()
 
@@ -171,7 +180,7 @@
         self._failed += 1
         zone, address = self.settings.zone, self.settings.address
         body = Locate(zone.region, zone.zone, address, self.held)
-        self._out.append(Send(to, Message(self.settings.fleet, *self.who, body)))
+        self._out.append(Send(to, Message(self.settings.fleet, *self.member_id, body)))
 
     def _asked(self) -> Address:
         """Its cell's seeds know it best; then its region; then whoever is left."""
@@ -195,7 +204,7 @@
     def _leave(self, now: int) -> None:
         if self.member is None or self.held is None:
             return
-        self._born = self.member.who[1]
+        self._born = self.member.member_id[1]
         self._do(self.member.leave(now))
         self._out.append(Left(self.held))
         self.member = None
@@ -204,7 +213,7 @@
         """As another process of its name: the former one has left, should it ever come back to a cell."""
         mine, cell = self.settings, placement.cell
         self.held, self._born = placement, self._born + 1
-        settings = Settings(
+        settings = MemberSettings(
             cell.name,
             mine.name,
             self._born,
@@ -213,7 +222,7 @@
             mine.version,
             mine.period,
             CELL_MOST,
-            keep=mine.keep,
+            lease_duration_ns=mine.keep,
         )
         self.member = Member(settings, now, self.rng.getrandbits(60))
         self._out.append(Joined(placement))
--- a/trackspread/cells/leading.py
+++ b/trackspread/cells/leading.py
@@ -13,7 +13,7 @@
 
 from typing import NamedTuple
 
-from ..membership.terms import MS, Address, Epoch, Number, Who
+from ..membership.identifiers import MS, Address, Epoch, MemberId, ViewNumber
 from .directory import Directory, MoveWanted
 from .terms import (
     SECOND,
@@ -43,8 +43,8 @@
 class _Pages(NamedTuple):
     """What has come of one report."""
 
-    view: Number
-    members: dict[int, tuple[Who, ...]]
+    view: ViewNumber
+    members: dict[int, tuple[MemberId, ...]]
 
 
 class Leading:
@@ -53,7 +53,7 @@
     def __init__(self, now: int, epoch: Epoch, policy: Policy, machines: tuple[ControlMachine, ...]) -> None:
         self.epoch, self.directory = epoch, Directory(now, epoch, policy, machines)
         self._machines = {machine.name: machine for machine in machines}
-        self._has: dict[tuple[str, Address], Number] = {}  # entries that seeds reported
+        self._has: dict[tuple[str, Address], ViewNumber] = {}  # entries that seeds reported
         self._told: dict[tuple[str, Address], int] = {}
         self._born: dict[str, int] = {}  # of the control machines
         self._pages: dict[tuple[str, str], _Pages] = {}
@@ -92,7 +92,7 @@
         )
         return Described(address, page, pages, self.directory.refused, rows)
 
-    def _whole(self, machine: str, report: CellReport) -> tuple[Who, ...] | None:
+    def _whole(self, machine: str, report: CellReport) -> tuple[MemberId, ...] | None:
         """All members, once all pages of one view have come."""
         if report.pages == 1:
             return report.members
--- a/trackspread/cells/seeding.py
+++ b/trackspread/cells/seeding.py
@@ -8,8 +8,8 @@
 import random
 from dataclasses import dataclass, field
 
+from ..membership.identifiers import NO_VIEW, Epoch, MemberId, ViewNumber
 from ..membership.member import Member
-from ..membership.terms import NO_NUMBER, Epoch, Number, Who
 from .terms import SECOND, Cell, CellReport, Noted, Placement
 
 SPREAD = 1 * SECOND  # ns over which a new leader is told of all cells: not thousands of datagrams at once
@@ -29,12 +29,12 @@
     cell: Cell
     member: Member
     epoch: Epoch | None = None
-    noted: tuple[Epoch, Number, Number] | None = None
+    noted: tuple[Epoch, ViewNumber, ViewNumber] | None = None
     due_at: int = 0
     fresh_at: int = 0
     moves: dict[str, Placement] = field(default_factory=dict)
 
-    def gateways(self, control: frozenset[str]) -> tuple[Who, ...]:
+    def gateways(self, control: frozenset[str]) -> tuple[MemberId, ...]:
         """Of the view that is held; `control`: names that are no gateways'."""
         view = self.member.view
         return tuple(who for who in view.members if who[0] not in control) if view is not None else ()
@@ -46,7 +46,7 @@
         if epoch != self.epoch:
             self.due_at = self.fresh_at = now + (int(SPREAD * rng.random()) if self.epoch is not None else 0)
             self.epoch = epoch
-        view, leads = self.member.number(), self.member.owns(now)
+        view, leads = self.member.view_number(), self.member.is_coordinator(now)
         known = self.noted
         told = (
             known is not None and known[:2] == (epoch, self.cell.number) and (known[2] == view or not leads)
@@ -74,12 +74,12 @@
 
     @property
     def known_view(self) -> bool:
-        return self.member.number() != NO_NUMBER
+        return self.member.view_number() != NO_VIEW
 
 
-def _pages(members: tuple[Who, ...]) -> list[tuple[Who, ...]]:
+def _pages(members: tuple[MemberId, ...]) -> list[tuple[MemberId, ...]]:
     """At least one, be it empty."""
-    pages: list[list[Who]] = [[]]
+    pages: list[list[MemberId]] = [[]]
     size = 0
     for who in members:
         each = len(who[0].encode()) + EACH
--- a/trackspread/cells/terms.py
+++ b/trackspread/cells/terms.py
@@ -13,10 +13,11 @@
 
 import msgspec
 
-from ..membership.terms import MS as MS
-from ..membership.terms import SECOND as SECOND
-from ..membership.terms import Action, Address, Epoch, Number, Who
-from ..membership.terms import Noticed as Noticed
+from ..membership.actions import Action
+from ..membership.actions import StatusEvent as StatusEvent
+from ..membership.identifiers import MS as MS
+from ..membership.identifiers import SECOND as SECOND
+from ..membership.identifiers import Address, Epoch, MemberId, ViewNumber
 
 SEEDS = 3  # of a cell: it goes on without any one of them
 
@@ -46,7 +47,7 @@
     name: str
     region: str
     zone: str
-    number: Number  # of this entry
+    number: ViewNumber  # of this entry
     seeds: tuple[Address, ...]
     closing: bool = False
 
@@ -59,7 +60,7 @@
     """Which cell a gateway is to be in. `number`: of this word; a gateway takes none that is not greater than
     the one it goes by."""
 
-    number: Number
+    number: ViewNumber
     cell: Cell
 
 
@@ -94,21 +95,21 @@
 class Located(Body, frozen=True):
     """The answer to a gateway, or unasked when it is to move. `to`: just this process of its name."""
 
-    to: Who
+    to: MemberId
     placement: Placement
 
 
 class Forwarded(Body, frozen=True):
     """A control machine passes a gateway's question on to the leader."""
 
-    who: Who
+    who: MemberId
     locate: Locate
 
 
 class Placed(Body, frozen=True):
     """The leader's answer to `Forwarded`, to be passed on to the gateway at `address`."""
 
-    to: Who
+    to: MemberId
     address: Address
     placement: Placement
 
@@ -124,7 +125,7 @@
     to a leader that came later and wants it seeded."""
 
     name: str
-    number: Number
+    number: ViewNumber
 
 
 class Move(Body, frozen=True):
@@ -139,8 +140,8 @@
     """A seed tells the leader of a cell: its entry there, and a page of the gateways in the view it holds."""
 
     cell: Cell
-    view: Number
-    members: tuple[Who, ...]
+    view: ViewNumber
+    members: tuple[MemberId, ...]
     page: int = 0
     pages: int = 1
 
@@ -149,8 +150,8 @@
     """The leader has this much of a cell from whoever is told so."""
 
     name: str
-    number: Number
-    view: Number
+    number: ViewNumber
+    view: ViewNumber
 
 
 class Describe(Body, frozen=True):
@@ -193,7 +194,7 @@
     epoch: Epoch | None = None
 
     @property
-    def who(self) -> Who:
+    def who(self) -> MemberId:
         return self.name, self.born
 
 
@@ -233,4 +234,4 @@
     epoch: Epoch | None
 
 
-CellsAction = Send | InCell | Joined | Left | Leads | Noticed
+CellsAction = Send | InCell | Joined | Left | Leads | StatusEvent
--- a/trackspread/cells/wire.py
+++ b/trackspread/cells/wire.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..membership.terms import MemberMessage
+from ..membership.messages import MemberMessage
 from ..membership.wire import Keys, Wire
 from .terms import Message
 
@@ -26,7 +26,7 @@
         """`most`: members of any one view."""
         super().__init__(fleet, keys, most)
 
-    def ours(self, fleet: str) -> bool:
+    def accepts_fleet(self, fleet: str) -> bool:
         return True
 
     def pack_message(self, message: Message) -> bytes:
--- a/trackspread/commands/fleet.py
+++ b/trackspread/commands/fleet.py
@@ -18,10 +18,11 @@
 from ..cells.wire import CellsWire
 from ..config import operator
 from ..config.addresses import ConfigError, address
-from ..membership.report import Report
-from ..membership.slots import SLOTS
-from ..membership.terms import Address, Forget, Forgotten, MemberMessage
-from ..membership.wire import DATAGRAM, Wire
+from ..membership.report import FleetReport
+from ..membership.slot_allocation import SLOT_COUNT
+from ..membership.identifiers import Address
+from ..membership.messages import ForgetRequest, ForgetResponse, MemberMessage
+from ..membership.wire import MAX_DATAGRAM_BYTES, Wire
 from ..node.celled import machines
 from ..node.membered import keys
 
@@ -76,7 +77,7 @@
         again = time.monotonic() + AGAIN
         while time.monotonic() < again:
             try:
-                told = wire.read(line.recv(DATAGRAM))
+                told = wire.read(line.recv(MAX_DATAGRAM_BYTES))
             except OSError:  # nobody yet, or nobody at one of the addresses
                 continue
             body = told.body if isinstance(told, Message) else None
@@ -93,7 +94,7 @@
     if fleet.control:
         raise ConfigError(f"{file}: fleet.control: found control machines, wanted a fleet without cells")
     wire = Wire(fleet.name, keys(fleet), fleet.most)
-    word = wire.pack(MemberMessage(fleet.name, "", 0, Forget(name), 0))
+    word = wire.pack(MemberMessage(fleet.name, "", 0, ForgetRequest(name), 0))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as line:
         line.settimeout(AGAIN)
         end = time.monotonic() + PATIENCE
@@ -101,10 +102,10 @@
             for seed in fleet.seed_addresses():
                 line.sendto(word, seed)
             try:
-                message = wire.unpack(line.recv(DATAGRAM))
+                message = wire.unpack(line.recv(MAX_DATAGRAM_BYTES))
             except OSError:  # nobody yet, or nobody at one of the addresses
                 continue
-            if message is not None and isinstance(message.body, Forgotten) and message.body.name == name:
+            if message is not None and isinstance(message.body, ForgetResponse) and message.body.name == name:
                 return _forgotten(message.body)
     raise ConfigError(
         f"{file}: fleet.seeds: no coordinator answered within {PATIENCE:.0f} s; wanted a "
@@ -112,11 +113,15 @@
     )
 
 
-def _forgotten(answer: Forgotten) -> int:
-    if answer.runs:
+def _forgotten(answer: ForgetResponse) -> int:
+    if answer.is_running:
         print(f"{answer.name} is in the fleet, nothing is forgotten: end it, or wait until it is DEAD")
         return 1
-    freed = f"{answer.slots} of {SLOTS} slots are free" if answer.slots else "it held nothing known of"
+    freed = (
+        f"{answer.freed_slots} of {SLOT_COUNT} slots are free"
+        if answer.freed_slots
+        else "it held nothing known of"
+    )
     print(f"{answer.name} is forgotten: {freed}")
     return 0
 
@@ -162,18 +167,20 @@
     return data
 
 
-def decode(door: str, data: bytes) -> Report:
+def decode(door: str, data: bytes) -> FleetReport:
     try:
-        return msgspec.json.decode(data, type=Report)
+        return msgspec.json.decode(data, type=FleetReport)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{door}: not a gateway's answer: {error}") from None
 
 
-def differences(reports: Sequence[Report]) -> list[str]:
+def differences(reports: Sequence[FleetReport]) -> list[str]:
     """What keeps these gateways from being settled in one view, for a person."""
     found = [f"{r.name} is {r.standing}" for r in reports if r.standing != "settled"]
     found += [
-        f"{r.name}: the view and who is live differ in {', '.join(r.differ)}" for r in reports if r.differ
+        f"{r.name}: the view and who is live differ in {', '.join(r.differing_names)}"
+        for r in reports
+        if r.differing_names
     ]
     if len({r.fleet for r in reports}) > 1:
         found.append("these are of different fleets: " + ", ".join(sorted({r.fleet for r in reports})))
@@ -188,18 +195,18 @@
     return ".".join(map(str, view)) if view is not None else "none"
 
 
-def lines(report: Report) -> list[str]:
+def lines(report: FleetReport) -> list[str]:
     """One gateway's answer, for a person."""
-    leads = f"{report.leader or 'nobody'}{' (this one)' if report.leads else ''}"
+    leads = f"{report.leader or 'nobody'}{' (this one)' if report.is_coordinator else ''}"
     made = [
         f"fleet {report.fleet}{f', cell {report.cell},' if report.cell else ''} as {report.name} knows it: "
         f"{report.standing}, view {_number(report.view)} of "
-        f"{report.members}, coordinator {leads}, part {report.part:.1%}, health {report.health}",
+        f"{report.members}, coordinator {leads}, part {report.usable_fraction:.1%}, health {report.health}",
         f"  {'name':<20} {'state':<8} {'in view':<8} {'life':>4} {'since':>9}  {'version':<10} address",
     ]
-    for each in report.seen:
+    for each in report.known_members:
         made.append(
-            f"  {each.name:<20} {each.state:<8} {'yes' if each.in_view else 'no':<8} {each.life:>4} "
+            f"  {each.name:<20} {each.state:<8} {'yes' if each.in_view else 'no':<8} {each.incarnation:>4} "
             f"{each.since_s:>7.1f} s  {each.version:<10} {each.address}"
         )
     if report.answered_s is not None:
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from ..logs import Sparing
-from ..membership.record import Recorder
+from ..membership.event_log import EventLog
 from .log import fingerprint
 from .replica import Replica
 from .subscriber import Subscriber
@@ -26,7 +26,7 @@
     Bodies,
     Epoch,
     Message,
-    Noticed,
+    StatusEvent,
     ReplicaSettings,
     Send,
     SubscriberSettings,
@@ -69,7 +69,7 @@
         self.name, self.wire, self.now = name, wire, now
         self.counts: Counter[str] = Counter()
         self._replica, self._born, self._listen = replica, born, listen
-        self._recorder = Recorder(record, name, born) if record is not None else None
+        self._recorder = EventLog(record, name, born) if record is not None else None
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -119,7 +119,7 @@
                 match action:
                     case Send(to, body):
                         self.send(to, body)
-                    case Noticed():
+                    case StatusEvent():
                         self.notice(action)
         except Exception:
             log.exception("fault in handing configuration down")
@@ -149,7 +149,7 @@
     def heard(self, message: Message, source: Address) -> Iterable[Action]:
         raise NotImplementedError
 
-    def notice(self, noticed: Noticed) -> None:
+    def notice(self, noticed: StatusEvent) -> None:
         raise NotImplementedError
 
 
@@ -185,13 +185,13 @@
         made = self.core.lead(now, self._leads())
         return made + self.core.received(now, message.replica, message.born, message.body, source)
 
-    def notice(self, noticed: Noticed) -> None:
-        self.record(noticed.kind, noticed.about)
+    def notice(self, noticed: StatusEvent) -> None:
+        self.record(noticed.kind, noticed.details)
         if noticed.kind in NOTED:
-            about = ", ".join(f"{key} {value}" for key, value in noticed.about.items())
+            about = ", ".join(f"{key} {value}" for key, value in noticed.details.items())
             log.info("configuration: %s: %s %s", self.name, noticed.kind, about)
         if noticed.kind == "outdone":
-            self._outdone(noticed.about["by"])  # type: ignore[arg-type]
+            self._outdone(noticed.details["by"])  # type: ignore[arg-type]
 
 
 class SubscriberHost(Endpoint):
@@ -233,7 +233,7 @@
         self._again()
         return made
 
-    def notice(self, noticed: Noticed) -> None:
+    def notice(self, noticed: StatusEvent) -> None:
         if self._recorder is not None:
-            self.record(noticed.kind, noticed.about | {"values": fingerprint(self.core.snapshot)})
+            self.record(noticed.kind, noticed.details | {"values": fingerprint(self.core.snapshot)})
         self._changed()
--- a/trackspread/distribution/leading.py
+++ b/trackspread/distribution/leading.py
@@ -39,7 +39,7 @@
     Entry,
     Epoch,
     Full,
-    Noticed,
+    StatusEvent,
     NotLeader,
     Prepare,
     Promise,
@@ -216,7 +216,7 @@
         self.established, self.whole, self.adopting = True, True, None
         self._followers = {n: Follower(self.log.last, heard_at=now) for n in self.others}
         self._number(history, "", "", None)
-        return [Noticed("leads", {"epoch": self.epoch, "history": history}), *self._replicate(now)]
+        return [StatusEvent("leads", {"epoch": self.epoch, "history": history}), *self._replicate(now)]
 
     def _number(self, history: int, service: str, key: str, value: bytes | None) -> Version:
         version = Version(history, self.epoch, self.log.last.sequence + 1)
@@ -245,7 +245,7 @@
             return [Send(source, Full(number, self.settings.keys))]
         version = self._number(self.log.last.history, service, key, value)
         self._waiting.append(Waiting(source, number, version))
-        return [Noticed("numbered", {"version": version}), *self._replicate(now)]
+        return [StatusEvent("numbered", {"version": version}), *self._replicate(now)]
 
     def _is_one_more(self, service: str, key: str, value: bytes | None) -> bool:
         return value is not None and key not in self.log.snapshot.get(service, {})
@@ -314,7 +314,7 @@
         upto = versions[self.settings.majority - 1]
         if upto.epoch != self.epoch or upto <= self.log.committed:
             return []
-        made: list[Action] = [Noticed("committed", {"entries": tuple(self.log.commit(upto))})]
+        made: list[Action] = [StatusEvent("committed", {"entries": tuple(self.log.commit(upto))})]
         done = [each for each in self._waiting if each.version <= upto]
         self._waiting = [each for each in self._waiting if each.version > upto]
         made += [Send(each.to, Done(each.number, each.version)) for each in done]
--- a/trackspread/distribution/replica.py
+++ b/trackspread/distribution/replica.py
@@ -33,7 +33,7 @@
     Bodies,
     Done,
     Epoch,
-    Noticed,
+    StatusEvent,
     NotLeader,
     Poll,
     Prepare,
@@ -96,7 +96,7 @@
         self._last_led = epoch
         if epoch < self.promised:
             self.leading = None
-            return [Noticed("outdone", {"by": self.promised})]
+            return [StatusEvent("outdone", {"by": self.promised})]
         self.promised, self.leader = epoch, self.settings.number
         self.leading = Leading(self.settings, self.log, epoch, now, self.whole)
         return self.leading.tick(now)
@@ -175,7 +175,7 @@
                 return self._stands(now, replica, body)
             case Stale(promised) if promised > self.promised:
                 self.promised, self.leader, self.leading = promised, -1, None
-                return [Noticed("outdone", {"by": promised})]
+                return [StatusEvent("outdone", {"by": promised})]
         if self.leading is None:
             return []
         match body:
@@ -228,12 +228,12 @@
         if self.log.committed >= told.committed:
             self._heard_at = max(self._heard_at, now - told.age * MS)
         if done:
-            made.append(Noticed("committed", {"entries": tuple(done)}))
+            made.append(StatusEvent("committed", {"entries": tuple(done)}))
         if self.whole:
             self._pull = None  # nothing is missing here
         if self._goal is not None and not self.whole and upto >= self._goal[1]:
             self._become_whole()
-            made.append(Noticed("whole", {"version": upto}))
+            made.append(StatusEvent("whole", {"version": upto}))
         return [*made, Send(source, Accepted(told.epoch, True, self.whole, upto))]
 
     def _keep_early(self, told: Append) -> None:
@@ -259,7 +259,7 @@
         self.serving.replace(self.log)
         self._standing.clear()
         self._goal, self._begun = None, self.promised
-        return [Noticed("forgot", {})]
+        return [StatusEvent("forgot", {})]
 
     def _tail(self, told: Tail, source: Address) -> list[Action]:
         """For a new leader, whose log is shorter."""
@@ -313,7 +313,7 @@
         elif self.leader >= 0:
             has = Accepted(self.promised, False, self.whole, self.log.committed)
             made = [Send(self.settings.replicas[self.leader], has)]
-        return [*made, Noticed("installed", {"version": pull.version, "keys": len(self.log)})]
+        return [*made, StatusEvent("installed", {"version": pull.version, "keys": len(self.log)})]
 
     # For operators.
 
--- a/trackspread/distribution/subscriber.py
+++ b/trackspread/distribution/subscriber.py
@@ -42,7 +42,7 @@
     Entry,
     NeedSnapshot,
     NeedSubscription,
-    Noticed,
+    StatusEvent,
     Piece,
     Poll,
     Refused,
@@ -254,7 +254,7 @@
         made: list[Action] = []
         if told.version != self.version:
             self.version = told.version
-            made.append(Noticed("acts", {"version": told.version, "changes": len(told.entries)}))
+            made.append(StatusEvent("acts", {"version": told.version, "changes": len(told.entries)}))
         if told.more:
             return [*made, self._poll(now)]
         self.fresh_at = max(self.fresh_at or 0, asked_at - told.age * MS)
--- a/trackspread/distribution/terms.py
+++ b/trackspread/distribution/terms.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from ..membership.terms import MS as MS
-from ..membership.terms import SECOND as SECOND
-from ..membership.terms import Address as Address
-from ..membership.terms import Epoch as Epoch
-from ..membership.terms import Noticed as Noticed
+from ..membership.identifiers import MS as MS
+from ..membership.identifiers import SECOND as SECOND
+from ..membership.identifiers import Address as Address
+from ..membership.identifiers import Epoch as Epoch
+from ..membership.actions import StatusEvent as StatusEvent
 
 TICK = 50 * MS  # ns between two ticks of a core
 NAME_MOST = 128  # characters of a service's name, and of a key's
@@ -328,7 +328,7 @@
     body: Bodies
 
 
-Action = Send | Noticed
+Action = Send | StatusEvent
 
 
 class ReplicaSettings(NamedTuple):
--- a/trackspread/distribution/wire.py
+++ b/trackspread/distribution/wire.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from ..membership.wire import DIGEST, Keys
+from ..membership.wire import DIGEST_BYTES, Keys
 from .terms import Message
 
 MARK = b"td\x01"  # and the version of what follows
 DATAGRAM = 1_400  # bytes at most: one packet on any network
-_HEAD = len(MARK) + DIGEST
+_HEAD = len(MARK) + DIGEST_BYTES
 
 _encode = msgspec.msgpack.Encoder().encode
 _message = msgspec.msgpack.Decoder(Message)
@@ -37,7 +37,7 @@
         if not _HEAD < len(data) <= DATAGRAM or not data.startswith(MARK):
             return self._dropped("foreign")
         payload = data[_HEAD:]
-        if not self.keys.fits(data[len(MARK) : _HEAD], payload):
+        if not self.keys.matches(data[len(MARK) : _HEAD], payload):
             return self._dropped("digest")
         try:
             message = _message.decode(payload)
--- a/trackspread/membership/acceptor.py
+++ b/trackspread/membership/acceptor.py
@@ -1,55 +1,77 @@
-"""A member's vote in the seeds' election of a coordinator, where it is a seed.
+"""A member's part in the seeds' election of a coordinator, where it is a seed itself.
 
-What the election says to other seeds goes out as datagrams, what it says to itself is heard at once. May
-know: the seeds' addresses, the election. May not know: what a coordinator does.
+Messages of the election to other seeds become votes; those to itself are delivered at once.
 """
 
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
 from ..planning.election import Election, ElectionMessage
-from .terms import MS, Address, Settings, Vote
+from .identifiers import MS, Address, Epoch
+from .messages import Vote
+from .settings import MemberSettings
 
-ROUND = 100 * MS  # ns of wall clock for which a first ballot's round stands: later processes bid beyond it
+BALLOT_ROUND_NS = (
+    100 * MS
+)  # of wall clock for each round number of a first ballot: later processes bid beyond it
 
-Votes = list[tuple[Address, Vote]]
+
+class AddressedVote(NamedTuple):
+    """A vote, and the seed that it is for."""
+
+    address: Address
+    vote: Vote
 
 
 class Acceptor:
-    """`number` is -1 for a member that is no seed, which never owns anything."""
+    """One member's vote. `seed_index` is -1 for a member that is no seed, which never owns the election."""
 
-    def __init__(self, settings: Settings, now: int, rng: random.Random) -> None:
+    def __init__(self, settings: MemberSettings, now_ns: int, rng: random.Random) -> None:
         self._seeds = settings.seeds
-        self.number = self._seeds.index(settings.address) if settings.address in self._seeds else -1
-        self.election = Election(self.number, len(self._seeds), now, rng) if self.number >= 0 else None
-        self.newer(settings.born * MS // ROUND)
+        self.seed_index = -1
+        self.election: Election | None = None
+        if settings.address in self._seeds:
+            self.seed_index = self._seeds.index(settings.address)
+            self.election = Election(self.seed_index, len(self._seeds), now_ns, rng)
+        self.record_round(settings.created_at_ms * MS // BALLOT_ROUND_NS)
 
-    def owns(self, now: int) -> bool:
-        return self.election is not None and self.election.owns(now)
+    def is_owner(self, now_ns: int) -> bool:
+        """Whether this member owns the election at this instant."""
+        return self.election is not None and self.election.owns(now_ns)
 
-    def newer(self, round_: int) -> None:
+    def epoch(self) -> Epoch | None:
+        """The epoch of the ballot that this member won last; None for one that is no seed."""
+        return (self.election.epoch, self.seed_index) if self.election is not None else None
+
+    def record_round(self, round_number: int) -> None:
         """A ballot of this round was won: the next bid is beyond it."""
         if self.election is not None:
-            self.election.newer(round_)
+            self.election.newer(round_number)
 
-    def tick(self, now: int) -> Votes:
-        return self._sent(now, self.election.tick(now)) if self.election is not None else []
+    def tick(self, now_ns: int) -> list[AddressedVote]:
+        """Votes that are due now."""
+        return self._deliver(now_ns, self.election.tick(now_ns)) if self.election is not None else []
 
-    def heard(self, now: int, vote: Vote) -> Votes:
+    def receive(self, now_ns: int, vote: Vote) -> list[AddressedVote]:
+        """Votes that answer this one."""
         if self.election is None or not 0 <= vote.seed < len(self._seeds):
             return []
-        word = ElectionMessage(vote.kind, (vote.round, vote.by), vote.owner)  # type: ignore[arg-type]
-        return self._sent(now, self.election.heard(now, vote.seed, word))
-
-    def _sent(self, now: int, out: list[tuple[int | None, ElectionMessage]]) -> Votes:
-        """To the seeds; to oneself at once."""
-        made: Votes = []
-        for to, word in out:
-            for voter in range(len(self._seeds)) if to is None else (to,):
-                if voter != self.number:
-                    vote = Vote(self.number, word.kind, word.ballot[0], word.ballot[1], word.owner)
-                    made.append((self._seeds[voter], vote))
+        ballot = vote.round, vote.ballot_seed
+        message = ElectionMessage(vote.kind, ballot, vote.owner)  # type: ignore[arg-type]
+        return self._deliver(now_ns, self.election.heard(now_ns, vote.seed, message))
+
+    def _deliver(
+        self, now_ns: int, messages: list[tuple[int | None, ElectionMessage]]
+    ) -> list[AddressedVote]:
+        votes: list[AddressedVote] = []
+        for recipient, message in messages:
+            for seed in range(len(self._seeds)) if recipient is None else (recipient,):
+                if seed != self.seed_index:
+                    round_number, ballot_seed = message.ballot
+                    vote = Vote(self.seed_index, message.kind, round_number, ballot_seed, message.owner)
+                    votes.append(AddressedVote(self._seeds[seed], vote))
                 elif self.election is not None:
-                    made += self._sent(now, self.election.heard(now, voter, word))
-        return made
+                    votes += self._deliver(now_ns, self.election.heard(now_ns, seed, message))
+        return votes
--- /dev/null
+++ b/trackspread/membership/core_host.py
@@ -0,0 +1,105 @@
+"""Runs a state machine of the fleet's view on sockets, with an event log: what all its hosts have in
+common."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from pathlib import Path
+from typing import Generic, Protocol, TypeVar
+
+from .event_log import EventLog
+from .identifiers import Address, MemberId
+from .messages import MemberMessage, TableSnapshot
+from .transport import MAX_SERVED_EXCHANGES, Transport
+from .wire import Wire
+
+ActionT = TypeVar("ActionT")
+
+# Event kinds that the program may act on: members, or this one's slots, are not as they were.
+CHANGES = {"member", "part", "slow", "well", "left", "fenced", "renamed"}
+# Event kinds for the log.
+LOGGED = {"view", "fenced", "leads", "leads no more", "slow", "well", "renamed", "left", "forgot"}
+
+DataCallback = Callable[[str, bytes, int], None]  # name of the sender, data, the set of slots it holds
+
+
+class Core(Protocol[ActionT]):
+    """A state machine that a host runs."""
+
+    @property
+    def member_id(self) -> MemberId:
+        """Name and creation time."""
+
+    def start(self, now_ns: int, /) -> list[ActionT]:
+        """Begin."""
+
+    def tick(self, now_ns: int, /) -> list[ActionT]:
+        """Do what is due."""
+
+    def merge(self, now_ns: int, table: TableSnapshot, /) -> list[ActionT]:
+        """Learn what another member knows."""
+
+
+class CoreHost(Transport, Generic[ActionT]):
+    """Base of hosts of one core."""
+
+    def __init__(
+        self,
+        core: Core[ActionT],
+        listen: Address,
+        wire: Wire,
+        clock_ns: Callable[[], int],
+        event_log: Path | None,
+        on_change: Callable[[], None],
+        on_data: DataCallback,
+        max_served_exchanges: int = MAX_SERVED_EXCHANGES,
+        receive_buffer_bytes: int = 0,
+    ) -> None:
+        """Raises `OSError` where the event log can't be opened."""
+        super().__init__(listen, wire, max_served_exchanges, receive_buffer_bytes)
+        self._clock_ns = clock_ns
+        self._machine = core
+        self._on_change = on_change
+        self._on_data = on_data
+        self._last_packed: tuple[MemberMessage, bytes] | None = (
+            None  # a message often goes to several members
+        )
+        self._event_log = EventLog(event_log, *core.member_id) if event_log is not None else None
+
+    async def start(self) -> None:
+        """Raises `OSError` where the address can't be bound."""
+        await self._open(lambda: self._perform(self._machine.start(self._clock_ns())))
+
+    def close(self, leave: bool = True) -> None:
+        """Shut down gracefully; `leave` False: another process goes on under this name, or it stops at
+        once."""
+        self._stop_ticking()
+        if self._transport is not None:
+            self._perform(self._final_actions(leave))
+        self._close_sockets()
+        if self._event_log is not None:
+            self._event_log.close()
+            self._event_log = None
+
+    def _final_actions(self, leave: bool) -> Iterable[ActionT]:
+        """What the core has to say when its host closes."""
+        raise NotImplementedError
+
+    def _perform(self, actions: Iterable[ActionT]) -> None:
+        """Do what the core wants done."""
+        raise NotImplementedError
+
+    def _tick(self) -> None:
+        self._perform(self._machine.tick(self._clock_ns()))
+
+    def _merge(self, table: TableSnapshot) -> None:
+        self._perform(self._machine.merge(self._clock_ns(), table))
+
+    def _send_message(self, address: Address, message: MemberMessage) -> None:
+        if self._last_packed is None or self._last_packed[0] is not message:
+            self._last_packed = message, self.wire.pack(message)
+        self._send(self._last_packed[1], address)
+
+    def _log_event(self, kind: str, details: dict[str, object]) -> None:
+        if self._event_log is not None:
+            self._event_log.write(kind, details)
--- a/trackspread/membership/gossip.py
+++ b/trackspread/membership/gossip.py
@@ -1,39 +1,42 @@
-"""Which words go with the next datagram: the newest first, each a bounded number of times.
-
-May know: words, how many members there are. May not know: who hears them, what they mean.
-"""
+"""Selects the gossip updates that go with the next datagram: the newest first, each a bounded number of
+times."""
 
 from __future__ import annotations
 
 from math import ceil, log10
 
-from .terms import GossipUpdate
+from .messages import GossipUpdate
 
-TIMES = 4  # times the decimal logarithm of the fleet that a word is told by each who has it (SWIM's lambda)
-WITH_ONE = 12  # words that go with one datagram: 12 of some 60 bytes beside the rest are under 1,200
+TRANSMISSIONS_FACTOR = (
+    4  # times the decimal logarithm of the fleet's size: transmissions of each update (SWIM)
+)
+MAX_UPDATES_PER_MESSAGE = 12  # of some 60 bytes each: with the rest they stay under 1,200
 
 
 class GossipQueue:
-    """Words still to be told, one for each member: the greater takes the lesser's place."""
+    """Updates still to be sent, at most one for each member: a new one replaces the former."""
 
     def __init__(self) -> None:
-        self._left: dict[str, tuple[int, GossipUpdate]] = {}  # by name: how often it was told
+        self._pending: dict[
+            str, tuple[int, GossipUpdate]
+        ] = {}  # by name: transmissions so far, and the update
 
-    def add(self, word: GossipUpdate) -> None:
-        self._left[word.name] = 0, word
+    def add(self, update: GossipUpdate) -> None:
+        """Queue this update in place of the member's former one."""
+        self._pending[update.name] = 0, update
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._pending)
 
-    def some(self, members: int) -> tuple[GossipUpdate, ...]:
-        """Those told least often; what has been told often enough is dropped."""
-        if not self._left:
+    def next_updates(self, member_count: int) -> tuple[GossipUpdate, ...]:
+        """The updates sent least often; those sent often enough for a fleet of this size leave the queue."""
+        if not self._pending:
             return ()
-        enough = ceil(TIMES * log10(members + 1)) + 1
-        chosen = sorted(self._left.values(), key=lambda each: each[0])[:WITH_ONE]
-        for told, word in chosen:
-            if told + 1 >= enough:
-                del self._left[word.name]
+        max_transmissions = ceil(TRANSMISSIONS_FACTOR * log10(member_count + 1)) + 1
+        chosen = sorted(self._pending.values(), key=lambda each: each[0])[:MAX_UPDATES_PER_MESSAGE]
+        for transmissions, update in chosen:
+            if transmissions + 1 >= max_transmissions:
+                del self._pending[update.name]
             else:
-                self._left[word.name] = told + 1, word
-        return tuple(word for _, word in chosen)
+                self._pending[update.name] = transmissions + 1, update
+        return tuple(update for _, update in chosen)
--- a/trackspread/membership/member_table.py
+++ b/trackspread/membership/member_table.py
@@ -1,14 +1,14 @@
-"""Who is there: the table of members, and how words on them merge.
+"""The table of members, and how gossip updates merge into it.
 
-| told of a member | held: nothing | held: lesser rank | held: the same or greater |
+| update | nothing known | lesser rank known | same or greater rank known |
 | --- | --- | --- | --- |
-| ALIVE | taken up, told on | taken up, told on | passed over |
-| SUSPECT | taken up, told on; a time to clear itself begins | likewise | passed over, but its teller counts |
-| DEAD, LEFT | kept as gone | taken up, told on | passed over |
+| ALIVE | recorded, passed on | recorded, passed on | ignored |
+| SUSPECT | recorded, passed on; the suspicion timeout begins | likewise | ignored, but its reporter counts |
+| DEAD, LEFT | recorded as gone | recorded, passed on | ignored |
 
-A rank is (born, life, state): the order in which words come makes no difference, so that all tables become
-equal once all words have come everywhere. Of itself a member holds nothing that others say: to a suspicion it
-answers with a new life. May know: words, times handed in. May not know: how they come, what hangs on them.
+A rank is (creation time, incarnation, state): the order in which updates arrive makes no difference, so that
+all tables become equal once all updates have arrived everywhere. Of itself a member records nothing that
+others say: it refutes a suspicion with a new incarnation.
 """
 
 from __future__ import annotations
@@ -18,127 +18,138 @@
 import xxhash
 from msgspec import structs
 
-from .terms import SECOND, GossipUpdate, State, Who
+from .identifiers import SECOND, MemberId
+from .messages import GossipUpdate, State
+from .suspicion import MAX_CONFIRMATIONS
 
-GONE_KEPT = 60 * SECOND  # ns for which a gone member is remembered: over the longest that an old word travels
+GONE_RETENTION_NS = 60 * SECOND  # for which a gone member is remembered: longer than an old update travels
 
 
 @dataclass(slots=True)
 class MemberEntry:
-    """One member as it is known here."""
+    """What is known of one member."""
 
     update: GossipUpdate
-    since: int  # when this state was first held here
-    suspected_by: set[str] = field(default_factory=set)  # names, of those that said so
+    since_ns: int  # when this state was recorded
+    suspected_by: set[str] = field(default_factory=set)  # names
 
     @property
-    def here(self) -> bool:
-        """Alive or suspected: not yet known to be gone."""
+    def is_present(self) -> bool:
+        """Alive or suspected: not known to be gone."""
         return self.update.state <= State.SUSPECT
 
 
 class MemberTable:
-    """All members known here but oneself, by name; bounded."""
+    """All other members known here, by name, at most twice `max_members`."""
 
-    def __init__(self, me: GossipUpdate, most: int) -> None:
-        self.me, self._most = me, most
+    def __init__(self, own_update: GossipUpdate, max_members: int) -> None:
+        self.own_update = own_update
+        self._max_members = max_members
         self.by_name: dict[str, MemberEntry] = {}
-        self.left_out = 0  # words on members beyond the bound
-        self.fenced: GossipUpdate | None = None  # a newer process under one's own name
-        self._digest: tuple[tuple[int, int], int] | None = None  # by what of oneself it was made with
-        self._here: tuple[MemberEntry, ...] | None = None  # until a word is news: asked several times a tick
-
-    def take(self, now: int, word: GossipUpdate, teller: str) -> bool:
-        """Whether the word was news: the caller then tells it on."""
-        if word.name == self.me.name:
-            return self._of_me(word)
-        held = self.by_name.get(word.name)
-        if held is None:
-            if len(self.by_name) >= 2 * self._most and not self._make_room():
-                self.left_out += 1
+        self.rejected_updates = 0  # on members beyond the limit
+        self.newer_namesake: GossipUpdate | None = None  # a newer process under this member's own name
+        # Both are read several times a tick, and dropped with each change.
+        self._cached_digest: tuple[tuple[int, int], int] | None = (
+            None  # what of this member it was made of; digest
+        )
+        self._cached_present: tuple[MemberEntry, ...] | None = None
+
+    def apply(self, now_ns: int, update: GossipUpdate, reporter: str) -> bool:
+        """Merge an update of this reporter; returns whether it was news, which the caller passes on."""
+        if update.name == self.own_update.name:
+            return self._refute(update)
+        entry = self.by_name.get(update.name)
+        if entry is None:
+            if len(self.by_name) >= 2 * self._max_members and not self._make_room():
+                self.rejected_updates += 1
                 return False
-            held = self.by_name[word.name] = MemberEntry(word, now)
-        elif word.rank > held.update.rank:
-            if word.state != held.update.state or word.born != held.update.born:
-                held.since = now
-            held.update = word
-            held.suspected_by.clear()
+            entry = self.by_name[update.name] = MemberEntry(update, now_ns)
+        elif update.rank > entry.update.rank:
+            _replace_update(now_ns, entry, update)
+        elif update.rank == entry.update.rank and update.state == State.SUSPECT:
+            return _add_suspecting_member(entry, reporter)
         else:
-            if word.rank == held.update.rank and word.state == State.SUSPECT:
-                return self._one_more(held, teller)
             return False
-        self._digest = self._here = None
-        if word.state == State.SUSPECT:
-            held.suspected_by.add(teller)
+        self._cached_digest = None
+        self._cached_present = None
+        if update.state == State.SUSPECT:
+            entry.suspected_by.add(reporter)
         return True
 
-    @staticmethod
-    def _one_more(held: MemberEntry, teller: str) -> bool:
-        """Another that suspects it; told on while it shortens the time that the suspect is given."""
-        news = teller not in held.suspected_by and len(held.suspected_by) < 4
-        held.suspected_by.add(teller)
-        return news
-
-    def _of_me(self, word: GossipUpdate) -> bool:
-        me = self.me
-        if word.born > me.born:
-            self.fenced = word
+    def _refute(self, update: GossipUpdate) -> bool:
+        """An update on this member's own name; returns whether a new incarnation answers it."""
+        own = self.own_update
+        if update.created_at_ms > own.created_at_ms:
+            self.newer_namesake = update
             return False
-        if word.born == me.born and word.state != State.ALIVE and (word.life, word.state) >= (me.life, 0):
-            if me.state != State.LEFT:
-                self.me = _alive(me, word.life + 1)
-                return True
-        elif word.born == me.born and word.life > me.life:
-            self.me = _alive(me, word.life + 1)  # a word of mine that I can't have said: beyond it
-            return True
-        return False
+        if update.created_at_ms < own.created_at_ms:
+            return False
+        if update.state != State.ALIVE and (update.incarnation, update.state) >= (own.incarnation, 0):
+            if own.state == State.LEFT:
+                return False
+        elif update.incarnation <= own.incarnation:
+            return False  # an incarnation beyond the own one can't have been announced: it is answered
+        self.own_update = structs.replace(own, incarnation=update.incarnation + 1, state=State.ALIVE)
+        return True
 
     def _make_room(self) -> bool:
-        """By whoever has been gone longest."""
-        gone = [p for p in self.by_name.values() if not p.here]
+        """Drop the member that has been gone longest."""
+        gone = [entry for entry in self.by_name.values() if not entry.is_present]
         if not gone:
             return False
-        del self.by_name[min(gone, key=lambda p: p.since).update.name]
+        del self.by_name[min(gone, key=lambda entry: entry.since_ns).update.name]
         return True
 
-    def forget(self, now: int) -> None:
-        """Those that have been gone for long."""
-        for name in [n for n, p in self.by_name.items() if not p.here and now - p.since > GONE_KEPT]:
-            del self.by_name[name]
+    def remove_expired(self, now_ns: int) -> None:
+        """Drop members that have been gone for `GONE_RETENTION_NS`."""
+        for name, entry in list(self.by_name.items()):
+            if not entry.is_present and now_ns - entry.since_ns > GONE_RETENTION_NS:
+                del self.by_name[name]
 
     def digest(self) -> int:
-        """Of who is live, 32 bits: whoever has the same knows the same."""
-        own = self.me.born, self.me.state
-        if self._digest is None or self._digest[0] != own:
-            text = ";".join(f"{name}:{born}" for name, born in self.live())
-            self._digest = own, xxhash.xxh32_intdigest(text.encode())
-        return self._digest[1]
-
-    def holds(self, who: Who) -> bool:
-        """Whether this very process is here, as far as is known."""
-        if who == self.me.who:
+        """32 bits of the live members: members that know the same have the same."""
+        own = self.own_update.created_at_ms, self.own_update.state
+        if self._cached_digest is None or self._cached_digest[0] != own:
+            text = ";".join(f"{name}:{created_at_ms}" for name, created_at_ms in self.live())
+            self._cached_digest = own, xxhash.xxh32_intdigest(text.encode())
+        return self._cached_digest[1]
+
+    def is_present(self, member_id: MemberId) -> bool:
+        """Whether this very process is present, as far as is known."""
+        if member_id == self.own_update.member_id:
             return True
-        held = self.by_name.get(who[0])
-        return held is not None and held.here and held.update.born == who[1]
+        entry = self.by_name.get(member_id[0])
+        return entry is not None and entry.is_present and entry.update.member_id == member_id
+
+    def present(self) -> list[MemberEntry]:
+        """Other members that are not known to be gone; a list of the caller's own."""
+        return list(self._present_entries())
+
+    def present_count(self) -> int:
+        """How many members are present, this one included."""
+        return 1 + len(self._present_entries())
 
-    def here(self) -> list[MemberEntry]:
-        """Members that are not known to be gone; a list of the caller's own."""
-        return list(self._members_here())
+    def _present_entries(self) -> tuple[MemberEntry, ...]:
+        if self._cached_present is None:
+            self._cached_present = tuple(entry for entry in self.by_name.values() if entry.is_present)
+        return self._cached_present
 
-    def count(self) -> int:
-        """Of those here, oneself included."""
-        return 1 + len(self._members_here())
+    def live(self) -> tuple[MemberId, ...]:
+        """All members that are present, this one included unless it has left; sorted."""
+        own = () if self.own_update.state == State.LEFT else (self.own_update.member_id,)
+        return tuple(sorted((*own, *(entry.update.member_id for entry in self._present_entries()))))
 
-    def _members_here(self) -> tuple[MemberEntry, ...]:
-        if self._here is None:
-            self._here = tuple(p for p in self.by_name.values() if p.here)
-        return self._here
 
-    def live(self) -> tuple[Who, ...]:
-        """All that are here and have not left, oneself included, sorted."""
-        own = () if self.me.state == State.LEFT else (self.me.who,)
-        return tuple(sorted((*own, *(p.update.who for p in self.here()))))
+def _replace_update(now_ns: int, entry: MemberEntry, update: GossipUpdate) -> None:
+    before = entry.update
+    if (update.state, update.created_at_ms) != (before.state, before.created_at_ms):
+        entry.since_ns = now_ns
+    entry.update = update
+    entry.suspected_by.clear()
 
 
-def _alive(me: GossipUpdate, life: int) -> GossipUpdate:
-    return structs.replace(me, life=life, state=State.ALIVE)
+def _add_suspecting_member(entry: MemberEntry, reporter: str) -> bool:
+    """Whether this is news: a further reporter, while reporters still shorten the suspicion timeout."""
+    is_news = reporter not in entry.suspected_by and len(entry.suspected_by) < 1 + MAX_CONFIRMATIONS
+    entry.suspected_by.add(reporter)
+    return is_news
--- a/trackspread/membership/report.py
+++ b/trackspread/membership/report.py
@@ -1,7 +1,5 @@
-"""What one gateway holds of its fleet, for operators.
-
-May know: the core, its host's counts. Decides nothing.
-"""
+"""What one gateway knows of its fleet, for operators. The field names of the structs are the keys of the
+JSON."""
 
 from __future__ import annotations
 
@@ -9,91 +7,100 @@
 
 import msgspec
 
+from .identifiers import SECOND
 from .member import Member
-from .slots import SLOTS
-from .terms import SECOND, GossipUpdate, State
+from .messages import GossipUpdate, State
+from .slot_allocation import SLOT_COUNT
 
 
-class Seen(msgspec.Struct, frozen=True):
+class MemberReport(msgspec.Struct, frozen=True):
     """One member as this gateway knows it; `in_view`: whether the view has just this process of its name."""
 
     name: str
     state: str
-    born: int
-    life: int
+    created_at_ms: int = msgspec.field(name="born")
+    incarnation: int = msgspec.field(name="life")
     version: str
     address: str
-    since_s: float
+    since_s: float  # in this state
     in_view: bool
 
 
-class Report(msgspec.Struct, frozen=True):
-    """All of it. `standing`: `settled`, `joining` (in no view yet), `waiting` (in it, and its part is still
-    out with others, as far as is known), `parted` (cut off from the coordinator: nothing is known for sure),
-    `fenced` or `left`."""
+class FleetReport(msgspec.Struct, frozen=True):
+    """All of it. `standing`: `settled`, `joining` (in no view yet), `waiting` (in it, while its slots are
+    still leased to others, as far as is known), `parted` (cut off from the coordinator: nothing is known for
+    sure), `fenced` or `left`."""
 
     fleet: str
     name: str
     standing: str
     view: tuple[int, int, int] | None
     members: int
-    part: float  # of what all share, that may be acted on here now
+    usable_fraction: float = msgspec.field(name="part")  # of the shared limits, that may be used here now
     leader: str
-    leads: bool
-    health: int  # of this process; 0 is well
-    seen: tuple[Seen, ...]
-    differ: tuple[str, ...]  # names that are live but not in the view, or in it but not live
+    is_coordinator: bool = msgspec.field(name="leads")
+    health: int  # of this process; 0 is healthy
+    known_members: tuple[MemberReport, ...] = msgspec.field(name="seen")
+    differing_names: tuple[str, ...] = msgspec.field(name="differ")  # live or in the view, but not both
     counts: dict[str, int]
     dropped: dict[str, int]
     cell: str = ""  # where the fleet has cells: which one this view is of
-    answered_s: float | None = None  # since a control machine answered; none: never, or there are no cells
+    answered_s: float | None = None  # since a control machine answered; None: never, or there are no cells
 
 
-def standing(now: int, core: Member) -> str:
-    if core.fenced:
+def standing(now_ns: int, member: Member) -> str:
+    """One word for whether the member takes part; see `FleetReport`."""
+    if member.is_fenced:
         return "fenced"
-    if core.gone:
+    if member.has_left:
         return "left"
-    if core.view is None or core.who not in core.view.members:
+    if member.view is None or member.member_id not in member.view.members:
         return "joining"
-    if core.part(now):
+    if member.usable_slots(now_ns):
         return "settled"
-    return "waiting" if now < core.holding.until else "parted"
-
-
-def report(now: int, core: Member, counts: Mapping[str, int], dropped: Mapping[str, int]) -> Report:
-    table, view = core.member_table, core.view
-    inside = set(view.members) if view is not None else set()
-
-    def seen(word: GossipUpdate, since: int) -> Seen:
-        state = "SLOW" if word.slow and word.state == State.ALIVE else State(word.state).name
-        return Seen(
-            word.name,
-            state,
-            word.born,
-            word.life,
-            word.version,
-            f"{word.host}:{word.port}",
-            round((now - since) / SECOND, 1),
-            word.who in inside,
-        )
-
-    others = (seen(each.update, each.since) for each in table.by_name.values())
-    everybody = [seen(table.me, core.begun), *others]
-    differ = {name for name, _ in inside ^ set(table.live())}
-    leader = core.leader
-    return Report(
-        core.settings.fleet,
-        table.me.name,
-        standing(now, core),
-        view.number if view is not None else None,
-        len(inside),
-        round(core.part(now).bit_count() / SLOTS, 4),
-        leader.who[0] if leader is not None else "",
-        core.owns(now),
-        core.probing.health,
-        tuple(sorted(everybody, key=lambda each: each.name)),
-        tuple(sorted(differ)),
-        dict(counts),
-        dict(dropped),
+    return "waiting" if now_ns < member.lease.valid_until_ns else "parted"
+
+
+def fleet_report(
+    now_ns: int, member: Member, counts: Mapping[str, int], dropped: Mapping[str, int]
+) -> FleetReport:
+    """The report at this instant. `counts`: the host's; `dropped`: messages that its wire dropped, by
+    reason."""
+    table, view = member.member_table, member.view
+    in_view = set(view.members) if view is not None else set()
+    known = [(table.own_update, member.started_at_ns)]
+    known += [(entry.update, entry.since_ns) for entry in table.by_name.values()]
+    reports = [
+        _member_report(update, (now_ns - since_ns) / SECOND, update.member_id in in_view)
+        for update, since_ns in known
+    ]
+    differing = {name for name, _ in in_view ^ set(table.live())}
+    return FleetReport(
+        fleet=member.settings.fleet,
+        name=table.own_update.name,
+        standing=standing(now_ns, member),
+        view=view.number if view is not None else None,
+        members=len(in_view),
+        usable_fraction=round(member.usable_slots(now_ns).bit_count() / SLOT_COUNT, 4),
+        leader=member.leader.member_id[0] if member.leader is not None else "",
+        is_coordinator=member.is_coordinator(now_ns),
+        health=member.state.prober.health,
+        known_members=tuple(sorted(reports, key=lambda report: report.name)),
+        differing_names=tuple(sorted(differing)),
+        counts=dict(counts),
+        dropped=dict(dropped),
+    )
+
+
+def _member_report(update: GossipUpdate, since_s: float, in_view: bool) -> MemberReport:
+    is_slow = update.slow and update.state == State.ALIVE
+    return MemberReport(
+        name=update.name,
+        state="SLOW" if is_slow else State(update.state).name,
+        created_at_ms=update.created_at_ms,
+        incarnation=update.incarnation,
+        version=update.version,
+        address=f"{update.host}:{update.port}",
+        since_s=round(since_s, 1),
+        in_view=in_view,
     )
--- a/trackspread/membership/slowness.py
+++ b/trackspread/membership/slowness.py
@@ -1,68 +1,78 @@
-"""Slow, but not dead: what a member finds of others, and what others find of it.
+"""Slow members: what a member finds of others, and what others report of it.
 
-Each tells a member that answers late time and again so, for as long as it does; a member that enough others
-tell so, or that finds itself unwell, says of itself that it is slow, so that nobody waits for it. Only the
-member itself says it of itself: a single observer with a bad way to it can't.
-
-May know: names, whether answers came late, times handed in. May not know: why, nor what hangs on it.
+A member reports another that answers late repeatedly to it, for as long as it does. A member that enough
+others report, or whose own health is bad, says of itself that it is slow, so that nobody waits for it. Only
+the member itself says so: a single observer on a bad path must not.
 """
 
 from __future__ import annotations
 
-from .terms import MS, SECOND
+from .identifiers import MS, SECOND
 
-WEIGHT = 0.25  # of the newest answer in the running share of late ones: four probes tell
-SLOW, WELL = 0.5, 0.15  # shares of late answers from and under which one is found slow, and well again
-AGAIN = 1 * SECOND  # ns between reports of the same while it lasts
-HEARD = 3 * SECOND  # ns for which a report counts: two may be lost
-SHARE = 0.3  # of the fleet that has to find it slow ...
-LEAST = 2  # ... and at least so many
-UNWELL, RIGHT = 5, 1  # steps of local health from and down to which a member finds itself so
-SETTLED = 500 * MS  # ns between changes of one's own mind
+NEWEST_WEIGHT = 0.25  # of the newest answer in the moving average of late ones: four probes decide
+SLOW_FRACTION = 0.5  # of late answers from which a member is found slow ...
+RECOVERED_FRACTION = 0.15  # ... and at or under which it no longer is
+REPORT_INTERVAL_NS = 1 * SECOND  # between reports while it lasts
+REPORT_LIFETIME_NS = 3 * SECOND  # for which a report counts: two may be lost
+REPORTERS_FRACTION = 0.3  # of the other members that have to report it ...
+MIN_REPORTERS = 2  # ... and at least so many
+UNHEALTHY_FROM = 5  # steps of local health at which a member finds itself slow
+UNHEALTHY_ABOVE = 1  # steps of local health above which it stays slow
+MIN_CHANGE_INTERVAL_NS = 500 * MS  # between changes of a member's own state
 
 
 class Slowness:
-    """Of one member; bounded by the members it knows."""
+    """Slowness as one member sees it; bounded by the members that it knows."""
 
     def __init__(self) -> None:
-        self._share: dict[str, float] = {}  # by name, of late answers
-        self._found: dict[str, int] = {}  # found slow, and when that was last told
-        self._reports: dict[str, int] = {}  # who finds this member slow, and when it last said so
-        self._is, self._since = False, 0
+        self._late_fraction: dict[str, float] = {}  # by name: moving average of late answers
+        self._reported_at_ns: dict[str, int] = {}  # members found slow, and when they were last notified
+        self._reporters: dict[str, int] = {}  # who finds this member slow, and when it last said so
+        self._is_slow = False
+        self._changed_at_ns = 0
 
-    def noted(self, now: int, name: str, late: bool) -> bool | None:
-        """An answer; what the member is to be told, None for nothing."""
-        share = self._share.get(name, 0.0) * (1.0 - WEIGHT) + WEIGHT * late
-        self._share[name] = share
-        if share >= SLOW and now - self._found.get(name, -AGAIN) >= AGAIN:
-            self._found[name] = now
+    def record_answer(self, now_ns: int, name: str, late: bool) -> bool | None:
+        """Count an answer; returns what is to be reported to the member, None for nothing."""
+        newest = NEWEST_WEIGHT if late else 0.0
+        fraction = self._late_fraction.get(name, 0.0) * (1.0 - NEWEST_WEIGHT) + newest
+        self._late_fraction[name] = fraction
+        reported_at_ns = self._reported_at_ns.get(name, -REPORT_INTERVAL_NS)
+        if fraction >= SLOW_FRACTION and now_ns - reported_at_ns >= REPORT_INTERVAL_NS:
+            self._reported_at_ns[name] = now_ns
             return True
-        if share <= WELL and name in self._found:
-            del self._found[name]
+        if fraction <= RECOVERED_FRACTION and name in self._reported_at_ns:
+            del self._reported_at_ns[name]
             return False
         return None
 
     def forget(self, name: str) -> None:
-        self._share.pop(name, None)
-        self._found.pop(name, None)
-        self._reports.pop(name, None)
+        """Drop all that is known of this member."""
+        self._late_fraction.pop(name, None)
+        self._reported_at_ns.pop(name, None)
+        self._reporters.pop(name, None)
 
-    def reported(self, now: int, by: str, slow: bool) -> None:
+    def record_report(self, now_ns: int, reporter: str, slow: bool) -> None:
+        """Another member finds this one slow, or no longer slow."""
         if slow:
-            self._reports[by] = now
+            self._reporters[reporter] = now_ns
         else:
-            self._reports.pop(by, None)
+            self._reporters.pop(reporter, None)
 
-    def slow(self, now: int, members: int, health: int) -> bool:
-        """Whether this member is, by what others say and by its own health."""
-        for name in [n for n, at in self._reports.items() if now - at > HEARD]:
-            del self._reports[name]
-        wanted = max(LEAST, int(SHARE * (members - 1)))
-        if self._is:
-            found = len(self._reports) >= wanted or health > RIGHT
-        else:
-            found = (members > LEAST and len(self._reports) >= wanted) or health >= UNWELL
-        found = found and members > 1  # nobody waits for one that is alone, none could say it is well
-        if found != self._is and now - self._since >= SETTLED:
-            self._is, self._since = found, now
-        return self._is
+    def is_slow(self, now_ns: int, member_count: int, health: int) -> bool:
+        """Whether this member is slow, by others' reports and its own health."""
+        for name in [n for n, at_ns in self._reporters.items() if now_ns - at_ns > REPORT_LIFETIME_NS]:
+            del self._reporters[name]
+        found = self._found_slow(member_count, health)
+        if found != self._is_slow and now_ns - self._changed_at_ns >= MIN_CHANGE_INTERVAL_NS:
+            self._is_slow = found
+            self._changed_at_ns = now_ns
+        return self._is_slow
+
+    def _found_slow(self, member_count: int, health: int) -> bool:
+        if member_count <= 1:  # nobody waits for one that is alone, and none could say that it has recovered
+            return False
+        wanted = max(MIN_REPORTERS, int(REPORTERS_FRACTION * (member_count - 1)))
+        reported = len(self._reporters) >= wanted
+        if self._is_slow:
+            return reported or health > UNHEALTHY_ABOVE
+        return (member_count > MIN_REPORTERS and reported) or health >= UNHEALTHY_FROM
--- a/trackspread/membership/suspicion.py
+++ b/trackspread/membership/suspicion.py
@@ -1,17 +1,24 @@
-"""How long a suspect has to clear itself, after Lifeguard (Dadgar and others 2018). Pure arithmetic."""
+"""How long a suspect has to refute the suspicion, after Lifeguard (Dadgar and others 2018)."""
 
 from __future__ import annotations
 
 from math import log10
 
-LEAST, MOST = 3, 9  # periods to clear itself for whom enough suspect, and for whom one does
-CONFIRMED = 3  # others that suspect the same, from which the time is the least
+MIN_INTERVALS = 3  # probe intervals until a suspect that enough members suspect is dead
+MAX_INTERVALS = 9  # probe intervals where only one member suspects it
+MAX_CONFIRMATIONS = 3  # further members that suspect it, from which the timeout is the shortest
 
 
-def grace(suspected_by: int, members: int, period: int, stretch: int) -> int:
-    """ns until a suspect counts as dead: the more suspect the same, the shorter; longer in a large fleet, and
-    while whoever suspects is not well itself (`stretch`)."""
-    confirmed = min(CONFIRMED, suspected_by - 1)
-    share = 1.0 if confirmed <= 0 else 1.0 - log10(confirmed + 1) / log10(CONFIRMED + 1)
-    scale = max(1.0, log10(max(1, members)))
-    return int((LEAST + (MOST - LEAST) * share) * scale * period * stretch)
+def suspicion_timeout_ns(
+    suspecting_members: int, member_count: int, probe_interval_ns: int, timeout_factor: int
+) -> int:
+    """The time from suspicion to death, in ns.
+
+    It shrinks with the number of members that suspect the same, and grows with the fleet and with
+    `timeout_factor`, while the suspecting member is itself unhealthy.
+    """
+    confirmations = min(MAX_CONFIRMATIONS, suspecting_members - 1)
+    fraction = 1.0 if confirmations <= 0 else 1.0 - log10(confirmations + 1) / log10(MAX_CONFIRMATIONS + 1)
+    scale = max(1.0, log10(max(1, member_count)))
+    intervals = MIN_INTERVALS + (MAX_INTERVALS - MIN_INTERVALS) * fraction
+    return int(intervals * scale * probe_interval_ns * timeout_factor)
--- /dev/null
+++ b/trackspread/membership/timing.py
@@ -0,0 +1,7 @@
+"""How often a host calls its member."""
+
+from __future__ import annotations
+
+from .identifiers import MS
+
+TICK_NS = 50 * MS  # between two calls of `Member.tick`
--- a/trackspread/membership/wire.py
+++ b/trackspread/membership/wire.py
@@ -1,8 +1,7 @@
-"""Members' words as bytes: datagrams and tables, each with a digest, keyed where the fleet has a key.
+"""Members' messages as bytes: datagrams and tables, each with a digest, keyed where the fleet has a key.
 
-A datagram is a mark, a digest of what follows, and the message (MessagePack). Whatever does not fit its
-digest, its types, its bounds or the fleet's name is counted and dropped. May know: bytes, keys. May not know:
-what any of it means.
+A datagram is a mark, a digest of what follows, and the message (MessagePack). What does not match its digest,
+its types, its bounds or the fleet's name is counted and dropped.
 """
 
 from __future__ import annotations
@@ -14,98 +13,107 @@
 
 import msgspec
 
-from .terms import Fresh, MemberMessage, Table
+from .messages import MemberMessage, TableSnapshot, ViewAnnouncement
 
-MARK = b"ts\x01"  # and the version of what follows
-DIGEST = 16  # bytes
-DATAGRAM = 1_200  # bytes at most: one packet on any network
-TABLE_EACH, TABLE_LEAST = 512, 4 << 10  # bytes of a table for each member and beside them, at most
-NAME_MOST = 64  # characters of a member's or a fleet's name
+MARK = b"ts\x01"  # the kind of datagram, and the version of what follows
+DIGEST_BYTES = 16
+MAX_DATAGRAM_BYTES = 1_200  # one packet on any network
+MAX_MEMBER_BYTES = 512  # of a table for each member ...
+TABLE_OVERHEAD_BYTES = 4 << 10  # ... and beside them
+TABLE_LENGTH_BYTES = 4  # before a table
+MAX_NAME_LENGTH = 64  # characters of a member's or a fleet's name
 
-Read = TypeVar("Read", MemberMessage, Table)
+DecodedT = TypeVar("DecodedT", MemberMessage, TableSnapshot)
 
 _encode = msgspec.msgpack.Encoder().encode
-_message = msgspec.msgpack.Decoder(MemberMessage)
-_table = msgspec.msgpack.Decoder(Table)
+_message_decoder = msgspec.msgpack.Decoder(MemberMessage)
+_table_decoder = msgspec.msgpack.Decoder(TableSnapshot)
 
 
 class Keys:
-    """The current key, by which all is signed, and the previous one, which still counts when keys change.
-    Without keys the digest only tells what was spoilt on its way."""
+    """The current key, by which all is signed, and the previous one, which is still accepted while keys
+    change. Without keys the digest only detects corruption."""
 
     def __init__(self, current: bytes = b"", previous: bytes = b"") -> None:
-        used = [current, previous] if previous else [current]
-        self._all = [hashlib.sha256(key).digest() for key in used]  # blake2b takes 64 bytes
+        keys = [current, previous] if previous else [current]
+        self._hashed_keys = [hashlib.sha256(key).digest() for key in keys]  # blake2b takes at most 64 bytes
 
     def sign(self, payload: bytes) -> bytes:
-        return self._digest(self._all[0], payload)
+        """The digest of this payload by the current key."""
+        return self._digest(self._hashed_keys[0], payload)
 
     @staticmethod
     def _digest(key: bytes, payload: bytes) -> bytes:
-        return hashlib.blake2b(payload, digest_size=DIGEST, key=key).digest()
+        return hashlib.blake2b(payload, digest_size=DIGEST_BYTES, key=key).digest()
 
-    def fits(self, digest: bytes, payload: bytes) -> bool:
-        return any(compare_digest(digest, self._digest(key, payload)) for key in self._all)
+    def matches(self, digest: bytes, payload: bytes) -> bool:
+        """Whether the payload was signed by either key."""
+        return any(compare_digest(digest, self._digest(key, payload)) for key in self._hashed_keys)
 
 
 class Wire:
-    """One member's; `dropped` counts what was not believed, by why."""
+    """Encodes and decodes one member's messages; `dropped` counts what was rejected, by reason."""
 
-    def __init__(self, fleet: str, keys: Keys, most: int) -> None:
-        self.fleet, self.keys = fleet, keys
-        self.table_most = TABLE_LEAST + 2 * most * TABLE_EACH
+    def __init__(self, fleet: str, keys: Keys, max_members: int) -> None:
+        self.fleet = fleet
+        self.keys = keys
+        self.max_table_bytes = TABLE_OVERHEAD_BYTES + 2 * max_members * MAX_MEMBER_BYTES
         self.dropped: Counter[str] = Counter()
 
     def pack(self, message: MemberMessage) -> bytes:
-        """GossipQueue that do not fit are left out, they go with others; so is a view that is too large."""
-        while len(made := self._sealed(_encode(message))) > DATAGRAM:
+        """The datagram. Gossip updates that do not fit are left out, as is a view that is too large."""
+        while len(data := self._sealed(_encode(message))) > MAX_DATAGRAM_BYTES:
             if message.updates:
                 message = msgspec.structs.replace(message, updates=message.updates[:-2])
-            elif isinstance(message.body, Fresh) and message.body.view is not None:
-                message = msgspec.structs.replace(message, body=Fresh(message.body.number, None))
+            elif isinstance(message.body, ViewAnnouncement) and message.body.view is not None:
+                without_view = ViewAnnouncement(message.body.view_number, None)
+                message = msgspec.structs.replace(message, body=without_view)
             else:
                 break
-        return made
+        return data
 
     def unpack(self, data: bytes) -> MemberMessage | None:
-        return self._read(data, _message)
+        """The message of a datagram; None for one that is dropped."""
+        return self._decode(data, _message_decoder)
 
-    def pack_table(self, table: Table) -> bytes:
-        """With its length before it."""
-        made = self._sealed(_encode(table))
-        return len(made).to_bytes(4) + made
+    def pack_table(self, table: TableSnapshot) -> bytes:
+        """The table with its length before it, `TABLE_LENGTH_BYTES`, big endian."""
+        data = self._sealed(_encode(table))
+        return len(data).to_bytes(TABLE_LENGTH_BYTES) + data
 
-    def unpack_table(self, data: bytes) -> Table | None:
-        return self._read(data, _table)
+    def unpack_table(self, data: bytes) -> TableSnapshot | None:
+        """The table of these bytes, which begin after its length; None for one that is dropped."""
+        return self._decode(data, _table_decoder)
 
-    def ours(self, fleet: str) -> bool:
-        """Whether words of this fleet are to be believed here."""
+    def accepts_fleet(self, fleet: str) -> bool:
+        """Whether messages of this fleet are accepted here."""
         return fleet == self.fleet
 
-    def _read(self, data: bytes, decoder: msgspec.msgpack.Decoder[Read]) -> Read | None:
+    def _decode(self, data: bytes, decoder: msgspec.msgpack.Decoder[DecodedT]) -> DecodedT | None:
         payload = self._opened(data)
         if payload is None:
             return None
         try:
-            made = decoder.decode(payload)
+            decoded = decoder.decode(payload)
         except (msgspec.DecodeError, RecursionError):
             self.dropped["spoilt"] += 1
             return None
-        if not self.ours(made.fleet):
+        if not self.accepts_fleet(decoded.fleet):
             self.dropped["another fleet"] += 1
             return None
-        return made
+        return decoded
 
     def _sealed(self, payload: bytes, mark: bytes = MARK) -> bytes:
         return mark + self.keys.sign(payload) + payload
 
     def _opened(self, data: bytes, mark: bytes = MARK) -> bytes | None:
-        head = len(mark) + DIGEST
-        if len(data) <= head or not data.startswith(mark):
+        """The payload of these bytes; None, counted, where the mark or the digest does not match."""
+        header_bytes = len(mark) + DIGEST_BYTES
+        if len(data) <= header_bytes or not data.startswith(mark):
             self.dropped["foreign"] += 1
             return None
-        payload = data[head:]
-        if not self.keys.fits(data[len(mark) : head], payload):
+        payload = data[header_bytes:]
+        if not self.keys.matches(data[len(mark) : header_bytes], payload):
             self.dropped["digest"] += 1
             return None
         return payload
--- a/trackspread/node/celled.py
+++ b/trackspread/node/celled.py
@@ -19,11 +19,11 @@
 from ..cells.wire import CellsWire
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
-from ..membership.host import born_now
-from ..membership.port import DESCRIPTORS
-from ..membership.report import Report, report
-from ..membership.terms import MS, SECOND
-from ..membership.wire import NAME_MOST
+from ..membership.host import created_now_ms
+from ..membership.transport import DESCRIPTORS
+from ..membership.report import FleetReport, fleet_report
+from ..membership.identifiers import MS, SECOND
+from ..membership.wire import MAX_NAME_LENGTH
 from .bind_retry import bound_within
 from .membered import keys, program_version
 
@@ -45,9 +45,9 @@
 
     def __init__(self, name: str, fleet: Fleet, now: Callable[[], int]) -> None:
         """Raises `ConfigError`."""
-        if len(name) > NAME_MOST:
+        if len(name) > MAX_NAME_LENGTH:
             raise ConfigError(
-                f"name: found {len(name)} characters, wanted {NAME_MOST} at most: fleet.name is set"
+                f"name: found {len(name)} characters, wanted {MAX_NAME_LENGTH} at most: fleet.name is set"
             )
         if not fleet.region:
             raise ConfigError("fleet.region: found nothing, wanted this gateway's: fleet.control is set")
@@ -68,7 +68,7 @@
         settings = GatewaySettings(
             fleet.name,
             self._name,
-            born_now(),
+            created_now_ms(),
             reached,
             zone,
             machines(fleet),
@@ -103,13 +103,13 @@
             self.host.close(leave)
             self.host = self._core = None
 
-    def report(self) -> Report | None:
+    def report(self) -> FleetReport | None:
         """Nothing while it takes no part, or is in no cell yet."""
         host, core = self.host, self._core
         if host is None or core is None or core.member is None or core.held is None:
             return None
         now = self._now()
-        told = report(now, core.member, host.counts, host.wire.dropped)
+        told = fleet_report(now, core.member, host.counts, host.wire.dropped)
         since = None if core.answered_at is None else round((now - core.answered_at) / SECOND, 1)
         return structs.replace(told, fleet=self._fleet.name, cell=core.held.cell.name, answered_s=since)
 
--- a/trackspread/node/configured.py
+++ b/trackspread/node/configured.py
@@ -18,7 +18,7 @@
 from ..distribution.report import report
 from ..distribution.terms import SubscriberSettings
 from ..distribution.wire import Wire
-from ..membership.host import born_now
+from ..membership.host import created_now_ms
 from .bind_retry import bound_within
 from .membered import keys
 
@@ -58,7 +58,7 @@
             address(table.listen, "configuration.listen"),
             self._wire,
             int.from_bytes(os.urandom(8)),
-            born_now(),
+            created_now_ms(),
             self._now,
             record=Path(table.record) if table.record else None,
         )
--- a/trackspread/node/controlling.py
+++ b/trackspread/node/controlling.py
@@ -22,8 +22,8 @@
 from ..config import operator
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
-from ..membership.host import born_now
-from ..membership.terms import MS, SECOND, Epoch
+from ..membership.host import created_now_ms
+from ..membership.identifiers import MS, SECOND, Epoch
 from . import replicating
 from .celled import machines
 from .membered import keys, program_version
@@ -42,7 +42,7 @@
     settings = ControlSettings(
         fleet.name,
         name,
-        born_now(),
+        created_now_ms(),
         known,
         program_version(),
         Policy(gateways=fleet.gateways),
@@ -53,7 +53,7 @@
     wire = CellsWire(fleet.name, keys(fleet), max(CELL_MOST, 2 * len(known)))
     record = Path(fleet.record) if fleet.record else None
     listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else me.address
-    return Host(core, listen, wire, time.monotonic_ns, record, led=led)
+    return Host(core, listen, wire, time.monotonic_ns, record, on_leadership=led)
 
 
 async def serve(name: str, file: Path) -> None:
--- a/trackspread/node/membered.py
+++ b/trackspread/node/membered.py
@@ -18,11 +18,13 @@
 from ..config.operator import Fleet
 from ..decide.events import FleetChanged
 from ..decide.peer_messages import MAX_MESSAGE_BYTES
-from ..membership.host import DESCRIPTORS, Host, born_now
-from ..membership.report import Report, report
-from ..membership.slots import slots_of
-from ..membership.terms import MS, SECOND, Place, Settings
-from ..membership.wire import NAME_MOST, Keys, Wire
+from ..membership.host import Host, created_now_ms
+from ..membership.transport import DESCRIPTORS
+from ..membership.report import FleetReport, fleet_report
+from ..membership.slot_allocation import slots_of
+from ..membership.identifiers import MS, SECOND, ListPosition
+from ..membership.settings import MemberSettings
+from ..membership.wire import MAX_NAME_LENGTH, Keys, Wire
 from .bind_retry import bound_within
 
 READY_MOST = 5.0  # s that a start waits for a part: over an election; what needs none is served then
@@ -70,15 +72,15 @@
         name: str,
         fleet: Fleet,
         now: Callable[[], int],
-        place: Place = (0, 1),
+        place: ListPosition = (0, 1),
         changed: Callable[[FleetChanged], None] = lambda event: None,
         heard: Callable[[int, bytes], None] = lambda sender, data: None,
     ) -> None:
         """`place`: in the platform's list of gateways. `changed` is told of the fleet whenever it is not as
         it was, `heard` of what another has to say. Raises `ConfigError`."""
-        if len(name) > NAME_MOST:
+        if len(name) > MAX_NAME_LENGTH:
             raise ConfigError(
-                f"name: found {len(name)} characters, wanted {NAME_MOST} at most: fleet.name is set"
+                f"name: found {len(name)} characters, wanted {MAX_NAME_LENGTH} at most: fleet.name is set"
             )
         self._name, self._fleet, self._now, self._keys = name, fleet, now, keys(fleet)
         self.host: Host | None = None
@@ -96,14 +98,14 @@
         """Until there is a part of what all share to act on; not for ever."""
         loop = asyncio.get_running_loop()
         end = loop.time() + READY_MOST
-        while self.host is not None and not self.host.core.part(self._now()) and loop.time() < end:
+        while self.host is not None and not self.host.core.usable_slots(self._now()) and loop.time() < end:
             await asyncio.sleep(LOOK)
 
     def tell(self, to: int | None, data: bytes) -> None:
         """To one gateway by its number, or to all."""
         if self.host is not None:
             names = self._names.values() if to is None else [self._names[to]] if to in self._names else []
-            self.host.tell(names, data)
+            self.host.send_data(names, data)
 
     def _came(self, name: str, data: bytes, part: int) -> None:
         sender = number(name)
@@ -118,16 +120,18 @@
         if (host := self.host) is None:
             return
         core = host.core
-        me, holding = number(self._name), core.holding
-        here = {number(p.update.name): p.update for p in core.member_table.here()}
+        me, holding = number(self._name), core.lease
+        here = {number(p.update.name): p.update for p in core.member_table.present()}
         here.pop(me, None)  # of two names with one number, one is not talked to: that is safe
-        slow = {n for n, word in here.items() if word.slow} | ({me} if core.member_table.me.slow else set())
+        slow = {n for n, word in here.items() if word.slow} | (
+            {me} if core.member_table.own_update.slow else set()
+        )
         everybody = sorted((me, *here))
-        slots, until = (0, 0) if core.gone else (holding.granted, holding.until)
+        slots, until = (0, 0) if core.has_left else (holding.granted_slots, holding.valid_until_ns)
         others = tuple(sorted(here))
         homes = tuple(n for n in everybody if n not in slow) or tuple(everybody)
         theirs = tuple(self._theirs.get(n, 0) for n in others)
-        event = FleetChanged(me, others, homes, self._seats, slots, theirs, until, holding.granted_until)
+        event = FleetChanged(me, others, homes, self._seats, slots, theirs, until, holding.granted_until_ns)
         self._names = {n: word.name for n, word in here.items()}
         self._theirs = {n: slots for n, slots in self._theirs.items() if n in here}
         if event != self._last:
@@ -141,10 +145,10 @@
     async def _start(self) -> None:
         fleet, listen = self._fleet, address(self._fleet.listen, "fleet.listen")
         reached = address(fleet.advertise, "fleet.advertise") if fleet.advertise else listen
-        settings = Settings(
+        settings = MemberSettings(
             fleet.name,
             self._name,
-            born_now(),
+            created_now_ms(),
             reached,
             fleet.seed_addresses(),
             program_version(),
@@ -184,10 +188,10 @@
             self._look()
             self.host = None
 
-    def report(self) -> Report | None:
+    def report(self) -> FleetReport | None:
         if (host := self.host) is None:
             return None
-        return report(self._now(), host.core, host.counts, host.wire.dropped)
+        return fleet_report(self._now(), host.core, host.counts, host.wire.dropped)
 
     def answer(self) -> tuple[int, str]:
         """For the operators' door."""
--- a/trackspread/node/replicating.py
+++ b/trackspread/node/replicating.py
@@ -15,7 +15,7 @@
 from ..distribution.host import ReplicaHost
 from ..distribution.terms import Epoch, ReplicaSettings
 from ..distribution.wire import Wire
-from ..membership.host import born_now
+from ..membership.host import created_now_ms
 from .membered import keys
 
 
@@ -30,14 +30,16 @@
 
     def leads() -> Epoch | None:
         tier = core.tier
-        return tier.coordinating.epoch if tier.coordinating is not None and tier.owns(now()) else None
+        return tier.coordinator.epoch if tier.coordinator is not None and tier.is_coordinator(now()) else None
 
     def outdone(epoch: Epoch) -> None:
-        core.tier.acceptor.newer(epoch[0])  # the lease is given up, and the next bid is beyond it
+        core.tier.coordination.acceptor.record_round(
+            epoch[0]
+        )  # the lease is given up, and the next bid is beyond it
 
     now = time.monotonic_ns
     return ReplicaHost(
-        ReplicaSettings(number, born_now(), addresses),
+        ReplicaSettings(number, created_now_ms(), addresses),
         addresses[number],
         Wire(operator.fleet.name, keys(operator.fleet)),
         int.from_bytes(os.urandom(8)),
--- a/trackspread/testing/harness/quickened.py
+++ b/trackspread/testing/harness/quickened.py
@@ -14,7 +14,7 @@
 from unittest.mock import patch
 
 from ...cells.terms import Policy
-from ...membership.terms import SECOND
+from ...membership.identifiers import SECOND
 from ...node import controlling
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -26,11 +26,12 @@
     Placement,
     Zone,
 )
-from ....membership.asking import Asking
-from ....membership.terms import SECOND, Address, Epoch, Renew, Who
-from .worlds import WORLDS
+from ....membership.identifiers import SECOND, Address, Epoch, MemberId
+from ....membership.lease_renewal import LeaseRenewal
+from ....membership.messages import LeaseRequest
 from ..patches import held
 from ..stage import Broken
+from .worlds import WORLDS
 
 
 def _any_word() -> list[Any]:
@@ -39,7 +40,7 @@
 
     def message(self: Gateway, now: int, word: Message, source: Address) -> list[CellsAction]:
         if isinstance(word.body, Located):
-            word = structs.replace(word, body=Located(self.who, word.body.placement))
+            word = structs.replace(word, body=Located(self.member_id, word.body.placement))
         return real(self, now, word, source)
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
@@ -69,7 +70,7 @@
 
     def mutant(self: Gateway, now: int) -> None:
         if self.member is not None and self.held is not None:
-            self._born = self.member.who[1]
+            self._born = self.member.member_id[1]
             self._out.append(Left(self.held))
             self.member = None
 
@@ -119,7 +120,7 @@
     real = Controller._lead
 
     def lead(self: Controller, now: int) -> None:
-        if self.leading is None or self.tier.owns(now):
+        if self.leading is None or self.tier.is_coordinator(now):
             real(self, now)
 
     return [
@@ -243,7 +244,7 @@
     """Who starts anew is sent anywhere."""
     real = Directory.locate
 
-    def mutant(self: Directory, now: int, who: Who, locate: Locate) -> Placement | None:
+    def mutant(self: Directory, now: int, who: MemberId, locate: Locate) -> Placement | None:
         if locate.held is None:
             self._where.pop(who[0], None)
         return real(self, now, who, locate)
@@ -267,13 +268,13 @@
 
 def _witness_granted() -> list[Any]:
     """Seeds are granted slots, which nobody acts on."""
-    real = Asking.due
+    real = LeaseRenewal.next_request
 
-    def due(self: Asking, now: int, epoch: Epoch, number: Any) -> Renew | None:
-        self._place = (-1, 0)
+    def due(self: LeaseRenewal, now: int, epoch: Epoch, number: Any) -> LeaseRequest | None:
+        self._position = (-1, 0)
         return real(self, now, epoch, number)
 
-    return [patch.object(Asking, "due", due)]
+    return [patch.object(LeaseRenewal, "next_request", due)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
--- a/trackspread/testing/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -12,9 +12,9 @@
 from functools import partial
 
 from ....cells.terms import Left, Policy
-from ....membership.terms import MS, SECOND
-from .world import KEEP, CelledWorld, Process
+from ....membership.identifiers import MS, SECOND
 from ..stage import Broken
+from .world import KEEP, CelledWorld, Process
 
 SETTLED = 30 * SECOND  # ns from the last fault's end: elections, a rebuild, the longest wait of one that asks
 CALM = 10 * SECOND  # ns without any move that follow
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -24,15 +24,17 @@
     Locate,
     Located,
     Message,
-    Noticed,
     Placement,
     Policy,
     Send,
+    StatusEvent,
     Zone,
 )
+from ....membership.actions import ExchangeTables, SendMessage
+from ....membership.identifiers import SECOND, Address, MemberId, ViewNumber
 from ....membership.member import Member
-from ....membership.slots import WHOLE
-from ....membership.terms import SECOND, Address, Exchange, MemberMessage, Number, Say, Table, View, Who
+from ....membership.messages import MemberMessage, TableSnapshot, View
+from ....membership.slot_allocation import ALL_SLOTS
 from .. import stage
 from ..stage import Broken, Stage
 
@@ -77,9 +79,9 @@
         self._retired: set[tuple[str, str]] = set()  # by control machine's process and cell
         self.retired_with: list[str] = []  # gateways that were in a cell when it was given up
         self.cut_regions: set[tuple[str, str]] = set()  # directions
-        self.views: dict[tuple[str, Number], View] = {}
-        self.entries: dict[tuple[str, str], Number] = {}  # by control machine's process and cell
-        self.newest: dict[tuple[str, int], Number] = {}  # told to a gateway's process
+        self.views: dict[tuple[str, ViewNumber], View] = {}
+        self.entries: dict[tuple[str, str], ViewNumber] = {}  # by control machine's process and cell
+        self.newest: dict[tuple[str, int], ViewNumber] = {}  # told to a gateway's process
         self.held: dict[tuple[str, int], Placement] = {}  # gone by, by a gateway's process
         self._acting: dict[str, tuple[int, Member]] = {}  # which start of a gateway, and its member of a cell
         self.left: list[tuple[Process, int, Member]] = []  # of cells that gateways no longer take part in
@@ -185,13 +187,13 @@
             match action:
                 case Send(to, message):
                     self._send(process, to, message)
-                case InCell(_, Say(to, member_message)):
+                case InCell(_, SendMessage(to, member_message)):
                     self._send(process, to, member_message)
-                case InCell(fleet, Exchange(to)):
+                case InCell(fleet, ExchangeTables(to)):
                     self._connect(process, fleet, to)
-                case InCell(fleet, Noticed() as told):
+                case InCell(fleet, StatusEvent() as told):
                     self._viewed(process, fleet, told)
-                case Joined() | Left() | Leads() | Noticed():
+                case Joined() | Left() | Leads() | StatusEvent():
                     self._noticed(process, action)
 
     def _send(self, process: Process, to: Address, what: MemberMessage | Message) -> None:
@@ -219,7 +221,7 @@
         def there() -> Iterable[object]:
             now = target.now(self.clock.now)
             if isinstance(what, MemberMessage):
-                return core.received(now, what, source.address)
+                return core.receive(now, what, source.address)
             self._note(target, core, what)
             return core.message(now, what, source.address)
 
@@ -231,11 +233,11 @@
         target, core = self._by_address.get(to), process.core
         if target is None or target is process or core is None:
             return
-        table = core.table(process.now(self.clock.now), fleet)
+        table = core.table_snapshot(fleet)
         if table is not None:
             self.clock.after(3 * self._late(), partial(self._swap, process, core, target, table))
 
-    def _swap(self, process: Process, core: Core, target: Process, table: Table) -> None:
+    def _swap(self, process: Process, core: Core, target: Process, table: TableSnapshot) -> None:
         other = target.core
         cut = self.severed(process, target) or self.severed(target, process)
         if other is None or cut or process.core is not core:
@@ -244,7 +246,7 @@
 
         def there() -> Iterable[object]:
             now = target.now(self.clock.now)
-            back = other.table(now, table.fleet)
+            back = other.table_snapshot(table.fleet)
             if back is not None:
                 self._carried(target, process, back)
                 self.clock.after(
@@ -255,7 +257,7 @@
 
         self._on(target, other, there)
 
-    def _carried(self, source: Process, target: Process, table: Table) -> None:
+    def _carried(self, source: Process, target: Process, table: TableSnapshot) -> None:
         size = len(self._encode(table)) + HEAD + LENGTH
         self.sent[source.name] += size
         self.came[target.name] += size
@@ -268,7 +270,7 @@
     def _note(self, process: Process, core: Core, message: Message) -> None:
         """What a gateway is told at this instant."""
         body = message.body
-        if isinstance(core, Gateway) and isinstance(body, Located) and body.to == core.who:
+        if isinstance(core, Gateway) and isinstance(body, Located) and body.to == core.member_id:
             key = process.name, process.starts
             self.newest[key] = max(self.newest.get(key, (0, -1, 0)), body.placement.number)
 
@@ -285,7 +287,7 @@
             raise self._broken(f"{process.name} goes by {core.held.number}, and heard of {self.newest[key]}")
         self.held[key] = core.held
 
-    def _noticed(self, process: Process, what: Joined | Left | Leads | Noticed) -> None:
+    def _noticed(self, process: Process, what: Joined | Left | Leads | StatusEvent) -> None:
         self.told.append((self.true, process.name, what))
         if isinstance(what, Leads) and what.epoch is not None:
             self.leader()
@@ -295,23 +297,23 @@
             self._inside[process.name] = process.starts
         elif isinstance(what, Left):
             self._inside.pop(process.name, None)
-        if isinstance(what, Noticed) and what.kind in ("seeds", "retired"):
-            key = f"{process.name}#{process.starts}", str(what.about["cell"])
+        if isinstance(what, StatusEvent) and what.kind in ("seeds", "retired"):
+            key = f"{process.name}#{process.starts}", str(what.details["cell"])
             if what.kind == "retired":
                 self._retired.add(key)
             elif key in self._retired:
                 raise self._broken(f"{process.name} seeds {key[1]} again, which was given up")
-        if isinstance(what, Noticed) and what.kind == "retired":
+        if isinstance(what, StatusEvent) and what.kind == "retired":
             self.retired_with += [
                 p.name
                 for p, core in self.gateways()
-                if core.held is not None and core.held.cell.name == what.about["cell"]
+                if core.held is not None and core.held.cell.name == what.details["cell"]
             ]
 
-    def _viewed(self, process: Process, fleet: str, told: Noticed) -> None:
+    def _viewed(self, process: Process, fleet: str, told: StatusEvent) -> None:
         self.told.append((self.true, process.name, InCell(fleet, told)))
         if told.kind == "view":
-            about = told.about
+            about = told.details
             view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
             if self.views.setdefault((fleet, view.number), view) != view:
                 raise self._broken(f"two views of {fleet} under {view.number}")
@@ -327,7 +329,9 @@
         now, found = self.clock.now, Counter[str]()
         for process, core in self.controllers():
             found.update(
-                name for name, seeding in core.cells.items() if seeding.member.owns(process.now(now))
+                name
+                for name, seeding in core.cells.items()
+                if seeding.member.is_coordinator(process.now(now))
             )
         if any(count > 1 for count in found.values()):
             raise self._broken(f"two coordinate one cell: {found}")
@@ -341,7 +345,7 @@
                 self._acted(out, core.member, process)
         self.left = [each for each in self.left if each[0].starts == each[1] and each[0].core is not None]
         for process, _, member in self.left:
-            if member.part(process.now(self.clock.now)):
+            if member.usable_slots(process.now(self.clock.now)):
                 raise self._broken(f"{process.name} acts in {member.settings.fleet} that it has left")
 
     def _acts(self, process: Process, member: Member) -> None:
@@ -352,7 +356,7 @@
         self._acting[process.name] = process.starts, member
 
     def _acted(self, out: dict[str, int], member: Member, process: Process) -> None:
-        fleet, part = member.settings.fleet, member.part(process.now(self.clock.now))
+        fleet, part = member.settings.fleet, member.usable_slots(process.now(self.clock.now))
         if part & out.get(fleet, 0):
             raise self._broken(f"{process.name} acts on slots of {fleet} that another acts on")
         out[fleet] = out.get(fleet, 0) | part
@@ -415,18 +419,18 @@
         if len(gateways) > self._policy.most:
             return f"has {len(gateways)} gateways"
         members = [core.member for _, core in gateways if core.member is not None] + seeds
-        who: tuple[Who, ...] = tuple(sorted(member.who for member in members))
+        who: tuple[MemberId, ...] = tuple(sorted(member.member_id for member in members))
         for member in members:
             if member.view is None or member.view.members != who:
-                return f"{member.who[0]} holds another view"
-            if member.number() != members[0].number():
-                return f"{member.who[0]} holds {member.number()}"
+                return f"{member.member_id[0]} holds another view"
+            if member.view_number() != members[0].view_number():
+                return f"{member.member_id[0]} holds {member.view_number()}"
         for process, core in gateways:
             part = core.part(process.now(now))
             if not part:
                 return f"{process.name} holds nothing"
             slots |= part
-        return "" if slots == WHOLE else "some slots are nobody's"
+        return "" if slots == ALL_SLOTS else "some slots are nobody's"
 
     def run(self, span: int, every: int = 50_000_000) -> None:
         """On, with all that has to hold looked at."""
--- a/trackspread/testing/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -11,10 +11,10 @@
 from ....cells.controller import Controller
 from ....cells.gateway import ASK_MOST, REFRESH, Gateway
 from ....cells.terms import Left, Policy
-from ....membership.terms import MS, SECOND
-from .world import CelledWorld
-from .schedules import SMALL, play
+from ....membership.identifiers import MS, SECOND
 from ..stage import Broken
+from .schedules import SMALL, play
+from .world import CelledWorld
 
 START = 20 * SECOND  # ns until all are settled that start at once
 RESTLESS = Policy(6, 8, 2, 4, 4_096, 60 * SECOND, 600 * SECOND)  # nothing is merged or replaced meanwhile
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -29,7 +29,7 @@
     Bodies,
     Done,
     Epoch,
-    Noticed,
+    StatusEvent,
     Put,
     ReplicaSettings,
     Send,
@@ -228,7 +228,7 @@
             match action:
                 case Send(to, body):
                     self._send(process, to, body)
-                case Noticed():
+                case StatusEvent():
                     self._told(process, action)
 
     def _send(self, process: Process, to: Address, body: Bodies) -> None:
@@ -269,8 +269,8 @@
 
     # What came to be, and whether it may.
 
-    def _told(self, process: Process, told: Noticed) -> None:
-        about = told.about
+    def _told(self, process: Process, told: StatusEvent) -> None:
+        about = told.details
         match told.kind, process.core:
             case "committed", Replica():
                 for entry in about["entries"]:  # type: ignore[attr-defined]
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -11,36 +11,41 @@
 from typing import Any
 from unittest.mock import patch
 
-from ....membership import parts
-from ....membership.coordinating import Coordinating
-from ....membership.member import Member
-from ....membership.parts import Holding, Parts
-from ....membership.member_table import MemberTable, MemberEntry
-from ....membership.probing import Probing
-from ....membership.terms import MS, SECOND, Address, Epoch, Leader, GossipUpdate, View, Who
+from ....membership import slot_leases
+from ....membership.coordination import Coordination
+from ....membership.coordinator import Coordinator
+from ....membership.discovery import Discovery
+from ....membership.failure_detector import FailureDetector
+from ....membership.identifiers import MS, SECOND, Address, Epoch, MemberId
+from ....membership.lease_timing import holder_duration_ns
+from ....membership.member_table import MemberEntry, MemberTable
+from ....membership.messages import GossipUpdate, Leader, View
+from ....membership.prober import Prober
+from ....membership.slot_lease import SlotLease
+from ....membership.slot_leases import SlotGrant, SlotLeases
+from ....membership.update_handler import UpdateHandler
 from ....planning.election import Election
-from .world import Broken, World
-from .schedules import make, play
 from ..patches import held
+from .schedules import make, play
+from .world import Broken, World
 
-
-_PARTS_INIT = Parts.__init__
+_PARTS_INIT = SlotLeases.__init__
 
 
 def _life_ignored() -> list[Any]:
     """Whoever was ever suspected or dead stays so, whatever it says."""
-    rank = property(lambda self: (self.born, 0, self.state))
+    rank = property(lambda self: (self.created_at_ms, 0, self.state))
     return [patch.object(GossipUpdate, "rank", rank)]
 
 
 def _never_cleared() -> list[Any]:
     """A suspicion is not answered."""
-    real = MemberTable._of_me
+    real = MemberTable._refute
 
     def mutant(self: MemberTable, word: GossipUpdate) -> bool:
-        return real(self, word) if word.born > self.me.born else False
+        return real(self, word) if word.created_at_ms > self.own_update.created_at_ms else False
 
-    return [patch.object(MemberTable, "_of_me", mutant)]
+    return [patch.object(MemberTable, "_refute", mutant)]
 
 
 def _minority_leads() -> list[Any]:
@@ -56,145 +61,153 @@
 def _owner_unasked() -> list[Any]:
     """Who once led goes on, though its time is over."""
 
-    def owns(self: Member, now: int) -> bool:
-        return self.coordinating is not None
+    def is_coordinator(self: Coordination, now: int) -> bool:
+        return self.coordinator is not None
 
-    def lead(self: Member, now: int) -> None:
-        election = self.acceptor.election
-        if election is None:
+    def tick(self: Coordination, now: int) -> None:
+        epoch = self.acceptor.epoch()
+        if epoch is None:
             return
-        self._votes(self.acceptor.tick(now))
-        if election.owns(now) and self.coordinating is None:
-            self.coordinating = Coordinating(
-                now,
-                (election.epoch, self.acceptor.number),
-                self.view,
-                len(self.settings.seeds),
-                self.settings.keep,
+        self._send_votes(self.acceptor.tick(now))
+        state = self._state
+        if self.acceptor.is_owner(now) and self.coordinator is None:
+            epoch = self.acceptor.epoch()
+            assert epoch is not None
+            settings = state.settings
+            self.coordinator = Coordinator(
+                now, epoch, state.view, len(settings.seeds), settings.lease_duration_ns
             )
-            epoch = (election.epoch, self.acceptor.number)
-            self._leader(now, Leader(epoch, self.who, *self.settings.address))
-        if self.coordinating is not None and (view := self.coordinating.tick(now, self.member_table.live())):
-            self._told("issued", number=view.number, parent=view.parent, members=view.members)
-            self._adopt(now, view)
+            self.record_leader(now, Leader(epoch, state.member_id, *settings.address))
+        if self.coordinator is not None and (
+            view := self.coordinator.next_view(now, state.member_table.live())
+        ):
+            self._outbox.report("issued", number=view.number, parent=view.parent, members=view.members)
+            self.adopt(now, view)
 
-    return [patch.object(Member, "owns", owns), patch.object(Member, "_lead", lead)]
+    return [
+        patch.object(Coordination, "is_coordinator", is_coordinator),
+        patch.object(Coordination, "tick", tick),
+    ]
 
 
 def _grows_first() -> list[Any]:
     """A part is given before others have given up theirs."""
 
-    def mutant(self: Parts, now: int, who: Who, wanted: int, serial: int, part: int) -> tuple[int, int]:
+    def mutant(self: SlotLeases, now: int, who: MemberId, wanted: int, serial: int, part: int) -> SlotGrant:
         self._serial += 1
-        return self._serial, wanted
+        return SlotGrant(self._serial, wanted)
 
-    return [patch.object(Parts, "grant", mutant)]
+    return [patch.object(SlotLeases, "grant", mutant)]
 
 
 def _given_twice() -> list[Any]:
     """A dead one's part is given away before it has surely ended."""
-    return [patch.object(parts, "ended", lambda lasts: lasts // 10)]
+    return [patch.object(slot_leases, "grantor_duration_ns", lambda lasts: lasts // 10)]
 
 
 def _from_receipt() -> list[Any]:
     """A grant counts from when it came, not from when it was asked for."""
 
-    def mutant(self: Holding, now: int, stamp: int, epoch: Epoch, serial: int, part: int, lasts: int) -> bool:
+    def mutant(
+        self: SlotLease, now: int, stamp: int, epoch: Epoch, serial: int, part: int, lasts: int
+    ) -> bool:
         if epoch != self.epoch or serial <= self.serial:
             return False
-        self.serial, self.granted, self.granted_until = serial, part, now + parts.held(lasts)
-        self.touched(now)
+        self.serial, self.granted_slots, self.granted_until_ns = serial, part, now + holder_duration_ns(lasts)
+        self.extend_contact(now)
         return True
 
-    return [patch.object(Holding, "take", mutant)]
+    return [patch.object(SlotLease, "accept", mutant)]
 
 
 def _serials_ignored() -> list[Any]:
     """An older grant that comes late counts."""
 
-    def mutant(self: Holding, now: int, stamp: int, epoch: Epoch, serial: int, part: int, lasts: int) -> bool:
+    def mutant(
+        self: SlotLease, now: int, stamp: int, epoch: Epoch, serial: int, part: int, lasts: int
+    ) -> bool:
         if epoch != self.epoch:
             return False
-        self.serial, self.granted = max(self.serial, serial), part
-        self.granted_until = max(self.granted_until, stamp + parts.held(lasts))
-        self.touched(stamp)
+        self.serial, self.granted_slots = max(self.serial, serial), part
+        self.granted_until_ns = max(self.granted_until_ns, stamp + holder_duration_ns(lasts))
+        self.extend_contact(stamp)
         return True
 
-    return [patch.object(Holding, "take", mutant)]
+    return [patch.object(SlotLease, "accept", mutant)]
 
 
 def _predecessor_forgotten() -> list[Any]:
     """A new coordinator takes what it does not know of for free."""
     return [
-        patch.object(Parts, "unknown", lambda self, now: 0),
-        patch.object(Parts, "__init__", _nothing_unknown),
+        patch.object(SlotLeases, "unknown_slots", lambda self, now: 0),
+        patch.object(SlotLeases, "__init__", _nothing_unknown),
     ]
 
 
-def _nothing_unknown(self: Parts, now: int, epoch: Epoch, keep: int) -> None:
+def _nothing_unknown(self: SlotLeases, now: int, epoch: Epoch, keep: int) -> None:
     _PARTS_INIT(self, now, epoch, keep)
-    self._unknown = 0
+    self._unknown_slots = 0
 
 
 def _touch_ignored() -> list[Any]:
     """What was granted is acted on though all seeds that know of it are gone."""
-    return [patch.object(Holding, "until", property(lambda self: self.granted_until))]
+    return [patch.object(SlotLease, "valid_until_ns", property(lambda self: self.granted_until_ns))]
 
 
 def _strangers_touch() -> list[Any]:
     """Any process at a seed's address counts as the seed that knows."""
-    return [patch.object(Holding, "known_to", lambda self, first: True)]
+    return [patch.object(SlotLease, "is_known_to", lambda self, first: True)]
 
 
 def _rest_unknown_forgotten() -> list[Any]:
     """Once one has told what it holds, a new coordinator takes the rest for free."""
-    real = Parts.grant
+    real = SlotLeases.grant
 
-    def mutant(self: Parts, now: int, who: Who, wanted: int, serial: int, part: int) -> tuple[int, int]:
+    def mutant(self: SlotLeases, now: int, who: MemberId, wanted: int, serial: int, part: int) -> SlotGrant:
         made = real(self, now, who, wanted, serial, part)
-        self._unknown = 0
+        self._unknown_slots = 0
         return made
 
-    return [patch.object(Parts, "grant", mutant)]
+    return [patch.object(SlotLeases, "grant", mutant)]
 
 
 def _begins_with_one() -> list[Any]:
     """One seed that started anew is taken for all of them."""
-    real = Coordinating.__init__
+    real = Coordinator.__init__
 
-    def mutant(self: Coordinating, now: int, epoch: Epoch, known: View | None, seeds: int, keep: int) -> None:
+    def mutant(self: Coordinator, now: int, epoch: Epoch, known: View | None, seeds: int, keep: int) -> None:
         real(self, now, epoch, known, 1, keep)
 
-    return [patch.object(Coordinating, "__init__", mutant)]
+    return [patch.object(Coordinator, "__init__", mutant)]
 
 
 def _number_reused() -> list[Any]:
-    real = Coordinating.tick
+    real = Coordinator.next_view
 
-    def mutant(self: Coordinating, now: int, live: tuple[Who, ...]) -> View | None:
+    def mutant(self: Coordinator, now: int, live: tuple[MemberId, ...]) -> View | None:
         view = real(self, now, live)
         if view is not None and view.number[2] > 1:
             self.view = View((*self.epoch, 1), view.parent, view.members)
             return self.view
         return view
 
-    return [patch.object(Coordinating, "tick", mutant)]
+    return [patch.object(Coordinator, "next_view", mutant)]
 
 
 def _parent_wrong() -> list[Any]:
-    real = Coordinating.tick
+    real = Coordinator.next_view
 
-    def mutant(self: Coordinating, now: int, live: tuple[Who, ...]) -> View | None:
+    def mutant(self: Coordinator, now: int, live: tuple[MemberId, ...]) -> View | None:
         view = real(self, now, live)
         return View(view.number, view.number, view.members) if view is not None else None
 
-    return [patch.object(Coordinating, "tick", mutant)]
+    return [patch.object(Coordinator, "next_view", mutant)]
 
 
 def _given_up() -> list[Any]:
     """Nobody looks for those that are gone: two halves stay two."""
     return [
-        patch.object(Member, "_reach", lambda self, now: None),
+        patch.object(Discovery, "tick", lambda self, now: None),
         patch.object(MemberTable, "digest", lambda self: 0),
     ]
 
@@ -202,30 +215,36 @@
 def _not_fenced() -> list[Any]:
     """Two processes under one name go on side by side."""
 
-    def mutant(self: Member, now: int, born: int, source: Address) -> None:
+    def mutant(self: UpdateHandler, born: int, source: Address) -> None:
         return None
 
-    return [patch.object(Member, "_namesake", mutant), patch.object(Member, "_fence", lambda self, now: None)]
+    return [
+        patch.object(UpdateHandler, "receive_from_namesake", mutant),
+        patch.object(UpdateHandler, "_check_fencing", lambda self: None),
+    ]
 
 
 def _dead_kept() -> list[Any]:
     """A suspect is never taken for dead."""
-    return [patch.object(Member, "_grace", lambda self, person: 1 << 62)]
+    return [patch.object(FailureDetector, "_suspicion_timeout_ns", lambda self, person: 1 << 62)]
 
 
 def _blames_at_once() -> list[Any]:
     """One late answer, and it is dead."""
 
-    def mutant(self: Member, person: MemberEntry) -> int:
+    def mutant(self: FailureDetector, person: MemberEntry) -> int:
         return 0
 
-    def failed(self: Probing, now: int) -> list[Who]:
-        over = [p for p in self.open.values() if now - p.began >= self._period // 4]
+    def failed(self: Prober, now: int) -> list[MemberId]:
+        over = [p for p in self.in_progress.values() if now - p.started_at_ns >= self._interval_ns // 4]
         for probe in over:
-            del self.open[probe.seq]
-        return [probe.who for probe in over]
+            del self.in_progress[probe.sequence]
+        return [probe.member_id for probe in over]
 
-    return [patch.object(Member, "_grace", mutant), patch.object(Probing, "failed", failed)]
+    return [
+        patch.object(FailureDetector, "_suspicion_timeout_ns", mutant),
+        patch.object(Prober, "take_failed", failed),
+    ]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
@@ -264,7 +283,7 @@
     world.step(world.true + SECOND)
     world.start(second)
     world.step(world.true + 6 * SECOND)
-    fenced = [p.core.fenced for p in (first, second) if p.core is not None]
+    fenced = [p.core.is_fenced for p in (first, second) if p.core is not None]
     if fenced != [True, False]:
         raise Broken(f"of two under one name, these are fenced off: {fenced}")
     world.processes.pop("n4")
@@ -280,8 +299,8 @@
     core = process.core
     assert core is not None
     for _ in range(2):
-        asked = core.asking.at
-        while core.asking.at == asked:  # it stands still between its question and the answer
+        asked = core.renewal.next_at_ns
+        while core.renewal.next_at_ns == asked:  # it stands still between its question and the answer
             world.step(world.true + MS // 10)
         world.halt(process, 4 * SECOND)
         end = world.true + 6 * SECOND
@@ -294,7 +313,7 @@
 def late_words(seed: int) -> None:
     """Words that overtake one another by more than a round of questions, while members come and go."""
     # Probes that take their time: nobody is to be taken for dead here.
-    world = World(seed, 2, 1, settings={"period": 5 * SECOND})
+    world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
     world.begin(6 * SECOND)
     world.weather.jitter, world.weather.twice = 700 * MS, 0.5
     for number in range(2, 7):
@@ -310,7 +329,7 @@
 def seeds_anew(seed: int) -> None:
     """Seeds that start anew while others, cut off, still hold what nobody remembers: all of the seeds, or all
     but one that is on the others' side; or all of them, and the cut off are in touch with one that is new."""
-    world = World(seed, 8, settings={"keep": 12 * SECOND})
+    world = World(seed, 8, settings={"lease_duration_ns": 12 * SECOND})
     world.begin(8 * SECOND)
     # By turns: all seeds; all but one; none, but the coordinator ends, who knew of the others' parts; all,
     # and one of them is in reach of both sides.
@@ -319,7 +338,9 @@
     between = ["n2"] * (seed % 4 == 3)
     world.part(away, [name for name in world.processes if name not in [*away, *between]])
     if not again:
-        leads = [p for p in world.processes.values() if p.core and p.core.owns(p.now(world.clock.now))]
+        leads = [
+            p for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
+        ]
         world.kill(leads[0])
     for name in again:
         world.kill(world.processes[name])
@@ -342,9 +363,11 @@
         world.at(world.true + n * 300_000_000, partial(world.halt, world.processes["n7"], 90_000_000))
     since = world.true
     world.step(world.true + 12 * SECOND)
-    false = [t for at, _, t in world.told if at > since and t.kind == "member" and t.about["state"] == "DEAD"]
+    false = [
+        t for at, _, t in world.told if at > since and t.kind == "member" and t.details["state"] == "DEAD"
+    ]
     if false:
-        raise Broken(f"taken for dead: {false[0].about}")
+        raise Broken(f"taken for dead: {false[0].details}")
 
 
 WORLDS: tuple[Callable[[int], object], ...] = (
--- a/trackspread/testing/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -8,12 +8,12 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Iterator
 from dataclasses import dataclass
 from functools import partial
 from itertools import count
-from collections.abc import Iterator
 
-from ....membership.terms import MS, SECOND
+from ....membership.identifiers import MS, SECOND
 from ...standins.faults import AWAY, Calm, Cut, Duty, Fault, Halt, Loop, Restart, Rough, Schedule, draw
 from .world import KEEP, Broken, Process, World
 
@@ -145,7 +145,11 @@
 def play(schedule: MemberedSchedule) -> tuple[World, int]:
     """Raises `Broken`; the world at its end, and the ns that it took to settle."""
     world = World(
-        schedule.seed, schedule.faults.gateways, schedule.seeds, schedule.drift, {"keep": schedule.keep}
+        schedule.seed,
+        schedule.faults.gateways,
+        schedule.seeds,
+        schedule.drift,
+        {"lease_duration_ns": schedule.keep},
     )
     for process in list(world.processes.values()):
         world.at(world.rng.randint(0, 500 * MS), partial(world.start, process))
--- a/trackspread/testing/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -10,21 +10,12 @@
 
 import msgspec
 
+from ....membership.actions import ExchangeTables, SendMessage, StatusEvent
+from ....membership.identifiers import MS, SECOND, Address, ViewNumber
 from ....membership.member import Member
-from ....membership.slots import SLOTS, WHOLE
-from ....membership.terms import (
-    MS,
-    SECOND,
-    Address,
-    Exchange,
-    MemberMessage,
-    Noticed,
-    Number,
-    Say,
-    Settings,
-    Table,
-    View,
-)
+from ....membership.messages import MemberMessage, TableSnapshot, View
+from ....membership.settings import MemberSettings
+from ....membership.slot_allocation import ALL_SLOTS, SLOT_COUNT
 from .. import stage
 from ..stage import Broken as Broken
 from ..stage import Stage
@@ -46,12 +37,12 @@
         settings: dict[str, object] | None = None,
     ) -> None:
         super().__init__(f"members:{seed}", drift)
-        self._settings = {"keep": KEEP, **(settings or {})}
+        self._settings = {"lease_duration_ns": KEEP, **(settings or {})}
         self._seeds = tuple((f"10.0.0.{n}", 7000) for n in range(seeds))
-        self.views: dict[Number, View] = {}
-        self.issued: dict[Number, str] = {}
+        self.views: dict[ViewNumber, View] = {}
+        self.issued: dict[ViewNumber, str] = {}
         self.bytes: dict[str, int] = {}  # sent, by name
-        self.told: list[tuple[int, str, Noticed]] = []  # true time, name
+        self.told: list[tuple[int, str, StatusEvent]] = []  # true time, name
         self._encode = msgspec.msgpack.Encoder().encode
         self.places = {f"n{number}": (number, count) for number in range(count)}  # who joins has none
         for number in range(count):
@@ -69,14 +60,14 @@
         """A new process under the name, from nothing."""
         born = self._begun(process)
         place = self.places.get(process.name, (-1, 0))
-        settings = Settings(
+        settings = MemberSettings(
             "fleet",
             process.name,
             born,
             process.address,
             self._seeds,
             "1",
-            place=place,
+            position=place,
             **self._settings,  # type: ignore[arg-type]
         )
         seed = self.rng.getrandbits(60)
@@ -95,11 +86,11 @@
     def _do(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
             match action:
-                case Say(to, message):
+                case SendMessage(to, message):
                     self._send(process, to, message)
-                case Exchange(to):
+                case ExchangeTables(to):
                     self._connect(process, to)
-                case Noticed():
+                case StatusEvent():
                     self._record(process, action)
 
     def _send(self, process: Process, to: Address, message: MemberMessage) -> None:
@@ -117,17 +108,17 @@
         core = target.core
         if core is None or (source.name, target.name) in self.cut:
             return
-        self._on(target, core, lambda: core.received(target.now(self.clock.now), message, source.address))
+        self._on(target, core, lambda: core.receive(target.now(self.clock.now), message, source.address))
 
     def _connect(self, process: Process, to: Address) -> None:
         """Tables go there and back as one; over a cut way, or to nobody, nothing comes of it."""
         target, core = self._by_address.get(to), process.core
         if target is None or target is process or core is None:
             return
-        table = core.table(process.now(self.clock.now))
+        table = core.table_snapshot()
         self.clock.after(3 * self._late(), partial(self._swap, process, core, target, table))
 
-    def _swap(self, process: Process, core: Member, target: Process, table: Table) -> None:
+    def _swap(self, process: Process, core: Member, target: Process, table: TableSnapshot) -> None:
         other = target.core
         cut = (process.name, target.name) in self.cut or (target.name, process.name) in self.cut
         if other is None or cut or process.core is not core:
@@ -135,7 +126,7 @@
 
         def there() -> Iterable[object]:
             now = target.now(self.clock.now)
-            back = other.table(now)
+            back = other.table_snapshot()
             self.clock.after(
                 self._late(),
                 lambda: self._on(process, core, lambda: core.merge(process.now(self.clock.now), back)),
@@ -146,9 +137,9 @@
 
     # What came to be, and whether it may.
 
-    def _record(self, process: Process, told: Noticed) -> None:
+    def _record(self, process: Process, told: StatusEvent) -> None:
         self.told.append((self.true, process.name, told))
-        about = told.about
+        about = told.details
         match told.kind:
             case "issued":
                 self._issued(process, about["number"], about["parent"])  # type: ignore[arg-type]
@@ -156,12 +147,12 @@
                 view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
                 if self.views.setdefault(view.number, view) != view:
                     raise Broken(f"{self.true / 1e9:.3f} s: two views under {view.number}")
-            case "part" if told.about["part"]:
+            case "part" if told.details["part"]:
                 self.rights()
             case "leads":
                 self.leaders()
 
-    def _issued(self, process: Process, number: Number, parent: Number) -> None:
+    def _issued(self, process: Process, number: ViewNumber, parent: ViewNumber) -> None:
         if self.issued.setdefault(number, process.name) != process.name:
             raise Broken(f"{self.true / 1e9:.3f} s: {number} issued by two")
         follows = parent == (*number[:2], number[2] - 1) if number[2] > 1 else parent < number
@@ -172,7 +163,7 @@
         """The slots that are acted on at this instant."""
         now, out = self.clock.now, 0
         for process in self.processes.values():
-            part = process.core.part(process.now(now)) if process.core is not None else 0
+            part = process.core.usable_slots(process.now(now)) if process.core is not None else 0
             if part & out:
                 raise Broken(f"{self.true / 1e9:.3f} s: {process.name} acts on slots that another acts on")
             out |= part
@@ -180,7 +171,11 @@
 
     def leaders(self) -> None:
         now = self.clock.now
-        leading = [p.name for p in self.processes.values() if p.core is not None and p.core.owns(p.now(now))]
+        leading = [
+            p.name
+            for p in self.processes.values()
+            if p.core is not None and p.core.is_coordinator(p.now(now))
+        ]
         if len(leading) > 1:
             raise Broken(f"{self.true / 1e9:.3f} s: {leading} lead together")
 
@@ -194,19 +189,19 @@
         cores = {name: core for name in names if (core := self.processes[name].core) is not None}
         if len(cores) < len(names):
             return "not all run"
-        who = tuple(sorted(core.who for core in cores.values()))
+        who = tuple(sorted(core.member_id for core in cores.values()))
         for name, core in cores.items():
             if core.member_table.live() != who:
                 return f"{name} takes {len(core.member_table.live())} for live, {len(who)} are"
             if core.view is None or core.view.members != who:
-                return f"{name} holds another view, {core.number()}"
-            if core.number() != next(iter(cores.values())).number():
-                return f"{name} holds {core.number()}"
-            slots = core.part(self.processes[name].now(self.clock.now)).bit_count()
-            least = SLOTS // len(who)
+                return f"{name} holds another view, {core.view_number()}"
+            if core.view_number() != next(iter(cores.values())).view_number():
+                return f"{name} holds {core.view_number()}"
+            slots = core.usable_slots(self.processes[name].now(self.clock.now)).bit_count()
+            least = SLOT_COUNT // len(who)
             if not least <= slots <= least + least // 8 + 4:
-                return f"{name} acts on {slots} of {SLOTS} slots"
-        if among is None and self.rights() != WHOLE:
+                return f"{name} acts on {slots} of {SLOT_COUNT} slots"
+        if among is None and self.rights() != ALL_SLOTS:
             return "some slots are nobody's"
         return ""
 
--- a/trackspread/testing/virtual/stage.py
+++ b/trackspread/testing/virtual/stage.py
@@ -12,8 +12,8 @@
 from functools import partial
 from typing import Generic, Protocol, TypeVar
 
-from ...membership.member import TICK
-from ...membership.terms import MS, Address
+from ...membership.timing import TICK_NS
+from ...membership.identifiers import MS, Address
 from .clock import Clock
 
 WALL = 1_790_000_000_000  # ms of wall clock at the beginning of every world
@@ -107,7 +107,7 @@
 
     def _ticking(self, process: Process[Core], core: Core) -> None:
         """From within a tick on."""
-        self.clock.after(self.rng.randint(0, TICK), partial(self._tick, process, core))
+        self.clock.after(self.rng.randint(0, TICK_NS), partial(self._tick, process, core))
 
     def kill(self, process: Process[Core]) -> None:
         process.core = None
@@ -139,7 +139,7 @@
             process.waiting.append(partial(self._tick, process, core))
             return
         self._do(process, core.tick(process.now(self.clock.now)))
-        self.clock.after(TICK + self.rng.randint(0, LATE_MOST), partial(self._tick, process, core))
+        self.clock.after(TICK_NS + self.rng.randint(0, LATE_MOST), partial(self._tick, process, core))
 
     # The network.
 
