--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -5,7 +5,8 @@
 import pytest
 
 from trackspread.membership.actions import SendMessage
-from trackspread.membership.identifiers import SECOND, WITNESS
+from trackspread.membership.identifiers import SECOND
+from trackspread.membership.identifiers import OBSERVER
 from trackspread.membership.lease_renewal import EMPTY_INTERVAL_NS
 from trackspread.membership.messages import Ack, ForgetRequest, ForgetResponse
 from trackspread.membership.slot_allocation import ALL_SLOTS, SLOT_COUNT, slots_of
@@ -154,7 +155,7 @@
 def test_witnesses_elect_and_coordinate_and_hold_nothing() -> None:
     world = World(1, 7)
     for name in ("n0", "n1", "n2"):
-        world.places[name] = WITNESS
+        world.places[name] = OBSERVER
     for process in world.processes.values():
         world.start(process)
     world.step(6 * SECOND)
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -23,7 +23,8 @@
 from typing import NamedTuple
 
 from ..membership.actions import Action
-from ..membership.identifiers import WITNESS, Address, Epoch, MemberId
+from ..membership.identifiers import Address, Epoch, MemberId
+from ..membership.identifiers import OBSERVER
 from ..membership.member import Member
 from ..membership.messages import MemberMessage, State, TableSnapshot
 from ..membership.settings import MemberSettings
@@ -115,7 +116,7 @@
             mine.version,
             mine.period,
             max(CELL_MOST, most),
-            WITNESS,
+            OBSERVER,
             mine.keep,
         )
 
--- a/trackspread/membership/coordinator.py
+++ b/trackspread/membership/coordinator.py
@@ -8,7 +8,7 @@
   can't reach it, holds nothing whoever else reaches it.
 - A view names its parent: the newest that the coordinator knows of, its own or a predecessor's.
 - The members of a view are granted the slots of their own list position, and even shares of the rest
-  (`slot_allocation.py`); a witness is granted none.
+  (`slot_allocation.py`); an observer is granted none.
 
 | a member is | and | in the next view |
 | --- | --- | --- |
@@ -22,7 +22,8 @@
 
 from typing import NamedTuple
 
-from .identifiers import MS, NO_POSITION, NO_VIEW, WITNESS, Epoch, ListPosition, MemberId, ViewNumber
+from .identifiers import MS, NO_POSITION, NO_VIEW, Epoch, ListPosition, MemberId, ViewNumber
+from .identifiers import OBSERVER
 from .lease_timing import RENEWAL_SPAN_NS
 from .messages import LeaseRequest, View
 from .slot_allocation import ALL_SLOTS, allocate, slots_from_bytes
@@ -89,13 +90,13 @@
         """Grant slots to a member that requests them; `seed_index`: -1 for one that is no seed."""
         self._requested_at_ns[member_id] = now_ns
         self._positions[member_id] = request.position
-        held = slots_from_bytes(request.slots)
+        current = slots_from_bytes(request.slots)
         self.record_view_number(request.view_number)
         if seed_index >= 0 and request.first_epoch:
             self._record_restarted_seed(now_ns, seed_index)
         # Until there is a view, all members keep what they hold.
-        wanted = held if self.view is None else self._allocated_slots(now_ns, member_id, self.view)
-        return self.leases.grant(now_ns, member_id, wanted, request.serial, held)
+        wanted = current if self.view is None else self._allocated_slots(now_ns, member_id, self.view)
+        return self.leases.grant(now_ns, member_id, wanted, request.serial, current)
 
     def _remove_expired(self, now_ns: int) -> None:
         for member_id, at_ns in list(self._requested_at_ns.items()):
@@ -126,9 +127,9 @@
         allocated_for = _AllocationInput(view.number, free, positions)
         if self._allocated_for != allocated_for:
             holders = [
-                each for each, position in zip(view.members, positions, strict=True) if position != WITNESS
+                each for each, position in zip(view.members, positions, strict=True) if position != OBSERVER
             ]
             self._allocated_for = allocated_for
-            held = self.leases.possible_slots(now_ns)
-            self._allocation = allocate(holders, self._positions, held, free)
+            current = self.leases.possible_slots(now_ns)
+            self._allocation = allocate(holders, self._positions, current, free)
         return self._allocation.get(member_id, 0)
--- a/trackspread/membership/identifiers.py
+++ b/trackspread/membership/identifiers.py
@@ -17,7 +17,7 @@
 MemberId = tuple[str, int]  # name, and wall clock in ms when the process of this name was created
 ListPosition = tuple[int, int]  # in the platform's list of gateways: index and length of the list
 NO_POSITION: ListPosition = (-1, 0)  # of a gateway that is not in the list
-WITNESS: ListPosition = (
+OBSERVER: ListPosition = (
     -2,
     0,
 )  # of a member that may vote and coordinate and is in views, but holds no slots
--- a/trackspread/membership/lease_renewal.py
+++ b/trackspread/membership/lease_renewal.py
@@ -6,7 +6,8 @@
 
 from __future__ import annotations
 
-from .identifiers import WITNESS, Epoch, ListPosition, ViewNumber
+from .identifiers import Epoch, ListPosition, ViewNumber
+from .identifiers import OBSERVER
 from .lease_timing import CONTACT_TIMEOUT_NS, RENEWAL_SPAN_NS
 from .messages import LeaseGrant, LeaseRequest
 from .slot_allocation import slots_from_bytes, slots_to_bytes
@@ -30,7 +31,7 @@
         """The request to the coordinator of this epoch; None where none is due."""
         if now_ns < self.next_at_ns:
             return None
-        settled = self._position == WITNESS or bool(self.lease.usable_slots(now_ns))
+        settled = self._position == OBSERVER or bool(self.lease.usable_slots(now_ns))
         self.next_at_ns = now_ns + (RENEWAL_INTERVAL_NS if settled else EMPTY_INTERVAL_NS)
         if not self.lease.start_request(epoch):
             return None
--- a/trackspread/membership/member_table.py
+++ b/trackspread/membership/member_table.py
@@ -60,7 +60,7 @@
             return self._refute(update)
         entry = self.by_name.get(update.name)
         if entry is None:
-            if len(self.by_name) >= 2 * self._max_members and not self._make_room():
+            if len(self.by_name) >= 2 * self._max_members and not self._evict_gone():
                 self.rejected_updates += 1
                 return False
             entry = self.by_name[update.name] = MemberEntry(update, now_ns)
@@ -92,7 +92,7 @@
         self.own_update = structs.replace(own, incarnation=update.incarnation + 1, state=State.ALIVE)
         return True
 
-    def _make_room(self) -> bool:
+    def _evict_gone(self) -> bool:
         """Drop the member that has been gone longest."""
         gone = [entry for entry in self.by_name.values() if not entry.is_present]
         if not gone:
@@ -150,6 +150,6 @@
 
 def _add_suspecting_member(entry: MemberEntry, reporter: str) -> bool:
     """Whether this is news: a further reporter, while reporters still shorten the suspicion timeout."""
-    is_news = reporter not in entry.suspected_by and len(entry.suspected_by) < 1 + MAX_CONFIRMATIONS
+    is_new_reporter = reporter not in entry.suspected_by and len(entry.suspected_by) < 1 + MAX_CONFIRMATIONS
     entry.suspected_by.add(reporter)
-    return is_news
+    return is_new_reporter
--- a/trackspread/membership/slot_allocation.py
+++ b/trackspread/membership/slot_allocation.py
@@ -70,23 +70,23 @@
 def allocate(
     members: Sequence[MemberId],
     positions: Mapping[MemberId, ListPosition],
-    held: Mapping[MemberId, int],
+    current: Mapping[MemberId, int],
     free: int,
 ) -> Allocation:
     """Divide the `free` slots: each of `members` gets its own position's, and an even share of the rest.
 
-    `held`: what each has now, which it gets rather than other slots.
+    `current`: what each has now, which it gets rather than other slots.
     """
     allocation = dict.fromkeys(members, 0)
     remaining = _allocate_by_position(allocation, positions, free)
     minimum = free.bit_count() // len(members) if members else 0
-    remaining = _fill_up(allocation, held, remaining, minimum)
+    remaining = _fill_up(allocation, current, remaining, minimum)
     for member_id in _fewest_first(allocation):  # fewer slots are left than there are members
         chosen = lowest_slots(remaining, 1)
         allocation[member_id] |= chosen
         remaining &= ~chosen
     for member_id in _fewest_first(allocation):
-        _take_from_others(allocation, held, member_id, minimum)
+        _take_from_others(allocation, current, member_id, minimum)
     return allocation
 
 
@@ -105,10 +105,10 @@
     return remaining
 
 
-def _fill_up(allocation: Allocation, held: Mapping[MemberId, int], remaining: int, minimum: int) -> int:
+def _fill_up(allocation: Allocation, current: Mapping[MemberId, int], remaining: int, minimum: int) -> int:
     """Give each member up to `minimum` slots, rather those it holds; returns those that remain."""
     for member_id in _fewest_first(allocation):
-        for preferred in (held.get(member_id, 0) & remaining, remaining):
+        for preferred in (current.get(member_id, 0) & remaining, remaining):
             missing = max(0, minimum - allocation[member_id].bit_count())
             chosen = lowest_slots(preferred & remaining, missing)
             allocation[member_id] |= chosen
@@ -117,7 +117,7 @@
 
 
 def _take_from_others(
-    allocation: Allocation, held: Mapping[MemberId, int], member_id: MemberId, minimum: int
+    allocation: Allocation, current: Mapping[MemberId, int], member_id: MemberId, minimum: int
 ) -> None:
     """Bring a member to `minimum` slots, from those that have most, rather with slots it holds."""
     while (missing := minimum - allocation[member_id].bit_count()) > 0:
@@ -130,7 +130,7 @@
             (slots.bit_count() for each, slots in allocation.items() if each != donor), default=0
         )
         step = max(1, min(spare, missing, available - second_most))
-        chosen = lowest_slots(held.get(member_id, 0) & allocation[donor], step)
+        chosen = lowest_slots(current.get(member_id, 0) & allocation[donor], step)
         chosen |= lowest_slots(allocation[donor] & ~chosen, step - chosen.bit_count())
         allocation[donor] &= ~chosen
         allocation[member_id] |= chosen
--- a/trackspread/membership/slot_leases.py
+++ b/trackspread/membership/slot_leases.py
@@ -89,20 +89,20 @@
             slots |= self.unknown_slots(now_ns)
         return slots
 
-    def grant(self, now_ns: int, member_id: MemberId, wanted: int, serial: int, held: int) -> SlotGrant:
+    def grant(self, now_ns: int, member_id: MemberId, wanted: int, serial: int, current: int) -> SlotGrant:
         """Grant as much of `wanted` as nobody else may hold.
 
-        The member says that it holds the slots `held` by the grant `serial`; 0: of a predecessor's.
+        The member says that it holds the slots `current` by the grant `serial`; 0: of a predecessor's.
         """
         expires_at_ns = now_ns + grantor_duration_ns(self._duration_ns)
         leases = self._leases.get(member_id)
         if leases is None:
             leases = self._leases[member_id] = MemberLeases()
-            if not serial and held:
-                leases.grants[0] = UnexpiredGrant(held, expires_at_ns)
+            if not serial and current:
+                leases.grants[0] = UnexpiredGrant(current, expires_at_ns)
         if self.unknown_slots(now_ns) and member_id not in self._declared:
             self._declared.add(member_id)
-            self._unknown_slots &= ~held
+            self._unknown_slots &= ~current
         for old in [s for s in leases.grants if s < serial]:
             del leases.grants[old]
         taken = self._unknown_slots
