--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -66,7 +66,7 @@
     seats = [len(core.cells) for _, core in world.controllers()]
     return Line(
         len(world.gateways()),
-        len({c.held.cell.name for _, c in world.gateways() if c.held is not None}),
+        len({c.placement.cell.name for _, c in world.gateways() if c.placement is not None}),
         max(seats),
         settled / SECOND,
         round(time.monotonic() - began, 1),
--- a/benchmarks/scale/celling.py
+++ b/benchmarks/scale/celling.py
@@ -19,7 +19,8 @@
 from trackspread.cells.controller import Controller, ControlSettings
 from trackspread.cells.gateway import Gateway, GatewaySettings
 from trackspread.cells.host import Host
-from trackspread.cells.terms import ControlMachine, Joined, Left, Zone
+from trackspread.cells.actions import CellJoined, CellLeft
+from trackspread.cells.topology import ControlMachine, Zone
 from trackspread.cells.wire import CellsWire
 from trackspread.membership.host import created_now_ms
 from trackspread.membership.member import Member
@@ -106,17 +107,17 @@
         if state == "DEAD":
             self._process.verdicts.append(DeadVerdict(now, me, who, teller == me, since))
 
-    def _placed(self, action: Joined | Left) -> None:
+    def _placed(self, action: CellJoined | CellLeft) -> None:
         super()._placed(action)
-        self._process.placed(self, isinstance(action, Joined))
+        self._process.placed(self, isinstance(action, CellJoined))
 
     def members(self) -> list[tuple[str, Member]]:
         """Of each cell that this core takes part in."""
         if isinstance(self.core, Controller):
             return [(name, seeding.member) for name, seeding in self.core.cells.items()]
-        if self.core.member is None or self.core.held is None:
+        if self.core.member is None or self.core.placement is None:
             return []
-        return [(self.core.held.cell.name, self.core.member)]
+        return [(self.core.placement.cell.name, self.core.member)]
 
     def sent(self) -> int:
         return self.counts["bytes sent"] + self.counts["table bytes sent"]
@@ -236,8 +237,8 @@
                 telling += len(member.gossip)
                 views.append(self._in_view(now, host, name, member))
             core = host.core
-            if isinstance(core, Controller) and core.leads(now) and core.leading is not None:
-                entries = core.leading.directory.entries.values()
+            if isinstance(core, Controller) and core.is_leader(now) and core.leader is not None:
+                entries = core.leader.directory.entries.values()
                 leads, gateways, cells = True, sum(len(each.members) for each in entries), len(entries)
         return Holding(now, tuple(views), nowhere, telling, leads, gateways, cells)
 
--- a/benchmarks/scale/celling_messages.py
+++ b/benchmarks/scale/celling_messages.py
@@ -8,7 +8,7 @@
 from .messages import DeadVerdict, Life, Message, Who
 from .placement import CONTROL_PREFIX, PORT, RACKS, REGIONS, ZONES, Address, number_of
 
-CELL = 24  # gateways that a cell has where there are enough (`cells/terms.py`, the policy's target)
+CELL = 24  # gateways that a cell has where there are enough (`cells/messages.py`, the policy's target)
 
 
 class Layout(msgspec.Struct, frozen=True):
--- a/benchmarks/scale/control_state.py
+++ b/benchmarks/scale/control_state.py
@@ -12,9 +12,10 @@
 from itertools import count
 from statistics import median
 
-from trackspread.cells.directory import REBUILD, Directory
-from trackspread.cells.leading import LOOK
-from trackspread.cells.terms import ControlMachine, Locate, Policy, Zone
+from trackspread.cells.directory import REBUILD_NS, Directory
+from trackspread.cells.directory_leader import TICK_INTERVAL_NS
+from trackspread.cells.messages import PlacementRequest
+from trackspread.cells.topology import CellPolicy, ControlMachine, Zone
 from trackspread.distribution.log import Log
 from trackspread.distribution.serving import Serving, digest
 from trackspread.distribution.subscriber import Subscriber
@@ -151,18 +152,18 @@
     empty = resident()
     asked, reports, alike = list[float](), list[float](), list[Directory]()
     for _ in range(COPIES):
-        alike.append(made := Directory(START, EPOCH, Policy(gateways=2 * size), machines()))
-        asked += [took(partial(_locate, made, START + REBUILD, gateway)) for gateway in range(size)]
+        alike.append(made := Directory(START, EPOCH, CellPolicy(max_fleet_gateways=2 * size), machines()))
+        asked += [took(partial(_locate, made, START + REBUILD_NS, gateway)) for gateway in range(size)]
         reports += _reported(made)
     held = (resident() - empty) / COPIES
     live = frozenset(machine.name for machine in machines())
-    moments = range(START + REBUILD, START + REBUILD + REPEATED * SECOND, SECOND)
+    moments = range(START + REBUILD_NS, START + REBUILD_NS + REPEATED * SECOND, SECOND)
     beats = [took(partial(made.tick, now, live)) for now in moments]
     return {
         "memory": held,
         "locate": median(asked),
         "report": median(reports),
-        "looks": median(beats) * SECOND / LOOK,
+        "looks": median(beats) * SECOND / TICK_INTERVAL_NS,
     }
 
 
@@ -170,15 +171,15 @@
     """CPU seconds of a seed's report of each cell, after which all that were sent there are in it."""
     used = []
     for known in made.entries.values():
-        inside: list[MemberId] = [(name, 1) for name in known.coming]
-        used.append(took(partial(made.reported, START + REBUILD, known.cell, (1, 0, 1), inside)))
+        inside: list[MemberId] = [(name, 1) for name in known.pending]
+        used.append(took(partial(made.record_report, START + REBUILD_NS, known.cell, (1, 0, 1), inside)))
     return used
 
 
 def _locate(made: Directory, now: int, gateway: int) -> None:
     zone = place(gateway)
-    where = Locate(zone.region, zone.zone, (f"10.{gateway >> 8}.{gateway & 255}.1", 7400))
-    if made.locate(now, (f"gateway-{gateway:04}", 1), where) is None:
+    where = PlacementRequest(zone.region, zone.zone, (f"10.{gateway >> 8}.{gateway & 255}.1", 7400))
+    if made.place(now, (f"gateway-{gateway:04}", 1), where) is None:
         raise RuntimeError(f"gateway {gateway}: not placed, no fair work")
 
 
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from trackspread.backends.pools import RETIRE
-from trackspread.cells.seeding import FRESHEN, FRESHEN_OTHERS
+from trackspread.cells.seeded_cell import COORDINATOR_REFRESH_NS, SEED_REFRESH_NS
 from trackspread.counter.commands import MOST_FIELDS
 from trackspread.counter.terms import HEARTBEAT
 from trackspread.decide.broker import FORGET, IDLE, RETRY_SHARE
@@ -49,8 +49,8 @@
     "share": 0.018,
     "budget": 5_000,
     "memory": 64e6,
-    "report_s": FRESHEN / SECOND,
-    "report_others_s": FRESHEN_OTHERS / SECOND,
+    "report_s": COORDINATOR_REFRESH_NS / SECOND,
+    "report_others_s": SEED_REFRESH_NS / SECOND,
     "slots": SLOT_COUNT,
     "fleet_most": 4_096,
     "counter_most": MOST_FIELDS,
@@ -252,7 +252,7 @@
         "reports of all cells to the leader, while nothing changes",
         "cells / report_s + 2 * cells / report_others_s",
         "/s",
-        "a coordinator's each 10 s, two other seeds' each 30 s: `cells/seeding.py`",
+        "a coordinator's each 10 s, two other seeds' each 30 s: `cells/seeded_cell.py`",
     ),
     Line(
         "bytes_control",
--- a/benchmarks/scale/lag.py
+++ b/benchmarks/scale/lag.py
@@ -13,7 +13,7 @@
 
 BEAT = 0.02  # s between looks at a loop's own lag
 WORST_MOST = 0.300  # s: one period of probes; a loop that is later has missed a member's turn
-LATE = 0.100  # s from which a beat is late: members count it against themselves (`membership/probing.py`)
+LATE = 0.100  # s from which a beat is late: members count it against themselves (`membership/prober.py`)
 LATE_SHARE_MOST = 0.01  # of the beats
 
 
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -12,7 +12,13 @@
 ROLES = (GATEWAY, CARRYING, COORDINATOR, MACHINE, REGION, DISCOVERY, COUNTER, TOOLS)
 
 BOUNDS = (
-    Bound("places that get a slot of what all share", "slots", "gateways", "membership/slots.py", CELLS),
+    Bound(
+        "places that get a slot of what all share",
+        "slots",
+        "gateways",
+        "membership/slot_allocation.py",
+        CELLS,
+    ),
     Bound("members that `fleet.most` may be set to", "fleet_most", "gateways", "config/operator.py", CELLS),
     Bound(
         "fields that a counter's name may hold, one a gateway",
--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from trackspread.cells.terms import InCell
+from trackspread.cells.actions import MemberAction
 from trackspread.membership.actions import StatusEvent
 from trackspread.membership.identifiers import SECOND
 from trackspread.testing.virtual.cells.world import CelledWorld, Process
@@ -87,7 +87,7 @@
     def _judge(self) -> None:
         """Verdicts by own probes on processes that run and were in reach all along."""
         for _, teller, what in self.world.told:
-            told = what.action if isinstance(what, InCell) else None
+            told = what.action if isinstance(what, MemberAction) else None
             if not isinstance(told, StatusEvent) or told.kind != "member" or told.details["by"] != teller:
                 continue
             about = told.details
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -246,8 +246,8 @@
 
 
 def test_what_breaks_stands_in_order_and_what_holds_does_not() -> None:
-    bound = role_terms.Bound("slots", "slots", "gateways", "membership/slots.py", "cells")
-    holds = role_terms.Bound("more", "more", "gateways", "membership/slots.py", "cells")
+    bound = role_terms.Bound("slots", "slots", "gateways", "membership/slot_allocation.py", "cells")
+    holds = role_terms.Bound("more", "more", "gateways", "membership/slot_allocation.py", "cells")
     found = reckon.breaks(
         [one(slope()), one(slope(limit=1e9))], (bound, holds), {"gateways": 7200, "slots": 1024, "more": 8000}
     )
@@ -256,7 +256,7 @@
 
 
 def test_what_breaks_is_told_once_and_grouped_by_what_mends_it() -> None:
-    bound = role_terms.Bound("slots", "slots", "gateways", "membership/slots.py", "cells")
+    bound = role_terms.Bound("slots", "slots", "gateways", "membership/slot_allocation.py", "cells")
     other = role_terms.Row("bytes: again", "cost", "gateways", "decide/fleet.py", "a mend")
     figures = {"gateways": 7200.0, "slots": 1024.0}
     found = reckon.breaks([one(slope()), one(slope(), other)], (bound,), figures)
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -13,16 +13,15 @@
 from trackspread.cells.controller import Controller, ControlSettings
 from trackspread.cells.gateway import Gateway, GatewaySettings
 from trackspread.cells.host import Host
-from trackspread.cells.terms import (
+from trackspread.cells.messages import (
     Cell,
-    ControlMachine,
-    Locate,
-    Located,
-    Message,
+    CellsMessage,
     Placement,
-    Retire,
-    Zone,
+    PlacementNotice,
+    PlacementRequest,
+    RetireCell,
 )
+from trackspread.cells.topology import ControlMachine, Zone
 from trackspread.cells.wire import MARK, CellsWire
 from trackspread.membership.host import created_now_ms
 from trackspread.membership.identifiers import Epoch
@@ -41,9 +40,9 @@
     return CellsWire(fleet, Keys(key), 64)
 
 
-def message(name: str = "g") -> Message:
+def message(name: str = "g") -> CellsMessage:
     held = Placement((1, 0, 3), Cell("c", "r", "z", (1, 0, 2), (("10.0.0.1", 1),) * 3))
-    return Message("f", name, 7, Locate("r", "z", ("10.0.0.9", 2), held))
+    return CellsMessage("f", name, 7, PlacementRequest("r", "z", ("10.0.0.9", 2), held))
 
 
 def test_words_on_cells_and_of_views_share_an_address_and_what_is_spoilt_is_counted() -> None:
@@ -61,14 +60,14 @@
         junk = rng.randbytes(rng.randrange(60))
         assert one.read(MARK + one.keys.sign(junk) + junk) is None
     assert one.read(wire(key=b"other key of size").pack_message(message())) is None
-    assert one.read(wire("g").pack_message(Message("g", "a", 1, Retire("c", (1, 0, 1))))) is None
+    assert one.read(wire("g").pack_message(CellsMessage("g", "a", 1, RetireCell("c", (1, 0, 1))))) is None
     assert {"digest", "spoilt", "another fleet"} <= set(one.dropped)
 
 
 def test_a_placement_of_the_longest_names_fits_into_a_datagram() -> None:
     long = Cell("x" * 128, "r" * 64, "z" * 64, (1 << 40, 6, 1 << 20), (("255.255.255.255", 65535),) * 3)
-    located = Located(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), long))
-    placed = Message("f" * 64, "n" * 64, 1 << 42, located)
+    located = PlacementNotice(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), long))
+    placed = CellsMessage("f" * 64, "n" * 64, 1 << 42, located)
     assert len(wire("f" * 64).pack_message(placed)) <= MAX_DATAGRAM_BYTES
 
 
@@ -126,7 +125,7 @@
                 return False
             if {name for name, _ in core.member.view.members} != wanted:
                 return False
-            slots |= core.part(now)
+            slots |= core.usable_slots(now)
         return slots == ALL_SLOTS
 
 
@@ -164,7 +163,7 @@
         leader = next(
             host
             for host in fleet.control
-            if isinstance(host.core, Controller) and host.core.leads(time.monotonic_ns())
+            if isinstance(host.core, Controller) and host.core.is_leader(time.monotonic_ns())
         )
         fleet.control.remove(leader)
         leader.close(leave=False)
@@ -173,8 +172,8 @@
                 fleet.settled()
                 and any(
                     isinstance(host.core, Controller)
-                    and host.core.leading is not None
-                    and any(entry.members for entry in host.core.leading.directory.entries.values())
+                    and host.core.leader is not None
+                    and any(entry.members for entry in host.core.leader.directory.entries.values())
                     for host in fleet.control
                 )
             )
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -10,20 +10,21 @@
 from hypothesis import strategies as st
 
 from trackspread.cells.directory import (
-    AGAIN,
-    COMING,
-    EMPTY,
-    MOVES,
-    PACE,
-    REBUILD,
+    MOVES_PER_ROUND,
+    PENDING_TIMEOUT_NS,
+    REBUILD_NS,
+    RESEND_INTERVAL_NS,
+    RETIRE_DELAY_NS,
+    ROUND_INTERVAL_NS,
     Directory,
-    MoveWanted,
+    MoveRequest,
 )
-from trackspread.cells.terms import SECOND, Cell, ControlMachine, Locate, Placement, Policy, Zone
-from trackspread.membership.identifiers import ViewNumber
+from trackspread.cells.messages import Cell, Placement, PlacementRequest
+from trackspread.cells.topology import CellPolicy, ControlMachine, Zone
+from trackspread.membership.identifiers import SECOND, ViewNumber
 
 EPOCH = 17, 1
-POLICY = Policy()
+POLICY = CellPolicy()
 MACHINES = tuple(ControlMachine(f"c{n}", f"r{n // 5}", f"z{n % 3}", (f"10.0.0.{n}", 7500)) for n in range(10))
 LIVE = frozenset(machine.name for machine in MACHINES)
 BY_ADDRESS = {machine.address: machine for machine in MACHINES}
@@ -36,13 +37,13 @@
     def __init__(self, directory: Directory, now: int = 0) -> None:
         self.directory, self.now = directory, now
         self.placed: dict[str, Placement] = {}
-        self.moves: list[MoveWanted] = []
+        self.moves: list[MoveRequest] = []
         self.views: Counter[str] = Counter()
         self.live = LIVE
 
     def ask(self, name: str, zone: Zone = ZONE, born: int = 1) -> Placement | None:
-        locate = Locate(zone.region, zone.zone, ("10.9.0.1", 1), self.placed.get(name))
-        placement = self.directory.locate(self.now, (name, born), locate)
+        locate = PlacementRequest(zone.region, zone.zone, ("10.9.0.1", 1), self.placed.get(name))
+        placement = self.directory.place(self.now, (name, born), locate)
         if placement is not None:
             self.take(name, placement)
         return placement
@@ -60,7 +61,7 @@
         for name, cell in cells.items():
             self.views[name] += 1
             members = [(g, 1) for g, placed in self.placed.items() if placed.cell.name == name]
-            self.directory.reported(self.now, cell, (1, 0, self.views[name]), members)
+            self.directory.record_report(self.now, cell, (1, 0, self.views[name]), members)
 
     def step(self, spans: int = 1, span: int = SECOND) -> None:
         for _ in range(spans):
@@ -79,7 +80,7 @@
 
 def zoned(count: int = 0, epoch: tuple[int, int] = EPOCH) -> Zoned:
     made = Zoned(Directory(0, epoch, POLICY, MACHINES))
-    made.step(1, REBUILD)
+    made.step(1, REBUILD_NS)
     for number in range(count):
         assert made.ask(f"g{number:03d}") is not None
     made.step()
@@ -94,7 +95,7 @@
     fleet = zoned(60)
     assert fleet.sizes() == [12, 24, 24]
     other = fleet.ask("elsewhere", Zone("r1", "z0"))
-    assert other is not None and other.cell.place == Zone("r1", "z0")
+    assert other is not None and other.cell.location == Zone("r1", "z0")
     for placed in fleet.placed.values():
         seeds = [BY_ADDRESS[seed] for seed in placed.cell.seeds]
         assert len(seeds) == 3 and {seed.region for seed in seeds} == {placed.cell.region}
@@ -111,7 +112,7 @@
 
 def test_a_region_with_too_few_control_machines_is_served_by_others_too() -> None:
     machines = (*MACHINES[:5], ControlMachine("far", "r2", "z9", ("10.0.1.1", 1)))
-    fleet = Zoned(Directory(0, EPOCH, POLICY, machines), REBUILD)
+    fleet = Zoned(Directory(0, EPOCH, POLICY, machines), REBUILD_NS)
     fleet.live = frozenset(machine.name for machine in machines)
     fleet.step()
     placed = fleet.ask("g", Zone("r2", "z9"))
@@ -133,10 +134,10 @@
     held = Placement((16, 0, 9), cell())
     fleet.placed["old"] = held
     assert fleet.ask("old") == held
-    fleet.directory.reported(2, cell("reported"), (3, 1, 1), [("a", 1), ("b", 1)])
-    fleet.directory.reported(2, cell("reported"), (2, 0, 9), [("a", 1)])
+    fleet.directory.record_report(2, cell("reported"), (3, 1, 1), [("a", 1), ("b", 1)])
+    fleet.directory.record_report(2, cell("reported"), (2, 0, 9), [("a", 1)])
     assert fleet.directory.entries["reported"].count() == 2, "an older view does not count"
-    fleet.now = REBUILD
+    fleet.now = REBUILD_NS
     placed = fleet.ask("new")
     assert placed is not None and placed.cell.name == "reported", "the fullest that has room"
     assert fleet.ask("a") is not None and fleet.placed["a"].cell.name == "reported"
@@ -152,7 +153,7 @@
 )
 def test_a_cell_of_a_later_leader_or_of_strange_seeds_is_not_taken_up(wrong: Cell) -> None:
     fleet = zoned()
-    fleet.directory.reported(fleet.now, wrong, (1, 0, 1), [("a", 1)])
+    fleet.directory.record_report(fleet.now, wrong, (1, 0, 1), [("a", 1)])
     assert not fleet.directory.entries
     fleet.placed["g"] = Placement((16, 0, 1), wrong)
     assert fleet.ask("g") is not None and fleet.placed["g"].cell.name != wrong.name
@@ -160,7 +161,7 @@
 
 def test_a_cell_that_is_too_full_is_split_and_neither_half_is_merged_again() -> None:
     fleet = zoned()
-    for number in range(POLICY.most + 2):  # two leaders may each have sent some there
+    for number in range(POLICY.max_gateways + 2):  # two leaders may each have sent some there
         fleet.placed[f"g{number:03d}"] = Placement((16, 0, number), cell())
         fleet.ask(f"g{number:03d}")
     fleet.step(12)
@@ -179,8 +180,8 @@
     fleet.step()
     for _ in range(8):
         before = len(fleet.moves)
-        fleet.step(1, PACE)
-        assert len(fleet.moves) - before <= MOVES
+        fleet.step(1, ROUND_INTERVAL_NS)
+        assert len(fleet.moves) - before <= MOVES_PER_ROUND
 
 
 def test_small_cells_are_merged_after_a_while_and_the_empty_one_is_given_up() -> None:
@@ -190,12 +191,12 @@
     for number in range(34, 48):
         fleet.end(f"g{number:03d}")
     assert fleet.sizes() == [5, 10]
-    fleet.step(POLICY.hold // SECOND - 2)
+    fleet.step(POLICY.merge_delay_ns // SECOND - 2)
     assert fleet.sizes() == [5, 10]
-    fleet.step(2 * EMPTY // SECOND + 10)
-    assert fleet.sizes() == [15] and len(fleet.directory.entries) == len(fleet.directory.given_up) == 1
+    fleet.step(2 * RETIRE_DELAY_NS // SECOND + 10)
+    assert fleet.sizes() == [15] and len(fleet.directory.entries) == len(fleet.directory.retired) == 1
     assert len(fleet.moves) == 5
-    (gone,) = fleet.directory.given_up
+    (gone,) = fleet.directory.retired
     fleet.placed["late"] = Placement((17, 1, 1), cell(gone, (17, 1, 1)))
     late = fleet.ask("late")
     assert late is not None and late.cell.name != gone, "nobody brings back what was given up"
@@ -204,8 +205,8 @@
 def test_a_zone_that_is_lost_has_its_cells_given_up_one_after_another_and_is_placed_anew() -> None:
     fleet = zoned(100)
     fleet.placed.clear()
-    fleet.step(POLICY.idle // SECOND - 2)
-    assert len(fleet.directory.entries) == 5 and not fleet.directory.given_up, "it may be out of reach only"
+    fleet.step(POLICY.empty_timeout_ns // SECOND - 2)
+    assert len(fleet.directory.entries) == 5 and not fleet.directory.retired, "it may be out of reach only"
     fleet.step(12 * len(fleet.directory.entries))
     assert not fleet.directory.entries
     for number in range(100):
@@ -217,14 +218,14 @@
 def test_a_seed_that_stays_away_has_its_cells_replaced_and_a_region_that_is_cut_off_is_left_alone() -> None:
     fleet = zoned(48)
     fleet.live = LIVE - {m.name for m in MACHINES if m.region == "r0"}
-    fleet.step(2 * POLICY.replace // SECOND)
+    fleet.step(2 * POLICY.seed_loss_timeout_ns // SECOND)
     assert not fleet.moves
     fleet.live = LIVE
     fleet.step()
     gone = BY_ADDRESS[fleet.placed["g000"].cell.seeds[0]]
     with_it = {e.cell.name for e in fleet.directory.entries.values() if gone.address in e.cell.seeds}
     fleet.live = LIVE - {gone.name}
-    fleet.step(POLICY.replace // SECOND - 2)
+    fleet.step(POLICY.seed_loss_timeout_ns // SECOND - 2)
     assert not fleet.moves, "a restart takes less"
     fleet.step(60)
     assert fleet.sizes() == [24, 24] and not with_it & fleet.directory.entries.keys()
@@ -237,17 +238,19 @@
     entry = next(iter(fleet.directory.entries.values()))
     entry.cell = cell(entry.cell.name, (17, 1, 400), closing=True)
     directory, now = fleet.directory, fleet.now
-    assert directory.tick(now + PACE, LIVE) == [], "the cell that is to take them has no view yet"
+    assert directory.tick(now + ROUND_INTERVAL_NS, LIVE) == [], (
+        "the cell that is to take them has no view yet"
+    )
     fleet.report()
-    now += PACE
-    first = directory.tick(now + PACE, LIVE)
-    assert len(first) == MOVES
-    late = directory.tick(now + PACE + AGAIN, LIVE)
+    now += ROUND_INTERVAL_NS
+    first = directory.tick(now + ROUND_INTERVAL_NS, LIVE)
+    assert len(first) == MOVES_PER_ROUND
+    late = directory.tick(now + ROUND_INTERVAL_NS + RESEND_INTERVAL_NS, LIVE)
     assert {m.placement for m in first} <= {m.placement for m in late}
-    told = fleet.directory.locate(
-        now + PACE + AGAIN,
+    told = fleet.directory.place(
+        now + ROUND_INTERVAL_NS + RESEND_INTERVAL_NS,
         (first[0].gateway, 1),
-        Locate(*ZONE, ("10.9.0.1", 1), fleet.placed[first[0].gateway]),
+        PlacementRequest(*ZONE, ("10.9.0.1", 1), fleet.placed[first[0].gateway]),
     )
     assert told == first[0].placement, "whoever asks hears the same"
 
@@ -257,14 +260,14 @@
     assert fleet.ask("g") is not None
     fleet.end("g")
     assert next(iter(fleet.directory.entries.values())).count() == 1
-    fleet.step(COMING // SECOND + 1)
+    fleet.step(PENDING_TIMEOUT_NS // SECOND + 1)
     assert next(iter(fleet.directory.entries.values())).count() == 0
 
 
 def test_a_fleet_larger_than_what_is_set_is_refused() -> None:
-    fleet = Zoned(Directory(0, EPOCH, POLICY._replace(gateways=3), MACHINES), REBUILD)
+    fleet = Zoned(Directory(0, EPOCH, POLICY._replace(max_fleet_gateways=3), MACHINES), REBUILD_NS)
     assert [fleet.ask(f"g{n}") is not None for n in range(5)] == [True, True, True, False, False]
-    assert fleet.directory.refused == 2
+    assert fleet.directory.rejected_requests == 2
 
 
 @settings(max_examples=60, deadline=None)
@@ -283,14 +286,18 @@
             before = fleet.directory
             fleet.directory = Directory(fleet.now, (18, 0), POLICY, MACHINES)
             for entry in before.entries.values():
-                fleet.directory.reported(fleet.now, entry.cell, entry.view, entry.members.items())
+                fleet.directory.record_report(fleet.now, entry.cell, entry.view_number, entry.members.items())
         fleet.step()
-        assert all(size <= POLICY.most for size in fleet.sizes())
+        assert all(size <= POLICY.max_gateways for size in fleet.sizes())
     fleet.step(1_000)
     told = len(fleet.moves)
     fleet.step(300)
     assert len(fleet.moves) == told, "nothing moves without a cause"
     for zone in zones:
-        counts = sorted(e.count() for e in fleet.directory.entries.values() if e.cell.place == zone)
+        counts = sorted(e.count() for e in fleet.directory.entries.values() if e.cell.location == zone)
         assert not any(c.cell.closing for c in fleet.directory.entries.values())
-        assert len(counts) < 2 or counts[0] > POLICY.least or counts[0] + counts[1] > POLICY.merged
+        assert (
+            len(counts) < 2
+            or counts[0] > POLICY.min_gateways
+            or counts[0] + counts[1] > POLICY.max_merged_gateways
+        )
--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -5,8 +5,7 @@
 import pytest
 
 from trackspread.membership.actions import SendMessage
-from trackspread.membership.identifiers import SECOND
-from trackspread.membership.identifiers import OBSERVER
+from trackspread.membership.identifiers import OBSERVER, SECOND
 from trackspread.membership.lease_renewal import EMPTY_INTERVAL_NS
 from trackspread.membership.messages import Ack, ForgetRequest, ForgetResponse
 from trackspread.membership.slot_allocation import ALL_SLOTS, SLOT_COUNT, slots_of
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -1,374 +1,352 @@
-"""One control machine: its seat in the control machines' own view, the cells it seeds, and leading.
-
-The host calls `start` once, `tick` every `TICK`, `received` for each datagram of a view, `message` for each
-other one, `table` and `merge` for each exchange over a connection, and does what each returns in order.
-
-The rules of this file:
-- Who coordinates the control machines' view leads, as long as it owns that: no other election is held. It
-  asks at each instant whether it still does. Words of a leader with an older epoch than the newest known are
-  dropped.
-- A cell is seeded on the leader's word alone, and given up on it alone.
-- A gateway's question is answered here where the cell that it holds is seeded here, open, and no move of it
-  is known; else by the leader. While that is out of reach (`ALONE`), a gateway without a cell is sent to one
-  of its zone that is seeded here and has room, by that cell's own number: nothing is opened, closed or moved.
-
-May know: members' cores, the leader's work. May not know: sockets, how gateways decide.
+"""One control machine: its membership in the control machines' own view, the cells that it seeds, and
+leading.
+
+- The coordinator of the control machines' view leads, as long as it is coordinator: there is no other
+  election. It checks at each instant whether it still is. Messages of a leader with an older epoch than the
+  newest known are dropped.
+- A cell is seeded, and retired, by the leader's decision alone.
+- A gateway's request is answered here where its cell is seeded here, open, and no move of the gateway is
+  known; else by the leader. While the leader is unreachable (`LEADER_TIMEOUT_NS`), a gateway without a cell
+  is placed in one of its zone that is seeded here and has capacity, by that cell's own number: no cell is
+  opened, closed or split.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from itertools import zip_longest
 from typing import NamedTuple
 
-from ..membership.actions import Action
-from ..membership.identifiers import Address, Epoch, MemberId
-from ..membership.identifiers import OBSERVER
+from ..membership.actions import StatusEvent
+from ..membership.identifiers import MS, NO_EPOCH, OBSERVER, SECOND, Address, Epoch, MemberId
 from ..membership.member import Member
-from ..membership.messages import MemberMessage, State, TableSnapshot
+from ..membership.messages import State
 from ..membership.settings import MemberSettings
-from .leading import Leading
-from .seeding import Seeding
-from .terms import (
-    MS,
-    SECOND,
-    Bodies,
+from .actions import CellsAction, LeadershipChanged, SendCellsMessage
+from .core import CellsCore
+from .directory_leader import DirectoryLeader
+from .messages import (
     Cell,
     CellReport,
-    CellsAction,
-    ControlMachine,
-    Describe,
-    Described,
-    Forwarded,
-    InCell,
-    Leads,
-    Locate,
-    Located,
-    Message,
-    Move,
-    Noted,
-    Placed,
+    CellsMessage,
+    DirectoryPage,
+    DirectoryRequest,
+    ForwardedPlacement,
+    ForwardedRequest,
+    MessageBody,
+    MoveGateways,
     Placement,
-    Policy,
-    Retire,
-    Seed,
-    Send,
-    StatusEvent,
-    Zone,
+    PlacementNotice,
+    PlacementRequest,
+    ReportReceipt,
+    RetireCell,
+    SeedCell,
 )
+from .seeded_cell import SeededCell
+from .topology import MAX_CELL_MEMBERS, CellPolicy, ControlMachine
 
-VOTERS = 7  # of the control machines: an election among more has more to wait for than it gains
-ALONE = 5 * SECOND  # ns without an answer of the leader, from which newcomers are placed without it
-CELLS_MOST = 1_024  # that one control machine seeds
-GIVEN_UP_MOST = 1_024  # cells given up that are remembered, so that late words do not bring them back
-CELL_MOST = 64  # members of a cell, as its views' tables are bounded by
+MAX_VOTERS = 7  # of the control machines: an election among more has more to wait for than it gains
+LEADER_TIMEOUT_NS = 5 * SECOND  # without an answer of the leader, after which newcomers are placed without it
+MAX_SEEDED_CELLS = 1_024  # of one control machine
+MAX_REMEMBERED_RETIRED = 1_024  # retired cells, so that late messages do not bring them back
 
 
 class ControlSettings(NamedTuple):
-    """One control machine's. `machines`: all of them, in the same order everywhere."""
+    """Settings of one control machine. `machines`: all of them, in the same order everywhere."""
 
     fleet: str
     name: str
-    born: int
+    created_at_ms: int  # wall clock
     machines: tuple[ControlMachine, ...]
     version: str = ""
-    policy: Policy = Policy()
-    period: int = 300 * MS
-    keep: int = 30 * SECOND
+    policy: CellPolicy = CellPolicy()
+    probe_interval_ns: int = 300 * MS
+    lease_duration_ns: int = 30 * SECOND
 
 
 def voters(machines: Iterable[ControlMachine]) -> tuple[Address, ...]:
-    """An odd number, from all regions in turn: of three regions or more none has a majority."""
-    regions: dict[str, list[ControlMachine]] = {}
+    """An odd number of them, from all regions in turn: of three regions or more none has a majority."""
+    by_region: dict[str, list[ControlMachine]] = {}
     for machine in machines:
-        regions.setdefault(machine.region, []).append(machine)
-    turns = [m for turn in zip_longest(*regions.values()) for m in turn if m is not None]
-    return tuple(m.address for m in turns[: min(VOTERS, len(turns) - (len(turns) + 1) % 2)])
-
-
-class Controller:
-    """The core. `seed`: of all its chances; `born` in the settings: wall clock, ms, at its start."""
-
-    def __init__(self, settings: ControlSettings, now: int, seed: int) -> None:
-        self.settings, self.rng = settings, random.Random(seed)
-        self.me = next(m for m in settings.machines if m.name == settings.name)
-        self._names = frozenset(m.name for m in settings.machines)
-        self._by_name = {m.name: m for m in settings.machines}
-        self._seeds = voters(settings.machines)
-        tier = self._member(settings.fleet, self._seeds, 2 * len(settings.machines))
-        self.tier = Member(tier, now, self.rng.getrandbits(60))
-        self.cells: dict[str, Seeding] = {}
-        self.given_up: dict[str, Retire] = {}
-        self.leading: Leading | None = None
-        self.epoch: Epoch = (0, -1)  # the newest leader's that is known
-        self._out: list[CellsAction] = []
-        self.gone = False
-
-    def _member(self, fleet: str, seeds: tuple[Address, ...], most: int) -> MemberSettings:
-        mine = self.settings
-        return MemberSettings(
-            fleet,
-            mine.name,
-            mine.born,
-            self.me.address,
-            seeds,
-            mine.version,
-            mine.period,
-            max(CELL_MOST, most),
-            OBSERVER,
-            mine.keep,
-        )
+        by_region.setdefault(machine.region, []).append(machine)
+    in_turn = [m for turn in zip_longest(*by_region.values()) for m in turn if m is not None]
+    odd_count = len(in_turn) - (len(in_turn) + 1) % 2
+    return tuple(machine.address for machine in in_turn[: min(MAX_VOTERS, odd_count)])
+
+
+class Controller(CellsCore):
+    """The core of a control machine. `seed`: of all its random choices."""
+
+    def __init__(self, settings: ControlSettings, now_ns: int, seed: int) -> None:
+        super().__init__()
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.machine = next(m for m in settings.machines if m.name == settings.name)
+        self._machines = {m.name: m for m in settings.machines}
+        self._control_names = frozenset(self._machines)
+        seeds = voters(settings.machines)
+        member_settings = self._member_settings(settings.fleet, seeds, 2 * len(settings.machines))
+        self.control_member = Member(member_settings, now_ns, self.rng.getrandbits(60))
+        self.cells: dict[str, SeededCell] = {}
+        self.retired: dict[str, RetireCell] = {}
+        self.leader: DirectoryLeader | None = None  # while this machine leads
+        self.epoch: Epoch = NO_EPOCH  # the newest leader's that is known
 
     @property
     def member_id(self) -> MemberId:
-        return self.settings.name, self.settings.born
+        """Name and creation time of this process."""
+        return self.settings.name, self.settings.created_at_ms
 
-    def leads(self, now: int) -> bool:
-        return self.leading is not None and self.tier.is_coordinator(now)
+    def is_leader(self, now_ns: int) -> bool:
+        """Whether this machine leads at this instant."""
+        return self.leader is not None and self.control_member.is_coordinator(now_ns)
 
     # What the host calls.
 
-    def start(self, now: int) -> list[CellsAction]:
-        self._do(self.settings.fleet, self.tier.start(now))
-        return self._done()
-
-    def tick(self, now: int) -> list[CellsAction]:
-        if not self.gone:
-            self._do(self.settings.fleet, self.tier.tick(now))
-            for name, seeding in list(self.cells.items()):
-                self._do(name, seeding.member.tick(now))
-            self._lead(now)
-            self._report(now)
-        return self._done()
-
-    def receive(self, now: int, member_message: MemberMessage, source: Address) -> list[CellsAction]:
-        """A datagram of a view that this machine may be in."""
-        return self._on(member_message.fleet, lambda member: member.receive(now, member_message, source))
-
-    def merge(self, now: int, table: TableSnapshot) -> list[CellsAction]:
-        return self._on(table.fleet, lambda member: member.merge(now, table))
-
-    def table_snapshot(self, fleet: str) -> TableSnapshot | None:
-        """What is held of one view, for another member of it."""
-        member = self._in(fleet)
-        return member.table_snapshot() if member is not None else None
-
-    def message(self, now: int, message: Message, source: Address) -> list[CellsAction]:
-        if not self.gone and message.fleet == self.settings.fleet and message.who != self.member_id:
-            self._message(now, message, source)
-        return self._done()
-
-    def leave(self, now: int) -> list[CellsAction]:
-        """In good order. What it seeds goes on with the other seeds."""
-        if not self.gone:
-            for name, seeding in self.cells.items():
-                self._do(name, seeding.member.leave(now))
-            self._do(self.settings.fleet, self.tier.leave(now))
-            self._led(None)
-            self.gone = True
-        return self._done()
+    def start(self, now_ns: int) -> list[CellsAction]:
+        """Begin."""
+        self._add_member_actions(self.settings.fleet, self.control_member.start(now_ns))
+        return self._take_actions()
+
+    def tick(self, now_ns: int) -> list[CellsAction]:
+        """Do what is due."""
+        if not self.has_left:
+            self._add_member_actions(self.settings.fleet, self.control_member.tick(now_ns))
+            for name, seeded in list(self.cells.items()):
+                self._add_member_actions(name, seeded.member.tick(now_ns))
+            self._lead(now_ns)
+            self._report_cells(now_ns)
+        return self._take_actions()
+
+    def receive_cells_message(self, now_ns: int, message: CellsMessage, source: Address) -> list[CellsAction]:
+        """A message of a gateway, another control machine or an operator."""
+        is_own = message.member_id == self.member_id
+        if not self.has_left and message.fleet == self.settings.fleet and not is_own:
+            self._dispatch(now_ns, message, source)
+        return self._take_actions()
+
+    def leave(self, now_ns: int) -> list[CellsAction]:
+        """Shut down gracefully. The cells go on with their other seeds."""
+        if not self.has_left:
+            for name, seeded in self.cells.items():
+                self._add_member_actions(name, seeded.member.leave(now_ns))
+            self._add_member_actions(self.settings.fleet, self.control_member.leave(now_ns))
+            self._stop_leading()
+            self.has_left = True
+        return self._take_actions()
 
     # Views.
 
-    def _in(self, fleet: str) -> Member | None:
-        if fleet == self.settings.fleet:
-            return self.tier
-        seeding = self.cells.get(fleet)
-        return seeding.member if seeding is not None else None
-
-    def _on(self, fleet: str, call: Callable[[Member], Iterable[Action]]) -> list[CellsAction]:
-        member = self._in(fleet)
-        if member is not None and not self.gone:
-            self._do(fleet, call(member))
-        return self._done()
-
-    def _do(self, fleet: str, actions: Iterable[Action]) -> None:
-        self._out += [InCell(fleet, action) for action in actions]
+    def _member_settings(self, fleet: str, seeds: tuple[Address, ...], max_members: int) -> MemberSettings:
+        settings = self.settings
+        return MemberSettings(
+            fleet,
+            settings.name,
+            settings.created_at_ms,
+            self.machine.address,
+            seeds,
+            settings.version,
+            settings.probe_interval_ns,
+            max(MAX_CELL_MEMBERS, max_members),
+            OBSERVER,
+            settings.lease_duration_ns,
+        )
 
-    def _done(self) -> list[CellsAction]:
-        out, self._out = self._out, []
-        return out
+    def _member_in(self, fleet: str) -> Member | None:
+        if fleet == self.settings.fleet:
+            return self.control_member
+        seeded = self.cells.get(fleet)
+        return seeded.member if seeded is not None else None
 
     # Leading.
 
-    def _lead(self, now: int) -> None:
-        if not self.tier.is_coordinator(now) or self.tier.coordinator is None:
-            self._led(None)
+    def _lead(self, now_ns: int) -> None:
+        coordinator = self.control_member.coordinator
+        if coordinator is None or not self.control_member.is_coordinator(now_ns):
+            self._stop_leading()
             return
-        epoch = self.tier.coordinator.epoch
-        if self.leading is None or self.leading.epoch != epoch:
-            self.leading = Leading(now, epoch, self.settings.policy, self.settings.machines)
-            self._led(epoch)
-        live = {
-            p.update.name: p.update.created_at_ms
-            for p in self.tier.member_table.present()
-            if p.update.state == State.ALIVE
-        }
-        live[self.settings.name] = self.settings.born
-        for to, body in self.leading.tick(now, live):
-            self._say(now, to, body, epoch)
-
-    def _led(self, epoch: Epoch | None) -> None:
-        if epoch is not None:
-            self.epoch = max(self.epoch, epoch)
-        elif self.leading is None:
+        if self.leader is None or self.leader.epoch != coordinator.epoch:
+            self._start_leading(now_ns, coordinator.epoch)
+        if self.leader is None:
             return
+        for address, body in self.leader.tick(now_ns, self._live_machines()):
+            self._send(now_ns, address, body, coordinator.epoch)
+
+    def _live_machines(self) -> dict[str, int]:
+        """Creation times in ms of the control machines that are alive, by name."""
+        entries = self.control_member.member_table.present()
+        live = {e.update.name: e.update.created_at_ms for e in entries if e.update.state == State.ALIVE}
+        live[self.settings.name] = self.settings.created_at_ms
+        return live
+
+    def _start_leading(self, now_ns: int, epoch: Epoch) -> None:
+        self.leader = DirectoryLeader(now_ns, epoch, self.settings.policy, self.settings.machines)
+        self.epoch = max(self.epoch, epoch)
+        self._actions.append(LeadershipChanged(epoch))
+
+    def _stop_leading(self) -> None:
+        if self.leader is not None:
+            self.leader = None
+            self._actions.append(LeadershipChanged(None))
+
+    def _send(self, now_ns: int, address: Address, body: MessageBody, epoch: Epoch | None = None) -> None:
+        """Send a message, or handle it at once where it is for this machine itself."""
+        message = CellsMessage(self.settings.fleet, *self.member_id, body, epoch)
+        if address == self.machine.address:
+            self._dispatch(now_ns, message, address)
         else:
-            self.leading = None
-        self._out.append(Leads(epoch))
-
-    def _say(self, now: int, to: Address, body: Bodies, epoch: Epoch | None = None) -> None:
-        """Sent, or heard at once where it is for this machine itself."""
-        message = Message(self.settings.fleet, *self.member_id, body, epoch)
-        if to == self.me.address:
-            self._message(now, message, to)
-        else:
-            self._out.append(Send(to, message))
+            self._actions.append(SendCellsMessage(address, message))
 
-    def _leader(self) -> Address | None:
-        """Where the newest leader that is known is reached."""
-        leader = self.tier.leader
+    def _leader_address(self) -> Address | None:
+        """Where the newest known leader is reached."""
+        leader = self.control_member.leader
         return leader.address if leader is not None else None
 
-    # Reports.
-
-    def _report(self, now: int) -> None:
-        leader = self.tier.leader
+    def _report_cells(self, now_ns: int) -> None:
+        leader = self.control_member.leader
         if leader is None:
             return
         self.epoch = max(self.epoch, leader.epoch)
-        for seeding in self.cells.values():
-            for report in seeding.reports(now, leader.epoch, self._names, self.rng):
-                self._say(now, leader.address, report)
+        for seeded in self.cells.values():
+            for report in seeded.due_reports(now_ns, leader.epoch, self._control_names, self.rng):
+                self._send(now_ns, leader.address, report)
 
     # Messages.
 
-    def _message(self, now: int, message: Message, source: Address) -> None:
+    def _dispatch(self, now_ns: int, message: CellsMessage, source: Address) -> None:
         body = message.body
-        if isinstance(body, Locate):
-            self._locate(now, message.who, body)
-        elif isinstance(body, Describe):
-            self._describe(now, body.page, source)
-        elif message.name not in self._names:
-            return  # only control machines say the rest
+        if isinstance(body, PlacementRequest):
+            self._answer_placement(now_ns, message.member_id, body)
+        elif isinstance(body, DirectoryRequest):
+            self._answer_operator(now_ns, body.page, source)
+        elif message.name not in self._control_names:
+            return  # the rest comes from control machines alone
         elif message.epoch is not None:
             if message.epoch >= self.epoch:
                 self.epoch = message.epoch
-                self._led_by(now, message.epoch, body)
-        elif self.leading is not None and self.tier.is_coordinator(now):
-            self._asked(now, self.leading, self._by_name[message.name], body)
-
-    def _asked(self, now: int, leading: Leading, machine: ControlMachine, body: Bodies) -> None:
-        """As the leader."""
+                self._obey(now_ns, message.epoch, body)
+        elif self.leader is not None and self.control_member.is_coordinator(now_ns):
+            self._answer_as_leader(now_ns, self.leader, self._machines[message.name], body)
+
+    def _answer_as_leader(
+        self, now_ns: int, leader: DirectoryLeader, machine: ControlMachine, body: MessageBody
+    ) -> None:
+        """A control machine's message to the leader, which this machine is."""
         match body:
-            case Forwarded():
-                refused = leading.directory.refused
-                if (placed := leading.placed(now, body)) is not None:
-                    self._say(now, machine.address, placed, leading.epoch)
-                elif leading.directory.refused > refused:
-                    self._out.append(StatusEvent("full", {"gateways": self.settings.policy.gateways}))
+            case ForwardedRequest():
+                rejected_before = leader.directory.rejected_requests
+                if (placed := leader.place(now_ns, body)) is not None:
+                    self._send(now_ns, machine.address, placed, leader.epoch)
+                elif leader.directory.rejected_requests > rejected_before:
+                    details: dict[str, object] = {"gateways": self.settings.policy.max_fleet_gateways}
+                    self._actions.append(StatusEvent("full", details))
             case CellReport():
-                for told in leading.reported(now, machine, body):
-                    self._say(now, machine.address, told, leading.epoch)
-            case Retire():
-                leading.directory.known_given_up(body.name)
+                for answer in leader.record_report(now_ns, machine, body):
+                    self._send(now_ns, machine.address, answer, leader.epoch)
+            case RetireCell():
+                leader.directory.record_retired(body.name)
 
-    def _led_by(self, now: int, epoch: Epoch, body: Bodies) -> None:
-        """What the leader wants done."""
+    def _obey(self, now_ns: int, epoch: Epoch, body: MessageBody) -> None:
+        """A decision of the leader."""
         match body:
-            case Placed():
-                self._say(now, body.address, Located(body.to, body.placement))
-            case Seed():
-                self._seed(now, body.cell)
-            case Retire():
+            case ForwardedPlacement():
+                self._send(now_ns, body.address, PlacementNotice(body.member_id, body.placement))
+            case SeedCell():
+                self._seed(now_ns, body.cell)
+            case RetireCell():
                 self._retire(body)
-            case Move():
-                self._move(now, body)
-            case Noted():
-                if (seeding := self.cells.get(body.name)) is not None:
-                    seeding.heard(epoch, body)
-
-    def _seed(self, now: int, cell: Cell) -> None:
-        seeding = self.cells.get(cell.name)
-        if seeding is not None:
-            if cell.number > seeding.cell.number:
-                seeding.cell = cell
+            case MoveGateways():
+                self._move(now_ns, body)
+            case ReportReceipt():
+                if (seeded := self.cells.get(body.name)) is not None:
+                    seeded.record_receipt(epoch, body)
+
+    def _seed(self, now_ns: int, cell: Cell) -> None:
+        seeded = self.cells.get(cell.name)
+        if seeded is not None:
+            if cell.number > seeded.cell.number:
+                seeded.cell = cell
             return
-        if (gone := self.given_up.get(cell.name)) is not None:
-            if (leader := self._leader()) is not None:  # one that came later does not know
-                self._say(now, leader, gone)
+        if (retired := self.retired.get(cell.name)) is not None:
+            if (leader := self._leader_address()) is not None:  # a later one does not know
+                self._send(now_ns, leader, retired)
             return
-        if self.me.address not in cell.seeds or len(self.cells) >= CELLS_MOST:
+        if self.machine.address not in cell.seeds or len(self.cells) >= MAX_SEEDED_CELLS:
             return
-        settings = self._member(cell.name, cell.seeds, CELL_MOST)
-        seeding = self.cells[cell.name] = Seeding(cell, Member(settings, now, self.rng.getrandbits(60)))
-        self._out.append(StatusEvent("seeds", {"cell": cell.name, "number": cell.number}))
-        self._do(cell.name, seeding.member.start(now))
-
-    def _retire(self, retire: Retire) -> None:
-        seeding = self.cells.get(retire.name)
-        if seeding is None or retire.number < seeding.cell.number:
+        settings = self._member_settings(cell.name, cell.seeds, MAX_CELL_MEMBERS)
+        member = Member(settings, now_ns, self.rng.getrandbits(60))
+        self.cells[cell.name] = SeededCell(cell, member)
+        self._actions.append(StatusEvent("seeds", {"cell": cell.name, "number": cell.number}))
+        self._add_member_actions(cell.name, member.start(now_ns))
+
+    def _retire(self, retire: RetireCell) -> None:
+        seeded = self.cells.get(retire.name)
+        if seeded is None or retire.number < seeded.cell.number:
             return
         del self.cells[retire.name]
-        if len(self.given_up) >= GIVEN_UP_MOST:
-            del self.given_up[next(iter(self.given_up))]
-        self.given_up[retire.name] = retire
-        self._out.append(StatusEvent("retired", {"cell": retire.name, "number": retire.number}))
-
-    def _move(self, now: int, move: Move) -> None:
-        if (seeding := self.cells.get(move.cell)) is None:
+        if len(self.retired) >= MAX_REMEMBERED_RETIRED:
+            del self.retired[next(iter(self.retired))]
+        self.retired[retire.name] = retire
+        self._actions.append(StatusEvent("retired", {"cell": retire.name, "number": retire.number}))
+
+    def _move(self, now_ns: int, move: MoveGateways) -> None:
+        seeded = self.cells.get(move.cell_name)
+        if seeded is None:
             return
         for name in move.gateways:
-            held = seeding.member.member_table.by_name.get(name)
-            if seeding.moved(name, move.placement) and held is not None and held.is_present:
-                word = held.update
-                self._say(now, word.address, Located(word.member_id, move.placement))
-
-    def _describe(self, now: int, page: int, source: Address) -> None:
-        """For an operator."""
-        if self.leading is not None and self.tier.is_coordinator(now):
-            self._say(now, source, self.leading.described(page, self.me.address))
+            entry = seeded.member.member_table.by_name.get(name)
+            if seeded.record_move(name, move.placement) and entry is not None and entry.is_present:
+                notice = PlacementNotice(entry.update.member_id, move.placement)
+                self._send(now_ns, entry.update.address, notice)
+
+    def _answer_operator(self, now_ns: int, page: int, source: Address) -> None:
+        if self.leader is not None and self.control_member.is_coordinator(now_ns):
+            answer = self.leader.directory_page(page, self.machine.address)
         else:
-            self._say(now, source, Described(self._leader(), page, 0, 0, ()))
+            answer = DirectoryPage(self._leader_address(), page, 0, 0, ())
+        self._send(now_ns, source, answer)
 
-    # Gateways' questions.
+    # Gateways' requests.
 
-    def _locate(self, now: int, who: MemberId, locate: Locate) -> None:
-        placement = self._own(who, locate)
-        if placement is None and now - self.tier.renewal.answered_at_ns >= ALONE:
-            placement = self._without_leader(now, who, locate)
+    def _answer_placement(self, now_ns: int, member_id: MemberId, request: PlacementRequest) -> None:
+        placement = self._placement_in_seeded_cell(member_id, request)
+        unanswered_ns = now_ns - self.control_member.renewal.answered_at_ns
+        if placement is None and unanswered_ns >= LEADER_TIMEOUT_NS:
+            placement = self._place_without_leader(now_ns, member_id, request)
         if placement is not None:
-            self._say(now, locate.address, Located(who, placement))
-        elif (leader := self._leader()) is not None:
-            self._say(now, leader, Forwarded(who, locate))
-
-    def _own(self, who: MemberId, locate: Locate) -> Placement | None:
-        """The answer to a gateway of a cell that is seeded here, where it needs no leader."""
-        held = locate.held
-        seeding = self.cells.get(held.cell.name) if held is not None else None
-        if held is None or seeding is None:
+            self._send(now_ns, request.address, PlacementNotice(member_id, placement))
+        elif (leader := self._leader_address()) is not None:
+            self._send(now_ns, leader, ForwardedRequest(member_id, request))
+
+    def _placement_in_seeded_cell(self, member_id: MemberId, request: PlacementRequest) -> Placement | None:
+        """The answer to a gateway of a cell that is seeded here; None where the leader has to decide."""
+        current = request.current
+        seeded = self.cells.get(current.cell.name) if current is not None else None
+        if current is None or seeded is None:
             return None
-        moved = seeding.moves.get(who[0])
-        if moved is not None and moved.number > held.number:
+        moved = seeded.moves.get(member_id[0])
+        if moved is not None and moved.number > current.number:
             return moved
-        if seeding.cell.closing or seeding.cell.place != Zone(locate.region, locate.zone):
+        if seeded.cell.closing or seeded.cell.location != request.location:
             return None
-        return Placement(held.number, seeding.cell)
-
-    def _without_leader(self, now: int, who: MemberId, locate: Locate) -> Placement | None:
-        """A cell of its zone that is seeded here; the one it was in before rather than another."""
-        zone = Zone(locate.region, locate.zone)
-        if locate.held is not None:
+        return Placement(current.number, seeded.cell)
+
+    def _place_without_leader(
+        self, now_ns: int, member_id: MemberId, request: PlacementRequest
+    ) -> Placement | None:
+        """The gateway's former cell, else the fullest with capacity, of those of its zone that are seeded
+        here."""
+        if request.current is not None:
             return None
         best: tuple[bool, int, str] | None = None
-        for name, seeding in self.cells.items():
-            if seeding.cell.place != zone or seeding.cell.closing or not seeding.known_view:
+        for name, seeded in self.cells.items():
+            if seeded.cell.location != request.location or seeded.cell.closing or not seeded.has_view:
                 continue
-            gateways = [gateway for gateway, _ in seeding.gateways(self._names)]
-            former = who[0] in gateways
-            if former or len(gateways) < self.settings.policy.target:
-                best = max(best or (False, -1, ""), (former, len(gateways), name))
+            gateways = [gateway for gateway, _ in seeded.gateways(self._control_names)]
+            is_former = member_id[0] in gateways
+            if is_former or len(gateways) < self.settings.policy.target_gateways:
+                best = max(best or (False, -1, ""), (is_former, len(gateways), name))
         if best is None:
             return None
         cell = self.cells[best[2]].cell
--- a/trackspread/cells/directory.py
+++ b/trackspread/cells/directory.py
@@ -1,23 +1,22 @@
-"""The directory of cells: which there are, which gateways are in each, and who is to go where.
-
-The rules of this file:
-- A gateway is sent to the fullest cell of its zone that is below `target`; to the one it was in before, where
-  that is known: there its former self's part is free at once. Where there is none, a cell is opened.
-- A cell above `most` gives half of its gateways to others with room, or to a new one.
-- A cell of `least` or fewer that fits into another is closed once neither has changed for `hold`: gateways
-  that are cut off vanish one by one, and come back so. So is one without gateways for `idle`: whoever is out
-  of reach for less comes back to it, and nobody is moved into a cell without any. So is one that has lost a
-  seed for `replace` while its region has others. A closing cell's gateways are sent elsewhere; once it has
-  been empty for `EMPTY`, it is given up.
+"""The directory of cells: which there are, which gateways are in each, and which gateway is to go where.
+
+- A gateway is placed in its former cell, where that is known, as its former process's slots are free there at
+  once; else in the fullest cell of its zone below `target_gateways`; else in a new cell.
+- A cell above `max_gateways` gives half of its gateways to others with capacity, or to a new one.
+- A cell is closed when
+  - it has `min_gateways` or fewer, fits into another, and neither has changed for `merge_delay_ns`: gateways
+    that are cut off vanish one by one, and return so;
+  - it has had no gateways for `empty_timeout_ns`: gateways that are unreachable for less return to it, and
+    none is moved into an empty cell;
+  - it has lost a seed for `seed_loss_timeout_ns` while its region has others.
+- A closing cell's gateways are moved elsewhere; once it has been empty for `RETIRE_DELAY_NS`, it is retired.
 - A gateway is moved only to a cell that has a view already, as its seeds report.
-- One change of this kind at a time in a zone, `MOVES` gateways a second at most: a move costs its gateway the
-  time of a join.
-- All of it is soft state. A leader begins with nothing and waits `REBUILD` for what control machines report
-  before it opens, closes or moves anything; a cell that only its gateways remember is taken up by their word.
-- Seeds that are out of reach with all of their region say nothing of their cells: these are left alone.
-
-May know: reports, questions, which control machines are live, times handed in. May not know: how words
-travel.
+- One split or close at a time in a zone, at most `MOVES_PER_ROUND` gateways a round: a move costs its gateway
+  the time of a join.
+- All of it is soft state. A leader begins with nothing and waits `REBUILD_NS` for the control machines'
+  reports before it opens, closes or moves anything; a cell that only its gateways remember is recorded when
+  they name it.
+- Seeds that are unreachable with all of their region say nothing of their cells: these are left alone.
 """
 
 from __future__ import annotations
@@ -28,28 +27,31 @@
 
 from msgspec import structs
 
-from ..membership.identifiers import NO_VIEW, Address, Epoch, MemberId, ViewNumber
-from .terms import SECOND, SEEDS, Cell, ControlMachine, Locate, Placement, Policy, Zone
+from ..membership.identifiers import NO_VIEW, SECOND, Address, Epoch, MemberId, ViewNumber
+from .messages import Cell, Placement, PlacementRequest
+from .topology import SEEDS_PER_CELL, CellPolicy, ControlMachine, Zone
 
-REBUILD = 3 * SECOND  # ns from the first moment of a leader, in which control machines report
-COMING = 8 * SECOND  # ns for which somebody that was sent to a cell counts there before it is reported
-EMPTY = 5 * SECOND  # ns for which a closing cell has to be without gateways before it is given up
-PACE = 1 * SECOND  # ns between two rounds of moves in one zone
-MOVES = 4  # gateways in one round
-AGAIN = 3 * SECOND  # ns after which a gateway that is still where it was is told again to move
-GIVEN_UP_MOST = 1_024  # cells given up that are remembered
+REBUILD_NS = 3 * SECOND  # from the election of a leader, in which control machines report
+PENDING_TIMEOUT_NS = (
+    8 * SECOND
+)  # for which a gateway counts in the cell it is placed in, before it is reported
+RETIRE_DELAY_NS = 5 * SECOND  # for which a closing cell has to be empty before it is retired
+ROUND_INTERVAL_NS = 1 * SECOND  # between two rounds of moves in one zone
+MOVES_PER_ROUND = 4  # gateways
+RESEND_INTERVAL_NS = 3 * SECOND  # after which a gateway that has not moved is notified again
+MAX_REMEMBERED_RETIRED = 1_024  # retired cells
 
 
 class Moving(NamedTuple):
-    """A gateway that was told to move."""
+    """A gateway that was notified to move."""
 
-    cell: str  # the one that it is to leave
+    cell_name: str  # the one that it is to leave
     placement: Placement
-    told_at: int
+    sent_at_ns: int
 
 
-class MoveWanted(NamedTuple):
-    """A gateway of a cell is to be told its new placement."""
+class MoveRequest(NamedTuple):
+    """A gateway of a cell is to be notified of its new placement."""
 
     cell: Cell
     gateway: str
@@ -57,157 +59,179 @@
 
 
 @dataclass(slots=True)
-class Entry:
-    """What is known of one cell; `members`: gateways of the newest view that was reported."""
+class CellEntry:
+    """What is known of one cell; `members`: gateways of the newest reported view."""
 
     cell: Cell
-    since: int  # when it came to be known here
-    view: ViewNumber = NO_VIEW
-    members: dict[str, int] = field(default_factory=dict)  # name: born
-    coming: dict[str, int] = field(default_factory=dict)  # sent here, by name: until when that counts
-    counted: int = 0  # at the last look
-    changed_at: int = 0  # when it was seen to have others than before
-    small_since: int | None = None
-    empty_since: int | None = None
+    known_since_ns: int
+    view_number: ViewNumber = NO_VIEW
+    members: dict[str, int] = field(default_factory=dict)  # creation times in ms, by name
+    pending: dict[str, int] = field(default_factory=dict)  # gateways placed here: until when in ns they count
+    last_count: int = 0  # in the last tick
+    changed_at_ns: int = 0  # when the count changed last
+    small_since_ns: int | None = None
+    empty_since_ns: int | None = None
 
     def count(self) -> int:
-        return len(self.members.keys() | self.coming.keys())
+        """Gateways that are here or expected."""
+        return len(self.members.keys() | self.pending.keys())
 
 
 class Directory:
-    """One leader's, under its epoch. `entries` by the cell's name; `given_up`: those that are no more."""
-
-    def __init__(self, now: int, epoch: Epoch, policy: Policy, machines: tuple[ControlMachine, ...]) -> None:
-        self.epoch, self.policy = epoch, policy
+    """The directory of one leader, in its epoch. `entries` by the cell's name; `retired`: cells that
+    ended."""
+
+    def __init__(
+        self, now_ns: int, epoch: Epoch, policy: CellPolicy, machines: tuple[ControlMachine, ...]
+    ) -> None:
+        self.epoch = epoch
+        self.policy = policy
+        self.entries: dict[str, CellEntry] = {}
+        self.retired: dict[str, Cell] = {}
+        self.rejected_requests = 0  # beyond `max_fleet_gateways`
         self._machines = {machine.address: machine for machine in machines}
-        self._begun, self._count = now, 0
-        self.entries: dict[str, Entry] = {}
-        self.given_up: dict[str, Cell] = {}
-        self._where: dict[str, str] = {}  # the cell that a gateway is in, or was sent to, by its name
-        self._moving: dict[str, Moving] = {}
+        self._started_at_ns = now_ns
+        self._count = 0  # of numbers given out
+        self._cell_of: dict[str, str] = {}  # the cell that a gateway is or was placed in, by its name
+        self._moving: dict[str, Moving] = {}  # by the gateway's name
         self._to_split: dict[Zone, list[tuple[str, str]]] = {}  # gateways that a split moves, and their cells
-        self._paced: dict[Zone, int] = {}
-        self._lost: dict[Address, int] = {}  # control machines that are not live: since when
-        self.refused = 0  # questions beyond the size that is set
+        self._next_round_ns: dict[Zone, int] = {}
+        self._lost_since_ns: dict[Address, int] = {}  # control machines that are not live
 
-    # What comes.
+    # Requests and reports.
 
-    def rebuilding(self, now: int) -> bool:
+    def is_rebuilding(self, now_ns: int) -> bool:
         """Whether control machines may not have reported yet."""
-        return now - self._begun < REBUILD
+        return now_ns - self._started_at_ns < REBUILD_NS
 
-    def locate(self, now: int, who: MemberId, locate: Locate) -> Placement | None:
-        """Where this gateway is to be; None: not known yet, or there is no room."""
-        name, zone = who[0], Zone(locate.region, locate.zone)
+    def place(self, now_ns: int, member_id: MemberId, request: PlacementRequest) -> Placement | None:
+        """Where this gateway is to be; None: not known yet, or there is no capacity."""
+        name = member_id[0]
         if (moving := self._moving.get(name)) is not None:
             return moving.placement
-        held = locate.held
-        if (
-            held is not None
-            and (entry := self._known(now, held.cell)) is not None
-            and not entry.cell.closing
-            and entry.cell.place == zone
-        ):
-            self._sent(now, name, entry)
-            return Placement(held.number, entry.cell)
-        former = self.entries.get(self._where.get(name, ""))
-        if former is not None and not former.cell.closing and former.cell.place == zone:
-            self._sent(now, name, former)
-            return Placement(self._next(), former.cell)
-        if self.rebuilding(now):
-            return None
-        if len(self._where) >= self.policy.gateways and name not in self._where:
-            self.refused += 1
+        known = self._current_placement(now_ns, name, request) or self._former_placement(
+            now_ns, name, request.location
+        )
+        if known is not None or self.is_rebuilding(now_ns):
+            return known
+        if len(self._cell_of) >= self.policy.max_fleet_gateways and name not in self._cell_of:
+            self.rejected_requests += 1
             return None
-        entry = self._room(now, zone)
+        entry = self._cell_with_capacity(now_ns, request.location)
         if entry is None:
             return None
-        self._sent(now, name, entry)
-        return Placement(self._next(), entry.cell)
+        self._assign(now_ns, name, entry)
+        return Placement(self._next_number(), entry.cell)
+
+    def _current_placement(self, now_ns: int, name: str, request: PlacementRequest) -> Placement | None:
+        """The cell that the gateway says it is in, while it is open."""
+        current = request.current
+        entry = self._entry_for(now_ns, current.cell) if current is not None else None
+        if current is None or entry is None or not _is_open_in(entry, request.location):
+            return None
+        self._assign(now_ns, name, entry)
+        return Placement(current.number, entry.cell)
 
-    def reported(self, now: int, cell: Cell, view: ViewNumber, members: Iterable[MemberId]) -> None:
-        """What a seed holds of a cell; of two reports that of the newer view counts."""
-        entry = self._known(now, cell)
-        if entry is None or view < entry.view:
+    def _former_placement(self, now_ns: int, name: str, zone: Zone) -> Placement | None:
+        """The cell that the gateway was placed in last, while it is open."""
+        entry = self.entries.get(self._cell_of.get(name, ""))
+        if entry is None or not _is_open_in(entry, zone):
+            return None
+        self._assign(now_ns, name, entry)
+        return Placement(self._next_number(), entry.cell)
+
+    def record_report(
+        self, now_ns: int, cell: Cell, view_number: ViewNumber, members: Iterable[MemberId]
+    ) -> None:
+        """A seed's view of a cell; of two reports that of the newer view counts."""
+        entry = self._entry_for(now_ns, cell)
+        if entry is None or view_number < entry.view_number:
             return
-        gone = entry.members.keys()
-        entry.view, entry.members = view, dict(members)
-        for name in gone - entry.members.keys():
-            if self._where.get(name) == cell.name and name not in entry.coming:
-                del self._where[name]
+        before = entry.members.keys()
+        entry.view_number = view_number
+        entry.members = dict(members)
+        for name in before - entry.members.keys():
+            if self._cell_of.get(name) == cell.name and name not in entry.pending:
+                del self._cell_of[name]
         for name in entry.members:
-            entry.coming.pop(name, None)
-            moving = self._moving.get(name)
-            if moving is not None and moving.placement.cell.name == cell.name:
-                del self._moving[name]
-            if name not in self._moving and self._newer(name, entry):
-                self._where[name] = cell.name
-
-    def known_given_up(self, name: str) -> None:
-        """A seed remembers that a former leader gave this cell up: its gateways are placed anew."""
+            self._record_arrival(name, entry)
+
+    def _record_arrival(self, name: str, entry: CellEntry) -> None:
+        entry.pending.pop(name, None)
+        moving = self._moving.get(name)
+        if moving is not None and moving.placement.cell.name == entry.cell.name:
+            del self._moving[name]
+        if name not in self._moving and self._is_newest_report(name, entry):
+            self._cell_of[name] = entry.cell.name
+
+    def record_retired(self, name: str) -> None:
+        """A seed remembers that a former leader retired this cell: its gateways are placed anew."""
         if (entry := self.entries.get(name)) is not None:
-            self._give_up(entry)
+            self._retire(entry)
 
-    def _newer(self, name: str, entry: Entry) -> bool:
-        """Whether a gateway that two cells report is to be looked for in this one."""
-        other = self.entries.get(self._where.get(name, ""))
+    def _is_newest_report(self, name: str, entry: CellEntry) -> bool:
+        """Whether a gateway that two cells report is in this one, as far as is known."""
+        other = self.entries.get(self._cell_of.get(name, ""))
         if other is None or other is entry or name not in other.members:
-            return other is None or other is entry or name not in other.coming
+            return other is None or other is entry or name not in other.pending
         return entry.members[name] > other.members[name]
 
-    def _known(self, now: int, cell: Cell) -> Entry | None:
-        """The entry of a cell that somebody goes by; taken up where it is new here and can be right."""
+    def _entry_for(self, now_ns: int, cell: Cell) -> CellEntry | None:
+        """The entry of a cell that a process names; recorded where it is new here and plausible."""
         entry = self.entries.get(cell.name)
         if entry is None:
-            if cell.name in self.given_up or not self._plausible(cell):
+            if cell.name in self.retired or not self._is_plausible(cell):
                 return None
-            entry = self.entries[cell.name] = Entry(cell, now)
+            entry = self.entries[cell.name] = CellEntry(cell, now_ns)
         elif cell.number > entry.cell.number:
             entry.cell = cell
         return entry
 
-    def _plausible(self, cell: Cell) -> bool:
+    def _is_plausible(self, cell: Cell) -> bool:
         """Only of this fleet's control machines, and of no leader after this one."""
-        seeded = bool(cell.seeds) and all(seed in self._machines for seed in cell.seeds)
-        return seeded and cell.number[:2] <= self.epoch and len(self.entries) < self.policy.gateways
+        has_known_seeds = bool(cell.seeds) and all(seed in self._machines for seed in cell.seeds)
+        is_past = cell.number[:2] <= self.epoch
+        return has_known_seeds and is_past and len(self.entries) < self.policy.max_fleet_gateways
 
-    # What is made of it.
+    # Cells and placements.
 
-    def _next(self) -> ViewNumber:
+    def _next_number(self) -> ViewNumber:
         self._count += 1
         return (*self.epoch, self._count)
 
-    def _sent(self, now: int, name: str, entry: Entry) -> None:
-        former = self.entries.get(self._where.get(name, ""))
+    def _assign(self, now_ns: int, name: str, entry: CellEntry) -> None:
+        former = self.entries.get(self._cell_of.get(name, ""))
         if former is not None and former is not entry:
-            former.coming.pop(name, None)
-        self._where[name] = entry.cell.name
+            former.pending.pop(name, None)
+        self._cell_of[name] = entry.cell.name
         if name not in entry.members:
-            entry.coming[name] = now + COMING
+            entry.pending[name] = now_ns + PENDING_TIMEOUT_NS
 
-    def _open(self, zone: Zone) -> list[Entry]:
-        return [e for e in self.entries.values() if e.cell.place == zone and not e.cell.closing]
+    def _open_cells(self, zone: Zone) -> list[CellEntry]:
+        return [entry for entry in self.entries.values() if _is_open_in(entry, zone)]
 
-    def _room(self, now: int, zone: Zone) -> Entry | None:
+    def _cell_with_capacity(self, now_ns: int, zone: Zone) -> CellEntry | None:
         """The fullest cell of the zone that takes one more and has all its seeds; else a new one."""
-        fitting = [
-            e for e in self._open(zone) if e.count() < self.policy.target and not self._without_seed(now, e)
+        suitable = [
+            entry
+            for entry in self._open_cells(zone)
+            if entry.count() < self.policy.target_gateways and not self._needs_new_seed(now_ns, entry)
         ]
-        if fitting:
-            return max(fitting, key=lambda e: (e.count(), e.cell.name))
-        return self._opened(now, zone)
+        if suitable:
+            return max(suitable, key=lambda entry: (entry.count(), entry.cell.name))
+        return self._open_cell(now_ns, zone)
 
-    def _opened(self, now: int, zone: Zone) -> Entry | None:
-        seeds = self._chosen(zone)
+    def _open_cell(self, now_ns: int, zone: Zone) -> CellEntry | None:
+        seeds = self._choose_seeds(zone)
         if not seeds:
             return None
-        number = self._next()
+        number = self._next_number()
         name = f"{zone.region}.{zone.zone}.{number[0]:x}-{number[1]:x}-{number[2]:x}"
         cell = Cell(name, zone.region, zone.zone, number, seeds)
-        entry = self.entries[name] = Entry(cell, now)
+        entry = self.entries[name] = CellEntry(cell, now_ns)
         return entry
 
-    def _chosen(self, zone: Zone) -> tuple[Address, ...]:
+    def _choose_seeds(self, zone: Zone) -> tuple[Address, ...]:
         """Live control machines of the region, those with the fewest cells first, from several of its zones;
         those of other regions only where the region has not enough."""
         load = dict.fromkeys(self._machines, 0)
@@ -215,157 +239,186 @@
             for seed in entry.cell.seeds:
                 load[seed] += 1
         live = sorted(
-            (m for m in self._machines.values() if m.address not in self._lost),
-            key=lambda m: (m.region != zone.region, load[m.address], m.name),
+            (m for m in self._machines.values() if m.address not in self._lost_since_ns),
+            key=lambda machine: (machine.region != zone.region, load[machine.address], machine.name),
         )
         chosen: list[ControlMachine] = []
-        while live and len(chosen) < SEEDS:
-            zones = [(m.region, m.zone) for m in chosen]
-            best = min(
-                live,
-                key=lambda m: (
-                    m.region != zone.region,
-                    zones.count((m.region, m.zone)),
-                    load[m.address],
-                    m.name,
-                ),
-            )
+        while live and len(chosen) < SEEDS_PER_CELL:
+            zones = [Zone(machine.region, machine.zone) for machine in chosen]
+            best = min(live, key=lambda machine: _seed_cost(machine, zone, zones, load))
             chosen.append(best)
             live.remove(best)
         return tuple(machine.address for machine in chosen)
 
-    def _without_seed(self, now: int, entry: Entry) -> bool:
+    def _needs_new_seed(self, now_ns: int, entry: CellEntry) -> bool:
         """Whether a seed has been gone for long, and its region has others to take its place."""
-        lost = [s for s in entry.cell.seeds if now - self._lost.get(s, now) >= self.policy.replace]
+        lost = [
+            seed
+            for seed in entry.cell.seeds
+            if now_ns - self._lost_since_ns.get(seed, now_ns) >= self.policy.seed_loss_timeout_ns
+        ]
         if not lost:
             return False
         spare = [
             m
             for m in self._machines.values()
             if m.region == entry.cell.region
-            and m.address not in self._lost
+            and m.address not in self._lost_since_ns
             and m.address not in entry.cell.seeds
         ]
         return len(spare) >= len(lost)
 
-    # As time goes on.
+    # Changes over time.
 
-    def tick(self, now: int, live: frozenset[str]) -> list[MoveWanted]:
-        """What gateways are to be told; `live`: names of control machines. Entries change by themselves."""
+    def tick(self, now_ns: int, live: frozenset[str]) -> list[MoveRequest]:
+        """Update the entries; returns the moves that are due. `live`: names of the live control machines."""
         for machine in self._machines.values():
             if machine.name in live:
-                self._lost.pop(machine.address, None)
+                self._lost_since_ns.pop(machine.address, None)
             else:
-                self._lost.setdefault(machine.address, now)
-        self._forget(now)
-        if self.rebuilding(now):
+                self._lost_since_ns.setdefault(machine.address, now_ns)
+        self._remove_expired(now_ns)
+        if self.is_rebuilding(now_ns):
             return []
-        wanted: list[MoveWanted] = []
-        for zone in {entry.cell.place for entry in self.entries.values()}:
-            if now >= self._paced.get(zone, 0):
-                self._paced[zone] = now + PACE
-                wanted += self._moved(now, zone)
-        return wanted + self._again(now)
-
-    def _forget(self, now: int) -> None:
+        wanted: list[MoveRequest] = []
+        for zone in {entry.cell.location for entry in self.entries.values()}:
+            if now_ns >= self._next_round_ns.get(zone, 0):
+                self._next_round_ns[zone] = now_ns + ROUND_INTERVAL_NS
+                wanted += self._rebalance(now_ns, zone)
+        return wanted + self._repeated_moves(now_ns)
+
+    def _remove_expired(self, now_ns: int) -> None:
         for entry in self.entries.values():
-            for name in [n for n, until in entry.coming.items() if now >= until]:
-                del entry.coming[name]
-                if self._where.get(name) == entry.cell.name:
-                    del self._where[name]
-            count = entry.count()
-            if count != entry.counted:
-                entry.counted, entry.changed_at = count, now
-            entry.small_since = _since(entry.small_since, count <= self.policy.least, now)
-            entry.empty_since = _since(entry.empty_since, not count, now)
+            for name in [n for n, until_ns in entry.pending.items() if now_ns >= until_ns]:
+                del entry.pending[name]
+                if self._cell_of.get(name) == entry.cell.name:
+                    del self._cell_of[name]
+            self._update_times(now_ns, entry)
         for name, moving in list(self._moving.items()):
-            left, to = self.entries.get(moving.cell), self.entries.get(moving.placement.cell.name)
-            arrived = left is None or name not in left.members  # or ended: if it is there, it is reported
-            if arrived or to is None or to.cell.closing:
+            source = self.entries.get(moving.cell_name)
+            target = self.entries.get(moving.placement.cell.name)
+            has_left = source is None or name not in source.members  # to the target, or it has stopped
+            if has_left or target is None or target.cell.closing:
                 del self._moving[name]
 
-    def _moved(self, now: int, zone: Zone) -> list[MoveWanted]:
-        """One round of one zone: what is under way goes on, else something may begin."""
-        closing = [e for e in self.entries.values() if e.cell.place == zone and e.cell.closing]
+    def _update_times(self, now_ns: int, entry: CellEntry) -> None:
+        count = entry.count()
+        if count != entry.last_count:
+            entry.last_count = count
+            entry.changed_at_ns = now_ns
+        is_small = count <= self.policy.min_gateways
+        entry.small_since_ns = _since(entry.small_since_ns, is_small, now_ns)
+        entry.empty_since_ns = _since(entry.empty_since_ns, not count, now_ns)
+
+    def _rebalance(self, now_ns: int, zone: Zone) -> list[MoveRequest]:
+        """One round of one zone: a split or close in progress goes on, else one may begin."""
+        closing = [e for e in self.entries.values() if e.cell.location == zone and e.cell.closing]
         for entry in closing:
-            if entry.empty_since is not None and now - entry.empty_since >= EMPTY:
-                self._give_up(entry)
+            if entry.empty_since_ns is not None and now_ns - entry.empty_since_ns >= RETIRE_DELAY_NS:
+                self._retire(entry)
         if closing:
-            return list(self._emptied(now, closing))
+            return list(self._moves_from_closing(now_ns, closing))
         if self._to_split.get(zone):
-            return list(self._split(now, zone))
-        self._begin(now, zone)
+            return list(self._moves_of_split(now_ns, zone))
+        self._start_change(now_ns, zone)
         return []
 
-    def _give_up(self, entry: Entry) -> None:
+    def _retire(self, entry: CellEntry) -> None:
         del self.entries[entry.cell.name]
-        self.given_up[entry.cell.name] = structs.replace(entry.cell, number=self._next())
-        if len(self.given_up) > GIVEN_UP_MOST:
-            del self.given_up[next(iter(self.given_up))]
+        self.retired[entry.cell.name] = structs.replace(entry.cell, number=self._next_number())
+        if len(self.retired) > MAX_REMEMBERED_RETIRED:
+            del self.retired[next(iter(self.retired))]
 
-    def _emptied(self, now: int, closing: list[Entry]) -> Iterator[MoveWanted]:
+    def _moves_from_closing(self, now_ns: int, closing: list[CellEntry]) -> Iterator[MoveRequest]:
         staying = [(e, name) for e in closing for name in sorted(e.members) if name not in self._moving]
-        for entry, name in staying[:MOVES]:
-            if (to := self._room(now, entry.cell.place)) is not None and to.view != NO_VIEW:
-                yield self._move(now, entry, name, to)
+        for entry, name in staying[:MOVES_PER_ROUND]:
+            target = self._cell_with_capacity(now_ns, entry.cell.location)
+            if target is not None and target.view_number != NO_VIEW:
+                yield self._move(now_ns, entry, name, target)
 
-    def _split(self, now: int, zone: Zone) -> Iterator[MoveWanted]:
+    def _moves_of_split(self, now_ns: int, zone: Zone) -> Iterator[MoveRequest]:
         waiting = self._to_split[zone]
-        for _ in range(min(MOVES, len(waiting))):
-            name, cell = waiting[-1]
-            entry = self.entries.get(cell)
+        for _ in range(min(MOVES_PER_ROUND, len(waiting))):
+            name, cell_name = waiting[-1]
+            entry = self.entries.get(cell_name)
             if entry is not None and name in entry.members and name not in self._moving:
-                others = [e for e in self._open(zone) if e is not entry and e.count() < self.policy.target]
-                to = max(others, key=Entry.count) if others else self._opened(now, zone)
-                if to is None or to.view == NO_VIEW:
+                target = self._split_target(now_ns, zone, entry)
+                if target is None or target.view_number == NO_VIEW:
                     return
-                yield self._move(now, entry, name, to)
+                yield self._move(now_ns, entry, name, target)
             waiting.pop()
 
-    def _move(self, now: int, entry: Entry, name: str, to: Entry) -> MoveWanted:
-        placement = Placement(self._next(), to.cell)
-        self._moving[name] = Moving(entry.cell.name, placement, now)
-        self._sent(now, name, to)
-        return MoveWanted(entry.cell, name, placement)
+    def _split_target(self, now_ns: int, zone: Zone, entry: CellEntry) -> CellEntry | None:
+        """The fullest other cell with capacity; else a new one."""
+        others = [
+            other
+            for other in self._open_cells(zone)
+            if other is not entry and other.count() < self.policy.target_gateways
+        ]
+        return max(others, key=CellEntry.count) if others else self._open_cell(now_ns, zone)
+
+    def _move(self, now_ns: int, entry: CellEntry, name: str, target: CellEntry) -> MoveRequest:
+        placement = Placement(self._next_number(), target.cell)
+        self._moving[name] = Moving(entry.cell.name, placement, now_ns)
+        self._assign(now_ns, name, target)
+        return MoveRequest(entry.cell, name, placement)
 
-    def _begin(self, now: int, zone: Zone) -> None:
+    def _start_change(self, now_ns: int, zone: Zone) -> None:
         """At most one cell of the zone begins to be split or closed."""
-        entries = self._open(zone)
-        full = [e for e in entries if len(e.members) > self.policy.most]
+        entries = self._open_cells(zone)
+        full = [entry for entry in entries if len(entry.members) > self.policy.max_gateways]
         if full:
             names = sorted(full[0].members)
             self._to_split[zone] = [(name, full[0].cell.name) for name in names[len(names) // 2 :]]
             return
-        for entry in sorted(entries, key=Entry.count):
-            if self._without_seed(now, entry) or self._spare(now, entry, entries):
-                entry.cell = structs.replace(entry.cell, number=self._next(), closing=True)
+        for entry in sorted(entries, key=CellEntry.count):
+            if self._needs_new_seed(now_ns, entry) or self._is_redundant(now_ns, entry, entries):
+                entry.cell = structs.replace(entry.cell, number=self._next_number(), closing=True)
                 return
 
-    def _spare(self, now: int, entry: Entry, entries: list[Entry]) -> bool:
-        """Whether it has been small for long, and its gateways fit into another; or had none for longer."""
-        if entry.empty_since is not None:
-            return now - max(entry.empty_since, entry.since) >= self.policy.idle
-        if entry.small_since is None or now - max(entry.small_since, entry.since) < self.policy.hold:
+    def _is_redundant(self, now_ns: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
+        """Whether it has been small for long and its gateways fit into another, or has been empty for
+        long."""
+        if entry.empty_since_ns is not None:
+            return now_ns - max(entry.empty_since_ns, entry.known_since_ns) >= self.policy.empty_timeout_ns
+        if entry.small_since_ns is None:
             return False
-        steady = [other for other in entries if now - other.changed_at >= self.policy.hold]
-        room = self.policy.merged - entry.count()
-        return entry in steady and any(other is not entry and 0 < other.count() <= room for other in steady)
+        if now_ns - max(entry.small_since_ns, entry.known_since_ns) < self.policy.merge_delay_ns:
+            return False
+        steady = [other for other in entries if now_ns - other.changed_at_ns >= self.policy.merge_delay_ns]
+        capacity = self.policy.max_merged_gateways - entry.count()
+        return entry in steady and any(
+            other is not entry and 0 < other.count() <= capacity for other in steady
+        )
 
-    def _again(self, now: int) -> list[MoveWanted]:
-        """Those that are still where they were: word to them may be lost."""
-        made = []
+    def _repeated_moves(self, now_ns: int) -> list[MoveRequest]:
+        """Moves of gateways that have not left yet: their notices may be lost."""
+        requests = []
         for name, moving in self._moving.items():
-            left = self.entries.get(moving.cell)
-            to = self.entries.get(moving.placement.cell.name)
-            if left is not None and to is not None and now - moving.told_at >= AGAIN:
-                self._sent(now, name, to)
-                self._moving[name] = moving._replace(told_at=now)
-                made.append(MoveWanted(left.cell, name, moving.placement))
-        return made
+            source = self.entries.get(moving.cell_name)
+            target = self.entries.get(moving.placement.cell.name)
+            is_due = now_ns - moving.sent_at_ns >= RESEND_INTERVAL_NS
+            if is_due and source is not None and target is not None:
+                self._assign(now_ns, name, target)
+                self._moving[name] = moving._replace(sent_at_ns=now_ns)
+                requests.append(MoveRequest(source.cell, name, moving.placement))
+        return requests
+
+
+def _is_open_in(entry: CellEntry, zone: Zone) -> bool:
+    return entry.cell.location == zone and not entry.cell.closing
+
+
+def _seed_cost(
+    machine: ControlMachine, zone: Zone, chosen_zones: list[Zone], load: dict[Address, int]
+) -> tuple[bool, int, int, str]:
+    """The order in which seeds of a cell are chosen: least first."""
+    in_same_zone = chosen_zones.count(Zone(machine.region, machine.zone))
+    return machine.region != zone.region, in_same_zone, load[machine.address], machine.name
 
 
-def _since(since: int | None, holds: bool, now: int) -> int | None:
-    """When something that holds now began to."""
+def _since(since_ns: int | None, holds: bool, now_ns: int) -> int | None:
+    """When a condition that holds now began to; None where it does not."""
     if not holds:
         return None
-    return now if since is None else since
+    return now_ns if since_ns is None else since_ns
--- a/trackspread/cells/gateway.py
+++ b/trackspread/cells/gateway.py
@@ -1,229 +1,206 @@
 """A gateway's side: which cell it is to be in, that it is in it, and how it moves from one to another.
 
-The host calls as `controller.py` says. The rules of this file:
-- A gateway asks a control machine of its region which cell it is to be in, and goes on asking one of the
-  cell's seeds, seldom. Without an answer it asks others, of other regions too, ever less often, at times that
-  are drawn: a region that heals hears no storm.
-- It goes by what it has until a greater number says otherwise, whatever does not answer.
+- A gateway asks a control machine of its region for its placement, and goes on asking one of the cell's
+  seeds, at long intervals. Without an answer it asks others, of other regions too, with random backoff, so
+  that a region that heals sees no burst.
+- It follows its placement until one with a greater number arrives, whatever does not answer.
 - It moves by leaving the one cell, whose slots it gives back, and then joining the other: it is never in two.
 
 | event | without a cell | in one |
 | --- | --- | --- |
-| placement, number not greater | | passed over, but for a newer entry of the same cell |
-| placement, same cell | joined | taken up |
+| placement, number not greater | | ignored, but for a newer entry of the same cell |
+| placement, same cell | joined | updated |
 | placement, another cell | joined | left, then joined |
-| no answer | asks again, soon, then seldom | stays, asks again |
-| fenced: a newer process has this name | | asks and says no more |
-
-May know: its cell's member. May not know: the directory, other cells.
+| no answer | asks again, soon, then at long intervals | stays, asks again |
+| fenced: a newer process has this name | | sends nothing more |
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from ..membership.actions import Action
-from ..membership.identifiers import Address, MemberId
+from ..membership.identifiers import MS, SECOND, Address, MemberId
 from ..membership.member import Member
-from ..membership.messages import MemberMessage, TableSnapshot
 from ..membership.settings import MemberSettings
-from .terms import (
-    MS,
-    SECOND,
-    CellsAction,
-    ControlMachine,
-    InCell,
-    Joined,
-    Left,
-    Locate,
-    Located,
-    Message,
-    Placement,
-    Send,
-    Zone,
-)
-
-REFRESH = 6 * SECOND  # ns, the mean, between questions of one that is in a cell
-ASK, ASK_MOST = 500 * MS, 4 * SECOND  # ns until one without an answer asks again: first, and at most
-OTHERS_AFTER = 3  # questions without an answer, after which control machines of other regions are asked too
-CELL_MOST = 64  # members of a cell, as its tables are bounded by
+from .actions import CellJoined, CellLeft, CellsAction, SendCellsMessage
+from .core import CellsCore
+from .messages import CellsMessage, Placement, PlacementNotice, PlacementRequest
+from .topology import MAX_CELL_MEMBERS, ControlMachine, Zone
+
+REFRESH_INTERVAL_NS = 6 * SECOND  # the mean, between requests of a gateway that is in a cell
+MIN_BACKOFF_NS = 500 * MS  # the mean, before the first retry
+MAX_BACKOFF_NS = 4 * SECOND  # the mean
+MAX_BACKOFF_DOUBLINGS = 10
+LOCAL_ATTEMPTS = 3  # without an answer, after which control machines of other regions are asked too
+REFRESH_JITTER = (0.7, 1.3)  # of the interval
+BACKOFF_JITTER = (0.5, 1.5)  # of the backoff
 
 
 class GatewaySettings(NamedTuple):
-    """One gateway's. `machines`: control machines, of its own region at least."""
+    """Settings of one gateway. `machines`: control machines, at least those of its own region."""
 
     fleet: str
     name: str
-    born: int
+    created_at_ms: int  # wall clock
     address: Address
     zone: Zone
     machines: tuple[ControlMachine, ...]
     version: str = ""
-    period: int = 300 * MS
-    keep: int = 30 * SECOND
+    probe_interval_ns: int = 300 * MS
+    lease_duration_ns: int = 30 * SECOND
 
 
-class Gateway:
-    """The core. `seed`: of all its chances; `born` in the settings: wall clock, ms, at its start."""
+class Gateway(CellsCore):
+    """The core of a gateway. `seed`: of all its random choices."""
 
-    def __init__(self, settings: GatewaySettings, now: int, seed: int) -> None:
-        self.settings, self.rng = settings, random.Random(seed)
-        self.held: Placement | None = None
+    def __init__(self, settings: GatewaySettings, now_ns: int, seed: int) -> None:
+        super().__init__()
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.placement: Placement | None = None
         self.member: Member | None = None
-        self.answered_at: int | None = None  # by a control machine
-        self._born, self._failed = settings.born, 0
-        self._ask_at = now
-        self._control = frozenset(machine.name for machine in settings.machines)
-        self._near = [m.address for m in settings.machines if m.region == settings.zone.region]
-        self._all = [m.address for m in settings.machines]
-        self._out: list[CellsAction] = []
-        self.gone = False
+        self.answered_at_ns: int | None = None  # by a control machine
+        self._created_at_ms = settings.created_at_ms  # of the newest process of this name in any cell
+        self._unanswered = 0  # requests since the last answer
+        self._next_request_at_ns = now_ns
+        self._control_names = frozenset(machine.name for machine in settings.machines)
+        self._local_machines = [m.address for m in settings.machines if m.region == settings.zone.region]
+        self._all_machines = [m.address for m in settings.machines]
 
     @property
     def member_id(self) -> MemberId:
-        return self.member.member_id if self.member is not None else (self.settings.name, self._born)
+        """Name and creation time, as the cell knows them."""
+        if self.member is not None:
+            return self.member.member_id
+        return self.settings.name, self._created_at_ms
 
     @property
-    def fenced(self) -> bool:
+    def is_fenced(self) -> bool:
+        """Whether a newer process runs under this name."""
         return self.member is not None and self.member.is_fenced
 
-    def part(self, now: int) -> int:
-        """The slots of what its cell shares that this gateway may act on at this instant."""
-        return self.member.usable_slots(now) if self.member is not None else 0
+    def usable_slots(self, now_ns: int) -> int:
+        """The slots of the cell's shared limits that this gateway may use at this instant."""
+        return self.member.usable_slots(now_ns) if self.member is not None else 0
 
     # What the host calls.
 
-    def start(self, now: int) -> list[CellsAction]:
-        """Many may start at once: not all ask at once."""
-        self._ask_at = now + int(ASK * self.rng.random())
-        return self._done()
+    def start(self, now_ns: int) -> list[CellsAction]:
+        """Begin after a random delay: many gateways may start at once."""
+        self._next_request_at_ns = now_ns + int(MIN_BACKOFF_NS * self.rng.random())
+        return self._take_actions()
 
-    def tick(self, now: int) -> list[CellsAction]:
+    def tick(self, now_ns: int) -> list[CellsAction]:
+        """Do what is due."""
         if self.member is not None:
-            self._do(self.member.tick(now))
-        if not self.gone and not self.fenced and now >= self._ask_at:
-            self._ask(now)
-        return self._done()
-
-    def receive(self, now: int, member_message: MemberMessage, source: Address) -> list[CellsAction]:
-        return self._on(member_message.fleet, lambda member: member.receive(now, member_message, source))
-
-    def merge(self, now: int, table: TableSnapshot) -> list[CellsAction]:
-        return self._on(table.fleet, lambda member: member.merge(now, table))
-
-    def table_snapshot(self, fleet: str) -> TableSnapshot | None:
-        member = self._in(fleet)
-        return member.table_snapshot() if member is not None else None
+            self._perform(self.member.tick(now_ns))
+        if not self.has_left and not self.is_fenced and now_ns >= self._next_request_at_ns:
+            self._request_placement(now_ns)
+        return self._take_actions()
 
-    def message(self, now: int, message: Message, source: Address) -> list[CellsAction]:
+    def receive_cells_message(self, now_ns: int, message: CellsMessage, source: Address) -> list[CellsAction]:
+        """A control machine's message."""
         body = message.body
-        mine = message.fleet == self.settings.fleet and message.name in self._control
-        if (
-            mine
-            and not self.gone
-            and not self.fenced
-            and isinstance(body, Located)
-            and body.to == self.member_id
-        ):
-            self.answered_at, self._failed = now, 0
-            self._ask_at = now + int(REFRESH * self.rng.uniform(0.7, 1.3))
-            self._placed(now, body.placement)
-        return self._done()
+        if self._accepts(message) and isinstance(body, PlacementNotice) and body.member_id == self.member_id:
+            self.answered_at_ns = now_ns
+            self._unanswered = 0
+            self._next_request_at_ns = now_ns + int(REFRESH_INTERVAL_NS * self.rng.uniform(*REFRESH_JITTER))
+            self._follow(now_ns, body.placement)
+        return self._take_actions()
 
     def send_data(self, names: Iterable[str], data: bytes) -> list[CellsAction]:
-        """To those of these that are here in the cell."""
+        """Send data to those of these gateways that are present in the cell."""
         if self.member is not None:
-            self._do(self.member.send_data(names, data))
-        return self._done()
+            self._perform(self.member.send_data(names, data))
+        return self._take_actions()
 
-    def leave(self, now: int) -> list[CellsAction]:
-        """In good order."""
-        if not self.gone:
-            self._leave(now)
-            self.gone = True
-        return self._done()
+    def leave(self, now_ns: int) -> list[CellsAction]:
+        """Shut down gracefully."""
+        if not self.has_left:
+            self._leave_cell(now_ns)
+            self.has_left = True
+        return self._take_actions()
 
     def hand_over(self) -> list[CellsAction]:
         """Another process goes on under this name."""
-        if not self.gone:
+        if not self.has_left:
             if self.member is not None:
-                self._do(self.member.hand_over())
-            self.gone = True
-        return self._done()
+                self._perform(self.member.hand_over())
+            self.has_left = True
+        return self._take_actions()
 
     # The cell.
 
-    def _in(self, fleet: str) -> Member | None:
-        return self.member if self.held is not None and fleet == self.held.cell.name else None
-
-    def _on(self, fleet: str, call: Callable[[Member], Iterable[Action]]) -> list[CellsAction]:
-        member = self._in(fleet)
-        if member is not None:
-            self._do(call(member))
-        return self._done()
-
-    def _do(self, actions: Iterable[Action]) -> None:
-        if self.held is not None:
-            self._out += [InCell(self.held.cell.name, action) for action in actions]
-
-    def _done(self) -> list[CellsAction]:
-        out, self._out = self._out, []
-        return out
-
-    def _ask(self, now: int) -> None:
-        """Until it is answered, the next time is further off, and drawn."""
-        span = min(ASK_MOST, ASK << min(self._failed, 10))
-        self._ask_at = now + int(span * self.rng.uniform(0.5, 1.5))
-        to = self._asked()
-        self._failed += 1
-        zone, address = self.settings.zone, self.settings.address
-        body = Locate(zone.region, zone.zone, address, self.held)
-        self._out.append(Send(to, Message(self.settings.fleet, *self.member_id, body)))
-
-    def _asked(self) -> Address:
-        """Its cell's seeds know it best; then its region; then whoever is left."""
-        if self.held is not None and not self._failed:
-            return self.rng.choice(self.held.cell.seeds)
-        if self._near and self._failed < OTHERS_AFTER:
-            return self.rng.choice(self._near)
-        return self.rng.choice(self._all)
-
-    def _placed(self, now: int, placement: Placement) -> None:
-        held = self.held
-        if held is None:
-            self._join(now, placement)
-        elif placement.cell.name == held.cell.name:
-            if placement.number >= held.number and placement.cell.number >= held.cell.number:
-                self.held = placement
-        elif placement.number > held.number:
-            self._leave(now)
-            self._join(now, placement)
-
-    def _leave(self, now: int) -> None:
-        if self.member is None or self.held is None:
+    def _accepts(self, message: CellsMessage) -> bool:
+        from_control = message.fleet == self.settings.fleet and message.name in self._control_names
+        return from_control and not self.has_left and not self.is_fenced
+
+    def _member_in(self, fleet: str) -> Member | None:
+        if self.placement is None or fleet != self.placement.cell.name:
+            return None
+        return self.member
+
+    def _perform(self, actions: Iterable[Action]) -> None:
+        if self.placement is not None:
+            self._add_member_actions(self.placement.cell.name, actions)
+
+    def _request_placement(self, now_ns: int) -> None:
+        """Ask a control machine; the backoff grows until it answers."""
+        backoff_ns = min(MAX_BACKOFF_NS, MIN_BACKOFF_NS << min(self._unanswered, MAX_BACKOFF_DOUBLINGS))
+        self._next_request_at_ns = now_ns + int(backoff_ns * self.rng.uniform(*BACKOFF_JITTER))
+        machine = self._choose_machine()
+        self._unanswered += 1
+        settings = self.settings
+        request = PlacementRequest(settings.zone.region, settings.zone.zone, settings.address, self.placement)
+        message = CellsMessage(settings.fleet, *self.member_id, request)
+        self._actions.append(SendCellsMessage(machine, message))
+
+    def _choose_machine(self) -> Address:
+        """A seed of its cell, which knows it best; then one of its region; then any."""
+        if self.placement is not None and not self._unanswered:
+            return self.rng.choice(self.placement.cell.seeds)
+        if self._local_machines and self._unanswered < LOCAL_ATTEMPTS:
+            return self.rng.choice(self._local_machines)
+        return self.rng.choice(self._all_machines)
+
+    def _follow(self, now_ns: int, placement: Placement) -> None:
+        current = self.placement
+        if current is None:
+            self._join_cell(now_ns, placement)
+        elif placement.cell.name == current.cell.name:
+            if placement.number >= current.number and placement.cell.number >= current.cell.number:
+                self.placement = placement
+        elif placement.number > current.number:
+            self._leave_cell(now_ns)
+            self._join_cell(now_ns, placement)
+
+    def _leave_cell(self, now_ns: int) -> None:
+        if self.member is None or self.placement is None:
             return
-        self._born = self.member.member_id[1]
-        self._do(self.member.leave(now))
-        self._out.append(Left(self.held))
+        self._created_at_ms = self.member.member_id[1]
+        self._perform(self.member.leave(now_ns))
+        self._actions.append(CellLeft(self.placement))
         self.member = None
 
-    def _join(self, now: int, placement: Placement) -> None:
-        """As another process of its name: the former one has left, should it ever come back to a cell."""
-        mine, cell = self.settings, placement.cell
-        self.held, self._born = placement, self._born + 1
-        settings = MemberSettings(
+    def _join_cell(self, now_ns: int, placement: Placement) -> None:
+        """Join as another process of this name: the former one has left, should it ever return to a cell."""
+        settings, cell = self.settings, placement.cell
+        self.placement = placement
+        self._created_at_ms += 1
+        member_settings = MemberSettings(
             cell.name,
-            mine.name,
-            self._born,
-            mine.address,
+            settings.name,
+            self._created_at_ms,
+            settings.address,
             cell.seeds,
-            mine.version,
-            mine.period,
-            CELL_MOST,
-            lease_duration_ns=mine.keep,
+            settings.version,
+            settings.probe_interval_ns,
+            MAX_CELL_MEMBERS,
+            lease_duration_ns=settings.lease_duration_ns,
         )
-        self.member = Member(settings, now, self.rng.getrandbits(60))
-        self._out.append(Joined(placement))
-        self._do(self.member.start(now))
+        self.member = Member(member_settings, now_ns, self.rng.getrandbits(60))
+        self._actions.append(CellJoined(placement))
+        self._perform(self.member.start(now_ns))
--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -11,14 +11,15 @@
 from pathlib import Path
 
 from ..logs import Sparing
-from ..membership.actions import Action, ExchangeTables, PeerDataReceived, SendMessage
+from ..membership.actions import Action, ExchangeTables, PeerDataReceived, SendMessage, StatusEvent
 from ..membership.core_host import CHANGES, LOGGED, CoreHost, DataCallback
 from ..membership.host import describe
 from ..membership.identifiers import Address, Epoch
 from ..membership.messages import MemberMessage, TableSnapshot
+from .actions import CellJoined, CellLeft, CellsAction, LeadershipChanged, MemberAction, SendCellsMessage
 from .controller import Controller
 from .gateway import Gateway
-from .terms import CellsAction, InCell, Joined, Leads, Left, Message, Send, StatusEvent
+from .messages import CellsMessage
 from .wire import CellsWire
 
 log = logging.getLogger(__name__)
@@ -73,8 +74,8 @@
         match self._cells_wire.read(data):
             case MemberMessage() as member_message:
                 self._perform(self.core.receive(self._clock_ns(), member_message, source))
-            case Message() as message:
-                self._perform(self.core.message(self._clock_ns(), message, source))
+            case CellsMessage() as message:
+                self._perform(self.core.receive_cells_message(self._clock_ns(), message, source))
 
     def _table_snapshot(self, fleet: str) -> TableSnapshot | None:
         return self.core.table_snapshot(fleet)
@@ -83,14 +84,14 @@
         has_changed = False
         for action in actions:
             match action:
-                case Send(to, message):
+                case SendCellsMessage(to, message):
                     self._send(self._cells_wire.pack_message(message), to)
-                case InCell(fleet, member_action):
+                case MemberAction(fleet, member_action):
                     has_changed |= self._perform_in_cell(fleet, member_action)
-                case Joined() | Left():
+                case CellJoined() | CellLeft():
                     self._placed(action)
                     has_changed = True
-                case Leads(epoch):
+                case LeadershipChanged(epoch):
                     kind = "leads" if epoch is not None else "leads no more"
                     self._record_control_event(kind, {"epoch": epoch})
                     self._on_leadership(epoch)
@@ -120,8 +121,8 @@
         elif event.kind in LOGGED:  # a control machine is in many views
             log.info("%s: %s%s", fleet, event.kind, describe(event))
 
-    def _placed(self, action: Joined | Left) -> None:
-        kind = "joined" if isinstance(action, Joined) else "parted"
+    def _placed(self, action: CellJoined | CellLeft) -> None:
+        kind = "joined" if isinstance(action, CellJoined) else "parted"
         cell = action.placement.cell.name
         important_log.info("cell %s: %s", cell, kind)
         self._log_event(kind, {"cell": cell, "number": action.placement.number})
--- a/trackspread/commands/fleet.py
+++ b/trackspread/commands/fleet.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..cells.terms import CellRow, Describe, Described, Message
+from ..cells.messages import CellRow, CellsMessage, DirectoryPage, DirectoryRequest
 from ..cells.wire import CellsWire
 from ..config import operator
 from ..config.addresses import ConfigError, address
@@ -59,7 +59,7 @@
                     "wanted a majority of the control machines up, and the fleet's key"
                 )
             rows += answer.rows
-            to, page, pages, refused = [answer.leader], page + 1, answer.pages, answer.refused
+            to, page, pages, refused = [answer.leader], page + 1, answer.pages, answer.rejected_requests
     gateways = sum(row.gateways for row in rows)
     print(f"fleet {fleet.name}: {len(rows)} cells, {gateways} gateways, {refused} questions refused")
     for row in rows:
@@ -67,9 +67,11 @@
     return 0
 
 
-def _described(line: socket.socket, wire: CellsWire, to: Sequence[Address], page: int) -> Described | None:
+def _described(
+    line: socket.socket, wire: CellsWire, to: Sequence[Address], page: int
+) -> DirectoryPage | None:
     """The leader's answer; whoever answers for it is not asked again."""
-    question = wire.pack_message(Message(wire.fleet, "", 0, Describe(page)))
+    question = wire.pack_message(CellsMessage(wire.fleet, "", 0, DirectoryRequest(page)))
     end = time.monotonic() + PATIENCE
     while time.monotonic() < end:
         for each in to:
@@ -80,8 +82,8 @@
                 told = wire.read(line.recv(MAX_DATAGRAM_BYTES))
             except OSError:  # nobody yet, or nobody at one of the addresses
                 continue
-            body = told.body if isinstance(told, Message) else None
-            if isinstance(body, Described) and body.page == page and body.pages:
+            body = told.body if isinstance(told, CellsMessage) else None
+            if isinstance(body, DirectoryPage) and body.page == page and body.pages:
                 return body
     return None
 
--- a/trackspread/membership/coordinator.py
+++ b/trackspread/membership/coordinator.py
@@ -22,8 +22,7 @@
 
 from typing import NamedTuple
 
-from .identifiers import MS, NO_POSITION, NO_VIEW, Epoch, ListPosition, MemberId, ViewNumber
-from .identifiers import OBSERVER
+from .identifiers import MS, NO_POSITION, NO_VIEW, OBSERVER, Epoch, ListPosition, MemberId, ViewNumber
 from .lease_timing import RENEWAL_SPAN_NS
 from .messages import LeaseRequest, View
 from .slot_allocation import ALL_SLOTS, allocate, slots_from_bytes
--- a/trackspread/membership/lease_renewal.py
+++ b/trackspread/membership/lease_renewal.py
@@ -6,8 +6,7 @@
 
 from __future__ import annotations
 
-from .identifiers import Epoch, ListPosition, ViewNumber
-from .identifiers import OBSERVER
+from .identifiers import OBSERVER, Epoch, ListPosition, ViewNumber
 from .lease_timing import CONTACT_TIMEOUT_NS, RENEWAL_SPAN_NS
 from .messages import LeaseGrant, LeaseRequest
 from .slot_allocation import slots_from_bytes, slots_to_bytes
--- a/trackspread/node/celled.py
+++ b/trackspread/node/celled.py
@@ -15,7 +15,7 @@
 
 from ..cells.gateway import Gateway, GatewaySettings
 from ..cells.host import Host
-from ..cells.terms import ControlMachine, Zone
+from ..cells.topology import ControlMachine, Zone
 from ..cells.wire import CellsWire
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
@@ -106,12 +106,12 @@
     def report(self) -> FleetReport | None:
         """Nothing while it takes no part, or is in no cell yet."""
         host, core = self.host, self._core
-        if host is None or core is None or core.member is None or core.held is None:
+        if host is None or core is None or core.member is None or core.placement is None:
             return None
         now = self._now()
         told = fleet_report(now, core.member, host.counts, host.wire.dropped)
-        since = None if core.answered_at is None else round((now - core.answered_at) / SECOND, 1)
-        return structs.replace(told, fleet=self._fleet.name, cell=core.held.cell.name, answered_s=since)
+        since = None if core.answered_at_ns is None else round((now - core.answered_at_ns) / SECOND, 1)
+        return structs.replace(told, fleet=self._fleet.name, cell=core.placement.cell.name, answered_s=since)
 
     def answer(self) -> tuple[int, str]:
         """For the operators' door."""
--- a/trackspread/node/controlling.py
+++ b/trackspread/node/controlling.py
@@ -15,9 +15,9 @@
 
 import uvloop
 
-from ..cells.controller import CELL_MOST, Controller, ControlSettings
+from ..cells.controller import ControlSettings, Controller
+from ..cells.topology import MAX_CELL_MEMBERS, CellPolicy
 from ..cells.host import Host
-from ..cells.terms import Policy
 from ..cells.wire import CellsWire
 from ..config import operator
 from ..config.addresses import ConfigError, address
@@ -45,12 +45,12 @@
         created_now_ms(),
         known,
         program_version(),
-        Policy(gateways=fleet.gateways),
+        CellPolicy(max_fleet_gateways=fleet.gateways),
         int(fleet.period_ms * MS),
         int(fleet.keep_s * SECOND),
     )
     core = Controller(settings, time.monotonic_ns(), int.from_bytes(os.urandom(8)))
-    wire = CellsWire(fleet.name, keys(fleet), max(CELL_MOST, 2 * len(known)))
+    wire = CellsWire(fleet.name, keys(fleet), max(MAX_CELL_MEMBERS, 2 * len(known)))
     record = Path(fleet.record) if fleet.record else None
     listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else me.address
     return Host(core, listen, wire, time.monotonic_ns, record, on_leadership=led)
--- a/trackspread/node/replicating.py
+++ b/trackspread/node/replicating.py
@@ -26,14 +26,14 @@
     if not table.replicas:
         return None
     addresses = table.addresses()
-    number = core.settings.machines.index(core.me)
+    number = core.settings.machines.index(core.machine)
 
     def leads() -> Epoch | None:
-        tier = core.tier
+        tier = core.control_member
         return tier.coordinator.epoch if tier.coordinator is not None and tier.is_coordinator(now()) else None
 
     def outdone(epoch: Epoch) -> None:
-        core.tier.coordination.acceptor.record_round(
+        core.control_member.coordination.acceptor.record_round(
             epoch[0]
         )  # the lease is given up, and the next bid is beyond it
 
--- a/trackspread/testing/harness/quickened.py
+++ b/trackspread/testing/harness/quickened.py
@@ -13,7 +13,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...cells.terms import Policy
+from ...cells.topology import CellPolicy
 from ...membership.identifiers import SECOND
 from ...node import controlling
 from ..virtual.cells import mutants as celled_mutants
@@ -32,8 +32,8 @@
     return [each for name in names.split(",") if name != NONE for each in known[name]()]
 
 
-def _policy(gateways: int) -> Policy:
-    return Policy(TARGET, MOST, LEAST, MERGED, gateways, SOON, SOON, IDLE)
+def _policy(gateways: int) -> CellPolicy:
+    return CellPolicy(TARGET, MOST, LEAST, MERGED, gateways, SOON, SOON, IDLE)
 
 
 def main(names: str, control: str, file: str) -> None:
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -10,22 +10,14 @@
 from msgspec import structs
 
 from ....cells import gateway
+from ....cells.actions import CellLeft, CellsAction
 from ....cells.controller import Controller
-from ....cells.directory import Directory, Entry
+from ....cells.directory import CellEntry, Directory
+from ....cells.directory_leader import DirectoryLeader
 from ....cells.gateway import Gateway
-from ....cells.leading import Leading
-from ....cells.seeding import Seeding
-from ....cells.terms import (
-    Cell,
-    CellReport,
-    CellsAction,
-    Left,
-    Locate,
-    Located,
-    Message,
-    Placement,
-    Zone,
-)
+from ....cells.messages import Cell, CellReport, CellsMessage, Placement, PlacementNotice, PlacementRequest
+from ....cells.seeded_cell import SeededCell
+from ....cells.topology import Zone
 from ....membership.identifiers import SECOND, Address, Epoch, MemberId
 from ....membership.lease_renewal import LeaseRenewal
 from ....membership.messages import LeaseRequest
@@ -36,83 +28,83 @@
 
 def _any_word() -> list[Any]:
     """A gateway goes by whatever came last, whichever process of its name that was for."""
-    real = Gateway.message
+    real = Gateway.receive_cells_message
 
-    def message(self: Gateway, now: int, word: Message, source: Address) -> list[CellsAction]:
-        if isinstance(word.body, Located):
-            word = structs.replace(word, body=Located(self.member_id, word.body.placement))
+    def message(self: Gateway, now: int, word: CellsMessage, source: Address) -> list[CellsAction]:
+        if isinstance(word.body, PlacementNotice):
+            word = structs.replace(word, body=PlacementNotice(self.member_id, word.body.placement))
         return real(self, now, word, source)
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
-        if self.held is None:
-            self._join(now, placement)
-        elif placement.cell.name == self.held.cell.name:
-            self.held = placement
+        if self.placement is None:
+            self._join_cell(now, placement)
+        elif placement.cell.name == self.placement.cell.name:
+            self.placement = placement
         else:
-            self._leave(now)
-            self._join(now, placement)
+            self._leave_cell(now)
+            self._join_cell(now, placement)
 
-    return [patch.object(Gateway, "_placed", mutant), patch.object(Gateway, "message", message)]
+    return [patch.object(Gateway, "_follow", mutant), patch.object(Gateway, "receive_cells_message", message)]
 
 
 def _first_word() -> list[Any]:
     """A gateway never moves."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
-        if self.held is None:
-            self._join(now, placement)
+        if self.placement is None:
+            self._join_cell(now, placement)
 
-    return [patch.object(Gateway, "_placed", mutant)]
+    return [patch.object(Gateway, "_follow", mutant)]
 
 
 def _kept_slots() -> list[Any]:
     """Who moves does not give its slots back, and acts on them until they end."""
 
     def mutant(self: Gateway, now: int) -> None:
-        if self.member is not None and self.held is not None:
-            self._born = self.member.member_id[1]
-            self._out.append(Left(self.held))
+        if self.member is not None and self.placement is not None:
+            self._created_at_ms = self.member.member_id[1]
+            self._actions.append(CellLeft(self.placement))
             self.member = None
 
-    return [patch.object(Gateway, "_leave", mutant)]
+    return [patch.object(Gateway, "_leave_cell", mutant)]
 
 
 def _joins_first() -> list[Any]:
     """Who moves joins the other cell before it leaves the one it is in."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
-        before, member = self.held, self.member
+        before, member = self.placement, self.member
         if before is not None and placement.cell.name == before.cell.name:
-            self.held = max(before, placement, key=lambda each: each.number)
+            self.placement = max(before, placement, key=lambda each: each.number)
         elif before is None or placement.number > before.number:
-            self._join(now, placement)
+            self._join_cell(now, placement)
             if before is not None and member is not None:
                 member.leave(now)
-                self._out.append(Left(before))
+                self._actions.append(CellLeft(before))
 
-    return [patch.object(Gateway, "_placed", mutant)]
+    return [patch.object(Gateway, "_follow", mutant)]
 
 
 def _gives_up_its_cell() -> list[Any]:
     """A gateway leaves its cell when no control machine answers."""
-    real = Gateway._ask
+    real = Gateway._request_placement
 
     def mutant(self: Gateway, now: int) -> None:
-        if self._failed > 2:
-            self._leave(now)
-            self.held = None
+        if self._unanswered > 2:
+            self._leave_cell(now)
+            self.placement = None
         real(self, now)
 
-    return [patch.object(Gateway, "_ask", mutant)]
+    return [patch.object(Gateway, "_request_placement", mutant)]
 
 
 def _asks_without_pause() -> list[Any]:
-    return [patch.object(gateway, "ASK_MOST", gateway.ASK)]
+    return [patch.object(gateway, "MAX_BACKOFF_NS", gateway.MIN_BACKOFF_NS)]
 
 
 def _asks_together() -> list[Any]:
     """Whoever was answered asks again at once."""
-    return [patch.object(gateway, "REFRESH", gateway.ASK)]
+    return [patch.object(gateway, "REFRESH_INTERVAL_NS", gateway.MIN_BACKOFF_NS)]
 
 
 def _leads_on() -> list[Any]:
@@ -120,12 +112,12 @@
     real = Controller._lead
 
     def lead(self: Controller, now: int) -> None:
-        if self.leading is None or self.tier.is_coordinator(now):
+        if self.leader is None or self.control_member.is_coordinator(now):
             real(self, now)
 
     return [
         patch.object(Controller, "_lead", lead),
-        patch.object(Controller, "leads", lambda self, now: self.leading is not None),
+        patch.object(Controller, "is_leader", lambda self, now: self.leader is not None),
     ]
 
 
@@ -147,7 +139,7 @@
     real = Controller._seed
 
     def mutant(self: Controller, now: int, cell: Cell) -> None:
-        self.given_up.clear()
+        self.retired.clear()
         real(self, now, cell)
 
     return [patch.object(Controller, "_seed", mutant)]
@@ -155,107 +147,107 @@
 
 def _not_reported() -> list[Any]:
     """A new leader hears nothing of the cells that there are."""
-    real = Seeding.reports
+    real = SeededCell.due_reports
 
     def mutant(
-        self: Seeding, now: int, epoch: Epoch, control: frozenset[str], rng: random.Random
+        self: SeededCell, now: int, epoch: Epoch, control: frozenset[str], rng: random.Random
     ) -> list[CellReport]:
-        return real(self, now, epoch, control, rng) if self.noted is None else []
+        return real(self, now, epoch, control, rng) if self.receipt is None else []
 
-    return [patch.object(Seeding, "reports", mutant)]
+    return [patch.object(SeededCell, "due_reports", mutant)]
 
 
 def _restart_unseen() -> list[Any]:
     """A control machine that starts anew is not told what it seeds."""
-    return [patch.object(Leading, "_forget", lambda self, address: None)]
+    return [patch.object(DirectoryLeader, "_forget_reported", lambda self, address: None)]
 
 
 def _given_up_full() -> list[Any]:
     """A closing cell is given up though it has gateways."""
-    real = Directory._moved
+    real = Directory._rebalance
 
     def mutant(self: Directory, now: int, zone: Zone) -> Any:
-        for entry in [e for e in self.entries.values() if e.cell.place == zone and e.cell.closing]:
-            self._give_up(entry)
+        for entry in [e for e in self.entries.values() if e.cell.location == zone and e.cell.closing]:
+            self._retire(entry)
         return real(self, now, zone)
 
-    return [patch.object(Directory, "_moved", mutant)]
+    return [patch.object(Directory, "_rebalance", mutant)]
 
 
 def _zones_mixed() -> list[Any]:
     """A gateway is sent to the fullest cell of any zone."""
 
-    def mutant(self: Directory, zone: Zone) -> list[Entry]:
+    def mutant(self: Directory, zone: Zone) -> list[CellEntry]:
         return [e for e in self.entries.values() if not e.cell.closing]
 
-    return [patch.object(Directory, "_open", mutant)]
+    return [patch.object(Directory, "_open_cells", mutant)]
 
 
 def _never_split() -> list[Any]:
-    real = Directory._begin
+    real = Directory._start_change
 
     def mutant(self: Directory, now: int, zone: Zone) -> None:
-        if all(len(e.members) <= self.policy.most for e in self._open(zone)):
+        if all(len(e.members) <= self.policy.max_gateways for e in self._open_cells(zone)):
             real(self, now, zone)
 
-    return [patch.object(Directory, "_begin", mutant)]
+    return [patch.object(Directory, "_start_change", mutant)]
 
 
 def _never_merged() -> list[Any]:
-    return [patch.object(Directory, "_spare", lambda self, now, entry, entries: False)]
+    return [patch.object(Directory, "_is_redundant", lambda self, now, entry, entries: False)]
 
 
 def _empty_given_up_soon() -> list[Any]:
     """A cell whose gateways are out of reach for some seconds is given up."""
-    real = Directory._spare
+    real = Directory._is_redundant
 
-    def mutant(self: Directory, now: int, entry: Entry, entries: list[Entry]) -> bool:
-        if entry.empty_since is not None:
-            return now - entry.empty_since >= 10 * SECOND
+    def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
+        if entry.empty_since_ns is not None:
+            return now - entry.empty_since_ns >= 10 * SECOND
         return real(self, now, entry, entries)
 
-    return [patch.object(Directory, "_spare", mutant)]
+    return [patch.object(Directory, "_is_redundant", mutant)]
 
 
 def _merges_without_pause() -> list[Any]:
     """A cell that has just been opened or left is merged, however full the other."""
 
-    def mutant(self: Directory, now: int, entry: Entry, entries: list[Entry]) -> bool:
-        return entry.count() <= self.policy.most
+    def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
+        return entry.count() <= self.policy.max_gateways
 
-    return [patch.object(Directory, "_spare", mutant)]
+    return [patch.object(Directory, "_is_redundant", mutant)]
 
 
 def _seeds_for_ever() -> list[Any]:
     """A control machine that is gone stays a seed."""
-    return [patch.object(Directory, "_without_seed", lambda self, now, entry: False)]
+    return [patch.object(Directory, "_needs_new_seed", lambda self, now, entry: False)]
 
 
 def _cut_off_is_gone() -> list[Any]:
     """Any seed out of reach for a moment has its cells closed, also with its whole region."""
 
-    def mutant(self: Directory, now: int, entry: Entry) -> bool:
-        return any(now - self._lost.get(seed, now) >= 2 * SECOND for seed in entry.cell.seeds)
+    def mutant(self: Directory, now: int, entry: CellEntry) -> bool:
+        return any(now - self._lost_since_ns.get(seed, now) >= 2 * SECOND for seed in entry.cell.seeds)
 
-    return [patch.object(Directory, "_without_seed", mutant)]
+    return [patch.object(Directory, "_needs_new_seed", mutant)]
 
 
 def _former_cell_forgotten() -> list[Any]:
     """Who starts anew is sent anywhere."""
-    real = Directory.locate
+    real = Directory.place
 
-    def mutant(self: Directory, now: int, who: MemberId, locate: Locate) -> Placement | None:
-        if locate.held is None:
-            self._where.pop(who[0], None)
+    def mutant(self: Directory, now: int, who: MemberId, locate: PlacementRequest) -> Placement | None:
+        if locate.current is None:
+            self._cell_of.pop(who[0], None)
         return real(self, now, who, locate)
 
-    return [patch.object(Directory, "locate", mutant)]
+    return [patch.object(Directory, "place", mutant)]
 
 
 def _opens_unasked() -> list[Any]:
     """A new leader opens cells before it has heard of those that there are."""
     return [
-        patch.object(Directory, "rebuilding", lambda self, now: False),
+        patch.object(Directory, "is_rebuilding", lambda self, now: False),
         *_former_cell_forgotten(),
         *_never_merged(),
     ]
@@ -263,7 +255,7 @@
 
 def _no_local_placement() -> list[Any]:
     """Newcomers wait for the leader, however long it is out of reach."""
-    return [patch.object(Controller, "_without_leader", lambda self, now, who, locate: None)]
+    return [patch.object(Controller, "_place_without_leader", lambda self, now, who, locate: None)]
 
 
 def _witness_granted() -> list[Any]:
--- a/trackspread/testing/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from ....cells.terms import Left, Policy
+from ....cells.actions import CellLeft
+from ....cells.topology import CellPolicy
 from ....membership.identifiers import MS, SECOND
 from ..stage import Broken
 from .world import KEEP, CelledWorld, Process
@@ -21,7 +22,7 @@
 QUIET = 40 * SECOND  # ns after which cells that were to be merged are
 LEAD = 16 * SECOND  # ns for all to start and settle before anything goes wrong
 SPAN = 24 * SECOND  # ns in which it does
-SMALL = Policy(6, 8, 2, 4, 4_096, 5 * SECOND, 8 * SECOND, 5 * SECOND)  # as at size, with few processes
+SMALL = CellPolicy(6, 8, 2, 4, 4_096, 5 * SECOND, 8 * SECOND, 5 * SECOND)  # as at size, with few processes
 
 
 class Player:
@@ -146,7 +147,7 @@
     world.run(QUIET)
     since = world.true
     world.run(CALM)
-    moved = [told for at, _, told in world.told if at > since and isinstance(told, Left)]
+    moved = [told for at, _, told in world.told if at > since and isinstance(told, CellLeft)]
     if moved:
         raise Broken(f"seed {seed}: {len(moved)} move without a cause")
     if amiss := world.settled():
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -12,25 +12,12 @@
 
 import msgspec
 
+from ....cells.actions import CellJoined, CellLeft, LeadershipChanged, MemberAction, SendCellsMessage
 from ....cells.controller import Controller, ControlSettings
 from ....cells.gateway import Gateway, GatewaySettings
-from ....cells.terms import (
-    Cell,
-    ControlMachine,
-    InCell,
-    Joined,
-    Leads,
-    Left,
-    Locate,
-    Located,
-    Message,
-    Placement,
-    Policy,
-    Send,
-    StatusEvent,
-    Zone,
-)
-from ....membership.actions import ExchangeTables, SendMessage
+from ....cells.messages import Cell, CellsMessage, Placement, PlacementNotice, PlacementRequest
+from ....cells.topology import CellPolicy, ControlMachine, Zone
+from ....membership.actions import ExchangeTables, SendMessage, StatusEvent
 from ....membership.identifiers import SECOND, Address, MemberId, ViewNumber
 from ....membership.member import Member
 from ....membership.messages import MemberMessage, TableSnapshot, View
@@ -42,7 +29,7 @@
 Process = stage.Process[Core]
 
 FLEET = "fleet"
-POLICY = Policy()
+POLICY = CellPolicy()
 KEEP = 2 * SECOND  # that a silent gateway keeps its slots for, unless said otherwise
 HEAD = 19  # bytes of mark and digest before what a datagram holds
 LENGTH = 4  # bytes before a table
@@ -66,7 +53,7 @@
         machines: int = 7,
         zones: int = 3,
         drift: float = 0.0,
-        policy: Policy = POLICY,
+        policy: CellPolicy = POLICY,
         keep: int = KEEP,
     ) -> None:
         super().__init__(f"cells:{seed}", drift)
@@ -115,7 +102,9 @@
         core: Core
         if process.name.startswith("c"):
             core = Controller(
-                ControlSettings(FLEET, process.name, born, self.machines, "1", self._policy, keep=self._keep),
+                ControlSettings(
+                    FLEET, process.name, born, self.machines, "1", self._policy, lease_duration_ns=self._keep
+                ),
                 now,
                 seed,
             )
@@ -129,7 +118,7 @@
                     self._zone_of[process.name],
                     self.machines,
                     "1",
-                    keep=self._keep,
+                    lease_duration_ns=self._keep,
                 ),
                 now,
                 seed,
@@ -164,7 +153,7 @@
 
     def leader(self) -> Process | None:
         """Who leads at this instant."""
-        found = [p for p, core in self.controllers() if core.leads(p.now(self.clock.now))]
+        found = [p for p, core in self.controllers() if core.is_leader(p.now(self.clock.now))]
         if len(found) > 1:
             raise Broken(f"{self.true / 1e9:.3f} s: {[p.name for p in found]} lead together")
         return found[0] if found else None
@@ -185,22 +174,22 @@
     def _do(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
             match action:
-                case Send(to, message):
+                case SendCellsMessage(to, message):
                     self._send(process, to, message)
-                case InCell(_, SendMessage(to, member_message)):
+                case MemberAction(_, SendMessage(to, member_message)):
                     self._send(process, to, member_message)
-                case InCell(fleet, ExchangeTables(to)):
+                case MemberAction(fleet, ExchangeTables(to)):
                     self._connect(process, fleet, to)
-                case InCell(fleet, StatusEvent() as told):
+                case MemberAction(fleet, StatusEvent() as told):
                     self._viewed(process, fleet, told)
-                case Joined() | Left() | Leads() | StatusEvent():
+                case CellJoined() | CellLeft() | LeadershipChanged() | StatusEvent():
                     self._noticed(process, action)
 
-    def _send(self, process: Process, to: Address, what: MemberMessage | Message) -> None:
+    def _send(self, process: Process, to: Address, what: MemberMessage | CellsMessage) -> None:
         size = len(self._encode(what)) + HEAD
         self.sent[process.name] += size
         self.datagrams[process.name] += 1
-        self.asks[process.name] += isinstance(what, Message) and isinstance(what.body, Locate)
+        self.asks[process.name] += isinstance(what, CellsMessage) and isinstance(what.body, PlacementRequest)
         target = self._by_address.get(to)
         if target is None:
             return
@@ -208,11 +197,13 @@
         for _ in range(1 + (bool(weather.twice) and rng.random() < weather.twice)):
             if not (weather.loss and rng.random() < weather.loss):
                 late = self._late()
-                if self.words_late and isinstance(what, Message):
+                if self.words_late and isinstance(what, CellsMessage):
                     late += rng.randint(0, self.words_late)
                 self.clock.after(late, partial(self._arrive, process, target, what, size))
 
-    def _arrive(self, source: Process, target: Process, what: MemberMessage | Message, size: int) -> None:
+    def _arrive(
+        self, source: Process, target: Process, what: MemberMessage | CellsMessage, size: int
+    ) -> None:
         core = target.core
         if core is None or self.severed(source, target):
             return
@@ -223,7 +214,7 @@
             if isinstance(what, MemberMessage):
                 return core.receive(now, what, source.address)
             self._note(target, core, what)
-            return core.message(now, what, source.address)
+            return core.receive_cells_message(now, what, source.address)
 
         self._on(target, core, there)
         self._going_by(target)
@@ -267,35 +258,43 @@
     def _broken(self, why: str) -> Broken:
         return Broken(f"{self.true / 1e9:.3f} s: {why}")
 
-    def _note(self, process: Process, core: Core, message: Message) -> None:
+    def _note(self, process: Process, core: Core, message: CellsMessage) -> None:
         """What a gateway is told at this instant."""
         body = message.body
-        if isinstance(core, Gateway) and isinstance(body, Located) and body.to == core.member_id:
+        if (
+            isinstance(core, Gateway)
+            and isinstance(body, PlacementNotice)
+            and body.member_id == core.member_id
+        ):
             key = process.name, process.starts
             self.newest[key] = max(self.newest.get(key, (0, -1, 0)), body.placement.number)
 
     def _going_by(self, process: Process) -> None:
         """No older word is gone by after a newer was heard."""
         core = process.core
-        if not isinstance(core, Gateway) or core.held is None:
+        if not isinstance(core, Gateway) or core.placement is None:
             return
         key = process.name, process.starts
         before = self.held.get(key)
-        if before is not None and core.held.number < before.number:
-            raise self._broken(f"{process.name} goes back from {before.number} to {core.held.number}")
-        if core.held.number < self.newest.get(key, (0, -1, 0)):
-            raise self._broken(f"{process.name} goes by {core.held.number}, and heard of {self.newest[key]}")
-        self.held[key] = core.held
+        if before is not None and core.placement.number < before.number:
+            raise self._broken(f"{process.name} goes back from {before.number} to {core.placement.number}")
+        if core.placement.number < self.newest.get(key, (0, -1, 0)):
+            raise self._broken(
+                f"{process.name} goes by {core.placement.number}, and heard of {self.newest[key]}"
+            )
+        self.held[key] = core.placement
 
-    def _noticed(self, process: Process, what: Joined | Left | Leads | StatusEvent) -> None:
+    def _noticed(
+        self, process: Process, what: CellJoined | CellLeft | LeadershipChanged | StatusEvent
+    ) -> None:
         self.told.append((self.true, process.name, what))
-        if isinstance(what, Leads) and what.epoch is not None:
+        if isinstance(what, LeadershipChanged) and what.epoch is not None:
             self.leader()
-        if isinstance(what, Joined):
+        if isinstance(what, CellJoined):
             if self._inside.get(process.name) == process.starts:
                 raise self._broken(f"{process.name} joins a cell before it has left another")
             self._inside[process.name] = process.starts
-        elif isinstance(what, Left):
+        elif isinstance(what, CellLeft):
             self._inside.pop(process.name, None)
         if isinstance(what, StatusEvent) and what.kind in ("seeds", "retired"):
             key = f"{process.name}#{process.starts}", str(what.details["cell"])
@@ -307,11 +306,11 @@
             self.retired_with += [
                 p.name
                 for p, core in self.gateways()
-                if core.held is not None and core.held.cell.name == what.details["cell"]
+                if core.placement is not None and core.placement.cell.name == what.details["cell"]
             ]
 
     def _viewed(self, process: Process, fleet: str, told: StatusEvent) -> None:
-        self.told.append((self.true, process.name, InCell(fleet, told)))
+        self.told.append((self.true, process.name, MemberAction(fleet, told)))
         if told.kind == "view":
             about = told.details
             view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
@@ -380,11 +379,11 @@
             return "nobody leads"
         cells, inside = dict[str, Cell](), dict[str, list[tuple[Process, Gateway]]]()
         for process, core in self.gateways():
-            if core.held is None or core.member is None:
+            if core.placement is None or core.member is None:
                 return f"{process.name} is in no cell"
-            cell = core.held.cell
-            if cell.place != self._zone_of[process.name]:
-                return f"{process.name} is in a cell of {cell.place}"
+            cell = core.placement.cell
+            if cell.location != self._zone_of[process.name]:
+                return f"{process.name} is in a cell of {cell.location}"
             cells[cell.name] = cell
             inside.setdefault(cell.name, []).append((process, core))
         for name, cell in cells.items():
@@ -395,9 +394,9 @@
     @staticmethod
     def _directory_settled(leader: Process, inside: dict[str, list[tuple[Process, Gateway]]]) -> str:
         """Whether the leader knows just who is where."""
-        if not isinstance(leader.core, Controller) or leader.core.leading is None:
+        if not isinstance(leader.core, Controller) or leader.core.leader is None:
             return "nobody leads"
-        entries = leader.core.leading.directory.entries
+        entries = leader.core.leader.directory.entries
         for name, gateways in inside.items():
             if name not in entries:
                 return f"{name} is not in the directory"
@@ -416,7 +415,7 @@
         seeds = [found.member for _, found in seeding if found is not None]
         if not seeds or len(seeds) < len(seeding):
             return f"{len(seeds)} of {len(seeding)} seed it"
-        if len(gateways) > self._policy.most:
+        if len(gateways) > self._policy.max_gateways:
             return f"has {len(gateways)} gateways"
         members = [core.member for _, core in gateways if core.member is not None] + seeds
         who: tuple[MemberId, ...] = tuple(sorted(member.member_id for member in members))
@@ -426,7 +425,7 @@
             if member.view_number() != members[0].view_number():
                 return f"{member.member_id[0]} holds {member.view_number()}"
         for process, core in gateways:
-            part = core.part(process.now(now))
+            part = core.usable_slots(process.now(now))
             if not part:
                 return f"{process.name} holds nothing"
             slots |= part
--- a/trackspread/testing/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -8,20 +8,21 @@
 from collections.abc import Callable
 from functools import partial
 
+from ....cells.actions import CellLeft
 from ....cells.controller import Controller
-from ....cells.gateway import ASK_MOST, REFRESH, Gateway
-from ....cells.terms import Left, Policy
+from ....cells.gateway import MAX_BACKOFF_NS, REFRESH_INTERVAL_NS, Gateway
+from ....cells.topology import CellPolicy
 from ....membership.identifiers import MS, SECOND
 from ..stage import Broken
 from .schedules import SMALL, play
 from .world import CelledWorld
 
 START = 20 * SECOND  # ns until all are settled that start at once
-RESTLESS = Policy(6, 8, 2, 4, 4_096, 60 * SECOND, 600 * SECOND)  # nothing is merged or replaced meanwhile
+RESTLESS = CellPolicy(6, 8, 2, 4, 4_096, 60 * SECOND, 600 * SECOND)  # nothing is merged or replaced meanwhile
 
 
 def begun(
-    seed: int, regions: int, machines: int, each: int, policy: Policy, keep: int = 2 * SECOND
+    seed: int, regions: int, machines: int, each: int, policy: CellPolicy, keep: int = 2 * SECOND
 ) -> CelledWorld:
     """A fleet that is settled, so many gateways in each of two zones a region."""
     world = CelledWorld(seed, regions, machines, 2, policy=policy, keep=keep)
@@ -31,7 +32,7 @@
 
 
 def _moves(world: CelledWorld, since: int) -> list[str]:
-    return [name for at, name, told in world.told if at > since and isinstance(told, Left)]
+    return [name for at, name, told in world.told if at > since and isinstance(told, CellLeft)]
 
 
 def region_cut_off(seed: int) -> None:
@@ -48,12 +49,12 @@
     now = world.clock.now
     for process in inside:
         core = process.core
-        if not isinstance(core, Gateway) or not core.part(process.now(now)):
+        if not isinstance(core, Gateway) or not core.usable_slots(process.now(now)):
             raise Broken(f"seed {seed}: {process.name} holds nothing in a region that is cut off")
     since, asked = world.true, world.asks.total()
     world.heal_regions()
     world.run(10 * SECOND)
-    most = 2 * len(world.among("g")) * 10 * SECOND // REFRESH + 10
+    most = 2 * len(world.among("g")) * 10 * SECOND // REFRESH_INTERVAL_NS + 10
     if world.asks.total() - asked > most:
         raise Broken(f"seed {seed}: {world.asks.total() - asked} questions in 10 s after a heal")
     world.until_settled(10 * SECOND)
@@ -69,7 +70,7 @@
         world.kill(process)
     asked = world.asks.total()
     world.run(60 * SECOND)
-    most = len(gateways) * (60 * SECOND // ASK_MOST + 12)
+    most = len(gateways) * (60 * SECOND // MAX_BACKOFF_NS + 12)
     if world.asks.total() - asked > most:
         raise Broken(f"seed {seed}: {world.asks.total() - asked} questions in a minute without answers")
     since = world.true
@@ -111,7 +112,7 @@
     world.until_settled(START)
     if world.retired_with:
         raise Broken(f"seed {seed}: {world.retired_with} were in cells that were given up")
-    held = [core.held.cell for _, core in world.gateways() if core.held is not None]
+    held = [core.placement.cell for _, core in world.gateways() if core.placement is not None]
     if any(gone.address in cell.seeds for cell in held):
         raise Broken(f"seed {seed}: {gone.name} is gone, and still to be a seed")
 
@@ -183,23 +184,23 @@
     world.run(60 * SECOND)
     world.until_settled(START)
     used = {
-        core.held.cell.name
+        core.placement.cell.name
         for p, core in world.gateways()
-        if core.held is not None and core.held.cell.place == crowded
+        if core.placement is not None and core.placement.cell.location == crowded
     }
     if len(used) > 1:
         raise Broken(f"seed {seed}: four gateways in {len(used)} cells")
     leader = world.leader()
-    if leader is None or not isinstance(leader.core, Controller) or leader.core.leading is None:
+    if leader is None or not isinstance(leader.core, Controller) or leader.core.leader is None:
         raise Broken(f"seed {seed}: nobody leads")
-    if len(leader.core.leading.directory.entries) > len(world.zones) + 1:
+    if len(leader.core.leader.directory.entries) > len(world.zones) + 1:
         raise Broken(f"seed {seed}: cells without gateways are kept")
 
 
 def half_restarted(seed: int) -> None:
     """All come back to the cells that they were in."""
     world = begun(seed, 2, 6, 6, RESTLESS)
-    before = {p.name: core.held.cell.name for p, core in world.gateways() if core.held is not None}
+    before = {p.name: core.placement.cell.name for p, core in world.gateways() if core.placement is not None}
     again = world.rng.sample(world.among("g"), len(before) // 2)
     for process in again:
         world.kill(process)
@@ -207,7 +208,7 @@
         world.at(world.true + world.rng.randint(100 * MS, 900 * MS), partial(world.start, process))
     world.run(2 * SECOND)
     world.until_settled(START)
-    after = {p.name: core.held.cell.name for p, core in world.gateways() if core.held is not None}
+    after = {p.name: core.placement.cell.name for p, core in world.gateways() if core.placement is not None}
     if after != before:
         raise Broken(f"seed {seed}: {sum(after[n] != before[n] for n in before)} are in other cells")
 
@@ -217,17 +218,17 @@
     lasts; and the two that come back take it up again, as the leader tells them."""
     world = begun(seed, 1, 5, 3, RESTLESS, keep=20 * SECOND)
     _, core = world.gateways()[0]
-    if core.held is None:
+    if core.placement is None:
         raise Broken(f"seed {seed}: nobody is in a cell")
-    cell = core.held.cell
+    cell = core.placement.cell
     gone = [world.at_address(address) for address in cell.seeds[:2]]
     for process in gone:
         world.kill(process)
     world.run(10 * SECOND)
     kept = [
-        c.part(p.now(world.clock.now))
+        c.usable_slots(p.now(world.clock.now))
         for p, c in world.gateways()
-        if c.held is not None and c.held.cell.name == cell.name
+        if c.placement is not None and c.placement.cell.name == cell.name
     ]
     if not all(kept):
         raise Broken(f"seed {seed}: gateways let go of what a live seed knows of")
@@ -243,7 +244,7 @@
     """What each sends grows with its cell, not with the fleet; control machines' share with the cells."""
     each = []
     for gateways in (4, 16):
-        world = begun(seed, 1, 5, gateways, Policy(4, 6, 1, 3, 4_096, 60 * SECOND, 600 * SECOND))
+        world = begun(seed, 1, 5, gateways, CellPolicy(4, 6, 1, 3, 4_096, 60 * SECOND, 600 * SECOND))
         world.datagrams.clear()
         since = world.true
         world.run(10 * SECOND)
