--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -70,7 +70,8 @@
     by_region: dict[str, list[ControlMachine]] = {}
     for machine in machines:
         by_region.setdefault(machine.region, []).append(machine)
-    in_turn = [m for turn in zip_longest(*by_region.values()) for m in turn if m is not None]
+    turns = zip_longest(*by_region.values())
+    in_turn = [machine for turn in turns for machine in turn if machine is not None]
     odd_count = len(in_turn) - (len(in_turn) + 1) % 2
     return tuple(machine.address for machine in in_turn[: min(MAX_VOTERS, odd_count)])
 
@@ -176,7 +177,8 @@
     def _live_machines(self) -> dict[str, int]:
         """Creation times in ms of the control machines that are alive, by name."""
         entries = self.control_member.member_table.present()
-        live = {e.update.name: e.update.created_at_ms for e in entries if e.update.state == State.ALIVE}
+        alive = [entry.update for entry in entries if entry.update.state == State.ALIVE]
+        live = {update.name: update.created_at_ms for update in alive}
         live[self.settings.name] = self.settings.created_at_ms
         return live
 
--- a/trackspread/cells/directory.py
+++ b/trackspread/cells/directory.py
@@ -239,7 +239,7 @@
             for seed in entry.cell.seeds:
                 load[seed] += 1
         live = sorted(
-            (m for m in self._machines.values() if m.address not in self._lost_since_ns),
+            (machine for machine in self._machines.values() if machine.address not in self._lost_since_ns),
             key=lambda machine: (machine.region != zone.region, load[machine.address], machine.name),
         )
         chosen: list[ControlMachine] = []
@@ -260,11 +260,11 @@
         if not lost:
             return False
         spare = [
-            m
-            for m in self._machines.values()
-            if m.region == entry.cell.region
-            and m.address not in self._lost_since_ns
-            and m.address not in entry.cell.seeds
+            machine
+            for machine in self._machines.values()
+            if machine.region == entry.cell.region
+            and machine.address not in self._lost_since_ns
+            and machine.address not in entry.cell.seeds
         ]
         return len(spare) >= len(lost)
 
@@ -280,12 +280,12 @@
         self._remove_expired(now_ns)
         if self.is_rebuilding(now_ns):
             return []
-        wanted: list[MoveRequest] = []
+        requests: list[MoveRequest] = []
         for zone in {entry.cell.location for entry in self.entries.values()}:
             if now_ns >= self._next_round_ns.get(zone, 0):
                 self._next_round_ns[zone] = now_ns + ROUND_INTERVAL_NS
-                wanted += self._rebalance(now_ns, zone)
-        return wanted + self._repeated_moves(now_ns)
+                requests += self._rebalance(now_ns, zone)
+        return requests + self._repeated_moves(now_ns)
 
     def _remove_expired(self, now_ns: int) -> None:
         for entry in self.entries.values():
@@ -312,7 +312,9 @@
 
     def _rebalance(self, now_ns: int, zone: Zone) -> list[MoveRequest]:
         """One round of one zone: a split or close in progress goes on, else one may begin."""
-        closing = [e for e in self.entries.values() if e.cell.location == zone and e.cell.closing]
+        closing = [
+            entry for entry in self.entries.values() if entry.cell.location == zone and entry.cell.closing
+        ]
         for entry in closing:
             if entry.empty_since_ns is not None and now_ns - entry.empty_since_ns >= RETIRE_DELAY_NS:
                 self._retire(entry)
--- a/trackspread/cells/gateway.py
+++ b/trackspread/cells/gateway.py
@@ -67,8 +67,10 @@
         self._unanswered = 0  # requests since the last answer
         self._next_request_at_ns = now_ns
         self._control_names = frozenset(machine.name for machine in settings.machines)
-        self._local_machines = [m.address for m in settings.machines if m.region == settings.zone.region]
-        self._all_machines = [m.address for m in settings.machines]
+        self._local_machines = [
+            machine.address for machine in settings.machines if machine.region == settings.zone.region
+        ]
+        self._all_machines = [machine.address for machine in settings.machines]
 
     @property
     def member_id(self) -> MemberId:
--- a/trackspread/membership/slot_lease.py
+++ b/trackspread/membership/slot_lease.py
@@ -36,9 +36,9 @@
         """The slots granted until now, even out of contact: what a new coordinator is to know of."""
         return self.granted_slots if now_ns < self.granted_until_ns else 0
 
-    def extend_contact(self, asked_at_ns: int) -> None:
+    def extend_contact(self, sent_at_ns: int) -> None:
         """A seed that knows of this lease has answered a message sent at this time."""
-        self._contact_until_ns = max(self._contact_until_ns, asked_at_ns + CONTACT_TIMEOUT_NS)
+        self._contact_until_ns = max(self._contact_until_ns, sent_at_ns + CONTACT_TIMEOUT_NS)
 
     def is_known_to(self, first_epoch: Epoch | None) -> bool:
         """Whether a seed that was first granted slots in this epoch has run since this lease was granted: a
