--- a/trackspread/testing/harness/quickened.py
+++ b/trackspread/testing/harness/quickened.py
@@ -32,14 +32,14 @@
     return [each for name in names.split(",") if name != NONE for each in known[name]()]
 
 
-def _policy(gateways: int) -> CellPolicy:
-    return CellPolicy(TARGET, MOST, LEAST, MERGED, gateways, SOON, SOON, IDLE)
+def _policy(max_fleet_gateways: int) -> CellPolicy:
+    return CellPolicy(TARGET, MOST, LEAST, MERGED, max_fleet_gateways, SOON, SOON, IDLE)
 
 
 def main(names: str, control: str, file: str) -> None:
     """In the foreground."""
     with ExitStack() as stack:
-        stack.enter_context(patch.object(controlling, "Policy", _policy))
+        stack.enter_context(patch.object(controlling, "CellPolicy", _policy))
         stack.enter_context(held(faults(names)))
         controlling.run(control, Path(file))
 
