--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from trackspread.backends.pools import RETIRE_FRACTION
-from trackspread.cells.seeding import FRESHEN, FRESHEN_OTHERS
+from trackspread.cells.seeded_cell import COORDINATOR_REFRESH_NS, SEED_REFRESH_NS
 from trackspread.counter.commands import MAX_FIELDS
 from trackspread.counter.timing import HEARTBEAT_NS
 from trackspread.decide.commitments import IDLE_COMMITMENT_NS
@@ -11,8 +11,8 @@
 from trackspread.decide.retry_policy import RETRIES_PER_REQUEST
 from trackspread.decide.time_units import SECOND
 from trackspread.lists.turns import SPREAD_MOST
-from trackspread.membership.host import DESCRIPTORS
-from trackspread.membership.slots import SLOTS
+from trackspread.membership.slot_allocation import SLOT_COUNT
+from trackspread.membership.transport import DESCRIPTORS
 from trackspread.node.gateway import RESERVED_DESCRIPTORS
 
 from .sums import Line
@@ -51,9 +51,9 @@
     "share": 0.018,
     "budget": 5_000,
     "memory": 64e6,
-    "report_s": FRESHEN / SECOND,
-    "report_others_s": FRESHEN_OTHERS / SECOND,
-    "slots": SLOTS,
+    "report_s": COORDINATOR_REFRESH_NS / SECOND,
+    "report_others_s": SEED_REFRESH_NS / SECOND,
+    "slots": SLOT_COUNT,
     "fleet_most": 4_096,
     "counter_most": MAX_FIELDS,
 }
@@ -254,7 +254,7 @@
         "reports of all cells to the leader, while nothing changes",
         "cells / report_s + 2 * cells / report_others_s",
         "/s",
-        "a coordinator's each 10 s, two other seeds' each 30 s: `cells/seeding.py`",
+        "a coordinator's each 10 s, two other seeds' each 30 s: `cells/seeded_cell.py`",
     ),
     Line(
         "bytes_control",
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -21,7 +21,7 @@
 from trackspread.distribution.subscriber import Subscriber
 from trackspread.decide.time_units import MILLISECOND, SECOND
 from trackspread.distribution.versions import Entry, Version
-from trackspread.membership.terms import Noticed
+from trackspread.membership.actions import StatusEvent
 from trackspread.testing.virtual.distribution.world import Process, World
 
 from .fit import Point
@@ -73,7 +73,7 @@
             made[service] = {key: Entry(version, service, key, b"v" * VALUE) for key in keys}
         return made
 
-    def _told(self, process: Process, told: Noticed) -> None:
+    def _told(self, process: Process, told: StatusEvent) -> None:
         """Worlds for tests judge."""
 
     def until(self, holds: Callable[[], bool]) -> float:
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -13,22 +13,22 @@
 from trackspread.cells.controller import Controller, ControlSettings
 from trackspread.cells.gateway import Gateway, GatewaySettings
 from trackspread.cells.host import Host
-from trackspread.cells.terms import (
+from trackspread.cells.messages import (
     Cell,
-    ControlMachine,
-    Locate,
-    Located,
-    Message,
+    CellsMessage,
     Placement,
-    Retire,
-    Zone,
+    PlacementNotice,
+    PlacementRequest,
+    RetireCell,
 )
+from trackspread.cells.topology import ControlMachine, Zone
 from trackspread.cells.wire import MARK, CellsWire
+from trackspread.membership.host import created_now_ms
+from trackspread.membership.identifiers import Epoch
+from trackspread.membership.messages import MemberMessage, Ping
+from trackspread.membership.slot_allocation import ALL_SLOTS
+from trackspread.membership.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 from trackspread.testing.judge.beliefs import Reader
-from trackspread.membership.host import born_now
-from trackspread.membership.slots import WHOLE
-from trackspread.membership.terms import Epoch, MemberMessage, Ping
-from trackspread.membership.wire import DATAGRAM, Keys, Wire
 from trackspread.testing.standins.loopback import Ports
 
 ZONE = Zone("r", "z")
@@ -40,9 +40,9 @@
     return CellsWire(fleet, Keys(key), 64)
 
 
-def message(name: str = "g") -> Message:
+def message(name: str = "g") -> CellsMessage:
     held = Placement((1, 0, 3), Cell("c", "r", "z", (1, 0, 2), (("10.0.0.1", 1),) * 3))
-    return Message("f", name, 7, Locate("r", "z", ("10.0.0.9", 2), held))
+    return CellsMessage("f", name, 7, PlacementRequest("r", "z", ("10.0.0.9", 2), held))
 
 
 def test_words_on_cells_and_of_views_share_an_address_and_what_is_spoilt_is_counted() -> None:
@@ -60,15 +60,15 @@
         junk = rng.randbytes(rng.randrange(60))
         assert one.read(MARK + one.keys.sign(junk) + junk) is None
     assert one.read(wire(key=b"other key of size").pack_message(message())) is None
-    assert one.read(wire("g").pack_message(Message("g", "a", 1, Retire("c", (1, 0, 1))))) is None
+    assert one.read(wire("g").pack_message(CellsMessage("g", "a", 1, RetireCell("c", (1, 0, 1))))) is None
     assert {"digest", "spoilt", "another fleet"} <= set(one.dropped)
 
 
 def test_a_placement_of_the_longest_names_fits_into_a_datagram() -> None:
     long = Cell("x" * 128, "r" * 64, "z" * 64, (1 << 40, 6, 1 << 20), (("255.255.255.255", 65535),) * 3)
-    located = Located(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), long))
-    placed = Message("f" * 64, "n" * 64, 1 << 42, located)
-    assert len(wire("f" * 64).pack_message(placed)) <= DATAGRAM
+    located = PlacementNotice(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), long))
+    placed = CellsMessage("f" * 64, "n" * 64, 1 << 42, located)
+    assert len(wire("f" * 64).pack_message(placed)) <= MAX_DATAGRAM_BYTES
 
 
 class Fleet:
@@ -84,7 +84,7 @@
 
     def controller(self, machine: ControlMachine) -> Host:
         core = Controller(
-            ControlSettings("f", machine.name, born_now(), self.machines),
+            ControlSettings("f", machine.name, created_now_ms(), self.machines),
             time.monotonic_ns(),
             random.getrandbits(60),
         )
@@ -94,13 +94,13 @@
             wire(),
             time.monotonic_ns,
             self.folder / machine.name,
-            led=lambda epoch: self.led.append((machine.name, epoch)),
+            on_leadership=lambda epoch: self.led.append((machine.name, epoch)),
         )
 
     def gateway(self, name: str) -> Host:
         address = self._ports.host(), 7400
         core = Gateway(
-            GatewaySettings("f", name, born_now(), address, ZONE, self.machines),
+            GatewaySettings("f", name, created_now_ms(), address, ZONE, self.machines),
             time.monotonic_ns(),
             random.getrandbits(60),
         )
@@ -110,7 +110,7 @@
             wire(),
             time.monotonic_ns,
             self.folder / name,
-            heard=lambda sender, data, part: self.heard.append((sender, data)),
+            on_data=lambda sender, data, part: self.heard.append((sender, data)),
         )
 
     def hosts(self) -> list[Host]:
@@ -118,15 +118,15 @@
 
     def settled(self) -> bool:
         slots, now = 0, time.monotonic_ns()
-        wanted = {host.core.who[0] for host in self.hosts()}
+        wanted = {host.core.member_id[0] for host in self.hosts()}
         for host in self.gateways:
             core = host.core
             if not isinstance(core, Gateway) or core.member is None or core.member.view is None:
                 return False
             if {name for name, _ in core.member.view.members} != wanted:
                 return False
-            slots |= core.part(now)
-        return slots == WHOLE
+            slots |= core.usable_slots(now)
+        return slots == ALL_SLOTS
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -156,14 +156,14 @@
 @pytest.mark.processes
 def test_gateways_find_their_cell_and_one_that_ends_or_a_leader_that_does_is_got_over(tmp_path: Path) -> None:
     async def work(fleet: Fleet) -> None:
-        fleet.gateways[0].tell(["g1", "g2"], b"word")
+        fleet.gateways[0].send_data(["g1", "g2"], b"word")
         await until(lambda: len(fleet.heard) == 2)
         fleet.gateways.pop().close()
         await until(fleet.settled)
         leader = next(
             host
             for host in fleet.control
-            if isinstance(host.core, Controller) and host.core.leads(time.monotonic_ns())
+            if isinstance(host.core, Controller) and host.core.is_leader(time.monotonic_ns())
         )
         fleet.control.remove(leader)
         leader.close(leave=False)
@@ -172,8 +172,8 @@
                 fleet.settled()
                 and any(
                     isinstance(host.core, Controller)
-                    and host.core.leading is not None
-                    and any(entry.members for entry in host.core.leading.directory.entries.values())
+                    and host.core.leader is not None
+                    and any(entry.members for entry in host.core.leader.directory.entries.values())
                     for host in fleet.control
                 )
             )
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -34,7 +34,8 @@
     Entry,
     Version,
 )
-from trackspread.membership.terms import Epoch, Noticed
+from trackspread.membership.actions import StatusEvent
+from trackspread.membership.identifiers import Epoch
 from trackspread.distribution.wire import Wire
 from trackspread.distribution.wire import MAGIC, MAX_DATAGRAM_BYTES
 from trackspread.membership.wire import Keys
@@ -215,7 +216,9 @@
 def test_a_lease_under_an_epoch_that_is_outdone_leads_nothing_and_says_so() -> None:
     one = replica()
     one.on_message(0, 1, 1, Prepare((9, 1), 1, False), ("10.0.0.1", 1))
-    assert one.set_leadership(0, (8, 0)) == [Noticed("outdone", {"by": (9, 1)})] and one.leadership is None
+    assert (
+        one.set_leadership(0, (8, 0)) == [StatusEvent("outdone", {"by": (9, 1)})] and one.leadership is None
+    )
     assert one.set_leadership(1, (8, 0)) == [], "once"
     assert one.set_leadership(2, (10, 0)) != [] and one.leadership is not None
     one.set_leadership(3, None)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -31,7 +31,7 @@
 from trackspread.decide.peer_messages import QuotaMessage, pack_quota_message, pack_usage_totals
 from trackspread.decide.settings import Plan
 from trackspread.handover import wire
-from trackspread.membership.record import Recorder
+from trackspread.membership.event_log import EventLog
 from trackspread.node.handover_state import HandoverState, Progress
 from trackspread.plans.calendar import Fleet, Reservation, cancelled
 from trackspread.plans.registry import SCHEMA as REGISTRY
@@ -180,7 +180,7 @@
 def test_a_members_record_is_read_and_written_as_it_was(tmp_path: Path) -> None:
     old, path = DATA / "view_record.jsonl", tmp_path / "n1.view"
     shutil.copy(old, path)
-    recorder = Recorder(path, "n1", 1_790_000_000_123)
+    recorder = EventLog(path, "n1", 1_790_000_000_123)
     for line in old.read_text().splitlines():
         told = json.loads(line)
         recorder.write(told["kind"], told["about"])
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from trackspread.cells import terms as cells
+from trackspread.cells import messages as cells
 from trackspread.cells.wire import CellsWire
 from trackspread.counter.calls import Call
 from trackspread.counter.claims import (
@@ -34,7 +34,7 @@
 from trackspread.distribution.versions import Cursor, Entry, Version
 from trackspread.distribution.wire import Wire as ConfigurationWire
 from trackspread.handover import wire as handover_wire
-from trackspread.membership import terms as membership
+from trackspread.membership import messages as membership
 from trackspread.membership.wire import Keys
 from trackspread.membership.wire import Wire as MembershipWire
 from trackspread.node.handover_state import Progress
@@ -67,20 +67,20 @@
 def member_messages() -> dict[str, membership.MemberMessage]:
     """One for each body, and one with all that may go along."""
     view = membership.View(NUMBER, PARENT, (WHO, OTHER))
-    bodies: list[membership.Bodies] = [
+    bodies: list[membership.MessageBody] = [
         membership.Ping(7, OTHER),
         membership.Ack(7, EPOCH),
         membership.Nack(8),
-        membership.Help(9, OTHER, *ADDRESS),
+        membership.PingRequest(9, OTHER, *ADDRESS),
         membership.Vote(0, "bid", 4, 1, 2),
-        membership.Renew(123_456_789, EPOCH, 6, SLOTS, NUMBER, (1, 3), True),
-        membership.Grant(123_456_789, EPOCH, 7, SLOTS, NUMBER, 2_000_000_000),
-        membership.Release(EPOCH),
-        membership.Fresh(NUMBER, view),
-        membership.Report(OTHER, True),
+        membership.LeaseRequest(123_456_789, EPOCH, 6, SLOTS, NUMBER, (1, 3), True),
+        membership.LeaseGrant(123_456_789, EPOCH, 7, SLOTS, NUMBER, 2_000_000_000),
+        membership.LeaseRelease(EPOCH),
+        membership.ViewAnnouncement(NUMBER, view),
+        membership.SlownessReport(OTHER, True),
         membership.PeerData(b"to another gateway", SLOTS),
-        membership.Forget("n9"),
-        membership.Forgotten("n9", False, 341),
+        membership.ForgetRequest("n9"),
+        membership.ForgetResponse("n9", False, 341),
     ]
     made = {tag(body): membership.MemberMessage("fleet", *WHO, body, 99) for body in bodies}
     updates = (
@@ -92,32 +92,32 @@
     return made | {"with updates and leader": full}
 
 
-def member_table() -> membership.Table:
+def member_table() -> membership.TableSnapshot:
     update = membership.GossipUpdate(*OTHER, 2, 1, *ADDRESS, "1.2", True)
     view = membership.View(NUMBER, PARENT, (WHO, OTHER))
-    return membership.Table("fleet", *WHO, (update,), view, membership.Leader(EPOCH, OTHER, *ADDRESS))
+    return membership.TableSnapshot("fleet", *WHO, (update,), view, membership.Leader(EPOCH, OTHER, *ADDRESS))
 
 
-def cell_messages() -> dict[str, cells.Message]:
+def cell_messages() -> dict[str, cells.CellsMessage]:
     """One for each body, and one of a leader."""
     cell = cells.Cell("c-1", "eu", "a", NUMBER, (ADDRESS, ("10.0.0.8", 7400)), True)
     placement = cells.Placement(NUMBER, cell)
-    locate = cells.Locate("eu", "a", ADDRESS, placement)
-    bodies: list[cells.Bodies] = [
+    locate = cells.PlacementRequest("eu", "a", ADDRESS, placement)
+    bodies: list[cells.MessageBody] = [
         locate,
-        cells.Located(WHO, placement),
-        cells.Forwarded(WHO, locate),
-        cells.Placed(WHO, ADDRESS, placement),
-        cells.Seed(cell),
-        cells.Retire("c-1", NUMBER),
-        cells.Move("c-1", ("n1", "n2"), placement),
+        cells.PlacementNotice(WHO, placement),
+        cells.ForwardedRequest(WHO, locate),
+        cells.ForwardedPlacement(WHO, ADDRESS, placement),
+        cells.SeedCell(cell),
+        cells.RetireCell("c-1", NUMBER),
+        cells.MoveGateways("c-1", ("n1", "n2"), placement),
         cells.CellReport(cell, PARENT, (WHO, OTHER), 1, 2),
-        cells.Noted("c-1", NUMBER, PARENT),
-        cells.Describe(2),
-        cells.Described(ADDRESS, 0, 1, 5, (cells.CellRow("c-1", 17, False),)),
+        cells.ReportReceipt("c-1", NUMBER, PARENT),
+        cells.DirectoryRequest(2),
+        cells.DirectoryPage(ADDRESS, 0, 1, 5, (cells.CellRow("c-1", 17, False),)),
     ]
-    made = {tag(body): cells.Message("fleet", *WHO, body) for body in bodies}
-    return made | {"of a leader": cells.Message("fleet", *WHO, cells.Seed(cell), EPOCH)}
+    made = {tag(body): cells.CellsMessage("fleet", *WHO, body) for body in bodies}
+    return made | {"of a leader": cells.CellsMessage("fleet", *WHO, cells.SeedCell(cell), EPOCH)}
 
 
 def configuration_messages() -> dict[str, configuration.Message]:
@@ -559,6 +559,6 @@
     assert [member_messages().keys(), cell_messages().keys()] == [MEMBER.keys(), CELL.keys()]
     assert configuration_messages().keys() == CONFIGURATION.keys()
     # How many kinds there are is the decoders' word; each body above is one of them.
-    unions = (membership.Bodies, cells.Bodies, configuration.MessageBody)
+    unions = (membership.MessageBody, cells.MessageBody, configuration.MessageBody)
     counts = [len(bodies.__args__) for bodies in unions]
     assert counts == [len(MEMBER) - 1, len(CELL) - 1, len(CONFIGURATION)]
--- a/trackspread/commands/configuration.py
+++ b/trackspread/commands/configuration.py
@@ -17,7 +17,7 @@
 from ..distribution.report import SubscriptionReport
 from ..distribution.messages import Inspected
 from ..distribution.versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
-from ..membership.terms import Epoch
+from ..membership.identifiers import Epoch
 from ..distribution.wire import Wire
 from ..node.fleet_keys import read_keys
 from .fleet import ask
--- a/trackspread/distribution/actions.py
+++ b/trackspread/distribution/actions.py
@@ -4,7 +4,8 @@
 
 from typing import NamedTuple
 
-from ..membership.terms import Address, Noticed
+from ..membership.actions import StatusEvent
+from ..membership.identifiers import Address
 from .messages import MessageBody
 
 
@@ -15,4 +16,4 @@
     body: MessageBody
 
 
-Action = Send | Noticed
+Action = Send | StatusEvent
--- a/trackspread/distribution/client.py
+++ b/trackspread/distribution/client.py
@@ -22,7 +22,7 @@
     TooManyKeys,
 )
 from .versions import Version
-from ..membership.terms import Address
+from ..membership.identifiers import Address
 from .wire import Wire
 from .wire import MAX_DATAGRAM_BYTES
 
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from ..logs import Sparing
-from ..membership.record import Recorder
+from ..membership.event_log import EventLog
 from .log import fingerprint
 from .replica import Replica
 from .subscriber import Subscriber
@@ -22,7 +22,8 @@
 from .actions import Action, Send
 from .messages import Message, MessageBody
 from .settings import TICK_NS, ReplicaSettings, SubscriberSettings
-from ..membership.terms import Address, Epoch, Noticed
+from ..membership.actions import StatusEvent
+from ..membership.identifiers import Address, Epoch
 from .wire import Wire
 
 log = logging.getLogger(__name__)
@@ -65,7 +66,7 @@
         self._replica = replica
         self._incarnation = born
         self._listen = listen
-        self._recorder = Recorder(record, name, born) if record is not None else None
+        self._recorder = EventLog(record, name, born) if record is not None else None
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -117,7 +118,7 @@
                 match action:
                     case Send(to, body):
                         self.send(to, body)
-                    case Noticed():
+                    case StatusEvent():
                         self.on_notice(action)
         except Exception:
             log.exception("configuration: fault in %s", self.name)
@@ -151,7 +152,7 @@
         """Hand a message to the core; returns what it wants done."""
         raise NotImplementedError
 
-    def on_notice(self, noticed: Noticed) -> None:
+    def on_notice(self, noticed: StatusEvent) -> None:
         """Log and record an event of the core."""
         raise NotImplementedError
 
@@ -191,14 +192,14 @@
         made = self.core.set_leadership(now, self._current_epoch())
         return made + self.core.on_message(now, message.replica, message.incarnation, message.body, source)
 
-    def on_notice(self, noticed: Noticed) -> None:
+    def on_notice(self, noticed: StatusEvent) -> None:
         """Log and record an event of the core."""
-        self.record(noticed.kind, noticed.about)
+        self.record(noticed.kind, noticed.details)
         if noticed.kind in LOGGED_KINDS:
-            about = ", ".join(f"{key} {value}" for key, value in noticed.about.items())
+            about = ", ".join(f"{key} {value}" for key, value in noticed.details.items())
             log.info("configuration: %s: %s %s", self.name, noticed.kind, about)
         if noticed.kind == "outdone":
-            self._on_outdone(noticed.about["by"])  # type: ignore[arg-type]
+            self._on_outdone(noticed.details["by"])  # type: ignore[arg-type]
 
 
 class SubscriberHost(Endpoint):
@@ -243,8 +244,8 @@
         self._reschedule()
         return made
 
-    def on_notice(self, noticed: Noticed) -> None:
+    def on_notice(self, noticed: StatusEvent) -> None:
         """Log and record an event of the core."""
         if self._recorder is not None:
-            self.record(noticed.kind, noticed.about | {"values": fingerprint(self.core.snapshot)})
+            self.record(noticed.kind, noticed.details | {"values": fingerprint(self.core.snapshot)})
         self._on_change()
--- a/trackspread/distribution/leader.py
+++ b/trackspread/distribution/leader.py
@@ -45,7 +45,8 @@
 )
 from .settings import ReplicaSettings
 from .versions import NO_VERSION, Entry, Version
-from ..membership.terms import Address, Epoch, Noticed
+from ..membership.actions import StatusEvent
+from ..membership.identifiers import Address, Epoch
 
 RETRY_NS = 200 * MILLISECOND  # between requests of one step
 STEP_TIMEOUT_NS = 3 * SECOND  # for confirming or adopting; then all begins anew
@@ -238,7 +239,7 @@
         self.adopted_replica = None
         self._followers = {n: Follower(self.log.last, heard_at_ns=now) for n in self.other_replicas}
         self._append_entry(history, "", "", None)
-        return [Noticed("leads", {"epoch": self.epoch, "history": history}), *self._replicate(now)]
+        return [StatusEvent("leads", {"epoch": self.epoch, "history": history}), *self._replicate(now)]
 
     def _append_entry(self, history: int, service: str, key: str, value: bytes | None) -> Version:
         version = Version(history, self.epoch, self.log.last.sequence + 1)
@@ -267,7 +268,7 @@
             return [Send(source, TooManyKeys(number, self.settings.max_keys))]
         version = self._append_entry(self.log.last.history, service, key, value)
         self._waiting_commands.append(WaitingCommand(source, number, version))
-        return [Noticed("numbered", {"version": version}), *self._replicate(now)]
+        return [StatusEvent("numbered", {"version": version}), *self._replicate(now)]
 
     def _adds_key(self, service: str, key: str, value: bytes | None) -> bool:
         return value is not None and key not in self.log.snapshot.get(service, {})
@@ -353,7 +354,7 @@
         upto = versions[self.settings.majority - 1]
         if upto.epoch != self.epoch or upto <= self.log.committed:
             return []
-        made: list[Action] = [Noticed("committed", {"entries": tuple(self.log.commit(upto))})]
+        made: list[Action] = [StatusEvent("committed", {"entries": tuple(self.log.commit(upto))})]
         done = [each for each in self._waiting_commands if each.version <= upto]
         self._waiting_commands = [each for each in self._waiting_commands if each.version > upto]
         made += [Send(each.recipient, Committed(each.number, each.version)) for each in done]
--- a/trackspread/distribution/messages.py
+++ b/trackspread/distribution/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..membership.terms import Epoch
+from ..membership.identifiers import Epoch
 from .versions import Cursor, Entry, Version
 
 
--- a/trackspread/distribution/poll_server.py
+++ b/trackspread/distribution/poll_server.py
@@ -25,7 +25,7 @@
     Subscribe,
 )
 from .versions import MAX_ENTRIES_BYTES, MAX_SERVICES, Cursor, Entry
-from ..membership.terms import Address
+from ..membership.identifiers import Address
 
 MAX_PIECES = 12  # that answer one poll: a burst that sockets' buffers hold
 MAX_PIECES_ALL_SERVICES = 48  # likewise for all services: a replica that catches up
--- a/trackspread/distribution/replica.py
+++ b/trackspread/distribution/replica.py
@@ -46,7 +46,8 @@
 )
 from .settings import ReplicaSettings, SubscriberSettings
 from .versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
-from ..membership.terms import Address, Epoch, Noticed
+from ..membership.actions import StatusEvent
+from ..membership.identifiers import Address, Epoch
 
 RECOVERY_RETRY_NS = 300 * MILLISECOND  # between queries of a replica that is not complete
 MAX_EARLY_APPENDS = 2 * PIPELINED_DATAGRAMS  # from the leader that came too early and are cached
@@ -94,7 +95,7 @@
         self._last_led_epoch = epoch
         if epoch < self.promised:
             self.leadership = None
-            return [Noticed("outdone", {"by": self.promised})]
+            return [StatusEvent("outdone", {"by": self.promised})]
         self.promised = epoch
         self.leader_number = self.settings.number
         self.leadership = Leader(self.settings, self.log, epoch, now, self.is_complete)
@@ -181,7 +182,7 @@
                 self.promised = promised
                 self.leader_number = -1
                 self.leadership = None
-                return [Noticed("outdone", {"by": promised})]
+                return [StatusEvent("outdone", {"by": promised})]
         return self._reply_to_leader(now, replica, born, body)
 
     def _reply_to_leader(self, now: int, replica: int, born: int, body: MessageBody) -> list[Action]:
@@ -246,12 +247,12 @@
         if self.log.committed >= message.committed:
             self._in_touch_at_ns = max(self._in_touch_at_ns, now - message.age_ms * MILLISECOND)
         if done:
-            made.append(Noticed("committed", {"entries": tuple(done)}))
+            made.append(StatusEvent("committed", {"entries": tuple(done)}))
         if self.is_complete:
             self._snapshot_pull = None  # nothing is missing here
         if self._catch_up_goal is not None and not self.is_complete and upto >= self._catch_up_goal[1]:
             self._become_complete()
-            made.append(Noticed("whole", {"version": upto}))
+            made.append(StatusEvent("whole", {"version": upto}))
         return [*made, Send(source, Accepted(message.epoch, True, self.is_complete, upto))]
 
     def _keep_early(self, message: Append) -> None:
@@ -281,7 +282,7 @@
         self._promised_by_others.clear()
         self._catch_up_goal = None
         self._begun_epoch = self.promised
-        return [Noticed("forgot", {})]
+        return [StatusEvent("forgot", {})]
 
     def _on_read_tail(self, message: ReadTail, source: Address) -> list[Action]:
         """Answer a new leader, whose log is shorter."""
@@ -342,7 +343,7 @@
         elif self.leader_number >= 0:
             has = Accepted(self.promised, False, self.is_complete, self.log.committed)
             made = [Send(self.settings.replicas[self.leader_number], has)]
-        return [*made, Noticed("installed", {"version": pull.version, "keys": len(self.log)})]
+        return [*made, StatusEvent("installed", {"version": pull.version, "keys": len(self.log)})]
 
     # For operators.
 
--- a/trackspread/distribution/report.py
+++ b/trackspread/distribution/report.py
@@ -7,7 +7,7 @@
 from .host import SubscriberHost
 from .log import fingerprint
 from ..decide.time_units import SECOND
-from ..membership.terms import Epoch
+from ..membership.identifiers import Epoch
 
 
 class SubscriptionReport(msgspec.Struct, frozen=True):
--- a/trackspread/distribution/settings.py
+++ b/trackspread/distribution/settings.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..decide.time_units import MILLISECOND, SECOND
-from ..membership.terms import Address
+from ..membership.identifiers import Address
 
 TICK_NS = 50 * MILLISECOND  # between two ticks of a core
 
--- a/trackspread/distribution/subscriber.py
+++ b/trackspread/distribution/subscriber.py
@@ -41,7 +41,8 @@
 )
 from .settings import TICK_NS, SubscriberSettings
 from .versions import NO_VERSION, START, SUBSCRIPTION_PART_BYTES, Cursor, Entry, Version
-from ..membership.terms import Address, Noticed
+from ..membership.actions import StatusEvent
+from ..membership.identifiers import Address
 
 JITTER = 0.1  # part of a wait: gateways that began together don't stay in step
 OUT_OF_TOUCH_NS = 3 * SECOND  # of a replica with its leader, after which another is polled as well
@@ -275,7 +276,7 @@
         made: list[Action] = []
         if message.version != self.version:
             self.version = message.version
-            made.append(Noticed("acts", {"version": message.version, "changes": len(message.entries)}))
+            made.append(StatusEvent("acts", {"version": message.version, "changes": len(message.entries)}))
         if message.has_more:
             return [*made, self._poll(now)]
         self.fresh_at_ns = max(self.fresh_at_ns or 0, asked_at - message.age_ms * MILLISECOND)
--- a/trackspread/distribution/versions.py
+++ b/trackspread/distribution/versions.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..membership.terms import Epoch
+from ..membership.identifiers import Epoch
 
 MAX_NAME_CHARACTERS = 128  # of a service's name, and of a key's
 MAX_VALUE_BYTES = 640  # so that an entry always fits one datagram
--- a/trackspread/distribution/wire.py
+++ b/trackspread/distribution/wire.py
@@ -12,12 +12,13 @@
 
 import msgspec
 
-from ..membership.wire import DIGEST, Keys
+from ..membership.wire import Keys
+from ..membership.wire import DIGEST_BYTES
 from .messages import Message
 
 MAGIC = b"td\x01"  # and the version of what follows
 MAX_DATAGRAM_BYTES = 1_400  # bytes at most: one packet on any network
-_HEAD = len(MAGIC) + DIGEST
+_HEAD = len(MAGIC) + DIGEST_BYTES
 
 _encode = msgspec.msgpack.Encoder().encode
 _message = msgspec.msgpack.Decoder(Message)
@@ -56,7 +57,7 @@
         if not _HEAD < len(data) <= MAX_DATAGRAM_BYTES or not data.startswith(MAGIC):
             raise _DroppedDatagram("foreign")
         payload = data[_HEAD:]
-        if not self.keys.fits(data[len(MAGIC) : _HEAD], payload):
+        if not self.keys.matches(data[len(MAGIC) : _HEAD], payload):
             raise _DroppedDatagram("digest")
         try:
             message = _message.decode(payload)
--- a/trackspread/node/cell_part.py
+++ b/trackspread/node/cell_part.py
@@ -13,13 +13,13 @@
 
 from ..cells.gateway import Gateway, GatewaySettings
 from ..cells.host import Host
-from ..cells.terms import ControlMachine, Zone
+from ..cells.topology import ControlMachine, Zone
 from ..cells.wire import CellsWire
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
-from ..membership.host import born_now
-from ..membership.report import Report, report
-from ..membership.terms import MS, SECOND
+from ..membership.host import created_now_ms
+from ..membership.report import FleetReport, fleet_report
+from ..membership.identifiers import MS, SECOND
 from .fleet_keys import program_version
 from .fleet_view_part import FleetViewPart
 from .random_seed import random_seed
@@ -75,7 +75,7 @@
         return GatewaySettings(
             fleet.name,
             self._name,
-            born_now(),
+            created_now_ms(),
             self._advertised_address(),
             Zone(fleet.region, fleet.zone),
             control_machines(fleet),
@@ -91,16 +91,16 @@
             self.host = None
             self._core = None
 
-    def report(self) -> Report | None:
+    def report(self) -> FleetReport | None:
         """The cell's view as it is now; None while this gateway takes no part, or is in no cell yet."""
         host, core = self.host, self._core
-        if host is None or core is None or core.member is None or core.held is None:
+        if host is None or core is None or core.member is None or core.placement is None:
             return None
         now = self._now()
-        answered_s = None if core.answered_at is None else round((now - core.answered_at) / SECOND, 1)
+        answered_s = None if core.answered_at_ns is None else round((now - core.answered_at_ns) / SECOND, 1)
         return structs.replace(
-            report(now, core.member, host.counts, host.wire.dropped),
+            fleet_report(now, core.member, host.counts, host.wire.dropped),
             fleet=self._fleet.name,
-            cell=core.held.cell.name,
+            cell=core.placement.cell.name,
             answered_s=answered_s,
         )
--- a/trackspread/node/configuration_part.py
+++ b/trackspread/node/configuration_part.py
@@ -17,7 +17,7 @@
 from ..distribution.report import subscription_report
 from ..distribution.settings import SubscriberSettings
 from ..distribution.wire import Wire
-from ..membership.host import born_now
+from ..membership.host import created_now_ms
 from .bind_retry import bind_within
 from .fleet_keys import read_keys
 from .random_seed import random_seed
@@ -65,7 +65,7 @@
             address(table.listen, "configuration.listen"),
             self._wire,
             random_seed(),
-            born_now(),
+            created_now_ms(),
             self._now,
             record=Path(table.record) if table.record else None,
         )
--- a/trackspread/node/configuration_replica.py
+++ b/trackspread/node/configuration_replica.py
@@ -13,9 +13,9 @@
 from ..config.operator import Operator
 from ..distribution.host import ReplicaHost
 from ..distribution.settings import ReplicaSettings
-from ..membership.terms import Epoch
+from ..membership.identifiers import Epoch
 from ..distribution.wire import Wire
-from ..membership.host import born_now
+from ..membership.host import created_now_ms
 from .fleet_keys import read_keys
 from .random_seed import random_seed
 
@@ -29,20 +29,21 @@
     if not table.replicas:
         return None
     addresses = table.addresses()
-    number = core.settings.machines.index(core.me)
+    number = core.settings.machines.index(core.machine)
 
     def leading_epoch() -> Epoch | None:
-        tier = core.tier
-        if tier.coordinating is None or not tier.owns(now()):
+        member = core.control_member
+        if member.coordinator is None or not member.is_coordinator(now()):
             return None
-        return tier.coordinating.epoch
+        return member.coordinator.epoch
 
     def superseded(epoch: Epoch) -> None:
-        core.tier.acceptor.newer(epoch[0])  # the lease is given up, and the next bid is beyond it
+        # The lease is given up, and the next ballot is beyond it.
+        core.control_member.coordination.acceptor.record_round(epoch[0])
 
     now = time.monotonic_ns
     return ReplicaHost(
-        ReplicaSettings(number, born_now(), addresses),
+        ReplicaSettings(number, created_now_ms(), addresses),
         addresses[number],
         Wire(operator.fleet.name, read_keys(operator.fleet)),
         random_seed(),
--- a/trackspread/node/control_machine.py
+++ b/trackspread/node/control_machine.py
@@ -14,15 +14,15 @@
 
 import uvloop
 
-from ..cells.controller import CELL_MOST, Controller, ControlSettings
+from ..cells.controller import ControlSettings, Controller
+from ..cells.topology import MAX_CELL_MEMBERS, CellPolicy
 from ..cells.host import Host
-from ..cells.terms import Policy
 from ..cells.wire import CellsWire
 from ..config import operator
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
-from ..membership.host import born_now
-from ..membership.terms import MS, SECOND, Epoch
+from ..membership.host import created_now_ms
+from ..membership.identifiers import MS, SECOND, Epoch
 from .cell_part import control_machines
 from .configuration_replica import make_replica
 from .fleet_keys import program_version, read_keys
@@ -47,18 +47,18 @@
     settings = ControlSettings(
         fleet.name,
         name,
-        born_now(),
+        created_now_ms(),
         known,
         program_version(),
-        Policy(gateways=fleet.gateways),
+        CellPolicy(max_fleet_gateways=fleet.gateways),
         int(fleet.period_ms * MS),
         int(fleet.keep_s * SECOND),
     )
     core = Controller(settings, time.monotonic_ns(), random_seed())
-    wire = CellsWire(fleet.name, read_keys(fleet), max(CELL_MOST, 2 * len(known)))
+    wire = CellsWire(fleet.name, read_keys(fleet), max(MAX_CELL_MEMBERS, 2 * len(known)))
     record = Path(fleet.record) if fleet.record else None
     listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else own.address
-    return Host(core, listen, wire, time.monotonic_ns, record, led=leadership_changed)
+    return Host(core, listen, wire, time.monotonic_ns, record, on_leadership=leadership_changed)
 
 
 async def serve(name: str, file: Path) -> None:
--- a/trackspread/node/fleet_view_part.py
+++ b/trackspread/node/fleet_view_part.py
@@ -13,9 +13,10 @@
 
 from ..config.addresses import Address, ConfigError, address
 from ..config.operator import Fleet
-from ..membership.port import DESCRIPTORS
-from ..membership.report import Report
-from ..membership.wire import NAME_MOST, Wire
+from ..membership.transport import DESCRIPTORS
+from ..membership.report import FleetReport
+from ..membership.wire import Wire
+from ..membership.wire import MAX_NAME_LENGTH
 from .bind_retry import bind_within
 from .fleet_keys import read_keys
 
@@ -52,9 +53,10 @@
 
     def _check_settings(self) -> None:
         """Raises `ConfigError`."""
-        if len(self._name) > NAME_MOST:
+        if len(self._name) > MAX_NAME_LENGTH:
             raise ConfigError(
-                f"name: found {len(self._name)} characters, wanted {NAME_MOST} at most: fleet.name is set"
+                f"name: found {len(self._name)} characters, wanted {MAX_NAME_LENGTH} at most: "
+                "fleet.name is set"
             )
 
     def _listen_address(self) -> Address:
@@ -88,7 +90,7 @@
         """Take part no more; `leave` False: another process goes on under this name, nobody is notified."""
 
     @abstractmethod
-    def report(self) -> Report | None:
+    def report(self) -> FleetReport | None:
         """The view as it is now; None while this gateway takes no part."""
 
     def answer(self) -> tuple[int, str]:
--- a/trackspread/node/membership_part.py
+++ b/trackspread/node/membership_part.py
@@ -14,10 +14,12 @@
 from ..config.operator import Fleet
 from ..decide.events import FleetChanged
 from ..decide.peer_messages import MAX_MESSAGE_BYTES
-from ..membership.host import Host, born_now
-from ..membership.report import Report, report
-from ..membership.slots import slots_of
-from ..membership.terms import MS, SECOND, Place, Settings
+from ..membership.host import Host
+from ..membership.host import created_now_ms
+from ..membership.report import FleetReport, fleet_report
+from ..membership.slot_allocation import slots_of
+from ..membership.identifiers import MS, SECOND, ListPosition
+from ..membership.settings import MemberSettings
 from ..membership.wire import Wire
 from .fleet_keys import program_version
 from .fleet_view_part import FleetViewPart
@@ -42,7 +44,7 @@
         name: str,
         fleet: Fleet,
         now: Callable[[], int],
-        place: Place = (0, 1),
+        place: ListPosition = (0, 1),
         changed: Callable[[FleetChanged], None] = lambda event: None,
         message_received: Callable[[int, bytes], None] = lambda sender, data: None,
     ) -> None:
@@ -70,7 +72,7 @@
         """Return once slots are granted, or after `READY_TIMEOUT_S`."""
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + READY_TIMEOUT_S
-        while self.host is not None and not self.host.core.part(self._now()):
+        while self.host is not None and not self.host.core.usable_slots(self._now()):
             if loop.time() >= give_up_at_s:
                 return
             await asyncio.sleep(READY_POLL_S)
@@ -80,9 +82,9 @@
         if self.host is None:
             return
         if to is None:
-            self.host.tell(self._names.values(), data)
+            self.host.send_data(self._names.values(), data)
         else:
-            self.host.tell([self._names[to]] if to in self._names else [], data)
+            self.host.send_data([self._names[to]] if to in self._names else [], data)
 
     def _received(self, name: str, data: bytes, slots: int) -> None:
         sender = gateway_number(name)
@@ -97,10 +99,10 @@
         if self.host is None:
             return
         members = self.host.core.member_table
-        peers = {gateway_number(peer.update.name): peer.update for peer in members.here()}
+        peers = {gateway_number(peer.update.name): peer.update for peer in members.present()}
         peers.pop(self._number, None)  # of two names with one number, one gets no messages: that is safe
         slow = {number for number, update in peers.items() if update.slow}
-        if members.me.slow:
+        if members.own_update.slow:
             slow.add(self._number)
         self._names = {number: update.name for number, update in peers.items()}
         event = self._fleet_changed(self.host, tuple(sorted(peers)), slow)
@@ -110,13 +112,20 @@
             self._changed(event)
 
     def _fleet_changed(self, host: Host, others: tuple[int, ...], slow: set[int]) -> FleetChanged:
-        holding = host.core.holding
-        slots, until = (0, 0) if host.core.gone else (holding.granted, holding.until)
+        lease = host.core.lease
+        slots, until_ns = (0, 0) if host.core.has_left else (lease.granted_slots, lease.valid_until_ns)
         everybody = tuple(sorted((self._number, *others)))
         owners = tuple(number for number in everybody if number not in slow) or everybody
         peer_slots = tuple(self._peer_slots.get(number, 0) for number in others)
         return FleetChanged(
-            self._number, others, owners, self._place_slots, slots, peer_slots, until, holding.granted_until
+            self._number,
+            others,
+            owners,
+            self._place_slots,
+            slots,
+            peer_slots,
+            until_ns,
+            lease.granted_until_ns,
         )
 
     async def _start(self) -> None:
@@ -139,12 +148,12 @@
             host.close(leave=False)
             raise
 
-    def _settings(self) -> Settings:
+    def _settings(self) -> MemberSettings:
         fleet = self._fleet
-        return Settings(
+        return MemberSettings(
             fleet.name,
             self._name,
-            born_now(),
+            created_now_ms(),
             self._advertised_address(),
             fleet.seed_addresses(),
             program_version(),
@@ -161,8 +170,8 @@
             self._report_changes()
             self.host = None
 
-    def report(self) -> Report | None:
+    def report(self) -> FleetReport | None:
         """The fleet's view as it is now; None while this gateway takes no part."""
         if self.host is None:
             return None
-        return report(self._now(), self.host.core, self.host.counts, self.host.wire.dropped)
+        return fleet_report(self._now(), self.host.core, self.host.counts, self.host.wire.dropped)
--- a/trackspread/testing/harness/configuring.py
+++ b/trackspread/testing/harness/configuring.py
@@ -23,7 +23,7 @@
 from ...distribution.host import Endpoint, ReplicaHost, SubscriberHost
 from ...distribution.messages import MessageBody
 from ...distribution.settings import ReplicaSettings, SubscriberSettings
-from ...membership.terms import Address, Epoch
+from ...membership.identifiers import Address, Epoch
 from ...distribution.wire import Wire
 from ...membership.wire import Keys
 from ..virtual.distribution.mutants import MUTANTS
--- a/trackspread/testing/harness/quickened.py
+++ b/trackspread/testing/harness/quickened.py
@@ -13,8 +13,8 @@
 from typing import Any
 from unittest.mock import patch
 
-from ...cells.terms import Policy
-from ...membership.terms import SECOND
+from ...cells.topology import CellPolicy
+from ...membership.identifiers import SECOND
 from ...node import control_machine
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
@@ -32,14 +32,14 @@
     return [each for name in names.split(",") if name != NONE for each in known[name]()]
 
 
-def _policy(gateways: int) -> Policy:
-    return Policy(TARGET, MOST, LEAST, MERGED, gateways, SOON, SOON, IDLE)
+def _policy(max_fleet_gateways: int) -> CellPolicy:
+    return CellPolicy(TARGET, MOST, LEAST, MERGED, max_fleet_gateways, SOON, SOON, IDLE)
 
 
 def main(names: str, control: str, file: str) -> None:
     """In the foreground."""
     with ExitStack() as stack:
-        stack.enter_context(patch.object(control_machine, "Policy", _policy))
+        stack.enter_context(patch.object(control_machine, "CellPolicy", _policy))
         stack.enter_context(held(faults(names)))
         control_machine.run(control, Path(file))
 
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -12,27 +12,16 @@
 
 import msgspec
 
+from ....cells.actions import CellJoined, CellLeft, LeadershipChanged, MemberAction, SendCellsMessage
 from ....cells.controller import Controller, ControlSettings
 from ....cells.gateway import Gateway, GatewaySettings
-from ....cells.terms import (
-    Cell,
-    ControlMachine,
-    InCell,
-    Joined,
-    Leads,
-    Left,
-    Locate,
-    Located,
-    Message,
-    Noticed,
-    Placement,
-    Policy,
-    Send,
-    Zone,
-)
+from ....cells.messages import Cell, CellsMessage, Placement, PlacementNotice, PlacementRequest
+from ....cells.topology import CellPolicy, ControlMachine, Zone
+from ....membership.actions import ExchangeTables, SendMessage, StatusEvent
+from ....membership.identifiers import SECOND, Address, MemberId, ViewNumber
 from ....membership.member import Member
-from ....membership.slots import WHOLE
-from ....membership.terms import SECOND, Address, Exchange, MemberMessage, Number, Say, Table, View, Who
+from ....membership.messages import MemberMessage, TableSnapshot, View
+from ....membership.slot_allocation import ALL_SLOTS
 from .. import stage
 from ..stage import Broken, Stage
 
@@ -40,7 +29,7 @@
 Process = stage.Process[Core]
 
 FLEET = "fleet"
-POLICY = Policy()
+POLICY = CellPolicy()
 KEEP = 2 * SECOND  # that a silent gateway keeps its slots for, unless said otherwise
 HEAD = 19  # bytes of mark and digest before what a datagram holds
 LENGTH = 4  # bytes before a table
@@ -64,7 +53,7 @@
         machines: int = 7,
         zones: int = 3,
         drift: float = 0.0,
-        policy: Policy = POLICY,
+        policy: CellPolicy = POLICY,
         keep: int = KEEP,
     ) -> None:
         super().__init__(f"cells:{seed}", drift)
@@ -77,9 +66,9 @@
         self._retired: set[tuple[str, str]] = set()  # by control machine's process and cell
         self.retired_with: list[str] = []  # gateways that were in a cell when it was given up
         self.cut_regions: set[tuple[str, str]] = set()  # directions
-        self.views: dict[tuple[str, Number], View] = {}
-        self.entries: dict[tuple[str, str], Number] = {}  # by control machine's process and cell
-        self.newest: dict[tuple[str, int], Number] = {}  # told to a gateway's process
+        self.views: dict[tuple[str, ViewNumber], View] = {}
+        self.entries: dict[tuple[str, str], ViewNumber] = {}  # by control machine's process and cell
+        self.newest: dict[tuple[str, int], ViewNumber] = {}  # told to a gateway's process
         self.held: dict[tuple[str, int], Placement] = {}  # gone by, by a gateway's process
         self._acting: dict[str, tuple[int, Member]] = {}  # which start of a gateway, and its member of a cell
         self.left: list[tuple[Process, int, Member]] = []  # of cells that gateways no longer take part in
@@ -113,7 +102,9 @@
         core: Core
         if process.name.startswith("c"):
             core = Controller(
-                ControlSettings(FLEET, process.name, born, self.machines, "1", self._policy, keep=self._keep),
+                ControlSettings(
+                    FLEET, process.name, born, self.machines, "1", self._policy, lease_duration_ns=self._keep
+                ),
                 now,
                 seed,
             )
@@ -127,7 +118,7 @@
                     self._zone_of[process.name],
                     self.machines,
                     "1",
-                    keep=self._keep,
+                    lease_duration_ns=self._keep,
                 ),
                 now,
                 seed,
@@ -162,7 +153,7 @@
 
     def leader(self) -> Process | None:
         """Who leads at this instant."""
-        found = [p for p, core in self.controllers() if core.leads(p.now(self.clock.now))]
+        found = [p for p, core in self.controllers() if core.is_leader(p.now(self.clock.now))]
         if len(found) > 1:
             raise Broken(f"{self.true / 1e9:.3f} s: {[p.name for p in found]} lead together")
         return found[0] if found else None
@@ -183,22 +174,22 @@
     def _do(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
             match action:
-                case Send(to, message):
+                case SendCellsMessage(to, message):
                     self._send(process, to, message)
-                case InCell(_, Say(to, member_message)):
+                case MemberAction(_, SendMessage(to, member_message)):
                     self._send(process, to, member_message)
-                case InCell(fleet, Exchange(to)):
+                case MemberAction(fleet, ExchangeTables(to)):
                     self._connect(process, fleet, to)
-                case InCell(fleet, Noticed() as told):
+                case MemberAction(fleet, StatusEvent() as told):
                     self._viewed(process, fleet, told)
-                case Joined() | Left() | Leads() | Noticed():
+                case CellJoined() | CellLeft() | LeadershipChanged() | StatusEvent():
                     self._noticed(process, action)
 
-    def _send(self, process: Process, to: Address, what: MemberMessage | Message) -> None:
+    def _send(self, process: Process, to: Address, what: MemberMessage | CellsMessage) -> None:
         size = len(self._encode(what)) + HEAD
         self.sent[process.name] += size
         self.datagrams[process.name] += 1
-        self.asks[process.name] += isinstance(what, Message) and isinstance(what.body, Locate)
+        self.asks[process.name] += isinstance(what, CellsMessage) and isinstance(what.body, PlacementRequest)
         target = self._by_address.get(to)
         if target is None:
             return
@@ -206,11 +197,13 @@
         for _ in range(1 + (bool(weather.twice) and rng.random() < weather.twice)):
             if not (weather.loss and rng.random() < weather.loss):
                 late = self._late()
-                if self.words_late and isinstance(what, Message):
+                if self.words_late and isinstance(what, CellsMessage):
                     late += rng.randint(0, self.words_late)
                 self.clock.after(late, partial(self._arrive, process, target, what, size))
 
-    def _arrive(self, source: Process, target: Process, what: MemberMessage | Message, size: int) -> None:
+    def _arrive(
+        self, source: Process, target: Process, what: MemberMessage | CellsMessage, size: int
+    ) -> None:
         core = target.core
         if core is None or self.severed(source, target):
             return
@@ -219,9 +212,9 @@
         def there() -> Iterable[object]:
             now = target.now(self.clock.now)
             if isinstance(what, MemberMessage):
-                return core.received(now, what, source.address)
+                return core.receive(now, what, source.address)
             self._note(target, core, what)
-            return core.message(now, what, source.address)
+            return core.receive_cells_message(now, what, source.address)
 
         self._on(target, core, there)
         self._going_by(target)
@@ -231,11 +224,11 @@
         target, core = self._by_address.get(to), process.core
         if target is None or target is process or core is None:
             return
-        table = core.table(process.now(self.clock.now), fleet)
+        table = core.table_snapshot(fleet)
         if table is not None:
             self.clock.after(3 * self._late(), partial(self._swap, process, core, target, table))
 
-    def _swap(self, process: Process, core: Core, target: Process, table: Table) -> None:
+    def _swap(self, process: Process, core: Core, target: Process, table: TableSnapshot) -> None:
         other = target.core
         cut = self.severed(process, target) or self.severed(target, process)
         if other is None or cut or process.core is not core:
@@ -244,7 +237,7 @@
 
         def there() -> Iterable[object]:
             now = target.now(self.clock.now)
-            back = other.table(now, table.fleet)
+            back = other.table_snapshot(table.fleet)
             if back is not None:
                 self._carried(target, process, back)
                 self.clock.after(
@@ -255,7 +248,7 @@
 
         self._on(target, other, there)
 
-    def _carried(self, source: Process, target: Process, table: Table) -> None:
+    def _carried(self, source: Process, target: Process, table: TableSnapshot) -> None:
         size = len(self._encode(table)) + HEAD + LENGTH
         self.sent[source.name] += size
         self.came[target.name] += size
@@ -265,53 +258,61 @@
     def _broken(self, why: str) -> Broken:
         return Broken(f"{self.true / 1e9:.3f} s: {why}")
 
-    def _note(self, process: Process, core: Core, message: Message) -> None:
+    def _note(self, process: Process, core: Core, message: CellsMessage) -> None:
         """What a gateway is told at this instant."""
         body = message.body
-        if isinstance(core, Gateway) and isinstance(body, Located) and body.to == core.who:
+        if (
+            isinstance(core, Gateway)
+            and isinstance(body, PlacementNotice)
+            and body.member_id == core.member_id
+        ):
             key = process.name, process.starts
             self.newest[key] = max(self.newest.get(key, (0, -1, 0)), body.placement.number)
 
     def _going_by(self, process: Process) -> None:
         """No older word is gone by after a newer was heard."""
         core = process.core
-        if not isinstance(core, Gateway) or core.held is None:
+        if not isinstance(core, Gateway) or core.placement is None:
             return
         key = process.name, process.starts
         before = self.held.get(key)
-        if before is not None and core.held.number < before.number:
-            raise self._broken(f"{process.name} goes back from {before.number} to {core.held.number}")
-        if core.held.number < self.newest.get(key, (0, -1, 0)):
-            raise self._broken(f"{process.name} goes by {core.held.number}, and heard of {self.newest[key]}")
-        self.held[key] = core.held
+        if before is not None and core.placement.number < before.number:
+            raise self._broken(f"{process.name} goes back from {before.number} to {core.placement.number}")
+        if core.placement.number < self.newest.get(key, (0, -1, 0)):
+            raise self._broken(
+                f"{process.name} goes by {core.placement.number}, and heard of {self.newest[key]}"
+            )
+        self.held[key] = core.placement
 
-    def _noticed(self, process: Process, what: Joined | Left | Leads | Noticed) -> None:
+    def _noticed(
+        self, process: Process, what: CellJoined | CellLeft | LeadershipChanged | StatusEvent
+    ) -> None:
         self.told.append((self.true, process.name, what))
-        if isinstance(what, Leads) and what.epoch is not None:
+        if isinstance(what, LeadershipChanged) and what.epoch is not None:
             self.leader()
-        if isinstance(what, Joined):
+        if isinstance(what, CellJoined):
             if self._inside.get(process.name) == process.starts:
                 raise self._broken(f"{process.name} joins a cell before it has left another")
             self._inside[process.name] = process.starts
-        elif isinstance(what, Left):
+        elif isinstance(what, CellLeft):
             self._inside.pop(process.name, None)
-        if isinstance(what, Noticed) and what.kind in ("seeds", "retired"):
-            key = f"{process.name}#{process.starts}", str(what.about["cell"])
+        if isinstance(what, StatusEvent) and what.kind in ("seeds", "retired"):
+            key = f"{process.name}#{process.starts}", str(what.details["cell"])
             if what.kind == "retired":
                 self._retired.add(key)
             elif key in self._retired:
                 raise self._broken(f"{process.name} seeds {key[1]} again, which was given up")
-        if isinstance(what, Noticed) and what.kind == "retired":
+        if isinstance(what, StatusEvent) and what.kind == "retired":
             self.retired_with += [
                 p.name
                 for p, core in self.gateways()
-                if core.held is not None and core.held.cell.name == what.about["cell"]
+                if core.placement is not None and core.placement.cell.name == what.details["cell"]
             ]
 
-    def _viewed(self, process: Process, fleet: str, told: Noticed) -> None:
-        self.told.append((self.true, process.name, InCell(fleet, told)))
+    def _viewed(self, process: Process, fleet: str, told: StatusEvent) -> None:
+        self.told.append((self.true, process.name, MemberAction(fleet, told)))
         if told.kind == "view":
-            about = told.about
+            about = told.details
             view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
             if self.views.setdefault((fleet, view.number), view) != view:
                 raise self._broken(f"two views of {fleet} under {view.number}")
@@ -327,7 +328,9 @@
         now, found = self.clock.now, Counter[str]()
         for process, core in self.controllers():
             found.update(
-                name for name, seeding in core.cells.items() if seeding.member.owns(process.now(now))
+                name
+                for name, seeding in core.cells.items()
+                if seeding.member.is_coordinator(process.now(now))
             )
         if any(count > 1 for count in found.values()):
             raise self._broken(f"two coordinate one cell: {found}")
@@ -341,7 +344,7 @@
                 self._acted(out, core.member, process)
         self.left = [each for each in self.left if each[0].starts == each[1] and each[0].core is not None]
         for process, _, member in self.left:
-            if member.part(process.now(self.clock.now)):
+            if member.usable_slots(process.now(self.clock.now)):
                 raise self._broken(f"{process.name} acts in {member.settings.fleet} that it has left")
 
     def _acts(self, process: Process, member: Member) -> None:
@@ -352,7 +355,7 @@
         self._acting[process.name] = process.starts, member
 
     def _acted(self, out: dict[str, int], member: Member, process: Process) -> None:
-        fleet, part = member.settings.fleet, member.part(process.now(self.clock.now))
+        fleet, part = member.settings.fleet, member.usable_slots(process.now(self.clock.now))
         if part & out.get(fleet, 0):
             raise self._broken(f"{process.name} acts on slots of {fleet} that another acts on")
         out[fleet] = out.get(fleet, 0) | part
@@ -376,11 +379,11 @@
             return "nobody leads"
         cells, inside = dict[str, Cell](), dict[str, list[tuple[Process, Gateway]]]()
         for process, core in self.gateways():
-            if core.held is None or core.member is None:
+            if core.placement is None or core.member is None:
                 return f"{process.name} is in no cell"
-            cell = core.held.cell
-            if cell.place != self._zone_of[process.name]:
-                return f"{process.name} is in a cell of {cell.place}"
+            cell = core.placement.cell
+            if cell.location != self._zone_of[process.name]:
+                return f"{process.name} is in a cell of {cell.location}"
             cells[cell.name] = cell
             inside.setdefault(cell.name, []).append((process, core))
         for name, cell in cells.items():
@@ -391,9 +394,9 @@
     @staticmethod
     def _directory_settled(leader: Process, inside: dict[str, list[tuple[Process, Gateway]]]) -> str:
         """Whether the leader knows just who is where."""
-        if not isinstance(leader.core, Controller) or leader.core.leading is None:
+        if not isinstance(leader.core, Controller) or leader.core.leader is None:
             return "nobody leads"
-        entries = leader.core.leading.directory.entries
+        entries = leader.core.leader.directory.entries
         for name, gateways in inside.items():
             if name not in entries:
                 return f"{name} is not in the directory"
@@ -412,21 +415,21 @@
         seeds = [found.member for _, found in seeding if found is not None]
         if not seeds or len(seeds) < len(seeding):
             return f"{len(seeds)} of {len(seeding)} seed it"
-        if len(gateways) > self._policy.most:
+        if len(gateways) > self._policy.max_gateways:
             return f"has {len(gateways)} gateways"
         members = [core.member for _, core in gateways if core.member is not None] + seeds
-        who: tuple[Who, ...] = tuple(sorted(member.who for member in members))
+        who: tuple[MemberId, ...] = tuple(sorted(member.member_id for member in members))
         for member in members:
             if member.view is None or member.view.members != who:
-                return f"{member.who[0]} holds another view"
-            if member.number() != members[0].number():
-                return f"{member.who[0]} holds {member.number()}"
+                return f"{member.member_id[0]} holds another view"
+            if member.view_number() != members[0].view_number():
+                return f"{member.member_id[0]} holds {member.view_number()}"
         for process, core in gateways:
-            part = core.part(process.now(now))
+            part = core.usable_slots(process.now(now))
             if not part:
                 return f"{process.name} holds nothing"
             slots |= part
-        return "" if slots == WHOLE else "some slots are nobody's"
+        return "" if slots == ALL_SLOTS else "some slots are nobody's"
 
     def run(self, span: int, every: int = 50_000_000) -> None:
         """On, with all that has to hold looked at."""
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -19,7 +19,7 @@
 from ....distribution.messages import Append, Delta, Prepare, SnapshotPiece, TailEntries
 from ....distribution.settings import ReplicaSettings
 from ....distribution.versions import NO_VERSION, Entry, Version
-from ....membership.terms import Address, Epoch
+from ....membership.identifiers import Address, Epoch
 from ..patches import held
 from .judged import Broken
 from .schedules import LONG, SHORT
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -23,7 +23,8 @@
 from ....distribution.messages import BeginHistory, Committed, MessageBody, Put
 from ....distribution.settings import TICK_NS, ReplicaSettings, SubscriberSettings
 from ....distribution.versions import NO_VERSION, Version
-from ....membership.terms import Address, Epoch, Noticed
+from ....membership.actions import StatusEvent
+from ....membership.identifiers import Address, Epoch
 from ..clock import Clock
 from ..stage import Weather
 from .judged import Broken, Judged
@@ -219,7 +220,7 @@
             match action:
                 case Send(to, body):
                     self._send(process, to, body)
-                case Noticed():
+                case StatusEvent():
                     self._told(process, action)
 
     def _send(self, process: Process, to: Address, body: MessageBody) -> None:
@@ -260,8 +261,8 @@
 
     # What came to be, and whether it may.
 
-    def _told(self, process: Process, told: Noticed) -> None:
-        about = told.about
+    def _told(self, process: Process, told: StatusEvent) -> None:
+        about = told.details
         match told.kind, process.core:
             case "committed", Replica():
                 for entry in about["entries"]:  # type: ignore[attr-defined]
