--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -17,6 +17,7 @@
 MAX_IN_FLIGHT = 31
 MAX_TOTAL_IN_FLIGHT = 255
 MAX_U16 = 0xFFFF
+HALF_OF_TOTALS = 0x8000
 QUARTERS_PER_UNIT = 4
 
 
@@ -131,6 +132,13 @@
     )
 
 
+def total_growth(total: int, last_total: int) -> int | None:
+    """Quarter units by which a running total of 16 bits grew; None where it went back, as its gateway began
+    anew."""
+    grown = (total - last_total) & MAX_U16
+    return grown if grown < HALF_OF_TOTALS else None
+
+
 def pack_usage_totals(incarnation: int, age_tenths_s: int, totals: Iterable[tuple[int, int, int]]) -> bytes:
     """Tenant, running total in quarter units and attempts in flight, for at most `MAX_TOTALS` tenants."""
     header = _TOTALS_HEADER.pack(incarnation, _u16(age_tenths_s))
--- a/trackspread/decide/quota/accounts.py
+++ b/trackspread/decide/quota/accounts.py
@@ -34,7 +34,7 @@
         state.accounts[tenant] = account
     elif account.plan_index != plan_index:
         change_plan(sharing, now, account, plan_index)
-    if gateway_span >= 1 and not account.gateways.share_count and not state.has_leases:
+    if gateway_span >= 1 and not account.gateways.share_count and sharing.has_static_shares:
         gateways = state.settings.gateway_count
         if state.view is not None:
             gateways = len(state.view.gateway_slots)
@@ -66,7 +66,7 @@
 def assign_static_share(
     sharing: QuotaSharing, now: int, account: TenantAccount, gateway_span: int, first_gateway: int
 ) -> None:
-    """Start this gateway's static share so that all together have no more than the whole, on average. A hard
+    """Start this gateway's static share so that all together have no more than the limits, on average. A hard
     limit's starts with its part of the slack alone: a restarted gateway cannot know that it is one."""
     state = sharing.state
     settings = state.settings
@@ -84,7 +84,7 @@
 
 
 def _initial_static_tokens(state: QuotaState, even_units: float) -> float:
-    """The even share of a burst; where it is less than a request, a whole request with that chance."""
+    """The even share of a burst; where it is less than a request, a request's units with that chance."""
     largest_units = state.settings.largest_request_units
     chance = even_units / max(largest_units, 1e-9)
     if chance >= 1.0:
--- a/trackspread/decide/quota/concurrency_limit.py
+++ b/trackspread/decide/quota/concurrency_limit.py
@@ -23,13 +23,13 @@
 
 
 def has_free_static_attempt(state: QuotaState, now: int, account: TenantAccount) -> bool:
-    """Whether one more attempt is inside the limit: the whole of it while the counter's number of attempts
+    """Whether one more attempt is inside the limit: all of it while the counter's number of attempts
     elsewhere holds, else this gateway's static share, rounded up."""
     limit = float(account.plan.concurrency_limit)
     elsewhere = attempts_elsewhere(now, account)
     if elsewhere is not None:
         return account.in_flight + elsewhere < ceil(limit - ROUNDING)
-    share = state.static_shares.share_or_whole(now, account)
+    share = state.static_shares.share_or_all(now, account)
     return account.in_flight < ceil(limit * share - ROUNDING)
 
 
--- a/trackspread/decide/quota/counter_calls.py
+++ b/trackspread/decide/quota/counter_calls.py
@@ -29,10 +29,8 @@
 class _Bucket(NamedTuple):
     """The counter's number, read as a bucket as it was before the call that it answers."""
 
-    attempts: int  # in flight at all gateways
-    surplus_units: (
-        float  # refill since the name began less units taken: above 0 the bucket was full for a while
-    )
+    attempts: float  # in flight at all gateways, an integer
+    surplus_units: float  # refill since the name began, less units taken; above 0 the bucket was full
 
 
 def units_of_attempt(state: QuotaState, account: TenantAccount) -> float:
@@ -104,7 +102,7 @@
         attempts = (number + UNITS_PER_ATTEMPT / 2) // UNITS_PER_ATTEMPT
     refilled_ns = (now - event.elapsed_ns) % NAME_LIFETIME_NS
     refilled_units = account.plan.rate_per_s * refilled_ns / SECOND
-    return _Bucket(int(attempts), refilled_units - (number - attempts * UNITS_PER_ATTEMPT))
+    return _Bucket(attempts, refilled_units - (number - attempts * UNITS_PER_ATTEMPT))
 
 
 def _undo_second_correction(
@@ -128,7 +126,7 @@
     is_limited = units_of_attempt(state, account) > 0.0
     granted = is_within and (not is_limited or bucket.attempts < plan.concurrency_limit)
     account.counter.in_flight_known_at_ns = now
-    account.counter.in_flight_elsewhere = max(0, bucket.attempts - account.in_flight)
+    account.counter.in_flight_elsewhere = max(0, int(bucket.attempts) - account.in_flight)
     pays_overage = plan.overage_weight > plan.overage_cost
     calls: list[Action] = []
     if not granted and (call.query or pays_overage):
--- a/trackspread/decide/quota/facade.py
+++ b/trackspread/decide/quota/facade.py
@@ -76,7 +76,7 @@
         """Whether by the owner's last answer, and the refill since, its bucket has less than these units:
         others can only have used more. Not to ask spares an owner whose tenant asks for more than it can
         answer."""
-        is_known = self.has_owners and account.plan.rate_per_s > 0.0
+        is_known = self.sharing.has_owned_buckets and account.plan.rate_per_s > 0.0
         if not is_known or account.tokens_known_at_ns <= self.started_at_ns:
             return False
         return account.tokens + hard_limit.UNIT_STEP / 2 < units
@@ -154,7 +154,7 @@
 
     def request_transfer(self, now: int, account: TenantAccount) -> list[Action]:
         """Ask a peer for some of its part of a hard limit that runs short here."""
-        return hard_limit.request_transfer(self, now, account) if self.gossips else []
+        return hard_limit.request_transfer(self, now, account) if self.sharing.has_transfers else []
 
     def usage_message(self, now: int) -> bytes:
         """This gateway's report to all peers."""
--- a/trackspread/decide/quota/fleet_changes.py
+++ b/trackspread/decide/quota/fleet_changes.py
@@ -50,7 +50,7 @@
     """Take in a view, and return the way to share quotas from now on. With leases nothing changes: those say
     already which part of each tenant's limits is here."""
     state = sharing.state
-    if state.has_leases:
+    if not sharing.has_static_shares:
         return sharing
     old = state.view
     if old is None or _has_other_shares(old, view):
--- a/trackspread/decide/quota/gossip_sharing.py
+++ b/trackspread/decide/quota/gossip_sharing.py
@@ -1,4 +1,4 @@
-"""Gossip between all gateways: each keeps the whole bucket and takes off it what others report as used."""
+"""Gossip between all gateways: each keeps the full bucket and takes off it what others report as used."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 class GossipSharing(QuotaSharing):
     """Every gateway reports its use to all others in time for each to keep the bucket."""
 
+    has_transfers = True
+
     def has_owner(self, account: TenantAccount) -> bool:
         """Only with a concurrency limit: a few attempts would be taken before all could report to all."""
         return account.plan.concurrency_limit > 0
--- a/trackspread/decide/quota/lease_sharing.py
+++ b/trackspread/decide/quota/lease_sharing.py
@@ -13,6 +13,7 @@
 class LeaseSharing(QuotaSharing):
     """Each gateway decides alone with what is leased to it."""
 
+    has_static_shares = False
     has_unresponsive_share = False  # what is not leased here is leased to others, or kept by the host
 
     def is_local(self, account: TenantAccount) -> bool:
--- a/trackspread/decide/quota/overdraft.py
+++ b/trackspread/decide/quota/overdraft.py
@@ -22,7 +22,7 @@
     demand = account.long_term_demand
     demand_units_per_s = demand.rate_per_s(now) * demand.value
     one_request_per_s = units * SECOND / LONG_TERM
-    share = sharing.state.static_shares.share_or_whole(now, account)
+    share = sharing.state.static_shares.share_or_all(now, account)
     part = (plan.rate_per_s * share + 2 * one_request_per_s) / (demand_units_per_s + one_request_per_s)
     return min(1.0, part)
 
--- a/trackspread/decide/quota/owner_grants.py
+++ b/trackspread/decide/quota/owner_grants.py
@@ -2,17 +2,13 @@
 
 from __future__ import annotations
 
-from ..peer_messages import QuotaMessage
+from ..peer_messages import QUARTERS_PER_UNIT, QuotaMessage, total_growth
 from ..tenant_account import TenantAccount, UnsettledGrant
 from .freshness import FRESH_NS, UNRESPONSIVE_NS
 from .sharing import QuotaSharing
 from .state import REPORTED_TOKENS_NS
 from .token_bucket import deduct_use_elsewhere
 
-TOTAL_MASK = 0xFFFF  # running totals of quarter units have 16 bits on the wire
-HALF_OF_TOTALS = 0x8000  # growth from here on means that the total went back, as its gateway began anew
-QUARTERS_PER_UNIT = 4
-
 
 def take_over(
     sharing: QuotaSharing, now: int, account: TenantAccount, sender: int, message: QuotaMessage
@@ -48,8 +44,8 @@
     the bucket."""
     unsettled = account.owner_record.unsettled_grants.get(sender, UnsettledGrant(0.0, now))
     last_total = account.peer_totals.get(sender, forwarded_quarter_units)
-    grown = (forwarded_quarter_units - last_total) & TOTAL_MASK
-    if grown >= HALF_OF_TOTALS:
+    grown = total_growth(forwarded_quarter_units, last_total)
+    if grown is None:
         grown = forwarded_quarter_units
     used_units = grown / QUARTERS_PER_UNIT
     unused_units = max(0.0, unsettled.units - used_units)
--- a/trackspread/decide/quota/owner_sharing.py
+++ b/trackspread/decide/quota/owner_sharing.py
@@ -16,6 +16,7 @@
 class OwnerSharing(QuotaSharing):
     """Gateways are too many for gossip in time: all ask the tenant's owner."""
 
+    has_owned_buckets = True
     static_part_of_hard_limit = 1.0 - hard_limit.OWNER_PART
 
     def has_owner(self, account: TenantAccount) -> bool:
@@ -27,7 +28,7 @@
         return self.state.is_own(account)
 
     def local_share(self, now: int, account: TenantAccount) -> float:
-        """The whole at the owner, by a view as far as gateways hold slots; elsewhere the static share, and
+        """All at the owner, by a view as far as gateways hold slots; elsewhere the static share, and
         the rest as far as the owner's last answer is fresh."""
         slots = self.state.slot_shares()
         if slots is not None:
@@ -40,7 +41,7 @@
         return self.share_by_reports(now, account)
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
-        """At the owner that which counts as here; elsewhere the whole, as the bucket is the owner's."""
+        """At the owner that which counts as here; elsewhere all, as the bucket is the owner's."""
         if self.is_local(account) and self.state.view is not None:
             return self.local_share(now, account)
         return 1.0
--- a/trackspread/decide/quota/quota_messages.py
+++ b/trackspread/decide/quota/quota_messages.py
@@ -35,7 +35,7 @@
     """Of hard limits, between gateways that gossip; others are no business of this gateway."""
     state = sharing.state
     nothing = QuotaAnswer(NO_QUERY, None, [])
-    if not state.gossips:
+    if not sharing.has_transfers:
         return nothing
     account = state.accounts.get(message.tenant)
     if account is None and state.view is not None:
@@ -55,7 +55,7 @@
     """An owner granted or denied what was asked for here."""
     granted = message.kind == QuotaMessageKind.GRANT
     account = sharing.state.accounts.get(message.tenant)
-    if account is not None and sharing.state.has_owners:
+    if account is not None and sharing.has_owned_buckets:
         token_bucket.refill(sharing, now, account)
         sharing.state.learn_tokens(now, account, message.units, granted)
         account.tokens_reported_by = sender
@@ -79,7 +79,7 @@
         return QuotaAnswer(NO_QUERY, None, [])
     is_request = message.kind == QuotaMessageKind.REQUEST
     pays_overage = account.plan.overage_weight > account.plan.overage_cost
-    if is_request and state.has_owners and not pays_overage:
+    if is_request and sharing.has_owned_buckets and not pays_overage:
         owner_grants.settle_grants(account, now, sender, message.forwarded_quarter_units)
     granted = _grant(sharing, now, account, message.units, pays_overage)
     if granted:
--- a/trackspread/decide/quota/sharing.py
+++ b/trackspread/decide/quota/sharing.py
@@ -13,7 +13,12 @@
 class QuotaSharing(ABC):
     """One way to share. It keeps nothing itself: another may take its place while the gateway runs."""
 
-    has_unresponsive_share = True  # whether what is not this gateway's now may be of peers not heard
+    has_unresponsive_share = True  # whether what is not this gateway's now may belong to unresponsive peers
+    has_static_shares = True  # whether static shares hold beside what is shared
+    has_owned_buckets = (
+        False  # whether an owner's answers say what is in the bucket, and its grants are settled
+    )
+    has_transfers = False  # whether peers transfer parts of hard limits to one another
     static_part_of_hard_limit = 1.0  # the part of a hard limit that is shared out statically
 
     def __init__(self, state: QuotaState) -> None:
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -31,7 +31,7 @@
 
 
 class PeerReturn(NamedTuple):
-    """When a peer was heard again, and how long it was unresponsive before."""
+    """When a peer became responsive again, and how long it was unresponsive before."""
 
     returned_at_ns: int
     unresponsive_ns: int
@@ -66,9 +66,7 @@
         self.incarnation = incarnation
         self.started_at_ns = now
         self.accounts: dict[int, TenantAccount] = {}
-        self.reservations: dict[
-            int, tuple[float, float]
-        ] = {}  # by tenant: on top of rate per s and burst units
+        self.reservations: dict[int, tuple[float, float]] = {}  # by tenant: rate per s and burst units on top
         self.grant_ratio_by_plan = [DecayingMean(LONG_TERM) for _ in settings.plans]
 
         self.peers: dict[int, PeerReport] = {}
@@ -90,7 +88,7 @@
         self.has_leases = settings.has_leased_quotas
         may_call_counter = not settings.may_gossip and not self.has_leases and settings.gateway_count > 1
         self.uses_counter = settings.has_shared_counter and may_call_counter
-        self.gossips = False
+        self.gossips = False  # set with the way to share, as is ...
         self.has_owners = False
 
     @property
--- a/trackspread/decide/quota/static_shares.py
+++ b/trackspread/decide/quota/static_shares.py
@@ -16,7 +16,7 @@
         """Part of the tenant's limits that is this gateway's; 0.0 where it has none."""
 
     @abstractmethod
-    def share_or_whole(self, now: int, account: TenantAccount) -> float:
+    def share_or_all(self, now: int, account: TenantAccount) -> float:
         """Likewise, but 1.0 where no gateways are known to share the tenant's limits."""
 
     @abstractmethod
@@ -40,7 +40,7 @@
         """One part of as many as there are gateways; 0.0 while no request of the tenant came here."""
         return 1.0 / account.gateways.share_count if account.gateways.share_count else 0.0
 
-    def share_or_whole(self, now: int, account: TenantAccount) -> float:
+    def share_or_all(self, now: int, account: TenantAccount) -> float:
         """1.0 while no request of the tenant came here."""
         return 1.0 / account.gateways.share_count if account.gateways.share_count else 1.0
 
@@ -58,7 +58,7 @@
 
 
 class SlotShares(StaticShares):
-    """By a fleet view: every limit is worth so many slots (bits of whole numbers), and gateways hold
+    """By a fleet view: every limit is worth so many slots (bits of integers), and gateways hold
     slots."""
 
     def __init__(self, view: FleetChanged) -> None:
@@ -72,10 +72,10 @@
     def share_of_slots(self, account: TenantAccount, slots: int) -> float:
         """Part of the tenant's limits that these slots are: those of its gateways are all of them."""
         key = account.gateways.first, account.gateways.span
-        whole = self._slot_sets.get(key)
-        if whole is None:
-            whole = self._slot_sets[key] = self._slots_of_gateways(*key)
-        return (slots & whole).bit_count() / max(1, whole.bit_count())
+        all_slots = self._slot_sets.get(key)
+        if all_slots is None:
+            all_slots = self._slot_sets[key] = self._slots_of_gateways(*key)
+        return (slots & all_slots).bit_count() / max(1, all_slots.bit_count())
 
     def _slots_of_gateways(self, first_gateway: int, gateway_span: int) -> int:
         """Slots of so many gateways in a row; of all gateways where the span is 0, not known yet."""
@@ -89,8 +89,8 @@
         """That of the slots held here; 0.0 once the view is out of date."""
         return self.share_of_slots(account, self.own_slots(now))
 
-    def share_or_whole(self, now: int, account: TenantAccount) -> float:
-        """That of the slots held here: a view says who shares, so there is never a whole by default."""
+    def share_or_all(self, now: int, account: TenantAccount) -> float:
+        """That of the slots held here: a view says who shares, so there is never all by default."""
         return self.share_of_slots(account, self.own_slots(now))
 
     def is_cut_off(self, now: int) -> bool:
--- a/trackspread/decide/quota/static_sharing.py
+++ b/trackspread/decide/quota/static_sharing.py
@@ -1,4 +1,4 @@
-"""Static shares: nobody is heard, and each gateway keeps to its own part of every limit."""
+"""Static shares: no peer reports anything, and each gateway keeps to its own part of every limit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         return account.gateways.share_count == 1
 
     def local_share(self, now: int, account: TenantAccount) -> float:
-        """The whole where all requests come here, else the even share and others' by age of the last
+        """All where all requests come here, else the even share and others' by age of the last
         answer."""
         if self.is_local(account):
             return 1.0
--- a/trackspread/decide/quota/token_bucket.py
+++ b/trackspread/decide/quota/token_bucket.py
@@ -37,8 +37,8 @@
 def _refill_tokens(
     sharing: QuotaSharing, now: int, account: TenantAccount, share: float, elapsed_s: float
 ) -> None:
-    """Fill the bucket by this share of the quota. The rest belongs to peers that are not heard; it comes back
-    here when they are heard again and have reported what they used."""
+    """Fill the bucket by this share of the quota. The rest belongs to unresponsive peers; it comes back
+    here when they respond again and have reported what they used."""
     plan = account.plan
     before = account.tokens
     limit = sharing.token_limit(account, share)
@@ -76,7 +76,7 @@
 def deduct_use_elsewhere(account: TenantAccount, units: float, unresponsive_ns: int) -> None:
     """Take what others used off the bucket here, also below 0, or two gateways would spend the same refill.
 
-    What was used while its reporter was unresponsive for so long (0: it was heard all along) comes off that
+    What was used while its reporter was unresponsive for so long (0: it reported all along) comes off that
     time's refill first, as far as that never was in the bucket here. What both sides spent beyond it is
     spent: to take it off later helps nobody."""
     least_tokens = -account.plan.burst_units
--- a/trackspread/decide/quota/usage_totals.py
+++ b/trackspread/decide/quota/usage_totals.py
@@ -3,7 +3,15 @@
 from __future__ import annotations
 
 from ..events import PeerMessage
-from ..peer_messages import MAX_TOTALS, UsageTotal, UsageTotals, pack_usage_totals, unpack_usage_totals
+from ..peer_messages import (
+    MAX_TOTALS,
+    QUARTERS_PER_UNIT,
+    UsageTotal,
+    UsageTotals,
+    pack_usage_totals,
+    total_growth,
+    unpack_usage_totals,
+)
 from ..tenant_account import PeerAttempts, TenantAccount
 from ..time_units import SECOND
 from . import token_bucket
@@ -13,14 +21,12 @@
 
 MAX_REORDERING_TENTHS_S = 50  # by which a message may be overtaken by a later one on its way
 MAX_PEERS = 512  # whose last report is kept; the one that is unresponsive for longest makes room
-NOT_HEARD = PeerReport(-1, 0, 0)
+NEVER_REPORTED = PeerReport(-1, 0, 0)
 NOT_RETURNED = PeerReturn(0, 0)
-TOTAL_MASK = 0xFFFF  # running totals of quarter units have 16 bits on the wire
-HALF_OF_TOTALS = 0x8000  # growth from here on means that the total went back: its peer forgot the account
 
 
 def usage_message(state: QuotaState, now: int) -> bytes:
-    """Running totals of the tenants that peers heard least of, so that a lost message costs nothing once the
+    """Running totals of the tenants that were reported least, so that a lost message costs nothing once the
     next one comes."""
     due = [
         account
@@ -54,7 +60,7 @@
     message = unpack_usage_totals(event.data)
     if message is None:
         return
-    last = state.peers.get(event.sender, NOT_HEARD)
+    last = state.peers.get(event.sender, NEVER_REPORTED)
     is_same_incarnation = last.incarnation == message.incarnation
     if is_same_incarnation and 0 < last.age_tenths_s - message.age_tenths_s <= MAX_REORDERING_TENTHS_S:
         return
@@ -97,7 +103,7 @@
 def _note_attempts(
     sharing: QuotaSharing, now: int, account: TenantAccount, sender: int, in_flight: int
 ) -> None:
-    """An owner hears by requests of what it granted; totals alone report what went out without its answer."""
+    """An owner learns by requests what it granted; totals alone report what went out without its answer."""
     known = account.peers_in_flight.get(sender)
     known_attempts = 0 if known is None else known.attempts
     if not sharing.is_local(account) or in_flight > known_attempts:
@@ -107,7 +113,7 @@
 def _used_units(account: TenantAccount, total: int, last_total: int | None, is_older: bool) -> float:
     """Units that a peer used since its last report. Of a total that is new here, a burst at most can be of
     late; nothing where the peer is older than this gateway, which then began with less."""
-    grown = HALF_OF_TOTALS if last_total is None else (total - last_total) & TOTAL_MASK
-    if grown < HALF_OF_TOTALS:
-        return grown / 4
-    return 0.0 if is_older else min(total / 4, account.plan.burst_units)
+    grown = None if last_total is None else total_growth(total, last_total)
+    if grown is not None:
+        return grown / QUARTERS_PER_UNIT
+    return 0.0 if is_older else min(total / QUARTERS_PER_UNIT, account.plan.burst_units)
