--- a/trackspread/decide/backend_state.py
+++ b/trackspread/decide/backend_state.py
@@ -11,6 +11,9 @@
 MAX_SLOW_START_TOKENS = 2.0  # attempts that a gateway may save up for one backend that warms up
 
 
+ClassAndPlan = tuple[int, int]  # indexes of a request's class and of its tenant's plan
+
+
 @dataclass(slots=True)
 class BackendState:
     """One backend as this gateway sees it."""
@@ -24,7 +27,7 @@
     consecutive_failures: int = 0
     ejected_until_ns: int = 0
     # By class and plan: until when it counts as rejecting such requests.
-    rejecting_until_ns: dict[tuple[int, int], int] = field(default_factory=dict)
+    rejecting_until_ns: dict[ClassAndPlan, int] = field(default_factory=dict)
     # By class: when the last attempt ended, and 1.0 if without a response, else 0.0.
     last_response: dict[int, tuple[int, float]] = field(default_factory=dict)
     slow_start_tokens: float = 0.0  # attempts
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -169,6 +169,7 @@
         """What arrives from now on has other classes; open requests keep theirs."""
         self._use_settings(replace(self.settings, classes=event.classes, max_attempts=event.max_attempts))
         self.model.change_classes(event)
+        # Its settings stay until the fleet changes, and with them the length of turns at backends.
         self.load_balancer.change_classes(event)
         self.load_shedding.change_classes(event)
         return LogMessage(f"classes changed: {len(event.active)} now, {event.max_attempts} attempts at most")
@@ -180,8 +181,8 @@
         self.admission.settings = settings
 
     def retire(self, now: int) -> list[Action]:
-        """Another process decides from now on: nothing is admitted here any more, nor told to peers. Attempts
-        in flight end here; queued requests, whose answers go elsewhere now, are rejected."""
+        """Another process decides from now on: nothing is admitted here any more, nor announced to peers.
+        Attempts in flight end here; queued requests, whose answers go elsewhere now, are rejected."""
         self._is_retired = True
         self.load_balancer.slow_start.is_suspended = True
         return self.admission.reject_queued()
--- a/trackspread/decide/concurrency_model.py
+++ b/trackspread/decide/concurrency_model.py
@@ -14,6 +14,7 @@
 from .time_units import SECOND, TICK
 
 LATENCY_SAMPLES = 8.0  # that a class's recent latency rests on; where few come, its time constant is longer
+MIN_RATE_PER_S = 1e-3  # of responses
 MIN_SAMPLES = 0.5  # weight from which a class counts at all
 MIN_SAMPLES_FOR_SHORTEST = 4.0  # weight from which a recent latency may become the shortest
 SHORTEST_LATENCY_GROWTH_PER_S = 0.01  # part by which the shortest latency grows, as backends may get slower
@@ -84,7 +85,7 @@
 
     @staticmethod
     def _adapt_time_constant(now: int, latency: DecayingMean) -> None:
-        span_ns = LATENCY_SAMPLES * SECOND / max(1e-3, latency.rate_per_s(now))
+        span_ns = LATENCY_SAMPLES * SECOND / max(MIN_RATE_PER_S, latency.rate_per_s(now))
         latency.time_constant_ns = int(min(LONG_TERM, max(SHORT_TERM, span_ns)))
 
     def _update_shortest(self, request_class: int, latency: DecayingMean) -> None:
--- a/trackspread/decide/idle_accounts.py
+++ b/trackspread/decide/idle_accounts.py
@@ -12,6 +12,7 @@
 SWEEP_INTERVAL_NS = 10 * SECOND
 ACCOUNT_LIFETIME_NS = 120 * SECOND  # after the last request; its token buckets are long since full
 RARE_ACCOUNT_LIFETIME_NS = 20 * SECOND  # of a tenant that hardly came: most such never come again
+MIN_RATE_PER_S = 1e-9  # of units, taken where a plan has no such limit
 RARE_QUARTER_UNITS = 8  # forwarded up to which a tenant hardly came
 
 
@@ -23,8 +24,8 @@
     if account.forwarded_quarter_units > RARE_QUARTER_UNITS or account.peer_totals:
         return ACCOUNT_LIFETIME_NS
     plan = account.plan
-    quota_full_s = 2 * plan.burst_units / max(plan.rate_per_s, 1e-9)
-    hard_limit_full_s = plan.hard_limit_burst_units / max(plan.hard_limit_per_s, 1e-9)
+    quota_full_s = 2 * plan.burst_units / max(plan.rate_per_s, MIN_RATE_PER_S)
+    hard_limit_full_s = plan.hard_limit_burst_units / max(plan.hard_limit_per_s, MIN_RATE_PER_S)
     full_ns = int(SECOND * max(quota_full_s, hard_limit_full_s))
     return min(ACCOUNT_LIFETIME_NS, max(RARE_ACCOUNT_LIFETIME_NS, full_ns))
 
--- a/trackspread/decide/load_balancer.py
+++ b/trackspread/decide/load_balancer.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from .backend_state import BackendState
+from .backend_state import BackendState, ClassAndPlan
 from .backends import Backend, EndpointUpdate
 from .endpoint_list import EndpointList
 from .events import AttemptEnded, ClassesChanged
@@ -19,7 +19,7 @@
 
 BackendFilter = Callable[[Backend], bool]
 
-WARMING_UP_FACTOR = 0.7  # on the expected wait at a backend that warms up and has budget: it has few others
+WARMING_UP_FACTOR = 0.7  # on the expected wait at a backend that warms up and whose budget covers an attempt
 FAULT_COST = 3.0  # added to the factor on the cost of a backend that surely fails the request
 OWN_ATTEMPTS_PRIOR = 2.0  # attempts in flight here that say as much of others' as the mean over backends does
 MIN_SLOWNESS = 0.5  # of a backend, in usual latencies
@@ -95,7 +95,7 @@
         return wait
 
     def choose(
-        self, now: int, class_and_plan: tuple[int, int], excluded: set[int], is_allowed: BackendFilter
+        self, now: int, class_and_plan: ClassAndPlan, excluded: set[int], is_allowed: BackendFilter
     ) -> BackendState | None:
         """The available backend of least cost for a request of this class and plan; None where none is.
         `excluded`: ids that must not be chosen."""
@@ -121,7 +121,7 @@
         self.slow_start.count_attempt(now, state)
 
     def attempt_ended(
-        self, now: int, event: AttemptEnded, class_and_plan: tuple[int, int], relative_latency: float
+        self, now: int, event: AttemptEnded, class_and_plan: ClassAndPlan, relative_latency: float
     ) -> None:
         """An attempt has ended. `relative_latency`: its latency, in the class's usual ones."""
         state = self.backends.get(event.backend)
--- a/trackspread/decide/load_shedding.py
+++ b/trackspread/decide/load_shedding.py
@@ -7,6 +7,7 @@
 
 from math import sqrt
 
+from .backend_state import ClassAndPlan
 from .concurrency_model import QueueModel
 from .decaying_mean import LONG_TERM, SHORT_TERM, DecayingMean
 from .events import ClassesChanged
@@ -15,6 +16,7 @@
 LOWEST_PRIORITY_LIMIT = 0.7  # part of the limit that requests of the least priority may fill
 FEW_GATEWAYS = 4  # up to which what one has in flight tells what all have
 VARIATION = 2.0  # standard deviations by which the number in flight may pass its mean by chance
+MIN_RATE_PER_S = 1e-9  # of arrivals: where none came of late all parts are 0
 LOG_INTERVAL_NS = LONG_TERM
 
 
@@ -25,7 +27,7 @@
         self.settings = settings
         self._model = model
         # By class and plan: the priorities of requests that arrived of late.
-        self._arrival_priorities: dict[tuple[int, int], DecayingMean] = {}
+        self._arrival_priorities: dict[ClassAndPlan, DecayingMean] = {}
         self._logged_at_ns = now - LOG_INTERVAL_NS
 
     def change_classes(self, event: ClassesChanged) -> None:
@@ -39,7 +41,7 @@
                 if request_class == predecessor == number
             }
 
-    def count_arrival(self, now: int, class_and_plan: tuple[int, int], priority: float) -> None:
+    def count_arrival(self, now: int, class_and_plan: ClassAndPlan, priority: float) -> None:
         """A request has arrived; `priority`: in priority weight per ns of service."""
         mean = self._arrival_priorities.setdefault(class_and_plan, DecayingMean(SHORT_TERM))
         mean.add(now, priority)
@@ -59,7 +61,7 @@
         below_per_s = sum(
             mean.rate_per_s(now) for mean in self._arrival_priorities.values() if mean.value < priority
         )
-        part = (1.0 - LOWEST_PRIORITY_LIMIT) * below_per_s / max(total_per_s, 1e-9)
+        part = (1.0 - LOWEST_PRIORITY_LIMIT) * below_per_s / max(total_per_s, MIN_RATE_PER_S)
         return counted >= limit * (LOWEST_PRIORITY_LIMIT + part)
 
     def log_line(self, now: int, in_flight: int) -> str | None:
--- a/trackspread/decide/open_request.py
+++ b/trackspread/decide/open_request.py
@@ -25,7 +25,7 @@
     deduplicated_by: Backend | None = None  # where that one went: its zone or cell remembers the key
     last_attempt_at_ns: int = 0
     first_byte_after_ns: int = 0  # from an attempt's start to the first byte of its long value; 0: none
-    queued_at_ns: int = 0  # when it was queued for an answer; 0: never
+    queued_at_ns: int = 0  # for an answer; 0: never
     counted_remotely: bool = False  # counted as in flight at the quota's owner or on the counter
     balances_before: Balances = NO_BALANCES  # of the account, before the request took of them ...
     balances_taken: Balances = NO_BALANCES  # ... and what it took
--- a/trackspread/decide/outlier_ejection.py
+++ b/trackspread/decide/outlier_ejection.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from .backend_state import BackendState
+from .backend_state import BackendState, ClassAndPlan
 from .decaying_mean import LONG_TERM, DecayingMean, inherited
 from .events import AttemptEnded, ClassesChanged, Outcome
 from .settings import Settings
@@ -43,7 +43,7 @@
         now: int,
         state: BackendState,
         event: AttemptEnded,
-        class_and_plan: tuple[int, int],
+        class_and_plan: ClassAndPlan,
         relative_latency: float,
     ) -> None:
         """Learn from how an attempt ended. `relative_latency`: its latency, in the class's usual ones."""
@@ -71,7 +71,7 @@
 
 
 def fault_probability(
-    now: int, state: BackendState, class_and_plan: tuple[int, int], recent_timeout_rate: float
+    now: int, state: BackendState, class_and_plan: ClassAndPlan, recent_timeout_rate: float
 ) -> float:
     """How likely the backend rejects a request of this class and plan, or leaves it unanswered: its own last
     response where that is recent, else the rate over all backends."""
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -159,7 +159,7 @@
         return actions + self.release(now, request)
 
     def allocation_changed(self, now: int, tenant: int) -> list[Action]:
-        """Decide the tenant's queued requests by the allocation that is held here now."""
+        """Decide the tenant's queued requests by this gateway's allocation now."""
         numbers = [number for number, request in self.queued.items() if request.account.tenant == tenant]
         waiting = [self.queued.pop(number) for number in numbers]
         open_requests = self._requests.open_requests
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -50,7 +50,7 @@
 
 
 def quota_units(quota: Quota, tenant: int) -> tuple[float, float]:
-    """Units of the tenant's quota used here so far, and its tokens here: what a shared counter is told."""
+    """Units of the tenant's quota used here so far, and its tokens here: for the shared counter."""
     account = quota.accounts.get(tenant)
     if account is None:
         return 0.0, 0.0
--- a/trackspread/decide/settings.py
+++ b/trackspread/decide/settings.py
@@ -1,4 +1,4 @@
-"""What a decision module is told at its start: request classes, plans, limits of the platform.
+"""What a decision module is given at its start: request classes, plans, limits of the platform.
 
 Times are integer nanoseconds, rates are per second. Everything is immutable; nothing here decides anything.
 """
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """What a decision module is told at its start; what is left out is off, or describes a lone gateway."""
+    """What a decision module is given at its start; what is left out is off, or describes a lone gateway."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
@@ -87,7 +87,7 @@
     may_send_retry_after: bool = True
     max_retry_after_ns: int = 1_000_000_000
     has_shared_counter: bool = False
-    has_leased_quotas: bool = False  # the host says how much of each quota is held here; then no gossip
+    has_leased_quotas: bool = False  # the host says how much of each quota this gateway has; then no gossip
 
     # What is reported of use and load.
     load_report_names: tuple[str, ...] = ()
--- a/trackspread/decide/seven_cases.py
+++ b/trackspread/decide/seven_cases.py
@@ -21,13 +21,10 @@
     more = range(requested + 1, 2 * requested + 1)
     is_fast = response_time(requested)
     is_throughput_met = throughput(requested)
-    if not competitors(requested):  # cases 5 to 7
-        if is_throughput_met:
-            found = _first(fewer, response_time, throughput, competitors)
-            found = found or _first(fewer, competitors, throughput)
-            if found:
-                return found
-        return _first(fewer, competitors)
+    if not competitors(requested):
+        if not is_throughput_met:
+            return _first(fewer, competitors)
+        return _most_sparing_competitors(fewer, response_time, throughput, competitors)
     if is_fast and is_throughput_met:  # case 1
         return requested
     if is_throughput_met:  # case 2, too slow: fewer, or else the fewest that keep the throughput
@@ -40,6 +37,14 @@
     return found or requested
 
 
+def _most_sparing_competitors(fewer: range, response_time: Goal, throughput: Goal, competitors: Goal) -> int:
+    """Cases 5 to 7: the most that leaves the others what they were granted, with as many of the commitment's
+    own goals as possible."""
+    found = _first(fewer, response_time, throughput, competitors)
+    found = found or _first(fewer, competitors, throughput)
+    return found or _first(fewer, competitors)
+
+
 def _first(levels: range, *goals: Goal) -> int:
     """The first level at which all goals hold; 0 where there is none."""
     return next((level for level in levels if all(goal(level) for goal in goals)), 0)
--- a/trackspread/decide/snapshot_restore.py
+++ b/trackspread/decide/snapshot_restore.py
@@ -155,7 +155,9 @@
         max_attempts=1,
         attempts_started=1,
         attempts_in_flight=1,
-        counted_remotely=broker.quota.has_owner(account),  # which is told of its end, as by who started it
+        counted_remotely=broker.quota.has_owner(
+            account
+        ),  # which gets a message at its end, as from who started it
     )
     broker.requests.attempts[attempt.request, attempt.attempt] = request
     broker.requests.count_attempts(request, 1)
