--- a/trackspread/control/door.py
+++ b/trackspread/control/door.py
@@ -85,7 +85,8 @@
     """The listening socket and its callers. Who came first and has not finished makes room for the next."""
 
     def __init__(self, where: Address, answers: Answers) -> None:
-        self._where, self._answers = where, answers
+        self._where = where
+        self._answers = answers
         self._callers: dict[_Caller, None] = {}  # in the order in which they came
         self._server: asyncio.Server | None = None
 
--- a/trackspread/control/figures.py
+++ b/trackspread/control/figures.py
@@ -17,7 +17,9 @@
     """Counters that only grow, each counted at one place; the gauges are read when somebody asks."""
 
     def __init__(self, classes: Iterable[bytes]) -> None:
-        self.attempts = self.reloads_ok = self.reloads_failed = 0
+        self.attempts = 0
+        self.reloads_ok = 0
+        self.reloads_failed = 0
         self._ended: dict[bytes, dict[Ending, int]] = {}
         self.configured(classes)
 
--- a/trackspread/framing/resp.py
+++ b/trackspread/framing/resp.py
@@ -80,12 +80,15 @@
                     self._kind(line[:1])
                     self._part = line
                     return -1
-                self._part, at = b"", end + 1
+                self._part = b""
+                at = end + 1
                 if line[-2:] != b"\r\n":
                     raise FrameError("line does not end in CR LF")
                 if (length := self._header(line)) >= 0:
                     if length > LONG_FROM:
-                        self._value, self.long, self.long_at = length, True, at
+                        self._value = length
+                        self.long = True
+                        self.long_at = at
                         return -1
                     end = at + length + 2
                     if end <= size:  # the usual case: the value has come whole
@@ -103,7 +106,8 @@
 
     def _scan_value(self, data: bytes, at: int) -> int:
         take = min(self._value, len(data) - at)
-        at, self._value = at + take, self._value - take
+        at = at + take
+        self._value = self._value - take
         if self._value == 0:
             take = 2 - len(self._part)
             self._part += data[at : at + take]
@@ -111,7 +115,8 @@
             if not b"\r\n".startswith(self._part):
                 raise FrameError("value longer than its length")
             if len(self._part) == 2:
-                self._part, self._value = b"", -1
+                self._part = b""
+                self._value = -1
         return at
 
     def _closed(self) -> bool:
--- a/trackspread/fronts/bodies.py
+++ b/trackspread/fronts/bodies.py
@@ -24,7 +24,8 @@
     ever."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+        self.most = most
+        self.held = 0
         self._coming: dict[Sender, int] = {}  # bytes so far, in the order in which they began
         self._kept: dict[object, int] = {}
 
--- a/trackspread/fronts/client.py
+++ b/trackspread/fronts/client.py
@@ -42,7 +42,8 @@
     __slots__ = ("answer", "client", "request", "source", "waiting")
 
     def __init__(self, client: Client, request: int = -1) -> None:
-        self.client, self.request = client, request
+        self.client = client
+        self.request = request
         self.answer: bytes | None = None
         self.source: PausableSource | None = None  # of a long value that is passed on as it comes
         self.waiting: list[bytes] | None = None  # what came of it before its turn; None once it has its turn
@@ -62,7 +63,8 @@
         self.source = None
         if self.waiting is None:
             return self.client.whole(self, last)
-        waiting, self.waiting = self.waiting, None
+        waiting = self.waiting
+        self.waiting = None
         self.client.answer(self, b"".join([*waiting, last]))
 
     def cut(self, call: Call) -> None:
@@ -114,7 +116,9 @@
 
     def __init__(self, owner: Clients, front: Front, before: bytes = b"") -> None:
         """`before`: what another process had read of it."""
-        self._owner, self.front, self._before = owner, front, before
+        self._owner = owner
+        self.front = front
+        self._before = before
         self._reading = self.front.reading()
         self._transport: asyncio.Transport | None = None
         self._end_poll = select.poll()  # asks the kernel whether the other side sends nothing more
@@ -122,7 +126,9 @@
         self._lingering = 0.0  # when reading on ends, once the last answer is written
         self._late = 0  # bytes read on since then
         self._half = 0.0  # when the first byte of a command came whose last has not; 0 for none
-        self._rest, self._rest_at = b"", 0.0  # read, but not taken yet, and since when
+        # read, but not taken yet, and since when
+        self._rest = b""
+        self._rest_at = 0.0
         self._blocked = 0.0  # since when what waits for the client has not grown less; 0 if nothing waits
         self._unsent = 0  # bytes of it at that time
         self._long = False  # whether what waits for the client is of a long value
@@ -138,7 +144,8 @@
         self._transport.set_write_buffer_limits(high=self._owner.buffer)
         self._end_poll.register(self._transport.get_extra_info("socket").fileno(), ENDED)
         self._owner.came(self)
-        before, self._before = self._before, b""
+        before = self._before
+        self._before = b""
         if before and not self._transport.is_closing():
             self.data_received(before)
 
@@ -177,7 +184,8 @@
                     self._half = self._owner.time()  # a long body may take its time, as long as it moves
                     self._owner.bodies.grew(self, self._reading.held)
                 return
-            at, self._half = end, 0.0
+            at = end
+            self._half = 0.0
             self._item(item, waited)
 
     def _hold(self, rest: bytes) -> None:
@@ -192,7 +200,8 @@
         self._gate()
 
     def _release(self) -> bytes:
-        rest, self._rest = self._rest, b""
+        rest = self._rest
+        self._rest = b""
         self._owner.held -= len(rest)
         return rest
 
@@ -214,7 +223,8 @@
             else not (self._rest or self._blocked or self._owner.handing or self.roomless)
         )
         if read_on is not self._read_on:
-            self._read_on, transport = read_on, cast(asyncio.Transport, self._transport)
+            self._read_on = read_on
+            transport = cast(asyncio.Transport, self._transport)
             if not transport.is_closing():
                 (transport.resume_reading if read_on else transport.pause_reading)()
                 self._owner.reads(self, read_on)
@@ -260,7 +270,8 @@
         """Where the next command begins can't be known any more; what was taken before is still answered,
         or closing at once would lose it (rule 1)."""
         log.warning("client sent what can't be read: %s", reason)
-        self._half, self._ending = 0.0, True
+        self._half = 0.0
+        self._ending = True
         slot = Slot(self)
         self.slots.append(slot)
         self._gate()
@@ -321,7 +332,8 @@
         if self.slots[0] is not slot:
             return source.pause()
         transport, waiting = cast(asyncio.Transport, self._transport), slot.waiting or []
-        slot.waiting, self._long = None, True
+        slot.waiting = None
+        self._long = True
         # With no room in the buffer a pause tells at once that the client takes less than comes.
         transport.set_write_buffer_limits(high=0)
         (source.pause if self._blocked else source.resume)()
@@ -377,7 +389,8 @@
         if self._blocked or transport.is_closing() or (self._lingering and unsent):
             # Also one that is closed or ends stays until what waits for the client is out.
             if not self._blocked or unsent < self._unsent:
-                self._blocked, self._unsent = now, unsent
+                self._blocked = now
+                self._unsent = unsent
             elif now - self._blocked >= self._patience():
                 log.warning("client does not read its answers")
                 self.abort()
@@ -412,7 +425,8 @@
 
     def _abandon(self) -> None:
         """Nobody waits for what is owed here any more."""
-        slots, self.slots = self.slots, deque()
+        slots = self.slots
+        self.slots = deque()
         for slot in slots:
             self._owner.bodies.gone(slot)
             if slot.answer is None:
--- a/trackspread/fronts/connections.py
+++ b/trackspread/fronts/connections.py
@@ -61,16 +61,20 @@
     ) -> None:
         """`memory`: bytes that the process may use; `inherited`: descriptor of the first listener's socket,
         where the platform holds it: never shut down, only closed."""
-        self.requests, self.bounds = requests, bounds
+        self.requests = requests
+        self.bounds = bounds
         loop = asyncio.get_running_loop()
-        self.time, self.soon, self._later = loop.time, loop.call_soon, loop.call_later
+        self.time = loop.time
+        self.soon = loop.call_soon
+        self._later = loop.call_later
         self._loop = loop
         self.bound = most
         self.memory = int(memory * BUFFER_PART)  # bytes that all clients' rests may hold
         self.buffer = max(BUFFER_LEAST, self.memory // most)  # bytes that one client may leave untaken
         self.held = 0  # bytes of all rests
         self.bodies = Bodies(int(memory * BODIES_PART))
-        self._listeners, self._inherited = listeners, inherited
+        self._listeners = listeners
+        self._inherited = inherited
         # Both have whoever came to rest longest ago first.
         self._clients: dict[Client, None] = {}  # those that have sent a whole command
         self._fresh: dict[Client, None] = {}  # those that have not
@@ -107,7 +111,8 @@
 
     async def unhand(self) -> None:
         """Nobody takes over after all."""
-        self.handing, self._pass_on = False, None
+        self.handing = False
+        self._pass_on = None
         if not self.closing:
             await self.open_door()
         for client in [*self._fresh, *self._clients]:
@@ -226,7 +231,8 @@
         self.shut()
 
     def close_door(self) -> None:
-        servers, self._servers = self._servers, []
+        servers = self._servers
+        self._servers = []
         for server in servers:
             server.close()
 
--- a/trackspread/fronts/resp.py
+++ b/trackspread/fronts/resp.py
@@ -32,7 +32,8 @@
     def __init__(self, settings: Settings, classes: Roster, plans: tuple[bytes, ...]) -> None:
         self.configure(classes)
         self._plans = {name: i for i, name in enumerate(plans)}
-        self._gateways, self._largest = settings.gateway_count, max(1.0, settings.largest_request_units)
+        self._gateways = settings.gateway_count
+        self._largest = max(1.0, settings.largest_request_units)
 
     def configure(self, classes: Roster) -> None:
         """These classes may be named from now on."""
@@ -123,10 +124,13 @@
 
     def __init__(self, catalogue: Catalogue) -> None:
         self._catalogue = catalogue
-        self._reader, self._frames = hiredis.Reader(), CommandFrames()
+        self._reader = hiredis.Reader()
+        self._frames = CommandFrames()
         self._parts: list[bytes] = []  # of the command that has begun, but for a long last word
         self._body: list[bytes] = []  # of that word: kept as it comes, copied once
-        self.held, self.had = 0, False  # bytes of it; whether the command read last had one
+        # bytes of it; whether the command read last had one
+        self.held = 0
+        self.had = False
 
     @property
     def midway(self) -> bool:
@@ -137,7 +141,8 @@
         return sum(map(len, self._parts)) + (LONG_MOST if self._frames.long else self.held)
 
     def unread(self) -> bytes:
-        parts, self._parts = self._parts, []
+        parts = self._parts
+        self._parts = []
         return b"".join(parts)
 
     def read(self, data: bytes, at: int) -> tuple[int, Item | None]:
@@ -151,7 +156,8 @@
                     begin = self._long_begins(data, begin)
                 taken = min(frames.rest, len(data) - begin)
                 self._body.append(data[begin : begin + taken])
-                self.held, begin = self.held + taken, begin + taken
+                self.held = self.held + taken
+                begin = begin + taken
                 frames.take(taken)
                 if frames.long:
                     return -1, None
@@ -162,7 +168,8 @@
             words = self._reader.gets()
             self.had = self.held > 0
             if self.had:
-                words[-1], self.held = b"".join(self._body), 0
+                words[-1] = b"".join(self._body)
+                self.held = 0
                 self._body.clear()
         except (FrameError, hiredis.ProtocolError) as error:
             raise Broken(str(error)) from None
--- a/trackspread/lists/agent.py
+++ b/trackspread/lists/agent.py
@@ -106,9 +106,11 @@
         """`grace`: s after the notice of a drain in which a request may still be sent. `services`: those that
         are wanted of the list."""
         self._agent, self._turns = agent, Turns(gateways, random.Random(), grace)
-        self._zones, self._kinds = zones, kinds
+        self._zones = zones
+        self._kinds = kinds
         self._index = index
-        self._told, self._services = told, services
+        self._told = told
+        self._services = services
         self._closed = False
         self._leaving: dict[int, int] = {}  # backends told to drain or be gone, and when each had started
         self._task: asyncio.Task[None] | None = None
@@ -196,14 +198,20 @@
     """One HTTP exchange; `ended` is done when nothing more can come of it."""
 
     def __init__(self, host: str, index: int | None, line: Callable[[bytes, bool], None]) -> None:
-        self.turned_away, self.silent = False, False
+        self.turned_away = False
+        self.silent = False
         self.refused = False  # turned away at once, with an error for an answer
-        self._begun, self._lineless = False, True  # whether an answer has begun, and no line has come
+        # whether an answer has begun, and no line has come
+        self._begun = False
+        self._lineless = True
         self._loop = asyncio.get_running_loop()
         self.ended: asyncio.Future[None] = self._loop.create_future()
         self._http = h11.Connection(h11.CLIENT)
-        self._host, self._index, self._line = host, index, line
-        self._rest, self._first = b"", True
+        self._host = host
+        self._index = index
+        self._line = line
+        self._rest = b""
+        self._first = True
         self._moved_at = self._loop.time()  # when the call was made, its answer began or its last line ended
         self._timer: LagTolerantTimer | None = None
         self._transport: asyncio.Transport | None = None
@@ -239,7 +247,8 @@
                     return
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        self.turned_away = self.refused = True
+                        self.turned_away = True
+                        self.refused = True
                         return self._end(f"status {event.status_code}")
                     self._begun, self._moved_at = True, self._loop.time()
                 if isinstance(event, h11.Data):
@@ -255,7 +264,8 @@
             self._lineless, self._moved_at = False, self._loop.time()
         for line in lines:
             if line.strip():
-                first, self._first = self._first, False
+                first = self._first
+                self._first = False
                 self._line(line, first)
         if len(self._rest) > LINE:
             self._end("endless line")
--- a/trackspread/lists/turns.py
+++ b/trackspread/lists/turns.py
@@ -36,7 +36,8 @@
         """`grace`: s after the notice of a drain in which a request may still be sent."""
         line = TURN * gateways
         self._spread = min(SPREAD_MOST, line) if line > PATIENCE else 0.0
-        self._rng, self._wait = rng, FIRST
+        self._rng = rng
+        self._wait = FIRST
         self._most = min(MOST, max(FIRST, GRACE_PART * grace))
 
     def first(self) -> float:
@@ -51,7 +52,8 @@
         if turned_away and self._spread:
             return self._rng.uniform(SPREAD_LEAST, 1.0) * self._spread
         part = self._rng.uniform(0.5, 1.0)
-        wait, self._wait = self._wait, min(self._most, 2 * self._wait)
+        wait = self._wait
+        self._wait = min(self._most, 2 * self._wait)
         return max(part * wait, min(self._most, self.first()))
 
     def without_list(self) -> float:
--- a/trackspread/logs.py
+++ b/trackspread/logs.py
@@ -21,13 +21,15 @@
 
     def begin(self) -> None:
         """A span of its own for whatever comes next."""
-        self._since, self._lines = float("-inf"), 0
+        self._since = float("-inf")
+        self._lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         now = time.monotonic()
         if now - self._since >= SPAN:
             left_out = max(0, self._lines - LINES_MOST)
-            self._since, self._lines = now, 0
+            self._since = now
+            self._lines = 0
             if left_out:
                 record.msg = f"{record.msg} ({left_out} lines like it left out)"
         self._lines += 1
--- a/trackspread/storage/directory.py
+++ b/trackspread/storage/directory.py
@@ -61,7 +61,8 @@
 
     def __init__(self, path: Path, view: bool = False) -> None:
         """`view`: nothing is locked, made or written, for looking at a folder that may be in use."""
-        self.path, self._view = path, view
+        self.path = path
+        self._view = view
         self._lock = -1
         if not view:
             path.mkdir(mode=0o700, parents=True, exist_ok=True)
--- a/trackspread/storage/document.py
+++ b/trackspread/storage/document.py
@@ -34,7 +34,9 @@
     """How one kind of document is written; `upgrades` takes a version to the one after it."""
 
     def __init__(self, kind: str, version: int, upgrades: Mapping[int, Upgrade] | None = None) -> None:
-        self.kind, self.version, self._upgrades = kind, version, dict(upgrades or {})
+        self.kind = kind
+        self.version = version
+        self._upgrades = dict(upgrades or {})
         if missing := [v for v in range(1, version) if v not in self._upgrades]:
             raise ValueError(f"{kind}: no upgrade from version {missing[0]}")
 
--- a/trackspread/storage/journal.py
+++ b/trackspread/storage/journal.py
@@ -35,11 +35,17 @@
     """The writer of one stream. `next`: the place of the next slot. `committed`: the last one on the disk."""
 
     def __init__(self, head: Head, area: Area) -> None:
-        self.epoch, self.nonce, self.slots = head.epoch, head.nonce, head.slots
-        self.next, self.committed = 1, 0
+        self.epoch = head.epoch
+        self.nonce = head.nonce
+        self.slots = head.slots
+        self.next = 1
+        self.committed = 0
         self.pending: deque[bytes] = deque()  # payloads behind `committed`, marks too
-        self._seed, self._marked = seed_of(head.nonce), 0
-        self._head, self._area, self._ended = head, area, False
+        self._seed = seed_of(head.nonce)
+        self._marked = 0
+        self._head = head
+        self._area = area
+        self._ended = False
         self._spare: Area | None = None
         self._dirty: dict[int, Area] = {0: area}  # by index: what the next commit has to sync
 
@@ -94,7 +100,9 @@
     def _put(self, payload: bytes) -> None:
         if self.next > self._head.last:
             assert self._spare is not None
-            self._head, self._area, self._spare = self.head(self.index + 1), self._spare, None
+            self._head = self.head(self.index + 1)
+            self._area = self._spare
+            self._spare = None
         self._area.write(place(self._head, self.next), pack_slot(payload, self._seed, self.next))
         self._dirty[self.index] = self._area
         self.pending.append(payload)
--- a/trackspread/testing/harness/celled.py
+++ b/trackspread/testing/harness/celled.py
@@ -33,7 +33,10 @@
 
     def __init__(self, name: str, file: Path, log: Path, command: tuple[str, ...] = COMMAND) -> None:
         """`command`: what runs it, without the interpreter, the words `control NAME` and the file."""
-        self.name, self._file, self._log, self._command = name, file, log, command
+        self.name = name
+        self._file = file
+        self._log = log
+        self._command = command
         self._process: asyncio.subprocess.Process | None = None
 
     @property
--- a/trackspread/testing/harness/configured.py
+++ b/trackspread/testing/harness/configured.py
@@ -36,7 +36,9 @@
     """One of the fleet's."""
 
     def __init__(self, spec: Spec, log: Path) -> None:
-        self.spec, self._log, self.told = spec, log, Told()
+        self.spec = spec
+        self._log = log
+        self.told = Told()
         self._process: asyncio.subprocess.Process | None = None
 
     @property
@@ -96,7 +98,9 @@
         pieces: int = 2000,
         key: str = "a key of many bytes",
     ) -> None:
-        self._ports, self._folder, self._key = Ports(), folder, key
+        self._ports = Ports()
+        self._folder = folder
+        self._key = key
         self.services = tuple(f"service-{n}" for n in range(services))
         self.addresses = tuple(self._ports.udp() for _ in range(replicas))
         self._gateways = tuple(
--- a/trackspread/testing/harness/configuring.py
+++ b/trackspread/testing/harness/configuring.py
@@ -83,7 +83,8 @@
             if source not in self.told.deaf:
                 came(data, source)
 
-        endpoint.send, endpoint.on_datagram = sent, arrived  # type: ignore[method-assign]
+        endpoint.send = sent  # type: ignore[method-assign]
+        endpoint.on_datagram = arrived  # type: ignore[method-assign]
 
     async def listen(self) -> None:
         """To standard input, until it ends."""
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -56,13 +56,20 @@
         the gateways keep a view of their fleet; `seats`: which are seeds. `held`: the clients' sockets are
         held here, so that new versions can start beside old ones, and each has a door. `relays`: also the
         ways to the rating nodes go over the wire (those between gateways always do)."""
-        self.scene, self.ledger, self.wire, self.list = scene, Ledger(), Wire(scene.seed), BackendList()
+        self.scene = scene
+        self.ledger = Ledger()
+        self.wire = Wire(scene.seed)
+        self.list = BackendList()
         self.folder = Path(tempfile.mkdtemp(prefix="trackspread-"))
         self.nodes: dict[str, NodeServer] = {}
         self.gateways: list[GatewayProcess] = []
         self.agents = [Agent(self.list, number, self.ledger) for number in range(scene.gateways)]
-        self._command, self._sockets, self._relays, self._own = command, sockets, relays, own
-        self._held, self._viewed = held, viewed
+        self._command = command
+        self._sockets = sockets
+        self._relays = relays
+        self._own = own
+        self._held = held
+        self._viewed = viewed
         self._seats = [n for n in seats if n < scene.gateways]
         self._reader = Reader([])
         self.members: dict[str, Address] = {}  # where each listens for the others of the view
--- a/trackspread/testing/harness/player.py
+++ b/trackspread/testing/harness/player.py
@@ -19,7 +19,8 @@
     """Plays a schedule on a fleet that runs. A direction that two faults cut is whole again after both."""
 
     def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
-        self._fleet, self._schedule = fleet, schedule
+        self._fleet = fleet
+        self._schedule = schedule
         self._cuts: dict[tuple[str, str, Over], int] = {}
 
     async def play(self) -> None:
@@ -69,11 +70,18 @@
         """The last to end leaves the ways calm."""
         ways = [self._fleet.wire.between(*pair, over) for pair in fault.pairs for over in fault.over]
         for path in ways:
-            path.delay, path.jitter, path.loss = fault.delay, fault.jitter, fault.loss
-            path.twice, path.rate = fault.twice, fault.rate
+            path.delay = fault.delay
+            path.jitter = fault.jitter
+            path.loss = fault.loss
+            path.twice = fault.twice
+            path.rate = fault.rate
         await asyncio.sleep(fault.span)
         for path in ways:
-            path.delay = path.jitter = path.loss = path.twice = path.rate = 0.0
+            path.delay = 0.0
+            path.jitter = 0.0
+            path.loss = 0.0
+            path.twice = 0.0
+            path.rate = 0.0
 
     async def _halt(self, fault: Halt) -> None:
         chosen = [self._fleet.gateways[number] for number in fault.gateways]
--- a/trackspread/testing/harness/process.py
+++ b/trackspread/testing/harness/process.py
@@ -54,10 +54,15 @@
         own: str = "",
     ) -> None:
         """`own`: the text of the operator's file."""
-        self.name, self.address, self.config = name, address, config
+        self.name = name
+        self.address = address
+        self.config = config
         self.log = folder / f"{name}.log"
-        self._path, self._own = folder / f"{name}.json", folder / f"{name}.toml"
-        self._ledger, self._command, self._sockets = ledger, command, sockets
+        self._path = folder / f"{name}.json"
+        self._own = folder / f"{name}.toml"
+        self._ledger = ledger
+        self._command = command
+        self._sockets = sockets
         self._own.write_text(own)
         self._process: asyncio.subprocess.Process | None = None
         self._watch: asyncio.Task[None] | None = None
--- a/trackspread/testing/harness/scenarios.py
+++ b/trackspread/testing/harness/scenarios.py
@@ -84,14 +84,17 @@
 
 async def half_lost(fleet: Fleet, rng: random.Random) -> None:
     for path in fleet.wire.each(f"n{n}" for n in range(fleet.scene.gateways)):
-        path.loss, path.jitter = 0.5, 0.05
+        path.loss = 0.5
+        path.jitter = 0.05
     await asyncio.sleep(7.0)
 
 
 async def rude_nodes(fleet: Fleet, rng: random.Random) -> None:
     """One node spoils answers, one resets, one says nothing for a while, one dies unheard of."""
     spoils, resets, silent, dies = rng.sample(fleet.listed(), 4)
-    spoils.spoil, resets.reset, silent.silent = 0.2, 0.2, True
+    spoils.spoil = 0.2
+    resets.reset = 0.2
+    silent.silent = True
     dies.down()
     await asyncio.sleep(3.0)
     silent.silent = False
@@ -105,7 +108,8 @@
     for number in range(fleet.scene.gateways):
         for name in names:
             path = fleet.wire.between(f"n{number}", name, "tcp")
-            path.delay, path.jitter = 0.005, 0.01
+            path.delay = 0.005
+            path.jitter = 0.01
     far = rng.choice(names)
     fleet.wire.part([f"n{n}" for n in range(fleet.scene.gateways)], [far])
     for _ in range(10):
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -57,7 +57,8 @@
     """One run; `step` once a second takes note and draws."""
 
     def __init__(self, fleet: Fleet, seconds: float, seed: int) -> None:
-        self.fleet, self.seconds = fleet, seconds
+        self.fleet = fleet
+        self.seconds = seconds
         self.tallies = Tallies(fleet.scene.world())
         self.happened: list[str] = []
         self.stop = asyncio.Event()
--- a/trackspread/testing/judge/judge.py
+++ b/trackspread/testing/judge/judge.py
@@ -252,7 +252,10 @@
     """A store that starts full, fills at a rate and never holds more than it started with."""
 
     def __init__(self, rate: float, most: float, now: int) -> None:
-        self.rate, self.most, self.level, self.at = rate, most, most, now
+        self.rate = rate
+        self.most = most
+        self.level = most
+        self.at = now
 
     def fill(self, now: int) -> float:
         self.level = min(self.most, self.level + self.rate * (now - self.at) / SECOND)
@@ -295,7 +298,8 @@
     """Quota use over all gateways: what was sent on beyond it, and what was refused with room."""
 
     def __init__(self, case: Case) -> None:
-        self.units = self.beyond = 0.0
+        self.units = 0.0
+        self.beyond = 0.0
         self.with_room = 0
         self.refused_at: list[tuple[int, bool]] = []  # when each refusal was given, and whether with room
         self.sent: defaultdict[int, float] = defaultdict(float)  # units, by customer
--- a/trackspread/testing/mutation/plant.py
+++ b/trackspread/testing/mutation/plant.py
@@ -49,7 +49,8 @@
     """Finds one module, and gives it another text."""
 
     def __init__(self, module: str, text: str) -> None:
-        self._module, self._text = module, text
+        self._module = module
+        self._text = text
 
     def find_spec(
         self, name: str, path: Sequence[str] | None, target: ModuleType | None = None
--- a/trackspread/testing/standins/agent.py
+++ b/trackspread/testing/standins/agent.py
@@ -103,8 +103,11 @@
     """One gateway's agent. `delay`: s by which news is late; `mute`: it holds everything back."""
 
     def __init__(self, listed: BackendList, gateway: int, ledger: Ledger) -> None:
-        self.listed, self.gateway, self._ledger = listed, gateway, ledger
-        self.delay, self.mute = 0.0, False
+        self.listed = listed
+        self.gateway = gateway
+        self._ledger = ledger
+        self.delay = 0.0
+        self.mute = False
         self.trouble: Trouble | None = None
         self.calls: list[int] = []  # ns of the monotonic clock at which each came
         self.troubled: Callable[[], None] = lambda: None  # told of each call that has met with trouble
--- a/trackspread/testing/standins/billing.py
+++ b/trackspread/testing/standins/billing.py
@@ -102,8 +102,10 @@
     def copy(self) -> Plain:
         """A backup."""
         other = Plain()
-        other.streams, other.digests = dict(self.streams), dict(self.digests)
-        other.rows, other.holes = list(self.rows), self.holes
+        other.streams = dict(self.streams)
+        other.digests = dict(self.digests)
+        other.rows = list(self.rows)
+        other.holes = self.holes
         return other
 
 
--- a/trackspread/testing/standins/billing_server.py
+++ b/trackspread/testing/standins/billing_server.py
@@ -27,7 +27,9 @@
     def __init__(self, path: Path, secret: bytes = b"", seed: int = 1) -> None:
         self.ledger = Ledger(path)
         self.billing = Billing(self.ledger)
-        self.lost, self.busy, self.late = 0.0, 0.0, 0.0
+        self.lost = 0.0
+        self.busy = 0.0
+        self.late = 0.0
         self.port = 0
         self._secret, self._rng = secret, random.Random(f"billing:{seed}")
         self._server: asyncio.Server | None = None
--- a/trackspread/testing/standins/clients.py
+++ b/trackspread/testing/standins/clients.py
@@ -32,7 +32,10 @@
     """All clients of one run. `asking` may be set off and on; `under_way` counts exchanges without an end."""
 
     def __init__(self, scene: Scene, crowd: Crowd, ledger: Ledger, addresses: list[Address]) -> None:
-        self.scene, self.crowd, self.ledger, self.addresses = scene, crowd, ledger, addresses
+        self.scene = scene
+        self.crowd = crowd
+        self.ledger = ledger
+        self.addresses = addresses
         self.forms: dict[str, bytes] = {}
         self.asking = False
         self.kinds: Counter[str] = Counter()
@@ -131,7 +134,11 @@
     """One request, from its writing to its answer or its end."""
 
     def __init__(self, clients: Clients, want: Want, request: str, line: _Line, again: bool = False) -> None:
-        self._clients, self.want, self.request, self._line, self._again = clients, want, request, line, again
+        self._clients = clients
+        self.want = want
+        self.request = request
+        self._line = line
+        self._again = again
         self._kept = line.served > 0
         self._asked = 0
         self._timer: asyncio.TimerHandle | None = None
@@ -204,7 +211,8 @@
     """One connection to one gateway, one request on it at a time."""
 
     def __init__(self, clients: Clients, gateway: int) -> None:
-        self._clients, self._gateway = clients, gateway
+        self._clients = clients
+        self._gateway = gateway
         self._reader = hiredis.Reader()
         self._transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
--- a/trackspread/testing/standins/counter.py
+++ b/trackspread/testing/standins/counter.py
@@ -59,14 +59,17 @@
     """One server as each gateway finds it. Two states while it is split; `sides` says who finds which."""
 
     def __init__(self, number: int, cluster: Cluster | None = None) -> None:
-        self.number, self.cluster = number, cluster
+        self.number = number
+        self.cluster = cluster
         self.states = [State()]
         self.sides: dict[int, int] = {}
         self.error = ""  # what every command is answered with, where not empty
         self.read_only = ""  # the same for those that write
         self.password = b""
         self.run = 1
-        self.calls = self.looks = 0  # commands, and TIME alone: one ends each call of a gateway
+        # commands, and TIME alone: one ends each call of a gateway
+        self.calls = 0
+        self.looks = 0
         self._snapshots: deque[tuple[int, State]] = deque(maxlen=KEPT)
 
     # What goes wrong.
@@ -77,15 +80,18 @@
         self.sides = dict.fromkeys(behind, 1)
 
     def heal(self, winner: int) -> None:
-        self.states, self.sides = [self.states[min(winner, len(self.states) - 1)]], {}
+        self.states = [self.states[min(winner, len(self.states) - 1)]]
+        self.sides = {}
 
     def promote(self, now: int, lag: int, ahead: int = 0) -> None:
-        self.states, self.sides = [self._as_of(now - lag)], {}
+        self.states = [self._as_of(now - lag)]
+        self.sides = {}
         self.states[0].ahead = ahead
         self.run += 1
 
     def replace(self, ahead: int = 0) -> None:
-        self.states, self.sides = [State(ahead=ahead)], {}
+        self.states = [State(ahead=ahead)]
+        self.sides = {}
         self.run += 1
         self._snapshots.clear()
 
--- a/trackspread/testing/standins/counter_server.py
+++ b/trackspread/testing/standins/counter_server.py
@@ -51,7 +51,9 @@
         cluster: Cluster | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self.shards, self.gateways, self.tls = list(shards), gateways, tls
+        self.shards = list(shards)
+        self.gateways = gateways
+        self.tls = tls
         self.addresses: dict[tuple[int, int], Address] = {}  # by shard and gateway
         self.down: set[tuple[int, int]] = set()
         self.silent: set[int] = set()  # gateways that hear no answer
@@ -95,7 +97,9 @@
 
 class _Line(asyncio.Protocol):
     def __init__(self, server: CounterServer, shard: Shard, gateway: int) -> None:
-        self.server, self.shard, self.gateway = server, shard, gateway
+        self.server = server
+        self.shard = shard
+        self.gateway = gateway
         self._reader = hiredis.Reader()
         self._asking = False
         self._let_in = not shard.password
@@ -143,7 +147,8 @@
         name = words[0].upper()
         if not self._let_in and name not in (b"HELLO", b"AUTH"):
             return Failure("NOAUTH Authentication required.")
-        asking, self._asking = self._asking, name == b"ASKING"
+        asking = self._asking
+        self._asking = name == b"ASKING"
         value = self.shard.execute(self.gateway, words, time.time_ns() // 1_000_000, asking)
         if name == b"HELLO" and not isinstance(value, Failure):
             self._let_in = True
--- a/trackspread/testing/standins/node_server.py
+++ b/trackspread/testing/standins/node_server.py
@@ -55,11 +55,16 @@
         gateways: int,
         cold: bool,
     ) -> None:
-        self.scene, self.spec, self.ledger, self.forms = scene, spec, ledger, forms
+        self.scene = scene
+        self.spec = spec
+        self.ledger = ledger
+        self.forms = forms
         self.model = scene.node(spec, pods, time.monotonic_ns(), cold)
         self.born_ms = time.time_ns() // 1_000_000 if cold else 0
         self.silent = False
-        self.spoil = self.reset = 0.0  # chances
+        # chances
+        self.spoil = 0.0
+        self.reset = 0.0
         self.running = False
         self.rng = random.Random(f"{scene.seed}:{spec.name}")
         self.addresses: list[Address] = []
@@ -132,7 +137,8 @@
     """One connection: answers in the order of its commands."""
 
     def __init__(self, node: NodeServer, gateway: str) -> None:
-        self._node, self._gateway = node, gateway
+        self._node = node
+        self._gateway = gateway
         self._reader = hiredis.Reader()
         self._began = 0
         self._answers: deque[list[bytes]] = deque()  # one place each, empty until the answer is known
--- a/trackspread/testing/standins/rating.py
+++ b/trackspread/testing/standins/rating.py
@@ -143,5 +143,6 @@
         if now - self._report_at >= REPORT_EVERY:
             self._settle(now)
             busy = sum(free > now for free in self._free) / len(self._free)
-            self._report, self._report_at = (busy, self._recent / 1e6, float(len(self._held))), now
+            self._report = (busy, self._recent / 1e6, float(len(self._held)))
+            self._report_at = now
         return self._report
--- a/trackspread/testing/standins/wire.py
+++ b/trackspread/testing/standins/wire.py
@@ -70,7 +70,8 @@
         for a in some:
             for b in others:
                 for over in BOTH:
-                    self.between(a, b, over).hole = self.between(b, a, over).hole = True
+                    self.between(a, b, over).hole = True
+                    self.between(b, a, over).hole = True
 
     def heal(self) -> None:
         for path in self._paths.values():
@@ -111,7 +112,9 @@
 
     def __init__(self, relay: TcpRelay, source: str | None, target: str) -> None:
         """`source`: None where it is told once it has come."""
-        self._relay, self.source, self.target = relay, source, target
+        self._relay = relay
+        self.source = source
+        self.target = target
         self.swallowed = False  # something of it went nowhere
         self.other: _Side | None = None
         self.linked = asyncio.Event()  # there is another side to deliver to
@@ -221,7 +224,11 @@
     def __init__(
         self, wire: Wire, source: str | None, target: str, to: Address, hosts: dict[str, str] | None = None
     ) -> None:
-        self.wire, self.source, self.target, self._to, self._hosts = wire, source, target, to, hosts or {}
+        self.wire = wire
+        self.source = source
+        self.target = target
+        self._to = to
+        self._hosts = hosts or {}
         self._server: asyncio.Server | None = None
         self._sides: set[_Side] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -308,7 +315,9 @@
     """What `source` sends here goes to `target`."""
 
     def __init__(self, owner: Datagrams, source: str, target: str) -> None:
-        self._owner, self.source, self.target = owner, source, target
+        self._owner = owner
+        self.source = source
+        self.target = target
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -334,7 +343,8 @@
     """Sockets for every ordered pair of names, so that each knows each by an address of its own."""
 
     def __init__(self, wire: Wire, at: dict[str, Address]) -> None:
-        self._wire, self._at = wire, at
+        self._wire = wire
+        self._at = at
         self._sockets: dict[tuple[str, str], _Socket] = {}
         self._held = 0
 
@@ -379,7 +389,8 @@
     """Where `name` is reached by all others."""
 
     def __init__(self, owner: Posts, name: str) -> None:
-        self._owner, self.name = owner, name
+        self._owner = owner
+        self.name = name
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -398,7 +409,9 @@
     TRIES = 20  # to find a port that is free for datagrams and connections alike
 
     def __init__(self, wire: Wire, at: dict[str, Address]) -> None:
-        self._wire, self._at, self._held = wire, at, 0
+        self._wire = wire
+        self._at = at
+        self._held = 0
         self._names = {address: name for name, address in at.items()}
         self._posts: dict[str, _Post] = {}
         self._relays: list[TcpRelay] = []
--- a/trackspread/testing/virtual/booked.py
+++ b/trackspread/testing/virtual/booked.py
@@ -39,7 +39,9 @@
     """One store, exactly."""
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.rate, self.burst, self.at = Fraction(rate), Fraction(burst), now
+        self.rate = Fraction(rate)
+        self.burst = Fraction(burst)
+        self.at = now
         self.level = self.burst
 
     def advance(self, now: int) -> None:
@@ -50,7 +52,8 @@
         self.advance(now)
         fresh = Fraction(burst)
         self.level = min(self.level, self.level * fresh / self.burst)
-        self.rate, self.burst = Fraction(rate), fresh
+        self.rate = Fraction(rate)
+        self.burst = fresh
 
 
 def play(seed: int) -> list[str]:
@@ -130,7 +133,8 @@
 
     def mutant(sharing: QuotaSharing, now: int, account: Any, index: int) -> None:
         old, new = account.plan, accounts.plan_of(sharing.state, account.tenant, index)
-        account.plan, account.plan_index = new, index
+        account.plan = new
+        account.plan_index = index
         account.tokens = rescaled_tokens(account.tokens, old.burst_units, new.burst_units)
 
     return [patch.object(accounts, "change_plan", mutant)]
--- a/trackspread/testing/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -29,7 +29,8 @@
     """Faults as a world has them, at times that are drawn."""
 
     def __init__(self, world: CelledWorld, rng: random.Random) -> None:
-        self._world, self._rng = world, rng
+        self._world = world
+        self._rng = rng
 
     def arrange(self, count: int) -> None:
         """So many faults between `LEAD` and the end of `SPAN`."""
@@ -96,12 +97,16 @@
 
     def rough(self, span: int) -> None:
         weather = self._world.weather
-        weather.loss, weather.twice, weather.jitter = 0.1, 0.1, 50 * MS
+        weather.loss = 0.1
+        weather.twice = 0.1
+        weather.jitter = 50 * MS
         self._world.clock.after(span, self._calm)
 
     def _calm(self) -> None:
         weather = self._world.weather
-        weather.loss, weather.twice, weather.jitter = 0.0, 0.0, 0
+        weather.loss = 0.0
+        weather.twice = 0.0
+        weather.jitter = 0
 
     def joined(self, span: int) -> None:
         """More than a cell takes, in one zone."""
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -58,7 +58,8 @@
     ) -> None:
         super().__init__(f"cells:{seed}", drift)
         self.machines = layout(regions, machines, zones)
-        self._policy, self._keep = policy, keep
+        self._policy = policy
+        self._keep = keep
         self.zones = [Zone(f"r{r}", f"z{z}") for r in range(regions) for z in range(zones)]
         self._zone_of: dict[str, Zone] = {}
         self.words_late = 0  # ns by which words on cells come later, up to; views' own do not
--- a/trackspread/testing/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -105,9 +105,13 @@
     if seed % 2 and leader is not None:
         gone = leader
     world.kill(gone)
-    world.weather.loss, world.weather.twice, world.words_late = 0.05, 0.2, 3 * SECOND
+    world.weather.loss = 0.05
+    world.weather.twice = 0.2
+    world.words_late = 3 * SECOND
     world.run(50 * SECOND)
-    world.weather.loss, world.weather.twice, world.words_late = 0.0, 0.0, 0
+    world.weather.loss = 0.0
+    world.weather.twice = 0.0
+    world.words_late = 0
     world.run(10 * SECOND)
     world.until_settled(START)
     if world.retired_with:
@@ -133,7 +137,8 @@
 def late_entries(seed: int) -> None:
     """Cells are opened, closed and given up faster than the words that say so arrive."""
     world = begun(seed, 1, 5, 1, SMALL)
-    world.words_late, world.weather.twice = 6 * SECOND, 0.5
+    world.words_late = 6 * SECOND
+    world.weather.twice = 0.5
     for _ in range(6):
         for process in world.among("g", world.zones[0]):
             world.leave(process)
@@ -144,7 +149,8 @@
         world.run(12 * SECOND, every=100 * MS)
         world.start(world.add(world.zones[0]))
         world.run(8 * SECOND, every=100 * MS)
-    world.words_late, world.weather.twice = 0, 0.0
+    world.words_late = 0
+    world.weather.twice = 0.0
     world.run(25 * SECOND)
     world.until_settled(START)
 
--- a/trackspread/testing/virtual/counter/schedules.py
+++ b/trackspread/testing/virtual/counter/schedules.py
@@ -113,10 +113,12 @@
 def slow(world: World, rng: random.Random) -> None:
     """Answers take up to twice a call's time, and calls lie in queues before they are carried out."""
     world.slow, world.apply_late = rng.choice(((500, 0), (0, 500), (200, 200), (0, 3000)))
-    world.slow, world.apply_late = world.slow * MILLISECOND, world.apply_late * MILLISECOND
+    world.slow = world.slow * MILLISECOND
+    world.apply_late = world.apply_late * MILLISECOND
 
     def over() -> None:
-        world.slow = world.apply_late = 0
+        world.slow = 0
+        world.apply_late = 0
 
     world.clock.after(_away(rng), over)
 
@@ -126,7 +128,8 @@
 
 
 def calm(world: World, rng: random.Random) -> None:
-    world.lost_asks = world.lost_answers = 0.0
+    world.lost_asks = 0.0
+    world.lost_answers = 0.0
 
 
 def errors(world: World, rng: random.Random) -> None:
@@ -151,7 +154,8 @@
 
     def over() -> None:
         for shard in world.shards:
-            shard.error = shard.read_only = ""
+            shard.error = ""
+            shard.read_only = ""
 
     world.clock.after(_away(rng), over)
 
@@ -326,7 +330,9 @@
         for number in range(12):
             world.clock.after(number * 300 * MILLISECOND, partial(shard.evict, rng, 1.0, False))
     elif fault == "late":
-        world.apply_late, world.cut, world.cuts_asks = rng.randint(1, 4) * SECOND, {victim}, False
+        world.apply_late = rng.randint(1, 4) * SECOND
+        world.cut = {victim}
+        world.cuts_asks = False
     else:
         world.kill(victim)
         world.clock.after(rng.randint(MILLISECOND, SECOND), partial(world.revive, victim))
--- a/trackspread/testing/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -121,9 +121,12 @@
         self.plant, self.rng, self.clock = plant, random.Random(f"counted:{plant.seed}"), Clock()
         self.shards = [Shard(number) for number in range(plant.shards)]
         self.broken: list[str] = []
-        self.calls = self.requests = 0
+        self.calls = 0
+        self.requests = 0
         self.cut: set[int] = set()  # gateways that reach no counter
-        self.lost_asks = self.lost_answers = 0.0  # chances
+        # chances
+        self.lost_asks = 0.0
+        self.lost_answers = 0.0
         self.slow = 0  # ns more that an answer takes, at most
         self.apply_late = 0  # ns more until a call is carried out, at most
         self.cuts_asks = True  # whether a cut lets calls through whose answers are lost
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -70,7 +70,9 @@
         pieces: int = 2000,
     ) -> None:
         """`services`: that there are, of which each gateway wants `each`."""
-        self.rng, self.clock, self.weather = random.Random(f"distribution:{seed}"), Clock(), Weather()
+        self.rng = random.Random(f"distribution:{seed}")
+        self.clock = Clock()
+        self.weather = Weather()
         self.judged = Judged()
         self.services = tuple(f"service-{n}" for n in range(services))
         self.processes: dict[str, Process] = {}
@@ -81,7 +83,10 @@
         self.bytes: Counter[str] = Counter()  # sent and received
         self.done: dict[int, Version] = {}  # commands' changes that were told to be committed
         self.put_at: dict[int, int] = {}
-        self._recent, self._pieces, self._start, self._round = recent, pieces, self.clock.now, 0
+        self._recent = recent
+        self._pieces = pieces
+        self._start = self.clock.now
+        self._round = 0
         self._encode = msgspec.msgpack.Encoder().encode
         for number in range(replicas):
             self._add(Process(f"r{number}", (f"10.0.0.{number}", 7000), number % regions, number))
@@ -116,7 +121,9 @@
     def start(self, process: Process) -> None:
         """A new process under the name, from nothing."""
         now, seed = self.clock.now, self.rng.getrandbits(60)
-        process.born, process.halted_until, process.epoch = WALL + self.now // MILLISECOND, 0, None
+        process.born = WALL + self.now // MILLISECOND
+        process.halted_until = 0
+        process.epoch = None
         process.waiting.clear()
         addresses = tuple(p.address for p in self.replicas)
         if process.number >= 0:
@@ -142,7 +149,8 @@
             raise Broken("no leader within 5 s of an operator's word")
 
     def kill(self, process: Process) -> None:
-        process.core = process.epoch = None
+        process.core = None
+        process.epoch = None
         process.waiting.clear()
 
     def halt(self, process: Process, span: int) -> None:
@@ -151,7 +159,8 @@
 
     def _wake(self, process: Process) -> None:
         if self.clock.now >= process.halted_until:
-            came, process.waiting = process.waiting, []
+            came = process.waiting
+            process.waiting = []
             for call in came:
                 call()
 
@@ -289,7 +298,8 @@
 
     def calm(self, span: int = 20 * SECOND) -> None:
         """All is well again, everybody runs; after `span` all hold the same."""
-        self.weather, self.cut = Weather(), Counter()
+        self.weather = Weather()
+        self.cut = Counter()
         for process in self.processes.values():
             if process.core is None:
                 self.start(process)
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -62,7 +62,9 @@
 
     def __init__(self, scene: Scene, seed: int) -> None:
         self.scene, self.rng = scene, random.Random(f"virtual:{seed}")
-        self.clock, self.ledger, self.weather = Clock(), Ledger(), Weather()
+        self.clock = Clock()
+        self.ledger = Ledger()
+        self.weather = Weather()
         self.crowd = replace(scene, seed=seed).crowd()
         self._settings = [_settings(scene, position) for position in range(scene.gateways)]
         self._classes = {c.name: number for number, c in enumerate(scene.classes)}
@@ -114,7 +116,8 @@
         host = self.hosts[position]
         if host is None:
             return
-        host.alive, self.hosts[position] = False, None
+        host.alive = False
+        self.hosts[position] = None
         self.ledger.write(Killed(self.clock.now, f"n{position}"))
         for cut in list(self._open[position].values()):
             cut()
@@ -205,7 +208,8 @@
             return
         if not host.writes(attempt):
             return  # given up before it was written whole
-        attempt.written, now = True, self.clock.now
+        attempt.written = True
+        now = self.clock.now
         cls, key = self._asked[request]
         work = work_of(self.scene.seed, request, self.scene.work(cls))
         taken = node.model.arrive(now, request, work, key, self._windows.get(cls, 0))
@@ -313,8 +317,13 @@
     """One request of one client, until its answer or its end."""
 
     def __init__(self, fleet: VirtualFleet, want: Want, request: str, host: Host) -> None:
-        self.fleet, self.want, self.request, self.host = fleet, want, request, host
-        self.number, self.over, self.gone = 0, False, False
+        self.fleet = fleet
+        self.want = want
+        self.request = request
+        self.host = host
+        self.number = 0
+        self.over = False
+        self.gone = False
 
     def deliver(self) -> None:
         if self.over or not self.host.alive:
--- a/trackspread/testing/virtual/handover/world.py
+++ b/trackspread/testing/virtual/handover/world.py
@@ -31,10 +31,13 @@
         self, seed: int, predecessor: PredecessorSteps | None = None, successor: SuccessorSteps | None = None
     ) -> None:
         self.rng = random.Random(seed)
-        self.now, self._order = 0.0, count()
+        self.now = 0.0
+        self._order = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self.predecessor, self.successor = predecessor or PredecessorSteps(), successor or SuccessorSteps()
-        self.old_grants, self.new_grants = True, False
+        self.predecessor = predecessor or PredecessorSteps()
+        self.successor = successor or SuccessorSteps()
+        self.old_grants = True
+        self.new_grants = False
         self.both = 0.0  # s for which both granted
         self.none = 0.0  # s for which neither of those alive did, though one could
         self.link = False
--- a/trackspread/testing/virtual/host.py
+++ b/trackspread/testing/virtual/host.py
@@ -81,9 +81,12 @@
     """One start of one gateway; dead once it was killed."""
 
     def __init__(self, clock: Clock, network: Network, position: int, settings: Settings, seed: int) -> None:
-        self.clock, self.network, self.position = clock, network, position
+        self.clock = clock
+        self.network = network
+        self.position = position
         self.module = Broker(settings, seed, clock.now)
-        self.alive, self.taking = True, True
+        self.alive = True
+        self.taking = True
         self.held: dict[int, Held] = {}
         self._count = 0
 
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -113,7 +113,9 @@
     ) -> bool:
         if epoch != self.epoch or serial <= self.serial:
             return False
-        self.serial, self.granted_slots, self.granted_until_ns = serial, part, now + holder_duration_ns(lasts)
+        self.serial = serial
+        self.granted_slots = part
+        self.granted_until_ns = now + holder_duration_ns(lasts)
         self.extend_contact(now)
         return True
 
@@ -128,7 +130,8 @@
     ) -> bool:
         if epoch != self.epoch:
             return False
-        self.serial, self.granted_slots = max(self.serial, serial), part
+        self.serial = max(self.serial, serial)
+        self.granted_slots = part
         self.granted_until_ns = max(self.granted_until_ns, stamp + holder_duration_ns(lasts))
         self.extend_contact(stamp)
         return True
@@ -315,7 +318,8 @@
     # Probes that take their time: nobody is to be taken for dead here.
     world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
     world.begin(6 * SECOND)
-    world.weather.jitter, world.weather.twice = 700 * MS, 0.5
+    world.weather.jitter = 700 * MS
+    world.weather.twice = 0.5
     for number in range(2, 7):
         world.start(world.add(number))
         end = world.true + world.rng.randint(1500 * MS, 4 * SECOND)
--- a/trackspread/testing/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -73,7 +73,8 @@
     """Faults as a world has them."""
 
     def __init__(self, world: World, schedule: MemberedSchedule) -> None:
-        self._world, self._schedule = world, schedule
+        self._world = world
+        self._schedule = schedule
 
     def arrange(self) -> None:
         """All of it, at its time."""
@@ -104,7 +105,8 @@
                 world.clock.after(span, partial(world.heal, fault.pairs))
             case Rough():
                 weather = world.weather
-                weather.loss, weather.twice = fault.loss, fault.twice
+                weather.loss = fault.loss
+                weather.twice = fault.twice
                 weather.jitter = _ns(fault.delay + fault.jitter)
                 world.clock.after(span, self._calm)
             case Halt():
@@ -122,7 +124,9 @@
 
     def _calm(self) -> None:
         weather = self._world.weather
-        weather.loss, weather.twice, weather.jitter = 0.0, 0.0, 0
+        weather.loss = 0.0
+        weather.twice = 0.0
+        weather.jitter = 0
 
     def _duty(self, fault: Duty, end: int) -> None:
         if self._world.clock.now < end:
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -241,7 +241,8 @@
         real(self, number, kind, advice_ms)
         server = next(iter(self.module.load_balancer.backends), None)
         if held is not None and server is not None and due():
-            held.closed, self.held[number] = False, held
+            held.closed = False
+            self.held[number] = held
             self.clock.after(100_000_000, lambda: self._send(StartAttempt(number, server, 0)))
 
     return [patch.object(Host, "reply", mutant)]
--- a/trackspread/testing/virtual/planning/mutants.py
+++ b/trackspread/testing/virtual/planning/mutants.py
@@ -32,7 +32,9 @@
 
     def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
         self.refill(now)
-        self.lease, self.limit, self.expires_at_ns = grant.lease, grant.limit, now + HELD_NS
+        self.lease = grant.lease
+        self.limit = grant.limit
+        self.expires_at_ns = now + HELD_NS
         self.tokens = min(self.limit.burst_units, self.tokens + grant.tokens)
         return True
 
--- a/trackspread/testing/virtual/planning/schedules.py
+++ b/trackspread/testing/virtual/planning/schedules.py
@@ -91,7 +91,8 @@
 
 def late_and_part(world: World, rng: random.Random) -> None:
     """Every word is late by up to a beat, and then some forwarder hears nobody any more."""
-    world.weather.late, world.weather.later = 1.0, 390 * MS
+    world.weather.late = 1.0
+    world.weather.later = 390 * MS
     lonely = rng.choice(world.forwarders).name
     pairs = {frozenset((lonely, p.name)) for p in world.planners}
     wait = rng.randint(SECOND, 2 * SECOND)
--- a/trackspread/testing/virtual/planning/small.py
+++ b/trackspread/testing/virtual/planning/small.py
@@ -64,7 +64,8 @@
 
     def __init__(self) -> None:
         self.now = START
-        self.steps, self.starts = STEPS, STARTS
+        self.steps = STEPS
+        self.starts = STARTS
         self.planners = [self._planner(n) for n in range(2)]
         self.forwarders = [self._forwarder(n, 1) for n in range(2)]
         self.asked = [False, False]  # in this step: a beat is about a step
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -89,10 +89,12 @@
     """What a forwarder and a planner have in common: a clock of its own, kills, pauses."""
 
     def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
+        self.world = world
+        self.name = name
         self.rate = 1.0 + world.rng.uniform(-1.0, 1.0) * world.plan.drift
         self._offset = world.rng.randrange(10**15)
-        self.alive, self.starts = True, 0
+        self.alive = True
+        self.starts = 0
         self.paused_until = 0
         self._waiting: list[Callable[[], None]] = []
 
@@ -124,7 +126,8 @@
 
     def start(self) -> None:
         self.starts += 1
-        self.alive, world = True, self.world
+        self.alive = True
+        world = self.world
         seed = world.rng.getrandbits(32)
         self.planner = Planner(self.number, world.plan.planners, world.plan.caps, UNIT, self.now(), seed)
         self.every(TICK, self._tick, self.starts)
@@ -166,7 +169,8 @@
 
     def start(self) -> None:
         self.starts += 1
-        self.alive, plan = True, self.world.plan
+        self.alive = True
+        plan = self.world.plan
         self.forwarder = Forwarder(
             self.number,
             self.world.rng.getrandbits(32),
@@ -241,7 +245,9 @@
     """Make it, set what goes wrong on its clock, `run` it; `broken` has what must never be."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.clock, self.weather = plan, Clock(), Weather()
+        self.plan = plan
+        self.clock = Clock()
+        self.weather = Weather()
         self.rng = random.Random(f"planned:{plan.seed}")
         self.apart: set[frozenset[str]] = set()
         self.broken: list[str] = []
--- a/trackspread/testing/virtual/quiet.py
+++ b/trackspread/testing/virtual/quiet.py
@@ -63,7 +63,8 @@
 
     def take(self, now: int, gateway: str, units: float) -> bool:
         """Whether the units were there; they are taken then."""
-        self.level, self.at = self._now(now), now
+        self.level = self._now(now)
+        self.at = now
         inside = self.level >= units
         self.level -= units * inside
         self.late.append((now, gateway, units, inside))
--- a/trackspread/testing/virtual/stage.py
+++ b/trackspread/testing/virtual/stage.py
@@ -64,7 +64,9 @@
     """`processes` by name; `step` runs on to a true time, relative to the beginning."""
 
     def __init__(self, chances: str, drift: float) -> None:
-        self.rng, self.clock, self.weather = random.Random(chances), Clock(), Weather()
+        self.rng = random.Random(chances)
+        self.clock = Clock()
+        self.weather = Weather()
         self.processes: dict[str, Process[Core]] = {}
         self._by_address: dict[Address, Process[Core]] = {}
         self.cut: dict[tuple[str, str], int] = {}  # directions, by how many faults cut them
@@ -101,7 +103,8 @@
     def _begun(self, process: Process[Core]) -> int:
         """A new process under the name, from nothing; when it was born, ms of wall clock."""
         process.starts += 1
-        process.begun, process.halted_until = self.clock.now, 0
+        process.begun = self.clock.now
+        process.halted_until = 0
         process.waiting.clear()
         return WALL + self.true // MS
 
@@ -119,7 +122,8 @@
 
     def _wake(self, process: Process[Core]) -> None:
         if self.clock.now >= process.halted_until:
-            came, process.waiting = process.waiting, []
+            came = process.waiting
+            process.waiting = []
             for call in came:
                 call()
 
--- a/trackspread/testing/virtual/usage/disk.py
+++ b/trackspread/testing/virtual/usage/disk.py
@@ -32,7 +32,8 @@
     """The hardware under one gateway, life after life. `calls` counts what could have been the last one."""
 
     def __init__(self, rng: random.Random, capacity: int = 1 << 40) -> None:
-        self.rng, self.capacity = rng, capacity
+        self.rng = rng
+        self.capacity = capacity
         self.files: dict[str, _File] = {}
         self.removed: dict[str, _File] = {}  # gone from the folder, not yet from the disk
         self.calls = 0
@@ -78,7 +79,8 @@
 
 class _Area:
     def __init__(self, disk: Disk, file: _File) -> None:
-        self._disk, self._file = disk, file
+        self._disk = disk
+        self._file = file
 
     def write(self, at: int, data: bytes) -> None:
         self._disk.step()
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -76,7 +76,8 @@
     def mutant(self: Exporter, control: Control, scan: Scan | None) -> None:
         real(self, control, scan)
         if self.stage is Stage.NOTING:
-            self.stage, self.dirty = Stage.READY, False
+            self.stage = Stage.READY
+            self.dirty = False
 
     return [patch.object(Exporter, "made", mutant)]
 
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -67,7 +67,9 @@
     """One process: a ledger on a disk, until it is over."""
 
     def __init__(self, world: World, disk: Disk) -> None:
-        self.world, self.disk, self.alive = world, disk, True
+        self.world = world
+        self.disk = disk
+        self.alive = True
         self.files = VirtualFiles(disk)
         self.ledger = UsageLedger(world.bounds, NAMES, random.Random(world.rng.getrandbits(64)))
         self.alarms: list[str] = []
@@ -165,8 +167,12 @@
     """Disks, lives on them one after the other (or two at once), and billing."""
 
     def __init__(self, bounds: Bounds, seed: int) -> None:
-        self.rng, self.clock, self.bounds = random.Random(f"used:{seed}"), Clock(), bounds
-        self.truth, self.net, self.serial = Truth(), Net(), 0
+        self.rng = random.Random(f"used:{seed}")
+        self.clock = Clock()
+        self.bounds = bounds
+        self.truth = Truth()
+        self.net = Net()
+        self.serial = 0
         self.half: set[int] = set()
         self.memory = Plain()
         self.billing = Billing(self.memory)
@@ -239,9 +245,13 @@
     def settle(self, disks: list[Disk], most: int = 300 * SECOND) -> bool:
         """The faults are over: a last life on each disk exports everything. False if that never comes."""
         self.run(4 * SECOND)  # what was to go wrong has by then
-        self.net.loss, self.net.late, self.net.down = 0.0, 5 * MILLISECOND, False
+        self.net.loss = 0.0
+        self.net.late = 5 * MILLISECOND
+        self.net.down = False
         for disk in disks:
-            disk.failing, disk.read_only, disk.capacity = 0.0, False, 1 << 40
+            disk.failing = 0.0
+            disk.read_only = False
+            disk.capacity = 1 << 40
         lives = [self.begin(disk) for disk in disks]
         for _ in range(most // (SECOND // 2)):
             self.run(SECOND // 2)
--- a/trackspread/testing/virtual/vast.py
+++ b/trackspread/testing/virtual/vast.py
@@ -77,7 +77,8 @@
     """One day of the shape; the same seed gives the same day."""
     scene = Scene(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy=0.2, seed=seed)
     fleet = VirtualFleet(scene, seed)
-    fleet.weather.peer_loss, fleet.weather.list_delay = 0.05, LATE
+    fleet.weather.peer_loss = 0.05
+    fleet.weather.list_delay = LATE
     fleet.clock.after(TROUBLE, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
     fleet.run(SPAN)
     verdict = judge(scene.world(), fleet.ledger.entries)
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -72,14 +72,18 @@
 
     def __init__(self, every: int, rng: random.Random) -> None:
         """`every`: ns for which a batch that is not full is waited for."""
-        self._every, self._rng = every, rng
+        self._every = every
+        self._rng = rng
         self.stage = Stage.IDLE
         self.dirty = False
         self.alarms: list[str] = []
-        self.posts, self.resent = 0, 0
+        self.posts = 0
+        self.resent = 0
         self._span: Span | None = None
         self._post: Post | None = None
-        self._until, self._wait, self._sent_at = 0, WAIT_LEAST, 0
+        self._until = 0
+        self._wait = WAIT_LEAST
+        self._sent_at = 0
         self.trouble = ""  # why the last try failed; empty once one went well
 
     # What to send.
@@ -94,7 +98,8 @@
             return None
         else:
             span = found
-        self._span, self.stage = span, Stage.READING
+        self._span = span
+        self.stage = Stage.READING
         stream = control.streams[span.epoch]
         index, nonce = (span.first - 1) // stream.slots, bytes.fromhex(stream.nonce)
         return Read(Head(span.epoch, index, stream.slots, nonce), span.first, span.last)
@@ -148,11 +153,14 @@
                 f"batch {batch.key} has other bytes than when it was first sent: "
                 f"{holes} of its places can't be read"
             )
-        control.intent, self.dirty, self.stage = intent, True, Stage.NOTING
+        control.intent = intent
+        self.dirty = True
+        self.stage = Stage.NOTING
 
     def unread(self) -> None:
         """The disk did not give the records; asked for again later."""
-        self.stage, self._span = Stage.IDLE, None
+        self.stage = Stage.IDLE
+        self._span = None
 
     def saved(self) -> None:
         """The control, as it was when the save began with `dirty` cleared, is on the disk."""
@@ -165,7 +173,8 @@
             self.stage = Stage.READY
         if self.stage is not Stage.READY:
             return None
-        self.stage, self._sent_at = Stage.SENT, now
+        self.stage = Stage.SENT
+        self._sent_at = now
         self.posts += 1
         return self._post
 
@@ -173,12 +182,14 @@
 
     def failed(self, now: int, why: str, retry_in: int = 0, final: bool = False) -> None:
         """No answer, or one that says nothing about the batch. `retry_in`: ns, the receiver's own advice."""
-        self.stage, self.resent = Stage.RESTING, self.resent + 1
+        self.stage = Stage.RESTING
+        self.resent = self.resent + 1
         if why != self.trouble:
             self.alarms.append(f"export waits: {why}")
         self.trouble = why
         wait = REFUSED_WAIT if final else max(retry_in, int(self._wait * self._rng.uniform(0.5, 1.0)))
-        self._until, self._wait = now + wait, min(WAIT_MOST, 2 * self._wait)
+        self._until = now + wait
+        self._wait = min(WAIT_MOST, 2 * self._wait)
 
     def answered(self, control: Control, reply: Reply) -> None:
         """Billing's word on the batch that was sent."""
@@ -186,7 +197,9 @@
         span, stream = self._span, control.streams[self._span.epoch]
         if self.trouble:
             self.alarms.append("export goes on")
-        self.trouble, self._wait, self.dirty = "", WAIT_LEAST, True
+        self.trouble = ""
+        self._wait = WAIT_LEAST
+        self.dirty = True
         if reply.conflict:
             self.alarms.append(
                 f"billing has other bytes for places {span.first} to {span.last} of epoch "
@@ -205,7 +218,10 @@
             length_sent = control.intent.length is not None and span.first >= stream.parts[-1].first
             whole = stream.length is not None and stream.acked >= stream.length
             stream.sealed = stream.sealed or (whole and length_sent)
-        control.intent, self._span, self._post, self.stage = None, None, None, Stage.IDLE
+        control.intent = None
+        self._span = None
+        self._post = None
+        self.stage = Stage.IDLE
 
     def _fenced(self, span: Span, stream: Stream, reply: Reply) -> None:
         """Some other life told an end of this stream before what is here: ours ends there too."""
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -49,13 +49,16 @@
         write: bool = True,
     ) -> None:
         self.ledger = UsageLedger(bounds, names, random.SystemRandom(), write)
-        self._folder, self._now, self._sender = folder, now, sender
+        self._folder = folder
+        self._now = now
+        self._sender = sender
         self._files: Directory | None = None
         self._disk = ThreadPoolExecutor(1, thread_name_prefix="use")
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._sending: asyncio.Task[None] | None = None
-        self._over, self._abandoned = asyncio.Event(), False
+        self._over = asyncio.Event()
+        self._abandoned = False
         self._look = min(LOOK_MOST, max(LOOK_LEAST, bounds.commit / 2e9))
 
     def start(self) -> None:
@@ -110,7 +113,8 @@
             return
         ledger = self.ledger
         ledger.done(self._now(), result)
-        spent, ledger.spent = ledger.spent, []
+        spent = ledger.spent
+        ledger.spent = []
         if spent:
             self._disk.submit(_close, spent)
         # What follows at once is not made to wait for the next look: opening is a chain of calls.
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -83,27 +83,36 @@
 
     def __init__(self, bounds: Bounds, names: Names, rng: random.Random, write: bool = True) -> None:
         """`write`: whether this life counts; without, it exports what others left and makes no stream."""
-        self.bounds, self.names, self.state = bounds, names, State.NEW
-        self.meter, self.exporter = Meter(), Exporter(bounds.every, rng)
+        self.bounds = bounds
+        self.names = names
+        self.state = State.NEW
+        self.meter = Meter()
+        self.exporter = Exporter(bounds.every, rng)
         self.journal: Journal | None = None
         self.control = Control(f"{rng.getrandbits(128):032x}")
         self.segment_store = SegmentStore(bounds.segments, bounds.full)
         self.alarms: list[str] = []
         self.spent: list[Area] = []
-        self.recorded, self.folded = 0, 0  # requests with a record of their own, and those in sums
+        # requests with a record of their own, and those in sums
+        self.recorded = 0
+        self.folded = 0
         self.trouble = ""  # the disk's last error; empty once a call went well
-        self._rng, self._write = rng, write
+        self._rng = rng
+        self._write = write
         self._areas: list[Area] = []  # of the control, in the order of `AREAS`
         self._good = 0  # which of them was last saved whole
         self._fresh: Journal | None = None  # a stream that is about to be declared
         self._out: tuple[Then, Failed] | None = None
         self._not_before: dict[str, int] = {}  # by purpose, when what failed is tried again
-        self._since, self._unfolded = 0, 0  # when the oldest uncommitted record came; when sums went
+        # when the oldest uncommitted record came; when sums went
+        self._since = 0
+        self._unfolded = 0
         self._owed = False  # sums hold answers that would have had records of their own
         self._full_told = -TOLD_AGAIN
         self._epoch = 0  # the highest that was ever tried
         self._ending = False
-        self._nobodys_told = self._clamped_told = False
+        self._nobodys_told = False
+        self._clamped_told = False
 
     # Counting.
 
@@ -175,7 +184,8 @@
     def done(self, now: int, result: Result | OSError) -> None:
         """The end of the call that was out: what it gave, or the error."""
         assert self._out is not None
-        (then, failed), self._out = self._out, None
+        (then, failed) = self._out
+        self._out = None
         if isinstance(result, OSError):
             why = result.strerror or str(result)
             if why != self.trouble:
@@ -276,7 +286,8 @@
         """One save ends the former stream, where it was left in doubt, and names the new one."""
         fresh, control, old = self._fresh, self.control, self.journal
         assert fresh is not None
-        self.state, before = State.DECLARING, control.epoch
+        self.state = State.DECLARING
+        before = control.epoch
         if old is not None:
             control.streams[old.epoch].length = old.committed
         control.epoch = fresh.epoch
@@ -287,7 +298,9 @@
         def declared(now: int, _: Result) -> None:
             if old is not None:
                 self.spent += old.areas()
-            self.journal, self._fresh, self.state = fresh, None, State.LIVE
+            self.journal = fresh
+            self._fresh = None
+            self.state = State.LIVE
             self.segment_store.add(fresh.epoch, 0)
             self.exporter.dirty = True  # the other copy, too, is to know of it
             self._owed = bool(self.meter.sums)
@@ -370,7 +383,8 @@
     def _maintain(self, now: int) -> Call | None:
         exporter, control, journal = self.exporter, self.control, self.journal
         if (exporter.dirty or self.segment_store.dirty) and self._may("save", now):
-            exporter.dirty = self.segment_store.dirty = False
+            exporter.dirty = False
+            self.segment_store.dirty = False
             return self._save(now, lambda now, _: None, self._unsaved)
         if self._may("retention", now) and (step := self.segment_store.next(control, journal)) is not None:
             call, after = step
@@ -422,7 +436,9 @@
             )
             self.alarms.append(f"use: {why}: nothing is written or exported, sums are kept in memory")
             return
-        self._areas, self._good, self.state = found.areas, at, State.FOUND
+        self._areas = found.areas
+        self._good = at
+        self.state = State.FOUND
         self.alarms += [f"use: {name}: {why}" for name, why in found.broken.items()]
         if best is not None:
             self.control = best
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -35,9 +35,11 @@
 
     def __init__(self, most: int, full: Full) -> None:
         self.saved: dict[int, int] = {}
-        self.short, self.dirty = False, False
+        self.short = False
+        self.dirty = False
         self.alarms: list[str] = []
-        self._most, self._full = most, full
+        self._most = most
+        self._full = full
         self._segments: set[At] = set()
         self._sums: list[str] = []
         self._leftover: list[str] = []  # of lives that were never declared, or counted nothing
@@ -126,8 +128,11 @@
         self._segments.discard(at)
         stream = control.streams[at[0]]
         stream.kept = max(stream.kept, at[1] + 1)
-        self._going, self._sum, self._summed = None, None, False
-        self.dirty, self.short = True, False
+        self._going = None
+        self._sum = None
+        self._summed = False
+        self.dirty = True
+        self.short = False
 
     def failed(self) -> None:
         """A disk without room for the sums still gives back the segment; the rest is tried again."""
--- a/trackspread/usage/senders.py
+++ b/trackspread/usage/senders.py
@@ -33,7 +33,8 @@
 
     def __init__(self, text: str, retry_in: int = 0, final: bool = False) -> None:
         super().__init__(text)
-        self.retry_in, self.final = retry_in, final
+        self.retry_in = retry_in
+        self.final = final
 
 
 class Sender(Protocol):
@@ -72,7 +73,8 @@
 
     def __init__(self, target: Target) -> None:
         parts = urlsplit(target.url)
-        self._host, self._path = parts.hostname or "", parts.path or "/"
+        self._host = parts.hostname or ""
+        self._path = parts.path or "/"
         self._port = parts.port or (443 if parts.scheme == "https" else 80)
         self._secret = target.secret
         self._tls = ssl.create_default_context(cafile=target.ca or None) if parts.scheme == "https" else None
@@ -146,7 +148,8 @@
     """`in/KEY.json` is put there whole; billing takes it and puts its answer at `out/KEY.json`."""
 
     def __init__(self, folder: Path) -> None:
-        self._in, self._out = folder / "in", folder / "out"
+        self._in = folder / "in"
+        self._out = folder / "out"
 
     async def send(self, post: Post) -> Reply:
         """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
