--- a/benchmarks/scale/celling.py
+++ b/benchmarks/scale/celling.py
@@ -107,8 +107,8 @@
         if state == "DEAD":
             self._process.verdicts.append(DeadVerdict(now, me, who, teller == me, since))
 
-    def _placed(self, action: CellJoined | CellLeft) -> None:
-        super()._placed(action)
+    def _record_placement(self, action: CellJoined | CellLeft) -> None:
+        super()._record_placement(action)
         self._process.placed(self, isinstance(action, CellJoined))
 
     def members(self) -> list[tuple[str, Member]]:
--- a/trackspread/backends/adapter.py
+++ b/trackspread/backends/adapter.py
@@ -1,8 +1,8 @@
 """The interface of a protocol towards backends: an adapter turns a `Call` to bytes and bytes to an outcome.
 
 An adapter knows nothing of connections, time-outs or decisions. Which outcome a broken connection means is
-the connection's to say: a request that was never written completely could not connect; one that was may
-have run.
+the connection's to say: a request that was never written completely counts as `CONNECT_FAILED`; one that was
+may have been executed.
 """
 
 from __future__ import annotations
--- a/trackspread/backends/connection.py
+++ b/trackspread/backends/connection.py
@@ -27,7 +27,8 @@
 NS_PER_S = 1_000_000_000
 STALL_TIMEOUT_S = 0.5  # without a byte of an answer that has begun: several round trips
 LONG_VALUE_STALL_TIMEOUT_S = 10.0  # without a byte of a long value: clients take seconds, the dead for ever
-STALE_RESET_WINDOW_S = 0.02  # after a request's last byte, in which a reset answers it: over a round trip
+# From the start of a write: a reset this soon means a stale connection; over a round trip.
+STALE_RESET_WINDOW_S = 0.02
 
 
 class ConnectionOwner(Protocol):
@@ -62,7 +63,7 @@
         "task",
         "timer",
         "transport",
-        "written_at_s",
+        "write_started_at_s",
     )
 
     def __init__(self, owner: ConnectionOwner, incarnation: int, attempt: Attempt) -> None:
@@ -76,7 +77,7 @@
         self.answers = owner.context.adapter.answer_reader()
         self.has_unsent_bytes = True
         self.idle_since_s = 0.0
-        self.written_at_s = 0.0
+        self.write_started_at_s = 0.0
         self.idle_before_request_s = -1.0  # negative on a new connection
         self.is_forwarding_value = False
         self._is_paused = False
@@ -108,9 +109,9 @@
         attempt.connection = self
         self.attempt = attempt
         self.has_unsent_bytes = True
-        self.written_at_s = context.time()
+        self.write_started_at_s = context.time()
         if self.idle_since_s:
-            self.idle_before_request_s = self.written_at_s - self.idle_since_s
+            self.idle_before_request_s = self.write_started_at_s - self.idle_since_s
             context.idle_age.record_use(self.idle_before_request_s)
         payload = attempt.encode(context.adapter, now_ns)
         if isinstance(payload, list):
@@ -258,7 +259,7 @@
             return
         context = self.owner.context
         was_reset_at_once = (
-            not self.answers.is_midway and context.time() - self.written_at_s <= STALE_RESET_WINDOW_S
+            not self.answers.is_midway and context.time() - self.write_started_at_s <= STALE_RESET_WINDOW_S
         )
         if self.idle_before_request_s >= 0.0 and was_reset_at_once:
             context.idle_age.record_reset(self.idle_before_request_s)
--- a/trackspread/backends/connection_pool.py
+++ b/trackspread/backends/connection_pool.py
@@ -15,7 +15,8 @@
 from .connection import BackendConnection
 from .pool_context import PoolContext
 
-REUSE_DELAY_S = 0.005  # idle after an answer, where another is free: a second copy of the answer may follow
+# That a connection rests after an answer while another can be used or opened: a duplicate answer may follow.
+REUSE_DELAY_S = 0.005
 
 
 class ConnectionPool:
@@ -53,7 +54,8 @@
             self._open(attempt)
 
     def _take_idle(self, min_idle_s: float) -> BackendConnection | None:
-        """The latest used connection that has been idle so long, reusable and not about to be closed."""
+        """The latest used connection that has been idle for at least `min_idle_s`. Closes those on the way
+        that are too old or not reusable."""
         now_s = self.context.time()
         for position in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[position]
@@ -109,7 +111,8 @@
         connection.write(attempt, now_ns)
 
     def release(self, connection: BackendConnection) -> None:
-        """Back to the end of the list: those before it stay idle and are retired."""
+        """Keep the connection for reuse; close it where the backend is draining or its process has
+        restarted."""
         if self.is_closing or connection.incarnation != self.incarnation:
             connection.drop()
             return
--- a/trackspread/call.py
+++ b/trackspread/call.py
@@ -30,7 +30,8 @@
     """One request. `request_class` and `plan` are indices in the settings.
 
     `raw_request` is the request in its own protocol, for an adapter that speaks the same: it is forwarded
-    unchanged. `wait_ms` counts from its arrival.
+    unchanged. `wait_ms`: how long the client waits for the answer, from the request's arrival.
+    `gateway_span`, `first_gateway`: as in `RequestArrived`.
     """
 
     raw_request: object
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -341,15 +341,16 @@
         here."""
         if request.current is not None:
             return None
-        best: tuple[bool, int, str] | None = None
+        candidates: list[tuple[bool, int, str]] = []  # whether it is the former cell, its gateways, its name
         for name, seeded in self.cells.items():
             if seeded.cell.location != request.location or seeded.cell.closing or not seeded.has_view:
                 continue
             gateways = [gateway for gateway, _ in seeded.gateways(self._control_names)]
             is_former = member_id[0] in gateways
             if is_former or len(gateways) < self.settings.policy.target_gateways:
-                best = max(best or (False, -1, ""), (is_former, len(gateways), name))
-        if best is None:
+                candidates.append((is_former, len(gateways), name))
+        if not candidates:
             return None
-        cell = self.cells[best[2]].cell
+        _, _, best_name = max(candidates)
+        cell = self.cells[best_name].cell
         return Placement(cell.number, cell)
--- a/trackspread/cells/directory.py
+++ b/trackspread/cells/directory.py
@@ -5,7 +5,7 @@
 - A cell above `max_gateways` gives half of its gateways to others with capacity, or to a new one.
 - A cell is closed when
   - it has `min_gateways` or fewer, fits into another, and neither has changed for `merge_delay_ns`: gateways
-    that are cut off vanish one by one, and return so;
+    that are cut off disappear from the reports one by one, and come back the same way;
   - it has had no gateways for `empty_timeout_ns`: gateways that are unreachable for less return to it, and
     none is moved into an empty cell;
   - it has lost a seed for `seed_loss_timeout_ns` while its region has others.
@@ -32,9 +32,8 @@
 from .topology import SEEDS_PER_CELL, CellPolicy, ControlMachine, Zone
 
 REBUILD_NS = 3 * SECOND  # from the election of a leader, in which control machines report
-PENDING_TIMEOUT_NS = (
-    8 * SECOND
-)  # for which a gateway counts in the cell it is placed in, before it is reported
+# For which a gateway counts in the cell it is placed in, before it is reported.
+PENDING_TIMEOUT_NS = 8 * SECOND
 RETIRE_DELAY_NS = 5 * SECOND  # for which a closing cell has to be empty before it is retired
 ROUND_INTERVAL_NS = 1 * SECOND  # between two rounds of moves in one zone
 MOVES_PER_ROUND = 4  # gateways
@@ -188,7 +187,7 @@
         return entry
 
     def _is_plausible(self, cell: Cell) -> bool:
-        """Only of this fleet's control machines, and of no leader after this one."""
+        """Whether all its seeds are this fleet's control machines, and no later leader has numbered it."""
         has_known_seeds = bool(cell.seeds) and all(seed in self._machines for seed in cell.seeds)
         is_past = cell.number[:2] <= self.epoch
         return has_known_seeds and is_past and len(self.entries) < self.policy.max_fleet_gateways
--- a/trackspread/cells/gateway.py
+++ b/trackspread/cells/gateway.py
@@ -54,7 +54,8 @@
 
 
 class Gateway(CellsCore):
-    """The core of a gateway. `seed`: of all its random choices."""
+    """The core of a gateway's part in cells (not the process, `node/gateway.py`). `seed`: of all its random
+    choices."""
 
     def __init__(self, settings: GatewaySettings, now_ns: int, seed: int) -> None:
         super().__init__()
@@ -64,7 +65,7 @@
         self.member: Member | None = None
         self.answered_at_ns: int | None = None  # by a control machine
         self._created_at_ms = settings.created_at_ms  # of the newest process of this name in any cell
-        self._unanswered = 0  # requests since the last answer
+        self._unanswered_requests = 0  # requests since the last answer
         self._next_request_at_ns = now_ns
         self._control_names = frozenset(machine.name for machine in settings.machines)
         self._local_machines = [
@@ -108,7 +109,7 @@
         body = message.body
         if self._accepts(message) and isinstance(body, PlacementNotice) and body.member_id == self.member_id:
             self.answered_at_ns = now_ns
-            self._unanswered = 0
+            self._unanswered_requests = 0
             self._next_request_at_ns = now_ns + int(REFRESH_INTERVAL_NS * self.rng.uniform(*REFRESH_JITTER))
             self._follow(now_ns, body.placement)
         return self._take_actions()
@@ -151,10 +152,12 @@
 
     def _request_placement(self, now_ns: int) -> None:
         """Ask a control machine; the backoff grows until it answers."""
-        backoff_ns = min(MAX_BACKOFF_NS, MIN_BACKOFF_NS << min(self._unanswered, MAX_BACKOFF_DOUBLINGS))
+        backoff_ns = min(
+            MAX_BACKOFF_NS, MIN_BACKOFF_NS << min(self._unanswered_requests, MAX_BACKOFF_DOUBLINGS)
+        )
         self._next_request_at_ns = now_ns + int(backoff_ns * self.rng.uniform(*BACKOFF_JITTER))
         machine = self._choose_machine()
-        self._unanswered += 1
+        self._unanswered_requests += 1
         settings = self.settings
         request = PlacementRequest(settings.zone.region, settings.zone.zone, settings.address, self.placement)
         message = CellsMessage(settings.fleet, *self.member_id, request)
@@ -162,9 +165,9 @@
 
     def _choose_machine(self) -> Address:
         """A seed of its cell, which knows it best; then one of its region; then any."""
-        if self.placement is not None and not self._unanswered:
+        if self.placement is not None and not self._unanswered_requests:
             return self.rng.choice(self.placement.cell.seeds)
-        if self._local_machines and self._unanswered < LOCAL_ATTEMPTS:
+        if self._local_machines and self._unanswered_requests < LOCAL_ATTEMPTS:
             return self.rng.choice(self._local_machines)
         return self.rng.choice(self._all_machines)
 
--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -1,6 +1,6 @@
-"""A control machine's core, or a gateway's, on sockets: a port, the log and the records. Decides nothing.
+"""Runs a control machine's or a gateway's core on sockets, with the log and the event log. Decides nothing.
 
-One address serves the views of all cells that the core takes part in, and the words on cells. Hundreds of
+One address serves the views of all cells that the core takes part in, and the messages on cells. Hundreds of
 gateways may share a process: each is two sockets and one timer.
 """
 
@@ -12,7 +12,7 @@
 
 from ..logs import Sparing
 from ..membership.actions import Action, ExchangeTables, PeerDataReceived, SendMessage, StatusEvent
-from ..membership.core_host import CHANGES, LOGGED, CoreHost, DataCallback
+from ..membership.core_host import CHANGE_KINDS, LOGGED_KINDS, CoreHost, DataCallback
 from ..membership.host import describe
 from ..membership.identifiers import Address, Epoch
 from ..membership.messages import MemberMessage, TableSnapshot
@@ -24,7 +24,8 @@
 
 log = logging.getLogger(__name__)
 log.addFilter(Sparing())
-important_log = logging.getLogger(f"{__name__}.note")  # what members' coming and going must not drown
+# So that the many events of members do not suppress these.
+important_log = logging.getLogger(f"{__name__}.note")
 
 CONTROL_RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of its socket's buffer: hundreds of gateways may ask at once
 MAX_CONTROL_EXCHANGES = 128  # exchanges under way at a control machine, which is in many views
@@ -89,7 +90,7 @@
                 case MemberAction(fleet, member_action):
                     has_changed |= self._perform_in_cell(fleet, member_action)
                 case CellJoined() | CellLeft():
-                    self._placed(action)
+                    self._record_placement(action)
                     has_changed = True
                 case LeadershipChanged(epoch):
                     kind = "leads" if epoch is not None else "leads no more"
@@ -111,28 +112,30 @@
                 self._on_data(name, data, slots)
             case StatusEvent():
                 self._record_event(fleet, action)
-                return action.kind in CHANGES
+                return action.kind in CHANGE_KINDS
         return False
 
     def _record_event(self, fleet: str, event: StatusEvent) -> None:
         self._log_event(event.kind, {**event.details, "fleet": fleet})
-        if event.kind in LOGGED and isinstance(self.core, Gateway):
+        if event.kind in LOGGED_KINDS and isinstance(self.core, Gateway):
             important_log.info("%s: %s%s", fleet, event.kind, describe(event))
-        elif event.kind in LOGGED:  # a control machine is in many views
+        elif event.kind in LOGGED_KINDS:  # a control machine is in many views
             log.info("%s: %s%s", fleet, event.kind, describe(event))
 
-    def _placed(self, action: CellJoined | CellLeft) -> None:
+    def _record_placement(self, action: CellJoined | CellLeft) -> None:
         kind = "joined" if isinstance(action, CellJoined) else "parted"
         cell = action.placement.cell.name
-        important_log.info("cell %s: %s", cell, kind)
+        important_log.info("cell %s: %s", cell, "joined" if kind == "joined" else "left")
         self._log_event(kind, {"cell": cell, "number": action.placement.number})
 
     def _record_control_event(self, kind: str, details: dict[str, object]) -> None:
         if kind == "full":
             log.warning(
-                "fleet.gateways: found more than %s gateways, wanted at most that: one is not placed",
+                "fleet.gateways: the limit of %s gateways is reached, a further one gets no cell: "
+                "raise it or stop gateways",
                 details["gateways"],
             )
         else:
-            important_log.info("control: %s %s", kind, details)
+            text = ", ".join(f"{key} {value}" for key, value in details.items() if value is not None)
+            important_log.info("control: %s %s", kind, text)
         self._log_event(f"control {kind}", details)
--- a/trackspread/cells/seeded_cell.py
+++ b/trackspread/cells/seeded_cell.py
@@ -10,9 +10,8 @@
 from ..membership.member import Member
 from .messages import Cell, CellReport, Placement, ReportReceipt
 
-FIRST_REPORT_SPREAD_NS = (
-    1 * SECOND
-)  # over which reports to a new leader are spread: thousands would be a burst
+# Over which reports to a new leader are spread: thousands would be a burst.
+FIRST_REPORT_SPREAD_NS = 1 * SECOND
 RESEND_INTERVAL_NS = 1 * SECOND  # between reports without a receipt
 COORDINATOR_REFRESH_NS = 10 * SECOND  # between the coordinator's reports while nothing changes
 SEED_REFRESH_NS = 30 * SECOND  # between the other seeds'
--- a/trackspread/cells/topology.py
+++ b/trackspread/cells/topology.py
@@ -39,7 +39,6 @@
     max_merged_gateways: int = 20  # of both together
     max_fleet_gateways: int = 8_192  # further ones are not placed
     merge_delay_ns: int = 30 * SECOND  # for which a cell has to be small before it is closed
-    seed_loss_timeout_ns: int = (
-        120 * SECOND
-    )  # without a seed, after which its cells close: a restart is shorter
+    # Without a seed, after which its cells close: a restart is shorter.
+    seed_loss_timeout_ns: int = 120 * SECOND
     empty_timeout_ns: int = 600 * SECOND  # without gateways until a cell closes: they may just be unreachable
--- a/trackspread/counter/__init__.py
+++ b/trackspread/counter/__init__.py
@@ -1,1 +1,2 @@
-"""Rights of members on a counter that gateways share and that may be lost, split or replaced."""
+"""Leases of tenants' limits over a counter that all gateways share and that may be lost, split or
+replaced."""
--- a/trackspread/counter/connection.py
+++ b/trackspread/counter/connection.py
@@ -205,7 +205,7 @@
 
     def _note_failure(self, reason: str) -> None:
         if reason != self._last_failure:
-            log.warning("counter: %s:%d: %s", *self.address, reason)
+            log.warning("counter: %s:%d can't be reached: %s", *self.address, reason)
         self._last_failure = reason
 
     async def _connect(self) -> _Protocol:
--- a/trackspread/counter/failure_detector.py
+++ b/trackspread/counter/failure_detector.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Observation:
-    """One other gateway: it lived at `alive_since_ns` or later."""
+    """One other gateway. `alive_since_ns`: the latest time at which it is known to have been alive."""
 
     heartbeat: Heartbeat
     alive_since_ns: int
--- a/trackspread/counter/lease.py
+++ b/trackspread/counter/lease.py
@@ -55,7 +55,7 @@
 MAX_UNPROVEN_RAISES = 6  # that wait for their proof; more are one
 WRITTEN_PRECISION = 1e-6  # of a share: claims are written as floats of four bytes
 MIN_DEMAND_PER_S = 0.01  # units a second below which there is no demand
-UNKNOWN = -1.0
+NO_COUNT_UNITS = -1.0  # no count of the decision module was seen yet
 
 
 @dataclass(slots=True)
@@ -105,7 +105,7 @@
         self.spent_elsewhere_units = 0.0  # by others, not handed over to the decision module yet
         self.tokens: float | None = None  # of the quota's bucket as others know it, not handed over yet
         self.spent_units = 0.0  # here
-        self._module_count_units = UNKNOWN  # the decision module's own count of them
+        self._module_count_units = NO_COUNT_UNITS  # the decision module's own count of them
 
     def change_terms(self, terms: LeaseTerms) -> None:
         """Other limits from now on. The share stays: it is a share of whatever the limits are."""
@@ -147,7 +147,8 @@
     # What the claims of others leave.
 
     def share_of_unresponsive(self, detector: FailureDetector) -> float:
-        """Of gateways that are not seen: the static share, or what they claimed while they may hold it."""
+        """The share of gateways that are not seen: the static one, or what they claimed while they may hold
+        it."""
         total = 0.0
         for gateway in detector.unresponsive:
             claim = self.other_claims.get(gateway)
@@ -160,7 +161,8 @@
         return total
 
     def share_of_others(self, detector: FailureDetector) -> float:
-        """Of gateways that are seen, whether or not the tenant's requests usually come there."""
+        """The share claimed by gateways that are seen, whether or not the tenant's requests usually come
+        there."""
         total = 0.0
         for gateway, claim in self.other_claims.items():
             known = detector.observations.get(gateway)
@@ -174,7 +176,8 @@
         return max(0.0, 1.0 - self.share_of_others(detector) - self.share_of_unresponsive(detector))
 
     def reduce_to_fit(self, detector: FailureDetector) -> None:
-        """Come down so that static shares of the unresponsive have room; all who are seen do so alike."""
+        """Lower this gateway's share so that static shares of unresponsive ones fit; all that are seen do the
+        same."""
         unresponsive = sum(
             share for gateway, share in self._static_shares.items() if gateway in detector.unresponsive
         )
@@ -275,7 +278,8 @@
         self._module_count_units = module_count_units
 
     def _claim_what_is_used(self, now: int, detector: FailureDetector) -> None:
-        """Back from a loss: what is used now is written down before anybody sees that this gateway lives."""
+        """After a loss of the counter: claim what is used now, before others can see that this gateway is
+        alive."""
         if detector.is_static_share_free(now):
             share = self.static_share
         else:
--- a/trackspread/counter/lease_manager.py
+++ b/trackspread/counter/lease_manager.py
@@ -38,9 +38,8 @@
 MAX_QUEUE_SURPLUS = 64  # outdated entries of the queue, beside four for each lease
 
 Output = Call | Grant
-UsageCount = Callable[
-    [int], tuple[float, float]
-]  # of a tenant: units spent here, tokens of the quota's bucket
+# Of a tenant: units spent here, tokens of the quota's bucket.
+UsageCount = Callable[[int], tuple[float, float]]
 
 
 @dataclass(slots=True)
--- a/trackspread/counter/routing.py
+++ b/trackspread/counter/routing.py
@@ -94,7 +94,5 @@
             self.is_stale = True
             for slot in [slot for slot, known in self._cluster_servers.items() if known == server]:
                 del self._cluster_servers[slot]
-            self._fallback_servers = [
-                *self._fallback_servers[1:],
-                *self._fallback_servers[:1],
-            ]  # query others for where it went
+            # Query others for where it went.
+            self._fallback_servers = [*self._fallback_servers[1:], *self._fallback_servers[:1]]
--- a/trackspread/counter/timing.py
+++ b/trackspread/counter/timing.py
@@ -15,9 +15,8 @@
 # That a raise waits: whoever holds what the counter lost has written it anew by then.
 PROOF_NS = CLAIM_RENEWAL_NS + 2 * CALL_TIMEOUT_NS
 IDLE_NS = 5 * SECOND  # without a request after which a lease is given back
-GUARANTEED_PART = (
-    0.5  # of a hard limit that is never pooled: each gateway's at once, whatever the counter says
-)
+# Of a hard limit that is never pooled: each gateway's at once, whatever the counter says.
+GUARANTEED_PART = 0.5
 MINIMUM_PART = 0.25  # of a static share of a quota that is usable before any answer
 REPORT_AFTER_PART = 0.25  # of a quota's burst that may be requested here before others are notified
 HEADROOM = 2.0  # a claim over the demand: bursts pass without a call
--- a/trackspread/decide/actions.py
+++ b/trackspread/decide/actions.py
@@ -1,6 +1,8 @@
 """Actions: what a decision module (`broker.py`) wants its gateway program to do.
 
-Durations are integer nanoseconds. Everything is immutable; nothing here decides anything.
+`CancelAttempt`, `CheckHealth`, `CloseIdleConnections` and `FetchEndpoints` are part of the simulator's
+interface; no rule asks for them yet. Durations are integer nanoseconds. Everything is immutable; nothing here
+decides anything.
 """
 
 from __future__ import annotations
--- a/trackspread/decide/attempt_results.py
+++ b/trackspread/decide/attempt_results.py
@@ -10,7 +10,8 @@
 from .open_request import OpenRequest
 from .settings import Settings
 
-# Part of a quota, round all used, in which a report goes from surely capacity left to surely none.
+# Width of the range of use, as part of the quota and centred on all used, in which the probability of
+# capacity falls from 1 to 0.
 METERED_SPAN = 0.5
 METERED_ALL_USED = 1.01  # a report of 0 means none, so that it counts from 1 percent
 
--- a/trackspread/decide/backend_state.py
+++ b/trackspread/decide/backend_state.py
@@ -19,7 +19,7 @@
     """One backend as this gateway sees it."""
 
     backend: Backend
-    slowness: DecayingMean  # latencies of late, each in its class's usual ones
+    slowness: DecayingMean  # recent latencies, each divided by its class's mean latency
     ejection_ns: int  # how long the next ejection lasts
     is_usable: bool = True  # listed and not draining
     is_listed: bool = True
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -119,7 +119,7 @@
                 self.quota.change_fleet(now, event)
                 self.fleet_changed(event)
             case HealthChecked():
-                pass
+                pass  # no rule uses it yet
         return []
 
     # Time and settings.
@@ -169,7 +169,8 @@
         """What arrives from now on has other classes; open requests keep theirs."""
         self._use_settings(replace(self.settings, classes=event.classes, max_attempts=event.max_attempts))
         self.model.change_classes(event)
-        # Its settings stay until the fleet changes, and with them the length of turns at backends.
+        # The load balancer keeps its former settings until the fleet changes, and with them the length of
+        # turns at backends.
         self.load_balancer.change_classes(event)
         self.load_shedding.change_classes(event)
         return LogMessage(f"classes changed: {len(event.active)} now, {event.max_attempts} attempts at most")
@@ -248,6 +249,7 @@
         if not request.attempts_in_flight and event.request in open_requests:
             actions = self._retry_or_finish(now, request)
         if not (request.attempts_in_flight or request.reached_backend or event.request in open_requests):
+            # No attempt came to a backend, and none will.
             request.account.give_back(request.balances_taken)
         return actions + self.admission.release(now, request)
 
--- a/trackspread/decide/commitment.py
+++ b/trackspread/decide/commitment.py
@@ -21,6 +21,6 @@
     in_flight: int = 0  # attempts
     streaming: int = 0  # of them: values that are being passed on, at their reader's pace
     priority: float = 0.0  # recent priority weight per ns of service
-    max_wait_ns: float = 0.0  # mean wait in the service's queue that its requests bear
+    max_wait_ns: float = 0.0  # the longest mean wait that its requests tolerate; 0.0: none has arrived
     latency_objective_ns: int = 0  # the longest of its requests' classes
     min_throughput_per_s: float = 0.0  # requests that it is to be granted, as of its last evaluation
--- a/trackspread/decide/commitments.py
+++ b/trackspread/decide/commitments.py
@@ -45,7 +45,7 @@
         self._competing = CompetingCommitments()  # under congestion, as of the last tick
 
     def of_account(self, now: int, account: TenantAccount) -> Commitment:
-        """The tenant's commitment; one that has not begun where there is none."""
+        """The tenant's commitment; a new one, without a cap yet, where there is none."""
         found = self.by_tenant.get(account.tenant)
         if found is None or found.account is not account:
             found = Commitment(
@@ -75,7 +75,7 @@
             self.evaluate(now, commitment)
 
     def evaluate_due(self, now: int) -> None:
-        """End idle commitments, and evaluate those that were not for a while."""
+        """End idle commitments, and evaluate those whose last evaluation is `EVALUATION_INTERVAL_NS` ago."""
         for commitment in list(self.active.values()):
             commitment.mean_in_flight.add(now, commitment.in_flight)
             if now - commitment.last_request_ns > IDLE_COMMITMENT_NS and not commitment.in_flight:
--- a/trackspread/decide/concurrency_model.py
+++ b/trackspread/decide/concurrency_model.py
@@ -67,8 +67,8 @@
             total_delay = total_delay + (self.shortest_ns[number] or mean) * class_weight
             total_headroom += class_weight * self.headroom_ns(number)
             total_time_constant += class_weight * latency.time_constant_ns
-        # Remembered as long as the latencies: where few come, they outlast a number in flight that fell
-        # since, and at that number would read as a demand that grows the less this gateway sends.
+        # The number in flight must be averaged over the same time as the latencies: else, once traffic falls,
+        # old latencies would meet a small new number, and the fitted demand would be too high.
         self.mean_in_flight.time_constant_ns = int(total_time_constant / weight) if weight else SHORT_TERM
         self.mean_in_flight.add(now, in_flight)
         self.is_congested = False
@@ -107,7 +107,7 @@
         self.response_times_ns = mean_values(high, self.delay_ns, levels)
         max_wait_ns = TARGET_WAIT * min(self.headroom_ns(number) for number in self.active_classes)
         within = sum(time_ns - self.delay_ns <= max_wait_ns for time_ns in self.response_times_ns)
-        self.concurrency_limit = max(2, within - 1)
+        self.concurrency_limit = max(2, within - 1)  # level 0 is counted, too
 
     def headroom_ns(self, request_class: int) -> float:
         """Time that a request of the class may wait: its objective beyond the shortest latency."""
--- a/trackspread/decide/events.py
+++ b/trackspread/decide/events.py
@@ -16,14 +16,14 @@
 class Outcome(IntEnum):
     """How an attempt, a health check or a counter call ended."""
 
-    ERROR = 0
+    ERROR = 0  # the backend says that it failed: may have been executed
     OK = 1
-    REJECTED = 2
-    TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    NOT_SENT = 7
+    REJECTED = 2  # the backend declined: not executed
+    TIMEOUT = 3  # no answer in time: may have been executed
+    CONNECT_FAILED = 4  # no connection, or the request never went out completely: not executed
+    RESET = 5  # connection lost or answer invalid after the request was written: may have been executed
+    CANCELLED = 6  # the answer was not wanted any more
+    NOT_SENT = 7  # withdrawn before it was sent; says nothing about the backend
 
 
 # The backend has certainly not executed the request.
--- a/trackspread/decide/load_balancer.py
+++ b/trackspread/decide/load_balancer.py
@@ -20,8 +20,8 @@
 BackendFilter = Callable[[Backend], bool]
 
 WARMING_UP_FACTOR = 0.7  # on the expected wait at a backend that warms up and whose budget covers an attempt
-FAULT_COST = 3.0  # added to the factor on the cost of a backend that surely fails the request
-OWN_ATTEMPTS_PRIOR = 2.0  # attempts in flight here that say as much of others' as the mean over backends does
+FAULT_COST = 3.0  # a backend that surely fails the request costs 1 + this times as much
+OWN_ATTEMPTS_PRIOR = 2.0  # the more, the less this gateway's own attempts tell of others' at a backend
 MIN_SLOWNESS = 0.5  # of a backend, in usual latencies
 MAX_SLOWNESS = 4.0
 SLOWNESS_PRIOR_WEIGHT = 3.0  # usual latencies that a backend's own blend with
@@ -68,7 +68,8 @@
         self._mean_in_flight = sum(state.in_flight for state in usable) / max(1, len(usable))
 
     def is_available(self, now: int, state: BackendState) -> bool:
-        """Whether a backend may get an attempt now: neither draining nor ejected, and within its budget."""
+        """Whether a backend may get an attempt now: neither draining nor ejected, and within its budget.
+        Refills that first."""
         if not state.is_usable or now < state.ejected_until_ns:
             return False
         return self.slow_start.allows_attempt(now, state)
@@ -123,7 +124,7 @@
     def attempt_ended(
         self, now: int, event: AttemptEnded, class_and_plan: ClassAndPlan, relative_latency: float
     ) -> None:
-        """An attempt has ended. `relative_latency`: its latency, in the class's usual ones."""
+        """An attempt has ended. `relative_latency`: its latency divided by the class's mean."""
         state = self.backends.get(event.backend)
         if state is None:
             return
--- a/trackspread/decide/outlier_ejection.py
+++ b/trackspread/decide/outlier_ejection.py
@@ -14,7 +14,7 @@
 
 FIRST_EJECTION_NS = SECOND // 2  # doubles with each further ejection, up to the longest
 LONGEST_EJECTION_NS = 8 * SECOND
-FAILURES_TO_EJECT = 2  # consecutive ones: a single failure may be chance
+FAILURES_TO_EJECT = 2  # consecutive ones: one may be chance; a failed connection ejects at once
 RESPONSE_MEMORY_NS = 3 * LONG_TERM  # for which a backend's last response to a class counts
 MAX_RELATIVE_LATENCY = 8.0  # counted of one attempt, in usual latencies: one outlier must not hide the rest
 PRIOR_WEIGHT = 3.0  # answered attempts that the timeout rate begins with
@@ -46,7 +46,7 @@
         class_and_plan: ClassAndPlan,
         relative_latency: float,
     ) -> None:
-        """Learn from how an attempt ended. `relative_latency`: its latency, in the class's usual ones."""
+        """Learn from how an attempt ended. `relative_latency`: its latency divided by the class's mean."""
         outcome = event.outcome
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
             unanswered = 1.0 if outcome is Outcome.TIMEOUT else 0.0
--- a/trackspread/decide/overdraft_chance.py
+++ b/trackspread/decide/overdraft_chance.py
@@ -10,8 +10,8 @@
 
 @lru_cache(maxsize=64)
 def overdraft_chance(cost: float, price: float) -> float:
-    """By which a request of a tenant of whom nothing is known may be admitted, so that units beyond quotas
-    cost `price` of what is asked for inside them.
+    """The probability with which a request of a tenant of whom nothing is known is admitted, so that units
+    beyond quotas cost `price` of what is asked for inside them.
 
     It holds where tenants ask for their quotas on average, some for little and a few for much more
     (exponentially). `cost`: of a unit beyond the quota, as a part of its weight."""
--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -7,6 +7,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from .tenant_account import QUARTERS_PER_UNIT
+
 MAX_MESSAGE_BYTES = 256  # that a peer message may have
 _TOTALS_HEADER = struct.Struct("<HH")  # incarnation, age
 _TOTAL = struct.Struct("<QHB")  # tenant, quarter units forwarded, attempts in flight
@@ -18,7 +20,6 @@
 MAX_TOTAL_IN_FLIGHT = 255
 MAX_U16 = 0xFFFF
 HALF_OF_TOTALS = 0x8000
-QUARTERS_PER_UNIT = 4
 
 
 class QuotaMessageKind(IntEnum):
--- a/trackspread/decide/quota/accounts.py
+++ b/trackspread/decide/quota/accounts.py
@@ -25,8 +25,9 @@
     gateway_span: int = 0,
     first_gateway: int = 0,
 ) -> TenantAccount:
-    """The tenant's account; a new one where there is none. Its requests come through `gateway_span`
-    gateways in a row from `first_gateway` on; the span is 0 when a peer asks and no request came here."""
+    """The tenant's account; made where there is none. Takes up another plan, and the static share with the
+    first request that says which gateways are the tenant's: `gateway_span` gateways in a row from
+    `first_gateway` on; the span is 0 when a peer asks and no request came here."""
     state = sharing.state
     account = state.accounts.get(tenant)
     if account is None:
--- a/trackspread/decide/quota/capacity.py
+++ b/trackspread/decide/quota/capacity.py
@@ -1,4 +1,4 @@
-"""Whether the limits beside the quota's rate let a request through here."""
+"""Whether concurrency limit and hard limit admit a request here; the quota itself is in `token_bucket.py`."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 def has_capacity(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> bool:
-    """Whether concurrency limit and hard limit allow a request of so many units. Where a plan has limits and
-    this gateway is cut off from its fleet, none."""
+    """Whether concurrency limit and hard limit allow a request of so many units. A gateway that is cut off
+    from its fleet has no capacity for a plan with any limit."""
     plan = account.plan
     if plan.concurrency_limit and not sharing.has_free_attempt(now, account):
         return False
@@ -18,7 +18,7 @@
     return not (is_limited and sharing.state.static_shares.is_cut_off(now))
 
 
-def missing_limit(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> str:
+def exceeded_limit(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> str:
     """Which limit rejects a request of so many units, in the words of the interface for operators."""
     if sharing.state.static_shares.is_cut_off(now):
         return "fleet"
--- a/trackspread/decide/quota/facade.py
+++ b/trackspread/decide/quota/facade.py
@@ -34,8 +34,9 @@
     def account(
         self, now: int, tenant: int, plan_index: int, gateway_span: int = 0, first_gateway: int = 0
     ) -> TenantAccount:
-        """The tenant's account. Its requests come through so many gateways in a row from the first one on;
-        the span is 0 when no request came here."""
+        """The tenant's account; made where there is none. Takes up another plan, and the static share with
+        the first request that says which gateways are the tenant's; the span is 0 when no request came
+        here."""
         return accounts.account_of(self.sharing, now, tenant, plan_index, gateway_span, first_gateway)
 
     def plan_of(self, tenant: int, plan_index: int) -> Plan:
@@ -69,7 +70,8 @@
         return self.sharing.is_local(account)
 
     def local_share(self, now: int, account: TenantAccount) -> float:
-        """Part of the tenant's quota that counts as here at present."""
+        """Part of the tenant's quota that the bucket here stands for now: this gateway's own, and that of
+        others as far as their use is known here."""
         return self.sharing.local_share(now, account)
 
     def is_known_spent(self, account: TenantAccount, units: float) -> bool:
@@ -91,14 +93,14 @@
         """Whether concurrency limit and hard limit allow so many units more here."""
         return capacity.has_capacity(self.sharing, now, account, units)
 
-    def missing_limit(self, now: int, account: TenantAccount, units: float) -> str:
+    def exceeded_limit(self, now: int, account: TenantAccount, units: float) -> str:
         """Which limit rejects so many units here, for operators."""
-        return capacity.missing_limit(self.sharing, now, account, units)
+        return capacity.exceeded_limit(self.sharing, now, account, units)
 
-    def spend(self, account: TenantAccount, units: float, pays: bool) -> bool:
-        """Take units out of the buckets here; False where they are not there. `pays`: beyond the quota,
-        too."""
-        return token_bucket.spend(account, units, pays)
+    def spend(self, account: TenantAccount, units: float, pays_overage: bool) -> bool:
+        """Take units out of the buckets here; False where they are not there. `pays_overage`: beyond the
+        quota, too."""
+        return token_bucket.spend(account, units, pays_overage)
 
     def spend_without_answer(self, now: int, account: TenantAccount, units: float) -> bool:
         """Spend units where nobody answered; False if denied."""
@@ -157,7 +159,7 @@
         return hard_limit.request_transfer(self, now, account) if self.sharing.has_transfers else []
 
     def usage_message(self, now: int) -> bytes:
-        """This gateway's report to all peers."""
+        """The next report to all peers; what is in it counts as announced once more."""
         return usage_totals.usage_message(self, now)
 
     def receive_usage_totals(self, now: int, event: PeerMessage) -> None:
--- a/trackspread/decide/quota/fleet_changes.py
+++ b/trackspread/decide/quota/fleet_changes.py
@@ -18,7 +18,8 @@
 from ..time_units import SECOND
 
 MAX_GOSSIP_INTERVAL_NS = FRESH_NS // 4  # beyond it reports are not fresh: quotas have owners
-RETAINED_PART = 0.25  # a fleet that did not gossip begins to only well within the bound ...
+# Of the longest interval: a fleet that did not gossip starts below it, or it would flap.
+START_GOSSIP_PART = 0.25
 
 
 def gossip_interval_ns(settings: Settings) -> float:
@@ -98,4 +99,4 @@
         state.settings, gateway_count=1 + len(view.peers), gateway_index=view.own_number, may_gossip=True
     )
     # Halves of a fleet that is cut in two go on as before, and so agree with each other once it is healed.
-    return choose_sharing(state, 1.0 if state.gossips or old is None else RETAINED_PART)
+    return choose_sharing(state, 1.0 if state.gossips or old is None else START_GOSSIP_PART)
--- a/trackspread/decide/quota/gossip_sharing.py
+++ b/trackspread/decide/quota/gossip_sharing.py
@@ -46,7 +46,7 @@
         return min(1.0, own_share + sum(peer_shares))
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
-        """That which counts as here."""
+        """The part that `local_share` gives."""
         return self.local_share(now, account)
 
     def count_overflow(
@@ -57,7 +57,7 @@
             account.overflow_units += account.plan.rate_per_s * elapsed_s - (account.tokens - before)
 
     def reporting_peers(self, gateway_span: int, first_gateway: int) -> tuple[int, ...]:
-        """All but this gateway."""
+        """The tenant's gateways except this one."""
         settings = self.state.settings
         gateways = [(first_gateway + n) % settings.gateway_count for n in range(gateway_span)]
         return tuple(each for each in gateways if each != settings.gateway_index)
--- a/trackspread/decide/quota/hard_limit.py
+++ b/trackspread/decide/quota/hard_limit.py
@@ -74,7 +74,8 @@
 def grant_transfer(
     state: QuotaState, now: int, sender: int, account: TenantAccount, message: QuotaMessage
 ) -> list[Action]:
-    """A peer asks for units of the part here. They have left it before the peer learns of them."""
+    """A peer asks for units of the part here. They are deducted before they are sent: a lost message loses
+    units, it never doubles them."""
     demand_units_per_s = account.demand.rate_per_s(now) * account.demand.value
     reserved_units = max(state.settings.largest_request_units, demand_units_per_s * RESERVED_NS / SECOND)
     spare_units = TRANSFER_PART * (account.hard_limit_tokens - reserved_units)
--- a/trackspread/decide/quota/lease_sharing.py
+++ b/trackspread/decide/quota/lease_sharing.py
@@ -17,7 +17,7 @@
     has_unresponsive_share = False  # what is not leased here is leased to others, or kept by the host
 
     def is_local(self, account: TenantAccount) -> bool:
-        """Always."""
+        """Always true: the lease says what this gateway may decide on."""
         return True
 
     def local_share(self, now: int, account: TenantAccount) -> float:
@@ -25,7 +25,7 @@
         return account.lease.quota_share
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
-        """Likewise."""
+        """The part of the quota that is leased here."""
         return account.lease.quota_share
 
     def hard_limit_share(self, account: TenantAccount, refill_share: float, static_share: float) -> float:
--- a/trackspread/decide/quota/overdraft.py
+++ b/trackspread/decide/quota/overdraft.py
@@ -78,7 +78,7 @@
 def _uninformed_chance(
     sharing: QuotaSharing, now: int, account: TenantAccount, largest_units: float
 ) -> float:
-    """By which a request of up to `largest_units` may overdraw the static share."""
+    """The probability with which a request of up to `largest_units` may overdraw the static share."""
     state = sharing.state
     plan = account.plan
     chance = 1.0
--- a/trackspread/decide/quota/owner_grants.py
+++ b/trackspread/decide/quota/owner_grants.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..peer_messages import QUARTERS_PER_UNIT, QuotaMessage, total_growth
-from ..tenant_account import TenantAccount, UnsettledGrant
+from ..peer_messages import QuotaMessage, total_growth
+from ..tenant_account import QUARTERS_PER_UNIT, TenantAccount, UnsettledGrant
 from .freshness import FRESH_NS, UNRESPONSIVE_NS
 from .sharing import QuotaSharing
 from .state import REPORTED_TOKENS_NS
--- a/trackspread/decide/quota/owner_sharing.py
+++ b/trackspread/decide/quota/owner_sharing.py
@@ -56,7 +56,7 @@
     def count_overflow(
         self, account: TenantAccount, share: float, elapsed_s: float, before: float, limit: float
     ) -> None:
-        """Always: gateways that cannot reach the owner use what they have."""
+        """Counted at every refill: gateways that cannot reach the owner use what they have."""
         account.overflow_units += account.plan.rate_per_s * elapsed_s - (account.tokens - before)
 
     def initial_tokens(self, plan: Plan) -> float:
--- a/trackspread/decide/quota/sharing.py
+++ b/trackspread/decide/quota/sharing.py
@@ -14,10 +14,9 @@
     """One way to share. It keeps nothing itself: another may take its place while the gateway runs."""
 
     has_unresponsive_share = True  # whether what is not this gateway's now may belong to unresponsive peers
-    has_static_shares = True  # whether static shares hold beside what is shared
-    has_owned_buckets = (
-        False  # whether an owner's answers say what is in the bucket, and its grants are settled
-    )
+    has_static_shares = True  # whether this gateway also has a static share
+    # Whether an owner's answers say what is in the bucket, and its grants are settled.
+    has_owned_buckets = False
     has_transfers = False  # whether peers transfer parts of hard limits to one another
     static_part_of_hard_limit = 1.0  # the part of a hard limit that is shared out statically
 
@@ -34,7 +33,8 @@
 
     @abstractmethod
     def local_share(self, now: int, account: TenantAccount) -> float:
-        """Part of the tenant's quota that counts as here at present."""
+        """Part of the tenant's quota that the bucket here stands for now: this gateway's own, and that of
+        others as far as their use is known here."""
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
         """Part of the quota's rate and burst by which the token bucket here is refilled."""
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -88,7 +88,8 @@
         self.has_leases = settings.has_leased_quotas
         may_call_counter = not settings.may_gossip and not self.has_leases and settings.gateway_count > 1
         self.uses_counter = settings.has_shared_counter and may_call_counter
-        self.gossips = False  # set with the way to share, as is ...
+        # Set together with the sharing, in `choose_sharing`.
+        self.gossips = False
         self.has_owners = False
 
     @property
--- a/trackspread/decide/quota/static_shares.py
+++ b/trackspread/decide/quota/static_shares.py
@@ -58,8 +58,8 @@
 
 
 class SlotShares(StaticShares):
-    """By a fleet view: every limit is worth so many slots (bits of integers), and gateways hold
-    slots."""
+    """By a fleet view: each limit is divided into slots (a set of them is the bits of an integer), and each
+    gateway holds some."""
 
     def __init__(self, view: FleetChanged) -> None:
         self.view = view
--- a/trackspread/decide/quota/token_bucket.py
+++ b/trackspread/decide/quota/token_bucket.py
@@ -76,9 +76,9 @@
 def deduct_use_elsewhere(account: TenantAccount, units: float, unresponsive_ns: int) -> None:
     """Take what others used off the bucket here, also below 0, or two gateways would spend the same refill.
 
-    What was used while its reporter was unresponsive for so long (0: it reported all along) comes off that
-    time's refill first, as far as that never was in the bucket here. What both sides spent beyond it is
-    spent: to take it off later helps nobody."""
+    `unresponsive_ns`: how long the reporter could not report; 0 where it could. What was used in such a time
+    is set first against the refill that never came into the bucket here (`overflow_units`), and the bucket
+    does not fall below 0 by the rest."""
     least_tokens = -account.plan.burst_units
     if unresponsive_ns:
         refilled_units = account.plan.rate_per_s * unresponsive_ns / SECOND
--- a/trackspread/decide/quota/usage_totals.py
+++ b/trackspread/decide/quota/usage_totals.py
@@ -5,14 +5,13 @@
 from ..events import PeerMessage
 from ..peer_messages import (
     MAX_TOTALS,
-    QUARTERS_PER_UNIT,
     UsageTotal,
     UsageTotals,
     pack_usage_totals,
     total_growth,
     unpack_usage_totals,
 )
-from ..tenant_account import PeerAttempts, TenantAccount
+from ..tenant_account import QUARTERS_PER_UNIT, PeerAttempts, TenantAccount
 from ..time_units import SECOND
 from . import token_bucket
 from .freshness import FRESH_NS
@@ -20,7 +19,7 @@
 from .state import RETURN_NS, PeerReport, PeerReturn, QuotaState
 
 MAX_REORDERING_TENTHS_S = 50  # by which a message may be overtaken by a later one on its way
-MAX_PEERS = 512  # whose last report is kept; the one that is unresponsive for longest makes room
+MAX_PEERS = 512  # whose last report is kept; beyond them the one that reported longest ago is dropped
 NEVER_REPORTED = PeerReport(-1, 0, 0)
 NOT_RETURNED = PeerReturn(0, 0)
 
@@ -42,8 +41,8 @@
 
 
 def note_age_of_peer(sharing: QuotaSharing, now: int, age_tenths_s: int) -> bool:
-    """Whether a peer is older than this gateway. Then this one has restarted: its buckets are not full as
-    on a first day."""
+    """Learn from a peer's age whether this gateway has restarted: an older peer means that it has, and that
+    its buckets must not begin full; they are cut once. Returns whether the peer is older."""
     state = sharing.state
     is_older = age_tenths_s * SECOND // 10 > now - state.started_at_ns + SECOND
     if is_older and not state.has_restarted:
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -22,9 +22,8 @@
 ANSWER_TIMEOUT_NS = TICK // 2  # over a round trip between gateways, far below a latency objective
 MIN_TIME_FOR_ANSWER_NS = 4 * TICK  # that a request must have left to be queued
 FRESH_ENOUGH_NS = FRESH_NS // 4  # age up to which a balance known from the counter is acted upon at once
-MISCOUNTED = (
-    -UNITS_PER_ATTEMPT / 2
-)  # counter correction that stands for an attempt counted though none is in flight
+# Counter correction that stands for an attempt counted though none is in flight.
+MISCOUNTED_UNITS = -UNITS_PER_ATTEMPT / 2
 
 
 class QuotaAdmission:
@@ -52,44 +51,43 @@
         quota = self._quota
         account = request.account
         plan = account.plan
-        overage_pays = plan.overage_weight > plan.overage_cost and not self._model.is_congested
+        pays_overage = plan.overage_weight > plan.overage_cost and not self._model.is_congested
         # So fresh a balance is acted upon at once, and the use announced afterwards.
         is_balance_fresh = quota.uses_counter and now - account.tokens_known_at_ns < FRESH_ENOUGH_NS
         request.balances_before = account.balances()
         if is_balance_fresh or quota.is_local(account):
-            return self._decide_locally(now, request, overage_pays, is_balance_fresh)
-        return self._decide_by_query(now, request, overage_pays)
+            return self._decide_locally(now, request, pays_overage, is_balance_fresh)
+        return self._decide_by_query(now, request, pays_overage)
 
     def _decide_locally(
-        self, now: int, request: OpenRequest, overage_pays: bool, announces: bool
+        self, now: int, request: OpenRequest, pays_overage: bool, announces: bool
     ) -> list[Action]:
         quota = self._quota
         account = request.account
         arrival = request.arrival
-        has_capacity = overage_pays or quota.has_capacity(now, account, arrival.units)
-        if has_capacity and quota.spend(account, arrival.units, overage_pays):
+        has_capacity = pays_overage or quota.has_capacity(now, account, arrival.units)
+        if has_capacity and quota.spend(account, arrival.units, pays_overage):
             return self.admit(now, request, announces) + quota.request_transfer(now, account)
         if (
             account.lease.more_expected
             and not request.queued_at_ns
             and self._has_time_for_answer(now, request)
         ):
-            quota.last_query = (quota.last_query + 1) & 0xFFFFFFFF
-            self._queue(now, quota.last_query, request)
+            self._queue(now, quota.next_query(), request)
             return [RequestAllocation(arrival.tenant)]
-        account.rejection_reason = quota.missing_limit(now, account, arrival.units)
+        account.rejection_reason = quota.exceeded_limit(now, account, arrival.units)
         return [rejection(arrival, self.settings), *quota.request_transfer(now, account)]
 
-    def _decide_by_query(self, now: int, request: OpenRequest, overage_pays: bool) -> list[Action]:
+    def _decide_by_query(self, now: int, request: OpenRequest, pays_overage: bool) -> list[Action]:
         """Ask the owner of the quota or the counter, and queue the request until it answers."""
         quota = self._quota
         account = request.account
         plan = account.plan
-        if not overage_pays and quota.is_known_spent(account, request.arrival.units):
+        if not pays_overage and quota.is_known_spent(account, request.arrival.units):
             return [rejection(request.arrival, self.settings)]
         if not self._may_query(account):
             return self._decide_without_answer(now, request)
-        if overage_pays and not plan.hard_limit_per_s:
+        if pays_overage and not plan.hard_limit_per_s:
             return self.admit(now, request, quota.counter_call_rate >= 1.0)
         has_time = self._has_time_for_answer(now, request)
         if not has_time and plan.concurrency_limit and quota.has_owner(account):
@@ -143,18 +141,18 @@
             return [attempt]
         return [attempt, quota.query(now, account, arrival.units, QuotaMessageKind.SPENT)[1]]
 
-    def answered(self, now: int, query: int, granted: bool | None, further: list[Action]) -> list[Action]:
+    def answered(self, now: int, query: int, granted: bool | None, preceding: list[Action]) -> list[Action]:
         """The query was answered: admit or reject the request that waits for it. `granted`: None where no
-        answer came; then this gateway decides alone. `further`: actions that precede."""
+        answer came; then this gateway decides alone. `preceding`: actions that come first."""
         request = self.queued.pop(query, None)
         if request is None:
-            return further
+            return preceding
         account = request.account
         request.counted_remotely = granted is True
         request.balances_before = account.balances()
         if self._quota.has_owner(account):
             account.pending_queries -= 1
-        actions = list(further)
+        actions = list(preceding)
         if self._requests.open_requests.pop(request.arrival.request, None):
             if granted is None:
                 actions += self._decide_without_answer(now, request)
@@ -196,7 +194,7 @@
         """Tell the counter again of attempts that it counts though they ended: it would lock tenants out."""
         quota = self._quota
         miscounted = [
-            each.account for each in commitments if each.account.counter.correction_units <= MISCOUNTED
+            each.account for each in commitments if each.account.counter.correction_units <= MISCOUNTED_UNITS
         ]
         return [
             quota.call_counter(now, account, 0.0)
--- a/trackspread/decide/quota_events.py
+++ b/trackspread/decide/quota_events.py
@@ -29,8 +29,8 @@
             quota.receive_usage_totals(now, event)
             return []
         case PeerMessage():
-            query, granted, further = quota.receive_quota_message(now, event)
+            query, granted, preceding = quota.receive_quota_message(now, event)
         case CounterAnswered():
-            query, granted, further = quota.receive_counter_answer(now, event)
+            query, granted, preceding = quota.receive_counter_answer(now, event)
     waiting = next((each for each in admissions if query in each.queued), admissions[0])
-    return waiting.answered(now, query, granted, further)
+    return waiting.answered(now, query, granted, preceding)
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -8,6 +8,7 @@
 
 from .broker import Broker
 from .quota import Quota
+from .tenant_account import QUARTERS_PER_UNIT
 from .services import ServiceBrokers
 
 Module = Broker | ServiceBrokers
@@ -54,7 +55,7 @@
     account = quota.accounts.get(tenant)
     if account is None:
         return 0.0, 0.0
-    return account.forwarded_quarter_units / 4, account.tokens
+    return account.forwarded_quarter_units / QUARTERS_PER_UNIT, account.tokens
 
 
 def service_reports(module: ServiceBrokers, now: int) -> list[ServiceReport]:
--- a/trackspread/decide/request_table.py
+++ b/trackspread/decide/request_table.py
@@ -69,14 +69,15 @@
         Counts those lost; `queued`: requests without an attempt."""
         lost_after_ns = [LOST_AFTER_LATENCIES * latency.value for latency in self._model.latency]
         newest_answered_ns = self._load_balancer.outliers.newest_answered_ns
+
+        def is_lost(request: OpenRequest) -> bool:
+            limit_ns = lost_after_ns[request.arrival.request_class]
+            return limit_ns > 0.0 and newest_answered_ns - request.last_attempt_at_ns > limit_ns
+
         outstanding = [
             (request.arrival.request_class, now - request.last_attempt_at_ns)
             for request in self.open_requests.values()
-            if request.attempts_started
-            and not request.first_byte_after_ns
-            and not newest_answered_ns - request.last_attempt_at_ns
-            > lost_after_ns[request.arrival.request_class]
-            > 0.0
+            if request.attempts_started and not request.first_byte_after_ns and not is_lost(request)
         ]
         self.presumed_lost = len(self.open_requests) - queued - len(outstanding)
         return outstanding
--- a/trackspread/decide/services.py
+++ b/trackspread/decide/services.py
@@ -49,49 +49,50 @@
     def __init__(
         self, classes: Sequence[RequestClass], carried: Sequence[str], service_of: ServiceOf
     ) -> None:
-        self._broker_of_service = {name: index for index, name in enumerate(carried)}
+        self._broker_index_by_service = {name: index for index, name in enumerate(carried)}
         self._service_of = service_of
-        self.brokers: list[int] = []  # by the settings' number, its broker
+        self.broker_indexes: list[int] = []  # by the settings' number, its broker
         self.numbers: list[int] = []  # by the settings' number, the one at its broker
         self.classes: list[list[RequestClass]] = [[] for _ in carried]  # by broker and number there
         self._free_numbers: list[list[int]] = [[] for _ in carried]  # by broker, numbers that no class has
         for number, request_class in enumerate(classes):
             self._assign(number, request_class)
 
-    def _broker_of(self, request_class: RequestClass) -> int:
-        return self._broker_of_service.get(self._service_of(request_class), NOT_CARRIED)
+    def _broker_index_of(self, request_class: RequestClass) -> int:
+        return self._broker_index_by_service.get(self._service_of(request_class), NOT_CARRIED)
 
     def _assign(self, number: int, request_class: RequestClass) -> None:
         """Assign a class that is new under this number of the settings."""
-        broker = self._broker_of(request_class)
+        broker_index = self._broker_index_of(request_class)
         own_number = NOT_CARRIED
-        if broker != NOT_CARRIED:
-            classes = self.classes[broker]
-            free_numbers = self._free_numbers[broker]
+        if broker_index != NOT_CARRIED:
+            classes = self.classes[broker_index]
+            free_numbers = self._free_numbers[broker_index]
             own_number = free_numbers.pop() if free_numbers else len(classes)
             classes[own_number : own_number + 1] = [request_class]
-        self.brokers[number : number + 1] = [broker]
+        # Replaces the entry of this number, or appends it where it is the next.
+        self.broker_indexes[number : number + 1] = [broker_index]
         self.numbers[number : number + 1] = [own_number]
 
     def change(self, event: ClassesChanged) -> list[ClassesChanged]:
         """Take in the event; returns it for each broker, by the numbers there. A class that comes from
         another service begins anew."""
-        old_brokers = list(self.brokers)
+        old_broker_indexes = list(self.broker_indexes)
         old_numbers = list(self.numbers)
-        self._reassign(event.classes, old_brokers, old_numbers)
+        self._reassign(event.classes, old_broker_indexes, old_numbers)
         predecessors = [list(range(len(classes))) for classes in self.classes]
         active: list[set[int]] = [set() for _ in self.classes]
         for number, predecessor in enumerate(event.predecessors):
-            broker = self.brokers[number]
+            broker_index = self.broker_indexes[number]
             own_number = self.numbers[number]
-            if broker == NOT_CARRIED:
+            if broker_index == NOT_CARRIED:
                 continue
-            if predecessor >= 0 and old_brokers[predecessor] == broker:
-                predecessors[broker][own_number] = old_numbers[predecessor]
+            if predecessor >= 0 and old_broker_indexes[predecessor] == broker_index:
+                predecessors[broker_index][own_number] = old_numbers[predecessor]
             else:
-                predecessors[broker][own_number] = NO_PREDECESSOR
+                predecessors[broker_index][own_number] = NO_PREDECESSOR
             if number in event.active:
-                active[broker].add(own_number)
+                active[broker_index].add(own_number)
         return [
             ClassesChanged(
                 tuple(classes), frozenset(active[index]), tuple(predecessors[index]), event.max_attempts
@@ -100,19 +101,19 @@
         ]
 
     def _reassign(
-        self, classes: Sequence[RequestClass], old_brokers: Sequence[int], old_numbers: Sequence[int]
+        self, classes: Sequence[RequestClass], old_broker_indexes: Sequence[int], old_numbers: Sequence[int]
     ) -> None:
         """Other classes are in force: those of another service than before go to its broker."""
         moved = []
         for number, request_class in enumerate(classes):
-            broker = self._broker_of(request_class)
-            if number >= len(old_brokers) or old_brokers[number] != broker:
+            broker_index = self._broker_index_of(request_class)
+            if number >= len(old_broker_indexes) or old_broker_indexes[number] != broker_index:
                 moved.append(number)
-            elif broker != NOT_CARRIED:
-                self.classes[broker][self.numbers[number]] = request_class
+            elif broker_index != NOT_CARRIED:
+                self.classes[broker_index][self.numbers[number]] = request_class
         for number in moved:
-            if number < len(old_brokers) and old_brokers[number] != NOT_CARRIED:
-                self._free_numbers[old_brokers[number]].append(old_numbers[number])
+            if number < len(old_broker_indexes) and old_broker_indexes[number] != NOT_CARRIED:
+                self._free_numbers[old_broker_indexes[number]].append(old_numbers[number])
         for number in moved:
             self._assign(number, classes[number])
 
@@ -179,7 +180,7 @@
     # Requests.
 
     def _on_request_arrived(self, now: int, event: RequestArrived) -> Iterable[Action]:
-        broker = self._class_table.brokers[event.request_class]
+        broker = self._class_table.broker_indexes[event.request_class]
         if broker == NOT_CARRIED:
             return [Reject(event.request, 0)]
         own_number = self._class_table.numbers[event.request_class]
--- a/trackspread/decide/settings.py
+++ b/trackspread/decide/settings.py
@@ -79,8 +79,8 @@
 
     # What the platform lets a gateway do.
     max_attempts: int = 3  # of one request
-    may_hedge: bool = False
-    may_cancel: bool = False
+    may_hedge: bool = False  # no rule uses it yet
+    may_cancel: bool = False  # no rule uses it yet
     may_check_health: bool = False
     may_gossip: bool = False
     peer_messages_per_s: float = 0.0  # that one gateway takes in
@@ -97,8 +97,9 @@
 
     # Service discovery and draining.
     polls_discovery: bool = False
-    poll_within_ns: int = 0
-    drain_grace_ns: int = 1_000_000_000  # after which a draining backend gets no more attempts
+    poll_within_ns: int = 0  # no rule uses it yet
+    # After a drain is known, for writing attempts decided before (for the host).
+    drain_grace_ns: int = 1_000_000_000
 
     # Backends that are warming up.
     slow_start_capacity: float = 0.2  # part of its capacity that a backend surely has at its start
--- a/trackspread/decide/slow_start.py
+++ b/trackspread/decide/slow_start.py
@@ -18,7 +18,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        # In the settings' list of gateways, those that are gone among them.
+        # Gateways in the settings' list, also those that have left: it does not change with the fleet.
         self._gateway_list_size = max(1, settings.gateway_count)
         # Attempts to warm backends, each weighted by one over the number of warm backends then.
         self.warm_attempts = DecayingMean(max(SHORT_TERM, settings.overload_window_ns))
@@ -46,13 +46,13 @@
         return start + (1.0 - start) * max(0, now - started_at_ns) / max(1, settings.slow_start_ns)
 
     def allows_attempt(self, now: int, state: BackendState) -> bool:
-        """Whether a backend is warm, or its budget here covers an attempt."""
+        """Whether a backend is warm, or its budget here, which is refilled first, covers an attempt."""
         warmth = self.warmth(now, state)
         if warmth >= 1.0:
             return True
         if self.is_suspended:
             return False
-        # Where no backend is warm any more, what a warm one got while there was one.
+        # Where no backend is warm any more, the rate at which a warm one got attempts while there was one.
         measured_at_ns = max(self._last_warm_at_ns, self.warm_attempts.updated_at_ns)
         state.refill_tokens(now, warmth * self.warm_attempts.rate_per_s(measured_at_ns))
         return state.slow_start_tokens >= 1.0 or self._has_turn(now, state)
--- a/trackspread/decide/snapshot_restore.py
+++ b/trackspread/decide/snapshot_restore.py
@@ -170,6 +170,7 @@
         first_gateway=0,
         options=0,
     )
+    # No time is given here: that of the last gossip, which the state brought, stands in for it.
     now = broker.quota.gossiped_at_ns
     account = broker.quota.account(now, attempt.tenant, arrival.plan)
     request = OpenRequest(
@@ -178,9 +179,8 @@
         max_attempts=1,
         attempts_started=1,
         attempts_in_flight=1,
-        counted_remotely=broker.quota.has_owner(
-            account
-        ),  # which gets a message at its end, as from who started it
+        # The owner gets a message at its end, as from the process that started it.
+        counted_remotely=broker.quota.has_owner(account),
     )
     broker.requests.attempts[attempt.request, attempt.attempt] = request
     broker.requests.count_attempts(request, 1)
--- a/trackspread/decide/tenant_account.py
+++ b/trackspread/decide/tenant_account.py
@@ -104,9 +104,9 @@
     tokens_known_at_ns: int  # when owner or counter last answered
 
     # Demand and answers.
-    demand: DecayingMean  # units
+    demand: DecayingMean  # its value: units a request; its rate: requests a second, over `SHORT_TERM`
     grant_ratio: DecayingMean  # 1 for a request that was granted, 0 for one that was denied
-    long_term_demand: DecayingMean  # units
+    long_term_demand: DecayingMean  # the same over a longer time
 
     counter: CounterRecord
     gateways: TenantGateways = UNKNOWN_GATEWAYS
@@ -117,24 +117,22 @@
     static_tokens: float = 0.0  # this gateway's static share of the token bucket
     hard_limit_tokens: float = 0.0
     transfer_request: int = 0  # the last query for some of a peer's part of the hard limit, until answered
-    overflow_units: float = (
-        0.0  # refill that never was in the bucket here: it was full, or not this gateway's
-    )
+    # Refill that never was in the bucket here: it was full, or not this gateway's.
+    overflow_units: float = 0.0
     unresponsive_units: float = 0.0  # in the shares of unresponsive peers, if they have used nothing
 
     # What is reported to others, and by them.
     in_flight: int = 0  # attempts of this gateway's
     forwarded_quarter_units: int = 0  # inside the quota, since this gateway's start
-    refunded_quarter_units: int = (
-        0  # counted as forwarded, never came to a backend: later ones count for them
-    )
+    # Counted as forwarded, never came to a backend: later ones count for them.
+    refunded_quarter_units: int = 0
     announcements_due: int = 0  # messages of totals that are to report it
     peer_totals: dict[int, int] = field(default_factory=dict)  # quarter units that each last reported
     peers_in_flight: dict[int, PeerAttempts] = field(default_factory=dict)
     pending_queries: int = 0  # requests that wait for the owner's answer
     tokens_reported_by: int = 0  # the owner that last answered
     owner_of_view: int = -1  # version of the fleet in which the owner was looked up
-    rejection_reason: str = ""  # which limit rejected the last request that was, for operators
+    rejection_reason: str = ""  # the last limit known here that rejected a request; not an owner's denial
 
     def forget_owned_state(self) -> None:
         """What this gateway knew as the tenant's owner is of an earlier time, and holds no longer."""
--- a/trackspread/distribution/client.py
+++ b/trackspread/distribution/client.py
@@ -47,14 +47,14 @@
         self,
         wire: Wire,
         replicas: tuple[Address, ...],
-        patience: float = COMMIT_TIMEOUT_S,
+        timeout_s: float = COMMIT_TIMEOUT_S,
         first: int | None = None,
     ) -> None:
         """`first`: the replica that is called first; any, where it is left out."""
         self._first = first
         self._wire = wire
         self._replicas = replicas
-        self._timeout_s = patience
+        self._timeout_s = timeout_s
         self._random = random.SystemRandom()
 
     def put(self, service: str, key: str, value: bytes | None) -> Version:
@@ -70,26 +70,27 @@
     def show(self, replica: int, service: str = "", key: str = "") -> Inspected | None:
         """What one replica holds; None where it does not answer."""
         number = self._random.getrandbits(40)
-        with self._socket() as line:
+        with self._socket() as udp_socket:
             for _ in range(3):
-                answer = self._call(line, replica, Inspect(number, service, key), number)
+                answer = self._call(udp_socket, replica, Inspect(number, service, key), number)
                 if isinstance(answer, Inspected):
                     return answer
         return None
 
     def _socket(self) -> socket.socket:
-        line = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        line.settimeout(REPLY_TIMEOUT_S)
-        return line
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.settimeout(REPLY_TIMEOUT_S)
+        return udp_socket
 
     def _call_leader(self, body: Put | BeginHistory, number: int) -> Version:
         """Call replicas until the leader has done it. One that gives no answer, or does not lead yet, may be
         followed by a minority alone: others are tried in turn before it is tried again."""
-        end, silent = time.monotonic() + self._timeout_s, set[int]()
+        deadline_s = time.monotonic() + self._timeout_s
+        unresponsive = set[int]()
         replica = self._first if self._first is not None else self._random.randrange(len(self._replicas))
-        with self._socket() as line:
-            while time.monotonic() < end:
-                answer = self._call(line, replica, body, number)
+        with self._socket() as udp_socket:
+            while time.monotonic() < deadline_s:
+                answer = self._call(udp_socket, replica, body, number)
                 match answer:
                     case Committed():
                         return answer.version
@@ -97,29 +98,33 @@
                         raise KeyLimitReached(
                             f"found {keys} keys with a value, wanted fewer before one more is put"
                         )
-                    case NotLeader(_, leader) if self._is_other(leader, replica) and leader not in silent:
+                    case NotLeader(_, leader) if (
+                        self._is_other(leader, replica) and leader not in unresponsive
+                    ):
                         replica = leader
                         continue
-                    case Rejected(_, again):
-                        time.sleep(again / 1000)
+                    case Rejected(_, retry_after_ms):
+                        time.sleep(retry_after_ms / 1000)
                         continue
                 if answer is None or (isinstance(answer, NotLeader) and answer.leader == replica):
-                    silent.add(replica)  # unreachable, or not established yet
+                    unresponsive.add(replica)  # unreachable, or not established yet
                 replica = (replica + 1) % len(self._replicas)
                 if not replica:
-                    silent.clear()
+                    unresponsive.clear()
                 time.sleep(PAUSE_S if answer is not None else 0.0)
         raise LeaderUnavailable(f"no replica that leads answered within {self._timeout_s:g} s")
 
     def _is_other(self, leader: int, replica: int) -> bool:
         return 0 <= leader < len(self._replicas) and leader != replica
 
-    def _call(self, line: socket.socket, replica: int, body: MessageBody, number: int) -> MessageBody | None:
-        line.sendto(self._wire.pack(Message(self._wire.fleet, -1, 0, body)), self._replicas[replica])
-        end = time.monotonic() + REPLY_TIMEOUT_S
-        while time.monotonic() < end:
+    def _call(
+        self, udp_socket: socket.socket, replica: int, body: MessageBody, number: int
+    ) -> MessageBody | None:
+        udp_socket.sendto(self._wire.pack(Message(self._wire.fleet, -1, 0, body)), self._replicas[replica])
+        deadline_s = time.monotonic() + REPLY_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             try:
-                message = self._wire.unpack(line.recv(MAX_DATAGRAM_BYTES))
+                message = self._wire.unpack(udp_socket.recv(MAX_DATAGRAM_BYTES))
             except OSError:  # unreachable, or no answer in time
                 return None
             answer = message.body if message is not None else None
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -29,7 +29,13 @@
 log = logging.getLogger(__name__)
 log.addFilter(Sparing())
 
-LOGGED_KINDS = {"leads", "outdone", "whole", "forgot", "installed"}  # events of a replica that are logged
+LOG_TEXTS = {  # by kind of event of a replica, for those that are logged
+    "leads": "leads and takes changes:",
+    "outdone": "no longer leads, a newer epoch is known:",
+    "whole": "is complete, counts for majorities again:",
+    "forgot": "starts anew, as an operator has begun another history",
+    "installed": "has installed a snapshot:",
+}
 RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket: a snapshot's pieces come in bursts
 
 
@@ -51,22 +57,22 @@
         self,
         name: str,
         replica: int,
-        born: int,
+        incarnation: int,
         listen: Address,
         wire: Wire,
         now: Callable[[], int],
         record: Path | None = None,
     ) -> None:
-        """`replica`: the core's number, -1 for a gateway. Raises `OSError` where the record can't be
-        written."""
+        """`replica`: the core's number, -1 for a gateway; `now`: the core's clock, ns. Raises `OSError` where
+        the record can't be written."""
         self.name = name
         self.wire = wire
         self.now = now
         self.counts: Counter[str] = Counter()
         self._replica = replica
-        self._incarnation = born
+        self._incarnation = incarnation
         self._listen = listen
-        self._recorder = EventLog(record, name, born) if record is not None else None
+        self._recorder = EventLog(record, name, incarnation) if record is not None else None
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -80,16 +86,18 @@
 
     async def start(self) -> None:
         """Listen and begin to tick. Raises `OSError` where the address can't be bound."""
-        made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            made.setblocking(False)
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-            made.bind(self._listen)
+            datagram_socket.setblocking(False)
+            datagram_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+            datagram_socket.bind(self._listen)
         except OSError:
-            made.close()
+            datagram_socket.close()
             raise
         loop = asyncio.get_running_loop()
-        self._transport, _ = await loop.create_datagram_endpoint(lambda: _Datagrams(self), sock=made)
+        self._transport, _ = await loop.create_datagram_endpoint(
+            lambda: _Datagrams(self), sock=datagram_socket
+        )
         self.tick()
 
     def close(self) -> None:
@@ -132,17 +140,17 @@
         self.counts["bytes sent"] += len(data)
         self._transport.sendto(data, to)
 
-    def record(self, kind: str, about: dict[str, object]) -> None:
+    def record(self, kind: str, details: dict[str, object]) -> None:
         """Write a line to the record, if one is kept."""
         if self._recorder is not None:
-            self._recorder.write(kind, about)
+            self._recorder.write(kind, details)
 
-    def schedule_tick(self, due: int) -> None:
-        """Call `tick` at `due`, ns of the core's clock, in place of any time that was scheduled before."""
+    def schedule_tick(self, due_ns: int) -> None:
+        """Call `tick` at `due_ns` of the core's clock, in place of any time that was scheduled before."""
         if self._timer is not None:
             self._timer.cancel()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(max(0.0, (due - self.now()) / SECOND), self.tick)
+        self._timer = loop.call_later(max(0.0, (due_ns - self.now()) / SECOND), self.tick)
 
     def tick(self) -> None:
         """Call the core and schedule the next tick."""
@@ -152,7 +160,7 @@
         """Hand a message to the core; returns what it wants done."""
         raise NotImplementedError
 
-    def on_notice(self, noticed: StatusEvent) -> None:
+    def on_notice(self, event: StatusEvent) -> None:
         """Log and record an event of the core."""
         raise NotImplementedError
 
@@ -167,17 +175,18 @@
         wire: Wire,
         seed: int,
         now: Callable[[], int],
-        leads: Callable[[], Epoch | None],
-        outdone: Callable[[Epoch], None] = lambda epoch: None,
+        current_epoch: Callable[[], Epoch | None],
+        on_superseded: Callable[[Epoch], None] = lambda epoch: None,
         record: Path | None = None,
     ) -> None:
-        """`leads`: the epoch that this replica is elected for at this instant, queried before each call to
-        the core; `outdone`: called with a newer epoch than the elected one, once that is known."""
-        name, number = f"replica {settings.number}", settings.number
-        super().__init__(name, number, settings.incarnation, listen, wire, now, record)
+        """`current_epoch`: the epoch that this replica is elected for at this instant, queried before each
+        call to the core; `on_superseded`: called with a newer epoch than the elected one, once that is
+        known."""
+        name = f"replica {settings.number}"
+        super().__init__(name, settings.number, settings.incarnation, listen, wire, now, record)
         self.core = Replica(settings, now(), seed)
-        self._current_epoch = leads
-        self._on_outdone = outdone
+        self._current_epoch = current_epoch
+        self._on_superseded = on_superseded
 
     def tick(self) -> None:
         """Call the core and schedule the next tick."""
@@ -189,17 +198,17 @@
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
         """Hand a message to the core; returns what it wants done."""
         now = self.now()
-        made = self.core.set_leadership(now, self._current_epoch())
-        return made + self.core.on_message(now, message.replica, message.incarnation, message.body, source)
+        actions = self.core.set_leadership(now, self._current_epoch())
+        return actions + self.core.on_message(now, message.replica, message.incarnation, message.body, source)
 
-    def on_notice(self, noticed: StatusEvent) -> None:
+    def on_notice(self, event: StatusEvent) -> None:
         """Log and record an event of the core."""
-        self.record(noticed.kind, noticed.details)
-        if noticed.kind in LOGGED_KINDS:
-            about = ", ".join(f"{key} {value}" for key, value in noticed.details.items())
-            log.info("configuration: %s: %s %s", self.name, noticed.kind, about)
-        if noticed.kind == "outdone":
-            self._on_outdone(noticed.details["by"])  # type: ignore[arg-type]
+        self.record(event.kind, event.details)
+        if (text := LOG_TEXTS.get(event.kind)) is not None:
+            details = ", ".join(f"{key} {value}" for key, value in event.details.items())
+            log.info("configuration: %s %s %s", self.name, text, details)
+        if event.kind == "outdone":
+            self._on_superseded(event.details["by"])  # type: ignore[arg-type]
 
 
 class SubscriberHost(Endpoint):
@@ -212,13 +221,13 @@
         listen: Address,
         wire: Wire,
         seed: int,
-        born: int,
+        incarnation: int,
         now: Callable[[], int],
         changed: Callable[[], None] = lambda: None,
         record: Path | None = None,
     ) -> None:
         """`changed`: called after other values have come into force."""
-        super().__init__(name, -1, born, listen, wire, now, record)
+        super().__init__(name, -1, incarnation, listen, wire, now, record)
         self.core = Subscriber(settings, now(), seed)
         self._on_change = changed
         self._scheduled_ns = -1
@@ -233,19 +242,19 @@
         self.carry_out(lambda: self.core.tick(self.now()))
         self._reschedule(True)
 
-    def _reschedule(self, ticked: bool = False) -> None:
-        if ticked or self.core.due_ns != self._scheduled_ns:
+    def _reschedule(self, always: bool = False) -> None:
+        if always or self.core.due_ns != self._scheduled_ns:
             self._scheduled_ns = self.core.due_ns
             self.schedule_tick(self._scheduled_ns)
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
         """Hand a message to the core; returns what it wants done."""
-        made = self.core.on_message(self.now(), message.body, source)
+        actions = self.core.on_message(self.now(), message.body, source)
         self._reschedule()
-        return made
+        return actions
 
-    def on_notice(self, noticed: StatusEvent) -> None:
+    def on_notice(self, event: StatusEvent) -> None:
         """Log and record an event of the core."""
         if self._recorder is not None:
-            self.record(noticed.kind, noticed.details | {"values": fingerprint(self.core.snapshot)})
+            self.record(event.kind, event.details | {"values": fingerprint(self.core.snapshot)})
         self._on_change()
--- a/trackspread/distribution/leader.py
+++ b/trackspread/distribution/leader.py
@@ -6,7 +6,7 @@
   that it has promised. Of two that both believe they lead, one commits.
 - Replicas have no disk. One that started anew may have forgotten a promise that it was counted for, so a
   majority of promises is requested a second time: a promise counts whose process still runs after all of them
-  were made (a crash-consistent quorum: Michael and others, DISC 2017).
+  were actions (a crash-consistent quorum: Michael and others, DISC 2017).
 - The longest log of a majority, by its last version, has all that may be committed; it is taken over
   completely.
 - An entry is committed once a majority of complete replicas has it, and it or one behind it is of this epoch.
@@ -89,11 +89,13 @@
     """The leader of one epoch. `is_established`: it numbers changes; `begins_history`: an operator wants a
     new history."""
 
-    def __init__(self, settings: ReplicaSettings, log: Log, epoch: Epoch, now: int, whole: bool) -> None:
+    def __init__(
+        self, settings: ReplicaSettings, log: Log, epoch: Epoch, now: int, is_complete: bool
+    ) -> None:
         self.settings = settings
         self.log = log
         self.epoch = epoch
-        self.is_complete = whole
+        self.is_complete = is_complete
         self.begins_history = False
         self.is_established = False
         self.adopted_replica: int | None = None  # the replica whose log is taken over
@@ -104,7 +106,7 @@
         self._confirmed: dict[int, tuple[int, Promise]] = {}
         self._target_version = NO_VERSION  # the last version of the log that is taken over
         self._adopted_version = NO_VERSION  # up to where it is here
-        self._has_base = whole  # whether the log here is one that the tail can follow
+        self._has_base = is_complete  # whether the log here is one that the tail can follow
         self._is_new_history = False  # whether a new history begins
         self._followers: dict[int, Follower] = {}
         self._waiting_commands: list[WaitingCommand] = []
@@ -114,6 +116,11 @@
         """Their numbers."""
         return [n for n in range(len(self.settings.replicas)) if n != self.settings.number]
 
+    @property
+    def _is_confirming(self) -> bool:
+        """Odd rounds request promises, even ones have them confirmed."""
+        return self._round % 2 == 0
+
     def _send_to(self, number: int, body: MessageBody) -> Send:
         return Send(self.settings.replicas[number], body)
 
@@ -121,22 +128,22 @@
         """What is due; to be called several times in `RETRY_NS`."""
         if self.is_established:
             return self._replicate(now)
-        if self._round % 2 == 0 and now - self._step_began_ns > STEP_TIMEOUT_NS:
+        if self._is_confirming and now - self._step_began_ns > STEP_TIMEOUT_NS:
             self._restart(now)
         if now - self._requested_at_ns < RETRY_NS:
             return []
         self._requested_at_ns = now
         if self.adopted_replica is not None:
             return self._request_tail()
-        asked = list(self._promises) if self._round % 2 == 0 else self.other_replicas
-        made: list[Action] = [
-            self._send_to(n, Prepare(self.epoch, self._round, self.begins_history)) for n in asked
+        replicas = list(self._promises) if self._is_confirming else self.other_replicas
+        actions: list[Action] = [
+            self._send_to(n, Prepare(self.epoch, self._round, self.begins_history)) for n in replicas
         ]
-        return made + self._advance(now)
+        return actions + self._advance(now)
 
     def _restart(self, now: int) -> None:
         """Begin with the first step again; answers to former rounds no longer count."""
-        self._round += 1 + self._round % 2
+        self._round += 1 if self._is_confirming else 2  # the next odd one
         self._step_began_ns = now
         self.adopted_replica = None
         self._promises = {}
@@ -148,14 +155,14 @@
             self.begins_history = True
             self._restart(now)
 
-    def on_promise(self, now: int, replica: int, born: int, promise: Promise) -> list[Action]:
+    def on_promise(self, now: int, replica: int, incarnation: int, promise: Promise) -> list[Action]:
         """An answer to `Prepare`."""
         if self.is_established or self.adopted_replica is not None or promise.round != self._round:
             return []
-        if self._round % 2:
-            self._promises[replica] = born, promise
-        elif replica in self._promises and self._promises[replica][0] == born:
-            self._confirmed[replica] = born, promise
+        if not self._is_confirming:
+            self._promises[replica] = incarnation, promise
+        elif replica in self._promises and self._promises[replica][0] == incarnation:
+            self._confirmed[replica] = incarnation, promise
         return self._advance(now)
 
     def _count_complete(self, answers: dict[int, tuple[int, Promise]]) -> int:
@@ -165,17 +172,17 @@
         return sum([self.is_complete, *(promise.is_complete for _, promise in answers.values())])
 
     def _advance(self, now: int) -> list[Action]:
-        if self._round % 2:
+        if not self._is_confirming:
             if self._count_complete(self._promises) < self.settings.majority:
                 return []
             self._round += 1
             self._step_began_ns = now
             self._confirmed = {}
-            made: list[Action] = [
+            actions: list[Action] = [
                 self._send_to(n, Prepare(self.epoch, self._round, self.begins_history))
                 for n in self._promises
             ]
-            return made + (self._advance(now) if not self._promises else [])
+            return actions + (self._advance(now) if not self._promises else [])
         if self.adopted_replica is not None or self._count_complete(self._confirmed) < self.settings.majority:
             return []
         return self._choose_log(now)
@@ -274,11 +281,11 @@
         return value is not None and key not in self.log.snapshot.get(service, {})
 
     def _replicate(self, now: int) -> list[Action]:
-        made: list[Action] = []
+        actions: list[Action] = []
         for number, follower in self._followers.items():
             if self._is_due(now, follower):
-                made += self._append_to(now, number, follower)
-        return made + self._commit(now)
+                actions += self._append_to(now, number, follower)
+        return actions + self._commit(now)
 
     def _is_due(self, now: int, follower: Follower) -> bool:
         """Whether the follower gets an `Append` now."""
@@ -301,27 +308,27 @@
         if entries is None:
             follower.is_awaiting_reply = True
             return [self._send_to(number, LogCompacted(self.epoch, follower.matched_version))]
-        made = list[Action]()
+        actions = list[Action]()
         previous = follower.matched_version
         follower.is_awaiting_reply = bool(entries)
         age = (now - self.in_touch_at_ns(now)) // MILLISECOND
         for _ in range(PIPELINED_DATAGRAMS if follower.is_pipelined else 1):
             fit, more = entries_that_fit(entries)
             body = Append(self.epoch, previous, fit, self.log.committed, self.log.last, age)
-            made.append(self._send_to(number, body))
+            actions.append(self._send_to(number, body))
             if not more:
                 break
             previous, entries = fit[-1].version, entries[len(fit) :]
         follower.sent_version = fit[-1].version if fit else previous
-        return made
+        return actions
 
-    def on_accepted(self, now: int, replica: int, born: int, message: Accepted) -> list[Action]:
+    def on_accepted(self, now: int, replica: int, incarnation: int, message: Accepted) -> list[Action]:
         """A replica's answer to `Append`."""
         follower = self._followers.get(replica)
-        if follower is None or born < follower.incarnation:
+        if follower is None or incarnation < follower.incarnation:
             return []
-        if born > follower.incarnation:  # what a former process answered no longer holds
-            follower.incarnation = born
+        if incarnation > follower.incarnation:  # what a former process answered no longer holds
+            follower.incarnation = incarnation
             follower.acknowledged_version = NO_VERSION
             follower.is_pipelined = False
         follower.heard_at_ns = now
@@ -354,11 +361,11 @@
         upto = versions[self.settings.majority - 1]
         if upto.epoch != self.epoch or upto <= self.log.committed:
             return []
-        made: list[Action] = [StatusEvent("committed", {"entries": tuple(self.log.commit(upto))})]
+        actions: list[Action] = [StatusEvent("committed", {"entries": tuple(self.log.commit(upto))})]
         done = [each for each in self._waiting_commands if each.version <= upto]
         self._waiting_commands = [each for each in self._waiting_commands if each.version > upto]
-        made += [Send(each.recipient, Committed(each.number, each.version)) for each in done]
+        actions += [Send(each.recipient, Committed(each.number, each.version)) for each in done]
         for number, follower in self._followers.items():
             if not follower.is_awaiting_reply and now - follower.heard_at_ns <= UNRESPONSIVE_NS:
-                made += self._append_to(now, number, follower)
-        return made
+                actions += self._append_to(now, number, follower)
+        return actions
--- a/trackspread/distribution/log.py
+++ b/trackspread/distribution/log.py
@@ -91,12 +91,12 @@
 
     def commit(self, upto: Version) -> list[Entry]:
         """Commit up to a version, or to the last entry; returns what is newly committed, in order."""
-        made = []
+        committed = []
         while self.pending and self.pending[0].version.sequence <= upto.sequence:
             entry = self.pending.popleft()
             self._apply(entry)
-            made.append(entry)
-        return made
+            committed.append(entry)
+        return committed
 
     def _apply(self, entry: Entry) -> None:
         self.committed = entry.version
@@ -138,13 +138,14 @@
 
     def next_piece(self, cursor: Cursor, wanted: Callable[[str], bool]) -> tuple[tuple[Entry, ...], bool]:
         """Entries behind the cursor that fit one datagram, and whether nothing follows them."""
-        made, size = list[Entry](), 0
+        entries = list[Entry]()
+        size = 0
         for entry in self._entries_after_cursor(cursor, wanted):
             size += entry.size
-            if made and size > MAX_ENTRIES_BYTES:
-                return tuple(made), False
-            made.append(entry)
-        return tuple(made), True
+            if entries and size > MAX_ENTRIES_BYTES:
+                return tuple(entries), False
+            entries.append(entry)
+        return tuple(entries), True
 
     def _entries_after_cursor(self, cursor: Cursor, wanted: Callable[[str], bool]) -> Iterator[Entry]:
         if self._sorted_services is None:
@@ -173,10 +174,11 @@
 
 def entries_that_fit(entries: Iterable[Entry]) -> tuple[tuple[Entry, ...], bool]:
     """Entries from the first on that fit one datagram, and whether others follow."""
-    made, size = list[Entry](), 0
+    fitting = list[Entry]()
+    size = 0
     for entry in entries:
         size += entry.size
-        if made and size > MAX_ENTRIES_BYTES:
-            return tuple(made), True
-        made.append(entry)
-    return tuple(made), False
+        if fitting and size > MAX_ENTRIES_BYTES:
+            return tuple(fitting), True
+        fitting.append(entry)
+    return tuple(fitting), False
--- a/trackspread/distribution/poll_server.py
+++ b/trackspread/distribution/poll_server.py
@@ -92,9 +92,9 @@
         """Answer from another log from now on."""
         self._log = log
 
-    def answer(self, now: int, poll: Poll, heard_at: int, bounded: bool = True) -> list[MessageBody]:
-        """The answer to a poll. `heard_at`: when this replica last had all that the leader had committed
-        then, ns; `bounded`: whether the sender is under the limit of pieces."""
+    def answer(self, now: int, poll: Poll, in_touch_at_ns: int, bounded: bool = True) -> list[MessageBody]:
+        """The answer to a poll. `in_touch_at_ns`: when this replica last had everything that its leader had
+        committed; `bounded`: whether the rate limit of datagrams applies to the sender."""
         log = self._log
         if poll.version > log.committed:
             return [Rejected(poll.number, 0)]
@@ -106,12 +106,12 @@
             if busy:
                 return [Rejected(poll.number, self._retry_after_ms(now))]
             return self._pieces(now, poll, poll.cursor, wanted)
-        made = self._delta(poll, wanted, (now - heard_at) // MILLISECOND)
-        if busy and not (isinstance(made, Delta) and not made.has_more):
+        answer = self._delta(poll, wanted, (now - in_touch_at_ns) // MILLISECOND)
+        if busy and not (isinstance(answer, Delta) and not answer.has_more):
             return [Rejected(poll.number, self._retry_after_ms(now))]
-        if isinstance(made, Delta) and made.entries:
+        if isinstance(answer, Delta) and answer.entries:
             self._spend(now, poll, 1)
-        return [made]
+        return [answer]
 
     def _spend(self, now: int, poll: Poll, datagrams: int) -> None:
         """Use up the rate; what replicas pull is not under it."""
@@ -124,22 +124,24 @@
         services = self.subscriptions.find(subscription)
         return services.__contains__ if services is not None else None
 
-    def _delta(self, poll: Poll, wanted: Callable[[str], bool], age: int) -> Delta | NeedSnapshot:
+    def _delta(self, poll: Poll, wanted: Callable[[str], bool], age_ms: int) -> Delta | NeedSnapshot:
         log = self._log
         if poll.version == log.committed:
-            return Delta(poll.number, log.committed, age, (), False)
+            return Delta(poll.number, log.committed, age_ms, (), False)
         entries = log.committed_after(poll.version) if log.holds(poll.version) else None
         if entries is None:
             return NeedSnapshot(poll.number)
-        made, size, complete = list[Entry](), 0, poll.version
+        fitting = list[Entry]()
+        size = 0
+        complete = poll.version
         for entry in entries:
             if entry.service and wanted(entry.service):
                 size += entry.size
-                if made and size > MAX_ENTRIES_BYTES:
-                    return Delta(poll.number, complete, age, tuple(made), True)
-                made.append(entry)
+                if fitting and size > MAX_ENTRIES_BYTES:
+                    return Delta(poll.number, complete, age_ms, tuple(fitting), True)
+                fitting.append(entry)
             complete = entry.version
-        return Delta(poll.number, complete, age, tuple(made), False)
+        return Delta(poll.number, complete, age_ms, tuple(fitting), False)
 
     def _pieces(
         self,
--- a/trackspread/distribution/replica.py
+++ b/trackspread/distribution/replica.py
@@ -15,6 +15,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from .leader import PIPELINED_DATAGRAMS, Leader
 from .log import Log
 from .log import entries_that_fit
@@ -47,12 +49,18 @@
 from .settings import ReplicaSettings, SubscriberSettings
 from .versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
 from ..membership.actions import StatusEvent
-from ..membership.identifiers import Address, Epoch
+from ..membership.identifiers import NO_EPOCH, Address, Epoch
 
 RECOVERY_RETRY_NS = 300 * MILLISECOND  # between queries of a replica that is not complete
 MAX_EARLY_APPENDS = 2 * PIPELINED_DATAGRAMS  # from the leader that came too early and are cached
 NEVER_NS = 3600 * SECOND  # ago: nothing was ever received
-FIRST_EPOCH: Epoch = (0, -1)
+
+
+class _CatchUpGoal(NamedTuple):
+    """What a replica needs to become complete: the state of the leader of `epoch` up to `version`."""
+
+    epoch: Epoch
+    version: Version
 
 
 class Replica:
@@ -63,17 +71,16 @@
         self._seed = seed
         self.log = Log(settings.max_recent_entries)
         self.poll_server = PollServer(self.log, settings.pieces_per_s)
-        self.promised: Epoch = FIRST_EPOCH
+        self.promised: Epoch = NO_EPOCH
         self.is_complete = False
         self.leadership: Leader | None = None
         self.leader_number = -1  # the replica that leads, as far as is known
-        self._last_led_epoch = FIRST_EPOCH  # the epoch under which this one was elected last
+        self._last_led_epoch = NO_EPOCH  # the epoch under which this one was elected last
         self._in_touch_at_ns = now - NEVER_NS  # when it last had all that the leader had committed then
         self._begun_epoch: Epoch | None = None  # in which this process has promised to begin a new history
         self._early_appends: dict[Version, Append] = {}  # by what they follow
         self._promised_by_others: dict[int, Epoch] = {}  # by replica, what complete others have promised
-        # The epoch and version that make it complete.
-        self._catch_up_goal: tuple[Epoch, Version] | None = None
+        self._catch_up_goal: _CatchUpGoal | None = None
         self._snapshot_pull: Subscriber | None = None  # takes a snapshot from another replica
         self._recovery_requested_ns = now - RECOVERY_RETRY_NS
 
@@ -103,28 +110,29 @@
 
     def tick(self, now: int) -> list[Action]:
         """What is due at `now`, ns."""
-        made: list[Action] = []
+        actions: list[Action] = []
         if self.leadership is not None:
-            made += self._after_leadership(now, self.leadership.tick(now))
+            actions += self._after_leadership(now, self.leadership.tick(now))
             if self.leadership.needs_snapshot and (source := self.leadership.adopted_replica) is not None:
-                made += self._start_pull(now, self.settings.replicas[source])
+                actions += self._start_pull(now, self.settings.replicas[source])
         elif not self.is_complete and now - self._recovery_requested_ns >= RECOVERY_RETRY_NS:
             self._recovery_requested_ns = now
-            made += [Send(at, Recover()) for at in self._other_replicas()]
+            actions += [Send(at, Recover()) for at in self._other_replicas()]
         if self._snapshot_pull is not None:
-            made += self._after_pull(now, self._snapshot_pull.tick(now))
-        return made
+            actions += self._after_pull(now, self._snapshot_pull.tick(now))
+        return actions
 
     def _other_replicas(self) -> list[Address]:
         return [at for n, at in enumerate(self.settings.replicas) if n != self.settings.number]
 
-    def _after_leadership(self, now: int, made: list[Action]) -> list[Action]:
+    def _after_leadership(self, now: int, actions: list[Action]) -> list[Action]:
         """What the leader wants done; an established one is complete, and in touch with itself."""
         if self.leadership is not None and self.leadership.is_established:
             if not self.is_complete:
                 self._become_complete()
-            self._snapshot_pull, self._in_touch_at_ns = None, self.leadership.in_touch_at_ns(now)
-        return made
+            self._snapshot_pull = None
+            self._in_touch_at_ns = self.leadership.in_touch_at_ns(now)
+        return actions
 
     def _become_complete(self) -> None:
         self.is_complete = True
@@ -133,9 +141,10 @@
         self._promised_by_others.clear()
 
     def on_message(
-        self, now: int, replica: int, born: int, body: MessageBody, source: Address
+        self, now: int, replica: int, incarnation: int, body: MessageBody, source: Address
     ) -> list[Action]:
-        """`replica`: the sender's number, -1 for a gateway or a command; `born`: which process of it."""
+        """`replica`: the sender's number, -1 for a gateway or a command; `incarnation`: which process of
+        that number."""
         match body:
             case Poll():
                 return [Send(source, each) for each in self._answer_poll(now, body, replica >= 0)]
@@ -145,12 +154,12 @@
             case Put() | BeginHistory() | Inspect():
                 return self._on_command(now, body, source)
         if self._snapshot_pull is not None:
-            made = self._after_pull(now, self._snapshot_pull.on_message(now, body, source))
-            if made:
-                return made
+            actions = self._after_pull(now, self._snapshot_pull.on_message(now, body, source))
+            if actions:
+                return actions
         if not 0 <= replica < len(self.settings.replicas) or replica == self.settings.number:
             return []
-        return self._from_replica(now, replica, born, body, source)
+        return self._from_replica(now, replica, incarnation, body, source)
 
     def _answer_poll(self, now: int, poll: Poll, replica: bool) -> list[MessageBody]:
         if not self.is_complete:
@@ -161,7 +170,7 @@
         self,
         now: int,
         replica: int,
-        born: int,
+        incarnation: int,
         body: MessageBody,
         source: Address,
     ) -> list[Action]:
@@ -175,7 +184,7 @@
             case ReadTail():
                 return self._on_read_tail(body, source)
             case Recover():
-                return [Send(source, self._own_state(born))] if self.is_complete else []
+                return [Send(source, self._own_state(incarnation))] if self.is_complete else []
             case ReplicaState():
                 return self._on_replica_state(now, replica, body)
             case StaleEpoch(promised) if promised > self.promised:
@@ -183,19 +192,21 @@
                 self.leader_number = -1
                 self.leadership = None
                 return [StatusEvent("outdone", {"by": promised})]
-        return self._reply_to_leader(now, replica, born, body)
+        return self._reply_to_leader(now, replica, incarnation, body)
 
-    def _reply_to_leader(self, now: int, replica: int, born: int, body: MessageBody) -> list[Action]:
+    def _reply_to_leader(self, now: int, replica: int, incarnation: int, body: MessageBody) -> list[Action]:
         """An answer to what this replica sent as leader of its epoch."""
         if self.leadership is None:
             return []
         match body:
             case Promise() if body.epoch == self.leadership.epoch:
-                return self._after_leadership(now, self.leadership.on_promise(now, replica, born, body))
+                return self._after_leadership(
+                    now, self.leadership.on_promise(now, replica, incarnation, body)
+                )
             case TailEntries() if body.epoch == self.leadership.epoch:
                 return self._after_leadership(now, self.leadership.on_tail_entries(now, replica, body))
             case Accepted() if body.epoch == self.leadership.epoch and self.leadership.is_established:
-                return self.leadership.on_accepted(now, replica, born, body)
+                return self.leadership.on_accepted(now, replica, incarnation, body)
         return []
 
     # Following.
@@ -233,29 +244,31 @@
             return [Send(source, StaleEpoch(self.promised))] if message.epoch < self.promised else []
         if self.is_complete and message.last.history != self.log.last.history:
             return self._forget_history(now)
-        if not self.is_complete and (self._catch_up_goal is None or self._catch_up_goal[0] != message.epoch):
+        if not self.is_complete and (
+            self._catch_up_goal is None or self._catch_up_goal.epoch != message.epoch
+        ):
             return []
         if not self.log.accept(message.previous, message.entries):
-            self._keep_early(message)
+            self._cache_early_append(message)
             return [Send(source, Accepted(message.epoch, False, self.is_complete, self.log.committed))]
         upto = message.entries[-1].version if message.entries else message.previous
         while (early := self._early_appends.pop(upto, None)) is not None and early.epoch == message.epoch:
             self.log.accept(upto, early.entries)
             upto = early.entries[-1].version
-        made: list[Action] = []
+        actions: list[Action] = []
         done = self.log.commit(min(upto, message.committed))
         if self.log.committed >= message.committed:
             self._in_touch_at_ns = max(self._in_touch_at_ns, now - message.age_ms * MILLISECOND)
         if done:
-            made.append(StatusEvent("committed", {"entries": tuple(done)}))
+            actions.append(StatusEvent("committed", {"entries": tuple(done)}))
         if self.is_complete:
             self._snapshot_pull = None  # nothing is missing here
-        if self._catch_up_goal is not None and not self.is_complete and upto >= self._catch_up_goal[1]:
+        if self._catch_up_goal is not None and not self.is_complete and upto >= self._catch_up_goal.version:
             self._become_complete()
-            made.append(StatusEvent("whole", {"version": upto}))
-        return [*made, Send(source, Accepted(message.epoch, True, self.is_complete, upto))]
+            actions.append(StatusEvent("whole", {"version": upto}))
+        return [*actions, Send(source, Accepted(message.epoch, True, self.is_complete, upto))]
 
-    def _keep_early(self, message: Append) -> None:
+    def _cache_early_append(self, message: Append) -> None:
         """Cache entries that came before those that they follow."""
         if any(each.epoch != message.epoch for each in self._early_appends.values()):
             self._early_appends.clear()
@@ -296,9 +309,9 @@
 
     # Becoming complete.
 
-    def _own_state(self, born: int) -> ReplicaState:
+    def _own_state(self, incarnation: int) -> ReplicaState:
         leads = self.leadership is not None and self.leadership.is_established
-        return ReplicaState(born, self.promised, leads, self.log.last)
+        return ReplicaState(incarnation, self.promised, leads, self.log.last)
 
     def _on_replica_state(self, now: int, replica: int, message: ReplicaState) -> list[Action]:
         if (
@@ -314,8 +327,8 @@
         )
         if not message.is_leader or message.promised != self.promised or not enough:
             return []
-        if self._catch_up_goal is None or self._catch_up_goal[0] != message.promised:
-            self._catch_up_goal = message.promised, message.last
+        if self._catch_up_goal is None or self._catch_up_goal.epoch != message.promised:
+            self._catch_up_goal = _CatchUpGoal(message.promised, message.last)
             self.leader_number = replica
             return self._start_pull(now, self.settings.replicas[replica])
         return []
@@ -327,23 +340,23 @@
         self._snapshot_pull = Subscriber(SubscriberSettings((source,), None), now, self._seed)
         return self._snapshot_pull.tick(now)
 
-    def _after_pull(self, now: int, made: list[Action]) -> list[Action]:
+    def _after_pull(self, now: int, actions: list[Action]) -> list[Action]:
         """What the snapshot's subscriber wants done; a complete snapshot is installed in the log."""
         pull = self._snapshot_pull
         if pull is None or pull.fresh_at_ns is None:
-            if made and self.leadership is not None and pull is not None and pull.answered_at_ns == now:
+            if actions and self.leadership is not None and pull is not None and pull.answered_at_ns == now:
                 self.leadership.on_progress(now)
-            return [each for each in made if isinstance(each, Send)]
+            return [each for each in actions if isinstance(each, Send)]
         self._snapshot_pull = None
-        made = []
+        actions = []
         if pull.version > self.log.committed:
             self.log.install(pull.snapshot, pull.version)
         if self.leadership is not None:
             self.leadership.on_snapshot_installed(now)
         elif self.leader_number >= 0:
-            has = Accepted(self.promised, False, self.is_complete, self.log.committed)
-            made = [Send(self.settings.replicas[self.leader_number], has)]
-        return [*made, StatusEvent("installed", {"version": pull.version, "keys": len(self.log)})]
+            reply = Accepted(self.promised, False, self.is_complete, self.log.committed)
+            actions = [Send(self.settings.replicas[self.leader_number], reply)]
+        return [*actions, StatusEvent("installed", {"version": pull.version, "keys": len(self.log)})]
 
     # For operators.
 
@@ -361,10 +374,10 @@
             return []
         return self.leadership.put(now, source, body.number, body.service, body.key, body.value)
 
-    def _inspect(self, asked: Inspect) -> Inspected:
-        entry = self.log.snapshot.get(asked.service, {}).get(asked.key)
+    def _inspect(self, request: Inspect) -> Inspected:
+        entry = self.log.snapshot.get(request.service, {}).get(request.key)
         return Inspected(
-            asked.number, self.role, self.promised, self.log.committed, self.log.last, len(self.log), entry
+            request.number, self.role, self.promised, self.log.committed, self.log.last, len(self.log), entry
         )
 
 
--- a/trackspread/distribution/subscriber.py
+++ b/trackspread/distribution/subscriber.py
@@ -11,11 +11,12 @@
 | --- | --- |
 | delta, more follows | taken over, polled at once |
 | delta | taken over, polled after a period |
-| delta of a replica out of touch with its leader | applied, then as if it were rejected |
+| delta of a replica out of touch with its leader | applied; another replica is polled |
 | need snapshot | staging begins, first pieces are requested at once |
 | pieces | staged; the next are requested at once, or after the last a delta |
 | need subscription | services are sent, polled after a tick |
-| rejected | another of the region polled when it said, or any other at once, two in a period at most |
+| rejected with a time | another replica of the region is polled after that time |
+| rejected without a time | another replica is polled at once, after two of them only in the next period |
 
 Knows its own clock, and answers in any order, any number of times. No I/O.
 """
@@ -47,9 +48,8 @@
 JITTER = 0.1  # part of a wait: gateways that began together don't stay in step
 OUT_OF_TOUCH_NS = 3 * SECOND  # of a replica with its leader, after which another is polled as well
 RETURN_TO_REGION_NS = 30 * SECOND  # after which replicas of the own region are tried again
-MAX_REPLICAS_A_PERIOD = (
-    2  # replicas that are asked one after the other in a period, where one has nothing to say
-)
+# Replicas that are asked one after the other in a period, where one has nothing to say.
+MAX_REPLICAS_A_PERIOD = 2
 
 
 class StagedSnapshot:
@@ -83,7 +83,8 @@
     touch with its leader had, None where it never was."""
 
     def __init__(self, settings: SubscriberSettings, now: int, seed: int) -> None:
-        self.settings, self._rng = settings, random.Random(seed)
+        self.settings = settings
+        self._rng = random.Random(seed)
         self.snapshot: Snapshot = {}
         self.version = NO_VERSION
         self.fresh_at_ns: int | None = None
@@ -97,9 +98,9 @@
         self._next_poll_ns = now + int(settings.period_ns * self._rng.random() / 2)
         self._regional_replicas = self._shuffled(settings.replicas or settings.other_replicas)
         self._other_replicas = self._shuffled(settings.other_replicas if settings.replicas else ())
-        # in the order of replicas; of this period
+        # Of the polled replica: those of the region first, then the others.
         self._replica_index = 0
-        self._replicas_tried = 0
+        self._replicas_tried = 0  # in this period, because one had nothing new
         self._regional_since_ns = now  # when a replica of the region last answered, or was tried
         self._pieces: dict[int, SnapshotPiece] = {}
 
@@ -109,9 +110,9 @@
         )
 
     def _shuffled(self, addresses: Iterable[Address]) -> list[Address]:
-        made = list(addresses)
-        self._rng.shuffle(made)
-        return made
+        shuffled = list(addresses)
+        self._rng.shuffle(shuffled)
+        return shuffled
 
     @property
     def replica(self) -> Address:
@@ -224,9 +225,8 @@
 
     def _on_rejected(self, now: int, message: Rejected) -> list[Action]:
         if message.retry_after_ms:
-            self._replica_index = (self._replica_index + 1) % len(
-                self._regional_replicas
-            )  # one with less load, maybe
+            # One with less load, maybe.
+            self._replica_index = (self._replica_index + 1) % len(self._regional_replicas)
             return self._schedule_poll(now, message.retry_after_ms * MILLISECOND)
         return self._try_next_replica(now)
 
@@ -273,28 +273,26 @@
             return self._try_next_replica(now)
         else:
             _change(self.snapshot, message.entries)
-        made: list[Action] = []
+        actions: list[Action] = []
         if message.version != self.version:
             self.version = message.version
-            made.append(StatusEvent("acts", {"version": message.version, "changes": len(message.entries)}))
+            actions.append(StatusEvent("acts", {"version": message.version, "changes": len(message.entries)}))
         if message.has_more:
-            return [*made, self._poll(now)]
+            return [*actions, self._poll(now)]
         self.fresh_at_ns = max(self.fresh_at_ns or 0, asked_at - message.age_ms * MILLISECOND)
         if message.age_ms * MILLISECOND > OUT_OF_TOUCH_NS:
-            return made + self._try_next_replica(now)
+            return actions + self._try_next_replica(now)
         self._replicas_tried = 0
         self._return_to_region(now)
-        return made + self._schedule_poll(now, self.settings.period_ns)
+        return actions + self._schedule_poll(now, self.settings.period_ns)
 
     def _return_to_region(self, now: int) -> None:
         """Leave a replica of another region, now and then."""
         if self._replica_index < len(self._regional_replicas):
             self._regional_since_ns = now
         elif now - self._regional_since_ns > RETURN_TO_REGION_NS:
-            self._regional_since_ns, self._replica_index = (
-                now,
-                self._rng.randrange(len(self._regional_replicas)),
-            )
+            self._regional_since_ns = now
+            self._replica_index = self._rng.randrange(len(self._regional_replicas))
 
     def _continue_staging(self, now: int, message: Delta) -> list[Action]:
         """The staged snapshot is not complete yet, or older than what is in force."""
--- a/trackspread/distribution/versions.py
+++ b/trackspread/distribution/versions.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..membership.identifiers import Epoch
+from ..membership.identifiers import NO_EPOCH, Epoch
 
 MAX_NAME_CHARACTERS = 128  # of a service's name, and of a key's
 MAX_VALUE_BYTES = 640  # so that an entry always fits one datagram
@@ -30,7 +30,7 @@
     sequence: int
 
 
-NO_VERSION = Version(0, (0, -1), 0)
+NO_VERSION = Version(0, NO_EPOCH, 0)
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
--- a/trackspread/handover/link.py
+++ b/trackspread/handover/link.py
@@ -29,31 +29,32 @@
 class Link:
     """One connection; packets go out in order, each with a descriptor or without."""
 
-    def __init__(self, connected: socket.socket, received: Received, lost: Callable[[], None]) -> None:
-        """`received` takes each packet and its descriptor, `lost` is called once the other side has ended."""
+    def __init__(self, connected: socket.socket, on_packet: Received, on_lost: Callable[[], None]) -> None:
+        """`on_packet` takes each packet and its descriptor, `on_lost` is called once the other side has
+        ended."""
         self._loop = asyncio.get_running_loop()
         self._socket = connected
-        self._received = received
-        self._lost = lost
-        self._out: deque[tuple[bytes, int | None]] = deque()
+        self._on_packet = on_packet
+        self._on_lost = on_lost
+        self._unsent: deque[tuple[bytes, int | None]] = deque()
         self._retry: asyncio.TimerHandle | None = None
-        self._closed = False
+        self._is_closed = False
         connected.setblocking(False)
         self._loop.add_reader(connected.fileno(), self._read)
 
     def send(self, packet: bytes, descriptor: int | None = None) -> bool:
         """Send a packet; False where the connection has ended. The descriptor is closed once sent."""
-        if self._closed:
+        if self._is_closed:
             _close(descriptor)
             return False
-        self._out.append((packet, descriptor))
+        self._unsent.append((packet, descriptor))
         self._flush()
-        return not self._closed
+        return not self._is_closed
 
     def _flush(self) -> None:
         self._retry = None
-        while self._out and not self._closed:
-            packet, descriptor = self._out[0]
+        while self._unsent and not self._is_closed:
+            packet, descriptor = self._unsent[0]
             ancillary = []
             if descriptor is not None:
                 ancillary.append((socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor])))
@@ -64,11 +65,11 @@
                     self._retry = self._loop.call_later(SEND_RETRY_INTERVAL_S, self._flush)
                     return
                 return self._end()
-            self._out.popleft()
+            self._unsent.popleft()
             _close(descriptor)
 
     def _read(self) -> None:
-        while not self._closed:
+        while not self._is_closed:
             try:
                 data, ancillary, flags, _ = self._socket.recvmsg(
                     MAX_PACKET_BYTES + 1, socket.CMSG_SPACE(DESCRIPTOR_BYTES)
@@ -81,7 +82,7 @@
             if not data:
                 _close(descriptor)
                 return self._end()
-            self._received(b"" if flags & socket.MSG_TRUNC else data, descriptor)
+            self._on_packet(b"" if flags & socket.MSG_TRUNC else data, descriptor)
 
     def end_reading(self) -> None:
         """Read what the other side has written by now, and nothing more.
@@ -89,26 +90,26 @@
         From here on the other side's writes fail: each of its messages is either known here or known there to
         be lost.
         """
-        if not self._closed:
+        if not self._is_closed:
             self._socket.shutdown(socket.SHUT_RD)
             self._read()
 
     def _end(self) -> None:
-        if not self._closed:
+        if not self._is_closed:
             self.close()
-            self._lost()
+            self._on_lost()
 
     def close(self) -> None:
         """End the connection; descriptors that were not sent are closed."""
-        if self._closed:
+        if self._is_closed:
             return
-        self._closed = True
+        self._is_closed = True
         self._loop.remove_reader(self._socket.fileno())
         if self._retry is not None:
             self._retry.cancel()
         self._socket.close()
-        while self._out:
-            _close(self._out.popleft()[1])
+        while self._unsent:
+            _close(self._unsent.popleft()[1])
 
 
 def _received_descriptor(ancillary: list[tuple[int, int, bytes]]) -> int | None:
@@ -152,18 +153,18 @@
             return None
         return connection
 
-    def listen(self, arrived: Callable[[], None]) -> None:
+    def listen(self, on_connection: Callable[[], None]) -> None:
         """Take the name over, in one step, from the process that had it; raises `OSError`.
 
-        `arrived` is called when a new process connects.
+        `on_connection` is called when a new process connects.
         """
         self._server = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self._server.setblocking(False)
-        fresh = f"{self._name}.{os.getpid()}"
-        self._server.bind(self._path(fresh))
+        temporary_name = f"{self._name}.{os.getpid()}"
+        self._server.bind(self._path(temporary_name))
         self._server.listen(BACKLOG)
-        os.rename(fresh, self._name, src_dir_fd=self._folder, dst_dir_fd=self._folder)
-        asyncio.get_running_loop().add_reader(self._server.fileno(), arrived)
+        os.rename(temporary_name, self._name, src_dir_fd=self._folder, dst_dir_fd=self._folder)
+        asyncio.get_running_loop().add_reader(self._server.fileno(), on_connection)
 
     def accept(self) -> socket.socket | None:
         """The connection of the next new process that waits."""
--- a/trackspread/handover/states.py
+++ b/trackspread/handover/states.py
@@ -13,9 +13,8 @@
 
 PROTOCOL = 1  # of the messages between both; with a process that speaks another one a start is cold
 HELLO_TIMEOUT_S = 2.5  # until the old process answers; it may be busy with another new process first
-READY_TIMEOUT_S = (
-    6.0  # that the platform gives a new process; one that has sent no request by then never will
-)
+# That the platform gives a new process; one that has sent no request by then never will.
+READY_TIMEOUT_S = 6.0
 STATE_TIMEOUT_S = 1.0  # from the state's first byte until TAKEN: no request is served meanwhile
 REQUEST_TIMEOUT_S = 2.0  # from the request on: over the state's, so that the old process decides first
 MAX_ROUNDS = 2  # of a new process before it starts cold
--- a/trackspread/handover/wire.py
+++ b/trackspread/handover/wire.py
@@ -73,10 +73,10 @@
     return msgspec.msgpack.encode(value)
 
 
-def decode(body: bytes, kind: Any) -> Any:
+def decode(body: bytes, value_type: Any) -> Any:
     """The value in msgpack; raises `WireError` where it is not of that type."""
     try:
-        return msgspec.msgpack.decode(body, type=kind)
+        return msgspec.msgpack.decode(body, type=value_type)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise WireError(str(error)) from None
 
--- a/trackspread/lists/seam.py
+++ b/trackspread/lists/seam.py
@@ -1,4 +1,4 @@
-"""What a source of the list of backends has to give: versions of `Topology`, with an address for each.
+"""What a source of the endpoint list has to give: updates of the list, with an address for each backend.
 
 A source knows nothing of requests, pools or decisions. What it tells counts as told from that moment on.
 """
--- a/trackspread/membership/acceptor.py
+++ b/trackspread/membership/acceptor.py
@@ -13,9 +13,8 @@
 from .messages import Vote
 from .settings import MemberSettings
 
-BALLOT_ROUND_NS = (
-    100 * MS
-)  # of wall clock for each round number of a first ballot: later processes bid beyond it
+# Of wall clock for each round number of a first ballot: later processes bid beyond it.
+BALLOT_ROUND_NS = 100 * MS
 
 
 class AddressedVote(NamedTuple):
--- a/trackspread/membership/coordination.py
+++ b/trackspread/membership/coordination.py
@@ -21,9 +21,8 @@
 from .slot_allocation import format_slots, slots_to_bytes
 from .timing import TICK_NS
 
-LEADERLESS_TIMEOUT_NS = (
-    3 * RENEWAL_SPAN_NS
-)  # since the last grant, from which a slow seed stands for election too
+# Since the last grant, from which a slow seed stands for election too.
+LEADERLESS_TIMEOUT_NS = 3 * RENEWAL_SPAN_NS
 MAX_INLINE_MEMBERS = 32  # members of a view that still fits into a datagram
 
 
--- a/trackspread/membership/core_host.py
+++ b/trackspread/membership/core_host.py
@@ -15,10 +15,10 @@
 
 ActionT = TypeVar("ActionT")
 
-# Event kinds that the program may act on: members, or this one's slots, are not as they were.
-CHANGES = {"member", "part", "slow", "well", "left", "fenced", "renamed"}
+# Kinds of event after which `on_change` is called: members, or this one's slots, have changed.
+CHANGE_KINDS = {"member", "part", "slow", "well", "left", "fenced", "renamed"}
 # Event kinds for the log.
-LOGGED = {"view", "fenced", "leads", "leads no more", "slow", "well", "renamed", "left", "forgot"}
+LOGGED_KINDS = {"view", "fenced", "leads", "leads no more", "slow", "well", "renamed", "left", "forgot"}
 
 DataCallback = Callable[[str, bytes, int], None]  # name of the sender, data, the set of slots it holds
 
@@ -58,17 +58,16 @@
         """Raises `OSError` where the event log can't be opened."""
         super().__init__(listen, wire, max_served_exchanges, receive_buffer_bytes)
         self._clock_ns = clock_ns
-        self._machine = core
+        self._state_machine = core
         self._on_change = on_change
         self._on_data = on_data
-        self._last_packed: tuple[MemberMessage, bytes] | None = (
-            None  # a message often goes to several members
-        )
+        # A message often goes to several members.
+        self._last_packed: tuple[MemberMessage, bytes] | None = None
         self._event_log = EventLog(event_log, *core.member_id) if event_log is not None else None
 
     async def start(self) -> None:
         """Raises `OSError` where the address can't be bound."""
-        await self._open(lambda: self._perform(self._machine.start(self._clock_ns())))
+        await self._open(lambda: self._perform(self._state_machine.start(self._clock_ns())))
 
     def close(self, leave: bool = True) -> None:
         """Shut down gracefully; `leave` False: another process goes on under this name, or it stops at
@@ -90,10 +89,10 @@
         raise NotImplementedError
 
     def _tick(self) -> None:
-        self._perform(self._machine.tick(self._clock_ns()))
+        self._perform(self._state_machine.tick(self._clock_ns()))
 
     def _merge(self, table: TableSnapshot) -> None:
-        self._perform(self._machine.merge(self._clock_ns(), table))
+        self._perform(self._state_machine.merge(self._clock_ns(), table))
 
     def _send_message(self, address: Address, message: MemberMessage) -> None:
         if self._last_packed is None or self._last_packed[0] is not message:
--- a/trackspread/membership/event_log.py
+++ b/trackspread/membership/event_log.py
@@ -47,14 +47,14 @@
         event = EventLine(time.monotonic_ns(), self._name, self._created_at_ms, kind, details)
         line = self._encode(event) + b"\n"
         self._remaining_bytes -= len(line)
+        reason = "its size limit is reached"
         try:
             os.write(self._file, line)
-            reason = "it is full"
         except OSError as error:
             self._remaining_bytes = 0
             reason = str(error.strerror)
         if self._remaining_bytes <= 0:
-            log.warning("the view's record ends here: %s", reason)
+            log.warning("event log of %s: no more events are recorded: %s", self._name, reason)
 
     def close(self) -> None:
         """Close the file."""
--- a/trackspread/membership/gossip.py
+++ b/trackspread/membership/gossip.py
@@ -7,9 +7,8 @@
 
 from .messages import GossipUpdate
 
-TRANSMISSIONS_FACTOR = (
-    4  # times the decimal logarithm of the fleet's size: transmissions of each update (SWIM)
-)
+# Times the decimal logarithm of the fleet's size: transmissions of each update (SWIM)
+TRANSMISSIONS_FACTOR = 4
 MAX_UPDATES_PER_MESSAGE = 12  # of some 60 bytes each: with the rest they stay under 1,200
 
 
@@ -17,9 +16,8 @@
     """Updates still to be sent, at most one for each member: a new one replaces the former."""
 
     def __init__(self) -> None:
-        self._pending: dict[
-            str, tuple[int, GossipUpdate]
-        ] = {}  # by name: transmissions so far, and the update
+        # By name: transmissions so far, and the update.
+        self._pending: dict[str, tuple[int, GossipUpdate]] = {}
 
     def add(self, update: GossipUpdate) -> None:
         """Queue this update in place of the member's former one."""
--- a/trackspread/membership/host.py
+++ b/trackspread/membership/host.py
@@ -10,7 +10,7 @@
 
 from ..logs import Sparing
 from .actions import Action, ExchangeTables, PeerDataReceived, SendMessage, StatusEvent
-from .core_host import CHANGES, LOGGED, CoreHost, DataCallback
+from .core_host import CHANGE_KINDS, LOGGED_KINDS, CoreHost, DataCallback
 from .identifiers import Address, MemberId
 from .member import Member
 from .messages import TableSnapshot
@@ -69,13 +69,13 @@
                     self._on_data(name, data, slots)
                 case StatusEvent():
                     self._record_event(action)
-                    has_changed |= action.kind in CHANGES
+                    has_changed |= action.kind in CHANGE_KINDS
         if has_changed:
             self._on_change()
 
     def _record_event(self, event: StatusEvent) -> None:
         self._log_event(event.kind, event.details)
-        if event.kind in LOGGED:
+        if event.kind in LOGGED_KINDS:
             level = logging.WARNING if event.kind == "fenced" else logging.INFO
             important_log.log(level, "fleet: %s%s", event.kind, describe(event))
         elif event.kind == "member":
@@ -95,9 +95,21 @@
             return f" {details['number']}: {names}"
         case "forgot":
             slots = details["slots"] or "none"
-            return f" {details['name']}, by an operator's word: slots {slots} are free"
+            return f" {details['name']}, at an operator's request: its slots ({slots}) are free"
         case "fenced":
-            return f" off: a newer process under this name is at {details['at']}, this one takes no part now"
+            return (
+                f" off: a newer process with this name is at {details['at']}; this one has left the "
+                "fleet and holds no slots: stop one of the two"
+            )
+        case "leads":
+            return f" as coordinator, epoch {details['epoch']}"
+        case "slow":
+            return ": this process answers late, others do not wait for it (load, CPU, network)"
+        case "well":
+            return ": this process no longer answers late"
+        case "renamed":
+            _, created_at_ms = cast(MemberId, details["who"])
+            return f": now known as created at {created_at_ms}, as a former process's clock was ahead"
     return ""
 
 
--- a/trackspread/membership/identifiers.py
+++ b/trackspread/membership/identifiers.py
@@ -17,10 +17,8 @@
 MemberId = tuple[str, int]  # name, and wall clock in ms when the process of this name was created
 ListPosition = tuple[int, int]  # in the platform's list of gateways: index and length of the list
 NO_POSITION: ListPosition = (-1, 0)  # of a gateway that is not in the list
-OBSERVER: ListPosition = (
-    -2,
-    0,
-)  # of a member that may vote and coordinate and is in views, but holds no slots
+# Of a member that may vote and coordinate and is in views, but holds no slots.
+OBSERVER: ListPosition = (-2, 0)
 Epoch = tuple[int, int]  # round of the ballot that won, and the index of the seed that won it
 NO_EPOCH: Epoch = (0, -1)
 ViewNumber = tuple[int, int, int]  # epoch and count in it; the greater is the newer
--- a/trackspread/membership/lease_timing.py
+++ b/trackspread/membership/lease_timing.py
@@ -5,9 +5,8 @@
 from .identifiers import CLOCK_DRIFT, SECOND
 
 RENEWAL_SPAN_NS = 2 * SECOND  # in which a member renews its lease five times
-CONTACT_TIMEOUT_NS = int(
-    RENEWAL_SPAN_NS * (1.0 - CLOCK_DRIFT)
-)  # without a seed's answer, after which a lease pauses
+# Without a seed's answer, after which a lease pauses.
+CONTACT_TIMEOUT_NS = int(RENEWAL_SPAN_NS * (1.0 - CLOCK_DRIFT))
 
 
 def grantor_duration_ns(duration_ns: int) -> int:
--- a/trackspread/membership/member.py
+++ b/trackspread/membership/member.py
@@ -2,7 +2,7 @@
 
 The host calls `start` once, `tick` every `TICK_NS`, `receive` for each valid datagram of this fleet,
 `table_snapshot` and `merge` for each exchange over a connection, and performs the returned actions in order.
-All that is kept is bounded by the settings' `max_members`.
+All state is bounded by twice the settings' `max_members`.
 """
 
 from __future__ import annotations
--- a/trackspread/membership/member_table.py
+++ b/trackspread/membership/member_table.py
@@ -49,9 +49,8 @@
         self.rejected_updates = 0  # on members beyond the limit
         self.newer_namesake: GossipUpdate | None = None  # a newer process under this member's own name
         # Both are read several times a tick, and dropped with each change.
-        self._cached_digest: tuple[tuple[int, int], int] | None = (
-            None  # what of this member it was made of; digest
-        )
+        # What of this member it was made of; digest.
+        self._cached_digest: tuple[tuple[int, int], int] | None = None
         self._cached_present: tuple[MemberEntry, ...] | None = None
 
     def apply(self, now_ns: int, update: GossipUpdate, reporter: str) -> bool:
--- a/trackspread/membership/prober.py
+++ b/trackspread/membership/prober.py
@@ -24,7 +24,7 @@
 
 HELPERS = 3  # SWIM's k: a fleet that loses a tenth of its datagrams fails all three in one of 300 times
 DIRECT_FRACTION = 0.4  # of the interval for a direct ping, which leaves the rest for the indirect ones
-MAX_HEALTH = 8  # steps of local health; 0 is healthy
+MAX_HEALTH = 8  # the worst; 0 is healthy (Lifeguard's local health multiplier)
 LATE_TICK_NS = 100 * MS  # lateness of a tick that counts against the process's own health
 
 
@@ -56,7 +56,7 @@
         self._order: list[MemberId] = []
         self._sequence = rng.getrandbits(30)
         self.in_progress: dict[int, Probe] = {}  # by sequence number
-        self.health = 0
+        self.health = 0  # steps of bad health: 0 is healthy, MAX_HEALTH the worst
         self._next_at_ns = 0
 
     def timeout_factor(self) -> int:
--- a/trackspread/membership/settings.py
+++ b/trackspread/membership/settings.py
@@ -17,7 +17,7 @@
     seeds: tuple[Address, ...]
     version: str = ""
     probe_interval_ns: int = 300 * MS  # between two probes
-    max_members: int = 64  # in the member table
+    max_members: int = 64  # of the fleet; the member table has up to twice as many, with those that are gone
     position: ListPosition = NO_POSITION
     lease_duration_ns: int = 30 * SECOND  # of slots, without renewal; the same in all of the fleet
 
--- a/trackspread/membership/slot_allocation.py
+++ b/trackspread/membership/slot_allocation.py
@@ -48,6 +48,7 @@
         rest = slots >> first
         first += (rest & -rest).bit_length() - 1  # to the next slot in the set
         rest = slots >> first
+        # The lowest bit that is not set says how long this run is.
         length = (~rest & (rest + 1)).bit_length() - 1
         runs.append(f"{first}-{first + length - 1}")
         first += length
--- a/trackspread/membership/transport.py
+++ b/trackspread/membership/transport.py
@@ -24,9 +24,8 @@
 EXCHANGE_TIMEOUT_S = 2.0  # for one exchange of tables
 MAX_OWN_EXCHANGES = 4  # in progress that were begun here
 MAX_SERVED_EXCHANGES = 16  # in progress that others began
-DESCRIPTORS = (
-    MAX_OWN_EXCHANGES + MAX_SERVED_EXCHANGES + 4
-)  # with both sockets, the event log, and one to spare
+# With both sockets, the event log, and one to spare.
+DESCRIPTORS = MAX_OWN_EXCHANGES + MAX_SERVED_EXCHANGES + 4
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
@@ -130,7 +129,7 @@
         try:
             call()
         except Exception:
-            log.exception("fault in the view of the fleet")
+            log.exception("fleet: fault in handling one tick or message, which is skipped")
 
     def _run_tick(self) -> None:
         loop = asyncio.get_running_loop()
--- a/trackspread/node/action_executor.py
+++ b/trackspread/node/action_executor.py
@@ -120,7 +120,7 @@
         now_ns = self._host.now()
         if request is None:
             # The module counts it as in flight all the same, until it is notified that it is not.
-            log.error("request %d: an attempt was decided after its end, it is not sent", action.request)
+            log.error("request %d has already ended: the attempt decided for it is not sent", action.request)
             self._report_not_sent(action, 0, is_request_finished=True)
             return
         index = request.attempt_count
--- a/trackspread/node/cell_part.py
+++ b/trackspread/node/cell_part.py
@@ -13,7 +13,7 @@
 
 from ..cells.gateway import Gateway, GatewaySettings
 from ..cells.host import Host
-from ..cells.topology import ControlMachine, Zone
+from ..cells.topology import MAX_CELL_MEMBERS, ControlMachine, Zone
 from ..cells.wire import CellsWire
 from ..config.addresses import ConfigError, address
 from ..config.operator import Fleet
@@ -24,8 +24,6 @@
 from .fleet_view_part import FleetViewPart
 from .random_seed import random_seed
 
-MAX_CELL_MEMBERS = 64  # of one view
-
 
 def control_machines(fleet: Fleet) -> tuple[ControlMachine, ...]:
     """The control machines, as the operator's file lists them."""
--- a/trackspread/node/control_machine.py
+++ b/trackspread/node/control_machine.py
@@ -39,24 +39,25 @@
     `leadership_changed` is called with the epoch under which it leads, or None once it no longer does.
     Raises `ConfigError`, and `OSError` where its record cannot be written.
     """
-    known = control_machines(fleet)
-    own = next((machine for machine in known if machine.name == name), None)
+    machines = control_machines(fleet)
+    own = next((machine for machine in machines if machine.name == name), None)
     if own is None:
-        names = ", ".join(machine.name for machine in known) or "none, as fleet.control is empty"
+        names = ", ".join(machine.name for machine in machines) or "none, as fleet.control is empty"
         raise ConfigError(f"NAME: found {name!r}, wanted a control machine's: {names}")
     settings = ControlSettings(
         fleet.name,
         name,
         created_now_ms(),
-        known,
+        machines,
         program_version(),
         CellPolicy(max_fleet_gateways=fleet.gateways),
         int(fleet.period_ms * MS),
         int(fleet.keep_s * SECOND),
     )
     core = Controller(settings, time.monotonic_ns(), random_seed())
-    wire = CellsWire(fleet.name, read_keys(fleet), max(MAX_CELL_MEMBERS, 2 * len(known)))
+    wire = CellsWire(fleet.name, read_keys(fleet), max(MAX_CELL_MEMBERS, 2 * len(machines)))
     record = Path(fleet.record) if fleet.record else None
+    # With `fleet.region` the file is a gateway's, too, and `fleet.listen` is that gateway's address.
     listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else own.address
     return Host(core, listen, wire, time.monotonic_ns, record, on_leadership=leadership_changed)
 
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -41,7 +41,8 @@
 log = logging.getLogger(__name__)
 
 FIRST_LIST_TIMEOUT_S = 0.5  # at the start, until the cached endpoint list serves
-# A stopping gateway answers all requests this long after the longest deadline: SIGKILL comes after 0.7.
+# After the longest deadline, by which a stopping gateway has answered everything; SIGKILL comes 0.7 s after
+# it.
 ANSWER_MARGIN_S = 0.5
 MAX_STOP_DEADLINE_NS = 3 * NS_PER_S  # the longest deadline that SIGKILL waits for
 CLOSE_MARGIN_S = 0.1  # more, in which the last answers leave and their connections close
@@ -221,13 +222,13 @@
             return None
         if self.parts.usage is not None or self.parts.quota_counter is not None or self.services.classes:
             log.warning(
-                "handover: not possible with usage records, a quota counter or services, starting cold"
+                "handover: not possible with use.folder, counter.servers or services set: starting cold"
             )
             return None
         try:
             return Rendezvous(Path(self.config.meeting), self.config.name)
         except OSError as error:
-            log.warning("handover: TMPDIR: %s, starting cold", error.strerror)
+            log.warning("handover: TMPDIR cannot be used: %s, starting cold", error.strerror)
             return None
 
     async def _open_peers(self, descriptor: int | None = None) -> None:
--- a/trackspread/node/handover_side.py
+++ b/trackspread/node/handover_side.py
@@ -16,12 +16,12 @@
 from ..handover.link import Link
 from ..handover.states import Action, Actions, Event
 from ..handover.wire import Kind, WireError
-from .handover_state import RequestTable, StateExporter
+from .handover_state import HandoverGateway, StateExporter
 
 log = logging.getLogger(__name__)
 
 
-class Serving(RequestTable, Protocol):
+class Serving(HandoverGateway, Protocol):
     """A process that can stop serving for another, and resume; a gateway is one."""
 
     clients: Clients
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -23,7 +23,7 @@
 NUMBER_OFFSET = 1 << 32  # of the new process's requests: no number stands for one of each process
 
 
-class OpenRequest(Protocol):
+class AcceptedRequest(Protocol):
     """A request that was accepted and may still owe an answer."""
 
     @property
@@ -39,7 +39,7 @@
         """Its attempts at backends, by index."""
 
 
-class RequestTable(Protocol):
+class HandoverGateway(Protocol):
     """What the state of a handover is read from and restored to; a gateway is one."""
 
     config: Config
@@ -52,7 +52,7 @@
     open_request_ids: set[bytes]
 
     @property
-    def requests(self) -> Mapping[int, OpenRequest]:
+    def requests(self) -> Mapping[int, AcceptedRequest]:
         """By number."""
 
     def class_names(self) -> tuple[str, ...]:
@@ -108,7 +108,7 @@
 class StateExporter:
     """The old process's side."""
 
-    def __init__(self, table: RequestTable, send: Callable[[bytes], object]) -> None:
+    def __init__(self, table: HandoverGateway, send: Callable[[bytes], object]) -> None:
         """`send` takes packets for the new process."""
         self._table = table
         self._send_packet = send
@@ -140,8 +140,8 @@
     def _send(self, progress: Progress) -> None:
         self._send_packet(wire.pack(wire.Kind.PROGRESS, wire.encode(progress)))
 
-    def sent(self, attempt: Attempt) -> None:
-        """An attempt was sent here after the state was exported."""
+    def attempt_started(self, attempt: Attempt) -> None:
+        """An attempt starts here after the state was exported."""
         call = attempt.call
         if call is None:
             return
@@ -180,7 +180,7 @@
 class StateImporter:
     """The new process's side."""
 
-    def __init__(self, table: RequestTable) -> None:
+    def __init__(self, table: HandoverGateway) -> None:
         self._table = table
         self._request_ids: dict[int, bytes] = {}  # of the old process's open requests, by number
         # The old process's attempts in flight, by request's number and index, with the backend of each.
--- a/trackspread/node/membership_part.py
+++ b/trackspread/node/membership_part.py
@@ -105,13 +105,13 @@
         if members.own_update.slow:
             slow.add(self._number)
         self._names = {number: update.name for number, update in peers.items()}
-        event = self._fleet_changed(self.host, tuple(sorted(peers)), slow)
+        event = self._fleet_event(self.host, tuple(sorted(peers)), slow)
         self._peer_slots = {number: slots for number, slots in self._peer_slots.items() if number in peers}
         if event != self._last:
             self._last = event
             self._changed(event)
 
-    def _fleet_changed(self, host: Host, others: tuple[int, ...], slow: set[int]) -> FleetChanged:
+    def _fleet_event(self, host: Host, others: tuple[int, ...], slow: set[int]) -> FleetChanged:
         lease = host.core.lease
         slots, until_ns = (0, 0) if host.core.has_left else (lease.granted_slots, lease.valid_until_ns)
         everybody = tuple(sorted((self._number, *others)))
--- a/trackspread/node/quota_counter_part.py
+++ b/trackspread/node/quota_counter_part.py
@@ -96,9 +96,9 @@
             counter.prefix,
             counter.partitions,
         )
-        slot = config.settings.gateway_index
+        gateway = config.settings.gateway_index
         self.host = CounterHost(
-            self.client, routes, counter_access(counter), counter.prefix, slot, now, handle
+            self.client, routes, counter_access(counter), counter.prefix, gateway, now, handle
         )
 
     async def start(self) -> None:
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -49,12 +49,10 @@
 
 log = logging.getLogger(__name__)
 
-DEADLINE_MARGIN_NS = (
-    10 * NS_PER_MS
-)  # before a client's time ends: the way here and back, and a loop that lags
-TIMER_RETRY_NS = (
-    NS_PER_S // 10
-)  # until a timer whose event met a fault fires again: the module's tick goes on
+# Before a client's time ends: the way here and back, and a loop that lags.
+DEADLINE_MARGIN_NS = 10 * NS_PER_MS
+# Until a timer whose event met a fault fires again: the module's tick goes on.
+TIMER_RETRY_NS = NS_PER_S // 10
 NO_SERVICES = Services()
 
 
@@ -76,9 +74,8 @@
         self.requests: dict[int, Request] = {}
         self.open_request_ids: set[bytes] = set()  # of the requests that still owe an answer
         self.answer_by_ns: int | None = None  # once stopping: when every request has to be answered
-        self.handover_exporter: StateExporter | None = (
-            None  # while another process serves in this one's place
-        )
+        # While another process serves in this one's place.
+        self.handover_exporter: StateExporter | None = None
         self._executor = ActionExecutor(self)
         self._numbers: Iterator[int] = count(1)
         self._outcomes: Counter[Outcome] = Counter()  # of attempts since the last line on them
@@ -240,7 +237,7 @@
     def attempt_starts(self, attempt: Attempt) -> None:
         """An attempt is about to start."""
         if self.handover_exporter is not None:
-            self.handover_exporter.sent(attempt)
+            self.handover_exporter.attempt_started(attempt)
 
     def attempt_written(self) -> None:
         """A request's last byte has gone out to a backend."""
--- a/trackspread/planning/__init__.py
+++ b/trackspread/planning/__init__.py
@@ -1,1 +1,3 @@
-"""Leases on tenants' limits that planners grant to forwarders. Without I/O or clocks; no role uses it yet."""
+"""The lease election, which membership uses too, and leases on tenants' limits that planners grant to
+forwarders, which no role uses yet. No I/O.
+"""
--- a/trackspread/planning/election.py
+++ b/trackspread/planning/election.py
@@ -58,7 +58,7 @@
         self._rng = rng
         self._silent_until_ns = now + ACCEPTED_NS
         self._promised: Ballot = (0, -1)
-        self._accepted: tuple[int, int] = (-1, 0)  # owner, and until when, ns
+        self._accepted: tuple[int, int] = (NOBODY, 0)  # owner, and until when, ns
         self._round = 0
         self._ballot: Ballot = (0, -1)
         self._votes: set[int] = set()
--- a/trackspread/planning/rotation.py
+++ b/trackspread/planning/rotation.py
@@ -6,8 +6,8 @@
   can forward nothing.
 - A turn lasts while it is used, `TURN_NS` at most. As many run at once as the smallest burst of a limit that
   is all planned holds requests: elsewhere static shares serve too, and the largest counts.
-- The next are those that have waited longest, strictly: any of the longer waiting half would leave out for
-  ever a forwarder that always requests last. One that has sent no request for `WAITING_NS` is not waited for.
+- The next are those that have waited longest, so that a forwarder that always requests last gets its turn
+  too. One that has sent no request for `WAITING_NS` is not waited for.
 
 Knows requests as they come and the planner's clock; knows nothing of leases.
 """
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -90,7 +90,7 @@
     real = Gateway._request_placement
 
     def mutant(self: Gateway, now: int) -> None:
-        if self._unanswered > 2:
+        if self._unanswered_requests > 2:
             self._leave_cell(now)
             self.placement = None
         real(self, now)
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -55,15 +55,8 @@
     STUCK = "stuck"
 
 
-OPENED = frozenset(
-    {  # the control is known: the export goes on, whatever the writer does
-        State.ABSENT,
-        State.CREATING,
-        State.SETTLING,
-        State.DECLARING,
-        State.LIVE,
-    }
-)
+# The control is known: the export goes on, whatever the writer does.
+OPENED = frozenset({State.ABSENT, State.CREATING, State.SETTLING, State.DECLARING, State.LIVE})
 
 
 @dataclass(frozen=True, slots=True)
