--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -164,6 +164,9 @@
     def planned(world: Any, source: Any, target: Any, call: Any) -> None:
         recorder.add(source.name, target.name, call.args)
 
+    def handed_over(world: Any, actions: Any) -> None:
+        recorder.add(world.now, [tuple(action) for action in actions])  # pairs; their type came later
+
     def swapped(world: Any, process: Any, core: Any, target: Any, table: Any) -> None:
         recorder.add(process.name, target.name, encode(table))
 
@@ -178,8 +181,8 @@
             _before(DistributionWorld, "_send", sent),
             _before(PlanningWorld, "send", planned),
             _before(UsageWorld, "sent", lambda world, post: recorder.add(post.key, post.body)),
-            _before(HandoverWorld, "_do_old", lambda world, actions: recorder.add(world.now, actions)),
-            _before(HandoverWorld, "_do_new", lambda world, actions: recorder.add(world.now, actions)),
+            _before(HandoverWorld, "_do_old", handed_over),
+            _before(HandoverWorld, "_do_new", handed_over),
             _decisions(recorder),
             _ledgers(recorder),
         ):
