--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -35,6 +35,7 @@
 from trackspread.decide.services import ServiceBrokers
 from trackspread.lists.agent import parse_update
 from trackspread.membership.slot_allocation import slots_of
+from trackspread.testing.virtual.plain import plain_settings
 
 SECOND = 1_000_000_000
 START = 1000 * SECOND
@@ -63,32 +64,18 @@
 
 def settings(gateways: int = MEMBERS, plans: tuple[Plan, ...] = (PLAN,)) -> Settings:
     """What the module is told at its start; customers have homes, as in every fleet of over some six."""
-    return Settings(
-        classes=CLASSES,
+    return plain_settings(
+        plans[0],
         plans=plans,
-        zone=0,
-        gateway_index=0,
+        classes=CLASSES,
         gateway_count=gateways,
         load_report_names=("util",),
         max_attempts=4,
         may_hedge=True,
-        may_cancel=True,
-        may_check_health=False,
         may_gossip=True,
-        may_send_retry_after=True,
-        max_retry_after_ns=SECOND,
-        has_shared_counter=False,
-        metering_period_ns=0,
-        largest_request_units=1.0,
         peer_messages_per_s=40.0,
-        units_settled_later=False,
-        polls_discovery=False,
         poll_within_ns=10 * SECOND,
-        drain_grace_ns=SECOND,
         overload_window_ns=2 * SECOND,
-        overload_multiple=3.0,
-        slow_start_capacity=0.2,
-        slow_start_ns=20 * SECOND,
         cross_zone_cost=0.01,
     )
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,6 +8,7 @@
 from trackspread.decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from trackspread.decide.events import AttemptEnded, Outcome, RequestArrived
 from trackspread.decide.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
+from trackspread.testing.virtual.plain import plain_settings
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -25,32 +26,17 @@
     ),
 )
 PLAN = Plan("p", 10.0, 20.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-SETTINGS = Settings(
+SETTINGS = plain_settings(
+    PLAN,
     classes=CLASSES,
-    plans=(PLAN,),
-    zone=0,
-    gateway_index=0,
     gateway_count=2,
     load_report_names=("concurrent",),
     max_attempts=4,
     may_hedge=True,
-    may_cancel=True,
-    may_check_health=False,
     may_gossip=True,
-    may_send_retry_after=True,
-    max_retry_after_ns=SECOND,
-    has_shared_counter=False,
-    metering_period_ns=0,
-    largest_request_units=1.0,
     peer_messages_per_s=60.0,
-    units_settled_later=False,
-    polls_discovery=False,
     poll_within_ns=10 * SECOND,
-    drain_grace_ns=SECOND,
     overload_window_ns=2 * SECOND,
-    overload_multiple=3.0,
-    slow_start_capacity=0.2,
-    slow_start_ns=20 * SECOND,
     cross_zone_cost=0.01,
 )
 
