--- a/trackspread/lists/turns.py
+++ b/trackspread/lists/turns.py
@@ -23,7 +23,8 @@
 # The same of a gateway that has no list to serve by, after an error that came at once: it is ready when it
 # has one.
 LISTLESS_LEAST, LISTLESS_MOST = 2.0, 3.0
-UNASKED = 0.4  # s over which first calls are spread: the answer is there before the door opens (`FIRST_LIST_TIMEOUT_S`)
+# s over which first calls are spread: the answer is there before the door opens (`FIRST_LIST_TIMEOUT_S`)
+UNASKED = 0.4
 # Where lists are pushed, what discovery has counts as told also while no watch is open: the wait before the
 # next one is no more than this part of a drain's grace, of which the call itself needs some.
 GRACE_PART = 0.4
