--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -226,7 +226,7 @@
                     break
                 await asyncio.sleep(0.1)
             assert [b.name for b in fenced] == ["n3"]
-            while b"a newer process under this name" not in first.log.read_bytes():
+            while b"a newer process with this name" not in first.log.read_bytes():
                 await asyncio.sleep(0.05)
         finally:
             twin.kill()
