--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -18,9 +18,9 @@
 
 import uvloop
 
-from trackspread.testing.harness.process import GatewayProcess, cpu_seconds
+from trackspread.testing.harness.gateway_process import GatewayProcess, cpu_seconds
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Ports
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
@@ -105,9 +105,11 @@
     listed, ledger = BackendList(), Ledger()
     for number, address in enumerate(nodes):
         listed.put(
-            Listed(f"s-{number}", (address,), "abc"[number // 3 % 3], "m1", number // 3, "in_service", 0)
+            ListedBackend(
+                f"s-{number}", (address,), "abc"[number // 3 % 3], "m1", number // 3, "in_service", 0
+            )
         )
-    agent = Agent(listed, 0, ledger)
+    agent = DiscoveryAgent(listed, 0, ledger)
     await agent.start()
     ports = Ports()
     at, peers = ports.tcp(), ["{}:{}".format(*ports.udp()) for _ in range(gateways)]
--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -19,18 +19,18 @@
 
 from trackspread.commands.quota import ask
 from trackspread.config.addresses import ConfigError
-from trackspread.testing.harness import counted
+from trackspread.testing.harness import counter_faults
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.standins.counter import Shard
 from trackspread.testing.standins.counter_server import CounterServer
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.counter.mutants import MUTANTS, convict
 from trackspread.testing.virtual.counter.schedules import calm_world, deaf_world, make, play, tight_world
 
 from .cost import Work, gateway, spawn
 
 # Demand under the nodes' capacity, so that limits alone refuse; a third of the members ask beyond quotas.
-SCENE = Scene(gateways=4, nodes=9, customers=60, load=0.5, greedy=0.3, seed=11)
+SCENARIO = Scenario(gateways=4, nodes=9, customers=60, load=0.5, greedy=0.3, seed=11)
 WARM, TROUBLE, AFTER = 8.0, 9.0, 4.0  # s: stores fill; longer than any burst; what comes back
 TROUBLES = ("none", "cut", "cut_half", "split", "replace", "slow", "silent", "kill")
 RECOVERED_MOST = 20.0  # s that the counter's return is watched for
@@ -39,17 +39,17 @@
 
 
 async def _trouble(name: str, folder: Path) -> dict[str, float]:
-    async with counted.counted(SCENE, more=lambda n: f'status = "{folder / n}"') as (fleet, server):
+    async with counter_faults.counted(SCENARIO, more=lambda n: f'status = "{folder / n}"') as (fleet, server):
         fleet.ask()
         await asyncio.sleep(WARM)
         mark = len(fleet.ledger.entries)
-        await getattr(counted, name)(fleet, server, TROUBLE)
+        await getattr(counter_faults, name)(fleet, server, TROUBLE)
         recovery = await _recovery(fleet, folder) if name == "cut" else 0.0
         await asyncio.sleep(max(0.0, AFTER - recovery))
         await fleet.settle()
         verdict = fleet.verdict()
-        ceiling, quota = counted.excess(fleet)
-        inside = counted.inside(fleet, mark)
+        ceiling, quota = counter_faults.excess(fleet)
+        inside = counter_faults.inside(fleet, mark)
     return {
         "ceiling": ceiling,
         "quota": quota,
@@ -62,7 +62,7 @@
 
 async def _recovery(fleet: Fleet, folder: Path) -> float:
     """Seconds from the counter's return until every gateway keeps whole quotas again."""
-    began, members = time.monotonic(), [c.number for c in fleet.clients.crowd.customers[:12]]
+    began, members = time.monotonic(), [c.number for c in fleet.clients.population.customers[:12]]
     while time.monotonic() - began < RECOVERED_MOST:
         told = []
         for name in (g.name for g in fleet.gateways):
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -22,9 +22,9 @@
 
 import hiredis
 
-from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Ports, own_address
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
@@ -180,8 +180,8 @@
     sockets = [server.sockets[0] for server in servers] + [late.socket for late in lates]
     for number, made in enumerate(sockets):
         host, port = made.getsockname()
-        listed.put(Listed(f"s-{number}", ((host, port),), "a", "m1", number, "in_service", 0))
-    agent, at = Agent(listed, 0, ledger), ports.tcp()
+        listed.put(ListedBackend(f"s-{number}", ((host, port),), "a", "m1", number, "in_service", 0))
+    agent, at = DiscoveryAgent(listed, 0, ledger), ports.tcp()
     await agent.start()
     config = {
         "name": "n0",
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -23,12 +23,12 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from trackspread.testing.harness.billed import Billed, compare
+from trackspread.testing.harness.billing_check import Billed, compare
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.ledger import Answered, Asked
+from trackspread.testing.judge.ledger import ReplyReceived, RequestSent
 from trackspread.plans.registry import SCHEMA, Figures, PlanRegistry, Version
 from trackspread.testing.standins.billing_server import BillingServer
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.calls import Look, perform
 from trackspread.storage.directory import Directory
 from trackspread.storage.slots import SLOT
@@ -37,7 +37,7 @@
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import Ending
 from trackspread.usage.senders import Target, put, sender
-from trackspread.testing.virtual import booked
+from trackspread.testing.virtual import reservations
 from trackspread.testing.virtual.usage.mutants import MUTANTS, convict
 from trackspread.testing.virtual.usage.schedules import make, play
 
@@ -107,8 +107,8 @@
         server = BillingServer(folder / "billing.db")
         server.lost = server.busy = 0.1
         await server.start()
-        scene = Scene(gateways=2, nodes=4, load=0.6, seed=11)
-        async with Fleet(scene, own=lambda name: _own(folder, server.url, name)) as fleet:
+        scenario = Scenario(gateways=2, nodes=4, load=0.6, seed=11)
+        async with Fleet(scenario, own=lambda name: _own(folder, server.url, name)) as fleet:
             fleet.ask()
             for number in range(kills):
                 await asyncio.sleep(rng.uniform(0.05, 0.6))
@@ -141,18 +141,18 @@
             told = f'[use]\nfolder = "{folder / name}"\nbilling = "{server.url}"\n'
             return told if name == recording else ""
 
-        async with Fleet(Scene(gateways=2, nodes=9, load=0.9, seed=12), own=own) as fleet:
+        async with Fleet(Scenario(gateways=2, nodes=9, load=0.9, seed=12), own=own) as fleet:
             fleet.ask()
             await asyncio.sleep(2.0)  # both have their lists, connections and caps
             fleet.ledger.entries.clear()
             before = {gateway.name: gateway.used() for gateway in fleet.gateways}
             await asyncio.sleep(seconds)
             used = {gateway.name: gateway.used() - before[gateway.name] for gateway in fleet.gateways}
-            asked = {e.request: e.gateway for e in fleet.ledger.entries if isinstance(e, Asked)}
+            asked = {e.request: e.gateway for e in fleet.ledger.entries if isinstance(e, RequestSent)}
             tries = Counter(
                 asked[e.request]
                 for e in fleet.ledger.entries
-                if isinstance(e, Answered) and e.request in asked
+                if isinstance(e, ReplyReceived) and e.request in asked
             )
             await fleet.settle()
         server.close()
@@ -240,16 +240,16 @@
 
 def _reservations(seeds: int) -> float:
     """Of what a member's plan and reservation let pass, what was sent on at worst; in virtual time."""
-    return min(sent / max(1, owed) for _, sent, owed in map(booked.run, range(FROM, FROM + seeds)))
+    return min(sent / max(1, owed) for _, sent, owed in map(reservations.run, range(FROM, FROM + seeds)))
 
 
 async def _skew() -> float:
     """ms between the first and the last of four gateways to take up a version, by their logs."""
     with tempfile.TemporaryDirectory(prefix="trackspread-plans-") as place:
         path = Path(place) / "plans.json"
-        scene = Scene(gateways=4, nodes=4, load=0.5, seed=13)
-        plan = scene.settings(0)["packages"][0]["name"]
-        async with Fleet(scene, own=lambda name: f'[plans]\nbook = "{path}"\n') as fleet:
+        scenario = Scenario(gateways=4, nodes=4, load=0.5, seed=13)
+        plan = scenario.settings(0)["packages"][0]["name"]
+        async with Fleet(scenario, own=lambda name: f'[plans]\nbook = "{path}"\n') as fleet:
             fleet.ask()
             now = time.time_ns() // 1_000_000
             version = Version(1, now + AHEAD_MS, now, "", {plan: Figures(10.0, 20.0)})
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -22,15 +22,15 @@
 import uvloop
 
 from benchmarks.common import chunks, say
-from trackspread.testing.harness import mutant, viewed
-from trackspread.testing.harness.faulted import Played, play_clear
+from trackspread.testing.harness import mutant_gateway, membership_fleet
+from trackspread.testing.harness.fault_run import FaultRun, play_clear
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.player import Player
+from trackspread.testing.harness.fault_player import Player
 from trackspread.membership.identifiers import SECOND
-from trackspread.testing.standins import faults
-from trackspread.testing.standins.faults import Cut, Duty, Fault, Rough, Schedule, draw
-from trackspread.testing.standins.scene import Scene
-from trackspread.testing.virtual.membership.world import Broken, World
+from trackspread.testing.standins import fault_schedule
+from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Rough, Schedule, draw
+from trackspread.testing.standins.scenario import Scenario
+from trackspread.testing.virtual.membership.world import InvariantViolated, World
 from trackspread.testing.virtual.membership.mutants import MUTANTS, convict
 from trackspread.testing.virtual.membership.schedules import make
 from trackspread.testing.virtual.membership.schedules import play as play_virtual
@@ -54,7 +54,7 @@
 
 
 async def _settled(fleet: Fleet, what: str, since: int | None = None) -> float:
-    took = await viewed.until_settled(fleet, 15.0, since)
+    took = await membership_fleet.until_settled(fleet, 15.0, since)
     say(f"{what}: {'not settled within 15 s' if took is None else f'{took:.2f} s'}")
     return 15.0 if took is None else took
 
@@ -64,12 +64,12 @@
 
 
 def _cut(span: float, some: list[str], others: list[str]) -> Cut:
-    return Cut(0.0, span, faults.parted(some, others))
+    return Cut(0.0, span, fault_schedule.parted(some, others))
 
 
 async def _idle(count: int) -> float:
     """CPU of a gateway without a view over a span in which nobody asks, as a share of a core."""
-    async with Fleet(Scene(gateways=count, nodes=3, load=0.1, seed=1)) as fleet:
+    async with Fleet(Scenario(gateways=count, nodes=3, load=0.1, seed=1)) as fleet:
         return await _used(fleet)
 
 
@@ -93,14 +93,14 @@
 async def _joined(fleet: Fleet, numbers: list[int], what: str) -> float:
     """s from the last one's start, as it records it, until all hold one view of just those that run."""
     await fleet.begin(numbers)
-    return await _settled(fleet, what, viewed.started(fleet, numbers))
+    return await _settled(fleet, what, membership_fleet.started(fleet, numbers))
 
 
 async def _large(count: int, quick: bool) -> dict[str, float]:
     """All of it on one fleet, under some load."""
     names = [f"n{n}" for n in range(count)]
-    async with Fleet(Scene(gateways=count, nodes=6, load=0.2, seed=2), viewed="") as fleet:
-        since = viewed.started(fleet, range(count))
+    async with Fleet(Scenario(gateways=count, nodes=6, load=0.2, seed=2), viewed="") as fleet:
+        since = membership_fleet.started(fleet, range(count))
         made = {"settle_s_start": await _settled(fleet, f"{count} started", since)}
         made["cpu_share"] = await _used(fleet)
         fleet.ask()
@@ -113,7 +113,9 @@
         await fleet.end(five)
         made["settle_s_crash"] = await _settled(fleet, "five killed")
         await _joined(fleet, five, "five joined")
-        await _faulty(fleet, 10.0, Cut(0.0, 10.0, faults.parted(names[: count // 2], names[count // 2 :])))
+        await _faulty(
+            fleet, 10.0, Cut(0.0, 10.0, fault_schedule.parted(names[: count // 2], names[count // 2 :]))
+        )
         made["settle_s_heal"] = await _settled(fleet, "halves healed")
         since = time.monotonic_ns()
         slow = tuple(range(3, count, 5))
@@ -121,12 +123,12 @@
         await _faulty(
             fleet,
             span,
-            Rough(0.0, span, faults.among(names), ("udp",), loss=0.1),
+            Rough(0.0, span, fault_schedule.among(names), ("udp",), loss=0.1),
             Duty(0.0, span, slow, 0.3, 0.3),
         )
         made["false_dead"] = _dead(fleet, since)
         await fleet.settle()
-        amiss, most = viewed.amiss(fleet)
+        amiss, most = membership_fleet.amiss(fleet)
         verdict = fleet.verdict()
         for each in amiss[:3]:
             say(f"AMISS: {each.rule}: {each.text}")
@@ -141,9 +143,9 @@
 
 async def _small(planted: str, seed: int) -> str:
     """What a fleet with this fault does wrong; nothing if nothing is told. Without one: nothing may be."""
-    command = mutant.command(planted) if planted else ("-m", "trackspread", "run")
+    command = mutant_gateway.command(planted) if planted else ("-m", "trackspread", "run")
     names = [f"n{n}" for n in range(SMALL)]
-    async with Fleet(Scene(gateways=SMALL, nodes=3, load=0.1, seed=seed), command, viewed="") as fleet:
+    async with Fleet(Scenario(gateways=SMALL, nodes=3, load=0.1, seed=seed), command, viewed="") as fleet:
         steps: list[tuple[str, float, Callable[[], Awaitable[None]]]] = [
             ("start", 6.0, lambda: asyncio.sleep(0.0)),
             ("a join", 3.0, lambda: fleet.restart([4], 0.2)),
@@ -154,9 +156,9 @@
         found = ""
         for what, most, step in steps:
             await step()
-            if await viewed.until_settled(fleet, most) is None:
+            if await membership_fleet.until_settled(fleet, most) is None:
                 found = f"not settled {most:.0f} s after {what}"
-            amiss, _ = viewed.amiss(fleet)
+            amiss, _ = membership_fleet.amiss(fleet)
             if amiss:
                 found = amiss[0].text
             if found:
@@ -164,12 +166,12 @@
         return ""
 
 
-def _fares(job: tuple[int, str | None]) -> Played:
+def _fares(job: tuple[int, str | None]) -> FaultRun:
     """Halves that part for a while and heal, under load; `view` None: without one."""
     seed, view = job
     gc.disable()
     names = [f"n{n}" for n in range(FARING)]
-    cut = Cut(5.0, 7.0, faults.parted(names[: FARING // 2], names[FARING // 2 :]))
+    cut = Cut(5.0, 7.0, fault_schedule.parted(names[: FARING // 2], names[FARING // 2 :]))
     return uvloop.run(play_clear(Schedule("halves", seed, FARING, 18.0, (cut,)), TRIES, view=view))
 
 
@@ -202,13 +204,13 @@
     gc.disable()
 
     async def once(played: int) -> str | None:
-        async with Fleet(Scene(gateways=12, nodes=6, load=0.15, seed=played), viewed="") as fleet:
-            await viewed.until_settled(fleet, 15.0)
+        async with Fleet(Scenario(gateways=12, nodes=6, load=0.15, seed=played), viewed="") as fleet:
+            await membership_fleet.until_settled(fleet, 15.0)
             fleet.ask()
             await Player(fleet, draw(played, 12, 14.0, 1.0, 1.0)).play()
-            took = await viewed.until_settled(fleet, 8.0)
+            took = await membership_fleet.until_settled(fleet, 8.0)
             await fleet.settle()
-            verdict, (amiss, _) = fleet.verdict(), viewed.amiss(fleet)
+            verdict, (amiss, _) = fleet.verdict(), membership_fleet.amiss(fleet)
             if verdict.state == "void":
                 return None
             broken = [f"{v.rule}: {v.text}" for v in verdict.violations] + [a.text for a in amiss]
@@ -232,7 +234,7 @@
     for seed in seeds:
         try:
             made.append((seed, "", play_virtual(make(seed))[1]))
-        except Broken as broken:
+        except InvariantViolated as broken:
             made.append((seed, str(broken), 0))
     return made
 
@@ -320,7 +322,7 @@
     print(schedule)
     try:
         took = play_virtual(schedule)[1]
-    except Broken as broken:
+    except InvariantViolated as broken:
         print(broken)
         return 1
     print(json.dumps({"violations": 0, "settle_s": took / 1e9}))
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,7 +1,7 @@
 """Day-to-day operation: the door under load, figures, settings that change, new versions, long values.
 
 Every part runs real processes on loopback. Figures: the worst answer of the door with the loop saturated and
-a crowd connected; figures against the ledger; CPU a request beside an older checkout, alternating in one
+a population connected; figures against the ledger; CPU a request beside an older checkout, alternating in one
 run; memory of many long values at slow clients against the limit; upgrades under load, judged.
 """
 
@@ -20,13 +20,13 @@
 from typing import Any, cast
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.process import GatewayProcess
-from trackspread.testing.harness.upgraded import HeldProcess, figures
+from trackspread.testing.harness.gateway_process import GatewayProcess
+from trackspread.testing.harness.upgradable_gateway import HeldProcess, figures
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.crowd import Want
-from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.client_population import ClientRequest
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Address, Ports, own_address
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
 from .closed_loop import Asker, Tally, commands
@@ -55,8 +55,8 @@
     def __init__(self, folder: Path, backends: list[Address]) -> None:
         listed, self.ledger, self.ports = BackendList(), Ledger(), Ports()
         for number, address in enumerate(backends):
-            listed.put(Listed(f"s-{number}", (address,), "a", "m1", number, "in_service", 0))
-        self.agent = Agent(listed, 0, self.ledger)
+            listed.put(ListedBackend(f"s-{number}", (address,), "a", "m1", number, "in_service", 0))
+        self.agent = DiscoveryAgent(listed, 0, self.ledger)
         self.folder, self.listed = folder, listed
 
     async def __aenter__(self) -> HeldProcess:
@@ -203,13 +203,13 @@
 
 async def upgrades(span: float, rounds: int) -> dict[str, float]:
     """Each gateway is replaced by a new process under load, `rounds` times."""
-    scene = Scene(load=LOAD, seed=7)
-    async with Fleet(scene, held=True) as fleet:
+    scenario = Scenario(load=LOAD, seed=7)
+    async with Fleet(scenario, held=True) as fleet:
         held = [each for each in fleet.gateways if isinstance(each, HeldProcess)]
         again = 0
         once_more = fleet.clients.once_more
 
-        def counted(want: Want, request: str) -> None:
+        def counted(want: ClientRequest, request: str) -> None:
             nonlocal again
             again += 1
             once_more(want, request)
--- a/benchmarks/parted.py
+++ b/benchmarks/parted.py
@@ -21,9 +21,9 @@
 import uvloop
 
 from benchmarks.common import say
-from trackspread.testing.harness.faulted import AGAIN, Played, play_clear
-from trackspread.testing.standins import faults
-from trackspread.testing.standins.faults import Schedule
+from trackspread.testing.harness.fault_run import AGAIN, FaultRun, play_clear
+from trackspread.testing.standins import fault_schedule
+from trackspread.testing.standins.fault_schedule import Schedule
 
 LEAD, SPAN, TAIL = 8.0, 10.0, 10.0  # s before (a fleet that has just started refuses a lot), of and after it
 QUICK = 5.0  # s of trouble in a quick run
@@ -35,28 +35,28 @@
     return [f"n{number}" for number in range(count)]
 
 
-def shapes(count: int, span: float) -> dict[str, tuple[faults.Fault, ...]]:
+def shapes(count: int, span: float) -> dict[str, tuple[fault_schedule.Fault, ...]]:
     """The troubles of the table, for so many gateways."""
     names, half = _names(count), count // 2
     return {
-        "calm": (faults.Calm(LEAD, span),),
-        "halves": (faults.Cut(LEAD, span, faults.parted(names[:half], names[half:])),),
-        "one way": (faults.Cut(LEAD, span, faults.one_way(names[:half], names[half:])),),
-        "ring": (faults.Cut(LEAD, span, faults.ring(names)),),
-        "one stopped 5 s": (faults.Halt(LEAD, 5.0, (1,)),),
-        "one in a duty cycle": (faults.Duty(LEAD, span, (1,), 0.3, 0.3),),
-        "one killed in a loop": (faults.Loop(LEAD, span, 1, 0.3),),
-        "all by SIGTERM": (faults.Restart(LEAD, 0.5, tuple(range(count)), False),),
+        "calm": (fault_schedule.Calm(LEAD, span),),
+        "halves": (fault_schedule.Cut(LEAD, span, fault_schedule.parted(names[:half], names[half:])),),
+        "one way": (fault_schedule.Cut(LEAD, span, fault_schedule.one_way(names[:half], names[half:])),),
+        "ring": (fault_schedule.Cut(LEAD, span, fault_schedule.ring(names)),),
+        "one stopped 5 s": (fault_schedule.Halt(LEAD, 5.0, (1,)),),
+        "one in a duty cycle": (fault_schedule.Duty(LEAD, span, (1,), 0.3, 0.3),),
+        "one killed in a loop": (fault_schedule.Loop(LEAD, span, 1, 0.3),),
+        "all by SIGTERM": (fault_schedule.Restart(LEAD, 0.5, tuple(range(count)), False),),
     }
 
 
-def _play(job: tuple[Schedule, str, str | None]) -> Played:
+def _play(job: tuple[Schedule, str, str | None]) -> FaultRun:
     schedule, keep, view = job
     gc.disable()  # a collection over the ledger would be a lag
     return uvloop.run(play_clear(schedule, TRIES, Path(keep) if keep else None, view))
 
 
-def _line(played: Played, calm: float) -> str:
+def _line(played: FaultRun, calm: float) -> str:
     f = played
     return (
         f"| {f.gateways} | {f.name} | {f.seed} | {f.state} | {f.tries} | {f.late_by_halt} | "
@@ -88,7 +88,7 @@
     )
     say("| --- " * 10 + "|")
     calm: dict[tuple[int, int], float] = {}
-    found: list[Played] = []
+    found: list[FaultRun] = []
     with multiprocessing.get_context("spawn").Pool(side, maxtasksperchild=1) as pool:
         for played in pool.imap(_play, jobs):
             if played.name == "calm":
@@ -118,7 +118,7 @@
 
 def replay(path: Path, view: str | None) -> int:
     """One kept schedule; its violations line by line."""
-    played = _play((faults.load(path), "", view))
+    played = _play((fault_schedule.load(path), "", view))
     for text in played.broken:
         print(text)
     print(json.dumps({"state": played.state, "violations": len(played.broken)}))
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -11,7 +11,7 @@
 import json
 from statistics import fmean
 
-from trackspread.testing.virtual.quiet import SCENES, TROUBLES, Day, play
+from trackspread.testing.virtual.quota_accuracy import SCENARIOS, TROUBLES, QuietDay, play
 
 from .common import say
 
@@ -19,7 +19,7 @@
 WORST_GROUP = "worst_group_more"
 
 
-def told(days: list[Day]) -> dict[str, float]:
+def told(days: list[QuietDay]) -> dict[str, float]:
     groups = [(name, policy, late) for day in days for name, (policy, late) in day.groups.items()]
     return {
         "inside": fmean(d.policy.inside for d in days),
@@ -37,7 +37,7 @@
     parser.add_argument("--quick", action="store_true", help="under 50 s")
     seeds = range(1, 1 + (QUICK if parser.parse_args().quick else FULL))
     figures: dict[str, dict[str, float]] = {}
-    for name in SCENES:
+    for name in SCENARIOS:
         for trouble in TROUBLES:
             made = {k: round(v, 4) for k, v in told([play(name, trouble, seed) for seed in seeds]).items()}
             figures[f"{name}, {trouble}"] = made
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -17,8 +17,8 @@
 import uvloop
 
 from benchmarks.common import CHUNK, chunks, say
-from trackspread.testing.harness import mutant
-from trackspread.testing.harness.scenarios import SCENARIOS, run
+from trackspread.testing.harness import mutant_gateway
+from trackspread.testing.harness.fault_scenarios import SCENARIOS, run
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.testing.virtual.mutants import MUTANTS, convict
 from trackspread.testing.virtual.schedules import CALM, make, play
@@ -39,7 +39,7 @@
     """Name, mutant or none, verdict, CPU a try in ms, memory in MB."""
     name, planted, seed = job
     gc.disable()  # a collection over the ledger would be a lag
-    command = mutant.command(planted) if planted else ("-m", "trackspread", "run")
+    command = mutant_gateway.command(planted) if planted else ("-m", "trackspread", "run")
     for number in range(TRIES):
         outcome = uvloop.run(run(SCENARIOS[name], seed + 1000 * number, command))
         if outcome.verdict.state != "void":
@@ -66,7 +66,7 @@
 def measure(quick: bool, seed: int) -> dict[str, float]:
     """All of it; progress goes to standard error."""
     began = time.monotonic()
-    sockets = ON_SOCKETS_QUICK if quick else mutant.PROCESSES
+    sockets = ON_SOCKETS_QUICK if quick else mutant_gateway.PROCESSES
     jobs = [(name, "", seed) for name in SCENARIOS]
     jobs += [(WHERE.get(name, "calm"), name, seed) for name in sockets]
     violations = void = caught = 0
@@ -76,7 +76,7 @@
         for name, planted, verdict, cpu_ms, memory in pool.imap_unordered(_scenario, jobs):
             told = ", ".join(f"{v.rule}: {v.text}" for v in verdict.violations[:2])
             if planted:
-                caught += (convicted := mutant.rule(planted) in verdict.broken())
+                caught += (convicted := mutant_gateway.rule(planted) in verdict.broken())
                 say(f"mutant {planted} in {name}: {'convicted' if convicted else 'NOT CONVICTED'} ({told})")
                 continue
             violations += len(verdict.violations) if verdict.state != "void" else 0
--- a/benchmarks/scale/beside.py
+++ b/benchmarks/scale/beside.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.beliefs import Reader
+from trackspread.testing.judge.membership_records import Reader
 from trackspread.testing.judge.ledger import PlanRule
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.testing.standins.crowd import Crowd
+from trackspread.testing.standins.client_population import ClientPopulation
 from trackspread.testing.standins.loopback import Address, Ports
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 
 from .bounds import Guard
 from .messages import Who
@@ -28,10 +28,10 @@
 LOAD = 0.15  # of what the rating nodes can do
 
 
-def shared_scene(scene: Scene, members: int) -> Scene:
+def shared_scenario(scenario: Scenario, members: int) -> Scenario:
     """With quotas and ceilings that are shared by so many members, so that these few real gateways have of
     each what they would have among themselves; customers ask for as much as without."""
-    times = members / scene.gateways
+    times = members / scenario.gateways
     plans = {
         name: PlanRule(
             plan.rate * times,
@@ -40,20 +40,20 @@
             plan.ceiling_burst * times,
             plan.ceiling_slack * times,
         )
-        for name, plan in scene.plans.items()
+        for name, plan in scenario.plans.items()
     }
-    usual = {each.name: getattr(scene, each.name) for each in fields(scene)}
-    return SharedScene(**{**usual, "plans": plans}, asked=scene)
+    usual = {each.name: getattr(scenario, each.name) for each in fields(scenario)}
+    return SharedScenario(**{**usual, "plans": plans}, asked=scenario)
 
 
 @dataclass(frozen=True, slots=True)
-class SharedScene(Scene):
+class SharedScenario(Scenario):
     """Customers are those of `asked`."""
 
-    asked: Scene = field(default_factory=Scene)
+    asked: Scenario = field(default_factory=Scenario)
 
-    def crowd(self) -> Crowd:
-        return self.asked.crowd()
+    def population(self) -> ClientPopulation:
+        return self.asked.population()
 
 
 class Record:
@@ -96,8 +96,10 @@
         self._ports = Ports()
         self._at: dict[str, Address] = {f"n{n}": (self._ports.host(), MEMBER_PORT) for n in range(count)}
         self._seeds, self._most, self._name = seeds, most, fleet
-        scene = shared_scene(Scene(gateways=count, nodes=nodes, load=LOAD, greedy=0.0, seed=49), members)
-        self._fleet = Fleet(scene, own=self._table)
+        scenario = shared_scenario(
+            Scenario(gateways=count, nodes=nodes, load=LOAD, greedy=0.0, seed=49), members
+        )
+        self._fleet = Fleet(scenario, own=self._table)
         self._records = [Record(self._record(name)) for name in self._at]
 
     async def __aenter__(self) -> RealGateways:
--- a/benchmarks/scale/children.py
+++ b/benchmarks/scale/children.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from trackspread.testing.harness.process import END_MOST
+from trackspread.testing.harness.gateway_process import END_MOST
 
 from .messages import Message
 
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -27,9 +27,9 @@
 from benchmarks.closed_loop import ANSWER, Address, commands
 from benchmarks.common import say
 from benchmarks.cost import SERVED, _settings, spawn
-from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Ports
 
 from .module import SERVICE_BACKENDS, this_run
@@ -90,7 +90,7 @@
         raise SlopesError(path, "file", str(error)) from error
 
 
-class WholeAgent(Agent):
+class WholeAgent(DiscoveryAgent):
     """An agent that tells the whole list whenever it is asked to."""
 
     def whole(self) -> None:
@@ -202,7 +202,7 @@
     listed, ledger, ports = BackendList(), Ledger(), Ports()
     for number, address in enumerate(nodes):
         listed.put(
-            Listed(
+            ListedBackend(
                 f"s-{number}",
                 (address,),
                 "abc"[number % 3],
--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -35,7 +35,7 @@
 from trackspread.decide.services import ServiceBrokers
 from trackspread.lists.agent import parse_update
 from trackspread.membership.slot_allocation import slots_of
-from trackspread.testing.virtual.plain import plain_settings
+from trackspread.testing.virtual.plain_settings import plain_settings
 
 SECOND = 1_000_000_000
 START = 1000 * SECOND
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -14,12 +14,12 @@
 from trackspread.decide import broker
 from trackspread.decide.quota import Quota, hard_limit
 from trackspread.testing.virtual.patches import held
-from trackspread.testing.virtual.vast import SHAPES, Shape, play
+from trackspread.testing.virtual.large_fleets import SHAPES, LoadShape, play
 
 QUICK, FULL = 1, 5  # seeds of each shape
 
 
-def _before(name: str, seed: int) -> Shape:
+def _before(name: str, seed: int) -> LoadShape:
     former = (
         patch.object(broker, "CHANCE", 0.0),
         patch.object(hard_limit, "unspent_units", lambda *words: 0.0),
--- a/benchmarks/version_handover.py
+++ b/benchmarks/version_handover.py
@@ -24,11 +24,17 @@
 from benchmarks.common import say
 from trackspread.testing.harness import fleet as fleets
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.upgraded import HeldProcess
-from trackspread.testing.judge.ledger import Answered, Asked, Attempted, Cut, Left
-from trackspread.testing.standins.crowd import Customer, Want
-from trackspread.testing.standins.rating import SECOND
-from trackspread.testing.standins.scene import MILLISECOND, PLANS, Scene
+from trackspread.testing.harness.upgradable_gateway import HeldProcess
+from trackspread.testing.judge.ledger import (
+    ReplyReceived,
+    RequestSent,
+    AttemptReceived,
+    ConnectionLost,
+    ClientDisconnected,
+)
+from trackspread.testing.standins.client_population import Customer, ClientRequest
+from trackspread.testing.standins.rating_node import SECOND
+from trackspread.testing.standins.scenario import MILLISECOND, PLANS, Scenario
 
 HERE = Path(__file__).parent.parent
 LOAD = 0.3  # of what the rating nodes can do
@@ -79,8 +85,10 @@
         clients = self._fleet.clients
         while True:
             self._request += 1
-            origin = clients.crowd.name(self._request, 0)
-            want = Want(origin, self.customer, "rate-lookup", self._position, 1.0, "", GREEDY_WAIT, 9)
+            origin = clients.population.name(self._request, 0)
+            want = ClientRequest(
+                origin, self.customer, "rate-lookup", self._position, 1.0, "", GREEDY_WAIT, 9
+            )
             clients._begin(want, 1)
             await asyncio.sleep(GREEDY_PAUSE_S)
 
@@ -91,9 +99,9 @@
         asked = {
             e.request
             for e in entries
-            if isinstance(e, Asked) and e.customer == self.customer.number and e.at >= self.began
+            if isinstance(e, RequestSent) and e.customer == self.customer.number and e.at >= self.began
         }
-        sent = [e for e in entries if isinstance(e, Attempted) and e.request in asked]
+        sent = [e for e in entries if isinstance(e, AttemptReceived) and e.request in asked]
         rule = PLANS[GREEDY_PLAN]
         last = max((e.at for e in sent), default=self.began)
         allowed = rule.burst + rule.rate * (last - self.began) / SECOND
@@ -103,10 +111,10 @@
 def answers(fleet: Fleet) -> tuple[int, int]:
     """Requests without an answer whose client waited for it, and requests with more than one."""
     entries = fleet.ledger.entries
-    asked = {e.request for e in entries if isinstance(e, Asked)}
-    given = Counter(e.request for e in entries if isinstance(e, Answered))
-    left = {e.request for e in entries if isinstance(e, Left)}
-    cut = {e.request for e in entries if isinstance(e, Cut)}
+    asked = {e.request for e in entries if isinstance(e, RequestSent)}
+    given = Counter(e.request for e in entries if isinstance(e, ReplyReceived))
+    left = {e.request for e in entries if isinstance(e, ClientDisconnected)}
+    cut = {e.request for e in entries if isinstance(e, ConnectionLost)}
     return len((asked - given.keys() - left) | cut), sum(count > 1 for count in given.values())
 
 
@@ -114,10 +122,10 @@
     old: Path, new: Path, rounds: int, span: float, planted: bool, seed: int
 ) -> dict[str, float]:
     """All gateways go from `old` to `new`, back, and so on: `rounds` times to `new`."""
-    scene = Scene(load=LOAD, seed=seed)
-    async with Fleet(scene, held=True, own=lambda name: "[log]\nlevel = 'info'\n") as fleet:
+    scenario = Scenario(load=LOAD, seed=seed)
+    async with Fleet(scenario, held=True, own=lambda name: "[log]\nlevel = 'info'\n") as fleet:
         held = [each for each in fleet.gateways if isinstance(each, Versioned)]
-        assert len(held) == scene.gateways and all(each.runs() == old for each in held)
+        assert len(held) == scenario.gateways and all(each.runs() == old for each in held)
         fleet.ask()
         await asyncio.sleep(span)
         overs, waits, numbers = list[float](), list[float](), GREEDY_REQUESTS
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -33,7 +33,7 @@
 
 from trackspread.decide.broker import Broker
 from trackspread.testing.standins.counter import Shard
-from trackspread.testing.virtual import booked, quiet, ramp, schedules, vast
+from trackspread.testing.virtual import reservations, quota_accuracy, slow_start, schedules, large_fleets
 from trackspread.testing.virtual.cells import schedules as cells_schedules
 from trackspread.testing.virtual.cells import worlds as cells_worlds
 from trackspread.testing.virtual.cells.world import CelledWorld
@@ -248,9 +248,9 @@
 
 WORLDS: dict[str, Callable[[int], object]] = {
     "gateways": _gateways,
-    "booked": booked.run,
-    "ramp": ramp.play,
-    "ramp, none warm": ramp.play_none_warm,
+    "booked": reservations.run,
+    "ramp": slow_start.play,
+    "ramp, none warm": slow_start.play_none_warm,
     "membership": _membership,
     "cells": _cells,
     "counter": _counter,
@@ -262,11 +262,11 @@
     "usage": _usage,
     "handover": _handover,
     **{
-        f"quiet, {scene}, {trouble}": partial(quiet.play, scene, trouble)
-        for scene in quiet.SCENES
-        for trouble in quiet.TROUBLES
+        f"quiet, {scenario}, {trouble}": partial(quota_accuracy.play, scenario, trouble)
+        for scenario in quota_accuracy.SCENARIOS
+        for trouble in quota_accuracy.TROUBLES
     },
-    **{f"vast, {shape}": partial(vast.play, shape) for shape in vast.SHAPES},
+    **{f"vast, {shape}": partial(large_fleets.play, shape) for shape in large_fleets.SHAPES},
     **{f"cells, {play.__name__}": play for play in cells_worlds.WORLDS[1:]},
     **{
         f"distribution, {play.__name__}": partial(_distribution, play)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,7 @@
 from trackspread.decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from trackspread.decide.events import AttemptEnded, Outcome, RequestArrived
 from trackspread.decide.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from trackspread.testing.virtual.plain import plain_settings
+from trackspread.testing.virtual.plain_settings import plain_settings
 
 MS = 1_000_000
 SECOND = 1_000_000_000
--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -27,7 +27,7 @@
 from trackspread.plans.notice import NOTICE_MS, PlanError
 from trackspread.plans.registry import SCHEMA, PlanRegistry, VersionFollower
 from trackspread.storage.document import Schema
-from trackspread.testing.virtual.booked import MUTANTS, convict, play
+from trackspread.testing.virtual.reservations import MUTANTS, convict, play
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -28,7 +28,7 @@
 from trackspread.membership.messages import MemberMessage, Ping
 from trackspread.membership.slot_allocation import ALL_SLOTS
 from trackspread.membership.wire import MAX_DATAGRAM_BYTES, Keys, Wire
-from trackspread.testing.judge.beliefs import Reader
+from trackspread.testing.judge.membership_records import Reader
 from trackspread.testing.standins.loopback import Ports
 
 ZONE = Zone("r", "z")
--- a/tests/test_cells_process.py
+++ b/tests/test_cells_process.py
@@ -13,9 +13,9 @@
 import uvloop
 
 from trackspread.membership.identifiers import MS
-from trackspread.testing.harness import viewed
-from trackspread.testing.harness.celled import COMMAND, CelledFleet, whole_cells
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.harness import membership_fleet
+from trackspread.testing.harness.cell_fleet import COMMAND, CelledFleet, whole_cells
+from trackspread.testing.standins.scenario import Scenario
 
 pytestmark = pytest.mark.processes
 
@@ -45,7 +45,7 @@
 
 QUICK = (
     "-m",
-    "trackspread.testing.harness.quickened",
+    "trackspread.testing.harness.fast_control",
     "none",
 )  # small cells, merged and replaced within seconds
 
@@ -54,8 +54,8 @@
     """The rules, and all records, are decided on after it; a run in which the rig lagged is played again."""
 
     async def once() -> bool:
-        scene = Scene(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance=200 * MS)
-        async with CelledFleet(scene, CONTROL, keys, controls=controls) as fleet:
+        scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance=200 * MS)
+        async with CelledFleet(scenario, CONTROL, keys, controls=controls) as fleet:
             await settled(fleet, START)
             fleet.ask()
             await work(fleet)
@@ -65,7 +65,7 @@
             if verdict.state == "void" and not amiss:
                 return False
             if verdict.state == "broken" or amiss:
-                viewed.keep(fleet, KEPT)
+                membership_fleet.keep(fleet, KEPT)
             assert amiss == []
             assert verdict.state == "kept", verdict.violations
             return True
@@ -315,14 +315,14 @@
 @pytest.mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_told_on_processes_and_none_where_there_is_none(name: str) -> None:
     async def once() -> str:
-        scene = Scene(gateways=GATEWAYS, nodes=6, load=0.1, seed=7)
+        scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.1, seed=7)
         runs = (
-            ("-m", "trackspread.testing.harness.mutant", name)
+            ("-m", "trackspread.testing.harness.mutant_gateway", name)
             if name != "none"
             else ("-m", "trackspread", "run")
         )
-        controls = ("-m", "trackspread.testing.harness.quickened", name)
-        async with CelledFleet(scene, CONTROL, f"keep_s = {KEEP_S}", runs, controls) as fleet:
+        controls = ("-m", "trackspread.testing.harness.fast_control", name)
+        async with CelledFleet(scenario, CONTROL, f"keep_s = {KEEP_S}", runs, controls) as fleet:
             return await told(fleet)
 
     found = uvloop.run(asyncio.wait_for(once(), MOST))
--- a/tests/test_cells_records.py
+++ b/tests/test_cells_records.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from trackspread.testing.harness.celled import backward, given_up, lingering, together
-from trackspread.testing.judge.beliefs import Belief
+from trackspread.testing.harness.cell_fleet import backward, given_up, lingering, together
+from trackspread.testing.judge.membership_records import MembershipRecord
 
 
-def joined(at: int, cell: str, count: int, name: str = "g", born: int = 1) -> Belief:
-    return Belief(at, name, born, "joined", {"cell": cell, "number": [5, 0, count]})
+def joined(at: int, cell: str, count: int, name: str = "g", born: int = 1) -> MembershipRecord:
+    return MembershipRecord(at, name, born, "joined", {"cell": cell, "number": [5, 0, count]})
 
 
-def parted(at: int, cell: str) -> Belief:
-    return Belief(at, "g", 1, "parted", {"cell": cell})
+def parted(at: int, cell: str) -> MembershipRecord:
+    return MembershipRecord(at, "g", 1, "parted", {"cell": cell})
 
 
 def test_one_that_leaves_before_it_joins_by_newer_words_is_in_order() -> None:
@@ -26,12 +26,12 @@
 
 
 def test_one_that_keeps_its_slots_or_loses_its_cell_is_told() -> None:
-    part = Belief(2, "g", 1, "part", {"fleet": "a", "part": "0-9", "lasts": 100})
-    left = Belief(3, "g", 1, "left", {"fleet": "a"})
+    part = MembershipRecord(2, "g", 1, "part", {"fleet": "a", "part": "0-9", "lasts": 100})
+    left = MembershipRecord(3, "g", 1, "left", {"fleet": "a"})
     assert [each.at for each in lingering([joined(1, "a", 1), part, parted(4, "a")])] == [4]
     assert not lingering([joined(1, "a", 1), part, left, parted(4, "a")])
     assert not lingering([joined(1, "a", 1), part, parted(200, "a")]), "it had ended"
-    retired = Belief(9, "c", 1, "control retired", {"cell": "a"})
+    retired = MembershipRecord(9, "c", 1, "control retired", {"cell": "a"})
     assert [each.at for each in given_up([joined(1, "a", 1), retired], [])] == [9]
     assert not given_up([joined(1, "a", 1), parted(4, "a"), joined(4, "b", 2), retired], [])
     assert not given_up([joined(1, "a", 1), retired], [(5, "g")]), "it was killed"
--- a/tests/test_configuration_process.py
+++ b/tests/test_configuration_process.py
@@ -17,7 +17,7 @@
 from trackspread.distribution.settings import SubscriberSettings
 from trackspread.distribution.versions import Version
 from trackspread.distribution.wire import Wire
-from trackspread.testing.harness.process import BOUNDED
+from trackspread.testing.harness.gateway_process import BOUNDED
 from trackspread.membership.wire import Keys
 from trackspread.testing.standins.loopback import Ports
 
--- a/tests/test_counter_process.py
+++ b/tests/test_counter_process.py
@@ -25,14 +25,14 @@
 from trackspread.counter.routing import Router
 from trackspread.decide.events import AllocationChanged
 from trackspread.decide.settings import Plan
-from trackspread.testing.harness import counted
+from trackspread.testing.harness import counter_faults
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.node.quota_counter_part import _remove_stale_socket, counter_access
 from trackspread.testing.standins.counter import SLOTS, Cluster, Shard
 from trackspread.testing.standins.counter_server import CounterServer
 from trackspread.testing.standins.loopback import own_address
-from trackspread.testing.standins.scene import Scene
-from trackspread.testing.virtual.plain import plain_settings
+from trackspread.testing.standins.scenario import Scenario
+from trackspread.testing.virtual.plain_settings import plain_settings
 
 pytestmark = pytest.mark.processes
 
@@ -255,21 +255,29 @@
 
 
 async def _troubled(folder: Path, found: list[Verdict], capsys: pytest.CaptureFixture[str]) -> None:
-    scene = Scene(gateways=3, nodes=6, customers=30, load=0.4, greedy=0.5, seed=4)
-    async with counted.counted(scene, more=lambda name: f'status = "{folder / name}"') as (fleet, server):
+    scenario = Scenario(gateways=3, nodes=6, customers=30, load=0.4, greedy=0.5, seed=4)
+    async with counter_faults.counted(scenario, more=lambda name: f'status = "{folder / name}"') as (
+        fleet,
+        server,
+    ):
         fleet.ask()
         while fleet.clients.kinds["served"] < 20:
             await asyncio.sleep(0.02)
-        for trouble in (counted.split, counted.cut, counted.replace, counted.kill):
+        for trouble in (
+            counter_faults.split,
+            counter_faults.cut,
+            counter_faults.replace,
+            counter_faults.kill,
+        ):
             await trouble(fleet, server, 2.0)
-        member = fleet.clients.crowd.customers[0].number
+        member = fleet.clients.population.customers[0].number
         told = json.loads(await asyncio.to_thread(ask, str(folder / "n1"), member))
         assert told["state"] in ("sound", "doubted", "split", "lost", "rebuilding") and told["replaced"] >= 1
         status = await asyncio.to_thread(main, ["quota", f"{member:x}", "--socket", str(folder / "n1")])
         assert status == 0 and "source of truth" in capsys.readouterr().out
         await fleet.settle()
         found.append(fleet.verdict())
-        ceiling, _ = counted.excess(fleet)
+        ceiling, _ = counter_faults.excess(fleet)
         assert ceiling <= 0.02
         assert sum(shard.calls for shard in server.shards) > 0
 
--- a/tests/test_descriptors_process.py
+++ b/tests/test_descriptors_process.py
@@ -16,10 +16,10 @@
 import pytest
 import uvloop
 
-from trackspread.testing.harness.process import GatewayProcess
-from trackspread.testing.harness.upgraded import door
+from trackspread.testing.harness.gateway_process import GatewayProcess
+from trackspread.testing.harness.upgradable_gateway import door
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Address, Ports
 
 from .fakes import Backend, Connection, call, listening, raw_config, served, soon
@@ -40,14 +40,14 @@
     gateway: GatewayProcess
     at: Address
     door: Address
-    agent: Agent
+    agent: DiscoveryAgent
     listed: BackendList
     backend: Backend
-    crowd: list[socket.socket] = field(default_factory=list)
+    population: list[socket.socket] = field(default_factory=list)
     most: int = 0  # descriptors that were open at once
 
     def tell(self, health: str) -> None:
-        self.listed.put(Listed("s-1", (("127.0.0.1", self.backend.port),), "a", "m1", 0, health, 0))
+        self.listed.put(ListedBackend("s-1", (("127.0.0.1", self.backend.port),), "a", "m1", 0, health, 0))
 
     def knock(self, count: int, words: bytes = b"") -> None:
         """So many more idle connections, at once; most may be shut unread."""
@@ -55,9 +55,9 @@
             made = socket.socket()
             made.setblocking(False)
             made.connect_ex(self.at)
-            self.crowd.append(made)
+            self.population.append(made)
         if words:
-            for made in self.crowd[-count:]:
+            for made in self.population[-count:]:
                 with suppress(OSError):
                     made.send(words)
 
@@ -70,11 +70,11 @@
 
     async def keep_full(self) -> None:
         while True:
-            self.knock(10, b"*1\r\n$4\r\nPING\r\n" if len(self.crowd) % 20 else b"")
+            self.knock(10, b"*1\r\n$4\r\nPING\r\n" if len(self.population) % 20 else b"")
             await asyncio.sleep(0.02)
-            for made in self.crowd[:-CROWD]:
+            for made in self.population[:-CROWD]:
                 made.close()
-            del self.crowd[:-CROWD]
+            del self.population[:-CROWD]
 
     async def refused(self) -> bool:
         """Whether a request is refused, as no backend takes any. Its connection may make room for another."""
@@ -94,7 +94,7 @@
 @asynccontextmanager
 async def filled(folder: Path, named: int) -> AsyncIterator[Filled]:
     listed, ports, backend = BackendList(), Ports(), Backend()
-    agent = Agent(listed, 0, Ledger())
+    agent = DiscoveryAgent(listed, 0, Ledger())
     await agent.start()
     async with listening(backend):
         at, control = ports.tcp(), ports.tcp()
@@ -115,7 +115,7 @@
         finally:
             for task in tasks:
                 task.cancel()
-            for each in made.crowd:
+            for each in made.population:
                 each.close()
             print(f"descriptors open at once: {made.most} of {SOCKETS}; log: {gateway.tail(3)}")
             await gateway.kill()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,11 +9,28 @@
 import uvloop
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.player import Player
-from trackspread.testing.judge.ledger import Entry, Faulted, Halted, Killed, Resumed, Started
-from trackspread.testing.standins import faults
-from trackspread.testing.standins.faults import Cut, Duty, Halt, Loop, Restart, Rough, Schedule, draw, load
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.harness.fault_player import Player
+from trackspread.testing.judge.ledger import (
+    Entry,
+    FaultChanged,
+    GatewayPaused,
+    GatewayKilled,
+    GatewayResumed,
+    GatewayStarted,
+)
+from trackspread.testing.standins import fault_schedule
+from trackspread.testing.standins.fault_schedule import (
+    Cut,
+    Duty,
+    Halt,
+    Loop,
+    Restart,
+    Rough,
+    Schedule,
+    draw,
+    load,
+)
+from trackspread.testing.standins.scenario import Scenario
 
 NAMES = ["n0", "n1", "n2", "n3"]
 
@@ -42,9 +59,9 @@
 
 
 def test_shapes_of_cuts() -> None:
-    assert set(faults.parted(["n0"], ["n1"])) == {("n0", "n1"), ("n1", "n0")}
-    assert faults.one_way(["n0"], ["n0", "n1"]) == (("n0", "n1"),)
-    cut = faults.ring(NAMES)
+    assert set(fault_schedule.parted(["n0"], ["n1"])) == {("n0", "n1"), ("n1", "n0")}
+    assert fault_schedule.one_way(["n0"], ["n0", "n1"]) == (("n0", "n1"),)
+    cut = fault_schedule.ring(NAMES)
     reached = {a: {b for b in NAMES if b != a and (a, b) not in cut} for a in NAMES}
     assert reached == {"n0": {"n2"}, "n1": {"n3"}, "n2": {"n0"}, "n3": {"n1"}}
 
@@ -59,14 +76,14 @@
         (
             Halt(0.1, 0.5, (0,)),
             Restart(0.2, 0.1, (1,)),
-            Cut(0.1, 0.6, faults.parted(["n0"], ["n2"])),
-            Cut(0.3, 1.0, faults.one_way(["n0"], ["n2"])),
+            Cut(0.1, 0.6, fault_schedule.parted(["n0"], ["n2"])),
+            Cut(0.3, 1.0, fault_schedule.one_way(["n0"], ["n2"])),
         ),
     )
     holes: list[tuple[bool, bool]] = []
 
     async def play() -> list[Entry]:
-        async with Fleet(Scene(gateways=3, nodes=3, load=0.2, seed=1)) as fleet:
+        async with Fleet(Scenario(gateways=3, nodes=3, load=0.2, seed=1)) as fleet:
 
             async def look() -> None:
                 while True:
@@ -82,12 +99,14 @@
             return list(fleet.ledger.entries)
 
     entries = uvloop.run(asyncio.wait_for(play(), 60.0))
-    halted, resumed = (next(e for e in entries if isinstance(e, kind)) for kind in (Halted, Resumed))
+    halted, resumed = (
+        next(e for e in entries if isinstance(e, kind)) for kind in (GatewayPaused, GatewayResumed)
+    )
     assert halted.gateway == resumed.gateway == "n0" and resumed.at - halted.at > 0.49e9
-    killed = next(e for e in entries if isinstance(e, Killed))
-    back = [e for e in entries if isinstance(e, Started) and e.gateway == "n1" and e.at > killed.at]
+    killed = next(e for e in entries if isinstance(e, GatewayKilled))
+    back = [e for e in entries if isinstance(e, GatewayStarted) and e.gateway == "n1" and e.at > killed.at]
     assert killed.gateway == "n1" and len(back) == 1
-    faulted = [(e.fault, e.on) for e in entries if isinstance(e, Faulted)]
+    faulted = [(e.fault, e.on) for e in entries if isinstance(e, FaultChanged)]
     assert sorted(faulted) == [(n, on) for n in range(4) for on in (False, True)]
     # A direction that two faults cut is whole again only after both.
     assert holes == [(False, False), (True, True), (True, False), (False, False)]
--- a/tests/test_faulty_wire.py
+++ b/tests/test_faulty_wire.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from trackspread.testing.standins.loopback import Address, Ports
-from trackspread.testing.standins.wire import TcpRelay, Wire, reset
+from trackspread.testing.standins.faulty_network import TcpRelay, FaultyNetwork, reset
 
 from .fakes import LOCAL, run, until
 
@@ -38,13 +38,13 @@
 class Pair:
     """A client and a server with the relay between them."""
 
-    def __init__(self, wire: Wire, relay: TcpRelay, client: End, server: End) -> None:
+    def __init__(self, wire: FaultyNetwork, relay: TcpRelay, client: End, server: End) -> None:
         self.wire, self.relay, self.client, self.server = wire, relay, client, server
 
 
 @asynccontextmanager
 async def pair() -> AsyncIterator[Pair]:
-    loop, wire, servers = asyncio.get_running_loop(), Wire(1), list[End]()
+    loop, wire, servers = asyncio.get_running_loop(), FaultyNetwork(1), list[End]()
 
     def accept() -> End:
         servers.append(End())
@@ -172,7 +172,9 @@
 class Post:
     """Mailboxes of names, with relays between them."""
 
-    def __init__(self, wire: Wire, boxes: dict[str, Mailbox], known: dict[tuple[str, str], Address]) -> None:
+    def __init__(
+        self, wire: FaultyNetwork, boxes: dict[str, Mailbox], known: dict[tuple[str, str], Address]
+    ) -> None:
         self.wire, self.boxes, self.known = wire, boxes, known
 
     def send(self, a: str, b: str, data: bytes) -> None:
@@ -184,7 +186,7 @@
 
 @asynccontextmanager
 async def post(seed: int = 1) -> AsyncIterator[Post]:
-    loop, wire, boxes = asyncio.get_running_loop(), Wire(seed), dict[str, Mailbox]()
+    loop, wire, boxes = asyncio.get_running_loop(), FaultyNetwork(seed), dict[str, Mailbox]()
     for name in "abc":
         _, boxes[name] = await loop.create_datagram_endpoint(Mailbox, local_addr=(LOCAL, 0))
     at = {n: cast(Address, b.transport.get_extra_info("sockname")[:2]) for n, b in boxes.items()}
@@ -229,7 +231,7 @@
 
 def test_loss_and_doubles_are_drawn_from_the_seed() -> None:
     async def test() -> None:
-        wire, again, other = Wire(5), Wire(5), Wire(6)
+        wire, again, other = FaultyNetwork(5), FaultyNetwork(5), FaultyNetwork(6)
         draws = [[w.rng.random() for _ in range(20)] for w in (wire, again, other)]
         assert draws[0] == draws[1] != draws[2]
         async with post(5) as p:
@@ -262,9 +264,9 @@
 
 
 @asynccontextmanager
-async def posts(names: str) -> AsyncIterator[tuple[Wire, dict[str, Mailbox], dict[str, Address]]]:
+async def posts(names: str) -> AsyncIterator[tuple[FaultyNetwork, dict[str, Mailbox], dict[str, Address]]]:
     """Names that listen at hosts of their own, and the addresses by which they reach one another."""
-    loop, wire, ports = asyncio.get_running_loop(), Wire(3), Ports()
+    loop, wire, ports = asyncio.get_running_loop(), FaultyNetwork(3), Ports()
     at, boxes = {name: (ports.host(), 4000) for name in names}, dict[str, Mailbox]()
     for name, where in at.items():
         _, boxes[name] = await loop.create_datagram_endpoint(Mailbox, local_addr=where)
@@ -293,7 +295,7 @@
 
 def test_connections_to_one_address_for_all_are_cut_by_whose_they_are_and_strangers_are_not_let_in() -> None:
     async def test() -> None:
-        loop, wire, ports, accepted = asyncio.get_running_loop(), Wire(3), Ports(), list[End]()
+        loop, wire, ports, accepted = asyncio.get_running_loop(), FaultyNetwork(3), Ports(), list[End]()
 
         def accept() -> End:
             accepted.append(End())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,15 +11,15 @@
 import pytest
 import uvloop
 
-from trackspread.testing.harness import mutant
+from trackspread.testing.harness import mutant_gateway
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.ledger import Attempted, Ended, Killed
+from trackspread.testing.judge.ledger import AttemptReceived, GatewayExited, GatewayKilled
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 
 pytestmark = pytest.mark.processes
 
-SMALL = Scene(gateways=2, nodes=3, load=0.6, seed=7)
+SMALL = Scenario(gateways=2, nodes=3, load=0.6, seed=7)
 TRIES = 4  # of a run whose stand-ins lagged: such a run has no verdict
 MOST = 60.0  # s: only a hang reaches it
 
@@ -56,14 +56,14 @@
         return fleet.verdict(), pids
 
 
-@pytest.mark.parametrize("planted", mutant.PROCESSES)
+@pytest.mark.parametrize("planted", mutant_gateway.PROCESSES)
 def test_a_gateway_with_a_planted_fault_starts_and_takes_up_its_list(planted: str) -> None:
     """One that does not would pass for caught."""
 
     async def start() -> bool:
-        async with Fleet(SMALL.changed(gateways=1, nodes=3), mutant.command(planted)) as fleet:
+        async with Fleet(SMALL.changed(gateways=1, nodes=3), mutant_gateway.command(planted)) as fleet:
             fleet.ask()
-            while not any(isinstance(entry, Attempted) for entry in fleet.ledger.entries):
+            while not any(isinstance(entry, AttemptReceived) for entry in fleet.ledger.entries):
                 await asyncio.sleep(0.01)
             return fleet.gateways[0].running
 
@@ -81,7 +81,7 @@
 
 
 async def planted(name: str) -> Verdict:
-    async with Fleet(SMALL.changed(load=0.8), mutant.command(name)) as fleet:
+    async with Fleet(SMALL.changed(load=0.8), mutant_gateway.command(name)) as fleet:
         for node in fleet.listed():
             node.reset = 0.2
         fleet.ask()
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("name", ["effects-forgotten", "socket-answers-lost", "socket-answers-twice"])
 def test_a_mutant_gateway_is_convicted_end_to_end(name: str) -> None:
     verdict = uvloop.run(asyncio.wait_for(planted(name), MOST))
-    assert mutant.rule(name) in verdict.broken() and verdict.state == "broken"
+    assert mutant_gateway.rule(name) in verdict.broken() and verdict.state == "broken"
 
 
 def test_what_fails_inside_leaves_no_process_and_no_file_behind() -> None:
@@ -140,9 +140,9 @@
             first, second = fleet.gateways
             first.signal(signal.SIGQUIT)
             await second.kill()
-            while not any(isinstance(e, Ended) and e.gateway == "n0" for e in fleet.ledger.entries):
+            while not any(isinstance(e, GatewayExited) and e.gateway == "n0" for e in fleet.ledger.entries):
                 await asyncio.sleep(0.01)
-            assert [e.gateway for e in fleet.ledger.entries if isinstance(e, Killed)] == ["n1"]
+            assert [e.gateway for e in fleet.ledger.entries if isinstance(e, GatewayKilled)] == ["n1"]
             assert fleet.verdict().broken() == {"crash"}
 
     uvloop.run(asyncio.wait_for(test(), MOST))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -22,7 +22,7 @@
 from trackspread.decide.rendezvous_hashing import owner_among
 from trackspread.decide.time_units import SECOND
 from trackspread.membership.slot_allocation import ALL_SLOTS, slots_of
-from trackspread.testing.virtual.plain import plain_settings
+from trackspread.testing.virtual.plain_settings import plain_settings
 
 PLAN = Plan("team", 2.0, 12.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 CAPPED = replace(PLAN, hard_limit_per_s=6.0, hard_limit_burst_units=24.0, hard_limit_slack_units=6.0)
--- a/tests/test_following_process.py
+++ b/tests/test_following_process.py
@@ -8,13 +8,13 @@
 import pytest
 import uvloop
 
-from trackspread.testing.harness import faulted, viewed
+from trackspread.testing.harness import fault_run, membership_fleet
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.beliefs import SLOTS, Belief, slots_of
-from trackspread.testing.judge.ledger import Killed
+from trackspread.testing.judge.membership_records import SLOTS, MembershipRecord, slots_of
+from trackspread.testing.judge.ledger import GatewayKilled
 from trackspread.membership.identifiers import SECOND
-from trackspread.testing.standins import faults
-from trackspread.testing.standins.faults import Cut, Halt, Schedule
+from trackspread.testing.standins import fault_schedule
+from trackspread.testing.standins.fault_schedule import Cut, Halt, Schedule
 
 from .test_membership_process import HEAL, MANY, MOST, TRIES, Work, command, faulty
 from .test_membership_process import play as play_viewed
@@ -29,7 +29,7 @@
     play_viewed(work, 6, keys, seats=(0, 2, 4))
 
 
-def slots(belief: Belief) -> int:
+def slots(belief: MembershipRecord) -> int:
     """How many a record says are held."""
     return slots_of(str(belief.about["part"])).bit_count()
 
@@ -70,7 +70,7 @@
 def test_a_killed_gateways_slots_are_back_in_use_when_its_grant_has_ended_and_its_own_at_its_return() -> None:
     async def work(fleet: Fleet) -> None:
         await fleet.end([5])
-        killed = next(e.at for e in reversed(fleet.ledger.entries) if isinstance(e, Killed))
+        killed = next(e.at for e in reversed(fleet.ledger.entries) if isinstance(e, GatewayKilled))
         await asyncio.sleep(KEEP + 2.0)
         early = held(fleet, killed + (KEEP - 1) * SECOND)
         late = held(fleet, killed + int((KEEP + 1.5) * SECOND))
@@ -78,7 +78,7 @@
         assert sum(early[name] for name in others) == SLOTS - SLOTS // 6 - 1, "its part is kept for it"
         assert sum(late[name] for name in others) == SLOTS and max(late[n] for n in others) <= 206
         await fleet.begin([5])
-        since = viewed.started(fleet, [5])
+        since = membership_fleet.started(fleet, [5])
         await asyncio.sleep(1.5)
         assert first(fleet, "n5", since) <= SECOND
         after = held(fleet, since + 2 * SECOND)
@@ -90,7 +90,7 @@
 def test_one_that_starts_anew_at_its_address_has_its_slots_at_once_one_that_ends_gives_them_back() -> None:
     async def work(fleet: Fleet) -> None:
         await fleet.restart([3], 0.3)
-        since = viewed.started(fleet, [3])
+        since = membership_fleet.started(fleet, [3])
         await asyncio.sleep(1.0)
         assert first(fleet, "n3", since) <= SECOND
         assert held(fleet, since + 2 * SECOND)["n3"] >= SLOTS // 6, "though its former self is not yet out"
@@ -113,7 +113,7 @@
 
     async def work(fleet: Fleet) -> None:
         await fleet.end([5])
-        assert await viewed.until_settled(fleet, 6.0) is not None
+        assert await membership_fleet.until_settled(fleet, 6.0) is not None
         status, out = await forget(fleet, "n1")
         assert status == 1 and "n1 is in the fleet" in out
         now = held(fleet, fleet.beliefs()[-1].at)
@@ -137,7 +137,7 @@
 def test_a_side_with_a_seed_goes_on_with_its_slots_and_one_without_lets_go_of_them() -> None:
     async def work(fleet: Fleet) -> None:
         sides = [["n0", "n1", "n2"], ["n4", "n5"], ["n3"]]
-        cuts = [Cut(0.0, 6.0, faults.parted(sides[a], sides[b])) for a in range(3) for b in range(a)]
+        cuts = [Cut(0.0, 6.0, fault_schedule.parted(sides[a], sides[b])) for a in range(3) for b in range(a)]
         await faulty(fleet, 6.0, *cuts)
         parted = fleet.beliefs()[-1].at
         before = held(fleet, parted - SECOND // 2)
@@ -149,9 +149,9 @@
 
 def test_halves_of_a_fleet_serve_what_there_is_room_for_and_stay_inside_the_quotas() -> None:
     names = [f"n{n}" for n in range(MANY)]
-    cut = Cut(5.0, 8.0, faults.parted(names[:6], names[6:]))
+    cut = Cut(5.0, 8.0, fault_schedule.parted(names[:6], names[6:]))
     schedule = Schedule("halves", 1, MANY, 19.0, (cut,))
-    played = uvloop.run(asyncio.wait_for(faulted.play_clear(schedule, TRIES, view=""), TRIES * MOST))
+    played = uvloop.run(asyncio.wait_for(fault_run.play_clear(schedule, TRIES, view=""), TRIES * MOST))
     assert played.state == "kept", played.broken
     # Before limits followed the view: 14 to 28% and 43%, and 2.3 to 2.7% beyond quotas.
     assert played.with_room[1] < 0.12 and played.with_room[2] < 0.2
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -17,8 +17,8 @@
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.judge.ledger import Group, PlanRule, Repeat
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.testing.standins.rating import SECOND
-from trackspread.testing.standins.scene import MILLISECOND, Scene, SceneClass
+from trackspread.testing.standins.rating_node import SECOND
+from trackspread.testing.standins.scenario import MILLISECOND, Scenario, ScenarioClass
 
 pytestmark = pytest.mark.processes
 
@@ -30,7 +30,7 @@
 
 
 @st.composite
-def classes(draw: st.DrawFn) -> tuple[SceneClass, ...]:
+def classes(draw: st.DrawFn) -> tuple[ScenarioClass, ...]:
     made = []
     for number in range(draw(st.integers(1, 4))):
         repeat: Repeat = draw(st.sampled_from(REPEATS))
@@ -41,7 +41,7 @@
         points = draw(st.sampled_from([1.0, 3.0, 8.0]))
         # Names as other customers write them: with blanks and signs that the command's own list uses.
         name = draw(st.sampled_from(["look up", "gate-release", "x", "Buchung.7"])) + f" {number}"
-        made.append(SceneClass(name, repeat, group, 1.0, work, aim, deadline, points))
+        made.append(ScenarioClass(name, repeat, group, 1.0, work, aim, deadline, points))
     return tuple(made)
 
 
@@ -57,7 +57,7 @@
 
 
 @st.composite
-def deployments(draw: st.DrawFn) -> Scene:
+def deployments(draw: st.DrawFn) -> Scenario:
     flags = {
         key: draw(st.booleans()) for key in ("secondCopies", "cancel", "probes", "peerMessages", "retryAfter")
     }
@@ -69,7 +69,7 @@
         ("familyInfo", "mailPerS", draw(st.sampled_from([1.0, 40.0]))),
         ("report", "how", draw(st.sampled_from(["answers", "none"]))),
     ]
-    return Scene(
+    return Scenario(
         gateways=draw(st.integers(2, 4)),
         nodes=6,
         load=0.25,
@@ -84,8 +84,8 @@
     )
 
 
-async def played(scene: Scene) -> Verdict:
-    async with Fleet(scene) as fleet:
+async def played(scenario: Scenario) -> Verdict:
+    async with Fleet(scenario) as fleet:
         fleet.ask()
         await asyncio.sleep(1.0)
         async with asyncio.TaskGroup() as group:
@@ -106,9 +106,9 @@
     phases=[Phase.generate],
 )
 @given(deployments())
-def test_the_rules_hold_under_settings_of_other_customers_kind(scene: Scene) -> None:
+def test_the_rules_hold_under_settings_of_other_customers_kind(scenario: Scenario) -> None:
     for _ in range(VOID_MOST):
-        verdict = uvloop.run(asyncio.wait_for(played(scene), 120.0))
+        verdict = uvloop.run(asyncio.wait_for(played(scenario), 120.0))
         if verdict.state != "void":
             break
     assert verdict.state == "kept", [str(each) for each in verdict.violations[:5]]
--- a/tests/test_handing_down_process.py
+++ b/tests/test_handing_down_process.py
@@ -13,8 +13,8 @@
 
 from trackspread.distribution.client import LeaderUnavailable
 from trackspread.distribution.versions import Version
-from trackspread.testing.harness.configured import Configured
-from trackspread.testing.virtual.distribution.judged import Broken
+from trackspread.testing.harness.configuration_fleet import Configured
+from trackspread.testing.virtual.distribution.invariants import InvariantViolated
 
 pytestmark = pytest.mark.processes
 
@@ -61,9 +61,9 @@
 async def settled(fleet: Configured, version: Version | None) -> None:
     """All gateways act on it in time."""
     if version is None:
-        raise Broken("not committed")
+        raise InvariantViolated("not committed")
     if await fleet.in_force(version, IN_FORCE) is None:
-        raise Broken(f"{version} is not in force everywhere after {IN_FORCE} s")
+        raise InvariantViolated(f"{version} is not in force everywhere after {IN_FORCE} s")
 
 
 async def put(fleet: Configured, value: bytes) -> Version | None:
@@ -79,7 +79,7 @@
     fleet.appoint(1)
     made = await under_way
     if len(made) < 100:
-        raise Broken(f"{len(made)} of 100 changes are committed")
+        raise InvariantViolated(f"{len(made)} of 100 changes are committed")
     await settled(fleet, max(made))
     await fleet.replicas[0].start()
     await settled(fleet, await put(fleet, b"after"))
@@ -91,7 +91,7 @@
     end = time.monotonic() + IN_FORCE
     while (shown := await fleet.show(number)) is None or shown.role != role:
         if time.monotonic() > end:
-            raise Broken(f"replica {number} is {shown and shown.role}, not {role}")
+            raise InvariantViolated(f"replica {number} is {shown and shown.role}, not {role}")
         await asyncio.sleep(0.1)
 
 
@@ -231,6 +231,6 @@
         folder.mkdir()
         try:
             play(work, folder, mutant=name, recent=recent)
-        except (Broken, AssertionError, LeaderUnavailable):
+        except (InvariantViolated, AssertionError, LeaderUnavailable):
             return
     raise AssertionError(f"{name} is not told by {TRIES} runs of {work.__name__}")
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,27 +9,27 @@
 
 from trackspread.testing.judge.judge import judge
 from trackspread.testing.judge.ledger import (
-    Answered,
-    Asked,
-    Attempted,
-    Booted,
+    ReplyReceived,
+    RequestSent,
+    AttemptReceived,
+    BackendStarted,
     ClassRule,
-    Cut,
-    Ended,
+    ConnectionLost,
+    GatewayExited,
     Entry,
-    Fell,
-    Garbled,
-    Halted,
-    Killed,
-    Lagged,
+    BackendCrashed,
+    MalformedRequest,
+    GatewayPaused,
+    GatewayKilled,
+    HarnessLagged,
     Ledger,
-    Left,
+    ClientDisconnected,
     PlanRule,
-    Resumed,
-    Started,
-    Stopping,
-    Stray,
-    Told,
+    GatewayResumed,
+    GatewayStarted,
+    GatewayStopping,
+    UnexpectedBytes,
+    EndpointAnnounced,
     World,
     load,
 )
@@ -47,10 +47,10 @@
     3.0,
     beyond_most=0.4,
 )
-BOOTS = [Booted(0, f"b{n}", "a", n // 2, 2.0, 1.0, S) for n in range(4)]
+BOOTS = [BackendStarted(0, f"b{n}", "a", n // 2, 2.0, 1.0, S) for n in range(4)]
 
 
-def asked(request: str = "r", at: int = 0, cls: str = "look", **changes: Any) -> Asked:
+def asked(request: str = "r", at: int = 0, cls: str = "look", **changes: Any) -> RequestSent:
     made: dict[str, Any] = {
         "origin": request,
         "gateway": "n0",
@@ -59,16 +59,16 @@
         "units": 1.0,
         "wait": 2 * S,
     }
-    return Asked(at, request, cls=cls, **{**made, **changes})
+    return RequestSent(at, request, cls=cls, **{**made, **changes})
 
 
-def attempted(at: int, request: str = "r", backend: str = "b0", **changes: Any) -> Attempted:
+def attempted(at: int, request: str = "r", backend: str = "b0", **changes: Any) -> AttemptReceived:
     made: dict[str, Any] = {"began": at, "gateway": "n0", "work": 50 * MS, "value": f"{backend}/{request}"}
-    return Attempted(at, request=request, backend=backend, **{**made, **changes})
+    return AttemptReceived(at, request=request, backend=backend, **{**made, **changes})
 
 
-def answered(at: int, kind: Any = "served", request: str = "r", backend: str = "b0") -> Answered:
-    return Answered(at, request, kind, f"{backend}/{request}" if kind == "served" else "")
+def answered(at: int, kind: Any = "served", request: str = "r", backend: str = "b0") -> ReplyReceived:
+    return ReplyReceived(at, request, kind, f"{backend}/{request}" if kind == "served" else "")
 
 
 def of(count: int, plan: str, gap: int, customer: int = 7) -> list[Entry]:
@@ -101,63 +101,72 @@
     ],
     "crossed the end of a connection at rest, with no gateway left to take it": [
         asked(),
-        Cut(MS, "r", unreached=True),
+        ConnectionLost(MS, "r", unreached=True),
     ],
     "late by as long as its gateway stood still": [
         asked(),
-        Halted(S, "n0"),
-        Resumed(4 * S, "n0"),
+        GatewayPaused(S, "n0"),
+        GatewayResumed(4 * S, "n0"),
         attempted(MS),
         answered(4 * S + S // 2),
     ],
-    "held when its gateway was killed": [asked(), attempted(MS), Killed(2 * MS, "n0"), Cut(3 * MS, "r")],
+    "held when its gateway was killed": [
+        asked(),
+        attempted(MS),
+        GatewayKilled(2 * MS, "n0"),
+        ConnectionLost(3 * MS, "r"),
+    ],
     "written as its connection closed, and once more": [
         asked(),
-        Cut(MS, "r"),
+        ConnectionLost(MS, "r"),
         asked(at=2 * MS, again=True),
         attempted(3 * MS),
         answered(9 * MS),
     ],
-    "client hung up first": [asked(), attempted(MS), Left(S, "r")],
+    "client hung up first": [asked(), attempted(MS), ClientDisconnected(S, "r")],
     "within the grace": [
-        Told(0, "n0", "b0", False),
+        EndpointAnnounced(0, "n0", "b0", False),
         asked(at=S),
         attempted(S + 9 * MS),
         answered(S + 99 * MS),
     ],
     "told by the list that it is back": [
-        Told(0, "n0", "b0", False),
-        Told(S, "n0", "b0", True),
+        EndpointAnnounced(0, "n0", "b0", False),
+        EndpointAnnounced(S, "n0", "b0", True),
         asked(at=3 * S),
         attempted(3 * S),
         answered(3 * S),
     ],
     "told the one before it only": [
-        Told(0, "n0", "b0", False),
-        Killed(S, "n0"),
+        EndpointAnnounced(0, "n0", "b0", False),
+        GatewayKilled(S, "n0"),
         asked(at=3 * S),
         attempted(3 * S),
         answered(3 * S),
     ],
     "quota": of(8, "team", S),
     "ceiling with its slack": of(3, "hard", 0),
-    "stopped in good order": [Started(0, "n0"), Stopping(S, "n0"), Ended(2 * S, "n0", 0)],
+    "stopped in good order": [
+        GatewayStarted(0, "n0"),
+        GatewayStopping(S, "n0"),
+        GatewayExited(2 * S, "n0", 0),
+    ],
 }
 BROKEN: dict[str, tuple[str, list[Entry]]] = {
     "never answered": ("answers", [asked(), attempted(MS)]),
-    "connection ended": ("answers", [asked(), Cut(MS, "r")]),
+    "connection ended": ("answers", [asked(), ConnectionLost(MS, "r")]),
     "sent on, though it is said to have crossed an end": (
         "answers",
-        [asked(), attempted(MS), Cut(2 * MS, "r", unreached=True)],
+        [asked(), attempted(MS), ConnectionLost(2 * MS, "r", unreached=True)],
     ),
     "answered twice": ("answers", [asked(), answered(MS, "refused"), answered(2 * MS, "failed")]),
     "answered late": ("answers", [asked(), answered(3 * S, "failed")]),
-    "hung up on after its time": ("answers", [asked(), Left(3 * S, "r")]),
+    "hung up on after its time": ("answers", [asked(), ClientDisconnected(3 * S, "r")]),
     "served what nobody made": ("answers", [asked(), attempted(MS), answered(2 * MS, backend="b2")]),
     "sent after its answer": ("answers", [asked(), answered(MS, "refused"), attempted(S)]),
     "sent unasked": ("answers", [attempted(MS)]),
-    "answered unasked": ("answers", [Stray(MS, "n0")]),
-    "worded anew": ("answers", [Garbled(MS, "b0", "n0", "CALL.GET nonsense")]),
+    "answered unasked": ("answers", [UnexpectedBytes(MS, "n0")]),
+    "worded anew": ("answers", [MalformedRequest(MS, "b0", "n0", "CALL.GET nonsense")]),
     "unsafe one run twice": (
         "effects",
         [asked(cls="pay"), attempted(MS), attempted(2 * MS, backend="b1"), answered(9 * MS)],
@@ -191,22 +200,25 @@
     ),
     "drained": (
         "drains",
-        [Told(0, "n0", "b0", False), asked(at=S), attempted(S + 99 * MS), answered(S + 99 * MS)],
+        [EndpointAnnounced(0, "n0", "b0", False), asked(at=S), attempted(S + 99 * MS), answered(S + 99 * MS)],
     ),
     "cold": (
         "cold",
         [
-            Booted(0, "b9", "a", 0, 1.0, 0.1, 9 * S),
+            BackendStarted(0, "b9", "a", 0, 1.0, 0.1, 9 * S),
             asked(),
             attempted(S, backend="b9", work=2 * S),
             answered(S + MS, backend="b9"),
         ],
     ),
-    "fallen": ("cold", [Fell(S, "b0")]),
+    "fallen": ("cold", [BackendCrashed(S, "b0")]),
     "ceiling": ("ceilings", of(4, "hard", 0)),
     "quotas": ("quotas", of(8, "team", MS)),
-    "crash": ("crash", [Started(0, "n0"), Ended(S, "n0", 1)]),
-    "crash while stopping": ("crash", [Started(0, "n0"), Stopping(S, "n0"), Ended(2 * S, "n0", 3)]),
+    "crash": ("crash", [GatewayStarted(0, "n0"), GatewayExited(S, "n0", 1)]),
+    "crash while stopping": (
+        "crash",
+        [GatewayStarted(0, "n0"), GatewayStopping(S, "n0"), GatewayExited(2 * S, "n0", 3)],
+    ),
 }
 
 
@@ -226,12 +238,12 @@
 @pytest.mark.parametrize("name", BROKEN)
 def test_where_a_stand_in_lagged_only_what_hangs_on_no_time_counts(name: str) -> None:
     """A run in which it lagged has no verdict, unless a breach needs no clock."""
-    verdict = judge(WORLD, [*BOOTS, *BROKEN[name][1], Lagged(S, "nodes", 80 * MS)])
+    verdict = judge(WORLD, [*BOOTS, *BROKEN[name][1], HarnessLagged(S, "nodes", 80 * MS)])
     assert verdict.state == ("void" if all(v.timed for v in verdict.violations) else "broken")
 
 
 def test_a_halt_excuses_no_more_than_it_lasted_and_no_other_gateway() -> None:
-    halt: list[Entry] = [Halted(S, "n0"), Resumed(2 * S, "n0")]
+    halt: list[Entry] = [GatewayPaused(S, "n0"), GatewayResumed(2 * S, "n0")]
     late: list[Entry] = [asked(), *halt, attempted(MS), answered(3 * S + 100 * MS)]
     elsewhere: list[Entry] = [asked(gateway="n1"), *halt, attempted(MS), answered(2 * S + 100 * MS)]
     over: list[Entry] = [*halt, asked(at=2 * S), attempted(2 * S), answered(4 * S + 100 * MS)]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -48,7 +48,7 @@
 from trackspread.membership.slowness import Slowness
 from trackspread.membership.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 from trackspread.node.fleet_keys import read_keys
-from trackspread.testing.judge import beliefs
+from trackspread.testing.judge import membership_records
 from trackspread.testing.virtual.membership.world import KEEP, World
 
 ME = GossipUpdate("me", 10, 0, State.ALIVE, "127.0.0.1", 1)
@@ -284,7 +284,7 @@
         and format_slots(ALL_SLOTS) == f"0-{SLOT_COUNT - 1}"
         and format_slots(0b1101) == "0-0,2-3"
     )
-    assert beliefs.slots_of(format_slots(mixed)) == mixed
+    assert membership_records.slots_of(format_slots(mixed)) == mixed
     assert lowest_slots(0b1101, 2) == 0b101 and lowest_slots(0b1101, 9) == 0b1101
 
 
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -18,14 +18,14 @@
 from trackspread.membership.identifiers import MS
 from trackspread.membership.messages import Ping
 from trackspread.membership.wire import Keys, Wire
-from trackspread.testing.harness import viewed
+from trackspread.testing.harness import membership_fleet
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.player import Player
-from trackspread.testing.harness.upgraded import HeldProcess
-from trackspread.testing.judge.beliefs import Belief, Reader, rights, views
-from trackspread.testing.standins import faults
-from trackspread.testing.standins.faults import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.harness.fault_player import Player
+from trackspread.testing.harness.upgradable_gateway import HeldProcess
+from trackspread.testing.judge.membership_records import MembershipRecord, Reader, rights, views
+from trackspread.testing.standins import fault_schedule
+from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
+from trackspread.testing.standins.scenario import Scenario
 
 from .fakes import LOCAL, raw_config
 from .test_membership import message
@@ -53,19 +53,19 @@
 
     async def once() -> bool:
         # A dozen that start at once take the cores for a moment: time is told less finely than elsewhere.
-        scene = Scene(gateways=gateways, nodes=6, load=0.15, seed=5, tolerance=200 * MS)
-        async with Fleet(scene, viewed=keys, held=held, seats=seats) as fleet:
-            took = await viewed.until_settled(fleet, 2 * START)
+        scenario = Scenario(gateways=gateways, nodes=6, load=0.15, seed=5, tolerance=200 * MS)
+        async with Fleet(scenario, viewed=keys, held=held, seats=seats) as fleet:
+            took = await membership_fleet.until_settled(fleet, 2 * START)
             fleet.ask()
             await work(fleet)
             await fleet.settle()
             verdict = fleet.verdict()
             if verdict.state == "void":
                 return False
-            if verdict.state == "broken" or viewed.amiss(fleet)[0]:
-                viewed.keep(fleet, KEPT)
+            if verdict.state == "broken" or membership_fleet.amiss(fleet)[0]:
+                membership_fleet.keep(fleet, KEPT)
             assert verdict.state == "kept", verdict.violations
-            assert viewed.amiss(fleet)[0] == []
+            assert membership_fleet.amiss(fleet)[0] == []
             assert took is not None and took <= START
             return True
 
@@ -76,7 +76,7 @@
 
 
 async def settled(fleet: Fleet, most: float) -> None:
-    took = await viewed.until_settled(fleet, 2 * most)
+    took = await membership_fleet.until_settled(fleet, 2 * most)
     assert took is not None and took <= most, f"took {took} s, {most} at most; {fleet.gateways[0].tail(3)}"
 
 
@@ -128,7 +128,7 @@
 def test_partitions_of_all_shapes_and_processes_that_stand_still() -> None:
     async def work(fleet: Fleet) -> None:
         half, other = NAMES[:6], NAMES[6:]
-        await faulty(fleet, 7.0, Cut(0.0, 7.0, faults.parted(half, other)))
+        await faulty(fleet, 7.0, Cut(0.0, 7.0, fault_schedule.parted(half, other)))
         held = list(fleet.beliefs())
         await settled(fleet, HEAL)
         # The half without a majority of seeds made no view, and knew that it holds nothing.
@@ -138,9 +138,9 @@
             last[name].at + int(last[name].about["lasts"]) < held[-1].at  # type: ignore[call-overload]
             for name in other
         )
-        await faulty(fleet, 4.0, Cut(0.0, 4.0, faults.one_way(half[:3], NAMES)))
+        await faulty(fleet, 4.0, Cut(0.0, 4.0, fault_schedule.one_way(half[:3], NAMES)))
         await settled(fleet, HEAL)
-        await faulty(fleet, 4.0, Cut(0.0, 4.0, faults.ring(NAMES)))
+        await faulty(fleet, 4.0, Cut(0.0, 4.0, fault_schedule.ring(NAMES)))
         await settled(fleet, HEAL)
         await faulty(fleet, 5.0, Halt(0.0, 5.0, (0,)), Halt(0.0, 5.0, (7,)))
         await settled(fleet, HEAL)
@@ -160,7 +160,7 @@
         await faulty(fleet, 4.0, Loop(0.0, 4.0, 2, 0.3))
         await settled(fleet, JOIN)
         three = [NAMES[n::3] for n in range(3)]
-        cuts = [Cut(0.0, 5.0, faults.parted(three[a], three[b])) for a in range(3) for b in range(a)]
+        cuts = [Cut(0.0, 5.0, fault_schedule.parted(three[a], three[b])) for a in range(3) for b in range(a)]
         await faulty(fleet, 5.0, *cuts, Restart(2.0, 0.3, (4,)))
         await settled(fleet, HEAL)
 
@@ -264,15 +264,15 @@
         await settled(fleet, CRASH)
 
     async def once() -> None:
-        scene = Scene(gateways=4, nodes=3, load=0.1, seed=5)
-        fleet = Fleet(scene, viewed="")
+        scenario = Scenario(gateways=4, nodes=3, load=0.1, seed=5)
+        fleet = Fleet(scenario, viewed="")
         fleet._viewed = f'key = "{fleet.folder / "key"}"\nprevious = "{fleet.folder / "previous"}"'
         (fleet.folder / "key").write_bytes(b"the older key, 16 or more")
         (fleet.folder / "previous").write_bytes(b"the older key, 16 or more")
         async with fleet:
             await settled(fleet, START)
             await work(fleet)
-            assert viewed.amiss(fleet)[0] == []
+            assert membership_fleet.amiss(fleet)[0] == []
 
     uvloop.run(asyncio.wait_for(once(), MOST))
 
@@ -306,8 +306,8 @@
 # The checker itself: what it is there to find, it finds.
 
 
-def belief(at: int, name: str, kind: str, **about: object) -> Belief:
-    return Belief(at, name, 1, kind, about)
+def belief(at: int, name: str, kind: str, **about: object) -> MembershipRecord:
+    return MembershipRecord(at, name, 1, kind, about)
 
 
 def test_records_that_do_not_fit_together_are_told(tmp_path: Path) -> None:
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -8,17 +8,17 @@
 import pytest
 
 from trackspread.decide.quota import Quota, token_bucket
-from trackspread.testing.judge.ledger import Asked, Attempted, Entry, PlanRule
-from trackspread.testing.standins.rating import SECOND
-from trackspread.testing.standins.scene import MILLISECOND, Scene
-from trackspread.testing.virtual.quiet import LATE, SCENES, TROUBLES, judged, play
+from trackspread.testing.judge.ledger import RequestSent, AttemptReceived, Entry, PlanRule
+from trackspread.testing.standins.rating_node import SECOND
+from trackspread.testing.standins.scenario import MILLISECOND, Scenario
+from trackspread.testing.virtual.quota_accuracy import LATE, SCENARIOS, TROUBLES, judged, play
 
 ALLOWED = 0.1  # price over that of the late-seeing policy
 SERVED = {"unheard": 0.75}  # part of the worth inside quotas; where anybody is heard 0.9
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
-@pytest.mark.parametrize("name", SCENES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_beyond_quotas_costs_no_more_than_is_allowed_and_most_is_let_through(name: str, trouble: str) -> None:
     day = play(name, trouble, 1)
     assert day.more <= ALLOWED and day.policy.over_price <= ALLOWED
@@ -35,22 +35,22 @@
 
 def test_both_sides_are_judged_by_the_true_store() -> None:
     """One store of two units that hardly fills; four tries by two gateways, of which the third is refused."""
-    scene = Scene(plans={"p": PlanRule(0.001, 2.0)}, over_cost=2.0)
-    cls = scene.classes[0].name
+    scenario = Scenario(plans={"p": PlanRule(0.001, 2.0)}, over_cost=2.0)
+    cls = scenario.classes[0].name
     entries: list[Entry] = []
     for n, (gateway, at) in enumerate([("a", 0), ("b", 10), ("b", 20), ("a", 30)]):
         now = at * MILLISECOND
-        entries.append(Asked(now, f"r{n}", f"r{n}", gateway, cls, "p", 7, 1.0, SECOND))
+        entries.append(RequestSent(now, f"r{n}", f"r{n}", gateway, cls, "p", 7, 1.0, SECOND))
         if n != 2:
-            entries.append(Attempted(now, now, f"r{n}", "s", gateway, 1))
-    day = judged(scene, entries)
+            entries.append(AttemptReceived(now, now, f"r{n}", "s", gateway, 1))
+    day = judged(scenario, entries)
     # Two of three that were sent on were inside; the late-seeing one lets a third and a fourth through: at b
     # what a took is unseen, at a what b did.
     assert (day.policy.inside, day.policy.over_price, day.policy.refused_with_room) == (1.0, 1.0, 0.0)
     assert (day.late.inside, day.late.over_price) == (1.0, 2.0)
     late: list[Entry] = [
-        Asked(0, "r0", "r0", "a", cls, "p", 7, 2.0, SECOND),
-        Attempted(0, 0, "r0", "s", "a", 1),
-        Asked(LATE + 1, "r1", "r1", "b", cls, "p", 7, 1.0, SECOND),
+        RequestSent(0, "r0", "r0", "a", cls, "p", 7, 2.0, SECOND),
+        AttemptReceived(0, 0, "r0", "s", "a", 1),
+        RequestSent(LATE + 1, "r1", "r1", "b", cls, "p", 7, 1.0, SECOND),
     ]
-    assert judged(scene, late).late.over_price == 0.0
+    assert judged(scenario, late).late.over_price == 0.0
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -10,7 +10,7 @@
 from trackspread.decide.broker import Broker
 from trackspread.decide.actions import StartAttempt
 from trackspread.decide.events import TimerFired
-from trackspread.testing.virtual.ramp import play, play_none_warm
+from trackspread.testing.virtual.slow_start import play, play_none_warm
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -9,20 +9,20 @@
 
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.testing.standins.rating import SECOND
-from trackspread.testing.standins.scene import Scene
-from trackspread.testing.virtual.ramp import excess
+from trackspread.testing.standins.rating_node import SECOND
+from trackspread.testing.standins.scenario import Scenario
+from trackspread.testing.virtual.slow_start import excess
 
 pytestmark = pytest.mark.processes
 
 GATEWAYS = 20
-SCENE = Scene(gateways=GATEWAYS, nodes=3, load=0.5, seed=11, warm=300 * SECOND, fall_multiple=2.0)
+SCENARIO = Scenario(gateways=GATEWAYS, nodes=3, load=0.5, seed=11, warm=300 * SECOND, fall_multiple=2.0)
 SERVED = 20  # by backends that stay cold throughout
 MOST = 100.0  # s: only a hang reaches it
 
 
 async def all_cold() -> tuple[Verdict, float]:
-    async with Fleet(SCENE) as fleet:
+    async with Fleet(SCENARIO) as fleet:
         for node in fleet.listed():
             await fleet.replace(node, 0.0)
         await fleet.restart(range(GATEWAYS), 0.1)
@@ -30,7 +30,7 @@
         while fleet.clients.kinds["served"] < SERVED:
             await asyncio.sleep(0.05)
         await fleet.settle()
-        return fleet.verdict(), max(excess(SCENE, fleet.ledger))
+        return fleet.verdict(), max(excess(SCENARIO, fleet.ledger))
 
 
 def test_twenty_processes_share_backends_that_are_all_cold() -> None:
--- a/tests/test_ready_process.py
+++ b/tests/test_ready_process.py
@@ -14,9 +14,14 @@
 import pytest
 import uvloop
 
-from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.agent import Agent, BackendList, Listed, Trouble
+from trackspread.testing.standins.discovery_agent import (
+    DiscoveryAgent,
+    BackendList,
+    ListedBackend,
+    AgentFault,
+)
 from trackspread.testing.standins.loopback import Ports
 
 from .fakes import raw_config
@@ -32,21 +37,21 @@
 # None: connections are refused.
 TROUBLES = {
     "refused": None,
-    "error": Trouble.ERROR,
-    "kept waiting": Trouble.KEPT_WAITING,
-    "reset": Trouble.RESET,
-    "ended": Trouble.ENDED,
-    "silent": Trouble.SILENT,
-    "trickle": Trouble.TRICKLE,
+    "error": AgentFault.ERROR,
+    "kept waiting": AgentFault.KEPT_WAITING,
+    "reset": AgentFault.RESET,
+    "ended": AgentFault.ENDED,
+    "silent": AgentFault.SILENT,
+    "trickle": AgentFault.TRICKLE,
 }
 LISTS = ("with the list last known", "without a list")
 
 
-async def took(known: bool, trouble: Trouble | None) -> list[float]:
+async def took(known: bool, trouble: AgentFault | None) -> list[float]:
     """s from its start that each process took until it answered a ping as one that can serve."""
     loop, ports, listed = asyncio.get_running_loop(), Ports(), BackendList()
-    listed.put(Listed("s-1", (("127.0.0.1", 1),) * PLAYED, "a", "m1", 0, "in_service", 0))
-    agents = [Agent(listed, number, Ledger()) for number in range(PLAYED)]
+    listed.put(ListedBackend("s-1", (("127.0.0.1", 1),) * PLAYED, "a", "m1", 0, "in_service", 0))
+    agents = [DiscoveryAgent(listed, number, Ledger()) for number in range(PLAYED)]
     with TemporaryDirectory() as folder:
         gateways = []
         for number, agent in enumerate(agents):
@@ -86,7 +91,7 @@
 
 
 @cache
-def measured(known: bool, trouble: Trouble | None) -> list[float]:
+def measured(known: bool, trouble: AgentFault | None) -> list[float]:
     return uvloop.run(asyncio.wait_for(took(known, trouble), MOST))
 
 
--- a/tests/test_returning.py
+++ b/tests/test_returning.py
@@ -17,7 +17,7 @@
 from trackspread.decide.quota import Quota
 from trackspread.decide.tenant_account import TenantAccount
 from trackspread.decide.time_units import SECOND
-from trackspread.testing.virtual.plain import plain_settings
+from trackspread.testing.virtual.plain_settings import plain_settings
 
 PLAN = Plan("team", 1.0, 6.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)  # a unit a second, six at once
 BEAT = SECOND // 4
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from benchmarks.scale import measured, report, slopes
-from benchmarks.scale.beside import shared_scene
+from benchmarks.scale.beside import shared_scenario
 from benchmarks.scale.bounds import Guard, OverBound, ProcessEntry, Use, tree
 from benchmarks.scale.celled import CelledFleet, CellsCost, amiss
 from benchmarks.scale.celling_messages import (
@@ -49,7 +49,7 @@
 from benchmarks.scale.verdicts import Cutoff, hearsay, wrong
 from benchmarks.scale.view import View, digest, settled
 from benchmarks.scale.viewed import Cost, Outcome, ViewedFleet, cost
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 
 MB = 1 << 20
 PLACED = Placement(("127.192.0.1", "127.192.0.2"))
@@ -376,11 +376,11 @@
 
 
 def test_quotas_are_shared_by_all_members_while_customers_ask_for_as_much() -> None:
-    usual = Scene(gateways=3, nodes=6, load=0.15, greedy=0.0, seed=49)
-    shared = shared_scene(usual, 63)
+    usual = Scenario(gateways=3, nodes=6, load=0.15, greedy=0.0, seed=49)
+    shared = shared_scenario(usual, 63)
     assert shared.plans["basic"].rate == pytest.approx(21 * usual.plans["basic"].rate)
     assert shared.world().plans["full"].ceiling_burst == pytest.approx(21 * usual.plans["full"].ceiling_burst)
-    assert shared.crowd().customers == usual.crowd().customers
+    assert shared.population().customers == usual.population().customers
 
 
 # Configuration handed down.
--- a/tests/test_services_process.py
+++ b/tests/test_services_process.py
@@ -10,10 +10,10 @@
 import uvloop
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.ledger import Answered, Asked, Attempted, Entry
+from trackspread.testing.judge.ledger import ReplyReceived, RequestSent, AttemptReceived, Entry
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.testing.standins.rating import NodeSpec
-from trackspread.testing.standins.scene import MILLISECOND, Scene
+from trackspread.testing.standins.rating_node import NodeSpec
+from trackspread.testing.standins.scenario import MILLISECOND, Scenario
 
 pytestmark = pytest.mark.processes
 
@@ -25,7 +25,7 @@
 CHANCE = 0.1  # by which the parts served of so many may differ: some customers are at their quota by chance
 
 
-class ServiceScene(Scene):
+class ServiceScene(Scenario):
     """The last pod of three nodes charges, the other two do all else."""
 
     def service(self, spec: NodeSpec) -> str:
@@ -34,11 +34,11 @@
 
 def elsewhere(fleet: Fleet) -> Counter[str]:
     """Requests that came to a backend of another service than their own, by class."""
-    classes = {each.request: each.cls for each in fleet.ledger.entries if isinstance(each, Asked)}
+    classes = {each.request: each.cls for each in fleet.ledger.entries if isinstance(each, RequestSent)}
     found: Counter[str] = Counter()
     for each in fleet.ledger.entries:
-        if isinstance(each, Attempted):
-            service = fleet.scene.service(fleet.nodes[each.backend].spec)
+        if isinstance(each, AttemptReceived):
+            service = fleet.scenario.service(fleet.nodes[each.backend].spec)
             found[classes[each.request]] += service != ("charging" if classes[each.request] == CHARGE else "")
     return +found
 
@@ -46,11 +46,13 @@
 def answers(entries: list[Entry], since: int, until: int) -> dict[str, Counter[str]]:
     """How requests ended that were asked in this span, by class."""
     classes = {
-        each.request: each.cls for each in entries if isinstance(each, Asked) and since <= each.at < until
+        each.request: each.cls
+        for each in entries
+        if isinstance(each, RequestSent) and since <= each.at < until
     }
     found: dict[str, Counter[str]] = {}
     for each in entries:
-        if isinstance(each, Answered) and each.request in classes:
+        if isinstance(each, ReplyReceived) and each.request in classes:
             found.setdefault(classes[each.request], Counter())[each.kind] += 1
     return found
 
@@ -62,8 +64,8 @@
     """A run in which the rig lagged is played again; the rules are decided on after it."""
 
     async def once() -> tuple[Fleet, Verdict]:
-        scene = ServiceScene(gateways=3, load=0.2, greedy=0.0, seed=11, tolerance=200 * MILLISECOND)
-        async with Fleet(scene, own=lambda name: table) as fleet:
+        scenario = ServiceScene(gateways=3, load=0.2, greedy=0.0, seed=11, tolerance=200 * MILLISECOND)
+        async with Fleet(scenario, own=lambda name: table) as fleet:
             fleet.ask()
             await work(fleet)
             await fleet.settle()
@@ -81,7 +83,7 @@
     """Until so many more requests of a class were asked."""
 
     def count() -> int:
-        return sum(isinstance(each, Asked) and each.cls == cls for each in fleet.ledger.entries)
+        return sum(isinstance(each, RequestSent) and each.cls == cls for each in fleet.ledger.entries)
 
     goal = count() + more
     while count() < goal:
@@ -92,7 +94,7 @@
     """Nodes of both services are replaced, and a gateway starts anew."""
     await asked(fleet, CHARGE, 20)
     chosen = [
-        next(n for n in fleet.listed() if (fleet.scene.service(n.spec) != "") is charging)
+        next(n for n in fleet.listed() if (fleet.scenario.service(n.spec) != "") is charging)
         for charging in (True, False)
     ]
     await asyncio.gather(fleet.restart([0], 0.1), *(fleet.replace(node, 1.5) for node in chosen))
@@ -115,7 +117,7 @@
         await asked(fleet, CHARGE, 20)  # the start is over
         calm = fleet.ledger.entries[-1].at
         await asked(fleet, "rate-lookup", LOOKUPS)
-        charging = [node for node in fleet.nodes.values() if fleet.scene.service(node.spec)]
+        charging = [node for node in fleet.nodes.values() if fleet.scenario.service(node.spec)]
         for node in charging:
             node.down()
         begun = fleet.ledger.entries[-1].at
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -10,14 +10,14 @@
 
 from trackspread.config.addresses import Address
 from trackspread.testing.judge.judge import judge
-from trackspread.testing.judge.ledger import Answered, Cut, Ledger
+from trackspread.testing.judge.ledger import ReplyReceived, ConnectionLost, Ledger
 from trackspread.simulator.wire import parse_settings
 from trackspread.config.platform import flatten
-from trackspread.testing.standins.agent import Agent, BackendList, Listed
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.clients import Clients
 from trackspread.testing.standins.loopback import NAMED, Ports, own_address
-from trackspread.testing.standins.rating import SECOND, NodeSpec, Pod, RatingNode, work_of
-from trackspread.testing.standins.scene import MILLISECOND, Scene
+from trackspread.testing.standins.rating_node import SECOND, NodeSpec, Pod, RatingNode, work_of
+from trackspread.testing.standins.scenario import MILLISECOND, Scenario
 
 
 def node(cold: bool = False, **changes: object) -> RatingNode:
@@ -71,52 +71,56 @@
 
 
 def test_a_crowd_replays_and_asks_as_much_as_the_scene_says() -> None:
-    scene = Scene(load=0.5)
-    one, two = scene.crowd(), scene.crowd()
+    scenario = Scenario(load=0.5)
+    one, two = scenario.population(), scenario.population()
     assert [(one.pause(), one.want()) for _ in range(200)] == [(two.pause(), two.want()) for _ in range(200)]
-    mean = sum(c.share * c.work for c in scene.classes) / SECOND
-    asked = sum(c.rate for c in one.customers) * mean / (scene.nodes * 2)
+    mean = sum(c.share * c.work for c in scenario.classes) / SECOND
+    asked = sum(c.rate for c in one.customers) * mean / (scenario.nodes * 2)
     assert 0.5 <= asked < 0.7
     assert one.move(1.0) == len(one.customers)
 
 
 def test_clients_come_again_only_where_that_is_harmless() -> None:
-    crowd = Scene(habit=Scene().habit).crowd()
+    population = Scenario(behavior=Scenario().behavior).population()
     seen: dict[tuple[str, str], set[bool]] = {}
     for _ in range(600):
-        want = crowd.want()
+        want = population.want()
         for kind in ("refused", "failed", "cut"):
-            again = crowd.again(want, kind, 200)
+            again = population.again(want, kind, 200)
             seen.setdefault((want.cls, kind), set()).add(again is not None)
             if again is not None:
                 assert again[1].origin == want.origin and again[1].key == want.key
-                assert crowd.request_id(again[1]) != crowd.request_id(want)
+                assert population.request_id(again[1]) != population.request_id(want)
     assert all(True in seen[cls, "refused"] for cls in ("rate-lookup", "usage-submit", "charge-post"))
     assert seen["charge-post", "failed"] == seen["usage-submit", "cut"] == {False}
     assert seen["rate-lookup", "failed"] == {True}
 
 
 def test_advice_is_followed_by_those_who_obey() -> None:
-    crowd = Scene().crowd()
-    waits = [again[0] for _ in range(400) if (again := crowd.again(crowd.want(), "refused", 900)) is not None]
+    population = Scenario().population()
+    waits = [
+        again[0]
+        for _ in range(400)
+        if (again := population.again(population.want(), "refused", 900)) is not None
+    ]
     obeyed = sum(wait >= 900 * MILLISECOND for wait in waits)
     assert 0.7 < obeyed / len(waits) < 0.9
 
 
 def test_the_settings_of_a_scene_are_what_a_gateway_reads() -> None:
-    settings = parse_settings("\n".join(flatten(Scene().settings(1))))
+    settings = parse_settings("\n".join(flatten(Scenario().settings(1))))
     assert settings.gateway_index == 1 and settings.gateway_count == 3 and settings.may_gossip
-    assert [c.name for c in settings.classes] == [c.name for c in Scene().classes]
+    assert [c.name for c in settings.classes] == [c.name for c in Scenario().classes]
 
 
-def entry(host: str, health: str = "in_service", port: int = 1) -> Listed:
+def entry(host: str, health: str = "in_service", port: int = 1) -> ListedBackend:
     dial: Address = ("127.0.0.1", port)
-    return Listed(host, (dial,), "a", "m1", 0, health, 0)
+    return ListedBackend(host, (dial,), "a", "m1", 0, health, 0)
 
 
 def test_a_list_tells_what_changed_or_the_whole() -> None:
     listed = BackendList()
-    Agent(listed, 0, Ledger())
+    DiscoveryAgent(listed, 0, Ledger())
     listed.agents.clear()  # nobody watches
     listed.put(entry("x"))
     listed.put(entry("y"))
@@ -139,7 +143,7 @@
 
 def test_a_request_that_crosses_the_end_of_a_connection_at_rest_and_finds_no_gateway_is_told_so() -> None:
     """As when all gateways get SIGTERM at once: no gateway has read it, and none is there to take it."""
-    scene, ledger, ports = Scene(gateways=1, nodes=3, seed=2), Ledger(), Ports()
+    scenario, ledger, ports = Scenario(gateways=1, nodes=3, seed=2), Ledger(), Ports()
     address = ports.tcp()
 
     class Gateway(asyncio.Protocol):
@@ -160,22 +164,24 @@
             return made[-1]
 
         server = await loop.create_server(accept, *address)
-        clients = Clients(scene, scene.crowd(), ledger, [address])
+        clients = Clients(scenario, scenario.population(), ledger, [address])
 
         async def ended(count: int) -> None:
-            while sum(isinstance(e, Answered | Cut) for e in ledger.entries) < count:
+            while sum(isinstance(e, ReplyReceived | ConnectionLost) for e in ledger.entries) < count:
                 await asyncio.sleep(0.005)
 
-        clients._begin(clients.crowd.want(), 3)
+        clients._begin(clients.population.want(), 3)
         await ended(1)
         server.close()
-        clients._begin(clients.crowd.want(), 3)
+        clients._begin(clients.population.want(), 3)
         await asyncio.sleep(0)
         made[0].transport.abort()
         await ended(2)
 
     uvloop.run(asyncio.wait_for(test(), 20.0))
     cut = ledger.entries[-1]
-    assert isinstance(cut, Cut) and cut.unreached
-    assert judge(scene.world(), ledger.entries).broken() <= {"answers"}  # the first was made by no backend
-    assert not any("ended the connection" in v.text for v in judge(scene.world(), ledger.entries).violations)
+    assert isinstance(cut, ConnectionLost) and cut.unreached
+    assert judge(scenario.world(), ledger.entries).broken() <= {"answers"}  # the first was made by no backend
+    assert not any(
+        "ended the connection" in v.text for v in judge(scenario.world(), ledger.entries).violations
+    )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -37,7 +37,7 @@
 from trackspread.plans.registry import SCHEMA as REGISTRY
 from trackspread.plans.registry import Figures, applied, in_force
 from trackspread.storage.directory import Directory
-from trackspread.testing.judge.beliefs import Reader
+from trackspread.testing.judge.membership_records import Reader
 from trackspread.testing.standins.billing import Billing, Known, Plain
 from trackspread.usage import control as use_control
 from trackspread.usage import totals as use_totals
--- a/tests/test_told_process.py
+++ b/tests/test_told_process.py
@@ -15,9 +15,14 @@
 import pytest
 import uvloop
 
-from trackspread.testing.harness.process import GatewayProcess
+from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.agent import Agent, BackendList, Listed, Trouble
+from trackspread.testing.standins.discovery_agent import (
+    DiscoveryAgent,
+    BackendList,
+    ListedBackend,
+    AgentFault,
+)
 from trackspread.testing.standins.loopback import Address, Ports
 
 from .fakes import Backend, Connection, busy_listener, call, listening, raw_config, served
@@ -39,30 +44,32 @@
     drain, in the moment in which the last of them has come to its trouble."""
 
     name: str
-    troubles: tuple[tuple[Trouble, int], ...]
+    troubles: tuple[tuple[AgentFault, int], ...]
     grace: int = SECOND  # ns of a drain
     gateways: int = GATEWAYS
 
 
 CASES = (
-    Case("reset", ((Trouble.RESET, 8),)),
-    Case("reset, long grace", ((Trouble.RESET, 8),), 10 * SECOND),
-    Case("ended", ((Trouble.ENDED, 8),)),
-    Case("ended, long grace", ((Trouble.ENDED, 8),), 10 * SECOND),
+    Case("reset", ((AgentFault.RESET, 8),)),
+    Case("reset, long grace", ((AgentFault.RESET, 8),), 10 * SECOND),
+    Case("ended", ((AgentFault.ENDED, 8),)),
+    Case("ended, long grace", ((AgentFault.ENDED, 8),), 10 * SECOND),
     # The wait is drawn: more than one, so that one that is too long shows.
-    *(Case(f"error {number}", ((Trouble.ERROR, 2),)) for number in range(5)),
-    *(Case(f"kept waiting {number}", ((Trouble.KEPT_WAITING, 2),)) for number in range(5)),
-    Case("error, few gateways", ((Trouble.ERROR, 8),), 10 * SECOND, 4),
-    Case("silent", ((Trouble.SILENT, 1),)),
-    Case("silent after resets", ((Trouble.RESET, 8), (Trouble.SILENT, 1)), 10 * SECOND),
-    Case("trickle", ((Trouble.TRICKLE, 1),)),
+    *(Case(f"error {number}", ((AgentFault.ERROR, 2),)) for number in range(5)),
+    *(Case(f"kept waiting {number}", ((AgentFault.KEPT_WAITING, 2),)) for number in range(5)),
+    Case("error, few gateways", ((AgentFault.ERROR, 8),), 10 * SECOND, 4),
+    Case("silent", ((AgentFault.SILENT, 1),)),
+    Case("silent after resets", ((AgentFault.RESET, 8), (AgentFault.SILENT, 1)), 10 * SECOND),
+    Case("trickle", ((AgentFault.TRICKLE, 1),)),
 )
 
 
 class Stage:
     """One gateway with one backend, an agent, and a client that asks again and again."""
 
-    def __init__(self, gateway: GatewayProcess, agent: Agent, listed: BackendList, backend: Address) -> None:
+    def __init__(
+        self, gateway: GatewayProcess, agent: DiscoveryAgent, listed: BackendList, backend: Address
+    ) -> None:
         self.gateway, self.agent = gateway, agent
         self.begun = 0  # ns of the monotonic clock at which the drain began
         self.sent: list[int] = []  # of the same, at which each request came to the backend
@@ -72,7 +79,7 @@
         self.tell("in_service")
 
     def tell(self, health: str) -> None:
-        self._listed.put(Listed("s-1", (self._backend,), "a", "m1", 0, health, 0))
+        self._listed.put(ListedBackend("s-1", (self._backend,), "a", "m1", 0, health, 0))
 
     def drain(self) -> None:
         """Discovery can be reached, and has a drain."""
@@ -107,7 +114,7 @@
 async def staged(trouble: Callable[[Stage], object], grace: int, gateways: int) -> float:
     """Plays a case; s from the drain's beginning to the last request that came to the backend."""
     listed, ports, backend = BackendList(), Ports(), Backend()
-    agent = Agent(listed, 0, Ledger())
+    agent = DiscoveryAgent(listed, 0, Ledger())
     await agent.start()
     with TemporaryDirectory() as folder:
         async with listening(backend):
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -15,19 +15,19 @@
 from trackspread.cli import main
 from trackspread.config.addresses import ConfigError
 from trackspread.testing.harness.screen import GatewayRow, NodeRow, Snapshot, bars, draw, one_line
-from trackspread.testing.harness.tallies import Tallies
+from trackspread.testing.harness.run_statistics import Tallies
 from trackspread.testing.harness.trial import plan_kills
 from trackspread.testing.judge.ledger import (
-    Answered,
-    Asked,
-    Attempted,
+    ReplyReceived,
+    RequestSent,
+    AttemptReceived,
     ClassRule,
-    Cut,
+    ConnectionLost,
     Entry,
     PlanRule,
     World,
 )
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 
 pytestmark = pytest.mark.processes
 
@@ -37,10 +37,10 @@
 
 
 def test_kills_are_planned_by_name_and_time_and_mistakes_say_what_is_wanted() -> None:
-    assert plan_kills(["s-2", "n1@2.5"], Scene(), 9.0) == [(2.5, "n1"), (3.0, "s-2")]
+    assert plan_kills(["s-2", "n1@2.5"], Scenario(), 9.0) == [(2.5, "n1"), (3.0, "s-2")]
     for word in ("n3", "s-9", "x", "n1@", "n1@10"):
         with pytest.raises(ConfigError, match=f"--kill: found '{word}', wanted"):
-            plan_kills([word], Scene(), 9.0)
+            plan_kills([word], Scenario(), 9.0)
 
 
 def test_too_short_a_run_is_one_plain_line(capsys: pytest.CaptureFixture[str]) -> None:
@@ -69,9 +69,9 @@
     tallies = Tallies(world)
 
     def one(request: str, sent: bool, kind: Any, plan: str = "p") -> list[Entry]:
-        made: list[Entry] = [Asked(0, request, request, "n0", "look", plan, 1, 1.0, S)]
-        made += [Attempted(0, 0, request, "s", "n0", 1)] * sent
-        return [*made, Answered(0, request, kind)] if kind else [*made, Cut(0, request)]
+        made: list[Entry] = [RequestSent(0, request, request, "n0", "look", plan, 1, 1.0, S)]
+        made += [AttemptReceived(0, 0, request, "s", "n0", 1)] * sent
+        return [*made, ReplyReceived(0, request, kind)] if kind else [*made, ConnectionLost(0, request)]
 
     tallies.take([*one("a", False, "refused"), *one("b", True, "served")])
     tallies.take(
--- a/tests/test_use_process.py
+++ b/tests/test_use_process.py
@@ -12,11 +12,11 @@
 import uvloop
 
 from trackspread.cli import main
-from trackspread.testing.harness.billed import compare
+from trackspread.testing.harness.billing_check import compare
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.standins.billing import Billing, Plain
 from trackspread.testing.standins.billing_server import BillingServer, take_drops
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.directory import Directory
 from trackspread.storage.slots import HEAD, SLOT
 from trackspread.usage.batch import Batch, Reply, digest, encode
@@ -46,7 +46,7 @@
         )
 
     rng = random.Random(5)
-    async with Fleet(Scene(gateways=2, nodes=3, load=0.6, seed=9), own=own) as fleet:
+    async with Fleet(Scenario(gateways=2, nodes=3, load=0.6, seed=9), own=own) as fleet:
         fleet.ask()
         for _ in range(4):
             await asyncio.sleep(rng.uniform(0.2, 0.6))
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from trackspread.testing.virtual.vast import SHAPES, play
+from trackspread.testing.virtual.large_fleets import SHAPES, play
 
 
 # Without room for chance, a home's first ceiling and its last word: 0.42, 0.67 and 0.77 are served.
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -9,8 +9,8 @@
 
 from trackspread.decide.quota import owner_grants
 from trackspread.testing.judge.judge import judge
-from trackspread.testing.standins.rating import SECOND
-from trackspread.testing.standins.scene import Scene
+from trackspread.testing.standins.rating_node import SECOND
+from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.clock import START, Clock
 from trackspread.testing.virtual.fleet import VirtualFleet
 from trackspread.testing.virtual.mutants import MUTANTS, convict
@@ -67,11 +67,11 @@
     """Before, a home went on granting all of a quota that others spent beside it."""
 
     def beyond(seed: int) -> float:
-        scene = Scene(gateways=8, nodes=12, load=0.35, greedy=0.3, seed=seed)
-        fleet = VirtualFleet(scene, seed)
-        fleet.weather.peer_loss = loss
+        scenario = Scenario(gateways=8, nodes=12, load=0.35, greedy=0.3, seed=seed)
+        fleet = VirtualFleet(scenario, seed)
+        fleet.conditions.peer_loss = loss
         fleet.run(8 * SECOND)
-        return judge(scene.world(), fleet.ledger.entries).figures.beyond_share
+        return judge(scenario.world(), fleet.ledger.entries).figures.beyond_share
 
     seeds = range(1, 5)
     now = sum(map(beyond, seeds)) / len(seeds)
--- a/trackspread/testing/harness/billed.py
+++ b/trackspread/testing/harness/billing_check.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..judge.ledger import Answered, Asked, Cut, Entry, Left
+from ..judge.ledger import ReplyReceived, RequestSent, ConnectionLost, Entry, ClientDisconnected
 from ...usage.record import Ending, nano
 
 Totals = dict[tuple[str, int, int], tuple[int, int]]
@@ -29,15 +29,15 @@
 
 
 def compare(entries: Iterable[Entry], totals: Totals) -> Billed:
-    asked: dict[str, Asked] = {}
+    asked: dict[str, RequestSent] = {}
     ends: dict[str, str] = {}
     for entry in entries:
         match entry:
-            case Asked():
+            case RequestSent():
                 asked[entry.request] = entry
-            case Answered():
+            case ReplyReceived():
                 ends[entry.request] = entry.kind
-            case Cut() | Left():
+            case ConnectionLost() | ClientDisconnected():
                 ends.setdefault(entry.request, "unknown")
     sure, maybe = Counter[str](), Counter[str]()
     for request, entry in asked.items():
--- a/trackspread/testing/harness/celled.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from ..judge.beliefs import Amiss, Belief, Reader, rights, views
-from ..judge.ledger import Ended, Killed
-from ..standins.scene import Scene
+from ..judge.membership_records import Inconsistency, MembershipRecord, Reader, rights, views
+from ..judge.ledger import GatewayExited, GatewayKilled
+from ..standins.scenario import Scenario
 from .fleet import MEMBER_PORT, Fleet
-from .process import BOUNDED
+from .gateway_process import BOUNDED
 
 COMMAND = ("-m", "trackspread")
 SOCKETS = 1_024  # descriptors that a control machine may have
@@ -84,12 +84,12 @@
 
 
 class CelledFleet(Fleet):
-    """Use as `async with CelledFleet(scene, control) as fleet`; gateways n0, n1, ... by turns in the zones z0
+    """Use as `async with CelledFleet(scenario, control) as fleet`; gateways n0, n1, ... in turn in zones z0
     and z1 of one region, control machines c0, c1, ... beside them."""
 
     def __init__(
         self,
-        scene: Scene,
+        scenario: Scenario,
         control: int,
         keys: str = "",
         runs: tuple[str, ...] = ("-m", "trackspread", "run"),
@@ -97,7 +97,7 @@
     ) -> None:
         """`keys`: further ones of every table [fleet]; `runs`, `controls`: what runs a gateway, and a control
         machine."""
-        super().__init__(scene, runs, viewed=keys)
+        super().__init__(scenario, runs, viewed=keys)
         self._controls = controls
         self.control_names = [f"c{number}" for number in range(control)]
         self.control: dict[str, ControlProcess] = {}
@@ -154,7 +154,7 @@
                 held.pop(each.name, None)
         return held
 
-    def of(self, cell: str) -> list[Belief]:
+    def of(self, cell: str) -> list[MembershipRecord]:
         """What was believed in one cell's view."""
         return [each for each in self.beliefs() if each.about.get("fleet") == cell]
 
@@ -168,12 +168,14 @@
                 found = ""
         return found
 
-    def amiss_in_cells(self) -> list[Amiss]:
+    def amiss_in_cells(self) -> list[Inconsistency]:
         """What does not fit together in the records of every view, the control machines' own among them."""
         gone = [
-            (entry.at, entry.gateway) for entry in self.ledger.entries if isinstance(entry, Killed | Ended)
+            (entry.at, entry.gateway)
+            for entry in self.ledger.entries
+            if isinstance(entry, GatewayKilled | GatewayExited)
         ]
-        found: list[Amiss] = []
+        found: list[Inconsistency] = []
         for cell in sorted({str(each.about["fleet"]) for each in self.beliefs() if "fleet" in each.about}):
             told = self.of(cell)
             found += views(told) + rights(told, gone)[0]
@@ -181,7 +183,7 @@
         return sorted(found + backward(told) + together(told) + lingering(told) + given_up(told, gone))
 
 
-def backward(beliefs: Iterable[Belief]) -> list[Amiss]:
+def backward(beliefs: Iterable[MembershipRecord]) -> list[Inconsistency]:
     """Gateways that went by an older word on their cell after a newer."""
     newest: dict[tuple[str, int], tuple[int, ...]] = {}
     found = []
@@ -190,26 +192,26 @@
             continue
         number = msgspec.convert(each.about["number"], tuple[int, ...])
         if number < newest.get(each.who, ()):
-            found.append(Amiss(each.at, "view", f"{each.name} goes back to {number}"))
+            found.append(Inconsistency(each.at, "view", f"{each.name} goes back to {number}"))
         newest[each.who] = max(number, newest.get(each.who, ()))
     return found
 
 
-def together(beliefs: Iterable[Belief]) -> list[Amiss]:
+def together(beliefs: Iterable[MembershipRecord]) -> list[Inconsistency]:
     """Gateways that joined a cell before they had left another."""
     inside: dict[tuple[str, int], str] = {}
     found = []
     for each in beliefs:
         if each.kind == "joined":
             if each.who in inside:
-                found.append(Amiss(each.at, "view", f"{each.name} is in two cells"))
+                found.append(Inconsistency(each.at, "view", f"{each.name} is in two cells"))
             inside[each.who] = str(each.about["cell"])
         elif each.kind == "parted":
             inside.pop(each.who, None)
     return found
 
 
-def lingering(beliefs: Iterable[Belief]) -> list[Amiss]:
+def lingering(beliefs: Iterable[MembershipRecord]) -> list[Inconsistency]:
     """Gateways that parted from a cell without giving back what they held there."""
     until: dict[tuple[tuple[str, int], str], int] = {}
     found = []
@@ -221,11 +223,13 @@
         elif each.kind in ("left", "fenced", "made way"):
             until.pop(key, None)
         elif each.kind == "parted" and until.get(key, 0) > each.at:
-            found.append(Amiss(each.at, "rights", f"{each.name} parted from {key[1]} and keeps its slots"))
+            found.append(
+                Inconsistency(each.at, "rights", f"{each.name} parted from {key[1]} and keeps its slots")
+            )
     return found
 
 
-def given_up(beliefs: Iterable[Belief], gone: Iterable[tuple[int, str]]) -> list[Amiss]:
+def given_up(beliefs: Iterable[MembershipRecord], gone: Iterable[tuple[int, str]]) -> list[Inconsistency]:
     """Cells that a control machine gave up while a gateway that runs was in them. `gone`: when a process of a
     name was killed or had ended."""
     inside: dict[str, str] = {}
@@ -239,7 +243,9 @@
         elif each.kind in ("parted", "left"):
             inside.pop(each.name, None)
         elif each.kind == "control retired" and each.about["cell"] in inside.values():
-            found.append(Amiss(each.at, "view", f"{each.about['cell']} is given up with gateways in it"))
+            found.append(
+                Inconsistency(each.at, "view", f"{each.about['cell']} is given up with gateways in it")
+            )
     return found
 
 
--- a/trackspread/testing/harness/configured.py
+++ b/trackspread/testing/harness/configuration_fleet.py
@@ -20,12 +20,12 @@
 from ...distribution.messages import Inspected
 from ...distribution.versions import NO_VERSION, Entry, Version
 from ...distribution.wire import Wire
-from ..judge.beliefs import Belief, Reader
+from ..judge.membership_records import MembershipRecord, Reader
 from ...membership.wire import Keys
 from ..standins.loopback import Ports
-from ..virtual.distribution.judged import Broken, Judged
-from .configuring import FLEET, Gateway, Spec, Told
-from .process import BOUNDED
+from ..virtual.distribution.invariants import InvariantViolated, Judged
+from .configuration_process import FLEET, Gateway, ProcessSpec, ConfigurationReceived
+from .gateway_process import BOUNDED
 
 SOCKETS = 512  # descriptors of one process
 LOOK = 0.1  # s between looks at the records
@@ -35,10 +35,10 @@
 class Process:
     """One of the fleet's."""
 
-    def __init__(self, spec: Spec, log: Path) -> None:
+    def __init__(self, spec: ProcessSpec, log: Path) -> None:
         self.spec = spec
         self._log = log
-        self.told = Told()
+        self.told = ConfigurationReceived()
         self._process: asyncio.subprocess.Process | None = None
 
     @property
@@ -47,7 +47,11 @@
 
     async def start(self) -> None:
         """From nothing; returns once it listens."""
-        words = "-m", "trackspread.testing.harness.configuring", msgspec.json.encode(self.spec).decode()
+        words = (
+            "-m",
+            "trackspread.testing.harness.configuration_process",
+            msgspec.json.encode(self.spec).decode(),
+        )
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -66,7 +70,7 @@
             raise RuntimeError(self._log.read_text()[-2000:])
         self.tell(self.told)
 
-    def tell(self, told: Told) -> None:
+    def tell(self, told: ConfigurationReceived) -> None:
         """What holds from now on, for whichever process runs here."""
         self.told = told
         if self.running and self._process is not None and self._process.stdin is not None:
@@ -112,7 +116,7 @@
             )
             for n in range(gateways)
         )
-        spec = Spec(
+        spec = ProcessSpec(
             str(folder), self.addresses, regions, key=key, mutant=mutant, recent=recent, pieces=pieces
         )
         self.replicas = [
@@ -187,7 +191,7 @@
 
     def heal(self) -> None:
         for process in (*self.replicas, self.gateways):
-            process.tell(Told(process.told.lead))
+            process.tell(ConfigurationReceived(process.told.lead))
 
     def lossy(self, loss: float) -> None:
         for process in (*self.replicas, self.gateways):
@@ -215,7 +219,7 @@
 
     # What came to be.
 
-    def records(self) -> list[Belief]:
+    def records(self) -> list[MembershipRecord]:
         return self._reader.all()
 
     def acted(self) -> dict[str, Version]:
@@ -236,8 +240,7 @@
         return None
 
     def judge(self) -> Judged:
-        """Raises `Broken` where the records do not fit together, or a change that was told to be committed
-        is not."""
+        """Raises `InvariantViolated` where records do not fit, or a change told to be committed is not."""
         judged, born = Judged(), dict[str, int]()
         services = {each.name: each.services for each in self._gateways}
         for line in self.records():
@@ -255,15 +258,15 @@
                 _acts(judged, line, services[line.name])
         for _, version in self.put_at:
             if version not in judged.committed:
-                raise Broken(f"{version} was told to be committed, and is not")
+                raise InvariantViolated(f"{version} was told to be committed, and is not")
         return judged
 
 
-def _acts(judged: Judged, line: Belief, services: frozenset[str]) -> None:
+def _acts(judged: Judged, line: MembershipRecord, services: frozenset[str]) -> None:
     version = _version(line.about["version"])
     wanted = {s: keys for s, keys in judged.state(version).items() if s in services}
     if line.about["values"] != fingerprint(wanted):
-        raise Broken(f"{line.name} acts on other values than those of {version}")
+        raise InvariantViolated(f"{line.name} acts on other values than those of {version}")
     judged.acts(line.name, version, wanted, services)
 
 
--- a/trackspread/testing/harness/configuring.py
+++ b/trackspread/testing/harness/configuration_process.py
@@ -1,6 +1,6 @@
 """Runs replicas or gateways of handed-down configuration.
 
-Usage: `python -m trackspread.testing.harness.configuring SPEC`.
+Usage: `python -m trackspread.testing.harness.configuration_process SPEC`.
 
 Who leads and which ways are cut is told on standard input, a JSON object a line; what came to be is recorded.
 A planted fault may be named.
@@ -41,7 +41,7 @@
     services: frozenset[str]
 
 
-class Spec(msgspec.Struct, frozen=True):
+class ProcessSpec(msgspec.Struct, frozen=True):
     """One process: a replica by its number, or the gateways."""
 
     folder: str
@@ -55,7 +55,7 @@
     pieces: int = 2000
 
 
-class Told(msgspec.Struct, frozen=True):
+class ConfigurationReceived(msgspec.Struct, frozen=True):
     """A line of standard input: what holds from now on. `cut`: addresses that nothing is sent to, `deaf`:
     that nothing is heard from; `loss`: of all that is sent."""
 
@@ -65,11 +65,11 @@
     loss: float = 0.0
 
 
-class Faulty:
+class FaultyTransport:
     """The network of one process, and who leads here."""
 
     def __init__(self) -> None:
-        self.told, self._rng = Told(), random.Random(1)
+        self.told, self._rng = ConfigurationReceived(), random.Random(1)
 
     def plant(self, endpoint: Endpoint) -> None:
         """Its datagrams go by what holds."""
@@ -92,10 +92,10 @@
         reader = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
-            self.told = msgspec.json.decode(line, type=Told)
+            self.told = msgspec.json.decode(line, type=ConfigurationReceived)
 
 
-def made(spec: Spec, faulty: Faulty) -> list[Endpoint]:
+def made(spec: ProcessSpec, faulty: FaultyTransport) -> list[Endpoint]:
     """All that runs in this process."""
     wire, born, folder = Wire(FLEET, Keys(spec.key.encode())), time.time_ns() // 1_000_000, Path(spec.folder)
     if spec.replica >= 0:
@@ -130,8 +130,8 @@
     return hosts
 
 
-async def main(spec: Spec) -> None:
-    faulty = Faulty()
+async def main(spec: ProcessSpec) -> None:
+    faulty = FaultyTransport()
     for host in made(spec, faulty):
         faulty.plant(host)
         await host.start()
@@ -140,7 +140,7 @@
 
 
 if __name__ == "__main__":
-    given = msgspec.convert(json.loads(sys.argv[1]), Spec)
+    given = msgspec.convert(json.loads(sys.argv[1]), ProcessSpec)
     planted: Any = held(MUTANTS[given.mutant]()) if given.mutant else nullcontext()
     with planted:
         uvloop.run(main(given))
--- a/trackspread/testing/harness/counted.py
+++ b/trackspread/testing/harness/counter_faults.py
@@ -14,20 +14,22 @@
 from ..judge.judge import Case, Store
 from ..standins.counter import Cluster, Shard
 from ..standins.counter_server import CounterServer
-from ..standins.scene import Scene
+from ..standins.scenario import Scenario
 from .fleet import Fleet
 
 
 @asynccontextmanager
 async def counted(
-    scene: Scene,
+    scenario: Scenario,
     shards: int = 1,
     cluster: bool = False,
     more: Callable[[str], str] = lambda name: "",
 ) -> AsyncIterator[tuple[Fleet, CounterServer]]:
     """A fleet that runs, with its counter; `more`: further keys of the table [counter], by name."""
     made = Cluster(shards) if cluster else None
-    server = CounterServer(made.shards if made else [Shard(n) for n in range(shards)], scene.gateways, made)
+    server = CounterServer(
+        made.shards if made else [Shard(n) for n in range(shards)], scenario.gateways, made
+    )
     await server.start()
 
     def own(name: str) -> str:
@@ -35,7 +37,7 @@
         return f"[counter]\nservers = [{named}]\ncluster = {str(cluster).lower()}\n{more(name)}\n"
 
     try:
-        async with Fleet(scene, own=own) as fleet:
+        async with Fleet(scenario, own=own) as fleet:
             yield fleet, server
     finally:
         server.close()
@@ -105,7 +107,7 @@
 def excess(fleet: Fleet) -> tuple[float, float]:
     """Of ceilings and of quotas: what the worst member sent on beyond the store, as a part of what the store
     allows in the run (its burst, and its rate over the span)."""
-    world = fleet.scene.world()
+    world = fleet.scenario.world()
     case = Case(world, fleet.ledger.entries)
     stores: dict[tuple[int, bool], Store] = {}
     over: dict[tuple[int, bool], float] = {}
@@ -136,7 +138,7 @@
 def inside(fleet: Fleet, since: int) -> float:
     """Units sent on from ledger entry `since` on, over those of the requests that one store for each quota
     would have let pass at their first try; at most 1."""
-    world, entries = fleet.scene.world(), fleet.ledger.entries
+    world, entries = fleet.scenario.world(), fleet.ledger.entries
     case = Case(world, entries)
     start = entries[since].at
     stores: dict[int, Store] = {}
--- a/trackspread/testing/harness/quickened.py
+++ b/trackspread/testing/harness/fast_control.py
@@ -1,8 +1,8 @@
 """Runs a control machine whose cells are small, and are merged and replaced within seconds, so that a test
-sees gateways move: `python -m trackspread.testing.harness.quickened [FAULTS] control NAME --file FILE`.
+sees gateways move: `python -m trackspread.testing.harness.fast_control [FAULTS] control NAME --file FILE`.
 
 `FAULTS`: planted ones by name, with commas between, or "none". A gateway runs with such faults by
-`harness/mutant.py`. May know: the program's entries.
+`harness/mutant_gateway.py`. May know: the program's entries.
 """
 
 from __future__ import annotations
--- a/trackspread/testing/harness/player.py
+++ b/trackspread/testing/harness/fault_player.py
@@ -9,9 +9,9 @@
 import time
 from collections.abc import Awaitable
 
-from ..judge.ledger import Faulted
-from ..standins.faults import AWAY, Calm, Cut, Duty, Fault, Halt, Loop, Restart, Rough, Schedule
-from ..standins.wire import Over
+from ..judge.ledger import FaultChanged
+from ..standins.fault_schedule import AWAY, Calm, Cut, Duty, Fault, Halt, Loop, Restart, Rough, Schedule
+from ..standins.faulty_network import Over
 from .fleet import Fleet
 
 
@@ -33,11 +33,11 @@
     async def _one(self, number: int, fault: Fault) -> None:
         await asyncio.sleep(fault.at)
         write = self._fleet.ledger.write
-        write(Faulted(time.monotonic_ns(), number, True, type(fault).__name__))
+        write(FaultChanged(time.monotonic_ns(), number, True, type(fault).__name__))
         try:
             await self._do(fault)
         finally:
-            write(Faulted(time.monotonic_ns(), number, False, type(fault).__name__))
+            write(FaultChanged(time.monotonic_ns(), number, False, type(fault).__name__))
 
     def _do(self, fault: Fault) -> Awaitable[None]:
         match fault:
--- a/trackspread/testing/harness/faulted.py
+++ b/trackspread/testing/harness/fault_run.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from ..judge.judge import Case, Use, over_ceilings
-from ..judge.ledger import Asked, Entry, Faulted
-from ..standins.faults import Schedule
-from ..standins.rating import SECOND
-from ..standins.scene import Scene
+from ..judge.ledger import RequestSent, Entry, FaultChanged
+from ..standins.fault_schedule import Schedule
+from ..standins.rating_node import SECOND
+from ..standins.scenario import Scenario
 from .fleet import Fleet
-from .player import Player
-from .viewed import until_settled
+from .fault_player import Player
+from .membership_fleet import until_settled
 
 NODES = 3  # to a gateway
 LOAD = 0.35  # of what the nodes can do
@@ -31,7 +31,7 @@
 SETTLED = 2  # windows in a row that have to be
 
 
-class Played(msgspec.Struct, frozen=True):
+class FaultRun(msgspec.Struct, frozen=True):
     """Figures of one play. Of three: before, during and after the trouble. Shares are of all tries."""
 
     name: str
@@ -63,10 +63,10 @@
     keep: Path | None = None,
     command: tuple[str, ...] = ("-m", "trackspread", "run"),
     view: str | None = None,
-) -> Played:
+) -> FaultRun:
     """Once, from a fleet that has just started to its end in good order. `view`: further keys of the table
     [fleet], where the gateways keep a view of their fleet."""
-    scene = Scene(
+    scenario = Scenario(
         gateways=schedule.gateways,
         nodes=NODES * schedule.gateways,
         load=LOAD,
@@ -76,7 +76,7 @@
     )
     count = schedule.gateways
     seats = 0, count // 3, 2 * count // 3  # as the pages say: not all on one side of a likely cut
-    async with Fleet(scene, command, viewed=view, seats=seats) as fleet:
+    async with Fleet(scenario, command, viewed=view, seats=seats) as fleet:
         if view is not None:
             await until_settled(fleet, START)
         fleet.ask()
@@ -86,10 +86,10 @@
         if keep is not None and verdict.state == "broken":
             _keep(fleet, schedule, keep / f"{schedule.name.replace(' ', '-')}-{schedule.seed}")
         entries = fleet.ledger.entries
-        case = Case(scene.world(), entries)
+        case = Case(scenario.world(), entries)
         use = Use(case)
         shares = [use.over[member] / units for member, units in use.sent.items() if units >= MEMBER_LEAST]
-        return Played(
+        return FaultRun(
             schedule.name,
             schedule.seed,
             schedule.gateways,
@@ -111,7 +111,7 @@
     tries: int,
     keep: Path | None = None,
     view: str | None = None,
-) -> Played:
+) -> FaultRun:
     """Played again under other seeds while the rig lagged; the last play, if it lagged in all."""
     for number in range(tries):
         played = await play(
@@ -125,14 +125,14 @@
 def _keep(fleet: Fleet, schedule: Schedule, folder: Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     schedule.save(folder / "schedule.json")
-    fleet.ledger.save(folder / "ledger.jsonl", fleet.scene.world())
+    fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.world())
     for gateway in fleet.gateways:
         shutil.copy(gateway.log, folder)
 
 
 def _trouble(entries: Sequence[Entry]) -> tuple[int, int]:
     """When it in fact began and ended."""
-    on = [entry.at for entry in entries if isinstance(entry, Faulted)]
+    on = [entry.at for entry in entries if isinstance(entry, FaultChanged)]
     return min(on), max(on)
 
 
@@ -141,7 +141,7 @@
     begun, ended = _trouble(entries)
     asked, refused = [0, 0, 0], [0, 0, 0]
     for entry in entries:
-        if isinstance(entry, Asked) and not entry.again:
+        if isinstance(entry, RequestSent) and not entry.again:
             asked[(entry.at >= begun) + (entry.at > ended)] += 1
     for at, room in use.refused_at:
         refused[(at >= begun) + (at > ended)] += room
@@ -155,7 +155,7 @@
     asked: dict[int, int] = {}
     refused: dict[int, int] = {}
     for entry in entries:
-        if isinstance(entry, Asked) and entry.at > ended:
+        if isinstance(entry, RequestSent) and entry.at > ended:
             window = (entry.at - ended) // (SPAN * SECOND)
             asked[window] = asked.get(window, 0) + 1
     for at, room in use.refused_at:
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -16,19 +16,19 @@
 from types import TracebackType
 from typing import Any
 
-from ..judge.beliefs import Belief, Reader
+from ..judge.membership_records import MembershipRecord, Reader
 from ..judge.judge import judge
-from ..judge.ledger import Lagged, Ledger
+from ..judge.ledger import HarnessLagged, Ledger
 from ..judge.verdict import Verdict
-from ..standins.agent import Agent, BackendList, Listed
+from ..standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from ..standins.clients import Clients
 from ..standins.loopback import Address, Ports
 from ..standins.node_server import NodeServer
-from ..standins.rating import NodeSpec, Pod
-from ..standins.scene import Scene
-from ..standins.wire import Wire
-from .process import GatewayProcess
-from .upgraded import HeldProcess
+from ..standins.rating_node import NodeSpec, Pod
+from ..standins.scenario import Scenario
+from ..standins.faulty_network import FaultyNetwork
+from .gateway_process import GatewayProcess
+from .upgradable_gateway import HeldProcess
 
 BEAT = 0.01  # s between looks at this loop's own lag
 LAG_NOTED = 0.02  # s from which a lag goes into the ledger
@@ -39,11 +39,11 @@
 
 
 class Fleet:
-    """Use as `async with Fleet(scene) as fleet`; it starts everything but the clients."""
+    """Use as `async with Fleet(scenario) as fleet`; it starts everything but the clients."""
 
     def __init__(
         self,
-        scene: Scene,
+        scenario: Scenario,
         command: tuple[str, ...] = ("-m", "trackspread", "run"),
         sockets: int = 256,
         relays: bool = False,
@@ -56,29 +56,29 @@
         the gateways keep a view of their fleet; `seats`: which are seeds. `held`: the clients' sockets are
         held here, so that new versions can start beside old ones, and each has a door. `relays`: also the
         ways to the rating nodes go over the wire (those between gateways always do)."""
-        self.scene = scene
+        self.scenario = scenario
         self.ledger = Ledger()
-        self.wire = Wire(scene.seed)
+        self.wire = FaultyNetwork(scenario.seed)
         self.list = BackendList()
         self.folder = Path(tempfile.mkdtemp(prefix="trackspread-"))
         self.nodes: dict[str, NodeServer] = {}
         self.gateways: list[GatewayProcess] = []
-        self.agents = [Agent(self.list, number, self.ledger) for number in range(scene.gateways)]
+        self.agents = [DiscoveryAgent(self.list, number, self.ledger) for number in range(scenario.gateways)]
         self._command = command
         self._sockets = sockets
         self._relays = relays
         self._own = own
         self._held = held
         self._viewed = viewed
-        self._seats = [n for n in seats if n < scene.gateways]
+        self._seats = [n for n in seats if n < scenario.gateways]
         self._reader = Reader([])
         self.members: dict[str, Address] = {}  # where each listens for the others of the view
         self.doors: dict[str, Address] = {}  # the operators', where a view is kept
         self.reached: dict[str, Address] = {}  # by which they reach it: over the wire
-        self._rng = random.Random(f"fleet:{scene.seed}")
+        self._rng = random.Random(f"fleet:{scenario.seed}")
         self._ports, self._pods = Ports(), dict[int, Pod]()
-        addresses = [self._ports.tcp() for _ in range(scene.gateways)]
-        self.clients = Clients(scene, scene.crowd(), self.ledger, addresses)
+        addresses = [self._ports.tcp() for _ in range(scenario.gateways)]
+        self.clients = Clients(scenario, scenario.population(), self.ledger, addresses)
         self._dials: dict[str, tuple[Address, ...]] = {}
         self._beat: asyncio.Task[None] | None = None
 
@@ -96,12 +96,12 @@
         await self._close()
 
     async def _start(self) -> None:
-        scene = self.scene
-        for spec in scene.specs():
+        scenario = self.scenario
+        for spec in scenario.specs():
             await self.boot(spec, cold=False)
         for agent in self.agents:
             await agent.start()
-        names = [f"n{number}" for number in range(scene.gateways)]
+        names = [f"n{number}" for number in range(scenario.gateways)]
         heard_at = {name: self._ports.udp() for name in names}
         peers = await self.wire.datagrams(heard_at)
         if self._viewed is not None:
@@ -116,7 +116,7 @@
                 "peer_listen": _text(heard_at[name]),
                 "peers": told,
                 "known": self.list.whole(number),
-                "settings": scene.settings(number),
+                "settings": scenario.settings(number),
             }
             at = self.clients.addresses[number]
             if self._viewed is not None and not self._held:
@@ -165,7 +165,7 @@
             f'record = "{self.record(name)}"\n{self._viewed}\n'
         )
 
-    def beliefs(self) -> list[Belief]:
+    def beliefs(self) -> list[MembershipRecord]:
         """All that the gateways have recorded so far, in its order."""
         return self._reader.all()
 
@@ -179,7 +179,7 @@
             due = loop.time() + BEAT
             await asyncio.sleep(BEAT)
             if (late := loop.time() - due) > LAG_NOTED:
-                self.ledger.write(Lagged(time.monotonic_ns(), "stand-ins", int(late * 1e9)))
+                self.ledger.write(HarnessLagged(time.monotonic_ns(), "stand-ins", int(late * 1e9)))
 
     async def _close(self) -> None:
         if self._beat is not None:
@@ -199,9 +199,9 @@
 
     async def boot(self, spec: NodeSpec, cold: bool = True) -> NodeServer:
         """A new node, which the list tells of."""
-        scene = self.scene
+        scenario = self.scenario
         node = self.nodes[spec.name] = NodeServer(
-            scene, spec, self._pods, self.ledger, self.clients.forms, scene.gateways, cold
+            scenario, spec, self._pods, self.ledger, self.clients.forms, scenario.gateways, cold
         )
         await node.start()
         dials = list(node.addresses)
@@ -215,7 +215,7 @@
         """What the list says of a node from now on."""
         spec = node.spec
         self.list.put(
-            Listed(
+            ListedBackend(
                 spec.name,
                 self._dials[spec.name],
                 spec.zone,
@@ -223,7 +223,7 @@
                 spec.cell,
                 health,
                 node.born_ms,
-                self.scene.service(spec),
+                self.scenario.service(spec),
             )
         )
 
@@ -238,7 +238,7 @@
     async def replace(self, node: NodeServer, leave: float) -> None:
         """Drain, start a cold successor, and end the old one after `leave` seconds."""
         self.drain(node)
-        await self.boot(self.scene.successor(node.spec))
+        await self.boot(self.scenario.successor(node.spec))
         await asyncio.sleep(leave)
         self.remove(node)
 
@@ -292,7 +292,7 @@
         await asyncio.gather(*(gateway.end() for gateway in self.gateways))
 
     def verdict(self) -> Verdict:
-        return judge(self.scene.world(), self.ledger.entries)
+        return judge(self.scenario.world(), self.ledger.entries)
 
     def figures(self) -> dict[str, Any]:
         """CPU of the gateways a try, in ms, and the most memory that one held, in MB."""
--- a/trackspread/testing/harness/process.py
+++ b/trackspread/testing/harness/gateway_process.py
@@ -12,7 +12,15 @@
 from pathlib import Path
 from typing import Any
 
-from ..judge.ledger import Ended, Halted, Killed, Ledger, Resumed, Started, Stopping
+from ..judge.ledger import (
+    GatewayExited,
+    GatewayPaused,
+    GatewayKilled,
+    Ledger,
+    GatewayResumed,
+    GatewayStarted,
+    GatewayStopping,
+)
 from ..standins.loopback import Address
 
 READY_MOST = 20.0  # s until a gateway answers a ping; a loaded machine may be slow to start twenty of them
@@ -111,7 +119,7 @@
                 if not self.running:
                     raise RuntimeError(f"{self.name} did not start; its log: {self.tail()}")
                 await asyncio.sleep(READY_LOOK)
-        self._ledger.write(Started(time.monotonic_ns(), self.name))
+        self._ledger.write(GatewayStarted(time.monotonic_ns(), self.name))
 
     async def _pinged(self) -> bool:
         try:
@@ -130,14 +138,14 @@
 
     async def _ended(self, process: asyncio.subprocess.Process) -> None:
         status = await process.wait()
-        self._ledger.write(Ended(time.monotonic_ns(), self.name, status))
+        self._ledger.write(GatewayExited(time.monotonic_ns(), self.name, status))
 
     async def kill(self) -> None:
         """Outright, as a machine that loses power."""
         if self._process is not None and self.running:
             self.resume()
             self.measure()
-            self._ledger.write(Killed(time.monotonic_ns(), self.name))
+            self._ledger.write(GatewayKilled(time.monotonic_ns(), self.name))
             self._process.kill()
             await self._gone()
 
@@ -146,7 +154,7 @@
         if self._process is not None and self.running:
             self.resume()
             self.measure()
-            self._ledger.write(Stopping(time.monotonic_ns(), self.name))
+            self._ledger.write(GatewayStopping(time.monotonic_ns(), self.name))
             self._process.terminate()
             try:
                 async with asyncio.timeout(END_MOST):
@@ -168,12 +176,12 @@
         if self._process is not None and self.running and not self.halted:
             self.halted = True
             self._process.send_signal(signal.SIGSTOP)
-            self._ledger.write(Halted(time.monotonic_ns(), self.name))
+            self._ledger.write(GatewayPaused(time.monotonic_ns(), self.name))
 
     def resume(self) -> None:
         if self._process is not None and self.halted:
             self.halted = False
-            self._ledger.write(Resumed(time.monotonic_ns(), self.name))
+            self._ledger.write(GatewayResumed(time.monotonic_ns(), self.name))
             if self.running:
                 self._process.send_signal(signal.SIGCONT)
 
--- a/trackspread/testing/harness/viewed.py
+++ b/trackspread/testing/harness/membership_fleet.py
@@ -10,14 +10,14 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from ..judge.beliefs import Amiss, Belief, Who, rights, settled_at, views
-from ..judge.ledger import Ended, Killed
+from ..judge.membership_records import Inconsistency, MembershipRecord, Who, rights, settled_at, views
+from ..judge.ledger import GatewayExited, GatewayKilled
 from .fleet import Fleet
 
 LOOK = 0.1  # s between looks at the records
 
 
-def running(fleet: Fleet, found: Iterable[Belief]) -> list[Who]:
+def running(fleet: Fleet, found: Iterable[MembershipRecord]) -> list[Who]:
     """The processes that run now, by their records: the last that began under each name."""
     born = {each.name: each.born for each in found if each.kind == "started"}
     return [
@@ -49,10 +49,14 @@
     return max(b.at for b in fleet.beliefs() if b.kind == "started" and b.name in names)
 
 
-def amiss(fleet: Fleet) -> tuple[list[Amiss], float]:
+def amiss(fleet: Fleet) -> tuple[list[Inconsistency], float]:
     """What does not fit together in all the records, and the most that was held at once."""
     found = fleet.beliefs()
-    gone = [(entry.at, entry.gateway) for entry in fleet.ledger.entries if isinstance(entry, Killed | Ended)]
+    gone = [
+        (entry.at, entry.gateway)
+        for entry in fleet.ledger.entries
+        if isinstance(entry, GatewayKilled | GatewayExited)
+    ]
     over, most = rights(found, gone)
     return sorted(views(found) + over), most
 
@@ -60,7 +64,7 @@
 def keep(fleet: Fleet, folder: Path) -> None:
     """What a failing run leaves: its ledger, each gateway's log and record."""
     folder.mkdir(parents=True, exist_ok=True)
-    fleet.ledger.save(folder / "ledger.jsonl", fleet.scene.world())
+    fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.world())
     for gateway in fleet.gateways:
         for path in (fleet.record(gateway.name), gateway.log):
             if path.exists():
--- a/trackspread/testing/harness/mutant.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -1,4 +1,6 @@
-"""Runs a gateway with one planted fault: `python -m trackspread.testing.harness.mutant NAME --file FILE`."""
+"""Runs a gateway with one planted fault.
+
+Usage: `python -m trackspread.testing.harness.mutant_gateway NAME --file FILE`."""
 
 from __future__ import annotations
 
@@ -91,7 +93,7 @@
 }
 
 # What only virtual time convicts: the pool's own grace holds back a drain that the decisions ignore, and the
-# rest need a crowd or a cold node that the scenarios do not bring, or are faults of the virtual host.
+# rest need a population or a cold node that the scenarios do not bring, or are faults of the virtual host.
 VIRTUAL_ONLY = {
     "drains-ignored",
     "whole-ceiling-each",
@@ -111,7 +113,7 @@
 
 def command(name: str) -> tuple[str, ...]:
     """What runs the mutant, for `Fleet`."""
-    return "-m", "trackspread.testing.harness.mutant", name
+    return "-m", "trackspread.testing.harness.mutant_gateway", name
 
 
 def _patches(name: str) -> list[Any]:
--- a/trackspread/testing/harness/tallies.py
+++ b/trackspread/testing/harness/run_statistics.py
@@ -11,7 +11,15 @@
 from dataclasses import dataclass, field
 
 from ..judge.judge import Store
-from ..judge.ledger import Answered, Asked, Attempted, Cut, Entry, Left, World
+from ..judge.ledger import (
+    ReplyReceived,
+    RequestSent,
+    AttemptReceived,
+    ConnectionLost,
+    Entry,
+    ClientDisconnected,
+    World,
+)
 
 KEPT = 60  # s of counts that are kept, for a line of the recent past
 SECOND = 1_000_000_000
@@ -26,7 +34,7 @@
     by_gateway: dict[str, Counter[str]] = field(default_factory=dict)
     refusals: Counter[str] = field(default_factory=Counter)
     seconds: deque[Counter[str]] = field(default_factory=lambda: deque(maxlen=KEPT))
-    _asked: dict[str, Asked] = field(default_factory=dict)
+    _asked: dict[str, RequestSent] = field(default_factory=dict)
     _sent: set[str] = field(default_factory=set)
     _stores: dict[int, Store] = field(default_factory=dict)
 
@@ -35,22 +43,22 @@
         second: Counter[str] = Counter()
         for entry in entries:
             match entry:
-                case Asked():
+                case RequestSent():
                     self._asked[entry.request] = entry
                     second["asked"] += 1
-                case Attempted():
+                case AttemptReceived():
                     self._attempted(entry)
-                case Answered():
+                case ReplyReceived():
                     asked = self._asked.pop(entry.request, None)
                     if asked is not None:
                         self._answered(entry, asked, second)
                     self._sent.discard(entry.request)
-                case Cut() | Left():
+                case ConnectionLost() | ClientDisconnected():
                     if (asked := self._asked.pop(entry.request, None)) is not None:
                         self._count(asked.gateway, "unanswered", second)
         self.seconds.append(second)
 
-    def _store(self, asked: Asked, now: int) -> Store | None:
+    def _store(self, asked: RequestSent, now: int) -> Store | None:
         plan = self.world.plans[asked.plan]
         if not plan.rate:
             return None
@@ -58,7 +66,7 @@
         store.fill(now)
         return store
 
-    def _attempted(self, entry: Attempted) -> None:
+    def _attempted(self, entry: AttemptReceived) -> None:
         asked = self._asked.get(entry.request)
         if asked is None or entry.request in self._sent:
             return
@@ -70,12 +78,12 @@
         else:
             self.total["beyond"] += 1
 
-    def _answered(self, entry: Answered, asked: Asked, second: Counter[str]) -> None:
+    def _answered(self, entry: ReplyReceived, asked: RequestSent, second: Counter[str]) -> None:
         self._count(asked.gateway, entry.kind, second)
         if entry.kind == "refused":
             self.refusals[self._why(entry, asked)] += 1
 
-    def _why(self, entry: Answered, asked: Asked) -> str:
+    def _why(self, entry: ReplyReceived, asked: RequestSent) -> str:
         if entry.request in self._sent:
             return "tried, and no other try was allowed"
         store = self._store(asked, entry.at)
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -22,11 +22,11 @@
 
 from ...config.addresses import ConfigError
 from ..judge.verdict import Verdict
-from ..standins.rating import SECOND
-from ..standins.scene import Scene
+from ..standins.rating_node import SECOND
+from ..standins.scenario import Scenario
 from .fleet import Fleet
 from .screen import GatewayRow, NodeRow, Snapshot, draw, one_line
-from .tallies import Tallies
+from .run_statistics import Tallies
 
 AWAY = 2.0  # s until a killed gateway or node is back
 LOAD = 0.35  # of what the nodes can do
@@ -35,16 +35,16 @@
 _KILL = re.compile(r"(?P<what>n\d+|s-\d+)(?:@(?P<at>\d+(?:\.\d+)?))?")
 
 
-def plan_kills(words: list[str], scene: Scene, seconds: float) -> list[tuple[float, str]]:
+def plan_kills(words: list[str], scenario: Scenario, seconds: float) -> list[tuple[float, str]]:
     """`NAME` or `NAME@SECONDS`, sorted by time; raises `ConfigError`."""
     kills = []
-    known = [f"n{i}" for i in range(scene.gateways)] + [f"s-{i}" for i in range(scene.nodes)]
+    known = [f"n{i}" for i in range(scenario.gateways)] + [f"s-{i}" for i in range(scenario.nodes)]
     for word in words:
         match = _KILL.fullmatch(word)
         if match is None or match["what"] not in known:
             raise ConfigError(
-                f"--kill: found {word!r}, wanted n0 to n{scene.gateways - 1} or s-0 to "
-                f"s-{scene.nodes - 1}, with @SECONDS behind it or not"
+                f"--kill: found {word!r}, wanted n0 to n{scenario.gateways - 1} or s-0 to "
+                f"s-{scenario.nodes - 1}, with @SECONDS behind it or not"
             )
         at = float(match["at"]) if match["at"] else seconds / 3
         if at > seconds:
@@ -59,7 +59,7 @@
     def __init__(self, fleet: Fleet, seconds: float, seed: int) -> None:
         self.fleet = fleet
         self.seconds = seconds
-        self.tallies = Tallies(fleet.scene.world())
+        self.tallies = Tallies(fleet.scenario.world())
         self.happened: list[str] = []
         self.stop = asyncio.Event()
         self._rng = random.Random(f"trial:{seed}")
@@ -105,7 +105,7 @@
         await asyncio.sleep(AWAY / 2)
         self.fleet.told(node, "terminated")
         await asyncio.sleep(AWAY / 2)
-        fresh = self.fleet.scene.successor(node.spec)
+        fresh = self.fleet.scenario.successor(node.spec)
         await self.fleet.boot(fresh)
         self.note(f"node {fresh.name} takes its place, cold")
 
@@ -165,12 +165,13 @@
 
 
 async def _run(seconds: float, kills: list[tuple[float, str]], seed: int) -> Verdict:
-    scene = _scene(seed)
+    scenario = _scene(seed)
     print(
-        f"starting {scene.gateways} gateways and {scene.nodes} rating nodes on loopback (seed {seed}) ...",
+        f"starting {scenario.gateways} gateways and {scenario.nodes} rating nodes "
+        f"on loopback (seed {seed}) ...",
         flush=True,
     )
-    async with Fleet(scene) as fleet:
+    async with Fleet(scenario) as fleet:
         trial = Trial(fleet, seconds, seed)
         fleet.ask()
         waiting, told = list(kills), 0
@@ -200,8 +201,8 @@
         return fleet.verdict()
 
 
-def _scene(seed: int) -> Scene:
-    return Scene(load=LOAD, greedy=0.2, warm=6 * SECOND, seed=seed)
+def _scene(seed: int) -> Scenario:
+    return Scenario(load=LOAD, greedy=0.2, warm=6 * SECOND, seed=seed)
 
 
 def run(seconds: float, kill: list[str], seed: int) -> int:
--- a/trackspread/testing/harness/upgraded.py
+++ b/trackspread/testing/harness/upgradable_gateway.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from ..judge.ledger import Ended, Ledger
+from ..judge.ledger import GatewayExited, Ledger
 from ..standins.loopback import Address, Ports
-from .process import READY_LOOK, READY_MOST, GatewayProcess
+from .gateway_process import READY_LOOK, READY_MOST, GatewayProcess
 
 UPGRADE_MOST = 6.0  # s that the platform gives a new process to say yes
 
@@ -110,7 +110,7 @@
         async with asyncio.timeout(READY_MOST):
             status = await old.wait()
         if status not in (0, -signal.SIGTERM):  # it may come when its handlers are gone
-            self._ledger.write(Ended(time.monotonic_ns(), self.name, status))
+            self._ledger.write(GatewayExited(time.monotonic_ns(), self.name, status))
         return took
 
     async def kill(self) -> None:
--- a/trackspread/testing/judge/judge.py
+++ b/trackspread/testing/judge/judge.py
@@ -14,26 +14,26 @@
 from collections.abc import Iterator, Sequence
 
 from .ledger import (
-    Answered,
-    Asked,
-    Attempted,
-    Booted,
+    ReplyReceived,
+    RequestSent,
+    AttemptReceived,
+    BackendStarted,
     ClassRule,
-    Cut,
-    Ended,
+    ConnectionLost,
+    GatewayExited,
     Entry,
-    Fell,
-    Garbled,
-    Halted,
-    Killed,
-    Lagged,
-    Left,
+    BackendCrashed,
+    MalformedRequest,
+    GatewayPaused,
+    GatewayKilled,
+    HarnessLagged,
+    ClientDisconnected,
     PlanRule,
-    Resumed,
-    Started,
-    Stopping,
-    Stray,
-    Told,
+    GatewayResumed,
+    GatewayStarted,
+    GatewayStopping,
+    UnexpectedBytes,
+    EndpointAnnounced,
     World,
 )
 from .verdict import Figures, State, Verdict, Violation
@@ -47,53 +47,53 @@
 
     def __init__(self, world: World, entries: Sequence[Entry]) -> None:
         self.world = world
-        self.asked: dict[str, Asked] = {}  # the last writing of each request
-        self.answers: defaultdict[str, list[Answered]] = defaultdict(list)
-        self.cuts: dict[str, Cut] = {}
-        self.left: dict[str, Left] = {}
-        self.attempts: defaultdict[str, list[Attempted]] = defaultdict(list)
-        self.booted: defaultdict[str, list[Booted]] = defaultdict(list)
+        self.asked: dict[str, RequestSent] = {}  # the last writing of each request
+        self.answers: defaultdict[str, list[ReplyReceived]] = defaultdict(list)
+        self.cuts: dict[str, ConnectionLost] = {}
+        self.left: dict[str, ClientDisconnected] = {}
+        self.attempts: defaultdict[str, list[AttemptReceived]] = defaultdict(list)
+        self.booted: defaultdict[str, list[BackendStarted]] = defaultdict(list)
         self.killed: defaultdict[str, list[int]] = defaultdict(list)
         self.halts: defaultdict[str, list[tuple[int, float]]] = defaultdict(list)  # from when until when
         self.entries = sorted(entries, key=lambda entry: entry.at)
         for entry in self.entries:
             match entry:
-                case Asked():
+                case RequestSent():
                     self.asked[entry.request] = entry
                     self.cuts.pop(entry.request, None)
-                case Answered():
+                case ReplyReceived():
                     self.answers[entry.request].append(entry)
-                case Cut():
+                case ConnectionLost():
                     self.cuts[entry.request] = entry
-                case Left():
+                case ClientDisconnected():
                     self.left.setdefault(entry.request, entry)
-                case Attempted():
+                case AttemptReceived():
                     self.attempts[entry.request].append(entry)
-                case Booted():
+                case BackendStarted():
                     self.booted[entry.backend].append(entry)
-                case Killed():
+                case GatewayKilled():
                     self.killed[entry.gateway].append(entry.at)
-                case Halted():
+                case GatewayPaused():
                     self.halts[entry.gateway].append((entry.at, math.inf))
-                case Resumed() if self.halts[entry.gateway]:
+                case GatewayResumed() if self.halts[entry.gateway]:
                     since, _ = self.halts[entry.gateway].pop()
                     self.halts[entry.gateway].append((since, entry.at))
 
     def cls(self, request: str) -> ClassRule:
         return self.world.classes[self.asked[request].cls]
 
-    def where(self, backend: str, at: int) -> Booted | None:
+    def where(self, backend: str, at: int) -> BackendStarted | None:
         """The backend as it was then."""
         return next((b for b in reversed(self.booted.get(backend, [])) if b.at <= at), None)
 
-    def excused(self, asked: Asked, until: int) -> bool:
+    def excused(self, asked: RequestSent, until: int) -> bool:
         """Whether the request's gateway was killed while it may have held it."""
         since = asked.at - self.world.tolerance
         times = self.killed.get(asked.gateway, [])
         at = bisect_left(times, since)
         return at < len(times) and times[at] <= until
 
-    def due(self, asked: Asked) -> float:
+    def due(self, asked: RequestSent) -> float:
         """When the final answer has to be there: a halt that began before delays it by what it lasts."""
         due = float(asked.at + asked.wait + self.world.tolerance)
         for since, until in self.halts.get(asked.gateway, []):
@@ -101,7 +101,7 @@
                 due += until - max(since, asked.at)
         return due
 
-    def firsts(self) -> list[tuple[Attempted, Asked]]:
+    def firsts(self) -> list[tuple[AttemptReceived, RequestSent]]:
         """Each request's first attempt, in the order in which they came."""
         made = [
             (min(a, key=lambda each: each.at), self.asked[r])
@@ -147,9 +147,9 @@
         if request not in case.asked:
             yield Violation(attempts[0].at, "answers", f"{request}: sent, though no client asked for it")
     for entry in case.entries:
-        if isinstance(entry, Stray):
+        if isinstance(entry, UnexpectedBytes):
             yield Violation(entry.at, "answers", f"{entry.gateway} answered where nothing was asked")
-        elif isinstance(entry, Garbled):
+        elif isinstance(entry, MalformedRequest):
             yield Violation(entry.at, "answers", f"{entry.gateway} sent {entry.backend} {entry.text!r:.60}")
 
 
@@ -168,7 +168,7 @@
         refused = [a for a in case.answers.get(request, []) if a.kind == "refused"]
         if ran and refused and not repeatable and refused[0].at > ran[0].at:
             yield Violation(refused[0].at, "effects", f"{request}: refused, though it may have run")
-    families: defaultdict[str, list[Attempted]] = defaultdict(list)
+    families: defaultdict[str, list[AttemptReceived]] = defaultdict(list)
     for request, attempts in case.attempts.items():
         if request in case.asked and case.cls(request).repeat == "unsafe":
             families[case.asked[request].origin] += [a for a in attempts if not a.turned_away]
@@ -178,7 +178,9 @@
             yield Violation(at, "effects", f"{origin}: unsafe, run in {len(ran)} tries of its client")
 
 
-def _keyed_again(case: Case, rule: ClassRule, first: Attempted, later: Attempted) -> Iterator[Violation]:
+def _keyed_again(
+    case: Case, rule: ClassRule, first: AttemptReceived, later: AttemptReceived
+) -> Iterator[Violation]:
     if later.at - first.at > rule.window + case.world.tolerance:
         yield Violation(later.at, "effects", f"{later.request}: keyed, sent after its window", True)
     a, b = case.where(first.backend, first.at), case.where(later.backend, later.at)
@@ -198,15 +200,15 @@
     limit = case.world.grace + case.world.tolerance
     for entry in case.entries:
         match entry:
-            case Told(gateway=gateway, backend=backend, ready=ready):
+            case EndpointAnnounced(gateway=gateway, backend=backend, ready=ready):
                 if ready:
                     told.pop((gateway, backend), None)
                 else:
                     told.setdefault((gateway, backend), entry.at)
-            case Killed(gateway=gateway) | Ended(gateway=gateway):
+            case GatewayKilled(gateway=gateway) | GatewayExited(gateway=gateway):
                 for pair in [pair for pair in told if pair[0] == gateway]:
                     del told[pair]  # the next one knows nothing
-            case Attempted(gateway=gateway, backend=backend, began=began):
+            case AttemptReceived(gateway=gateway, backend=backend, began=began):
                 since = told.get((gateway, backend))
                 if since is not None and began - since > limit:
                     late = (began - since) // 1_000_000
@@ -217,7 +219,7 @@
 def cold(case: Case) -> Iterator[Violation]:
     """Rule 4: the work that all gateways together send a cold backend within any window stays under the
     multiple of what it can do in that window."""
-    work: defaultdict[str, list[Attempted]] = defaultdict(list)
+    work: defaultdict[str, list[AttemptReceived]] = defaultdict(list)
     for attempts in case.attempts.values():
         for attempt in attempts:
             work[attempt.backend].append(attempt)
@@ -238,11 +240,11 @@
                     yield Violation(sent[last].at, "cold", text, True)
                     break
     for entry in case.entries:
-        if isinstance(entry, Fell):
+        if isinstance(entry, BackendCrashed):
             yield Violation(entry.at, "cold", f"{entry.backend} fell over")
 
 
-def _able(start: Booted, until: int, span: int) -> float:
+def _able(start: BackendStarted, until: int, span: int) -> float:
     """Core-nanoseconds that a backend can do in the window that ends then, by the capacity at its end."""
     part = start.start + (1.0 - start.start) * min(1.0, (until - start.at) / start.warm)
     return start.cores * part * span
@@ -263,7 +265,7 @@
         return self.level
 
 
-def _under_ceilings(case: Case) -> Iterator[tuple[Attempted, Asked, float, float]]:
+def _under_ceilings(case: Case) -> Iterator[tuple[AttemptReceived, RequestSent, float, float]]:
     """What each request that was sent on left in its customer's store, in units, and the slack below
     nothing."""
     stores: dict[int, Store] = {}
@@ -337,11 +339,11 @@
     asked_to: set[str] = set()
     for entry in case.entries:
         match entry:
-            case Stopping(gateway=gateway) | Killed(gateway=gateway):
+            case GatewayStopping(gateway=gateway) | GatewayKilled(gateway=gateway):
                 asked_to.add(gateway)
-            case Started(gateway=gateway):
+            case GatewayStarted(gateway=gateway):
                 asked_to.discard(gateway)
-            case Ended(gateway=gateway, status=status):
+            case GatewayExited(gateway=gateway, status=status):
                 if gateway not in asked_to:
                     yield Violation(entry.at, "crash", f"{gateway} ended by itself, status {status}")
                 elif status not in (0, -9):
@@ -353,7 +355,7 @@
     case = Case(world, entries)
     found = [each for rule in (answers, effects, drains, cold, ceilings, crashes) for each in rule(case)]
     use = Use(case)
-    lag = max((entry.late for entry in case.entries if isinstance(entry, Lagged)), default=0)
+    lag = max((entry.late for entry in case.entries if isinstance(entry, HarnessLagged)), default=0)
     kinds = [each[0].kind for each in case.answers.values() if each]
     figures = Figures(
         tries=len(case.asked),
--- a/trackspread/testing/judge/ledger.py
+++ b/trackspread/testing/judge/ledger.py
@@ -21,7 +21,7 @@
     at: int
 
 
-class Asked(_Entry, frozen=True):
+class RequestSent(_Entry, frozen=True):
     """A client has written a request's last byte. `origin` is the first try's id, the same for all retries;
     `again`: the same request once more, as the connection ended before the gateway can have read it."""
 
@@ -36,7 +36,7 @@
     again: bool = False
 
 
-class Answered(_Entry, frozen=True):
+class ReplyReceived(_Entry, frozen=True):
     """A client has read an answer's last byte; `value` is what was served, `retry_ms` the advice."""
 
     request: str
@@ -45,7 +45,7 @@
     retry_ms: int = 0
 
 
-class Cut(_Entry, frozen=True):
+class ConnectionLost(_Entry, frozen=True):
     """A connection ended with no whole answer to this request. `unreached`: it crossed the end of a
     connection that was at rest, and no gateway was there to take it when it was to be written once more."""
 
@@ -53,19 +53,19 @@
     unreached: bool = False
 
 
-class Left(_Entry, frozen=True):
+class ClientDisconnected(_Entry, frozen=True):
     """The client has hung up by itself."""
 
     request: str
 
 
-class Stray(_Entry, frozen=True):
+class UnexpectedBytes(_Entry, frozen=True):
     """Bytes came to a client that had nothing outstanding on that connection."""
 
     gateway: str
 
 
-class Attempted(_Entry, frozen=True):
+class AttemptReceived(_Entry, frozen=True):
     """A request has come whole to a backend; its first byte came at `began`. `value`: what the backend makes
     for it; `repeat`: recognized by its key, no effect of its own."""
 
@@ -79,7 +79,7 @@
     value: str = ""
 
 
-class Garbled(_Entry, frozen=True):
+class MalformedRequest(_Entry, frozen=True):
     """A backend was sent what no client sent in this form."""
 
     backend: str
@@ -87,7 +87,7 @@
     text: str
 
 
-class Told(_Entry, frozen=True):
+class EndpointAnnounced(_Entry, frozen=True):
     """The list's word on a backend was written to a gateway."""
 
     gateway: str
@@ -95,7 +95,7 @@
     ready: bool
 
 
-class Booted(_Entry, frozen=True):
+class BackendStarted(_Entry, frozen=True):
     """A backend started, with `cores` in all. A cold one has `start` of its capacity at first and all of it
     after `warm`; `start` is 1 for a warm one."""
 
@@ -107,43 +107,43 @@
     warm: int
 
 
-class Fell(_Entry, frozen=True):
+class BackendCrashed(_Entry, frozen=True):
     """A cold backend fell over."""
 
     backend: str
 
 
-class Started(_Entry, frozen=True):
+class GatewayStarted(_Entry, frozen=True):
     """A gateway answered its first ping."""
 
     gateway: str
 
 
-class Stopping(_Entry, frozen=True):
+class GatewayStopping(_Entry, frozen=True):
     """A gateway was asked to end (SIGTERM)."""
 
     gateway: str
 
 
-class Killed(_Entry, frozen=True):
+class GatewayKilled(_Entry, frozen=True):
     """A gateway was killed outright."""
 
     gateway: str
 
 
-class Halted(_Entry, frozen=True):
+class GatewayPaused(_Entry, frozen=True):
     """A gateway's process was stopped (SIGSTOP) and had taken no step more when this was written."""
 
     gateway: str
 
 
-class Resumed(_Entry, frozen=True):
+class GatewayResumed(_Entry, frozen=True):
     """It is about to go on (SIGCONT)."""
 
     gateway: str
 
 
-class Faulted(_Entry, frozen=True):
+class FaultChanged(_Entry, frozen=True):
     """A fault of the schedule began, or ended; `fault` is its place there."""
 
     fault: int
@@ -151,14 +151,14 @@
     text: str = ""
 
 
-class Ended(_Entry, frozen=True):
+class GatewayExited(_Entry, frozen=True):
     """A gateway's process has ended."""
 
     gateway: str
     status: int
 
 
-class Lagged(_Entry, frozen=True):
+class HarnessLagged(_Entry, frozen=True):
     """A stand-in's own loop came late by so much: what it saw then is no evidence on time."""
 
     who: str
@@ -166,24 +166,24 @@
 
 
 Entry = (
-    Asked
-    | Answered
-    | Cut
-    | Left
-    | Stray
-    | Attempted
-    | Garbled
-    | Told
-    | Booted
-    | Fell
-    | Started
-    | Stopping
-    | Killed
-    | Halted
-    | Resumed
-    | Faulted
-    | Ended
-    | Lagged
+    RequestSent
+    | ReplyReceived
+    | ConnectionLost
+    | ClientDisconnected
+    | UnexpectedBytes
+    | AttemptReceived
+    | MalformedRequest
+    | EndpointAnnounced
+    | BackendStarted
+    | BackendCrashed
+    | GatewayStarted
+    | GatewayStopping
+    | GatewayKilled
+    | GatewayPaused
+    | GatewayResumed
+    | FaultChanged
+    | GatewayExited
+    | HarnessLagged
 )
 
 
--- a/trackspread/testing/judge/beliefs.py
+++ b/trackspread/testing/judge/membership_records.py
@@ -23,7 +23,7 @@
 Who = tuple[str, int]
 
 
-class Belief(msgspec.Struct, frozen=True):
+class MembershipRecord(msgspec.Struct, frozen=True):
     """One line of a record. `born`: which process of that name."""
 
     at: int
@@ -37,7 +37,7 @@
         return self.name, self.born
 
 
-class Amiss(msgspec.Struct, frozen=True, order=True):
+class Inconsistency(msgspec.Struct, frozen=True, order=True):
     at: int
     rule: Literal["view", "rights"]
     text: str
@@ -48,13 +48,13 @@
 
     def __init__(self, paths: Iterable[Path]) -> None:
         self._at = {path: 0 for path in paths}
-        self._decode = msgspec.json.Decoder(Belief).decode
-        self._all: list[Belief] = []
+        self._decode = msgspec.json.Decoder(MembershipRecord).decode
+        self._all: list[MembershipRecord] = []
 
-    def all(self) -> list[Belief]:
+    def all(self) -> list[MembershipRecord]:
         """In the order of their stamps. A half line at an end is passed over: its process was killed, or has
         not written the rest yet."""
-        fresh: list[Belief] = []
+        fresh: list[MembershipRecord] = []
         for path, at in self._at.items():
             if not path.exists():
                 continue
@@ -79,9 +79,9 @@
     return made
 
 
-def views(beliefs: Sequence[Belief]) -> list[Amiss]:
+def views(beliefs: Sequence[MembershipRecord]) -> list[Inconsistency]:
     """The first rule."""
-    found: list[Amiss] = []
+    found: list[Inconsistency] = []
     held: dict[Number, tuple[Number, tuple[Who, ...]]] = {}
     issued: dict[Number, Who] = {}
     for each in beliefs:
@@ -90,17 +90,21 @@
         number, parent = _number(each.about["number"]), _number(each.about["parent"])
         told = parent, _members(each.about["members"])
         if held.setdefault(number, told) != told:
-            found.append(Amiss(each.at, "view", f"{each.name} holds another view under {number}"))
+            found.append(Inconsistency(each.at, "view", f"{each.name} holds another view under {number}"))
         if each.kind == "issued":
             if issued.setdefault(number, each.who) != each.who:
-                found.append(Amiss(each.at, "view", f"{number} issued by {issued[number]} and {each.who}"))
+                found.append(
+                    Inconsistency(each.at, "view", f"{number} issued by {issued[number]} and {each.who}")
+                )
             follows = parent == (*number[:2], number[2] - 1) if number[2] > 1 else parent < number
             if not follows:
-                found.append(Amiss(each.at, "view", f"{number} follows {parent}"))
+                found.append(Inconsistency(each.at, "view", f"{number} follows {parent}"))
     return found
 
 
-def rights(beliefs: Sequence[Belief], gone: Iterable[tuple[int, str]]) -> tuple[list[Amiss], float]:
+def rights(
+    beliefs: Sequence[MembershipRecord], gone: Iterable[tuple[int, str]]
+) -> tuple[list[Inconsistency], float]:
     """The second rule, and the most that was held at once, as a share of all slots. `gone`: when a process
     of a name was killed or had ended."""
     ends: dict[str, list[int]] = {}
@@ -125,7 +129,7 @@
                 steps += [(since, True, part, who), (until, False, part, who)]
     held: dict[Who, int] = {}
     most = 0
-    found: list[Amiss] = []
+    found: list[Inconsistency] = []
     for at, begins, part, who in sorted(steps):  # what ends comes before what begins at the same instant
         held.pop(who, None)
         if not begins:
@@ -133,7 +137,7 @@
         for other, theirs in held.items():
             if part & theirs and not found:
                 count = (part & theirs).bit_count()
-                found.append(Amiss(at, "rights", f"{who} and {other} act on the same {count} slots"))
+                found.append(Inconsistency(at, "rights", f"{who} and {other} act on the same {count} slots"))
         held[who] = part
         most = max(most, sum(each.bit_count() for each in held.values()))
     return found, most / SLOTS
@@ -148,7 +152,7 @@
     return slots
 
 
-def settled_at(beliefs: Sequence[Belief], running: Sequence[Who], since: int) -> int | None:
+def settled_at(beliefs: Sequence[MembershipRecord], running: Sequence[Who], since: int) -> int | None:
     """ns after `since` from which all that run hold one view of just them, and none has changed since; None
     for never."""
     wanted = tuple(sorted(running))
--- a/trackspread/testing/mutation/checks.py
+++ b/trackspread/testing/mutation/checks.py
@@ -71,7 +71,7 @@
 
 
 def _booked(seeds: Iterable[int]) -> bool:
-    from ..virtual.booked import play
+    from ..virtual.reservations import play
 
     return any(play(seed) for seed in seeds)
 
--- a/trackspread/testing/standins/crowd.py
+++ b/trackspread/testing/standins/client_population.py
@@ -1,7 +1,7 @@
 """Customers and their clients as a model: who asks when, for what, through which gateway, and comes again.
 
 May know: seeded randomness, times handed in. May not know: sockets, the protocol, the ledger. Arrivals are
-drawn ahead and do not wait for answers; what a client does after an answer is `Habit`'s.
+drawn ahead and do not wait for answers; what a client does after an answer is `ClientBehavior`'s.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class ClientRequest:
     """One request that a client wants to send; `key` where the class is keyed, `wait` in ns."""
 
     origin: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassMix:
-    """A class as the crowd asks for it: part of all requests, whether it carries a key, waits in ns."""
+    """A class as the population asks for it: part of all requests, whether it carries a key, waits in ns."""
 
     name: str
     share: float
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
+class ClientBehavior:
     """What clients do after an answer that is not the one they want."""
 
     retries: int = 2
@@ -61,14 +61,14 @@
 
 
 @dataclass(slots=True)
-class Crowd:
+class ClientPopulation:
     """All customers; the same seed and calls give the same requests."""
 
     customers: list[Customer]
     classes: tuple[ClassMix, ...]
     gateways: int
     seed: int
-    habit: Habit = field(default_factory=Habit)
+    behavior: ClientBehavior = field(default_factory=ClientBehavior)
     surge: float = 1.0  # times the usual rate
     _rng: random.Random = field(default_factory=random.Random)
     _count: int = 0
@@ -84,7 +84,7 @@
         """ns until the next request of anybody."""
         return int(self._rng.expovariate(self._rates[-1] * self.surge) * SECOND)
 
-    def want(self) -> Want:
+    def want(self) -> ClientRequest:
         rng = self._rng
         customer = rng.choices(self.customers, cum_weights=self._rates)[0]
         mix = rng.choices(self.classes, cum_weights=self._shares)[0]
@@ -92,7 +92,7 @@
         key = f"{self.seed & 0xFFFF:04x}{self._count:012x}" if mix.keyed else ""
         origin = self.name(self._count, 0)
         wait = int(mix.wait * rng.uniform(0.6, 1.0))
-        return Want(origin, customer, mix.name, self.entry(customer), 1.0, key, wait)
+        return ClientRequest(origin, customer, mix.name, self.entry(customer), 1.0, key, wait)
 
     def name(self, number: int, tries: int) -> str:
         """A request's id: 16 hex digits."""
@@ -106,17 +106,17 @@
         weights = [customer.weights[i] for i in offsets]
         return (customer.first + self._rng.choices(offsets, weights)[0]) % self.gateways
 
-    def again(self, want: Want, kind: str, advice_ms: int) -> tuple[int, Want] | None:
+    def again(self, want: ClientRequest, kind: str, advice_ms: int) -> tuple[int, ClientRequest] | None:
         """After how many ns the client comes again, and with what; None if it does not. What failed, or was
         never answered, promises nothing: only what is safe to repeat is."""
         repeat = next(mix.repeat for mix in self.classes if mix.name == want.cls)
-        if want.tries > self.habit.retries or (kind != "refused" and repeat != "safe"):
+        if want.tries > self.behavior.retries or (kind != "refused" and repeat != "safe"):
             return None
         number = int(want.origin[4:14], 16)
-        obeys = self._rng.random() < self.habit.obeys
-        wait = advice_ms * MILLISECOND if advice_ms and obeys else self.habit.backoff
+        obeys = self._rng.random() < self.behavior.obeys
+        wait = advice_ms * MILLISECOND if advice_ms and obeys else self.behavior.backoff
         gateway = self.entry(want.customer)
-        return int(wait * self._rng.uniform(1.0, 1.3)), Want(
+        return int(wait * self._rng.uniform(1.0, 1.3)), ClientRequest(
             self.name(number, 0),
             want.customer,
             want.cls,
@@ -127,7 +127,7 @@
             want.tries + 1,
         )
 
-    def request_id(self, want: Want) -> str:
+    def request_id(self, want: ClientRequest) -> str:
         return self.name(int(want.origin[4:14], 16), want.tries - 1)
 
     def move(self, share: float) -> int:
--- a/trackspread/testing/standins/clients.py
+++ b/trackspread/testing/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients on sockets, RESP2: a thin shell round `crowd.Crowd`, one connection for each request under way.
+"""Clients on sockets, RESP2: a thin shell round `ClientPopulation`, a connection for each request under way.
 
 Connections are kept and dealt out again. A request whose kept connection ends at once, before any of its
 answer has come, is written once more on a new one: the gateway may have closed it as it was on its way.
@@ -14,11 +14,18 @@
 
 import hiredis
 
-from ..judge.ledger import Answered, Asked, Cut, Ledger, Left, Stray
-from .crowd import Crowd, Want
+from ..judge.ledger import (
+    ReplyReceived,
+    RequestSent,
+    ConnectionLost,
+    Ledger,
+    ClientDisconnected,
+    UnexpectedBytes,
+)
+from .client_population import ClientPopulation, ClientRequest
 from .loopback import Address
 from .node_server import form
-from .scene import MILLISECOND, Scene
+from .scenario import MILLISECOND, Scenario
 
 CROSSING = 100 * MILLISECOND  # ns after its writing in which an end may have crossed a request
 WITNESS = 0.2  # s for which a client looks on after its time, to see an answer that is late
@@ -31,9 +38,11 @@
 class Clients:
     """All clients of one run. `asking` may be set off and on; `under_way` counts exchanges without an end."""
 
-    def __init__(self, scene: Scene, crowd: Crowd, ledger: Ledger, addresses: list[Address]) -> None:
-        self.scene = scene
-        self.crowd = crowd
+    def __init__(
+        self, scenario: Scenario, population: ClientPopulation, ledger: Ledger, addresses: list[Address]
+    ) -> None:
+        self.scenario = scenario
+        self.population = population
         self.ledger = ledger
         self.addresses = addresses
         self.forms: dict[str, bytes] = {}
@@ -54,17 +63,17 @@
         loop = asyncio.get_running_loop()
         due = loop.time()
         while self.asking:
-            due += self.crowd.pause() / 1e9
+            due += self.population.pause() / 1e9
             await asyncio.sleep(max(0.0, due - loop.time()))
-            self._begin(self.crowd.want(), CONNECTS)
+            self._begin(self.population.want(), CONNECTS)
 
-    def _begin(self, want: Want, connects: int) -> None:
+    def _begin(self, want: ClientRequest, connects: int) -> None:
         task = asyncio.get_running_loop().create_task(self._try(want, connects))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _try(self, want: Want, connects: int) -> None:
-        request = self.crowd.request_id(want)
+    async def _try(self, want: ClientRequest, connects: int) -> None:
+        request = self.population.request_id(want)
         kept = self.idle[want.gateway]
         while kept:
             line = kept.pop()
@@ -73,7 +82,7 @@
                 return
         await self._fresh(want, request, connects)
 
-    async def _fresh(self, want: Want, request: str, connects: int, again: bool = False) -> None:
+    async def _fresh(self, want: ClientRequest, request: str, connects: int, again: bool = False) -> None:
         loop = asyncio.get_running_loop()
         try:
             if want.gateway in self.leaving:
@@ -84,23 +93,23 @@
                 )
         except (OSError, TimeoutError):
             if connects > 1:
-                elsewhere = replace(want, gateway=self.crowd.entry(want.customer, want.gateway))
+                elsewhere = replace(want, gateway=self.population.entry(want.customer, want.gateway))
                 await self._fresh(elsewhere, request, connects - 1, again)
             elif again:
                 self.kinds["unreached"] += 1
-                self.ledger.write(Cut(time.monotonic_ns(), request, unreached=True))
+                self.ledger.write(ConnectionLost(time.monotonic_ns(), request, unreached=True))
             else:
                 self.kinds["unreached"] += 1
             return
         Exchange(self, want, request, line, again).begin()
 
-    def once_more(self, want: Want, request: str) -> None:
+    def once_more(self, want: ClientRequest, request: str) -> None:
         task = asyncio.get_running_loop().create_task(self._fresh(want, request, CONNECTS, True))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def come_again(self, want: Want, kind: str, advice_ms: int) -> None:
-        if self.asking and (again := self.crowd.again(want, kind, advice_ms)) is not None:
+    def come_again(self, want: ClientRequest, kind: str, advice_ms: int) -> None:
+        if self.asking and (again := self.population.again(want, kind, advice_ms)) is not None:
             asyncio.get_running_loop().call_later(again[0] / 1e9, self._begin, again[1], CONNECTS)
 
     async def settle(self) -> None:
@@ -114,9 +123,9 @@
             for line in kept:
                 line.close()
 
-    def command(self, want: Want, request: str) -> bytes:
+    def command(self, want: ClientRequest, request: str) -> bytes:
         customer = want.customer
-        safe = self.scene.repeat(want.cls) == "safe"
+        safe = self.scenario.repeat(want.cls) == "safe"
         pairs = [f"c={want.cls}", f"t={customer.plan}", f"d={want.wait // MILLISECOND}"]
         pairs += [f"k={want.key}"] * bool(want.key) + ["r=1"] * (want.tries > 1)
         pairs += [f"units={want.units:g}", f"spread={customer.spread}", f"first={customer.first}"]
@@ -133,7 +142,9 @@
 class Exchange:
     """One request, from its writing to its answer or its end."""
 
-    def __init__(self, clients: Clients, want: Want, request: str, line: _Line, again: bool = False) -> None:
+    def __init__(
+        self, clients: Clients, want: ClientRequest, request: str, line: _Line, again: bool = False
+    ) -> None:
         self._clients = clients
         self.want = want
         self.request = request
@@ -150,7 +161,7 @@
         self._line.write(clients.command(want, self.request))
         self._asked = time.monotonic_ns()
         clients.ledger.write(
-            Asked(
+            RequestSent(
                 self._asked,
                 self.request,
                 want.origin,
@@ -169,7 +180,7 @@
         kind, value, advice = _read(answer)
         self._end()
         self._clients.kinds[kind] += 1
-        self._clients.ledger.write(Answered(time.monotonic_ns(), self.request, kind, value, advice))
+        self._clients.ledger.write(ReplyReceived(time.monotonic_ns(), self.request, kind, value, advice))
         if kind != "served":
             self._clients.come_again(self.want, kind, advice)
 
@@ -182,13 +193,13 @@
             self._clients.once_more(self.want, self.request)
             return
         self._clients.kinds["cut"] += 1
-        self._clients.ledger.write(Cut(now, self.request))
+        self._clients.ledger.write(ConnectionLost(now, self.request))
         self._clients.come_again(self.want, "cut", 0)
 
     def _leave(self) -> None:
         self._end()
         self._clients.kinds["left"] += 1
-        self._clients.ledger.write(Left(time.monotonic_ns(), self.request))
+        self._clients.ledger.write(ClientDisconnected(time.monotonic_ns(), self.request))
         self._line.close()
 
     def _end(self) -> None:
@@ -248,7 +259,7 @@
             self.close()
 
     def _stray(self) -> None:
-        self._clients.ledger.write(Stray(time.monotonic_ns(), f"n{self._gateway}"))
+        self._clients.ledger.write(UnexpectedBytes(time.monotonic_ns(), f"n{self._gateway}"))
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/trackspread/testing/standins/counter_server.py
+++ b/trackspread/testing/standins/counter_server.py
@@ -19,7 +19,7 @@
 
 from .counter import Cluster, Failure, Shard, Simple
 from .loopback import Address, own_address
-from .wire import reset
+from .faulty_network import reset
 
 HELD_MOST = 65_536  # replies that wait while there is a delay: more is a test gone wild
 
--- a/trackspread/testing/standins/agent.py
+++ b/trackspread/testing/standins/discovery_agent.py
@@ -1,7 +1,7 @@
 """The platform's discovery agent: one for each gateway, all telling one list, each with addresses of its own.
 
 `GET /api/targets` gives the whole list, `?stream=1&index=N` a watch. What is written to a gateway goes into
-the ledger as told. While discovery is in trouble calls end as `Trouble` says; open watches go on.
+the ledger as told. While discovery is in trouble calls end as `AgentFault` says; open watches go on.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import h11
 
-from ..judge.ledger import Ledger, Told
+from ..judge.ledger import Ledger, EndpointAnnounced
 from .loopback import Address, own_address
 
 HEARTBEAT = 2.0  # s between empty lines of a watch
@@ -27,7 +27,7 @@
 TRICKLE = 0.5  # s between the bytes of an answer that comes to no line
 
 
-class Trouble(enum.Enum):
+class AgentFault(enum.Enum):
     """What becomes of a call while discovery is in trouble."""
 
     RESET = "its connection is reset"
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedBackend:
     """One backend as the list has it; `dial` by gateway."""
 
     host: str
@@ -71,11 +71,11 @@
 
     def __init__(self) -> None:
         self.version = 1
-        self.hosts: dict[str, Listed] = {}
-        self._changes: list[tuple[int, Listed]] = []
-        self.agents: list[Agent] = []
+        self.hosts: dict[str, ListedBackend] = {}
+        self._changes: list[tuple[int, ListedBackend]] = []
+        self.agents: list[DiscoveryAgent] = []
 
-    def put(self, entry: Listed) -> None:
+    def put(self, entry: ListedBackend) -> None:
         """A new entry, or a change of one; `terminated` takes it off the list."""
         self.version += 1
         if entry.health == "terminated":
@@ -99,7 +99,7 @@
         return {"seq": self.version, "whole": False, "hosts": [e.told(gateway) for e in last.values()]}
 
 
-class Agent:
+class DiscoveryAgent:
     """One gateway's agent. `delay`: s by which news is late; `mute`: it holds everything back."""
 
     def __init__(self, listed: BackendList, gateway: int, ledger: Ledger) -> None:
@@ -108,7 +108,7 @@
         self._ledger = ledger
         self.delay = 0.0
         self.mute = False
-        self.trouble: Trouble | None = None
+        self.trouble: AgentFault | None = None
         self.calls: list[int] = []  # ns of the monotonic clock at which each came
         self.troubled: Callable[[], None] = lambda: None  # told of each call that has met with trouble
         self.address: Address = (own_address(), 0)
@@ -121,11 +121,11 @@
         self._server = await loop.create_server(lambda: _Watch(self), *self.address)
         self.address = own_address(), int(self._server.sockets[0].getsockname()[1])
 
-    def news(self, entries: list[Listed]) -> None:
+    def news(self, entries: list[ListedBackend]) -> None:
         if not self.mute:
             asyncio.get_running_loop().call_later(self.delay, self._write, entries, self.listed.version)
 
-    def _write(self, entries: list[Listed], version: int) -> None:
+    def _write(self, entries: list[ListedBackend], version: int) -> None:
         update = {"seq": version, "whole": False, "hosts": [e.told(self.gateway) for e in entries]}
         for watch in self._watches:
             watch.tell(update)
@@ -133,7 +133,7 @@
     def noted(self, update: dict[str, Any]) -> None:
         now, told = time.monotonic_ns(), {h["host"]: h["health"] == "in_service" for h in update["hosts"]}
         for host, ready in told.items():
-            self._ledger.write(Told(now, f"n{self.gateway}", host, ready))
+            self._ledger.write(EndpointAnnounced(now, f"n{self.gateway}", host, ready))
 
     def cut(self) -> None:
         """Ends every watch; a gateway comes again with the version that it has."""
@@ -162,7 +162,7 @@
 class _Watch(asyncio.Protocol):
     """One HTTP exchange."""
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: DiscoveryAgent) -> None:
         self._agent = agent
         self._http = h11.Connection(h11.SERVER)
         self._transport: asyncio.Transport | None = None
@@ -200,24 +200,24 @@
                 )
             self._heartbeat()
 
-    def _fail(self, trouble: Trouble) -> None:
+    def _fail(self, trouble: AgentFault) -> None:
         loop = asyncio.get_running_loop()
         match trouble:
-            case Trouble.RESET:
+            case AgentFault.RESET:
                 self.abort()
-            case Trouble.ERROR:
+            case AgentFault.ERROR:
                 headers = [("Content-Length", "0"), ("Retry-After", str(RETRY_AFTER))]
                 self._send(h11.Response(status_code=503, headers=headers), h11.EndOfMessage())
-            case Trouble.KEPT_WAITING:
+            case AgentFault.KEPT_WAITING:
                 self._beat = loop.call_later(LINE_PATIENCE, self._turn_away)
                 return
-            case Trouble.ENDED:
+            case AgentFault.ENDED:
                 head = h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
                 self._send(head, h11.EndOfMessage())
-            case Trouble.TRICKLE:
+            case AgentFault.TRICKLE:
                 self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
                 self._trickle()
-            case Trouble.SILENT:
+            case AgentFault.SILENT:
                 pass
         self._agent.troubled()
 
--- a/trackspread/testing/standins/faults.py
+++ b/trackspread/testing/standins/fault_schedule.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from .wire import BOTH, Over
+from .faulty_network import BOTH, Over
 
 Pair = tuple[str, str]  # from whom, to whom
 AWAY = 0.3  # s between a loop's kill and its start
