--- a/trackspread/testing/standins/wire.py
+++ b/trackspread/testing/standins/faulty_network.py
@@ -49,13 +49,13 @@
         return wait + self.delay + rng.uniform(0.0, self.jitter)
 
 
-class Wire:
+class FaultyNetwork:
     """All paths of one run. `between` gives a direction's path, to be set at any time."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"wire:{seed}")
         self._paths: dict[tuple[str, str, Over], Path] = {}
-        self._relays: list[TcpRelay | Datagrams | Posts] = []
+        self._relays: list[TcpRelay | DatagramRelay | HttpRelay] = []
 
     def between(self, source: str, target: str, over: Over) -> Path:
         return self._paths.setdefault((source, target, over), Path())
@@ -91,14 +91,14 @@
     async def datagrams(self, at: dict[str, Address]) -> dict[tuple[str, str], Address]:
         """Relays between all names, which listen at the given addresses: for (a, b) the address that a has
         for b, both to send to and to know what comes from b by."""
-        relay = Datagrams(self, at)
+        relay = DatagramRelay(self, at)
         self._relays.append(relay)
         return await relay.start()
 
     async def posts(self, at: dict[str, Address]) -> dict[str, Address]:
         """One address for each name, for datagrams and connections alike, that all others reach it by; who
         comes there is told by the host it comes from, so each name has to listen at a host of its own."""
-        made = Posts(self, at)
+        made = HttpRelay(self, at)
         self._relays.append(made)
         return await made.start()
 
@@ -222,7 +222,12 @@
     `hosts` tells whose each host is."""
 
     def __init__(
-        self, wire: Wire, source: str | None, target: str, to: Address, hosts: dict[str, str] | None = None
+        self,
+        wire: FaultyNetwork,
+        source: str | None,
+        target: str,
+        to: Address,
+        hosts: dict[str, str] | None = None,
     ) -> None:
         self.wire = wire
         self.source = source
@@ -314,7 +319,7 @@
 class _Socket(asyncio.DatagramProtocol):
     """What `source` sends here goes to `target`."""
 
-    def __init__(self, owner: Datagrams, source: str, target: str) -> None:
+    def __init__(self, owner: DatagramRelay, source: str, target: str) -> None:
         self._owner = owner
         self.source = source
         self.target = target
@@ -339,10 +344,10 @@
     return [path.late(now, size, rng) for _ in range(times) if rng.random() >= path.loss]
 
 
-class Datagrams:
+class DatagramRelay:
     """Sockets for every ordered pair of names, so that each knows each by an address of its own."""
 
-    def __init__(self, wire: Wire, at: dict[str, Address]) -> None:
+    def __init__(self, wire: FaultyNetwork, at: dict[str, Address]) -> None:
         self._wire = wire
         self._at = at
         self._sockets: dict[tuple[str, str], _Socket] = {}
@@ -388,7 +393,7 @@
 class _Post(asyncio.DatagramProtocol):
     """Where `name` is reached by all others."""
 
-    def __init__(self, owner: Posts, name: str) -> None:
+    def __init__(self, owner: HttpRelay, name: str) -> None:
         self._owner = owner
         self.name = name
         self.transport: asyncio.DatagramTransport | None = None
@@ -403,12 +408,12 @@
         """A dead process's port answers with an ICMP error; the datagram is lost."""
 
 
-class Posts:
+class HttpRelay:
     """One address for each name, for those that tell one another where they are."""
 
     TRIES = 20  # to find a port that is free for datagrams and connections alike
 
-    def __init__(self, wire: Wire, at: dict[str, Address]) -> None:
+    def __init__(self, wire: FaultyNetwork, at: dict[str, Address]) -> None:
         self._wire = wire
         self._at = at
         self._held = 0
--- a/trackspread/testing/standins/node_server.py
+++ b/trackspread/testing/standins/node_server.py
@@ -16,11 +16,11 @@
 
 import hiredis
 
-from ..judge.ledger import Attempted, Booted, Fell, Garbled, Ledger
+from ..judge.ledger import AttemptReceived, BackendStarted, BackendCrashed, MalformedRequest, Ledger
 from .loopback import Address, own_address
-from .rating import NodeSpec, Pod, Taken, work_of
-from .scene import Scene
-from .wire import reset
+from .rating_node import NodeSpec, Pod, Taken, work_of
+from .scenario import Scenario
+from .faulty_network import reset
 
 Forms = Mapping[str, bytes]  # each request as its client sent it, but for `d`
 SPOILT: tuple[Callable[[bytes], bytes], ...] = (
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        scene: Scene,
+        scenario: Scenario,
         spec: NodeSpec,
         pods: dict[int, Pod],
         ledger: Ledger,
@@ -55,18 +55,18 @@
         gateways: int,
         cold: bool,
     ) -> None:
-        self.scene = scene
+        self.scenario = scenario
         self.spec = spec
         self.ledger = ledger
         self.forms = forms
-        self.model = scene.node(spec, pods, time.monotonic_ns(), cold)
+        self.model = scenario.node(spec, pods, time.monotonic_ns(), cold)
         self.born_ms = time.time_ns() // 1_000_000 if cold else 0
         self.silent = False
         # chances
         self.spoil = 0.0
         self.reset = 0.0
         self.running = False
-        self.rng = random.Random(f"{scene.seed}:{spec.name}")
+        self.rng = random.Random(f"{scenario.seed}:{spec.name}")
         self.addresses: list[Address] = []
         self._gateways = gateways
         self._servers: list[asyncio.Server] = []
@@ -84,7 +84,7 @@
         self.running = True
         spec = self.spec
         self.ledger.write(
-            Booted(
+            BackendStarted(
                 time.monotonic_ns(),
                 spec.name,
                 spec.zone,
@@ -107,11 +107,11 @@
 
     def arrive(self, request: str, cls: str, key: str, began: int, gateway: str) -> Taken | None:
         now = time.monotonic_ns()
-        work = work_of(self.scene.seed, request, self.scene.work(cls))
-        window = self.scene.window if key else 0
+        work = work_of(self.scenario.seed, request, self.scenario.work(cls))
+        window = self.scenario.window if key else 0
         taken = self.model.arrive(now, request, work, key, window)
         self.ledger.write(
-            Attempted(
+            AttemptReceived(
                 now,
                 began,
                 request,
@@ -124,7 +124,7 @@
             )
         )
         if self.model.fallen and self.running:
-            self.ledger.write(Fell(now, self.spec.name))
+            self.ledger.write(BackendCrashed(now, self.spec.name))
             self.down()
         return taken
 
@@ -163,7 +163,7 @@
 
     def _garbled(self, text: str) -> None:
         node = self._node
-        node.ledger.write(Garbled(time.monotonic_ns(), node.spec.name, self._gateway, text))
+        node.ledger.write(MalformedRequest(time.monotonic_ns(), node.spec.name, self._gateway, text))
         cast(asyncio.Transport, self.transport).close()
 
     def _command(self, words: Any) -> None:
@@ -183,7 +183,7 @@
         if node.forms.get(request) != form(words):
             self._answer(place, b"-SYNTAX\r\n")
             node.ledger.write(
-                Garbled(
+                MalformedRequest(
                     time.monotonic_ns(),
                     node.spec.name,
                     self._gateway,
--- a/trackspread/testing/standins/scene.py
+++ b/trackspread/testing/standins/scenario.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ..judge.ledger import ClassRule, Group, PlanRule, Repeat, World
-from .crowd import ClassMix, Crowd, Customer, Habit, draw_weights
-from .rating import SECOND, NodeSpec, Pod, RatingNode
+from .client_population import ClassMix, ClientPopulation, Customer, ClientBehavior, draw_weights
+from .rating_node import SECOND, NodeSpec, Pod, RatingNode
 from .settings import class_settings, nested_settings, plan_settings
 
 MILLISECOND = SECOND // 1000
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SceneClass:
+class ScenarioClass:
     """One class of request; times in ns, `work` the mean at one usual core."""
 
     name: str
@@ -36,9 +36,9 @@
 
 MS = MILLISECOND
 CLASSES = (
-    SceneClass("rate-lookup", "safe", "all", 0.45, 60 * MS, 800 * MS, 1500 * MS, 3),
-    SceneClass("usage-submit", "keyed", "cell", 0.33, 90 * MS, 1000 * MS, 2500 * MS, 3),
-    SceneClass("charge-post", "unsafe", "all", 0.22, 60 * MS, 800 * MS, 2000 * MS, 5),
+    ScenarioClass("rate-lookup", "safe", "all", 0.45, 60 * MS, 800 * MS, 1500 * MS, 3),
+    ScenarioClass("usage-submit", "keyed", "cell", 0.33, 90 * MS, 1000 * MS, 2500 * MS, 3),
+    ScenarioClass("charge-post", "unsafe", "all", 0.22, 60 * MS, 800 * MS, 2000 * MS, 5),
 )
 PLANS = {
     "basic": PlanRule(1.2, 6.0),
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class Scenario:
     """A fleet of gateways and rating nodes; `load` is what is asked, as part of what the nodes can do.
 
     `greedy`: part of the customers that ask for several times their quota. `customers`: how many at most.
@@ -69,8 +69,8 @@
     grace: int = SECOND
     tolerance: int = 50 * MILLISECOND
     beyond_most: float = 1.0
-    habit: Habit = field(default_factory=Habit)
-    classes: tuple[SceneClass, ...] = CLASSES
+    behavior: ClientBehavior = field(default_factory=ClientBehavior)
+    classes: tuple[ScenarioClass, ...] = CLASSES
     plans: Mapping[str, PlanRule] = field(default_factory=lambda: PLANS)
     zones: tuple[str, ...] = ZONES
     allow: tuple[tuple[str, str, Any], ...] = ()
@@ -153,7 +153,7 @@
             made[section][key] = value
         return made
 
-    def crowd(self) -> Crowd:
+    def population(self) -> ClientPopulation:
         """Customers whose asking adds up to the load; the greedy ask for up to four times their quota."""
         rng = random.Random(f"scene:{self.seed}")
         mean = sum(c.share * c.work for c in self.classes) / SECOND
@@ -172,7 +172,7 @@
         classes = tuple(
             ClassMix(c.name, c.share, c.repeat == "keyed", c.repeat, c.deadline) for c in self.classes
         )
-        return Crowd(made, classes, self.gateways, self.seed, self.habit)
+        return ClientPopulation(made, classes, self.gateways, self.seed, self.behavior)
 
-    def changed(self, **changes: Any) -> Scene:
+    def changed(self, **changes: Any) -> Scenario:
         return replace(self, **changes)
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -22,7 +22,7 @@
 from ....membership.lease_renewal import LeaseRenewal
 from ....membership.messages import LeaseRequest
 from ..patches import held
-from ..stage import Broken
+from ..processes import InvariantViolated
 from .worlds import WORLDS
 
 
@@ -303,7 +303,7 @@
     with held(MUTANTS[name]()):
         try:
             played(seed)
-        except Broken:
+        except InvariantViolated:
             return True
     return False
 
@@ -316,6 +316,6 @@
             for seed in seeds:
                 try:
                     world(seed)
-                except Broken:
+                except InvariantViolated:
                     return world.__name__, seed
     return None
--- a/trackspread/testing/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -14,7 +14,7 @@
 from ....cells.actions import CellLeft
 from ....cells.topology import CellPolicy
 from ....membership.identifiers import MS, SECOND
-from ..stage import Broken
+from ..processes import InvariantViolated
 from .world import KEEP, CelledWorld, Process
 
 SETTLED = 30 * SECOND  # ns from the last fault's end: elections, a rebuild, the longest wait of one that asks
@@ -96,17 +96,17 @@
         self._restart(self._rng.sample(gateways, len(gateways) // 2), span // 8)
 
     def rough(self, span: int) -> None:
-        weather = self._world.weather
-        weather.loss = 0.1
-        weather.twice = 0.1
-        weather.jitter = 50 * MS
+        conditions = self._world.conditions
+        conditions.loss = 0.1
+        conditions.twice = 0.1
+        conditions.jitter = 50 * MS
         self._world.clock.after(span, self._calm)
 
     def _calm(self) -> None:
-        weather = self._world.weather
-        weather.loss = 0.0
-        weather.twice = 0.0
-        weather.jitter = 0
+        conditions = self._world.conditions
+        conditions.loss = 0.0
+        conditions.twice = 0.0
+        conditions.jitter = 0
 
     def joined(self, span: int) -> None:
         """More than a cell takes, in one zone."""
@@ -137,7 +137,7 @@
 
 
 def play(seed: int) -> tuple[CelledWorld, int]:
-    """Raises `Broken`; the world at its end, and the ns that it took to settle."""
+    """Raises `InvariantViolated`; the world at its end, and the ns that it took to settle."""
     rng = random.Random(f"celled:{seed}")
     regions = rng.choice([1, 2, 3])
     machines = rng.choice([3, 5, 7]) if regions < 3 else 9
@@ -154,7 +154,7 @@
     world.run(CALM)
     moved = [told for at, _, told in world.told if at > since and isinstance(told, CellLeft)]
     if moved:
-        raise Broken(f"seed {seed}: {len(moved)} move without a cause")
+        raise InvariantViolated(f"seed {seed}: {len(moved)} move without a cause")
     if amiss := world.settled():
-        raise Broken(f"seed {seed}: settled no more: {amiss}")
+        raise InvariantViolated(f"seed {seed}: settled no more: {amiss}")
     return world, took
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -22,11 +22,11 @@
 from ....membership.member import Member
 from ....membership.messages import MemberMessage, TableSnapshot, View
 from ....membership.slot_allocation import ALL_SLOTS
-from .. import stage
-from ..stage import Broken, Stage
+from .. import processes
+from ..processes import InvariantViolated, ProcessGroup
 
 Core = Controller | Gateway
-Process = stage.Process[Core]
+Process = processes.Process[Core]
 
 FLEET = "fleet"
 POLICY = CellPolicy()
@@ -43,7 +43,7 @@
     )
 
 
-class CelledWorld(Stage[Core]):
+class CelledWorld(ProcessGroup[Core]):
     """Gateways' names begin with g, control machines' with c."""
 
     def __init__(
@@ -156,7 +156,7 @@
         """Who leads at this instant."""
         found = [p for p, core in self.controllers() if core.is_leader(p.now(self.clock.now))]
         if len(found) > 1:
-            raise Broken(f"{self.true / 1e9:.3f} s: {[p.name for p in found]} lead together")
+            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {[p.name for p in found]} lead together")
         return found[0] if found else None
 
     # The network.
@@ -194,9 +194,9 @@
         target = self._by_address.get(to)
         if target is None:
             return
-        weather, rng = self.weather, self.rng
-        for _ in range(1 + (bool(weather.twice) and rng.random() < weather.twice)):
-            if not (weather.loss and rng.random() < weather.loss):
+        conditions, rng = self.conditions, self.rng
+        for _ in range(1 + (bool(conditions.twice) and rng.random() < conditions.twice)):
+            if not (conditions.loss and rng.random() < conditions.loss):
                 late = self._late()
                 if self.words_late and isinstance(what, CellsMessage):
                     late += rng.randint(0, self.words_late)
@@ -256,8 +256,8 @@
 
     # What came to be, and whether it may.
 
-    def _broken(self, why: str) -> Broken:
-        return Broken(f"{self.true / 1e9:.3f} s: {why}")
+    def _broken(self, why: str) -> InvariantViolated:
+        return InvariantViolated(f"{self.true / 1e9:.3f} s: {why}")
 
     def _note(self, process: Process, core: Core, message: CellsMessage) -> None:
         """What a gateway is told at this instant."""
@@ -440,7 +440,7 @@
             self.check()
 
     def until_settled(self, most: int, every: int = 100_000_000) -> int:
-        """ns until it is; raises `Broken` where that takes longer than `most`."""
+        """ns until it is; raises `InvariantViolated` where that takes longer than `most`."""
         begun = self.true
         while amiss := self.settled():
             if self.true - begun >= most:
--- a/trackspread/testing/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -1,4 +1,4 @@
-"""Worlds of cells that are built for one hard case each; each raises `Broken` where it ends badly.
+"""Worlds of cells that are built for one hard case each; each raises `InvariantViolated` where it ends badly.
 
 They are smaller and harsher than the drawn schedules (`schedules.py`): what is looked at is known.
 """
@@ -13,7 +13,7 @@
 from ....cells.gateway import MAX_BACKOFF_NS, REFRESH_INTERVAL_NS, Gateway
 from ....cells.topology import CellPolicy
 from ....membership.identifiers import MS, SECOND
-from ..stage import Broken
+from ..processes import InvariantViolated
 from .schedules import SMALL, play
 from .world import CelledWorld
 
@@ -50,16 +50,16 @@
     for process in inside:
         core = process.core
         if not isinstance(core, Gateway) or not core.usable_slots(process.now(now)):
-            raise Broken(f"seed {seed}: {process.name} holds nothing in a region that is cut off")
+            raise InvariantViolated(f"seed {seed}: {process.name} holds nothing in a region that is cut off")
     since, asked = world.true, world.asks.total()
     world.heal_regions()
     world.run(10 * SECOND)
     most = 2 * len(world.among("g")) * 10 * SECOND // REFRESH_INTERVAL_NS + 10
     if world.asks.total() - asked > most:
-        raise Broken(f"seed {seed}: {world.asks.total() - asked} questions in 10 s after a heal")
+        raise InvariantViolated(f"seed {seed}: {world.asks.total() - asked} questions in 10 s after a heal")
     world.until_settled(10 * SECOND)
     if moved := _moves(world, since):
-        raise Broken(f"seed {seed}: {moved} move for a heal")
+        raise InvariantViolated(f"seed {seed}: {moved} move for a heal")
 
 
 def out_of_all_reach(seed: int) -> None:
@@ -72,13 +72,15 @@
     world.run(60 * SECOND)
     most = len(gateways) * (60 * SECOND // MAX_BACKOFF_NS + 12)
     if world.asks.total() - asked > most:
-        raise Broken(f"seed {seed}: {world.asks.total() - asked} questions in a minute without answers")
+        raise InvariantViolated(
+            f"seed {seed}: {world.asks.total() - asked} questions in a minute without answers"
+        )
     since = world.true
     for process in world.among("c"):
         world.start(process)
     world.until_settled(START)
     if moved := _moves(world, since):
-        raise Broken(f"seed {seed}: {moved} move though their cells are as they were")
+        raise InvariantViolated(f"seed {seed}: {moved} move though their cells are as they were")
 
 
 def zone_cut_off(seed: int) -> None:
@@ -93,7 +95,7 @@
     world.heal(ways)
     world.until_settled(10 * SECOND)
     if moved := _moves(world, since):
-        raise Broken(f"seed {seed}: {moved} move for a heal")
+        raise InvariantViolated(f"seed {seed}: {moved} move for a heal")
 
 
 def seed_replaced(seed: int) -> None:
@@ -105,20 +107,20 @@
     if seed % 2 and leader is not None:
         gone = leader
     world.kill(gone)
-    world.weather.loss = 0.05
-    world.weather.twice = 0.2
+    world.conditions.loss = 0.05
+    world.conditions.twice = 0.2
     world.words_late = 3 * SECOND
     world.run(50 * SECOND)
-    world.weather.loss = 0.0
-    world.weather.twice = 0.0
+    world.conditions.loss = 0.0
+    world.conditions.twice = 0.0
     world.words_late = 0
     world.run(10 * SECOND)
     world.until_settled(START)
     if world.retired_with:
-        raise Broken(f"seed {seed}: {world.retired_with} were in cells that were given up")
+        raise InvariantViolated(f"seed {seed}: {world.retired_with} were in cells that were given up")
     held = [core.placement.cell for _, core in world.gateways() if core.placement is not None]
     if any(gone.address in cell.seeds for cell in held):
-        raise Broken(f"seed {seed}: {gone.name} is gone, and still to be a seed")
+        raise InvariantViolated(f"seed {seed}: {gone.name} is gone, and still to be a seed")
 
 
 def mover_stopped(seed: int) -> None:
@@ -138,7 +140,7 @@
     """Cells are opened, closed and given up faster than the words that say so arrive."""
     world = begun(seed, 1, 5, 1, SMALL)
     world.words_late = 6 * SECOND
-    world.weather.twice = 0.5
+    world.conditions.twice = 0.5
     for _ in range(6):
         for process in world.among("g", world.zones[0]):
             world.leave(process)
@@ -150,7 +152,7 @@
         world.start(world.add(world.zones[0]))
         world.run(8 * SECOND, every=100 * MS)
     world.words_late = 0
-    world.weather.twice = 0.0
+    world.conditions.twice = 0.0
     world.run(25 * SECOND)
     world.until_settled(START)
 
@@ -161,13 +163,13 @@
     for _ in range(4):
         leader = world.leader()
         if leader is None:
-            raise Broken(f"seed {seed}: nobody leads")
-        world.weather.jitter = 600 * MS
+            raise InvariantViolated(f"seed {seed}: nobody leads")
+        world.conditions.jitter = 600 * MS
         world.halt(leader, 4 * SECOND)
         for zone in world.zones:
             world.start(world.add(zone))
         world.run(6 * SECOND)
-        world.weather.jitter = 0
+        world.conditions.jitter = 0
         world.run(4 * SECOND)
     world.until_settled(START)
 
@@ -195,12 +197,12 @@
         if core.placement is not None and core.placement.cell.location == crowded
     }
     if len(used) > 1:
-        raise Broken(f"seed {seed}: four gateways in {len(used)} cells")
+        raise InvariantViolated(f"seed {seed}: four gateways in {len(used)} cells")
     leader = world.leader()
     if leader is None or not isinstance(leader.core, Controller) or leader.core.leader is None:
-        raise Broken(f"seed {seed}: nobody leads")
+        raise InvariantViolated(f"seed {seed}: nobody leads")
     if len(leader.core.leader.directory.entries) > len(world.zones) + 1:
-        raise Broken(f"seed {seed}: cells without gateways are kept")
+        raise InvariantViolated(f"seed {seed}: cells without gateways are kept")
 
 
 def half_restarted(seed: int) -> None:
@@ -216,7 +218,9 @@
     world.until_settled(START)
     after = {p.name: core.placement.cell.name for p, core in world.gateways() if core.placement is not None}
     if after != before:
-        raise Broken(f"seed {seed}: {sum(after[n] != before[n] for n in before)} are in other cells")
+        raise InvariantViolated(
+            f"seed {seed}: {sum(after[n] != before[n] for n in before)} are in other cells"
+        )
 
 
 def cell_without_its_majority(seed: int) -> None:
@@ -225,7 +229,7 @@
     world = begun(seed, 1, 5, 3, RESTLESS, keep=20 * SECOND)
     _, core = world.gateways()[0]
     if core.placement is None:
-        raise Broken(f"seed {seed}: nobody is in a cell")
+        raise InvariantViolated(f"seed {seed}: nobody is in a cell")
     cell = core.placement.cell
     gone = [world.at_address(address) for address in cell.seeds[:2]]
     for process in gone:
@@ -237,13 +241,13 @@
         if c.placement is not None and c.placement.cell.name == cell.name
     ]
     if not all(kept):
-        raise Broken(f"seed {seed}: gateways let go of what a live seed knows of")
+        raise InvariantViolated(f"seed {seed}: gateways let go of what a live seed knows of")
     since = world.true
     for process in gone:
         world.start(process)
     world.until_settled(START)
     if moved := _moves(world, since):
-        raise Broken(f"seed {seed}: {moved} move though their cell is as it was")
+        raise InvariantViolated(f"seed {seed}: {moved} move though their cell is as it was")
 
 
 def calm(seed: int) -> None:
@@ -255,13 +259,13 @@
         since = world.true
         world.run(10 * SECOND)
         if _moves(world, since):
-            raise Broken(f"seed {seed}: moves in calm")
+            raise InvariantViolated(f"seed {seed}: moves in calm")
         of_gateways = sum(n for name, n in world.datagrams.items() if name.startswith("g"))
         of_control = sum(n for name, n in world.datagrams.items() if name.startswith("c"))
         each.append((of_gateways / (2 * gateways), of_control / (2 * gateways)))
     (few, few_control), (many, many_control) = each
     if many > 1.2 * few or many_control > 1.2 * few_control:
-        raise Broken(f"seed {seed}: datagrams a gateway grow with the fleet: {each}")
+        raise InvariantViolated(f"seed {seed}: datagrams a gateway grow with the fleet: {each}")
 
 
 WORLDS: tuple[Callable[[int], object], ...] = (
--- a/trackspread/testing/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -28,7 +28,7 @@
 from ....decide.settings import Plan
 from ...standins.counter import Failure, Shard
 from ..clock import START, Clock
-from ..plain import plain_settings
+from ..plain_settings import plain_settings
 
 ROUNDING = 1e-6  # of a share; units: sums of floats
 CLOCK_PART = 0.01  # by which a gateway's clock runs fast or slow at most here: two differ by the stated 2%
--- a/trackspread/testing/virtual/distribution/judged.py
+++ b/trackspread/testing/virtual/distribution/invariants.py
@@ -12,7 +12,7 @@
 IN_FORCE = 9 * SECOND  # ns from a commit until all that are in reach act on it
 
 
-class Broken(Exception):
+class InvariantViolated(Exception):
     """An invariant does not hold; the text says which."""
 
 
@@ -30,23 +30,23 @@
     def numbered(self, by: str, version: Version) -> None:
         """A leader gave this version to a change."""
         if self._numbered.setdefault(version, by) != by:
-            raise Broken(f"{version} is given by {self._numbered[version]} and by {by}")
+            raise InvariantViolated(f"{version} is given by {self._numbered[version]} and by {by}")
 
     def commits(self, now: int, by: str, entry: Entry) -> None:
         """A replica, a leader or not, takes this entry for committed."""
         version = entry.version
         known = self._by_sequence.setdefault((version.history, version.sequence), entry)
         if known != entry:
-            raise Broken(f"{by} commits {entry}, committed at that place is {known}")
+            raise InvariantViolated(f"{by} commits {entry}, committed at that place is {known}")
         if version not in self.committed:
             self.committed[version] = now, entry
             self.newest = max(self.newest, version)
 
     def state(self, version: Version) -> Snapshot:
-        """All values that are in force at this version; raises `Broken` for one that was never committed."""
+        """Values in force at this version; raises `InvariantViolated` for one that was never committed."""
         if version not in self._states:
             if version not in self.committed:
-                raise Broken(f"{version} is acted on, and was never committed")
+                raise InvariantViolated(f"{version} is acted on, and was never committed")
             entry = self.committed[version][1]
             before = self._before(version)
             made = dict(self.state(before))
@@ -61,7 +61,7 @@
     def _before(self, version: Version) -> Version:
         lower = [v for v in self.committed if v.sequence == version.sequence - 1 and v < version]
         if not lower and version.sequence > 1:
-            raise Broken(f"what {version} follows was never committed")
+            raise InvariantViolated(f"what {version} follows was never committed")
         return max(lower, default=NO_VERSION)
 
     def acts(
@@ -73,12 +73,12 @@
     ) -> None:
         """A process of a gateway acts on these values, as those of this version."""
         if version <= self.acted.get(gateway, NO_VERSION):
-            raise Broken(f"{gateway} goes from {self.acted[gateway]} back to {version}")
+            raise InvariantViolated(f"{gateway} goes from {self.acted[gateway]} back to {version}")
         self.acted[gateway] = version
         state = self.state(version)
         expected = {s: keys for s, keys in state.items() if services is None or s in services}
         if snapshot != expected:
-            raise Broken(f"{gateway} acts on other values than those of {version}")
+            raise InvariantViolated(f"{gateway} acts on other values than those of {version}")
 
     def starts(self, gateway: str) -> None:
         """A new process of this gateway, which holds nothing."""
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -21,7 +21,7 @@
 from ....distribution.versions import NO_VERSION, Entry, Version
 from ....membership.identifiers import Address, Epoch
 from ..patches import held
-from .judged import Broken
+from .invariants import InvariantViolated
 from .schedules import LONG, SHORT
 
 
@@ -275,6 +275,6 @@
         for seed, world in sorted(played, key=lambda each: each[0]):
             try:
                 world(seed)
-            except Broken:
+            except InvariantViolated:
                 return world.__name__, seed
     return None
--- a/trackspread/testing/virtual/distribution/schedules.py
+++ b/trackspread/testing/virtual/distribution/schedules.py
@@ -12,7 +12,7 @@
 from ....distribution.replica import Replica
 from ....decide.time_units import MILLISECOND, SECOND
 from ....distribution.messages import BeginHistory
-from .judged import IN_FORCE, Broken
+from .invariants import IN_FORCE, InvariantViolated
 from .world import Process, World, held
 
 SPAN = 30 * SECOND  # ns of trouble
@@ -97,9 +97,9 @@
         recent=[8, 30, 200][seed % 3],
     )
     world.begin()
-    weather, rng = world.weather, world.rng
-    weather.loss, weather.twice = rng.choice([0.0, 0.02, 0.2]), rng.choice([0.0, 0.1])
-    weather.jitter = rng.choice([0, 0, 300 * MILLISECOND])
+    conditions, rng = world.conditions, world.rng
+    conditions.loss, conditions.twice = rng.choice([0.0, 0.02, 0.2]), rng.choice([0.0, 0.1])
+    conditions.jitter = rng.choice([0, 0, 300 * MILLISECOND])
     changes(world, SPAN, rng.choice([30 * MILLISECOND, 300 * MILLISECOND, 2 * SECOND]))
     for _ in range(rng.randint(3, 14)):
         world.after(rng.randint(0, SPAN), partial(trouble, world))
@@ -129,7 +129,7 @@
     changes(world, SECOND, 100 * MILLISECOND)
     world.calm()
     if len(world.done) < 5:
-        raise Broken("hardly a change was committed")
+        raise InvariantViolated("hardly a change was committed")
     return world
 
 
@@ -178,7 +178,7 @@
     changes(world, 15 * SECOND, 100 * MILLISECOND)
     world.run(20 * SECOND)
     if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise Broken(f"while a minority goes on by itself, {amiss}")
+        raise InvariantViolated(f"while a minority goes on by itself, {amiss}")
     world.heal(ways)
     world.calm()
     return world
@@ -188,7 +188,7 @@
     """Replicas that promise, or accept, die at once and come back with nothing, while leaders change."""
     world = World(seed, replicas=[3, 5][seed % 2], gateways=4)
     world.begin()
-    world.weather.jitter = 200 * MILLISECOND
+    world.conditions.jitter = 200 * MILLISECOND
     changes(world, 20 * SECOND, 50 * MILLISECOND)
     for turn in range(12):
         number = world.rng.randrange(len(world.replicas))
@@ -228,15 +228,15 @@
     changes(world, 100 * SECOND, SECOND)
     world.run(130 * SECOND)
     if any(held(p) != before[p.name] for p in inside):
-        raise Broken("a gateway that is cut off does not go on by what it had")
+        raise InvariantViolated("a gateway that is cut off does not go on by what it had")
     world.heal(ways)
     sent = dict(world.sent)
     world.run(IN_FORCE)
     if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise Broken(f"after the heal {amiss}")
+        raise InvariantViolated(f"after the heal {amiss}")
     most = max(world.sent[p.name] - sent[p.name] for p in inside)
     if most > 60:
-        raise Broken(f"a gateway sent {most} datagrams in the 9 s after the heal")
+        raise InvariantViolated(f"a gateway sent {most} datagrams in the 9 s after the heal")
     world.calm()
     return world
 
@@ -259,11 +259,11 @@
         world.run(SECOND)
         most = max(world.sent[replica.name] - sent[replica.name] for replica in world.replicas)
         if most > SENT_MOST:
-            raise Broken(f"a replica sent {most} datagrams in a second")
+            raise InvariantViolated(f"a replica sent {most} datagrams in a second")
         if amiss := world.judged.missing(world.now, others):
-            raise Broken(f"while half restart {amiss}")
+            raise InvariantViolated(f"while half restart {amiss}")
     if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise Broken(f"after the restart {amiss}")
+        raise InvariantViolated(f"after the restart {amiss}")
     world.calm()
     return world
 
@@ -272,12 +272,14 @@
     """100 changes at once on a network that loses a tenth: in force everywhere within 9 s."""
     world = World(seed, replicas=5, gateways=40, regions=2)
     world.begin()
-    world.weather.loss = 0.1
+    world.conditions.loss = 0.1
     for number in range(100):
         world.put(world.rng.choice(world.services), f"key-{number}", b"v" * 100)
     world.run(IN_FORCE)
     if len(world.done) < 100 or any(held(p) < world.judged.newest for p in world.gateways):
-        raise Broken(f"{len(world.done)} of 100 are committed within 9 s, or not in force everywhere")
+        raise InvariantViolated(
+            f"{len(world.done)} of 100 are committed within 9 s, or not in force everywhere"
+        )
     world.calm()
     return world
 
@@ -293,7 +295,7 @@
     ways = world.part(some, names, both=False) if seed % 3 == 1 else world.part(names, some, both=False)
     world.run(20 * SECOND)
     if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise Broken(f"while some replicas hear one way only, {amiss}")
+        raise InvariantViolated(f"while some replicas hear one way only, {amiss}")
     world.heal(ways)
     world.calm()
     return world
@@ -314,12 +316,12 @@
     changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.run(15 * SECOND)
     if world.leader() is not None or any(held(p) != before[p.name] for p in world.gateways):
-        raise Broken("something was handed down without a majority")
+        raise InvariantViolated("something was handed down without a majority")
     leads = next(p for p in world.replicas if p.epoch is not None)
     world.command(leads.number, BeginHistory(0))
     world.run(10 * SECOND)
     if world.judged.newest.history <= before["g0"].history:
-        raise Broken("no new history has begun")
+        raise InvariantViolated("no new history has begun")
     changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.calm()
     return world
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -26,8 +26,8 @@
 from ....membership.actions import StatusEvent
 from ....membership.identifiers import Address, Epoch
 from ..clock import Clock
-from ..stage import Weather
-from .judged import Broken, Judged
+from ..processes import NetworkConditions
+from .invariants import InvariantViolated, Judged
 
 WALL = 1_790_000_000_000  # ms of wall clock at the beginning of every world
 NEAR, FAR = (
@@ -72,7 +72,7 @@
         """`services`: that there are, of which each gateway wants `each`."""
         self.rng = random.Random(f"distribution:{seed}")
         self.clock = Clock()
-        self.weather = Weather()
+        self.conditions = NetworkConditions()
         self.judged = Judged()
         self.services = tuple(f"service-{n}" for n in range(services))
         self.processes: dict[str, Process] = {}
@@ -146,7 +146,7 @@
         self.command(0, BeginHistory(0))
         self.run(5 * SECOND)
         if self.leader() is None:
-            raise Broken("no leader within 5 s of an operator's word")
+            raise InvariantViolated("no leader within 5 s of an operator's word")
 
     def kill(self, process: Process) -> None:
         process.core = None
@@ -241,10 +241,10 @@
         size = len(self._encode(body)) + OVERHEAD
         self.sent[process.name] += 1
         self.bytes[process.name] += size
-        for _ in range(1 + (self.rng.random() < self.weather.twice)):
-            if self.rng.random() >= self.weather.loss:
+        for _ in range(1 + (self.rng.random() < self.conditions.twice)):
+            if self.rng.random() >= self.conditions.loss:
                 late = self.rng.randint(*(NEAR if process.region == target.region else FAR))
-                late += self.rng.randint(0, self.weather.jitter)
+                late += self.rng.randint(0, self.conditions.jitter)
                 self.clock.after(late, partial(self._arrive, process, process.born, target, body, size))
 
     def _arrive(self, source: Process, born: int, target: Process, body: MessageBody, size: int) -> None:
@@ -286,19 +286,21 @@
         """All that were told to be committed are so, and all that run hold what is in force."""
         for number, version in self.done.items():
             if version not in self.judged.committed:
-                raise Broken(f"change {number} was told to be committed as {version}, and is lost")
+                raise InvariantViolated(f"change {number} was told to be committed as {version}, and is lost")
         newest = self.judged.newest
         for process in self.replicas:
             core = process.core
             if isinstance(core, Replica) and core.log.committed != newest:
-                raise Broken(f"{process.name}, {core.role}, has {core.log.committed}, not {newest}")
+                raise InvariantViolated(
+                    f"{process.name}, {core.role}, has {core.log.committed}, not {newest}"
+                )
         gateways = [p.name for p in self.gateways if p.core is not None]
         if amiss := self.judged.missing(self.now, gateways):
-            raise Broken(amiss)
+            raise InvariantViolated(amiss)
 
     def calm(self, span: int = 20 * SECOND) -> None:
         """All is well again, everybody runs; after `span` all hold the same."""
-        self.weather = Weather()
+        self.conditions = NetworkConditions()
         self.cut = Counter()
         for process in self.processes.values():
             if process.core is None:
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -15,12 +15,24 @@
 from ...decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from ...decide.events import Outcome
 from ...decide.settings import Settings
-from ..judge.ledger import Answered, Asked, Attempted, Booted, Cut, Fell, Killed, Ledger, Left, Started, Told
+from ..judge.ledger import (
+    ReplyReceived,
+    RequestSent,
+    AttemptReceived,
+    BackendStarted,
+    ConnectionLost,
+    BackendCrashed,
+    GatewayKilled,
+    Ledger,
+    ClientDisconnected,
+    GatewayStarted,
+    EndpointAnnounced,
+)
 from ...lists.seam import backend_id
 from ...simulator.wire import parse_settings
-from ..standins.crowd import Want
-from ..standins.rating import NodeSpec, Pod, RatingNode, work_of
-from ..standins.scene import MILLISECOND, ZONES, Scene
+from ..standins.client_population import ClientRequest
+from ..standins.rating_node import NodeSpec, Pod, RatingNode, work_of
+from ..standins.scenario import MILLISECOND, ZONES, Scenario
 from .clock import Clock
 from .host import Attempt, Host, Kind
 
@@ -30,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkConditions:
     """The network's state. One-way delays in ns; chances from 0 to 1."""
 
     least: int = 200_000
@@ -60,28 +72,28 @@
 class VirtualFleet:
     """Make it, put happenings on its clock, `run` it, and hand its ledger to the judge."""
 
-    def __init__(self, scene: Scene, seed: int) -> None:
-        self.scene, self.rng = scene, random.Random(f"virtual:{seed}")
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario, self.rng = scenario, random.Random(f"virtual:{seed}")
         self.clock = Clock()
         self.ledger = Ledger()
-        self.weather = Weather()
-        self.crowd = replace(scene, seed=seed).crowd()
-        self._settings = [_settings(scene, position) for position in range(scene.gateways)]
-        self._classes = {c.name: number for number, c in enumerate(scene.classes)}
-        self._plans = {name: number for number, name in enumerate(scene.world().plans)}
-        self._windows = {c.name: scene.window for c in scene.classes if c.repeat == "keyed"}
+        self.conditions = NetworkConditions()
+        self.population = replace(scenario, seed=seed).population()
+        self._settings = [_settings(scenario, position) for position in range(scenario.gateways)]
+        self._classes = {c.name: number for number, c in enumerate(scenario.classes)}
+        self._plans = {name: number for number, name in enumerate(scenario.world().plans)}
+        self._windows = {c.name: scenario.window for c in scenario.classes if c.repeat == "keyed"}
         self._asked: dict[str, tuple[str, str]] = {}  # each request's class and key
         self.apart: set[frozenset[int]] = set()  # pairs of gateways that don't hear one another
         self.pods: dict[int, Pod] = {}
         self.nodes: dict[int, Node] = {}
         self.version = 1
-        for spec in scene.specs():
+        for spec in scenario.specs():
             self.boot(spec, cold=False, tell=False)
-        self.hosts: list[Host | None] = [None] * scene.gateways
-        self._known: list[tuple[Backend, ...]] = [()] * scene.gateways
-        self._list_at = [0] * scene.gateways  # when the last news reaches each: news comes in order
-        self._open: list[dict[str, Callable[[], None]]] = [{} for _ in range(scene.gateways)]
-        for position in range(scene.gateways):
+        self.hosts: list[Host | None] = [None] * scenario.gateways
+        self._known: list[tuple[Backend, ...]] = [()] * scenario.gateways
+        self._list_at = [0] * scenario.gateways  # when the last news reaches each: news comes in order
+        self._open: list[dict[str, Callable[[], None]]] = [{} for _ in range(scenario.gateways)]
+        for position in range(scenario.gateways):
             self.start(position)
         self._arrive()
 
@@ -89,13 +101,13 @@
         """`span` ns of happenings, and then so long as requests may still be under way."""
         end = self.clock.now + span
         self.clock.at(end, self._stop_asking)
-        self.clock.run(end + max(c.deadline for c in self.scene.classes) + WITNESS)
+        self.clock.run(end + max(c.deadline for c in self.scenario.classes) + WITNESS)
 
     def _stop_asking(self) -> None:
-        self.crowd.surge = 0.0
+        self.population.surge = 0.0
 
     def _delay(self) -> int:
-        return self.rng.randint(self.weather.least, self.weather.most)
+        return self.rng.randint(self.conditions.least, self.conditions.most)
 
     # Gateways.
 
@@ -109,7 +121,7 @@
         known = self._known[position] or self._entries()
         host.learn(EndpointUpdate(EndpointUpdateKind.CACHED, 0, known))
         self._news(host, EndpointUpdateKind.FULL, self._entries())
-        self.ledger.write(Started(self.clock.now, f"n{position}"))
+        self.ledger.write(GatewayStarted(self.clock.now, f"n{position}"))
 
     def kill(self, position: int) -> None:
         """Outright: what it held is the clients' to retry."""
@@ -118,7 +130,7 @@
             return
         host.alive = False
         self.hosts[position] = None
-        self.ledger.write(Killed(self.clock.now, f"n{position}"))
+        self.ledger.write(GatewayKilled(self.clock.now, f"n{position}"))
         for cut in list(self._open[position].values()):
             cut()
         self._open[position].clear()
@@ -137,7 +149,7 @@
 
     def _news(self, host: Host, kind: EndpointUpdateKind, entries: tuple[Backend, ...]) -> None:
         position, version = host.position, self.version
-        wait = self.rng.randint(MILLISECOND, self.weather.list_delay)
+        wait = self.rng.randint(MILLISECOND, self.conditions.list_delay)
         at = self._list_at[position] = max(self._list_at[position], self.clock.now + wait)
         self.clock.at(at, partial(self._told, host, kind, version, entries))
 
@@ -148,7 +160,9 @@
         for node in self.nodes.values():
             if node.id in names or kind is EndpointUpdateKind.FULL:
                 self.ledger.write(
-                    Told(self.clock.now, f"n{host.position}", node.spec.name, names.get(node.id, False))
+                    EndpointAnnounced(
+                        self.clock.now, f"n{host.position}", node.spec.name, names.get(node.id, False)
+                    )
                 )
         known = (
             {}
@@ -163,12 +177,12 @@
 
     def boot(self, spec: NodeSpec, cold: bool, tell: bool = True) -> Node:
         now, number = self.clock.now, backend_id(spec.name)
-        model = self.scene.node(spec, self.pods, now, cold)
+        model = self.scenario.node(spec, self.pods, now, cold)
         entry = Backend(number, ZONES.index(spec.zone), 0, spec.cell, Health.READY, 1.0, now if cold else 0)
         node = self.nodes[number] = Node(spec, model, number, entry)
         start = spec.start if cold else 1.0
         cores = spec.cores * spec.speed
-        self.ledger.write(Booted(now, spec.name, spec.zone, spec.cell, cores, start, spec.warm))
+        self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, start, spec.warm))
         if tell:
             self._change(node, Health.READY)
         return node
@@ -188,17 +202,17 @@
         self._change(node, Health.REMOVED)
 
     def _fall(self, node: Node) -> None:
-        self.ledger.write(Fell(self.clock.now, node.spec.name))
+        self.ledger.write(BackendCrashed(self.clock.now, node.spec.name))
         self.down(node)
 
     # Attempts.
 
     def send(self, host: Host, request: str, attempt: Attempt) -> None:
         node = self.nodes.get(attempt.backend)
-        if node is None or not node.up or self.rng.random() < self.weather.unwritten:
+        if node is None or not node.up or self.rng.random() < self.conditions.unwritten:
             self.clock.after(self._delay(), partial(host.ended, attempt, Outcome.CONNECT_FAILED))
             return
-        late = self.weather.late_up and self.rng.random() < self.weather.late_up
+        late = self.conditions.late_up and self.rng.random() < self.conditions.late_up
         wait = self._delay() + (self.rng.randint(0, LATE_UP) if late else 0)
         self.clock.after(wait, partial(self._come, node, host, request, attempt))
 
@@ -211,10 +225,10 @@
         attempt.written = True
         now = self.clock.now
         cls, key = self._asked[request]
-        work = work_of(self.scene.seed, request, self.scene.work(cls))
+        work = work_of(self.scenario.seed, request, self.scenario.work(cls))
         taken = node.model.arrive(now, request, work, key, self._windows.get(cls, 0))
         self.ledger.write(
-            Attempted(
+            AttemptReceived(
                 now,
                 now,
                 request,
@@ -236,7 +250,7 @@
         node.out[attempt] = host
         if taken is None or node.silent:
             return
-        if self.rng.random() < self.weather.reset:
+        if self.rng.random() < self.conditions.reset:
             at = self.rng.randint(now, taken.done)
             self.clock.at(at, partial(self._finish, node, attempt, host, Outcome.RESET))
         else:
@@ -254,13 +268,13 @@
     # Between gateways.
 
     def tell(self, host: Host, to: int | None, data: bytes) -> None:
-        targets = range(self.scene.gateways) if to is None else [to]
+        targets = range(self.scenario.gateways) if to is None else [to]
         for target in targets:
             if target == host.position or frozenset((target, host.position)) in self.apart:
                 continue
-            copies = 1 + (self.rng.random() < self.weather.peer_twice)
-            for _ in range(copies * (self.rng.random() >= self.weather.peer_loss)):
-                late = self.rng.randint(0, self.weather.peer_delay)
+            copies = 1 + (self.rng.random() < self.conditions.peer_twice)
+            for _ in range(copies * (self.rng.random() >= self.conditions.peer_loss)):
+                late = self.rng.randint(0, self.conditions.peer_delay)
                 self.clock.after(self._delay() + late, partial(self._hear, target, host.position, data))
 
     def _hear(self, target: int, sender: int, data: bytes) -> None:
@@ -270,21 +284,21 @@
     # Clients.
 
     def _arrive(self) -> None:
-        if self.crowd.surge:
-            self._try(self.crowd.want(), CONNECTS)
-            self.clock.after(self.crowd.pause(), self._arrive)
+        if self.population.surge:
+            self._try(self.population.want(), CONNECTS)
+            self.clock.after(self.population.pause(), self._arrive)
 
-    def _try(self, want: Want, connects: int) -> None:
+    def _try(self, want: ClientRequest, connects: int) -> None:
         host = self.hosts[want.gateway]
         if host is None:
             if connects > 1:
-                other = self.crowd.entry(want.customer, want.gateway)
+                other = self.population.entry(want.customer, want.gateway)
                 self._try(replace(want, gateway=other), connects - 1)
             return
-        now, request, customer = self.clock.now, self.crowd.request_id(want), want.customer
+        now, request, customer = self.clock.now, self.population.request_id(want), want.customer
         self._asked[request] = want.cls, want.key
         self.ledger.write(
-            Asked(
+            RequestSent(
                 now,
                 request,
                 want.origin,
@@ -304,11 +318,11 @@
     def close(self, position: int, request: str) -> None:
         self._open[position].pop(request, None)
 
-    def come_again(self, want: Want, kind: str, advice_ms: int) -> None:
-        if (again := self.crowd.again(want, kind, advice_ms)) is not None and self.crowd.surge:
+    def come_again(self, want: ClientRequest, kind: str, advice_ms: int) -> None:
+        if (again := self.population.again(want, kind, advice_ms)) is not None and self.population.surge:
             self.clock.after(again[0], partial(self._try, again[1], CONNECTS))
 
-    def arrival(self, want: Want) -> tuple[int, int]:
+    def arrival(self, want: ClientRequest) -> tuple[int, int]:
         """Class and plan as the settings number them."""
         return self._classes[want.cls], self._plans[want.customer.plan]
 
@@ -316,7 +330,7 @@
 class Exchange:
     """One request of one client, until its answer or its end."""
 
-    def __init__(self, fleet: VirtualFleet, want: Want, request: str, host: Host) -> None:
+    def __init__(self, fleet: VirtualFleet, want: ClientRequest, request: str, host: Host) -> None:
         self.fleet = fleet
         self.want = want
         self.request = request
@@ -350,7 +364,7 @@
         if self.gone:
             return
         now = self.fleet.clock.now
-        self.fleet.ledger.write(Answered(now, self.request, kind, value, advice_ms))
+        self.fleet.ledger.write(ReplyReceived(now, self.request, kind, value, advice_ms))
         if not self.over:
             self._end()
             if kind != "served":
@@ -360,14 +374,14 @@
         if not self.over:
             self._end()
             self.gone = True
-            self.fleet.ledger.write(Cut(self.fleet.clock.now, self.request))
+            self.fleet.ledger.write(ConnectionLost(self.fleet.clock.now, self.request))
             self.fleet.come_again(self.want, "cut", 0)
 
     def leave(self) -> None:
         if not self.over:
             self._end()
             self.gone = True
-            self.fleet.ledger.write(Left(self.fleet.clock.now, self.request))
+            self.fleet.ledger.write(ClientDisconnected(self.fleet.clock.now, self.request))
             if self.number:
                 self.host.left(self.number)
 
@@ -376,5 +390,5 @@
         self.fleet.close(self.want.gateway, self.request)
 
 
-def _settings(scene: Scene, position: int) -> Settings:
-    return parse_settings("\n".join(flatten(scene.settings(position))))
+def _settings(scenario: Scenario, position: int) -> Settings:
+    return parse_settings("\n".join(flatten(scenario.settings(position))))
--- a/trackspread/testing/virtual/vast.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from ..judge.judge import judge
-from ..judge.ledger import Attempted, Booted
-from ..standins.rating import SECOND
-from ..standins.scene import MILLISECOND, Scene
+from ..judge.ledger import AttemptReceived, BackendStarted
+from ..standins.rating_node import SECOND
+from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
 GATEWAYS, NODES = 40, 60
@@ -26,7 +26,7 @@
 LATE = 2 * SECOND  # by which the list lags on these days
 
 
-class Shape(msgspec.Struct, frozen=True):
+class LoadShape(msgspec.Struct, frozen=True):
     """What came of one shape; shares from 0 to 1, the peak in times of a cold node's budget."""
 
     served_share: float  # served, of what was served, refused with room, failed or left unanswered
@@ -37,7 +37,7 @@
 
 
 def _successor(fleet: VirtualFleet, node: Node) -> None:
-    fleet.boot(fleet.scene.successor(node.spec), True)
+    fleet.boot(fleet.scenario.successor(node.spec), True)
 
 
 def release(fleet: VirtualFleet, rng: random.Random) -> None:
@@ -73,31 +73,31 @@
 }
 
 
-def play(name: str, seed: int) -> Shape:
+def play(name: str, seed: int) -> LoadShape:
     """One day of the shape; the same seed gives the same day."""
-    scene = Scene(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy=0.2, seed=seed)
-    fleet = VirtualFleet(scene, seed)
-    fleet.weather.peer_loss = 0.05
-    fleet.weather.list_delay = LATE
+    scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy=0.2, seed=seed)
+    fleet = VirtualFleet(scenario, seed)
+    fleet.conditions.peer_loss = 0.05
+    fleet.conditions.list_delay = LATE
     fleet.clock.after(TROUBLE, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
     fleet.run(SPAN)
-    verdict = judge(scene.world(), fleet.ledger.entries)
-    told, sent = verdict.figures, [e for e in fleet.ledger.entries if isinstance(e, Attempted)]
+    verdict = judge(scenario.world(), fleet.ledger.entries)
+    told, sent = verdict.figures, [e for e in fleet.ledger.entries if isinstance(e, AttemptReceived)]
     due = told.served + told.refused_with_room + told.failed + told.unanswered
-    return Shape(
+    return LoadShape(
         told.served / max(1, due),
         told.refused_with_room / max(1, told.tries),
         len(sent) / max(1, len({e.request for e in sent})) - 1.0,
-        _peak(scene, fleet, sent),
+        _peak(scenario, fleet, sent),
         len(verdict.violations),
     )
 
 
-def _peak(scene: Scene, fleet: VirtualFleet, sent: list[Attempted]) -> float:
-    cold = {e.backend: e for e in fleet.ledger.entries if isinstance(e, Booted) and e.start < 1.0}
+def _peak(scenario: Scenario, fleet: VirtualFleet, sent: list[AttemptReceived]) -> float:
+    cold = {e.backend: e for e in fleet.ledger.entries if isinstance(e, BackendStarted) and e.start < 1.0}
     work = dict.fromkeys(cold, 0.0)
     first: dict[str, int] = {}
     for each in sorted(sent, key=lambda e: e.at):
         if each.backend in cold and each.at - first.setdefault(each.backend, each.at) < SECOND:
             work[each.backend] += each.work / SECOND
-    return max((work[b] / (scene.fall_multiple * e.start * e.cores) for b, e in cold.items()), default=0.0)
+    return max((work[b] / (scenario.fall_multiple * e.start * e.cores) for b, e in cold.items()), default=0.0)
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -27,7 +27,7 @@
 from ....planning.election import Election
 from ..patches import held
 from .schedules import make, play
-from .world import Broken, World
+from .world import InvariantViolated, World
 
 _PARTS_INIT = SlotLeases.__init__
 
@@ -274,7 +274,7 @@
 
 
 def two_under_one_name(seed: int) -> None:
-    """A second process takes a name that is in use, at another address; raises `Broken` unless one is
+    """A second process takes a name in use, at another address; raises `InvariantViolated` unless one is
     left."""
     world = World(seed, 5)
     world.begin(6 * SECOND)
@@ -288,7 +288,7 @@
     world.step(world.true + 6 * SECOND)
     fenced = [p.core.is_fenced for p in (first, second) if p.core is not None]
     if fenced != [True, False]:
-        raise Broken(f"of two under one name, these are fenced off: {fenced}")
+        raise InvariantViolated(f"of two under one name, these are fenced off: {fenced}")
     world.processes.pop("n4")
     world.until_settled(3 * SECOND)
 
@@ -318,8 +318,8 @@
     # Probes that take their time: nobody is to be taken for dead here.
     world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
     world.begin(6 * SECOND)
-    world.weather.jitter = 700 * MS
-    world.weather.twice = 0.5
+    world.conditions.jitter = 700 * MS
+    world.conditions.twice = 0.5
     for number in range(2, 7):
         world.start(world.add(number))
         end = world.true + world.rng.randint(1500 * MS, 4 * SECOND)
@@ -362,7 +362,7 @@
     """A tenth of all is lost, and some stand still now and then: nobody that runs is ever taken for dead."""
     world = World(seed, 8)
     world.begin(6 * SECOND)
-    world.weather.loss = 0.1
+    world.conditions.loss = 0.1
     for n in range(40):
         world.at(world.true + n * 300_000_000, partial(world.halt, world.processes["n7"], 90_000_000))
     since = world.true
@@ -371,7 +371,7 @@
         t for at, _, t in world.told if at > since and t.kind == "member" and t.details["state"] == "DEAD"
     ]
     if false:
-        raise Broken(f"taken for dead: {false[0].details}")
+        raise InvariantViolated(f"taken for dead: {false[0].details}")
 
 
 WORLDS: tuple[Callable[[int], object], ...] = (
@@ -391,6 +391,6 @@
             for world in WORLDS:
                 try:
                     world(seed)
-                except Broken:
+                except InvariantViolated:
                     return seed
     return None
--- a/trackspread/testing/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -14,8 +14,20 @@
 from itertools import count
 
 from ....membership.identifiers import MS, SECOND
-from ...standins.faults import AWAY, Calm, Cut, Duty, Fault, Halt, Loop, Restart, Rough, Schedule, draw
-from .world import KEEP, Broken, Process, World
+from ...standins.fault_schedule import (
+    AWAY,
+    Calm,
+    Cut,
+    Duty,
+    Fault,
+    Halt,
+    Loop,
+    Restart,
+    Rough,
+    Schedule,
+    draw,
+)
+from .world import KEEP, InvariantViolated, Process, World
 
 SETTLED = 8 * SECOND  # ns from the last fault's end: a term, an election, the longest look for those gone
 LEAD = 6.0  # s for a fleet to start and settle before anything goes wrong
@@ -104,10 +116,10 @@
                     world.cut[way] = world.cut.get(way, 0) + 1
                 world.clock.after(span, partial(world.heal, fault.pairs))
             case Rough():
-                weather = world.weather
-                weather.loss = fault.loss
-                weather.twice = fault.twice
-                weather.jitter = _ns(fault.delay + fault.jitter)
+                conditions = world.conditions
+                conditions.loss = fault.loss
+                conditions.twice = fault.twice
+                conditions.jitter = _ns(fault.delay + fault.jitter)
                 world.clock.after(span, self._calm)
             case Halt():
                 for number in fault.gateways:
@@ -123,10 +135,10 @@
                 self._loop(fault, world.clock.now + span)
 
     def _calm(self) -> None:
-        weather = self._world.weather
-        weather.loss = 0.0
-        weather.twice = 0.0
-        weather.jitter = 0
+        conditions = self._world.conditions
+        conditions.loss = 0.0
+        conditions.twice = 0.0
+        conditions.jitter = 0
 
     def _duty(self, fault: Duty, end: int) -> None:
         if self._world.clock.now < end:
@@ -147,7 +159,7 @@
 
 
 def play(schedule: MemberedSchedule) -> tuple[World, int]:
-    """Raises `Broken`; the world at its end, and the ns that it took to settle."""
+    """Raises `InvariantViolated`; the world at its end, and the ns that it took to settle."""
     world = World(
         schedule.seed,
         schedule.faults.gateways,
@@ -173,6 +185,6 @@
             return None
         try:
             play(make(seed))
-        except Broken:
+        except InvariantViolated:
             return seed
     return None
--- a/trackspread/testing/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -16,16 +16,16 @@
 from ....membership.messages import MemberMessage, TableSnapshot, View
 from ....membership.settings import MemberSettings
 from ....membership.slot_allocation import ALL_SLOTS, SLOT_COUNT
-from .. import stage
-from ..stage import Broken as Broken
-from ..stage import Stage
+from .. import processes
+from ..processes import InvariantViolated as InvariantViolated
+from ..processes import ProcessGroup
 
 KEEP = 2 * SECOND  # that a silent member keeps its part for, unless the settings say otherwise
 
-Process = stage.Process[Member]
+Process = processes.Process[Member]
 
 
-class World(Stage[Member]):
+class World(ProcessGroup[Member]):
     """`processes` by name; `step` runs on to a true time, relative to the beginning."""
 
     def __init__(
@@ -99,9 +99,9 @@
             self.bytes[process.name] += len(self._encode(message)) + 17
         if target is None:
             return
-        weather, rng = self.weather, self.rng
-        for _ in range(1 + (bool(weather.twice) and rng.random() < weather.twice)):
-            if not (weather.loss and rng.random() < weather.loss):
+        conditions, rng = self.conditions, self.rng
+        for _ in range(1 + (bool(conditions.twice) and rng.random() < conditions.twice)):
+            if not (conditions.loss and rng.random() < conditions.loss):
                 self.clock.after(self._late(), partial(self._arrive, process, target, message))
 
     def _arrive(self, source: Process, target: Process, message: MemberMessage) -> None:
@@ -146,7 +146,7 @@
             case "view":
                 view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
                 if self.views.setdefault(view.number, view) != view:
-                    raise Broken(f"{self.true / 1e9:.3f} s: two views under {view.number}")
+                    raise InvariantViolated(f"{self.true / 1e9:.3f} s: two views under {view.number}")
             case "part" if told.details["part"]:
                 self.rights()
             case "leads":
@@ -154,10 +154,10 @@
 
     def _issued(self, process: Process, number: ViewNumber, parent: ViewNumber) -> None:
         if self.issued.setdefault(number, process.name) != process.name:
-            raise Broken(f"{self.true / 1e9:.3f} s: {number} issued by two")
+            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {number} issued by two")
         follows = parent == (*number[:2], number[2] - 1) if number[2] > 1 else parent < number
         if not follows:
-            raise Broken(f"{self.true / 1e9:.3f} s: {number} follows {parent}")
+            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {number} follows {parent}")
 
     def rights(self) -> int:
         """The slots that are acted on at this instant."""
@@ -165,7 +165,9 @@
         for process in self.processes.values():
             part = process.core.usable_slots(process.now(now)) if process.core is not None else 0
             if part & out:
-                raise Broken(f"{self.true / 1e9:.3f} s: {process.name} acts on slots that another acts on")
+                raise InvariantViolated(
+                    f"{self.true / 1e9:.3f} s: {process.name} acts on slots that another acts on"
+                )
             out |= part
         return out
 
@@ -177,7 +179,7 @@
             if p.core is not None and p.core.is_coordinator(p.now(now))
         ]
         if len(leading) > 1:
-            raise Broken(f"{self.true / 1e9:.3f} s: {leading} lead together")
+            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {leading} lead together")
 
     def running(self) -> list[str]:
         return [name for name, process in self.processes.items() if process.core is not None]
@@ -212,10 +214,12 @@
         return self.until_settled(most, every=every)
 
     def until_settled(self, most: int, among: Iterable[str] | None = None, every: int = 50 * MS) -> int:
-        """ns until it is; raises `Broken` where that takes longer than `most`."""
+        """ns until it is; raises `InvariantViolated` where that takes longer than `most`."""
         begun = self.true
         while amiss := self.settled(among):
             if self.true - begun >= most:
-                raise Broken(f"{self.true / 1e9:.3f} s: not settled {most / SECOND:.1f} s after: {amiss}")
+                raise InvariantViolated(
+                    f"{self.true / 1e9:.3f} s: not settled {most / SECOND:.1f} s after: {amiss}"
+                )
             self.step(self.true + every)
         return self.true - begun
--- a/trackspread/testing/virtual/planning/schedules.py
+++ b/trackspread/testing/virtual/planning/schedules.py
@@ -12,7 +12,7 @@
 
 from ....decide.time_units import SECOND
 from ....planning.limits import Limit
-from ...standins.crowd import draw_weights
+from ...standins.client_population import draw_weights
 from .world import MS, Plan, World
 
 SPAN = 12 * SECOND  # of a schedule: a term, the learning after it, faults, and time to be back
@@ -82,17 +82,17 @@
 
 
 def lossy(world: World, rng: random.Random) -> None:
-    world.weather.loss, world.weather.twice = rng.uniform(0.05, 0.5), rng.uniform(0.0, 0.4)
+    world.conditions.loss, world.conditions.twice = rng.uniform(0.05, 0.5), rng.uniform(0.0, 0.4)
 
 
 def late(world: World, rng: random.Random) -> None:
-    world.weather.late = rng.uniform(0.02, 0.4)
+    world.conditions.late = rng.uniform(0.02, 0.4)
 
 
 def late_and_part(world: World, rng: random.Random) -> None:
     """Every word is late by up to a beat, and then some forwarder hears nobody any more."""
-    world.weather.late = 1.0
-    world.weather.later = 390 * MS
+    world.conditions.late = 1.0
+    world.conditions.later = 390 * MS
     lonely = rng.choice(world.forwarders).name
     pairs = {frozenset((lonely, p.name)) for p in world.planners}
     wait = rng.randint(SECOND, 2 * SECOND)
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -22,7 +22,7 @@
 from ....planning.limits import Limit, TenantLimit
 from ....planning.messages import Grant, LeaseRequest
 from ....planning.timing import HEARTBEAT_NS
-from ...standins.crowd import draw_weights
+from ...standins.client_population import draw_weights
 from .account import ROUNDING, CapAccount
 from ..clock import Clock
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkConditions:
     """Of all messages; times in ns, chances from 0 to 1."""
 
     least: int = 200_000
@@ -247,7 +247,7 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.clock = Clock()
-        self.weather = Weather()
+        self.conditions = NetworkConditions()
         self.rng = random.Random(f"planned:{plan.seed}")
         self.apart: set[frozenset[str]] = set()
         self.broken: list[str] = []
@@ -275,13 +275,13 @@
         self.clock.run(self.clock.now + span)
 
     def send(self, source: Process, target: Process, call: Callable[[], None]) -> None:
-        weather, rng = self.weather, self.rng
+        conditions, rng = self.conditions, self.rng
         if frozenset((source.name, target.name)) in self.apart:
             return
-        for _ in range(1 + (rng.random() < weather.twice)):
-            if rng.random() >= weather.loss:
-                wait = rng.randint(weather.least, weather.most)
-                wait += rng.randint(0, weather.later) * (rng.random() < weather.late)
+        for _ in range(1 + (rng.random() < conditions.twice)):
+            if rng.random() >= conditions.loss:
+                wait = rng.randint(conditions.least, conditions.most)
+                wait += rng.randint(0, conditions.later) * (rng.random() < conditions.late)
                 self.clock.after(wait, partial(target.run, call, target.starts))
 
     def kill(self, process: Process) -> None:
--- a/trackspread/testing/virtual/stage.py
+++ b/trackspread/testing/virtual/processes.py
@@ -21,7 +21,7 @@
 LATE_MOST = 5 * MS  # ns by which a tick comes late on a machine that is busy with others
 
 
-class Broken(Exception):
+class InvariantViolated(Exception):
     """An invariant does not hold; the text says which, and when."""
 
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkConditions:
     """Of all ways between processes."""
 
     loss: float = 0.0
@@ -60,13 +60,13 @@
         return int(true * self.rate)
 
 
-class Stage(Generic[Core]):
+class ProcessGroup(Generic[Core]):
     """`processes` by name; `step` runs on to a true time, relative to the beginning."""
 
     def __init__(self, chances: str, drift: float) -> None:
         self.rng = random.Random(chances)
         self.clock = Clock()
-        self.weather = Weather()
+        self.conditions = NetworkConditions()
         self.processes: dict[str, Process[Core]] = {}
         self._by_address: dict[Address, Process[Core]] = {}
         self.cut: dict[tuple[str, str], int] = {}  # directions, by how many faults cut them
@@ -162,5 +162,5 @@
                 del self.cut[way]
 
     def _late(self) -> int:
-        jitter = self.weather.jitter
+        jitter = self.conditions.jitter
         return self.rng.randint(*RTT) + (self.rng.randint(0, jitter) if jitter else 0)
--- a/trackspread/testing/virtual/quiet.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from ..judge.ledger import Asked, Attempted, Entry, PlanRule
-from ..standins.rating import SECOND
-from ..standins.scene import MILLISECOND, Scene
+from ..judge.ledger import RequestSent, AttemptReceived, Entry, PlanRule
+from ..standins.rating_node import SECOND
+from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import VirtualFleet
 
 SPAN = 20 * SECOND
@@ -28,7 +28,7 @@
 RESTARTS, AWAY = 3, 400 * MILLISECOND  # of gateways, one after another, on the days that have them
 
 
-class Side(msgspec.Struct, frozen=True):
+class StaleStatePolicy(msgspec.Struct, frozen=True):
     """One policy on one group of tries, as parts of the worth that one who saw all would let in."""
 
     inside: float  # let through inside quotas
@@ -36,12 +36,12 @@
     refused_with_room: float  # refused while the store was half full or more
 
 
-class Day(msgspec.Struct, frozen=True):
+class QuietDay(msgspec.Struct, frozen=True):
     """What came of one day; `groups`: by class and by plan, the policy and the late-seeing one."""
 
-    policy: Side
-    late: Side
-    groups: dict[str, tuple[Side, Side]]
+    policy: StaleStatePolicy
+    late: StaleStatePolicy
+    groups: dict[str, tuple[StaleStatePolicy, StaleStatePolicy]]
 
     @property
     def more(self) -> float:
@@ -89,39 +89,39 @@
     beyond: float = 0.0
     room: float = 0.0
 
-    def side(self, offered: float, cost: float) -> Side:
-        return Side(self.inside / offered, cost * self.beyond / offered, self.room / offered)
+    def side(self, offered: float, cost: float) -> StaleStatePolicy:
+        return StaleStatePolicy(self.inside / offered, cost * self.beyond / offered, self.room / offered)
 
 
-def judged(scene: Scene, entries: Iterable[Entry]) -> Day:
+def judged(scenario: Scenario, entries: Iterable[Entry]) -> QuietDay:
     """Raises `ValueError` on a ledger without tries."""
     entries = list(entries)
     sent: dict[str, int] = {}
     for entry in entries:
-        if isinstance(entry, Attempted):
+        if isinstance(entry, AttemptReceived):
             sent.setdefault(entry.request, entry.at)
-    tries: dict[str, Asked] = {}
+    tries: dict[str, RequestSent] = {}
     for entry in entries:
-        if isinstance(entry, Asked):
+        if isinstance(entry, RequestSent):
             tries.setdefault(entry.request, entry)
-    points = {c.name: c.points for c in scene.classes}
+    points = {c.name: c.points for c in scenario.classes}
     sums: dict[tuple[str, str], _Sum] = defaultdict(_Sum)
     offered: dict[str, float] = defaultdict(float)
     stores: dict[tuple[str, int], _Store] = {}
     origins: set[str] = set()
     # A try takes its units when it has come whole to a backend; a refused one is looked at as it was asked.
     for at, each in sorted(((sent.get(r, a.at), a) for r, a in tries.items()), key=lambda pair: pair[0]):
-        rule, worth = scene.plans[each.plan], points[each.cls] * each.units
+        rule, worth = scenario.plans[each.plan], points[each.cls] * each.units
         groups = "all", f"class {each.cls}", f"plan {each.plan}"
 
-        def store(whose: str, one: Asked = each, rule: PlanRule = rule) -> _Store:
+        def store(whose: str, one: RequestSent = each, rule: PlanRule = rule) -> _Store:
             return stores.setdefault((whose, one.customer), _Store(rule, rule.burst))
 
         def note(
             whose: str,
             sends: bool,
             groups: tuple[str, ...] = groups,
-            one: Asked = each,
+            one: RequestSent = each,
             at: int = at,
             worth: float = worth,
         ) -> None:
@@ -144,25 +144,25 @@
         raise ValueError("no try was asked")
     sides = {
         group: (
-            sums["policy", group].side(worth, scene.over_cost),
-            sums["late", group].side(worth, scene.over_cost),
+            sums["policy", group].side(worth, scenario.over_cost),
+            sums["late", group].side(worth, scenario.over_cost),
         )
         for group, worth in offered.items()
     }
     policy, late = sides.pop("all")
-    return Day(policy, late, sides)
+    return QuietDay(policy, late, sides)
 
 
 def restarts(fleet: VirtualFleet, rng: random.Random) -> None:
     """Some gateways, one after another, killed and back soon."""
-    for number, position in enumerate(rng.sample(range(fleet.scene.gateways), RESTARTS)):
+    for number, position in enumerate(rng.sample(range(fleet.scenario.gateways), RESTARTS)):
         at = (number + 1) * SPAN // (RESTARTS + 2)
         fleet.clock.after(at, partial(fleet.kill, position))
         fleet.clock.after(at + AWAY, partial(fleet.start, position))
 
 
 def losses(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.weather.peer_loss = 0.1
+    fleet.conditions.peer_loss = 0.1
 
 
 def nothing(fleet: VirtualFleet, rng: random.Random) -> None:
@@ -177,22 +177,22 @@
 _FEW = (("familyInfo", "mailPerS", 3.0),)
 _DEAF = (("limits", "peerMessages", False),)
 _SMALL = {"small": PlanRule(0.5, 2.0), "big": PlanRule(4.0, 12.0)}
-SCENES = {
+SCENARIOS = {
     # As ours: word of all to all, or homes where gateways are many.
-    "word": Scene(gateways=6, nodes=9, load=0.35, greedy=0.2),
-    "homes": Scene(gateways=24, nodes=18, load=0.35, greedy=0.2),
+    "word": Scenario(gateways=6, nodes=9, load=0.35, greedy=0.2),
+    "homes": Scenario(gateways=24, nodes=18, load=0.35, greedy=0.2),
     # As others': each unit beyond costs much, quotas are small, messages few, or there are none.
-    "dear, few messages": Scene(
+    "dear, few messages": Scenario(
         gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL, allow=_FEW, over_cost=2.5
     ),
-    "unheard": Scene(gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL, allow=_DEAF, over_cost=1.3),
+    "unheard": Scenario(gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL, allow=_DEAF, over_cost=1.3),
 }
 
 
-def play(name: str, trouble: str, seed: int) -> Day:
+def play(name: str, trouble: str, seed: int) -> QuietDay:
     """One quiet day; the same seed gives the same."""
-    scene = SCENES[name].changed(seed=seed)
-    fleet = VirtualFleet(scene, seed)
+    scenario = SCENARIOS[name].changed(seed=seed)
+    fleet = VirtualFleet(scenario, seed)
     TROUBLES[trouble](fleet, random.Random(f"quiet:{seed}"))
     fleet.run(SPAN)
-    return judged(scene, fleet.ledger.entries)
+    return judged(scenario, fleet.ledger.entries)
--- a/trackspread/testing/virtual/booked.py
+++ b/trackspread/testing/virtual/reservations.py
@@ -27,7 +27,7 @@
 from ...decide.tenant_account import rescaled_tokens
 from .clock import Clock
 from .patches import held
-from .plain import plain_settings
+from .plain_settings import plain_settings
 
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
 SPAN = 30 * SECOND  # some changes, each with many times a burst of demand round it
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -13,9 +13,9 @@
 from ...decide.backends import Health
 from ..judge.judge import judge
 from ..judge.verdict import Verdict
-from ..standins.crowd import Habit
-from ..standins.rating import SECOND
-from ..standins.scene import MILLISECOND, Scene
+from ..standins.client_population import ClientBehavior
+from ..standins.rating_node import SECOND
+from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
 SPAN = 4 * SECOND  # of happenings; long enough for a drain with its grace, and a cold start after it
@@ -26,19 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A scene and the faults in it, by name and time (ns from the start)."""
+    """A scenario and the faults in it, by name and time (ns from the start)."""
 
     seed: int
-    scene: Scene
+    scenario: Scenario
     faults: tuple[tuple[int, str], ...]
 
     def __str__(self) -> str:
         told = ", ".join(f"{name} at {at / SECOND:.2f} s" for at, name in self.faults)
-        return f"seed {self.seed}: {self.scene.gateways} gateways, {self.scene.nodes} nodes; {told or 'calm'}"
+        sizes = f"{self.scenario.gateways} gateways, {self.scenario.nodes} nodes"
+        return f"seed {self.seed}: {sizes}; {told or 'calm'}"
 
 
 def _someone(fleet: VirtualFleet, rng: random.Random) -> int:
-    return rng.randrange(fleet.scene.gateways)
+    return rng.randrange(fleet.scenario.gateways)
 
 
 def _restart(fleet: VirtualFleet, rng: random.Random, position: int) -> None:
@@ -52,12 +53,12 @@
 
 
 def kill_half(fleet: VirtualFleet, rng: random.Random) -> None:
-    for position in rng.sample(range(fleet.scene.gateways), max(1, fleet.scene.gateways // 2)):
+    for position in rng.sample(range(fleet.scenario.gateways), max(1, fleet.scenario.gateways // 2)):
         _restart(fleet, rng, position)
 
 
 def roll(fleet: VirtualFleet, rng: random.Random) -> None:
-    for number, position in enumerate(rng.sample(range(fleet.scene.gateways), fleet.scene.gateways)):
+    for number, position in enumerate(rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways)):
         fleet.clock.after(number * 700 * MILLISECOND, partial(_restart, fleet, rng, position))
 
 
@@ -82,7 +83,7 @@
     if not node.up or node.entry.health is not Health.READY:
         return
     fleet.drain(node)
-    spec = fleet.scene.successor(node.spec)
+    spec = fleet.scenario.successor(node.spec)
     fleet.clock.after(rng.randint(SECOND, 2 * SECOND), partial(fleet.remove, node))
     fleet.clock.after(rng.randint(0, SECOND), partial(fleet.boot, spec, True))
 
@@ -132,33 +133,33 @@
 
 
 def resets(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.weather.reset, fleet.weather.unwritten = rng.uniform(0.02, 0.3), rng.uniform(0.0, 0.1)
-    fleet.weather.late_up = rng.uniform(0.0, 0.5)
+    fleet.conditions.reset, fleet.conditions.unwritten = rng.uniform(0.02, 0.3), rng.uniform(0.0, 0.1)
+    fleet.conditions.late_up = rng.uniform(0.0, 0.5)
 
 
 def apart(fleet: VirtualFleet, rng: random.Random) -> None:
     """Some gateways don't hear the others for a while."""
-    n = fleet.scene.gateways
+    n = fleet.scenario.gateways
     some = set(rng.sample(range(n), rng.randint(1, n - 1)))
     fleet.apart = {frozenset((a, b)) for a in some for b in range(n) if b not in some}
     fleet.clock.after(rng.randint(SECOND, 4 * SECOND), partial(setattr, fleet, "apart", set()))
 
 
 def lossy(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.weather.peer_loss, fleet.weather.peer_twice = rng.uniform(0.2, 0.9), rng.uniform(0.0, 0.3)
-    fleet.weather.peer_delay = rng.randint(0, SECOND // 2)
+    fleet.conditions.peer_loss, fleet.conditions.peer_twice = rng.uniform(0.2, 0.9), rng.uniform(0.0, 0.3)
+    fleet.conditions.peer_delay = rng.randint(0, SECOND // 2)
 
 
 def move(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.crowd.move(rng.uniform(0.3, 1.0))
+    fleet.population.move(rng.uniform(0.3, 1.0))
 
 
 def surge(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.crowd.surge = rng.uniform(1.5, 3.0)
+    fleet.population.surge = rng.uniform(1.5, 3.0)
 
 
 def late_list(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.weather.list_delay = rng.randint(SECOND // 2, 3 * SECOND)
+    fleet.conditions.list_delay = rng.randint(SECOND // 2, 3 * SECOND)
 
 
 FAULTS: dict[str, Fault] = {
@@ -188,7 +189,7 @@
     """The schedule of a seed. Every eighth is calm."""
     rng = random.Random(f"schedule:{seed}")
     calm = seed % CALM == 0
-    scene = Scene(
+    scenario = Scenario(
         gateways=3 if calm else rng.randint(2, 4),
         nodes=rng.randint(3, 7),
         load=rng.uniform(0.2, 0.7),
@@ -197,20 +198,20 @@
         window=rng.choice((SECOND // 2, 5 * SECOND)),
         start=rng.choice((0.1, 0.25)),
         warm=rng.randint(4 * SECOND, 10 * SECOND),
-        habit=Habit(rng.randint(0, 2), rng.uniform(0.3, 1.0)),
+        behavior=ClientBehavior(rng.randint(0, 2), rng.uniform(0.3, 1.0)),
         beyond_most=BEYOND_MOST if calm else 1.0,
     )
     names = [] if calm else rng.choices(list(FAULTS), k=rng.randint(1, 4))
     faults = tuple(sorted((rng.randint(SECOND // 4, SPAN * 3 // 4), name) for name in names))
-    return Schedule(seed, scene, faults)
+    return Schedule(seed, scenario, faults)
 
 
 def play(schedule: Schedule) -> tuple[Verdict, VirtualFleet]:
     """The same schedule gives the same ledger, to the last entry."""
-    fleet = VirtualFleet(schedule.scene, schedule.seed)
+    fleet = VirtualFleet(schedule.scenario, schedule.seed)
     start = fleet.clock.now
     for number, (at, name) in enumerate(schedule.faults):
         rng = random.Random(f"fault:{schedule.seed}:{number}")
         fleet.clock.at(start + at, partial(FAULTS[name], fleet, rng))
     fleet.run(SPAN)
-    return judge(schedule.scene.world(), fleet.ledger.entries), fleet
+    return judge(schedule.scenario.world(), fleet.ledger.entries), fleet
--- a/trackspread/testing/virtual/ramp.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from ..judge.judge import judge
-from ..judge.ledger import Attempted, Booted, Ledger, Told
-from ..standins.rating import SECOND, NodeSpec, Pod, RatingNode
-from ..standins.scene import MILLISECOND, Scene
+from ..judge.ledger import AttemptReceived, BackendStarted, Ledger, EndpointAnnounced
+from ..standins.rating_node import SECOND, NodeSpec, Pod, RatingNode
+from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
 NODES = 9
@@ -29,7 +29,7 @@
 BURST = 1.5  # times of the usual asking while backends are cold
 
 
-class Ramp(msgspec.Struct, frozen=True):
+class SlowStartRun(msgspec.Struct, frozen=True):
     """What came of one run. `worst_excess`: requests of mean work that one cold backend got in a window, less
     N + 2 x root of N + 2. `used`: load of cold backends for what they can do at the time, over the warm
     ones' load. `served`: of what was served, refused with room, failed or left unanswered. `violations`: of
@@ -42,8 +42,8 @@
     violations: frozenset[str]
 
 
-class LastingScene(Scene):
-    """A scene whose backends never fall, so that all is counted that gateways send them."""
+class LastingScenario(Scenario):
+    """A scenario whose backends never fall, so that all is counted that gateways send them."""
 
     def node(self, spec: NodeSpec, pods: dict[int, Pod], now: int, cold: bool) -> RatingNode:
         node = super().node(spec, pods, now, cold)
@@ -51,10 +51,10 @@
         return node
 
 
-def scene(seed: int) -> Scene:
+def scenario(seed: int) -> Scenario:
     """Another fleet for each seed: its gateways, its window, its multiple, its start and its load."""
     rng = random.Random(f"ramp-scene:{seed}")
-    return LastingScene(
+    return LastingScenario(
         gateways=rng.randint(LEAST_GATEWAYS, MOST_GATEWAYS),
         nodes=NODES,
         load=rng.uniform(0.5, 0.7),
@@ -67,19 +67,19 @@
     )
 
 
-def play(seed: int) -> Ramp:
+def play(seed: int) -> SlowStartRun:
     """Some backends are replaced and others come back cold, under a burst, while gateways die, start and are
     cut off from the others. The same seed gives the same run."""
     return _run(seed, _trouble)
 
 
-def play_none_warm(seed: int) -> Ramp:
+def play_none_warm(seed: int) -> SlowStartRun:
     """All backends come back cold, one after the other, while half of the gateways start anew."""
     return _run(seed, _all_cold)
 
 
-def _run(seed: int, trouble: Callable[[VirtualFleet, random.Random], None]) -> Ramp:
-    world = scene(seed)
+def _run(seed: int, trouble: Callable[[VirtualFleet, random.Random], None]) -> SlowStartRun:
+    world = scenario(seed)
     fleet = VirtualFleet(world, seed)
     since = fleet.clock.now + CALM
     fleet.clock.at(since, partial(trouble, fleet, random.Random(f"ramp:{seed}")))
@@ -87,7 +87,7 @@
     verdict = judge(world.world(), fleet.ledger.entries)
     figures = verdict.figures
     due = figures.served + figures.refused_with_room + figures.failed + figures.unanswered
-    return Ramp(
+    return SlowStartRun(
         world.gateways,
         max(excess(world, fleet.ledger), default=-inf),
         _used(fleet.ledger, since),
@@ -97,14 +97,14 @@
 
 
 def _trouble(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.crowd.surge = BURST
+    fleet.population.surge = BURST
     nodes = rng.sample(list(fleet.nodes.values()), REPLACED + RETURNED)
     for node in nodes[:REPLACED]:
         _replace(fleet, node)
     for node in nodes[REPLACED:]:
         fleet.down(node)
         fleet.clock.after(rng.randint(100, 500) * MILLISECOND, partial(fleet.boot, node.spec, True))
-    positions = rng.sample(range(fleet.scene.gateways), fleet.scene.gateways // 2)
+    positions = rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways // 2)
     third = len(positions) // 3
     for position in positions[:third]:
         at = rng.randint(0, 2000) * MILLISECOND
@@ -119,7 +119,7 @@
 def _all_cold(fleet: VirtualFleet, rng: random.Random) -> None:
     for node in list(fleet.nodes.values()):
         fleet.clock.after(rng.randint(0, 1000) * MILLISECOND, partial(_come_back, fleet, node))
-    for position in rng.sample(range(fleet.scene.gateways), fleet.scene.gateways // 2):
+    for position in rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways // 2):
         at = rng.randint(0, 1500) * MILLISECOND
         fleet.clock.after(at, partial(fleet.kill, position))
         fleet.clock.after(at + 500 * MILLISECOND, partial(fleet.start, position))
@@ -131,31 +131,31 @@
 
 
 def _replace(fleet: VirtualFleet, node: Node) -> None:
-    fleet.boot(fleet.scene.successor(node.spec), True)
+    fleet.boot(fleet.scenario.successor(node.spec), True)
     fleet.drain(node)
     fleet.clock.after(2 * SECOND, partial(fleet.remove, node))
 
 
 def _cut_off(fleet: VirtualFleet, position: int) -> None:
     """No gateway hears it, nor it another; clients and backends reach it as before."""
-    others = range(fleet.scene.gateways)
+    others = range(fleet.scenario.gateways)
     fleet.apart |= {frozenset((position, other)) for other in others if other != position}
 
 
-def _cold_starts(ledger: Ledger) -> dict[str, Booted]:
-    return {e.backend: e for e in ledger.entries if isinstance(e, Booted) and e.start < 1.0}
+def _cold_starts(ledger: Ledger) -> dict[str, BackendStarted]:
+    return {e.backend: e for e in ledger.entries if isinstance(e, BackendStarted) and e.start < 1.0}
 
 
-def _part(start: Booted, at: int) -> float:
+def _part(start: BackendStarted, at: int) -> float:
     return start.start + (1.0 - start.start) * min(1.0, (at - start.at) / start.warm)
 
 
-def excess(world: Scene, ledger: Ledger) -> Iterator[float]:
+def excess(world: Scenario, ledger: Ledger) -> Iterator[float]:
     """At each request for a cold backend: what came in the window that ends then, over what may come."""
     mean = sum(c.share * c.work for c in world.classes) / sum(c.share for c in world.classes)
     starts = _cold_starts(ledger)
     recent: dict[str, deque[tuple[int, float]]] = {backend: deque() for backend in starts}
-    sent = sorted((e for e in ledger.entries if isinstance(e, Attempted)), key=lambda e: e.at)
+    sent = sorted((e for e in ledger.entries if isinstance(e, AttemptReceived)), key=lambda e: e.at)
     for each in sent:
         start = starts.get(each.backend)
         if start is None or not start.at <= each.at < start.at + start.warm:
@@ -176,9 +176,9 @@
     first, last = since + SECOND, since + RAMP
     work: defaultdict[str, int] = defaultdict(int)
     for each in ledger.entries:
-        if isinstance(each, Attempted) and first <= each.at < last:
+        if isinstance(each, AttemptReceived) and first <= each.at < last:
             work[each.backend] += each.work
-    steady = {e.backend: e.cores for e in ledger.entries if isinstance(e, Booted) and e.start >= 1.0}
+    steady = {e.backend: e.cores for e in ledger.entries if isinstance(e, BackendStarted) and e.start >= 1.0}
     left = _left(ledger, since)
     steady = {backend: cores for backend, cores in steady.items() if backend not in starts.keys() | left}
     cold_able = sum(s.cores * (_part(s, first) + _part(s, last)) / 2.0 for s in starts.values())
@@ -190,4 +190,6 @@
 
 def _left(ledger: Ledger, since: int) -> set[str]:
     """Backends that were taken off the list since then."""
-    return {e.backend for e in ledger.entries if isinstance(e, Told) and e.at > since and not e.ready}
+    return {
+        e.backend for e in ledger.entries if isinstance(e, EndpointAnnounced) and e.at > since and not e.ready
+    }
