--- a/tests/test_net_backends.py
+++ b/tests/backends/test_backends.py
@@ -24,7 +24,7 @@
 from trackspread.decide.events import Outcome
 from trackspread.framing.resp import AnswerFrames, Words
 
-from .fakes import LOCAL, Backend, listening, run, served, soon, until
+from ..fakes import LOCAL, Backend, listening, run, served, soon, until
 
 SECOND = 1_000_000_000
 CLOCK = Clock()
--- a/tests/test_net_connections.py
+++ b/tests/backends/test_connections.py
@@ -14,8 +14,8 @@
 from trackspread.backends.resp import read_answer, read_report
 from trackspread.decide.events import Outcome
 
-from .fakes import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
-from .test_net_backends import bench
+from ..fakes import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
+from .test_backends import bench
 
 
 def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_endings_attempts.py
+++ b/tests/backends/test_endings_attempts.py
@@ -18,8 +18,8 @@
 from trackspread.config.operator import ClientBounds, Operator
 from trackspread.decide.events import Outcome
 
-from .fakes import LOCAL, Backend, Connection, call, run, served, soon, world
-from .test_net_backends import CLOCK, bench
+from ..fakes import LOCAL, Backend, Connection, call, run, served, soon, world
+from .test_backends import CLOCK, bench
 
 TIME = 1.0  # s of each timer here: long enough to come to the halt before it is due
 
--- a/tests/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -16,9 +16,9 @@
 from trackspread.config.addresses import ConfigError
 from trackspread.config.operator import DEFAULTS, LIVE, Operator, needs_restart, parse
 
-from .fakes import LOCAL, Connection, call, raw_config, run, served, soon, world
+from ..fakes import LOCAL, Connection, call, raw_config, run, served, soon, world
 
-SAMPLE = Path(__file__).parent.parent / "deploy" / "gateway.toml"
+SAMPLE = Path(__file__).parents[2] / "deploy" / "gateway.toml"
 
 
 def test_sample_names_every_key_with_its_default() -> None:
--- a/tests/test_control.py
+++ b/tests/control/test_control.py
@@ -13,7 +13,7 @@
 from trackspread.node.gateway import Gateway
 from trackspread.usage.record import Ending
 
-from .fakes import (
+from ..fakes import (
     LOCAL,
     Agent,
     Backend,
--- a/tests/test_broker.py
+++ b/tests/decide/test_broker.py
@@ -24,7 +24,7 @@
 from trackspread.decide.quota.state import PeerReport
 from trackspread.decide.time_units import TICK
 
-from .helpers import (
+from ..helpers import (
     KEYED,
     MS,
     SAFE,
@@ -440,7 +440,7 @@
 
 
 def test_old_word_of_others_open_attempts_is_not_held_against_a_customer() -> None:
-    """The counter's word; what peers and homes tell is in `test_places.py`."""
+    """The counter's word; what peers and homes tell is in `test_concurrency_limits.py`."""
     g = gateway(plans=(plan(concurrency_limit=2),), may_gossip=False, has_shared_counter=True)
     g.handle(0, arrival(1, 0, gateway_span=1))
     g.handle(MS, ended(1, 1))
--- a/tests/test_competing_commitments.py
+++ b/tests/decide/test_competing_commitments.py
@@ -18,7 +18,7 @@
 from trackspread.decide.decaying_mean import SHORT_TERM, DecayingMean
 from trackspread.decide.time_units import SECOND
 
-from .helpers import settings
+from ..helpers import settings
 
 
 def commitments(count: int, rng: random.Random) -> list[Commitment]:
--- a/tests/test_places.py
+++ b/tests/decide/test_concurrency_limits.py
@@ -24,7 +24,7 @@
 from trackspread.testing.virtual.patches import held, in_all_sharings
 from trackspread.decide.time_units import TICK
 
-from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from ..helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
 OPEN_ONLY = plan(rate_per_s=0.0, burst_units=0.0, concurrency_limit=3)
 FEW, MANY = 4, 200  # word of all to all, and homes
--- a/tests/test_extreme_settings.py
+++ b/tests/decide/test_extreme_settings.py
@@ -19,7 +19,7 @@
 from trackspread.decide.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from trackspread.decide.peer_messages import QuotaMessage, QuotaMessageKind, pack_quota_message
 
-from .helpers import MS, PLAN, SECOND, arrival, backend, ended, full_list, settings
+from ..helpers import MS, PLAN, SECOND, arrival, backend, ended, full_list, settings
 
 SLOWEST = 0.5  # s of one event, on a machine that is loaded: the search that this found took seconds
 FIGURES = (0.0, 1e-6, 0.3, 1.0, 40.0, 1e6, 1e12)
--- a/tests/test_ceilings.py
+++ b/tests/decide/test_hard_limits.py
@@ -13,7 +13,7 @@
 from trackspread.decide.settings import Plan
 from trackspread.decide.peer_messages import QuotaMessageKind, is_quota_message, unpack_quota_message
 
-from .helpers import MS, SECOND, arrival, backend, full_list, plan, settings
+from ..helpers import MS, SECOND, arrival, backend, full_list, plan, settings
 
 CEILING = plan(
     rate_per_s=8.0,
--- a/tests/test_unheard.py
+++ b/tests/decide/test_isolated_gateways.py
@@ -17,7 +17,7 @@
 from trackspread.decide.quota.sharing import QuotaSharing
 from trackspread.decide.tenant_account import TenantAccount
 
-from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from ..helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
 RATE, BURST = 1.0, 5.0
 USUAL = {0.4: 30, 1.0: 8, 3.6: 5}  # customers by what they ask, in quotas
--- a/tests/test_scale.py
+++ b/tests/decide/test_many_gateways.py
@@ -26,7 +26,7 @@
 from trackspread.decide.quota import UNITS_PER_ATTEMPT, hard_limit
 from trackspread.decide.time_units import TICK
 
-from .helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
+from ..helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
 from .test_broker import EVENTS, Bench
 
 MANY = 200
--- a/tests/test_model.py
+++ b/tests/decide/test_model.py
@@ -12,7 +12,7 @@
 from trackspread.decide.seven_cases import Goal, seven_cases
 from trackspread.decide.time_units import TICK
 
-from .helpers import MS, SECOND, arrival, backend, full_list, plan, settings
+from ..helpers import MS, SECOND, arrival, backend, full_list, plan, settings
 
 
 def test_mean_value_analysis_of_one_customer_has_no_queue() -> None:
--- a/tests/test_given_back.py
+++ b/tests/decide/test_returned_units.py
@@ -18,8 +18,8 @@
 )
 from trackspread.testing.standins.settings import plan_settings
 
-from .fakes import call, host, listing, run, served, until, world
-from .helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
+from ..fakes import call, host, listing, run, served, until, world
+from ..helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
 
 # A store for one request, which takes long to fill.
 ONE = plan(rate_per_s=0.001, burst_units=1.0, overage_cost=8.0)
--- a/tests/test_configuration.py
+++ b/tests/distribution/test_configuration.py
@@ -21,7 +21,7 @@
 from trackspread.node.configuration_part import ConfigurationPart
 from trackspread.testing.standins.loopback import Ports
 
-from .fakes import LOCAL, run, until, world
+from ..fakes import LOCAL, run, until, world
 
 FLEET = "[fleet]\nname = 'f'\nlisten = '127.0.0.1:7400'\nseeds = ['127.0.0.1:7400']\n"
 CONTROL = "[[fleet.control]]\nname = 'c'\nregion = 'r'\nzone = 'z'\naddress = '127.0.0.1:3'\n"
--- a/tests/test_net_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -13,8 +13,8 @@
 from trackspread.fronts import client as one_client
 from trackspread.fronts import connections as clients
 
-from .fakes import CUSTOMER, World, call, run, served, soon, until, world
-from .test_net_clients import MS, only_backend, script
+from ..fakes import CUSTOMER, World, call, run, served, soon, until, world
+from .test_clients import MS, only_backend, script
 
 
 def test_clients_beyond_the_bound_make_resting_ones_give_way() -> None:
--- a/tests/test_client_left_process.py
+++ b/tests/fronts/test_client_left_process.py
@@ -35,7 +35,7 @@
 from trackspread.testing.standins.counter_server import CounterServer
 from trackspread.testing.standins.settings import plan_settings
 
-from .fakes import (
+from ..fakes import (
     CUSTOMER,
     LOCAL,
     WAIT,
@@ -52,8 +52,8 @@
     served,
     soon,
 )
-from .test_endings_attempts import at_once
-from .test_net_process import Process, started
+from ..backends.test_endings_attempts import at_once
+from ..node.test_gateway_process import Process, started
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_net_clients.py
+++ b/tests/fronts/test_clients.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 
-from .fakes import CUSTOMER, World, bulk, call, host, listing, run, served, soon, until, world
+from ..fakes import CUSTOMER, World, bulk, call, host, listing, run, served, soon, until, world
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/test_endings_clients.py
+++ b/tests/fronts/test_endings_clients.py
@@ -16,9 +16,9 @@
 from trackspread.decide.actions import Fail, StartAttempt
 from trackspread.decide.events import AttemptEnded, ClientDisconnected, Outcome, RequestArrived
 
-from .test_net_backends import connection_is_up
-from .fakes import LOCAL, Connection, World, busy_listener, call, host, listing, run, soon, until, world
-from .test_net_clients import Script, only_backend, script
+from ..backends.test_backends import connection_is_up
+from ..fakes import LOCAL, Connection, World, busy_listener, call, host, listing, run, soon, until, world
+from .test_clients import Script, only_backend, script
 
 HOW = ["end", "reset"]
 
--- a/tests/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -15,8 +15,8 @@
 from trackspread.fronts.client import LONG_UNREAD
 from trackspread.framing.resp import LONG_FROM, LONG_MOST
 
-from .helpers import MS, SECOND, arrival, backend, full_list, settings
-from .fakes import LOCAL, Connection, World, call, run, served, soon, until, world
+from ..helpers import MS, SECOND, arrival, backend, full_list, settings
+from ..fakes import LOCAL, Connection, World, call, run, served, soon, until, world
 
 VALUE = random.Random(1).randbytes(LONG_MOST)
 TAIL = served(b"")[len(b"*3\r\n$0\r\n") :]
--- a/tests/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -28,7 +28,7 @@
 from trackspread.node.handover_state import HandoverState, Progress
 from trackspread.testing.virtual.handover.world import World
 
-from .fakes import (
+from ..fakes import (
     LOCAL,
     Agent,
     Backend,
@@ -39,9 +39,9 @@
     raw_config,
     soon,
 )
-from .helpers import MS, SECOND, arrival, backend, full_list, plan, settings
-from .test_control import CHECK, status
-from .test_net_process import COMMAND
+from ..helpers import MS, SECOND, arrival, backend, full_list, plan, settings
+from ..control.test_control import CHECK, status
+from ..node.test_gateway_process import COMMAND
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_handover_process.py
+++ b/tests/handover/test_handover_process.py
@@ -16,7 +16,7 @@
 from trackspread.handover.wire import Kind
 from trackspread.node.membership_part import READY_TIMEOUT_S
 
-from .fakes import (
+from ..fakes import (
     LOCAL,
     Backend,
     call,
@@ -27,7 +27,7 @@
     served,
     soon,
 )
-from .test_control import CHECK, STATS, asked, figures, status
+from ..control.test_control import CHECK, STATS, asked, figures, status
 from .test_handover import home
 
 pytestmark = pytest.mark.processes
--- a/tests/test_told_process.py
+++ b/tests/lists/test_list_change_process.py
@@ -25,7 +25,7 @@
 )
 from trackspread.testing.standins.loopback import Address, Ports
 
-from .fakes import Backend, Connection, busy_listener, call, listening, raw_config, served
+from ..fakes import Backend, Connection, busy_listener, call, listening, raw_config, served
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_net_lists.py
+++ b/tests/lists/test_lists.py
@@ -21,10 +21,10 @@
 from trackspread.node.gateway import Gateway
 from trackspread.peers.datagrams import Peers
 
-from .fakes import (
+from ..fakes import (
     Backend as Rating,
 )
-from .fakes import (
+from ..fakes import (
     LOCAL,
     Agent,
     busy_listener,
@@ -40,7 +40,7 @@
     until,
     world,
 )
-from .test_net_clients import Script
+from ..fronts.test_clients import Script
 
 SYN_SENT = "02"
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
--- a/tests/test_ready_process.py
+++ b/tests/lists/test_startup_process.py
@@ -24,7 +24,7 @@
 )
 from trackspread.testing.standins.loopback import Ports
 
-from .fakes import raw_config
+from ..fakes import raw_config
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_membership_process.py
+++ b/tests/membership/test_membership_process.py
@@ -27,7 +27,7 @@
 from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
 from trackspread.testing.standins.scenario import Scenario
 
-from .fakes import LOCAL, raw_config
+from ..fakes import LOCAL, raw_config
 from .test_membership import message
 
 pytestmark = pytest.mark.processes
--- /dev/null
+++ b/tests/node/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `node`."""
--- a/tests/test_descriptors_process.py
+++ b/tests/node/test_descriptors_process.py
@@ -22,7 +22,7 @@
 from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Address, Ports
 
-from .fakes import Backend, Connection, call, listening, raw_config, served, soon
+from ..fakes import Backend, Connection, call, listening, raw_config, served, soon
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_endings_close.py
+++ b/tests/node/test_endings_close.py
@@ -18,8 +18,8 @@
 from trackspread.fronts import connections
 from trackspread.fronts.client import Client
 
-from .fakes import LOCAL, Backend, World, call, run, served, soon, until, world
-from .test_net_backends import bench
+from ..fakes import LOCAL, Backend, World, call, run, served, soon, until, world
+from ..backends.test_backends import bench
 
 
 def crossing(monkeypatch: pytest.MonkeyPatch, client: socket.socket, data: bytes) -> None:
--- a/tests/test_endings_stop.py
+++ b/tests/node/test_endings_stop.py
@@ -10,7 +10,7 @@
 
 from trackspread.fronts import connections
 
-from .fakes import call, run, served, soon, until, world
+from ..fakes import call, run, served, soon, until, world
 
 SECOND = 1_000_000_000
 KILLED = 0.7  # s over the longest deadline after SIGTERM from which on SIGKILL may come
--- a/tests/test_net_process.py
+++ b/tests/node/test_gateway_process.py
@@ -18,7 +18,7 @@
 from trackspread.config.platform import flatten, load, needs_restart, parse, reload
 from trackspread.fronts.connections import QUIET
 
-from .fakes import (
+from ..fakes import (
     LOCAL,
     Agent,
     Backend,
--- a/tests/test_reload.py
+++ b/tests/node/test_reload.py
@@ -16,9 +16,9 @@
 from trackspread.decide.events import AttemptEnded, Outcome
 from trackspread.decide.settings import Idempotency
 
-from .fakes import call, nested_settings, raw_config, run, served
-from .helpers import CLASSES, KEYED, MS, SAFE, SECOND, UNSAFE, arrival, backend, full_list, settings
-from .test_net_process import Process, running
+from ..fakes import call, nested_settings, raw_config, run, served
+from ..helpers import CLASSES, KEYED, MS, SAFE, SECOND, UNSAFE, arrival, backend, full_list, settings
+from .test_gateway_process import Process, running
 
 NAMES = (b"read", b"submit", b"charge")
 
--- a/tests/test_services.py
+++ b/tests/node/test_services.py
@@ -38,8 +38,8 @@
 from trackspread.lists.seam import ListError, backend_id
 from trackspread.lists.services import CarriedServices
 
-from .fakes import World, call, host, listing, run, served, until, world
-from .helpers import (
+from ..fakes import World, call, host, listing, run, served, until, world
+from ..helpers import (
     CLASSES,
     KEYED,
     MS,
--- a/tests/test_settings_at_their_ends.py
+++ b/tests/node/test_settings_at_their_bounds.py
@@ -11,7 +11,7 @@
 from trackspread.config.addresses import ConfigError
 from trackspread.testing.standins.settings import plan_settings
 
-from .fakes import call, config, run, served, soon, world
+from ..fakes import call, config, run, served, soon, world
 
 SECOND = 1_000_000_000
 ENDS: list[dict[str, Any]] = [
--- a/tests/test_calendar.py
+++ b/tests/plans/test_calendar.py
@@ -29,7 +29,7 @@
 from trackspread.storage.document import Schema
 from trackspread.testing.virtual.reservations import MUTANTS, convict, play
 
-from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from ..helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
 NOW = 1_000_000_000
 FLEET = Fleet(delay_ms=20.0, demand_ms=1.0, aim_ms=50.0, kept=300.0)
--- a/tests/test_plans.py
+++ b/tests/plans/test_plans.py
@@ -35,8 +35,8 @@
     withdrawn,
 )
 
-from .fakes import run, until, world
-from .helpers import MS, arrival, backend, ended, full_list, plan, settings
+from ..fakes import run, until, world
+from ..helpers import MS, arrival, backend, ended, full_list, plan, settings
 
 NOW = 1_000_000_000
 LATE = NOW + 70_000
--- /dev/null
+++ b/tests/project/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the project itself: layers, names, pages, limits."""
--- a/tests/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from .known_red import KnownRed, KnownRedError, parse
+from ..known_red import KnownRed, KnownRedError, parse
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 RED = "tests/test_small.py::test_red"
 LISTED = f"{RED}, a real fault, 48\n"
 SMALL = """
--- a/tests/test_layers.py
+++ b/tests/project/test_layers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent / "trackspread"
+ROOT = Path(__file__).parents[2] / "trackspread"
 # From the lowest up; a package imports from those before it only.
 ORDER = (
     "testing.judge",
--- a/tests/test_limits.py
+++ b/tests/project/test_limits.py
@@ -5,7 +5,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_no_file_of_the_decision_module_is_empty_or_over_500_lines() -> None:
--- a/tests/test_names.py
+++ b/tests/project/test_names.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 # Words of the earlier house style: docs/GLOSSARY.md has the field's.
 WITHDRAWN = frozenset(
     {
--- a/tests/test_readme.py
+++ b/tests/project/test_readme.py
@@ -9,7 +9,7 @@
 
 
 def test_embedding_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text()
+    text = (Path(__file__).parents[2] / "README.md").read_text()
     (code,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(code, {})
     printed = capsys.readouterr().out.splitlines()
--- a/tests/test_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -16,7 +16,7 @@
 from trackspread.membership.slot_allocation import ALL_SLOTS, slots_of, slots_to_bytes
 from trackspread.simulator import wire
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SETTINGS_TEXT = "\n".join(
     """classes.count=1
 classes.0.name=a
--- a/tests/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -50,9 +50,9 @@
 from trackspread.usage.record import NANO, Ending
 from trackspread.usage.totals import SegmentTotals, TotalsRow
 
-from .helpers import settings
+from ..helpers import settings
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parents[1] / "data"
 MOST = 30.0  # s: only a hang reaches it
 
 
--- a/tests/test_faulty_wire.py
+++ b/tests/testing/test_faulty_network.py
@@ -10,7 +10,7 @@
 from trackspread.testing.standins.loopback import Address, Ports
 from trackspread.testing.standins.faulty_network import TcpRelay, FaultyNetwork, reset
 
-from .fakes import LOCAL, run, until
+from ..fakes import LOCAL, run, until
 
 
 class End(asyncio.Protocol):
--- a/tests/test_fleet.py
+++ b/tests/testing/test_process_fleet.py
@@ -114,7 +114,7 @@
     """However the starter ends: nothing can clean up after SIGKILL."""
     text = (
         "import asyncio, uvloop\n"
-        "from tests.test_fleet import SMALL, Fleet\n"
+        "from tests.testing.test_process_fleet import SMALL, Fleet\n"
         "async def starter():\n"
         "    async with Fleet(SMALL) as fleet:\n"
         "        print(*[gateway.pid for gateway in fleet.gateways], flush=True)\n"
--- a/tests/test_ramp.py
+++ b/tests/testing/test_slow_start.py
@@ -12,7 +12,7 @@
 from trackspread.decide.events import TimerFired
 from trackspread.testing.virtual.slow_start import play, play_none_warm
 
-from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from ..helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
 SEEDS = range(1, 31)
 USED = 0.6  # least part of the warm backends' load that cold ones have, for what they can do; 0.84 on average
--- a/tests/test_try.py
+++ b/tests/testing/test_try.py
@@ -31,7 +31,7 @@
 
 pytestmark = pytest.mark.processes
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 S = 1_000_000_000
 COMMAND = (sys.executable, "-m", "trackspread", "try", "--seconds", "4", "--kill", "n1@1", "--kill", "s-2@1")
 
--- a/trackspread/testing/mutation/checks.py
+++ b/trackspread/testing/mutation/checks.py
@@ -87,27 +87,31 @@
     which alone are held to quotas."""
     if package == "planning":
         return (
-            _tests("test_planning"),
+            _tests("planning/test_planning"),
             Named("saturated", partial(_saturated, range(schedules))),
             Named("planned", partial(_planned, range(schedules))),
         )
     if package == "decide":
         calm = range(schedules, schedules + 8 * schedules, 8)
         return (
-            _tests("test_model", "test_broker", "test_limits", "test_scale"),
+            _tests(
+                "decide/test_model", "decide/test_broker", "project/test_limits", "decide/test_many_gateways"
+            ),
             Named("schedules", partial(_schedules, (*range(schedules), *calm))),
         )
     if package in ("storage", "usage"):
         return (
-            _tests("test_storage", "test_usage"),
+            _tests("storage/test_storage", "usage/test_usage"),
             Named("used", partial(_used, range(4 * schedules))),
         )
     if package == "counter":
-        return _tests("test_counted"), Named("counted", partial(_counted, range(schedules)))
+        return _tests("counter/test_counter_leases"), Named("counted", partial(_counted, range(schedules)))
     if package == "plans":
-        return _tests("test_plans", "test_calendar"), Named("booked", partial(_booked, range(schedules)))
+        return _tests("plans/test_plans", "plans/test_calendar"), Named(
+            "booked", partial(_booked, range(schedules))
+        )
     return {
-        "testing.judge": (_tests("test_judge"),),
-        "backends": (_tests("test_net_backends"),),
-        "framing": (_tests("test_wire", "test_net_clients"),),
+        "testing.judge": (_tests("testing/test_judge"),),
+        "backends": (_tests("backends/test_backends"),),
+        "framing": (_tests("simulator/test_simulator_wire", "fronts/test_clients"),),
     }[package]
