--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -14,7 +14,7 @@
 from trackspread.usage.batch import Batch, decode, digest, encode, rows, signature, signed
 from trackspread.usage.control import (
     AREA_SIZE,
-    STREAMS_MOST,
+    MAX_STREAMS,
     Control,
     Intent,
     Names,
@@ -26,14 +26,14 @@
 from trackspread.usage.exporter import Exporter, forked
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.meter import Meter, month_start
-from trackspread.usage.record import NANO, Ending, Kind, Use, nano, unpack
+from trackspread.usage.record import NANO, Ending, Kind, UsageRecord, nano, unpack
 from trackspread.usage.record import pack as pack_use
 from trackspread.testing.virtual.usage.world import MILLISECOND, SECOND, World
-from trackspread.testing.virtual.usage.schedules import ENDS, TROUBLES, make, play
+from trackspread.testing.virtual.usage.schedules import ENDS, FAULTS, make, play
 from trackspread.testing.virtual.usage.disk import Disk
 
 BOUNDS = Bounds(16, 8, 10 * MILLISECOND, 100 * MILLISECOND, "fold")
-USE = Use(Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, nano(2.25))
+USE = UsageRecord(Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, nano(2.25))
 
 
 def _ms(text: str) -> int:
@@ -50,8 +50,8 @@
 def test_schedules_bring_every_end_and_every_trouble() -> None:
     made = [make(seed) for seed in range(200)]
     assert {end for each in made for end in each.ends} == set(ENDS)
-    assert {name for each in made for troubles in each.troubles for name in troubles} == set(TROUBLES)
-    assert {each.bounds.full for each in made} == {"fold", "drop"}
+    assert {name for each in made for faults in each.faults for name in faults} == set(FAULTS)
+    assert {each.bounds.when_full for each in made} == {"fold", "drop"}
 
 
 def test_the_same_seed_plays_the_same_lives() -> None:
@@ -72,32 +72,32 @@
     assert meter.stamp(end - 1) == end == month_start(end + 5000) and meter.clamped == 1
     assert meter.stamp(end + 4000) == end + 4000, "within the month the clock is followed"
     later = Meter()
-    later.floor = end  # as a former life's control says
+    later.month_start_ms = end  # as a former life's control says
     assert later.stamp(end - 60_000) == end
     assert month_start(_ms("2028-03-01") - 1) == _ms("2028-02-01")
 
 
 def test_sums_are_bounded_and_what_is_past_the_bound_is_nobodys(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(meters, "SUMS_MOST", 2)
+    monkeypatch.setattr(meters, "MAX_SUMS", 2)
     meter = Meter()
     for customer in (1, 2, 3, 3, 1):
-        meter.fold(USE._replace(customer=customer))
+        meter.fold(USE._replace(tenant=customer))
     made = []
     while (use := meter.oldest()) is not None:
-        made.append((use.kind, use.customer, use.requests, use.units))
+        made.append((use.kind, use.tenant, use.requests, use.nano_units))
         meter.written(use)
-    one = USE.units
+    one = USE.nano_units
     assert made == [(Kind.SUM, 1, 2, 2 * one), (Kind.SUM, 2, 1, one), (Kind.LOST, 0, 2, 2 * one)]
-    assert meter.nobodys == 2 and not meter.sums
+    assert meter.unattributed == 2 and not meter.sums
 
 
 def test_a_sum_past_what_a_record_holds_is_written_as_several() -> None:
     meter = Meter()
     for _ in range(3):
-        meter.fold(USE._replace(units=0xFFFFFFFFFFFFFFFF))
+        meter.fold(USE._replace(nano_units=0xFFFFFFFFFFFFFFFF))
     total, parts = 0, 0
     while (use := meter.oldest()) is not None:
-        total, parts = total + use.units, parts + 1
+        total, parts = total + use.nano_units, parts + 1
         meter.written(use)
     assert total == 3 * 0xFFFFFFFFFFFFFFFF and parts == 3
 
@@ -120,7 +120,7 @@
         10**7,
         10**13,
         names,
-        dict.fromkeys(range(STREAMS_MOST), stream),
+        dict.fromkeys(range(MAX_STREAMS), stream),
         Intent(10**7, 10**9, 10**9, None, "f" * 64),
         {"dropped": 10**9},
     )
@@ -130,27 +130,27 @@
 def test_names_that_no_stream_uses_go() -> None:
     control = Control("p", names=[Names("a", (), ()), Names("b", (), ())])
     control.streams[1] = Stream("", 1, 1, [])
-    assert control.names_of(Names("c", (), ())) == 1 and control.streams[1].names == 0
+    assert control.names_index(Names("c", (), ())) == 1 and control.streams[1].names == 0
     assert [names.gateway for names in control.names] == ["b", "c"]
 
 
 def _batch(first: int, last: int, length: int | None = None, stream: str = "s", base: int = 0) -> bytes:
-    scan = Scan({n: pack_use(*USE._replace(units=n * NANO)) for n in range(first, last + 1)})
+    scan = Scan({n: pack_use(*USE._replace(nano_units=n * NANO)) for n in range(first, last + 1)})
     held = rows(scan, Names("n0", ("look", "charge"), ("a", "b", "c")))
     return encode(Batch("p", "n0", 1, stream, base, first, last, length, held, 0))
 
 
 def _restarted(control: Control) -> Exporter:
     exporter = Exporter(SECOND, random.Random(1))
-    assert exporter.next(10 * SECOND, control, 0) is not None
+    assert exporter.next_read(10 * SECOND, control, 0) is not None
     return exporter
 
 
 def _sent(exporter: Exporter, control: Control, scan: Scan | None) -> bytes:
-    exporter.made(control, scan)
+    exporter.records_read(control, scan)
     exporter.dirty = False
-    exporter.saved()
-    post = exporter.post(10 * SECOND)
+    exporter.checkpoint_saved()
+    post = exporter.next_post(10 * SECOND)
     assert post is not None
     return post.body
 
@@ -161,19 +161,19 @@
     control = Control("p", names=[Names("n0", ("look", "charge"), ("a", "b", "c"))])
     stream = control.streams[1] = Stream("00" * 16, 16, 0, [Part(1, "s")])
     live = Exporter(SECOND, random.Random(1))
-    assert live.next(10 * SECOND, control, 3) is not None
+    assert live.next_read(10 * SECOND, control, 3) is not None
     lost = _sent(live, control, scan)
     assert billing.post(lost).taken == 3, "its answer is lost, and the gateway is killed"
     stream.length = 3  # as the next life finds it
     exporter = _restarted(control)
     again = _sent(exporter, control, scan)
     assert again == lost, "the same bytes, without the length"
-    exporter.answered(control, billing.post(again))
-    assert stream.acked == 3 and not stream.over()
-    assert exporter.next(11 * SECOND, control, 0) is not None
+    exporter.reply_received(control, billing.post(again))
+    assert stream.acked == 3 and not stream.is_exported()
+    assert exporter.next_read(11 * SECOND, control, 0) is not None
     reply = billing.post(_sent(exporter, control, None))
-    exporter.answered(control, reply)
-    assert reply.sealed == 3 and stream.over()
+    exporter.reply_received(control, reply)
+    assert reply.sealed == 3 and stream.is_exported()
 
 
 def test_billing_takes_places_once_in_order_and_up_to_the_seal() -> None:
@@ -210,59 +210,59 @@
 
 
 def _live(world: World, disk: Disk) -> World:
-    life = world.begin(disk)
+    process = world.start_process(disk)
     world.run(SECOND)
-    assert life.ledger.state is State.LIVE
+    assert process.ledger.state is State.LIVE
     return world
 
 
 def test_a_full_share_is_folded_and_nothing_is_lost_while_billing_is_down_for_long() -> None:
     world, disk = World(BOUNDS, 1), Disk(random.Random(1))
     _live(world, disk)
-    world.net.down = True
+    world.network.down = True
     for _ in range(400):
-        world.lives[0].count(Ending.SERVED)
+        world.processes[0].count(Ending.SERVED)
         world.run(5 * MILLISECOND)
-    ledger = world.lives[0].ledger
-    assert ledger.folded > 100 and any("no room" in text for text in world.lives[0].alarms)
-    assert len([name for name in disk.files if name.startswith("use-")]) == BOUNDS.segments
-    world.net.down = False
+    ledger = world.processes[0].ledger
+    assert ledger.folded > 100 and any("no room" in text for text in world.processes[0].alarms)
+    assert len([name for name in disk.files if name.startswith("use-")]) == BOUNDS.max_segments
+    world.network.down = False
     world.run(100 * SECOND)
-    assert world.lives[0].drained and world.verdict() == []
+    assert world.processes[0].drained and world.violations() == []
     assert sum(row.requests for row in world.memory.rows) == 400
 
 
 def test_what_a_newer_program_wrote_is_left_alone() -> None:
     world, disk = World(BOUNDS, 2), Disk(random.Random(1))
     _live(world, disk)
-    world.crashed(world.lives[0])
+    world.end_process(world.processes[0])
     for name in ("control-a", "control-b"):
         data = disk.files[name].cached
         data[:] = data.replace(b'"version":1', b'"version":2', 1)
     before = {name: bytes(file.cached) for name, file in disk.files.items()}
-    life = world.begin(disk)
+    process = world.start_process(disk)
     world.run(10 * SECOND)
-    life.count(Ending.SERVED)
-    assert life.ledger.state is State.STUCK and life.ledger.folded == 1
+    process.count(Ending.SERVED)
+    assert process.ledger.state is State.STUCK and process.ledger.folded == 1
     assert {name: bytes(file.cached) for name, file in disk.files.items()} == before
-    assert any("a newer program wrote here" in text for text in life.alarms)
+    assert any("a newer program wrote here" in text for text in process.alarms)
 
 
 def test_a_clock_set_back_across_a_month_and_members_past_the_bound_are_told_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(meters, "SUMS_MOST", 1)
+    monkeypatch.setattr(meters, "MAX_SUMS", 1)
     world, disk = World(BOUNDS, 3), Disk(random.Random(1))
     _live(world, disk)
-    life = world.lives[0]
-    world.wall += 60_000  # into the next month
-    life.count(Ending.REFUSED)
-    world.wall -= 120_000
+    process = world.processes[0]
+    world.wall_offset_ms += 60_000  # into the next month
+    process.count(Ending.REFUSED)
+    world.wall_offset_ms -= 120_000
     for _ in range(3):
-        life.count(Ending.REFUSED)
+        process.count(Ending.REFUSED)
     world.run(30 * SECOND)
-    assert sum("clock was set back" in text for text in life.alarms) == 1
-    assert sum("nobody's" in text for text in life.alarms) == 1
+    assert sum("clock was set back" in text for text in process.alarms) == 1
+    assert sum("nobody's" in text for text in process.alarms) == 1
     kinds = [(row.kind, row.requests) for row in world.memory.rows]
     assert sum(n for _, n in kinds) == 4 and {kind for kind, _ in kinds} == {Kind.SUM, Kind.LOST}
     assert len({row.time for row in world.memory.rows}) == 2 and min(
--- a/tests/test_use_process.py
+++ b/tests/test_use_process.py
@@ -25,7 +25,7 @@
 from trackspread.usage.host import UseHost, export_all
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import DAY_MS, NANO, Ending
-from trackspread.usage.senders import Drop, SendError, Target, sender
+from trackspread.usage.senders import FileSender, SendError, Target, sender
 
 pytestmark = pytest.mark.processes
 
@@ -127,7 +127,7 @@
 
 def test_dropped_files_are_taken_once_and_answered(tmp_path: Path) -> None:
     async def body() -> None:
-        billing, drop = Billing(Plain()), Drop(tmp_path)
+        billing, drop = Billing(Plain()), FileSender(tmp_path)
         for number in (1, 2):
             sending = asyncio.create_task(drop.send(_post(number)))
             while not take_drops(tmp_path, billing):
@@ -151,7 +151,7 @@
         server.busy = 1.0
         with pytest.raises(SendError, match="503") as caught:
             await sender(Target(server.url, SECRET)).send(_post(1))
-        assert caught.value.retry_in == 1_000_000_000 and not caught.value.final
+        assert caught.value.retry_after_ns == 1_000_000_000 and not caught.value.final
         server.busy = 0.0
         assert await sender(Target(server.url, SECRET)).send(_post(1)) == Reply(1)
         server.close()
@@ -167,7 +167,7 @@
 
 def test_the_lock_is_free_again_after_an_export(tmp_path: Path) -> None:
     async def body() -> None:
-        ledger = await export_all(tmp_path, Drop(tmp_path / "drop"), 1.0)
+        ledger = await export_all(tmp_path, FileSender(tmp_path / "drop"), 1.0)
         assert ledger.exported and msgspec.to_builtins(ledger.control)["streams"] == {}
         Directory(tmp_path).close()
 
@@ -205,7 +205,7 @@
     billing = Billing(Plain())
 
     async def exported() -> None:
-        sending = asyncio.create_task(export_all(folder, Drop(tmp_path / "drop"), MOST))
+        sending = asyncio.create_task(export_all(folder, FileSender(tmp_path / "drop"), MOST))
         while not sending.done():
             take_drops(tmp_path / "drop", billing)
             await asyncio.sleep(0.01)
--- a/trackspread/testing/virtual/usage/disk.py
+++ b/trackspread/testing/virtual/usage/disk.py
@@ -1,8 +1,7 @@
-"""A disk that forgets: what was not synced is lost sector by sector, and any call may be the last one.
+"""A virtual disk with faults: what was not synced may be lost by sectors, and any call may be the last.
 
-May know: the seam of files. May not know: what is written. Its faults are those that disks have: power lost
-in the middle of a call, a sync that fails and drops what it was for, no room, no writing at all, a flipped
-bit, a removal that comes undone, an old copy brought back.
+Faults: loss of power in the middle of a call, a sync that fails and drops what it was for, a full disk, a
+read-only disk, a flipped bit, a removal that is undone, and a copy of an earlier state.
 """
 
 from __future__ import annotations
@@ -11,137 +10,156 @@
 import random
 from dataclasses import dataclass, field
 
-SECTOR = 512  # bytes that a disk writes in one piece; of the one being written, any part may be there
+SECTOR = 512  # bytes that a disk writes at once; of the sector being written any part may be there
+BITS_PER_BYTE = 8
 
 
 class Crash(BaseException):
-    """The process, or its machine, ends here."""
+    """The process, or its machine, fails here."""
 
 
 @dataclass(slots=True)
 class _File:
+    """A file as programs see it, and as it would be after a loss of power."""
+
     cached: bytearray
     durable: bytearray
-    dirty: set[int] = field(default_factory=set)  # sectors
+    dirty_sectors: set[int] = field(default_factory=set)
 
     def copy(self) -> _File:
-        return _File(bytearray(self.cached), bytearray(self.durable), set(self.dirty))
+        return _File(bytearray(self.cached), bytearray(self.durable), set(self.dirty_sectors))
 
 
 class Disk:
-    """The hardware under one gateway, life after life. `calls` counts what could have been the last one."""
+    """The disk of one gateway, which outlives its processes.
+
+    `capacity` is in bytes. `calls` counts the points at which the process may fail, `crash_at_call` is the
+    one at which it does, 0 for none. `sync_failure_rate` is the part of syncs that fail.
+    """
 
     def __init__(self, rng: random.Random, capacity: int = 1 << 40) -> None:
         self.rng = rng
         self.capacity = capacity
         self.files: dict[str, _File] = {}
-        self.removed: dict[str, _File] = {}  # gone from the folder, not yet from the disk
+        self.removed: dict[str, _File] = {}  # which a loss of power may undo
         self.calls = 0
-        self.crash_at = 0  # the call that is the last one; 0 for none
-        self.failing = 0.0  # part of the syncs that fail
+        self.crash_at_call = 0
+        self.sync_failure_rate = 0.0
         self.read_only = False
 
-    def step(self) -> None:
-        """Before and within each call: the process may end here."""
+    def count_call(self) -> None:
+        """A point, before or within a call, at which the process may fail; raises `Crash`."""
         self.calls += 1
-        if self.crash_at and self.calls >= self.crash_at:
-            self.crash_at = 0
+        if self.crash_at_call and self.calls >= self.crash_at_call:
+            self.crash_at_call = 0
             raise Crash
 
-    def used(self) -> int:
+    def used_bytes(self) -> int:
+        """The size of all files."""
         return sum(len(file.cached) for file in self.files.values())
 
     def lose_power(self) -> None:
-        """What was not synced is there or not, each sector by itself; the one under the head may be torn."""
+        """Each sector that was not synced is written, lost or torn, and removals may be undone."""
         for name, file in list(self.removed.items()):
             if name not in self.files and self.rng.random() < 0.5:
                 self.files[name] = file
         self.removed.clear()
         for file in self.files.values():
-            for sector in file.dirty:
-                at = sector * SECTOR
-                kept = self.rng.choice((0, SECTOR, SECTOR, self.rng.randint(0, SECTOR)))
-                file.durable[at : at + kept] = file.cached[at : at + kept]
+            for sector in file.dirty_sectors:
+                start = sector * SECTOR
+                end = start + self.rng.choice((0, SECTOR, SECTOR, self.rng.randint(0, SECTOR)))
+                file.durable[start:end] = file.cached[start:end]
             file.cached[:] = file.durable
-            file.dirty.clear()
+            file.dirty_sectors.clear()
 
-    def flip(self, name: str, at: int) -> None:
+    def flip_bit(self, name: str, offset: int) -> None:
+        """Flip a random bit of one byte of a file."""
         file = self.files[name]
-        bit = 1 << self.rng.randrange(8)
-        file.cached[at] ^= bit
-        file.durable[at] ^= bit
+        bit = 1 << self.rng.randrange(BITS_PER_BYTE)
+        file.cached[offset] ^= bit
+        file.durable[offset] ^= bit
 
     def copy(self) -> Disk:
+        """Another disk with the same files."""
         other = Disk(self.rng, self.capacity)
         other.files = {name: file.copy() for name, file in self.files.items()}
         return other
 
 
 class _Area:
+    """An open file; the methods are those of `storage.seam.Area`."""
+
     def __init__(self, disk: Disk, file: _File) -> None:
         self._disk = disk
         self._file = file
 
     def write(self, at: int, data: bytes) -> None:
-        self._disk.step()
+        self._disk.count_call()
         self._file.cached[at : at + len(data)] = data
-        self._file.dirty.update(range(at // SECTOR, (at + len(data) - 1) // SECTOR + 1))
+        self._file.dirty_sectors.update(range(at // SECTOR, (at + len(data) - 1) // SECTOR + 1))
 
     def read(self, at: int = 0, size: int | None = None) -> bytes:
         return bytes(self._file.cached[at:] if size is None else self._file.cached[at : at + size])
 
     def sync(self) -> None:
         disk, file = self._disk, self._file
-        disk.step()
-        if disk.read_only or disk.rng.random() < disk.failing:
-            file.dirty.clear()  # the system takes them for written: a second sync promises nothing
+        disk.count_call()
+        if disk.read_only or disk.rng.random() < disk.sync_failure_rate:
+            file.dirty_sectors.clear()  # as in Linux: the next sync succeeds, though nothing was written
             raise OSError(errno.EIO, "Input/output error")
-        for sector in file.dirty:
-            at = sector * SECTOR
-            file.durable[at : at + SECTOR] = file.cached[at : at + SECTOR]
-        file.dirty.clear()
-        disk.step()
+        for sector in file.dirty_sectors:
+            start = sector * SECTOR
+            end = start + SECTOR
+            file.durable[start:end] = file.cached[start:end]
+        file.dirty_sectors.clear()
+        disk.count_call()
 
     def close(self) -> None: ...
 
 
 class VirtualFiles:
-    """`Files` on a `Disk`."""
+    """The files of a `Disk`, as `storage.seam.Files`."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
 
-    def _writable(self, size: int) -> None:
-        self.disk.step()
+    def _check_writable(self, size: int) -> None:
+        self.disk.count_call()
         if self.disk.read_only:
             raise OSError(errno.EROFS, "Read-only file system")
-        if self.disk.used() + size > self.disk.capacity:
+        if self.disk.used_bytes() + size > self.disk.capacity:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def names(self) -> list[str]:
+        """All files, sorted."""
         return sorted(self.disk.files)
 
     def create(self, name: str, size: int) -> _Area:
-        self._writable(size)
+        """A new file of `size` zero bytes; raises `OSError`."""
+        self._check_writable(size)
         file = self.disk.files[name] = _File(bytearray(size), bytearray(size))
-        self.disk.step()
+        self.disk.count_call()
         return _Area(self.disk, file)
 
     def open(self, name: str) -> _Area:
+        """An existing file; raises `FileNotFoundError`."""
         if name not in self.disk.files:
             raise FileNotFoundError(errno.ENOENT, "No such file or directory", name)
         return _Area(self.disk, self.disk.files[name])
 
     def load(self, name: str) -> bytes | None:
+        """The contents of a file, None if there is none."""
         file = self.disk.files.get(name)
         return bytes(file.cached) if file is not None else None
 
     def replace(self, name: str, data: bytes) -> None:
-        self._writable(len(data))
+        """Write a file atomically; raises `OSError`."""
+        self._check_writable(len(data))
         self.disk.files[name] = _File(bytearray(data), bytearray(data))
-        self.disk.step()
+        self.disk.count_call()
 
     def remove(self, name: str) -> None:
-        self.disk.step()
+        """Remove a file, if there is one; a loss of power may undo it."""
+        self.disk.count_call()
         if (file := self.disk.files.pop(name, None)) is not None:
             self.disk.removed[name] = file
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -1,11 +1,12 @@
-"""Ledgers of use records with one fault each, for the schedules to convict.
+"""Mutants of the ledger of usage records, for the schedules to detect.
 
-Each breaks one rule of `storage/` or `usage/` by a patch that is taken back.
+Each is a list of patches that break one rule of `storage/` or `usage/`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
+from itertools import count
 from typing import Any
 from unittest.mock import patch
 
@@ -14,143 +15,152 @@
 from ....storage.journal import Journal
 from ....storage.seam import Files
 from ....storage.slots import Head, Scan
-from ....usage import exporter, ledger
+from ....usage import exporter, stream_writer
 from ....usage.batch import Reply
+from ....usage.checkpoint import CheckpointStore
 from ....usage.control import Control, Stream
-from ....usage.exporter import Exporter, Span, Stage
-from ....usage.ledger import State, UsageLedger
+from ....usage.exporter import Exporter, SlotRange, Stage
 from ....usage.meter import Meter
-from ....usage.record import Use, pack
+from ....usage.record import UsageRecord, pack
+from ....usage.recorder import Recorder
+from ....usage.recovery import FolderRecovery
 from ....usage.segments import SegmentStore
-from . import world as used
+from ....usage.stream_writer import StreamWriter
+from . import world as virtual_world
 from ..patches import held
 from .schedules import make, play
 
 
 def _skip(kind: type) -> list[Any]:
-    """One kind of call is told as done and is not."""
+    """One kind of call is reported as done and is not performed."""
 
     def mutant(files: Files, call: calls.Call) -> Result:
         return None if isinstance(call, kind) else calls.perform(files, call)
 
-    return [patch.object(used, "perform", mutant)]
+    return [patch.object(virtual_world, "perform", mutant)]
 
 
 def _ack_before_sync() -> list[Any]:
+    """Records count as committed without a sync."""
     return _skip(Sync)
 
 
 def _no_refresh() -> list[Any]:
-    """What a killed life left in the page cache is taken for written."""
+    """What a killed process left in the page cache counts as durable."""
     return _skip(Refresh)
 
 
-def _places_used_again() -> list[Any]:
-    """Every life writes the same stream from its first place on."""
+def _nonce_used_again() -> list[Any]:
+    """Every incarnation writes a stream with the same nonce."""
 
     def mutant(epoch: int, index: int, slots: int, nonce: bytes) -> Head:
         return Head(epoch, index, slots, bytes(16))
 
-    return [patch.object(ledger, "Head", mutant)]
+    return [patch.object(stream_writer, "Head", mutant)]
 
 
-def _names_used_again() -> list[Any]:
-    """A life takes the number of one that was never declared, whose files are still to go."""
-    real = UsageLedger._found
+def _epoch_used_again() -> list[Any]:
+    """A stream takes the epoch of one that was never declared, whose files are not removed yet."""
+    real = FolderRecovery._scanned
 
-    def mutant(self: UsageLedger, now: int, found: Result) -> None:
+    def mutant(self: FolderRecovery, now: int, found: Result) -> None:
         real(self, now, found)
-        self._epoch = self.control.epoch
+        self._context.highest_epoch = self._context.checkpoint.control.epoch
 
-    return [patch.object(UsageLedger, "_found", mutant)]
+    return [patch.object(FolderRecovery, "_scanned", mutant)]
 
 
-def _gone_before_the_watermark() -> list[Any]:
-    return [patch.object(SegmentStore, "_behind", lambda self, stream, at: True)]
+def _removed_before_exported() -> list[Any]:
+    """Segments are removed before they are exported."""
+    return [patch.object(SegmentStore, "_is_exported", lambda self, stream, segment: True)]
 
 
-def _not_noted() -> list[Any]:
-    """A batch is sent before the disk knows of it."""
-    real = Exporter.made
+def _intent_not_saved() -> list[Any]:
+    """A batch is sent before its intent is on the disk."""
+    real = Exporter.records_read
 
     def mutant(self: Exporter, control: Control, scan: Scan | None) -> None:
         real(self, control, scan)
-        if self.stage is Stage.NOTING:
+        if self.stage is Stage.SAVING_INTENT:
             self.stage = Stage.READY
             self.dirty = False
 
-    return [patch.object(Exporter, "made", mutant)]
+    return [patch.object(Exporter, "records_read", mutant)]
 
 
-def _synced_again() -> list[Any]:
-    """After a sync that failed the next one is believed."""
+def _second_sync_trusted() -> list[Any]:
+    """After a sync that failed the next one is trusted."""
 
-    def mutant(self: UsageLedger, now: int, error: OSError) -> None:
+    def mutant(self: StreamWriter, now: int, error: OSError) -> None:
         return None
 
-    return [patch.object(UsageLedger, "_doubted", mutant)]
+    return [patch.object(StreamWriter, "_commit_failed", mutant)]
 
 
-def _good_copy_overwritten() -> list[Any]:
-    real = UsageLedger._save
+def _valid_copy_overwritten() -> list[Any]:
+    """The checkpoint is saved to the area with the only valid copy."""
+    real = CheckpointStore.save
 
-    def mutant(self: UsageLedger, *words: Any) -> Any:
-        self._good = 1 - self._good
-        return real(self, *words)
+    def mutant(self: CheckpointStore, *arguments: Any) -> Any:
+        self._valid_area = 1 - self._valid_area
+        return real(self, *arguments)
 
-    return [patch.object(UsageLedger, "_save", mutant)]
+    return [patch.object(CheckpointStore, "save", mutant)]
 
 
-def _doubt_forgotten() -> list[Any]:
-    """What a failed sync was for is not written into the new stream."""
-    real = UsageLedger._create
+def _pending_not_copied() -> list[Any]:
+    """What a failed sync was for is not copied to the new stream."""
+    real = StreamWriter._create
 
-    def mutant(self: UsageLedger) -> Any:
-        if self.journal is not None:
-            self.journal.pending.clear()
+    def mutant(self: StreamWriter) -> Any:
+        journal = self._recorder.journal
+        if journal is not None:
+            journal.pending.clear()
         return real(self)
 
-    return [patch.object(UsageLedger, "_create", mutant)]
+    return [patch.object(StreamWriter, "_create", mutant)]
 
 
-def _doubt_kept() -> list[Any]:
-    """The stream that a failed sync left in doubt is not ended: what is written anew counts twice."""
-    real = UsageLedger._declare
+def _former_stream_not_ended() -> list[Any]:
+    """The stream that a failed sync left in doubt is not ended: what is copied counts twice."""
+    real = StreamWriter._declare
 
-    def mutant(self: UsageLedger, now: int) -> Any:
-        made = real(self, now)
-        if self.journal is not None and self.journal.epoch in self.control.streams:
-            self.control.streams[self.journal.epoch].length = self.journal.next - 1
-        return made
+    def mutant(self: StreamWriter, now: int) -> Any:
+        call = real(self, now)
+        journal, streams = self._recorder.journal, self._context.checkpoint.control.streams
+        if journal is not None and journal.epoch in streams:
+            streams[journal.epoch].length = journal.next - 1
+        return call
 
-    return [patch.object(UsageLedger, "_declare", mutant)]
+    return [patch.object(StreamWriter, "_declare", mutant)]
 
 
 def _sum_written_twice() -> list[Any]:
-    """A sum is let go of only every other time."""
-    real, turns = Meter.written, iter(range(10**9))
+    """Only every other sum that was written is removed from memory."""
+    real, calls_before = Meter.written, count()
 
-    def mutant(self: Meter, use: Use) -> None:
-        if next(turns) % 2:
-            real(self, use)
+    def mutant(self: Meter, record: UsageRecord) -> None:
+        if next(calls_before) % 2:
+            real(self, record)
 
     return [patch.object(Meter, "written", mutant)]
 
 
 def _sum_dropped() -> list[Any]:
-    """A sum is let go of before it has a place."""
+    """A sum is removed from memory before it is in the journal."""
 
-    def mutant(self: UsageLedger, now: int) -> None:
-        while (use := self.meter.oldest()) is not None:
-            self.meter.written(use)
-            self._append(now, pack(*use))
+    def mutant(self: Recorder, now: int) -> None:
+        meter = self._context.meter
+        while (record := meter.oldest()) is not None:
+            meter.written(record)
+            self._append(now, pack(*record))
 
-    return [patch.object(UsageLedger, "_unfold", mutant)]
+    return [patch.object(Recorder, "_flush", mutant)]
 
 
-def _tail_forgotten() -> list[Any]:
-    """A life that was killed ends where billing had got to."""
-    real = SegmentStore.ended
+def _tail_not_exported() -> list[Any]:
+    """The stream of a killed process ends at the watermark."""
+    real = SegmentStore.end_streams
 
     def mutant(self: SegmentStore, control: Control) -> None:
         for stream in control.streams.values():
@@ -158,98 +168,103 @@
                 stream.length = stream.acked
         real(self, control)
 
-    return [patch.object(SegmentStore, "ended", mutant)]
+    return [patch.object(SegmentStore, "end_streams", mutant)]
 
 
-def _silence_is_consent() -> list[Any]:
-    """A batch without an answer counts as taken."""
+def _timeout_is_acknowledgement() -> list[Any]:
+    """A batch without a reply counts as acknowledged."""
 
-    def mutant(self: Exporter, now: int, why: str, retry_in: int = 0, final: bool = False) -> None:
+    def mutant(self: Exporter, now: int, why: str, retry_after_ns: int = 0, final: bool = False) -> None:
         self.stage = Stage.IDLE
 
-    real = used.Life._patience
+    process = virtual_world.GatewayProcess
+    real = process._reply_timeout
 
-    def patience(self: used.Life, number: int) -> None:
-        span = self.ledger.exporter._span
-        sent = self.ledger.exporter.stage is Stage.SENT and number == self._posts
+    def reply_timeout(self: virtual_world.GatewayProcess, number: int) -> None:
+        slots = self.ledger.exporter._range
+        was_sent = self.ledger.exporter.stage is Stage.SENT and number == self._posts
         real(self, number)
-        if sent and span is not None and self.alive:
-            self.ledger.control.streams[span.epoch].acked = span.last
+        if was_sent and slots is not None and self.alive:
+            self.ledger.control.streams[slots.epoch].acked = slots.last
             self.ledger.control.intent = None
 
-    return [patch.object(Exporter, "failed", mutant), patch.object(used.Life, "_patience", patience)]
+    return [
+        patch.object(Exporter, "send_failed", mutant),
+        patch.object(process, "_reply_timeout", reply_timeout),
+    ]
 
 
-def _fenced_is_done() -> list[Any]:
-    """What lies behind a seal is taken for somebody else's."""
+def _fenced_not_exported() -> list[Any]:
+    """Records after a seal are not exported."""
 
-    def mutant(self: Exporter, span: Span, stream: Stream, reply: Reply) -> None:
-        stream.acked = span.last if stream.length is None else stream.length
+    def mutant(self: Exporter, slots: SlotRange, stream: Stream, reply: Reply) -> None:
+        stream.acked = slots.last if stream.length is None else stream.length
         stream.sealed = True
 
-    return [patch.object(Exporter, "_fenced", mutant)]
+    return [patch.object(Exporter, "_fence", mutant)]
 
 
-def _forks_of_their_own() -> list[Any]:
-    """Copies of one folder name what lies behind a seal each for itself."""
-    count = iter(range(10**9))
-    return [patch.object(exporter, "forked", lambda stream, first: f"{stream}:{first}:{next(count)}")]
+def _fork_names_differ() -> list[Any]:
+    """Each copy of a folder gives the records after a seal another name."""
+    numbers = count()
+    return [patch.object(exporter, "forked", lambda stream, first: f"{stream}:{first}:{next(numbers)}")]
 
 
-def _live_sealed() -> list[Any]:
-    """A stream is told to be whole while it is written."""
-    real = Exporter.made
+def _length_sent_while_live() -> list[Any]:
+    """The length of a stream is sent while it is still written."""
+    real = Exporter.records_read
 
     def mutant(self: Exporter, control: Control, scan: Scan | None) -> None:
-        assert self._span is not None
-        stream = control.streams[self._span.epoch]
+        assert self._range is not None
+        stream = control.streams[self._range.epoch]
         if stream.length is not None:
             return real(self, control, scan)
-        stream.length = self._span.last
+        stream.length = self._range.last
         try:
             return real(self, control, scan)
         finally:
             stream.length = None
 
-    return [patch.object(Exporter, "made", mutant)]
+    return [patch.object(Exporter, "records_read", mutant)]
 
 
-def _sealed_unsaid() -> list[Any]:
-    """A stream counts as sealed once billing has all its records, whether or not it was told the length."""
-    real = Exporter.answered
+def _sealed_without_length() -> list[Any]:
+    """A stream counts as sealed once billing has all its records, even if the length was never sent."""
+    real = Exporter.reply_received
 
     def mutant(self: Exporter, control: Control, reply: Reply) -> None:
-        assert self._span is not None
-        stream = control.streams[self._span.epoch]
+        assert self._range is not None
+        stream = control.streams[self._range.epoch]
         real(self, control, reply)
         stream.sealed |= stream.length is not None and stream.acked >= stream.length
 
-    return [patch.object(Exporter, "answered", mutant)]
+    return [patch.object(Exporter, "reply_received", mutant)]
 
 
-def _set_back_unseen() -> list[Any]:
-    """Billing that forgot is told what comes next, and no more."""
+def _lost_records_not_resent() -> list[Any]:
+    """Billing that has lost records is not sent them again."""
 
-    def mutant(self: Exporter, control: Control, span: Span, taken: int) -> None:
-        control.streams[span.epoch].acked = span.last
+    def mutant(self: Exporter, control: Control, slots: SlotRange, taken: int) -> None:
+        control.streams[slots.epoch].acked = slots.last
 
-    return [patch.object(Exporter, "_forgotten", mutant)]
+    return [patch.object(Exporter, "_rewind", mutant)]
 
 
 def _closed_early() -> list[Any]:
-    """A clean end does not wait for its last commit."""
-    real = UsageLedger._live
+    """A graceful shutdown does not wait for the last commit."""
+    real = StreamWriter._write_live
 
-    def mutant(self: UsageLedger, now: int) -> Any:
-        if self._ending and self.state is State.LIVE and self.journal is not None:
-            return self._end(now, self.journal)
+    def mutant(self: StreamWriter, now: int) -> Any:
+        journal = self._recorder.journal
+        if self._context.closing and journal is not None:
+            return self._end(now, journal)
         return real(self, now)
 
-    return [patch.object(UsageLedger, "_live", mutant)]
+    return [patch.object(StreamWriter, "_write_live", mutant)]
 
 
-def _places_anywhere() -> list[Any]:
-    """Committed counts what was written, not what the sync was for."""
+def _unsynced_is_committed() -> list[Any]:
+    """All that was written counts as committed, not only what the sync was for."""
     real = Journal.synced
 
     def mutant(self: Journal, commit: Any) -> Any:
@@ -263,37 +278,37 @@
     for each in (
         _ack_before_sync,
         _no_refresh,
-        _places_used_again,
-        _names_used_again,
-        _gone_before_the_watermark,
-        _not_noted,
-        _synced_again,
-        _good_copy_overwritten,
-        _doubt_forgotten,
-        _doubt_kept,
+        _nonce_used_again,
+        _epoch_used_again,
+        _removed_before_exported,
+        _intent_not_saved,
+        _second_sync_trusted,
+        _valid_copy_overwritten,
+        _pending_not_copied,
+        _former_stream_not_ended,
         _sum_written_twice,
         _sum_dropped,
-        _tail_forgotten,
-        _silence_is_consent,
-        _fenced_is_done,
-        _forks_of_their_own,
-        _live_sealed,
-        _sealed_unsaid,
-        _set_back_unseen,
+        _tail_not_exported,
+        _timeout_is_acknowledgement,
+        _fenced_not_exported,
+        _fork_names_differ,
+        _length_sent_while_live,
+        _sealed_without_length,
+        _lost_records_not_resent,
         _closed_early,
-        _places_anywhere,
+        _unsynced_is_committed,
     )
 }
 
 
 def convict(name: str, seeds: Iterator[int]) -> int | None:
-    """The first of the seeds whose schedule shows the mutant; None if none does."""
+    """The first of the seeds whose schedule detects the mutant; None if none does."""
     with held(MUTANTS[name]()):
-        return next((seed for seed in seeds if _shows(seed)), None)
+        return next((seed for seed in seeds if _convicts(seed)), None)
 
 
-def _shows(seed: int) -> bool:
+def _convicts(seed: int) -> bool:
     try:
-        return bool(play(make(seed))[0])
+        return bool(play(make(seed)).violations)
     except (AssertionError, KeyError, IndexError, ValueError):
-        return True  # a ledger that trips over its own fault
+        return True  # the ledger itself fails on the fault
--- a/trackspread/testing/virtual/usage/schedules.py
+++ b/trackspread/testing/virtual/usage/schedules.py
@@ -1,7 +1,5 @@
-"""Seeded schedules for use records: lives that end anywhere, disks and networks that fail while they last.
-
-May know: the world's handles. May not know: what the ledger decides. The same seed plays the same schedule.
-"""
+"""Seeded schedules for usage records: processes that end at any point, and faults of disks, networks and
+billing while they last. The same seed gives the same run."""
 
 from __future__ import annotations
 
@@ -9,216 +7,276 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
+from typing import NamedTuple
 
 from ....storage.slots import HEAD, SLOT
 from ....usage.ledger import Bounds, State
 from ....usage.record import Ending, Kind
 from .disk import Disk
-from .world import MILLISECOND, SECOND, Life, World
-
-LIVES_MOST = 6
-SPAN_MOST = 3 * SECOND  # of one life; its segments hold a fraction of a second
-START_CRASHES, START_CALLS = 0.3, 14  # part of the lives that end while they begin, and within which calls
-Trouble = Callable[[World, Disk, random.Random], None]
+from .world import MILLISECOND, SECOND, UNLIMITED_BYTES, GatewayProcess, World
+
+MAX_PROCESSES = 6
+MAX_FAULTS = (0, 0, 1, 1, 2)  # of one process: one of these at random
+MAX_RUN_NS = 3 * SECOND  # of one process; its segments hold a fraction of a second
+START_CRASH_RATE = 0.3  # part of the killed processes that end while they start
+START_CALLS = 14  # within so many calls to the disk
+CRASH_RATE = 0.8  # part of the killed processes that end in the middle of a call
+CRASH_CALLS = 200
+FLIP_RATE = 0.1
+DROP_RATE = 0.2
+LIVE_POLLS = 1000
+CLOSE_NS = 3 * SECOND
+MAX_CLOCK_STEP_MS = 60_000
+MAX_REJECTED_RATE = 0.5
+SEGMENT_SLOTS = (8, 16, 64, 300)
+LARGE_SEGMENT_SLOTS = 300
+SEGMENT_LIMITS = (4, 6, 12, 200)
+NO_SEGMENT_LIMIT = 1000
+COMMIT_DELAYS_MS = (2, 10, 40)
+BATCH_DELAYS_MS = (10, 100, 400)
+Fault = Callable[[World, Disk, random.Random], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """`ends`: how each life ends. `troubles`: by life, what goes wrong in it."""
+    """`ends`: how each process ends; `faults`: by process, what fails while it runs."""
 
     seed: int
     bounds: Bounds
     ends: tuple[str, ...]
-    troubles: tuple[tuple[str, ...], ...]
+    faults: tuple[tuple[str, ...], ...]
 
     def __str__(self) -> str:
-        bounds, pairs = self.bounds, zip(self.ends, self.troubles, strict=True)
-        lives = ", ".join(" ".join((*troubles, end)) for end, troubles in pairs)
-        return f"seed {self.seed}: {bounds.full}, {bounds.segments} segments of {bounds.slots}: {lives}"
+        bounds, pairs = self.bounds, zip(self.ends, self.faults, strict=True)
+        runs = ", ".join(" ".join((*faults, end)) for end, faults in pairs)
+        sizes = f"{bounds.max_segments} segments of {bounds.segment_slots}"
+        return f"seed {self.seed}: {bounds.when_full}, {sizes}: {runs}"
+
+
+class Run(NamedTuple):
+    """What broke the rules, a line each, and the world as it ended."""
+
+    violations: list[str]
+    world: World
 
 
-def _for_a_while(world: World, rng: random.Random, on: Callable[[], None], off: Callable[[], None]) -> None:
-    world.clock.after(rng.randint(0, SECOND), on)
-    world.clock.after(rng.randint(SECOND, 3 * SECOND), off)
+def _for_a_while(
+    world: World, rng: random.Random, begin: Callable[[], None], end: Callable[[], None]
+) -> None:
+    world.clock.after(rng.randint(0, SECOND), begin)
+    world.clock.after(rng.randint(SECOND, 3 * SECOND), end)
 
 
-def _set(world: World, rng: random.Random, holder: object, name: str, on: object, off: object) -> None:
-    _for_a_while(world, rng, partial(setattr, holder, name, on), partial(setattr, holder, name, off))
+def _set_for_a_while(
+    world: World, rng: random.Random, target: object, name: str, faulty: object, normal: object
+) -> None:
+    _for_a_while(world, rng, partial(setattr, target, name, faulty), partial(setattr, target, name, normal))
 
 
 def bad_syncs(world: World, disk: Disk, rng: random.Random) -> None:
-    _set(world, rng, disk, "failing", rng.uniform(0.1, 0.9), 0.0)
+    """A part of the syncs fails."""
+    _set_for_a_while(world, rng, disk, "sync_failure_rate", rng.uniform(0.1, 0.9), 0.0)
 
 
 def read_only(world: World, disk: Disk, rng: random.Random) -> None:
-    _set(world, rng, disk, "read_only", True, False)
+    """The disk is read-only."""
+    _set_for_a_while(world, rng, disk, "read_only", True, False)
 
 
 def full_disk(world: World, disk: Disk, rng: random.Random) -> None:
-    """Others have taken the room; some of it comes back."""
+    """Other programs fill the disk."""
 
     def fill() -> None:
-        disk.capacity = disk.used()
+        disk.capacity = disk.used_bytes()
 
-    _for_a_while(world, rng, fill, partial(setattr, disk, "capacity", 1 << 40))
+    _for_a_while(world, rng, fill, partial(setattr, disk, "capacity", UNLIMITED_BYTES))
 
 
 def lossy(world: World, disk: Disk, rng: random.Random) -> None:
-    world.net.loss, world.net.late = rng.uniform(0.1, 0.6), rng.randint(MILLISECOND, SECOND)
+    """The network loses and delays messages."""
+    world.network.loss = rng.uniform(0.1, 0.6)
+    world.network.max_delay_ns = rng.randint(MILLISECOND, SECOND)
 
 
 def billing_down(world: World, disk: Disk, rng: random.Random) -> None:
-    _set(world, rng, world.net, "down", True, False)
+    """Billing can't be reached."""
+    _set_for_a_while(world, rng, world.network, "down", True, False)
 
 
 def billing_set_back(world: World, disk: Disk, rng: random.Random) -> None:
-    """Billing loses what it took lately: an old copy is brought back."""
-    at = rng.randint(0, SECOND)
+    """Billing is restored from a backup and has lost what it stored since."""
+    backup_after_ns = rng.randint(0, SECOND)
 
-    def copy() -> None:
+    def back_up() -> None:
         backup = world.memory.copy()
 
-        def back() -> None:
+        def restore() -> None:
             world.memory = world.billing.memory = backup.copy()
 
-        world.clock.after(rng.randint(SECOND // 4, SECOND), back)
+        world.clock.after(rng.randint(SECOND // 4, SECOND), restore)
 
-    world.clock.after(at, copy)
+    world.clock.after(backup_after_ns, back_up)
 
 
 def clock_set_back(world: World, disk: Disk, rng: random.Random) -> None:
-    world.wall -= rng.randint(0, 60_000)
+    """The wall clock is set back."""
+    world.wall_offset_ms -= rng.randint(0, MAX_CLOCK_STEP_MS)
 
 
-TROUBLES: dict[str, Trouble] = {
+# The order, and that of the names, decides what a seed draws.
+FAULTS: dict[str, Fault] = {
     each.__name__: each
     for each in (bad_syncs, read_only, full_disk, lossy, billing_down, billing_set_back, clock_set_back)
 }
+DISK_FAULTS = frozenset({"bad_syncs", "read_only", "full_disk"})
 ENDS = ("kill", "kill", "power", "power", "close", "old_copy", "clone")
+COPY_ENDS = frozenset({"old_copy", "clone"})  # the folder is copied: records may be in two places
 
 
 def make(seed: int) -> Schedule:
+    """The schedule of a seed."""
     rng = random.Random(f"used schedule:{seed}")
-    lives = rng.randint(1, LIVES_MOST)
-    ends = tuple(rng.choice(ENDS) for _ in range(lives))
-    drawn = [rng.sample(list(TROUBLES), rng.choice((0, 0, 1, 1, 2))) for _ in range(lives)]
-    troubles = tuple(tuple(sorted(each)) for each in drawn)
-    names = {name for each in troubles for name in each}
-    # Where it is checked what went missing on a disk or at billing, nothing may be given up besides.
-    single = {"old_copy", "clone"} & set(ends)
-    exact = "billing_set_back" in names or single
-    if single:  # these worlds tell single requests apart: nothing is summed there
-        disks = {"bad_syncs", "read_only", "full_disk"}
-        troubles = tuple(tuple(t for t in each if t not in disks) for each in troubles)
+    processes = rng.randint(1, MAX_PROCESSES)
+    ends = tuple(rng.choice(ENDS) for _ in range(processes))
+    chosen = [rng.sample(list(FAULTS), rng.choice(MAX_FAULTS)) for _ in range(processes)]
+    faults = tuple(tuple(sorted(each)) for each in chosen)
+    has_copies = bool(COPY_ENDS & set(ends))
+    # What goes missing with a disk or at billing is checked to the unit: nothing may be dropped besides.
+    is_exact = has_copies or any("billing_set_back" in each for each in faults)
+    if has_copies:  # requests are told apart one by one: nothing may be summed for want of room
+        faults = tuple(tuple(name for name in each if name not in DISK_FAULTS) for each in faults)
     bounds = Bounds(
-        slots=300 if single else rng.choice((8, 16, 64, 300)),
-        segments=1000 if exact else rng.choice((4, 6, 12, 200)),
-        commit=rng.choice((2, 10, 40)) * MILLISECOND,
-        every=rng.choice((10, 100, 400)) * MILLISECOND,
-        full="drop" if not exact and rng.random() < 0.2 else "fold",
+        segment_slots=LARGE_SEGMENT_SLOTS if has_copies else rng.choice(SEGMENT_SLOTS),
+        max_segments=NO_SEGMENT_LIMIT if is_exact else rng.choice(SEGMENT_LIMITS),
+        commit_delay_ns=rng.choice(COMMIT_DELAYS_MS) * MILLISECOND,
+        batch_delay_ns=rng.choice(BATCH_DELAYS_MS) * MILLISECOND,
+        when_full="drop" if not is_exact and rng.random() < DROP_RATE else "fold",
     )
-    return Schedule(seed, bounds, ends, troubles)
+    return Schedule(seed, bounds, ends, faults)
 
 
 class Player:
-    """Plays one schedule; `world.verdict()` says what came of it."""
+    """Runs one schedule. `disks` are all that are in use at the end, copies too."""
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
         self.rng = random.Random(f"used play:{schedule.seed}")
         self.world = World(schedule.bounds, schedule.seed)
         self.disks = [Disk(self.world.rng)]
-        self.flipped = False
-        self.clean = {"old_copy", "clone"} & set(schedule.ends)
-        self.forgets = any("billing_set_back" in each for each in schedule.troubles)
+        self._flipped = False
+        self._has_copies = bool(COPY_ENDS & set(schedule.ends))
+        self._billing_restored = any("billing_set_back" in each for each in schedule.faults)
 
     def play(self) -> list[str]:
-        for end, troubles in zip(self.schedule.ends, self.schedule.troubles, strict=True):
-            self._life(end, troubles)
+        """Run the schedule; returns what broke the rules."""
+        for end, faults in zip(self.schedule.ends, self.schedule.faults, strict=True):
+            self._run_process(end, faults)
         if not self.world.settle(self.disks):
-            stage = [life.ledger.exporter.stage for life in self.world.lives]
-            states = [life.ledger.state for life in self.world.lives]
-            return [f"not everything is exported in the end: {states}, {stage}"]
-        if self.clean or self.flipped:
-            # Copies of one folder cut their batches each for itself; what a flip destroyed is a hole.
-            self.world.reworded.clear()
-        verdict = self.world.verdict()
-        # A copy of a folder, or a billing that was set back, may not know of every stream any more.
-        if not self.clean and not self.forgets:
-            verdict += self.world.unsealed()
-        return verdict
-
-    def _life(self, end: str, troubles: tuple[str, ...]) -> None:
+            stages = [process.ledger.exporter.stage for process in self.world.processes]
+            states = [process.ledger.state for process in self.world.processes]
+            return [f"not everything is exported in the end: {states}, {stages}"]
+        if self._has_copies or self._flipped:
+            # Each copy of a folder cuts batches of its own; a flipped bit makes a record a hole.
+            self.world.changed_batches.clear()
+        violations = self.world.violations()
+        # A copy of a folder, or a billing that was restored, may not know of every stream any more.
+        if not self._has_copies and not self._billing_restored:
+            violations += self.world.unsealed_streams()
+        return violations
+
+    def _run_process(self, end: str, faults: tuple[str, ...]) -> None:
         world, rng, disk = self.world, self.rng, self.disks[0]
-        life = world.begin(disk)
-        world.power = end == "power"
-        if end in ("kill", "power") and rng.random() < START_CRASHES:
-            disk.crash_at = disk.calls + rng.randint(1, START_CALLS)
-        if self.clean:
-            self._until_live(life)
-        for name in troubles:
-            TROUBLES[name](world, disk, rng)
-        self._traffic(life, rng.uniform(20, 600), rng.uniform(0.0, 0.5) if not self.clean else 0.0)
-        if end in ("kill", "power") and rng.random() < 0.8:
-            world.clock.after(rng.randint(0, SECOND), partial(self._crash_soon, life))
-        copy = None
-        if end in ("old_copy", "clone"):
+        self._start_process(end, faults)
+        copy, copied_serial = None, 0
+        if end in COPY_ENDS:
             world.run(rng.randint(0, SECOND))
-            copy, serial = world.copied(disk), world.serial
+            copy, copied_serial = world.copy_disk(disk), world.serial
         if end == "clone" and copy is not None:
-            self.disks.append(copy)
-            other = world.begin(copy)
-            self._until_live(other)
-            self._traffic(other, rng.uniform(20, 300), 0.0)
-        world.run(rng.randint(SECOND // 5, SPAN_MOST))
-        for each in list(world.lives):
-            if end == "close":
-                each.ledger.close()
-                world.run(3 * SECOND)
-            world.crashed(each)  # a clean end first, if the disk allowed one
+            self._start_clone(copy)
+        world.run(rng.randint(SECOND // 5, MAX_RUN_NS))
+        self._end_processes(end)
         if end == "old_copy" and copy is not None:
-            # Billing may have some of these, and lose them yet where it is set back in this schedule.
-            sure = set() if self.forgets else {int(row.units) for row in world.memory.rows}
-            world.truth.excused |= set(range(serial + 1, world.serial + 1)) - sure
-            self.disks[0] = copy
-        if rng.random() < 0.1:
-            self._flip(disk)
+            self._replace_disk(copy, copied_serial)
+        if rng.random() < FLIP_RATE:
+            self._flip_bit(disk)
         world.run(rng.randint(0, SECOND))
 
-    def _until_live(self, life: Life) -> None:
-        for _ in range(1000):  # one that is stuck never is
-            if life.alive and life.ledger.state is not State.LIVE:
+    def _start_process(self, end: str, faults: tuple[str, ...]) -> None:
+        """Start a process with its faults, its traffic and, if it is to be killed, its crash."""
+        world, rng, disk = self.world, self.rng, self.disks[0]
+        is_killed = end in ("kill", "power")
+        process = world.start_process(disk)
+        world.power_fails = end == "power"
+        if is_killed and rng.random() < START_CRASH_RATE:
+            disk.crash_at_call = disk.calls + rng.randint(1, START_CALLS)
+        if self._has_copies:
+            self._run_until_live(process)
+        for name in faults:
+            FAULTS[name](world, disk, rng)
+        rate_per_s = rng.uniform(20, 600)
+        rejected_rate = 0.0 if self._has_copies else rng.uniform(0.0, MAX_REJECTED_RATE)
+        self._start_traffic(process, rate_per_s, rejected_rate)
+        if is_killed and rng.random() < CRASH_RATE:
+            world.clock.after(rng.randint(0, SECOND), partial(self._crash_soon, process))
+
+    def _start_clone(self, copy: Disk) -> None:
+        """Start a second gateway on a copy of the folder."""
+        self.disks.append(copy)
+        clone = self.world.start_process(copy)
+        self._run_until_live(clone)
+        self._start_traffic(clone, self.rng.uniform(20, 300), 0.0)
+
+    def _end_processes(self, end: str) -> None:
+        for process in list(self.world.processes):
+            if end == "close":
+                process.ledger.close()
+                self.world.run(CLOSE_NS)
+            self.world.end_process(process)
+
+    def _replace_disk(self, copy: Disk, copied_serial: int) -> None:
+        """Replace the disk by an older copy; what was counted since may be missing, unless billing has it."""
+        world = self.world
+        since = set(range(copied_serial + 1, world.serial + 1))
+        # Where billing is restored from a backup it may still lose what it has.
+        billed: set[int] = set() if self._billing_restored else {int(row.units) for row in world.memory.rows}
+        world.expected.excused |= since - billed
+        self.disks[0] = copy
+
+    def _run_until_live(self, process: GatewayProcess) -> None:
+        for _ in range(LIVE_POLLS):  # a process that is stuck is never live
+            if process.alive and process.ledger.state is not State.LIVE:
                 self.world.run(10 * MILLISECOND)
 
-    def _crash_soon(self, life: Life) -> None:
-        if life.alive:
-            life.disk.crash_at = life.disk.calls + self.rng.randint(1, 200)
+    def _crash_soon(self, process: GatewayProcess) -> None:
+        if process.alive:
+            process.disk.crash_at_call = process.disk.calls + self.rng.randint(1, CRASH_CALLS)
 
-    def _traffic(self, life: Life, rate: float, refused: float) -> None:
-        """Answers at random times, for as long as the life lasts and is not told to end."""
+    def _start_traffic(self, process: GatewayProcess, rate_per_s: float, rejected_rate: float) -> None:
+        """Count requests at random times, until the process ends or is told to stop."""
         rng, clock = self.rng, self.world.clock
 
-        def one() -> None:
-            if life.alive and not life.ledger._ending:
+        def count_one() -> None:
+            if process.alive and not process.ledger.is_closing:
                 served = rng.choice((Ending.SERVED, Ending.FAILED))
-                life.count(Ending.REFUSED if rng.random() < refused else served)
-                clock.after(int(rng.expovariate(rate) * SECOND), one)
+                process.count(Ending.REFUSED if rng.random() < rejected_rate else served)
+                clock.after(int(rng.expovariate(rate_per_s) * SECOND), count_one)
 
-        one()
+        count_one()
 
-    def _flip(self, disk: Disk) -> None:
-        """A bit in a slot that nobody has read yet, or has."""
+    def _flip_bit(self, disk: Disk) -> None:
+        """Flip a bit in the record of a request, whether or not it was exported."""
         names = [name for name in disk.files if name.startswith("use-")]
-        if names and self.schedule.bounds.full == "fold" and not self.clean:
-            name = self.rng.choice(names)
-            data = disk.files[name].cached
-            at = HEAD + self.rng.randrange((len(data) - HEAD) // SLOT) * SLOT
-            if data[at] == Kind.USE:
-                self.flipped = True
-                disk.flip(name, at + self.rng.randrange(1, SLOT))
-
-
-def play(schedule: Schedule) -> tuple[list[str], World]:
-    """What is wrong, and the world as it ended."""
+        if not names or self.schedule.bounds.when_full != "fold" or self._has_copies:
+            return
+        name = self.rng.choice(names)
+        data = disk.files[name].cached
+        slot = HEAD + self.rng.randrange((len(data) - HEAD) // SLOT) * SLOT
+        if data[slot] == Kind.USE:
+            self._flipped = True
+            disk.flip_bit(name, slot + self.rng.randrange(1, SLOT))
+
+
+def play(schedule: Schedule) -> Run:
+    """Run a schedule."""
     player = Player(schedule)
-    return player.play(), player.world
+    return Run(player.play(), player.world)
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -1,27 +1,27 @@
-"""Use records in virtual time: lives of gateways on disks that fail, and billing behind a bad network.
+"""A world of usage records in virtual time: gateways on disks that fail, and billing behind a bad network.
 
-May know: the ledger's events and calls, the disk, billing's rules. Decides nothing. The account is its own:
-each request has units of its own (a serial number), so what billing has names the requests it stands for.
+Every request has units of its own, its serial number, so that billing's rows name the requests they are for.
+Once all faults are over and the last incarnation has exported, these rules are checked:
 
-What is held to, at the end, once all faults are over and the last life has exported:
 - no request is in billing twice, and none that was not counted;
-- a batch that was sent and not answered goes again with the same bytes, until it is answered;
-- a request that is not there was, when its life ended, in memory alone (a sum that found no room), or
-  written and not committed when power was lost, or on a disk replaced by an older copy, or in a segment
-  that the operator chose to give up, or on a bit that flipped. Each of these is told by whoever caused it,
-  and to the unit: nothing else may be missing.
+- a batch that was sent and not acknowledged is sent again with the same bytes until it is;
+- a request that is missing was, when its process ended, in memory only (a sum that found no room), or written
+  and not committed when power was lost, or on a disk that an older copy replaced, or in a segment that was
+  dropped by the operator's choice, or hit by a flipped bit. Each of these is recorded, to the unit, where it
+  is caused; nothing else may be missing.
 """
 
 from __future__ import annotations
 
 import random
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from functools import partial
+from typing import NamedTuple
 
 from ...standins.billing import Billing, Plain
-from ....storage.calls import Result, perform
+from ....storage.calls import Call, Result, perform
 from ....storage.slots import MARK
 from ....usage.batch import Reply, decode
 from ....usage.control import Names
@@ -33,290 +33,356 @@
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
-PUMP = 2 * MILLISECOND  # between looks at what the ledger wants, as a host's timer has it
-PATIENCE = SECOND // 2  # until a post without an answer counts as failed
+POLL_NS = 2 * MILLISECOND  # between two polls of the ledger
+MAX_CALL_NS = 8 * MILLISECOND  # that a call to the disk takes
+REPLY_TIMEOUT_NS = SECOND // 2
+NETWORK_DELAY_NS = 5 * MILLISECOND
+SETTLE_NS = 4 * SECOND  # until all scheduled faults have happened
+SETTLE_POLL_NS = SECOND // 2
+UNLIMITED_BYTES = 1 << 40
+LEDGER_SEED_BITS = 64
 NAMES = Names("n0", ("rate-lookup", "charge-post"), ("basic", "full"))
-MEMBERS = 5
+TENANTS = 5
 NOVEMBER_MS = 1_793_491_200_000  # 2026-11-01T00:00:00Z
-START_MS = NOVEMBER_MS - 20_000 - START // MILLISECOND  # on the virtual clock: 20 s before a month's end
+BEFORE_NOVEMBER_MS = 20_000
+START_MS = NOVEMBER_MS - BEFORE_NOVEMBER_MS - START // MILLISECOND
+
+
+class UncommittedRecord(NamedTuple):
+    """A record that was written and not committed; `units` are billionths."""
+
+    kind: int
+    requests: int
+    units: int
+
+
+class SummedRequests(NamedTuple):
+    """Requests and their billionths of units."""
+
+    requests: int
+    units: int
 
 
 @dataclass(slots=True)
-class Truth:
-    """What was counted, and what may be missing; by serial number where a request has a record of its own."""
-
-    counted: dict[int, int] = field(default_factory=dict)  # serial number: member
-    refused: int = 0
-    memory: Counter[int] = field(default_factory=Counter)  # by ending: requests lost in memory
-    memory_units: int = 0
-    unsure: list[tuple[int, int, int]] = field(default_factory=list)  # kind, requests, units
-    excused: set[int] = field(default_factory=set)  # on a disk that was replaced
+class ExpectedRecords:
+    """What was counted, and what may be missing.
+
+    `counted` has the tenant of each request by its serial number. `in_memory` counts the requests in sums
+    that were lost with a process, by ending; `in_memory_units` are their units. `uncommitted` records may be
+    lost with the power. `excused` are serial numbers on a disk that an older copy replaced, `dropped` counts
+    records that were dropped for room.
+    """
+
+    counted: dict[int, int] = field(default_factory=dict)
+    in_memory: Counter[int] = field(default_factory=Counter)
+    in_memory_units: int = 0
+    uncommitted: list[UncommittedRecord] = field(default_factory=list)
+    excused: set[int] = field(default_factory=set)
     dropped: int = 0
 
 
 @dataclass(slots=True)
-class Net:
-    """The way to billing."""
+class Network:
+    """The network to billing: the part of messages lost, the longest delay, and whether it is down."""
 
     loss: float = 0.0
-    late: int = 5 * MILLISECOND
+    max_delay_ns: int = NETWORK_DELAY_NS
     down: bool = False
 
 
-class Life:
-    """One process: a ledger on a disk, until it is over."""
+class GatewayProcess:
+    """One incarnation of a gateway: a ledger on a disk, until it ends."""
 
     def __init__(self, world: World, disk: Disk) -> None:
         self.world = world
         self.disk = disk
         self.alive = True
         self.files = VirtualFiles(disk)
-        self.ledger = UsageLedger(world.bounds, NAMES, random.Random(world.rng.getrandbits(64)))
+        seed = world.rng.getrandbits(LEDGER_SEED_BITS)
+        self.ledger = UsageLedger(world.bounds, NAMES, random.Random(seed))
         self.alarms: list[str] = []
         self._posts = 0
-        world.clock.after(0, self._pump)
+        world.clock.after(0, self._poll)
 
     def count(self, ending: Ending) -> None:
-        """One answer; its units are its serial number."""
+        """Count one request, whose units are its serial number."""
         world = self.world
-        serial = world.serial = world.serial + 1
-        member = serial % MEMBERS
-        world.truth.counted[serial] = member
+        world.serial += 1
+        serial = world.serial
+        tenant = serial % TENANTS
+        request_class, plan = serial % len(NAMES.classes), tenant % len(NAMES.plans)
+        now, time_ms = world.clock.now, world.wall_ms()
+        world.expected.counted[serial] = tenant
         try:
-            self.ledger.count(
-                world.clock.now, world.wall_ms(), ending, serial % 2, member % 2, 1, member, serial, 1
-            )
+            self.ledger.count(now, time_ms, ending, request_class, plan, 1, tenant, serial, 1)
         except Crash:
-            # In the middle of one write: counted by nobody, as its answer was never sent.
-            del world.truth.counted[serial]
-            world.half.add(serial)
-            world.crashed(self)
+            # In the middle of a write: the request was never answered, so it may be billed or not.
+            del world.expected.counted[serial]
+            world.interrupted.add(serial)
+            world.end_process(self)
 
-    def _pump(self) -> None:
+    def _poll(self) -> None:
         if not self.alive:
             return
-        now, clock = self.world.clock.now, self.world.clock
-        result: Result | OSError
+        clock = self.world.clock
+        now = clock.now
         try:
-            call = self.ledger.call(now)
-            try:
-                result = perform(self.files, call) if call is not None else None
-            except OSError as error:
-                result = error
+            if (call := self.ledger.next_call(now)) is not None:
+                self._perform(call)
         except Crash:
-            self.world.crashed(self)
+            self.world.end_process(self)
             return
-        if call is not None:
-            clock.after(self.world.rng.randint(0, 8 * MILLISECOND), partial(self._done, result))
-        if (post := self.ledger.post(now)) is not None:
-            self._post(post)
-        self.ledger.spent.clear()
+        if (post := self.ledger.next_post(now)) is not None:
+            self._send(post)
+        self.ledger.take_released_areas()
         self.alarms += self.ledger.alarms
         self.ledger.alarms.clear()
-        clock.after(PUMP, self._pump)
+        clock.after(POLL_NS, self._poll)
+
+    def _perform(self, call: Call) -> None:
+        result: Result | OSError
+        try:
+            result = perform(self.files, call)
+        except OSError as error:
+            result = error
+        delay_ns = self.world.rng.randint(0, MAX_CALL_NS)
+        self.world.clock.after(delay_ns, partial(self._call_done, result))
 
-    def _done(self, result: Result | OSError) -> None:
+    def _call_done(self, result: Result | OSError) -> None:
         if self.alive:
             try:
-                self.ledger.done(self.world.clock.now, result)
-            except Crash:  # records that are written anew, into a new stream
-                self.world.crashed(self)
+                self.ledger.call_done(self.world.clock.now, result)
+            except Crash:  # while records are copied to a new stream
+                self.world.end_process(self)
 
-    def _post(self, post: Post) -> None:
-        world, net = self.world, self.world.net
+    def _send(self, post: Post) -> None:
+        world, network = self.world, self.world.network
         self._posts += 1
         number = self._posts
-        if not (net.down or world.rng.random() < net.loss):
-            reply = partial(self._reply, number, post.body)
-            world.clock.after(world.rng.randint(0, net.late), partial(world.deliver, post.body, reply))
+        if not (network.down or world.rng.random() < network.loss):
+            on_reply = partial(self._reply, number, post.body)
+            delay_ns = world.rng.randint(0, network.max_delay_ns)
+            world.clock.after(delay_ns, partial(world.deliver, post.body, on_reply))
         world.sent(post)
-        world.clock.after(PATIENCE, partial(self._patience, number))
+        world.clock.after(REPLY_TIMEOUT_NS, partial(self._reply_timeout, number))
+
+    def _awaits_reply(self, number: int) -> bool:
+        return self.alive and number == self._posts and self.ledger.exporter.stage is Stage.SENT
 
     def _reply(self, number: int, body: bytes, reply: Reply) -> None:
-        if self.alive and number == self._posts and self.ledger.exporter.stage is Stage.SENT:
-            self.world.answered(body)
-            self.ledger.exporter.answered(self.ledger.control, reply)
+        if self._awaits_reply(number):
+            self.world.acknowledged(body)
+            self.ledger.exporter.reply_received(self.ledger.control, reply)
 
-    def _patience(self, number: int) -> None:
-        if self.alive and number == self._posts and self.ledger.exporter.stage is Stage.SENT:
-            self.ledger.exporter.failed(self.world.clock.now, "no answer")
+    def _reply_timeout(self, number: int) -> None:
+        if self._awaits_reply(number):
+            self.ledger.exporter.send_failed(self.world.clock.now, "no answer")
 
     @property
-    def pending(self) -> list[tuple[int, int, int]]:
-        """Kind, requests and units of what was written and is not committed."""
+    def uncommitted(self) -> list[UncommittedRecord]:
+        """What was written and is not committed."""
         journal = self.ledger.journal
-        held = [unpack(payload) for payload in journal.pending if payload[0] != MARK] if journal else []
-        return [(use.kind, use.requests, use.units) for use in held if use is not None]
+        if journal is None:
+            return []
+        records = [unpack(payload) for payload in journal.pending if payload[0] != MARK]
+        return [
+            UncommittedRecord(record.kind, record.requests, record.nano_units)
+            for record in records
+            if record is not None
+        ]
 
     @property
     def drained(self) -> bool:
-        """All that was counted is with billing."""
+        """Whether billing has all that was counted."""
         ledger, journal = self.ledger, self.ledger.journal
         if ledger.state is not State.LIVE or journal is None or journal.pending or ledger.meter.sums:
             return False
-        return (
-            all(
-                stream.over() if epoch != journal.epoch else stream.acked >= journal.committed
-                for epoch, stream in ledger.control.streams.items()
-            )
-            and ledger.exporter.stage is Stage.IDLE
+        return ledger.exporter.stage is Stage.IDLE and all(
+            stream.is_exported() if epoch != journal.epoch else stream.acked >= journal.committed
+            for epoch, stream in ledger.control.streams.items()
         )
 
 
 class World:
-    """Disks, lives on them one after the other (or two at once), and billing."""
+    """Disks, processes on them one after the other (or two at once), and billing.
+
+    `memory` is what billing has stored. `wall_offset_ms` is added to the virtual clock. `power_fails`: the
+    next crash is a loss of power. `interrupted` are serial numbers of requests that a crash interrupted.
+    """
 
     def __init__(self, bounds: Bounds, seed: int) -> None:
         self.rng = random.Random(f"used:{seed}")
         self.clock = Clock()
         self.bounds = bounds
-        self.truth = Truth()
-        self.net = Net()
+        self.expected = ExpectedRecords()
+        self.network = Network()
         self.serial = 0
-        self.half: set[int] = set()
+        self.interrupted: set[int] = set()
         self.memory = Plain()
         self.billing = Billing(self.memory)
-        self.wall = START_MS
-        self.lives: list[Life] = []
-        self.limbo: dict[int, list[tuple[int, int, int]]] = {}  # by disk: written by a life that was killed
+        self.wall_offset_ms = START_MS
+        self.processes: list[GatewayProcess] = []
         self.crashes = 0
-        self.power = False  # whether the next crash takes the machine along
+        self.power_fails = False
         self.alarms: list[str] = []
-        self.open_batches: dict[tuple[str, int], bytes] = {}  # by stream and first place, not answered yet
-        self.reworded: list[str] = []  # of those, what came back with other bytes
+        self.changed_batches: list[str] = []  # keys of batches that were sent again with other bytes
+        self._unacknowledged: dict[tuple[str, int], bytes] = {}  # by stream and first slot
+        self._uncommitted: dict[int, list[UncommittedRecord]] = {}  # of ended processes, by disk
 
     def wall_ms(self) -> int:
-        return self.wall + self.clock.now // MILLISECOND
+        """Unix time in ms."""
+        return self.wall_offset_ms + self.clock.now // MILLISECOND
 
     def sent(self, post: Post) -> None:
-        stream, _, places = post.key.rpartition(":")
-        batch = stream, int(places.partition("-")[0])
-        if self.open_batches.setdefault(batch, post.body) != post.body:
-            self.reworded.append(post.key)
-
-    def answered(self, body: bytes) -> None:
-        """All that was sent of the stream from this batch's first place on may be cut up anew."""
+        """A batch was sent: until it is acknowledged its bytes must stay the same."""
+        stream, _, slots = post.key.rpartition(":")
+        batch = stream, int(slots.partition("-")[0])
+        if self._unacknowledged.setdefault(batch, post.body) != post.body:
+            self.changed_batches.append(post.key)
+
+    def acknowledged(self, body: bytes) -> None:
+        """A batch was acknowledged: the stream may be divided anew from its first slot on."""
         batch = decode(body)
-        self.open_batches.pop((batch.stream, batch.first), None)
-
-    def deliver(self, body: bytes, reply: Callable[[Reply], None]) -> None:
-        told = self.billing.post(body)
-        if not self.net.down and self.rng.random() >= self.net.loss:
-            self.clock.after(self.rng.randint(0, self.net.late), partial(reply, told))
-
-    def begin(self, disk: Disk) -> Life:
-        life = Life(self, disk)
-        self.lives.append(life)
-        return life
-
-    def copied(self, disk: Disk) -> Disk:
-        """A copy of a disk while a life may be writing to it: what is not committed there is not here."""
+        self._unacknowledged.pop((batch.stream, batch.first), None)
+
+    def deliver(self, body: bytes, on_reply: Callable[[Reply], None]) -> None:
+        """A batch arrives at billing, whose reply may be lost."""
+        reply = self.billing.post(body)
+        network = self.network
+        if not network.down and self.rng.random() >= network.loss:
+            self.clock.after(self.rng.randint(0, network.max_delay_ns), partial(on_reply, reply))
+
+    def start_process(self, disk: Disk) -> GatewayProcess:
+        """A new incarnation on a disk."""
+        process = GatewayProcess(self, disk)
+        self.processes.append(process)
+        return process
+
+    def copy_disk(self, disk: Disk) -> Disk:
+        """A copy of a disk, which may be in use; what is not committed on the disk may be missing on it."""
         copy = disk.copy()
-        pending = [entry for life in self.lives if life.disk is disk for entry in life.pending]
-        self.limbo[id(copy)] = [*self.limbo.get(id(disk), []), *pending]
+        in_use = [record for each in self.processes if each.disk is disk for record in each.uncommitted]
+        self._uncommitted[id(copy)] = [*self._uncommitted.get(id(disk), []), *in_use]
         return copy
 
-    def crashed(self, life: Life) -> None:
-        """What a life takes with it: sums in memory; with the machine's power, what is not committed too."""
-        if not life.alive:
+    def end_process(self, process: GatewayProcess) -> None:
+        """A process ends, and with it its sums; if power fails, what is not committed may be lost as well."""
+        if not process.alive:
             return
-        life.alive = False
+        process.alive = False
         self.crashes += 1
-        self.lives.remove(life)
-        self.alarms += life.alarms + life.ledger.alarms
-        truth, ledger, disk = self.truth, life.ledger, life.disk
-        for row, (requests, units, _, _) in ledger.meter.sums.items():
-            truth.memory[row[0]] += requests
-            truth.memory_units += units
-        truth.dropped += ledger.control.lost.get("dropped", 0)
-        limbo = self.limbo.setdefault(id(disk), [])
+        self.processes.remove(process)
+        self.alarms += process.alarms + process.ledger.alarms
+        expected, ledger, disk = self.expected, process.ledger, process.disk
+        for key, total in ledger.meter.sums.items():
+            expected.in_memory[key.ending] += total.requests
+            expected.in_memory_units += total.nano_units
+        expected.dropped += ledger.control.lost.get("dropped", 0)
+        uncommitted = self._uncommitted.setdefault(id(disk), [])
         if ledger.state in OPENED | {State.CLOSED}:
-            limbo.clear()
-        limbo += life.pending
-        disk.crash_at = 0
-        if self.power:
+            uncommitted.clear()  # this process has synced what earlier ones left
+        uncommitted += process.uncommitted
+        disk.crash_at_call = 0
+        if self.power_fails:
             disk.lose_power()
-            truth.unsure += limbo
-            limbo.clear()
-
-    def run(self, span: int) -> None:
-        self.clock.run(self.clock.now + span)
-
-    def settle(self, disks: list[Disk], most: int = 300 * SECOND) -> bool:
-        """The faults are over: a last life on each disk exports everything. False if that never comes."""
-        self.run(4 * SECOND)  # what was to go wrong has by then
-        self.net.loss = 0.0
-        self.net.late = 5 * MILLISECOND
-        self.net.down = False
+            expected.uncommitted += uncommitted
+            uncommitted.clear()
+
+    def run(self, span_ns: int) -> None:
+        """Let time pass."""
+        self.clock.run(self.clock.now + span_ns)
+
+    def settle(self, disks: list[Disk], timeout_ns: int = 300 * SECOND) -> bool:
+        """End all faults and let a last process on each disk export everything.
+
+        Returns False if that takes longer than the timeout.
+        """
+        self.run(SETTLE_NS)
+        self.network.loss = 0.0
+        self.network.max_delay_ns = NETWORK_DELAY_NS
+        self.network.down = False
         for disk in disks:
-            disk.failing = 0.0
+            disk.sync_failure_rate = 0.0
             disk.read_only = False
-            disk.capacity = 1 << 40
-        lives = [self.begin(disk) for disk in disks]
-        for _ in range(most // (SECOND // 2)):
-            self.run(SECOND // 2)
-            if all(life.drained for life in lives):
+            disk.capacity = UNLIMITED_BYTES
+        processes = [self.start_process(disk) for disk in disks]
+        for _ in range(timeout_ns // SETTLE_POLL_NS):
+            self.run(SETTLE_POLL_NS)
+            if all(process.drained for process in processes):
                 return True
         return False
 
-    def verdict(self) -> list[str]:
-        """What is wrong, in plain lines; nothing, if all is as promised."""
-        truth, wrong = self.truth, list[str]()
-        singles: Counter[int] = Counter()
-        sums = [0, 0]  # requests, units
-        for row in self.memory.rows:
-            if row.kind == Kind.USE:
-                singles[int(row.units)] += 1
-                serial = int(row.units)
-                if serial not in self.half and truth.counted.get(serial, -1) != int(row.customer, 16):
-                    wrong.append(f"request {row.units} is billed to {row.customer} and was never counted so")
-            else:
-                sums[0] += row.requests
-                sums[1] += int(row.units)
-        if self.reworded and not self.memory.holes:
-            wrong.append(f"batch {self.reworded[0]} was sent again with other bytes")
-        twice = sorted(serial for serial, times in singles.items() if times > 1)
+    def violations(self) -> list[str]:
+        """What breaks the rules, a line each."""
+        billed = Counter(int(row.units) for row in self.memory.rows if row.kind == Kind.USE)
+        found = self._never_counted()
+        if self.changed_batches and not self.memory.holes:
+            found.append(f"batch {self.changed_batches[0]} was sent again with other bytes")
+        twice = sorted(serial for serial, times in billed.items() if times > 1)
         if twice:
-            wrong.append(f"{len(twice)} requests are billed twice, the first is {twice[0]}")
-        unsure_singles = {units for kind, _, units in truth.unsure if kind == Kind.USE}
-        unsure_sums = [(requests, units) for kind, requests, units in truth.unsure if kind != Kind.USE]
-        billed = {serial for serial in singles if serial in truth.counted}
-        missing = set(truth.counted) - billed - truth.excused
-        lost_requests, lost_units = sum(truth.memory.values()), truth.memory_units
-        # What went through sums has no number of its own: it is the rest, and must fit to the unit.
-        gone = missing & unsure_singles
-        rest = missing - gone
-        summed_requests, summed_units = len(rest), sum(rest)
-        want_requests, want_units = summed_requests - lost_requests, summed_units - lost_units
-        choices = {(want_requests - r, want_units - u) for r, u in _subsets(unsure_sums)}
-        # A bit flips in a record of one request; what is given up to make room may hold sums of any size.
-        allowed = summed_requests if truth.dropped else self.memory.holes
-        if not any((r, u) == (sums[0], sums[1]) or 0 < r - sums[0] <= allowed for r, u in choices):
-            wrong.append(
-                f"sums are of {sums[0]} requests and {sums[1]} units, wanted {want_requests} and "
-                f"{want_units}; {len(unsure_sums)} sums may be lost"
-            )
-        return wrong
-
-    def unsealed(self) -> list[str]:
-        """Streams of former lives whose end billing was never told: whoever has a copy could add to them."""
-        written = {
+            found.append(f"{len(twice)} requests are billed twice, the first is {twice[0]}")
+        return found + self._wrong_sums(billed)
+
+    def _never_counted(self) -> list[str]:
+        """Rows of single requests that were not counted, or for another tenant."""
+        found = []
+        for row in self.memory.rows:
+            serial = int(row.units)
+            if row.kind != Kind.USE or serial in self.interrupted:
+                continue
+            if self.expected.counted.get(serial, -1) != int(row.customer, 16):
+                found.append(f"request {row.units} is billed to {row.customer} and was never counted so")
+        return found
+
+    def _wrong_sums(self, billed: Iterable[int]) -> list[str]:
+        """Whether billing's sums have, to the unit, the requests that are not billed singly.
+
+        `billed` are the serial numbers of requests that are.
+        """
+        expected = self.expected
+        rows = [row for row in self.memory.rows if row.kind != Kind.USE]
+        sums = SummedRequests(sum(row.requests for row in rows), sum(int(row.units) for row in rows))
+        lost_singles = {record.units for record in expected.uncommitted if record.kind == Kind.USE}
+        lost_sums = [
+            SummedRequests(record.requests, record.units)
+            for record in expected.uncommitted
+            if record.kind != Kind.USE
+        ]
+        summed = set(expected.counted) - set(billed) - expected.excused - lost_singles
+        wanted_requests = len(summed) - sum(expected.in_memory.values())
+        wanted_units = sum(summed) - expected.in_memory_units
+        # A flipped bit loses a record of one request; a dropped segment may hold sums of any size.
+        max_missing = len(summed) if expected.dropped else self.memory.holes
+        for lost in _subset_totals(lost_sums):
+            requests, units = wanted_requests - lost.requests, wanted_units - lost.units
+            if sums == (requests, units) or 0 < requests - sums.requests <= max_missing:
+                return []
+        return [
+            f"sums are of {sums.requests} requests and {sums.units} units, wanted {wanted_requests} and "
+            f"{wanted_units}; {len(lost_sums)} sums may be lost"
+        ]
+
+    def unsealed_streams(self) -> list[str]:
+        """Streams of ended processes whose length billing does not know: a copy could still add to them."""
+        open_parts = {
             part.id
-            for life in self.lives
-            for stream in life.ledger.control.streams.values()
+            for process in self.processes
+            for stream in process.ledger.control.streams.values()
             if stream.length is None
             for part in stream.parts
         }
         return [
             f"stream {name} was exported up to {known.taken} and is sealed at {known.sealed}"
             for name, known in self.memory.streams.items()
-            if name not in written and known.sealed != known.taken
+            if name not in open_parts and known.sealed != known.taken
         ]
 
 
-def _subsets(items: list[tuple[int, int]]) -> set[tuple[int, int]]:
-    """Every total that some of the items have."""
-    totals = {(0, 0)}
-    for requests, units in items:
-        totals |= {(r + requests, u + units) for r, u in totals}
+def _subset_totals(sums: list[SummedRequests]) -> set[SummedRequests]:
+    """The totals of every subset."""
+    totals = {SummedRequests(0, 0)}
+    for each in sums:
+        totals |= {
+            SummedRequests(total.requests + each.requests, total.units + each.units) for total in totals
+        }
     return totals
--- a/trackspread/usage/__init__.py
+++ b/trackspread/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Use records and their export to billing, once and only once, without I/O; `host.py` alone has threads."""
+"""Usage records and their export to billing, exactly once; only `host.py` and `senders.py` do I/O."""
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -1,16 +1,16 @@
-"""A folder of use records as it lies there: what it holds, what is damaged, what billing should have.
+"""The audit of a folder of usage records: its contents, what is damaged, and what billing should have.
 
-May know: the layout of segments, the control, sums. May not know: threads, running keepers. Nothing here
-writes; `rebuild_control` only makes the document that `use repair` saves.
+Nothing here writes; `rebuild_control` only returns the checkpoint that `use repair` saves.
 
-- A place that was written and does not check is damage where a mark or the watermark says that it was on the
-  disk; behind these it is the torn end of a process that lost its machine, and was never promised.
-- What billing should have: sums of segments that went, and records up to the watermark.
+- A slot with an invalid checksum is damaged if a mark or the watermark shows that it was committed. Otherwise
+  it is torn: the machine lost power before the commit.
+- Billing should have the totals of removed segments, and records up to the watermark.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
@@ -20,19 +20,31 @@
 from ..storage.slots import HEAD, Head, Scan, SegmentError, scan, unpack_head, written
 from .control import AREAS, Control, Names, Part, Stream, newest
 from .record import unpack
-from .totals import SCHEMA, SegmentTotals, Totals
+from .totals import NOTHING, SCHEMA, Amount, SegmentTotals, Totals
+
+
+class SegmentScan(NamedTuple):
+    """One segment's head and slots."""
+
+    head: Head
+    scan: Scan
 
 
 @dataclass(slots=True)
 class StreamAudit:
-    """One stream: `records` that can be read, places `damaged`, `torn`, or `missing` with their segment."""
+    """The audit of one stream.
+
+    `live`: the stream was not ended. `records` can be read. `length` is the last slot that was written,
+    `committed` the last that is known to have been committed. `damaged` and `torn` are slots, `missing` is
+    the number of slots in missing segments.
+    """
 
     epoch: int
     stream: Stream
     live: bool
     records: int = 0
     length: int = 0
-    marked: int = 0
+    committed: int = 0
     damaged: list[int] = field(default_factory=list)
     torn: list[int] = field(default_factory=list)
     missing: int = 0
@@ -40,8 +52,12 @@
 
 @dataclass(slots=True)
 class Audit:
-    """`journal`: all that was counted, as far as it is still known; `exported`: of that, what billing told it
-    has. `wrong`: what a person should look at."""
+    """The audit of one folder.
+
+    `newer`: a newer version of the program wrote here. `journal` has the totals of all that was recorded,
+    `exported` of what billing has acknowledged. `wrong` are lines about faults, for operators. `segments` and
+    `bytes` count what is on the disk.
+    """
 
     control: Control | None
     newer: bool
@@ -54,79 +70,98 @@
 
 
 def audit(files: Files) -> Audit:
-    """Reads everything; raises `OSError`."""
+    """Read the complete folder; raises `OSError`."""
     names = files.names()
     copies = [files.load(name) or b"" for name in AREAS]
-    control, _, wrong, newer = newest(copies)
-    found = Audit(control, newer, wrong=wrong)
+    checkpoint = newest(copies)
+    result = Audit(checkpoint.control, checkpoint.newer, wrong=checkpoint.errors)
+    control = checkpoint.control
     if control is None:
         if any(segment_of(name) for name in names):
-            found.wrong.append("there are records, and no control that can be read")
-        return found
-    scans: dict[int, list[tuple[Head, Scan]]] = {}
+            result.wrong.append("there are records, and no control that can be read")
+        return result
+    scans: dict[int, list[SegmentScan]] = {}
     for name in names:
-        if (at := segment_of(name)) is None:
-            continue
-        found.segments += 1
-        data = files.load(name) or b""
-        found.bytes += len(data)
-        stream = control.streams.get(at[0])
-        if stream is None:
-            continue  # of a process that never declared it
-        head = Head(at[0], at[1], stream.slots, bytes.fromhex(stream.nonce))
-        try:
-            unpack_head(data)
-        except SegmentError as error:
-            found.wrong.append(f"{name}: {error}")
-        scans.setdefault(at[0], []).append((head, scan(data[HEAD:], head, head.first)))
+        if (location := segment_of(name)) is not None:
+            segment = _scan_segment(result, files, control, name, location)
+            if segment is not None:
+                scans.setdefault(segment.head.epoch, []).append(segment)
     for epoch, stream in sorted(control.streams.items()):
-        found.streams.append(_audit_stream(found, epoch, stream, scans.get(epoch, [])))
+        result.streams.append(_audit_stream(result, epoch, stream, scans.get(epoch, [])))
     for name in names:
         if name.startswith("sum-"):
-            _add_sum(found, name, files.load(name) or b"")
-    return found
+            _add_sum(result, name, files.load(name) or b"")
+    return result
+
+
+def _scan_segment(
+    result: Audit, files: Files, control: Control, name: str, location: tuple[int, int]
+) -> SegmentScan | None:
+    """One segment, None if it is of a stream that was never declared. `location`: its epoch and index."""
+    result.segments += 1
+    data = files.load(name) or b""
+    result.bytes += len(data)
+    epoch, index = location
+    stream = control.streams.get(epoch)
+    if stream is None:
+        return None
+    try:
+        unpack_head(data)
+    except SegmentError as error:
+        result.wrong.append(f"{name}: {error}")
+    head = Head(epoch, index, stream.slots, bytes.fromhex(stream.nonce))
+    return SegmentScan(head, scan(data[HEAD:], head, head.first))
 
 
-def _audit_stream(found: Audit, epoch: int, stream: Stream, scans: list[tuple[Head, Scan]]) -> StreamAudit:
+def _audit_stream(result: Audit, epoch: int, stream: Stream, segments: list[SegmentScan]) -> StreamAudit:
     audited = StreamAudit(epoch, stream, stream.length is None)
-    audited.marked = max([stream.acked, *(each.marked for _, each in scans)])
-    written_to = max([0, *(each.last for _, each in scans)])
-    audited.length = stream.length if stream.length is not None else written_to
-    for _, each in scans:
-        places = {n: unpack(payload) for n, payload in each.payloads.items() if n <= audited.length}
-        uses = {n: use for n, use in places.items() if use is not None}
-        audited.records += len(uses)
-        found.journal.uses(uses.values())
-        found.exported.uses(use for n, use in uses.items() if n <= stream.acked)
-        for place in each.bad:
-            (audited.damaged if place <= audited.marked else audited.torn).append(place)
-    here = {head.index for head, _ in scans}
-    most = -(-audited.length // stream.slots)
-    gone = [index for index in range(stream.kept, most) if index not in here]
-    if gone:
-        found.wrong.append(f"epoch {epoch}: segments {', '.join(map(str, gone))} are missing")
-        audited.missing += len(gone) * stream.slots
+    audited.committed = max([stream.acked, *(segment.scan.marked for segment in segments)])
+    last_written = max([0, *(segment.scan.last for segment in segments)])
+    audited.length = stream.length if stream.length is not None else last_written
+    for segment in segments:
+        _audit_records(result, audited, segment.scan)
+    present = {segment.head.index for segment in segments}
+    segment_count = -(-audited.length // stream.slots)
+    missing = [index for index in range(stream.first_segment, segment_count) if index not in present]
+    if missing:
+        result.wrong.append(f"epoch {epoch}: segments {', '.join(map(str, missing))} are missing")
+        audited.missing += len(missing) * stream.slots
     if audited.damaged:
-        found.wrong.append(
+        result.wrong.append(
             f"epoch {epoch}: {len(audited.damaged)} records are damaged, the first at place "
             f"{audited.damaged[0]}"
         )
     return audited
 
 
-def _add_sum(found: Audit, name: str, data: bytes) -> None:
-    """What a segment that went held was exported, or given up."""
+def _audit_records(result: Audit, audited: StreamAudit, slots: Scan) -> None:
+    """Add one segment's records to the totals, and sort its invalid slots."""
+    records = {
+        slot: record
+        for slot, payload in slots.payloads.items()
+        if slot <= audited.length and (record := unpack(payload)) is not None
+    }
+    audited.records += len(records)
+    result.journal.add_records(records.values())
+    result.exported.add_records(record for slot, record in records.items() if slot <= audited.stream.acked)
+    for slot in slots.bad:
+        (audited.damaged if slot <= audited.committed else audited.torn).append(slot)
+
+
+def _add_sum(result: Audit, name: str, data: bytes) -> None:
+    """Add the totals of a removed segment, which was exported or dropped."""
     try:
-        summed = SCHEMA.unpack(data, SegmentTotals)
+        totals = SCHEMA.unpack(data, SegmentTotals)
     except DocumentError as error:
-        found.wrong.append(f"{name}: {error}")
+        result.wrong.append(f"{name}: {error}")
         return
-    found.journal.add_rows(summed.lines)
-    found.exported.add_rows(summed.lines)
+    result.journal.add_rows(totals.lines)
+    result.exported.add_rows(totals.lines)
 
 
 class Received(msgspec.Struct, frozen=True, array_like=True):
-    """Billing's line: customer in hexadecimal, day since 1970, ending, requests, units in billionths."""
+    """A row of billing's own totals: customer in hexadecimal, day since 1970-01-01, ending, requests, and
+    billionths of units."""
 
     customer: str
     day: int
@@ -137,18 +172,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One member's day on which the three do not agree; requests and billionths of units each."""
+    """A tenant's day and ending for which journal, export and billing differ; each has requests and
+    billionths of units."""
 
     customer: int
     day: int
     ending: int
-    journal: tuple[int, int]
-    exported: tuple[int, int]
-    received: tuple[int, int]
+    journal: Amount
+    exported: Amount
+    received: Amount
 
     @property
     def kind(self) -> str:
-        """What it means, plainly."""
+        """What the difference means, for operators."""
         if self.received == self.journal:
             return "billing has it all, the gateway does not know yet"
         if self.received == self.exported:
@@ -157,35 +193,40 @@
 
 
 def reconcile(audits: list[Audit], received: list[Received]) -> list[Difference]:
-    """Each member's day on which journal, export and billing differ; empty if all is there and agrees."""
+    """Where journals, exports and billing differ, by tenant, day and ending; empty if they agree."""
     journal, exported, billing = Totals(), Totals(), Totals()
     for each in audits:
-        for totals, own in ((journal, each.journal), (exported, each.exported)):
-            for (customer, day, ending), (requests, units) in own.rows.items():
-                totals.add(customer, day, ending, requests, units)
-    for line in received:
-        billing.add(int(line.customer, 16), line.day, line.ending, line.requests, int(line.units))
-    nothing = 0, 0
+        _add_all(journal, each.journal)
+        _add_all(exported, each.exported)
+    for row in received:
+        billing.add(int(row.customer, 16), row.day, row.ending, row.requests, int(row.units))
     keys = sorted(journal.rows.keys() | exported.rows.keys() | billing.rows.keys())
-    made = [
+    compared = [
         Difference(
             *key,
-            journal.rows.get(key, nothing),
-            exported.rows.get(key, nothing),
-            billing.rows.get(key, nothing),
+            journal.rows.get(key, NOTHING),
+            exported.rows.get(key, NOTHING),
+            billing.rows.get(key, NOTHING),
         )
         for key in keys
     ]
-    return [each for each in made if not each.journal == each.exported == each.received]
+    return [each for each in compared if not each.journal == each.exported == each.received]
+
+
+def _add_all(totals: Totals, more: Totals) -> None:
+    for key, amount in more.rows.items():
+        totals.add(*key, amount.requests, amount.nano_units)
 
 
 def rebuild_control(files: Files, names: Names, producer: str) -> Control:
-    """A control for segments whose own is lost. Nothing counts as exported: billing has each place once and
-    says where it is. Raises `DocumentError` where a newer program wrote."""
+    """A checkpoint for segments whose own is lost. Nothing counts as exported: billing takes each slot once,
+    and its replies set the watermarks. Raises `DocumentError` where a newer version of the program wrote, or
+    segments do not belong together."""
     control = Control(producer, names=[names])
     for name in files.names():
-        if (at := segment_of(name)) is None:
+        if (location := segment_of(name)) is None:
             continue
+        epoch, index = location
         data = files.load(name) or b""
         try:
             head = unpack_head(data)
@@ -194,12 +235,12 @@
                 raise DocumentError(f"{name}: {error}", newer=True) from None
             continue
         nonce = head.nonce.hex()
-        fresh = Stream(nonce, head.slots, 0, [Part(1, nonce)], 0, 0, at[1])
-        stream = control.streams.setdefault(at[0], fresh)
+        new = Stream(nonce, head.slots, 0, [Part(1, nonce)], 0, 0, index)
+        stream = control.streams.setdefault(epoch, new)
         if stream.nonce != nonce:
             raise DocumentError(f"{name}: it is of another life than the others of its epoch")
         stream.length = max(stream.length or 0, head.first - 1 + written(data[HEAD:]))
-        stream.kept = min(stream.kept, at[1])
-        control.epoch = max(control.epoch, at[0])
+        stream.first_segment = min(stream.first_segment, index)
+        control.epoch = max(control.epoch, epoch)
     control.streams = {epoch: stream for epoch, stream in control.streams.items() if stream.length}
     return control
--- a/trackspread/usage/batch.py
+++ b/trackspread/usage/batch.py
@@ -1,7 +1,6 @@
-"""A batch on its way to billing: the same bytes each time it is sent, and what billing answers.
+"""The batch that is sent to billing, one JSON object, and billing's reply.
 
-May know: records. May not know: HTTP, files. One JSON object; digests are SHA-256, signatures HMAC-SHA-256
-(RFC 2104) over the bytes.
+A batch has the same bytes each time it is sent. Digests are SHA-256, signatures HMAC-SHA-256 (RFC 2104).
 """
 
 from __future__ import annotations
@@ -13,11 +12,15 @@
 
 from ..storage.slots import Scan
 from .control import Names
-from .record import Use, unpack
+from .record import UsageRecord, unpack
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One record, in words. `units`: billionths, as a decimal: JSON's numbers lose what lies past 2^53."""
+    """One record, with names in place of indexes.
+
+    `time` is Unix time in ms, `customer` 16 hexadecimal digits, `cls` the request class, `version` that of
+    the plan. `units` are billionths as a decimal string, as JSON numbers are exact only up to 2^53.
+    """
 
     sequence: int
     kind: int
@@ -33,9 +36,12 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """`producer`: the folder it comes from; `name`: the gateway's; `epoch`: which of its lives. Places
-    `first` to `last` of a stream. `base`: the place before the stream's first. `length`: its last place, if
-    no more will come. `holes`: places that can't be read any more: counted, and lost."""
+    """Slots `first` to `last` of a stream.
+
+    `producer` names the folder, `name` the gateway, `epoch` the incarnation of the process. `base` is the
+    slot before the stream's first. `length` is the stream's last slot, None while it is written. `holes`
+    counts slots that can no longer be read.
+    """
 
     producer: str
     name: str
@@ -55,9 +61,12 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Billing's word. `taken`: the stream's last place that it has, for good. `fenced`: whoever sent this was
-    replaced, and nothing of the stream behind `sealed` will be taken. `conflict`: it has other records under
-    these places."""
+    """Billing's acknowledgement.
+
+    `taken` is the last slot of the stream that billing has stored. `sealed` is the stream's last slot, once
+    billing knows it. `fenced`: the sender was replaced, no slot after `sealed` will be accepted. `conflict`:
+    billing has other records for these slots.
+    """
 
     taken: int
     sealed: int | None = None
@@ -66,54 +75,54 @@
 
 
 def rows(scan: Scan, names: Names) -> tuple[Row, ...]:
-    """The rows of a batch, in order of places; what can't be read has none."""
+    """The rows of a batch in order of slots; slots that can't be read have none."""
     return tuple(
-        _row(sequence, use, names)
+        _row(sequence, record, names)
         for sequence, payload in sorted(scan.payloads.items())
-        if (use := unpack(payload)) is not None
+        if (record := unpack(payload)) is not None
     )
 
 
-def _row(sequence: int, use: Use, names: Names) -> Row:
+def _row(sequence: int, record: UsageRecord, names: Names) -> Row:
     return Row(
         sequence,
-        use.kind,
-        use.ending,
-        use.time,
-        f"{use.customer:016x}",
-        _name(names.classes, use.cls),
-        _name(names.plans, use.plan),
-        use.version,
-        use.requests,
-        use.attempts,
-        str(use.units),
+        record.kind,
+        record.ending,
+        record.time_ms,
+        f"{record.tenant:016x}",
+        _name(names.classes, record.request_class),
+        _name(names.plans, record.plan),
+        record.plan_version,
+        record.requests,
+        record.attempts,
+        str(record.nano_units),
     )
 
 
-def _name(names: tuple[str, ...], number: int) -> str:
-    return names[number] if number < len(names) else f"#{number}"
+def _name(names: tuple[str, ...], index: int) -> str:
+    return names[index] if index < len(names) else f"#{index}"
 
 
 def encode(batch: Batch) -> bytes:
-    """The body of the call to billing."""
+    """The body of the request to billing."""
     return msgspec.json.encode(batch)
 
 
 def decode(body: bytes) -> Batch:
-    """Raises `msgspec.DecodeError`."""
+    """The batch in a body; raises `msgspec.DecodeError`."""
     return msgspec.json.decode(body, type=Batch, strict=True)
 
 
 def digest(body: bytes) -> str:
-    """SHA-256 in hexadecimal digits."""
+    """SHA-256 of the body, in hexadecimal digits."""
     return hashlib.sha256(body).hexdigest()
 
 
 def signature(body: bytes, key: str, secret: bytes) -> str:
-    """Over the idempotency key too: a body can't be passed off under another one."""
+    """Signature of a body together with its idempotency key, in hexadecimal digits."""
     return hmac.new(secret, key.encode() + b"\n" + body, hashlib.sha256).hexdigest()
 
 
-def signed(body: bytes, key: str, secret: bytes, told: str) -> bool:
-    """Whether `told` is the body's signature, in constant time."""
-    return hmac.compare_digest(signature(body, key, secret).encode(), told.encode())
+def signed(body: bytes, key: str, secret: bytes, received: str) -> bool:
+    """Whether `received` is the body's signature; compares in constant time."""
+    return hmac.compare_digest(signature(body, key, secret).encode(), received.encode())
--- a/trackspread/usage/control.py
+++ b/trackspread/usage/control.py
@@ -1,41 +1,52 @@
-"""What a gateway knows of its journal from one life to the next: streams, how far each is exported, the batch
-that is under way.
+"""The checkpoint of a usage folder: its streams, how far each is exported, and the batch in progress.
 
-May know: its own layout. May not know: disks, when it is saved. Two areas are written in turn, the older one
-each time, so one torn write leaves the other; whoever reads takes the newest that checks.
+It is written to two areas in turn, so that a torn write leaves the other one; the newest valid copy counts.
+The JSON keys are the stored ones, also where a field has another name here.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from ..storage.document import DocumentError, Schema
 
 AREAS = ("control-a", "control-b")
-AREA_SIZE = 65_536  # bytes each: over three times what the streams below take, names of classes included
-STREAMS_MOST = 128  # lives whose records are not all exported; each start adds one
+AREA_SIZE = 65_536  # bytes each; over three times what `MAX_STREAMS` streams take
+MAX_STREAMS = 128  # that are not exported yet; each start of a process adds one
 SCHEMA = Schema("use-control", 1)
 
 
 class Part(msgspec.Struct, frozen=True):
-    """From place `first` on the stream is exported under the name `id`."""
+    """From slot `first` on the stream is exported under the name `id`."""
 
     first: int
     id: str
 
 
 class Names(msgspec.Struct, frozen=True):
-    """Whose a stream's records are, and what their numbers stand for."""
+    """The gateway that wrote a stream, and the names of the classes and plans that its records index."""
 
     gateway: str
     classes: tuple[str, ...]
     plans: tuple[str, ...]
 
 
+class PartBounds(NamedTuple):
+    """A part of a stream and its last slot, None while the part has no end."""
+
+    part: Part
+    last: int | None
+
+
 class Stream(msgspec.Struct):
-    """One life's records. `length`: its last place, None while it is written. `acked`: up to where billing
-    has told that it has them. `kept`: index of the first segment that is still here. `sealed`: billing knows
-    the length."""
+    """The records of one incarnation of the process.
+
+    `names` is an index into `Control.names`. `length` is the last slot, None while the stream is written.
+    `acked` is the watermark: the last slot that billing has acknowledged. `first_segment` is the index of the
+    first segment on the disk. `sealed`: billing has acknowledged the length.
+    """
 
     nonce: str
     slots: int
@@ -43,23 +54,30 @@
     parts: list[Part]
     length: int | None = None
     acked: int = 0
-    kept: int = 0
+    first_segment: int = msgspec.field(default=0, name="kept")
     sealed: bool = False
 
-    def part(self, sequence: int) -> tuple[Part, int | None]:
-        """The part that a place belongs to, and its last place, None where it has no end yet."""
-        at = max(i for i, part in enumerate(self.parts) if part.first <= sequence)
-        end = self.parts[at + 1].first - 1 if at + 1 < len(self.parts) else self.length
-        return self.parts[at], end
+    def part(self, sequence: int) -> PartBounds:
+        """The part that a slot belongs to."""
+        index = max(i for i, part in enumerate(self.parts) if part.first <= sequence)
+        is_last = index + 1 == len(self.parts)
+        return PartBounds(self.parts[index], self.length if is_last else self.parts[index + 1].first - 1)
+
+    def last_slot(self, index: int) -> int:
+        """The last slot of a segment, which is the stream's last if that comes first."""
+        last = (index + 1) * self.slots
+        return last if self.length is None else min(last, self.length)
 
-    def over(self) -> bool:
-        """Nothing of it is left to be told."""
+    def is_exported(self) -> bool:
+        """Whether billing has acknowledged all records and the length."""
         return self.length is not None and self.sealed and self.acked >= self.length
 
 
 class Intent(msgspec.Struct, frozen=True):
-    """A batch that may have been sent: the same bytes go again until it is answered. `length`: as it was
-    told, also where the stream has ended since."""
+    """A batch that may have been sent: it is sent again with the same bytes until billing replies.
+
+    `length` is the one in the batch, also if the stream has ended since.
+    """
 
     epoch: int
     first: int
@@ -69,49 +87,66 @@
 
 
 class Control(msgspec.Struct):
-    """The whole. `month`: start of the newest month begun, Unix ms. `lost`: records that were counted and
-    then given up, by reason."""
+    """The checkpoint.
+
+    `producer` names the folder. `generation` counts the writes of the checkpoint. `epoch` is the highest
+    number of a stream, `streams` are by epoch. `month_start_ms` is the start of the newest month that was
+    begun. `lost` counts records that were removed before they were exported, by reason.
+    """
 
     producer: str
     generation: int = 0
     epoch: int = 0
-    month: int = 0
+    month_start_ms: int = msgspec.field(default=0, name="month")
     names: list[Names] = []
     streams: dict[int, Stream] = {}
     intent: Intent | None = None
     lost: dict[str, int] = {}
 
-    def names_of(self, names: Names) -> int:
-        """Where `names` stand, added if need be; those that no stream uses any more go."""
+    def names_index(self, names: Names) -> int:
+        """The index of `names`, which are added if need be; names without a stream are removed."""
         used = sorted({stream.names for stream in self.streams.values()})
-        moved = {old: new for new, old in enumerate(used)}
+        new_index = {old: new for new, old in enumerate(used)}
         self.names = [self.names[old] for old in used]
         for stream in self.streams.values():
-            stream.names = moved[stream.names]
+            stream.names = new_index[stream.names]
         if names not in self.names:
             self.names.append(names)
         return self.names.index(names)
 
 
+class NewestCopy(NamedTuple):
+    """The newest valid copy of the checkpoint and its area, by the index in `AREAS`.
+
+    `errors` has a line for each invalid copy. `newer`: a newer version of the program wrote one of them, and
+    nothing may be changed.
+    """
+
+    control: Control | None
+    area: int
+    errors: list[str]
+    newer: bool
+
+
 def pack(control: Control) -> bytes:
-    """The document's bytes."""
+    """The bytes of the stored document."""
     return SCHEMA.pack(control)
 
 
-def newest(copies: list[bytes]) -> tuple[Control | None, int, list[str], bool]:
-    """The newest copy that checks, where it lies, what is wrong with the others, and whether a newer program
-    wrote one: nothing may be changed then. No copy at all is no error: the folder is new."""
+def newest(copies: list[bytes]) -> NewestCopy:
+    """The newest valid one of the copies, which are in the order of `AREAS`. Without any copy the folder is
+    new, which is no error."""
     best: Control | None = None
-    at, wrong, newer = 0, list[str](), False
-    for number, data in enumerate(copies):
+    area, errors, newer = 0, list[str](), False
+    for index, data in enumerate(copies):
         if not data.strip(b"\0"):
             continue
         try:
             control = SCHEMA.unpack(data, Control)
         except DocumentError as error:
-            wrong.append(f"{AREAS[number]}: {error}")
+            errors.append(f"{AREAS[index]}: {error}")
             newer |= error.newer
             continue
         if best is None or control.generation > best.generation:
-            best, at = control, number
-    return best, at, wrong, newer
+            best, area = control, index
+    return NewestCopy(best, area, errors, newer)
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -1,16 +1,14 @@
-"""Which batch goes to billing next, and what its answers mean.
-
-May know: the control, what is committed. May not know: HTTP, threads, the disk. Rules:
-
-- Only what is committed leaves, in order of places, one batch at a time, the oldest stream first.
-- A batch is noted on the disk before it is first sent: until it is answered the same places go again, after a
-  crash too.
-- Billing's `taken` moves the watermark, nothing else does; it moves back if billing forgot.
-- A closed stream's length goes along with its last batch, or alone: from then on nobody can add to it. It is
-  sealed only by the answer to a batch that named the length.
-- Fenced off by a seal: up to it the stream is sent as before, as the same places hold the same records for
-  whoever has a copy. What lies behind it goes on as a stream of its own, which all copies name alike.
-- A refusal that trying again can't mend stalls the export, is told, and is tried all the same, seldom.
+"""Which batch is sent to billing next, and what billing's replies mean.
+
+- Only committed records are sent, in order of slots, one batch at a time, the oldest stream first.
+- The intent to send a batch is on the disk before the batch is first sent: until billing replies the same
+  slots are sent again, after a crash too.
+- Only `Reply.taken` moves the watermark; it moves back if billing has lost records.
+- The length of a closed stream is sent with its last batch, or alone. Only the reply to a batch that has the
+  length seals the stream; from then on nobody can add to it.
+- A stream that billing has fenced is sent as before up to the seal, as the same slots have the same records
+  in every copy of the folder. What follows the seal is exported as a new stream under a derived name.
+- A rejection that a retry can't resolve raises an alarm, and is retried all the same, after a long pause.
 """
 
 from __future__ import annotations
@@ -27,34 +25,41 @@
 from .control import Control, Intent, Part, Stream
 
 SECOND = 1_000_000_000
-BATCH = 1024  # places: some 120 kB as JSON, and two or three milliseconds of a loop
-WAIT_LEAST, WAIT_MOST = SECOND // 4, 60 * SECOND  # between tries of one batch, doubled each time, jittered
-REFUSED_WAIT = 60 * SECOND  # after an answer that trying again won't mend
+BATCH_SLOTS = 1024  # at most: about 120 kB of JSON, and two or three milliseconds of the event loop
+MIN_BACKOFF_NS = SECOND // 4
+MAX_BACKOFF_NS = 60 * SECOND
+REJECTED_BACKOFF_NS = 60 * SECOND  # after a reply that a retry can't resolve
+MIN_JITTER = 0.5  # part of the backoff
+STREAM_ID_BYTES = 16
 
 
 class Stage(Enum):
-    """IDLE: nothing is under way. READING: the records were asked for. NOTING: the intent is not on the disk
-    yet. READY: may be sent. SENT: no answer yet. RESTING: tried, and waits until it tries again."""
+    """What happens to the current batch.
+
+    IDLE: there is none. READING: its records are being read. SAVING_INTENT: the intent to send it is not on
+    the disk yet. READY: it may be sent. SENT: the reply is awaited. BACKING_OFF: it failed and is retried
+    later.
+    """
 
     IDLE = "idle"
     READING = "reading"
-    NOTING = "noting"
+    SAVING_INTENT = "saving intent"
     READY = "ready"
     SENT = "sent"
-    RESTING = "resting"
+    BACKING_OFF = "backing off"
 
 
 @dataclass(frozen=True, slots=True)
 class Post:
-    """A batch to be sent."""
+    """An encoded batch, with its idempotency key and the SHA-256 of the body."""
 
     key: str
     body: bytes
     digest: str
 
 
-class Span(NamedTuple):
-    """What is sent next."""
+class SlotRange(NamedTuple):
+    """Slots `first` to `last` of a stream."""
 
     epoch: int
     first: int
@@ -62,187 +67,206 @@
 
 
 def forked(stream: str, first: int) -> str:
-    """The name under which a stream goes on from a place. Whoever holds a copy of these records comes to the
-    same name: they are taken once, whoever sends them."""
-    return hashlib.blake2b(f"{stream}:{first}".encode(), digest_size=16).hexdigest()
+    """The name under which a fenced stream continues from slot `first`. All who have a copy of these records
+    derive the same name, so billing takes them once, whoever sends them."""
+    name = f"{stream}:{first}".encode()
+    return hashlib.blake2b(name, digest_size=STREAM_ID_BYTES).hexdigest()
 
 
 class Exporter:
-    """One batch's way; the control is changed here, and saved elsewhere when `dirty`."""
+    """The state of the current batch.
 
-    def __init__(self, every: int, rng: random.Random) -> None:
-        """`every`: ns for which a batch that is not full is waited for."""
-        self._every = every
-        self._rng = rng
+    Where it changes the checkpoint it sets `dirty`, for the ledger to save it. `alarms` are lines for
+    operators. `trouble` is the error of the last attempt, empty after a success.
+    """
+
+    def __init__(self, batch_delay_ns: int, rng: random.Random) -> None:
+        """`batch_delay_ns`: for how long a batch that is not full waits for more records."""
         self.stage = Stage.IDLE
         self.dirty = False
         self.alarms: list[str] = []
-        self.posts = 0
-        self.resent = 0
-        self._span: Span | None = None
+        self.trouble = ""
+        self._batch_delay_ns = batch_delay_ns
+        self._rng = rng
+        self._range: SlotRange | None = None
         self._post: Post | None = None
-        self._until = 0
-        self._wait = WAIT_LEAST
-        self._sent_at = 0
-        self.trouble = ""  # why the last try failed; empty once one went well
+        self._retry_at_ns = 0
+        self._backoff_ns = MIN_BACKOFF_NS
+        self._sent_at_ns = 0
 
-    # What to send.
+    def next_read(self, now: int, control: Control, committed: int) -> Read | None:
+        """The records to read for a new batch, None if none is due.
 
-    def next(self, now: int, control: Control, committed: int) -> Read | None:
-        """The records wanted for a batch, if one is to be made now. `committed`: of the live stream."""
+        `now` is in ns; `committed` is the last committed slot of the stream that is written.
+        """
         if self.stage is not Stage.IDLE:
             return None
-        if control.intent is not None and control.intent.epoch in control.streams:
-            span = Span(control.intent.epoch, control.intent.first, control.intent.last)
-        elif (found := self._due(now, control, committed)) is None:
-            return None
+        intent = control.intent
+        if intent is not None and intent.epoch in control.streams:
+            slots: SlotRange | None = SlotRange(intent.epoch, intent.first, intent.last)
         else:
-            span = found
-        self._span = span
+            slots = self._next_range(now, control, committed)
+        if slots is None:
+            return None
+        self._range = slots
         self.stage = Stage.READING
-        stream = control.streams[span.epoch]
-        index, nonce = (span.first - 1) // stream.slots, bytes.fromhex(stream.nonce)
-        return Read(Head(span.epoch, index, stream.slots, nonce), span.first, span.last)
+        stream = control.streams[slots.epoch]
+        index = (slots.first - 1) // stream.slots
+        head = Head(slots.epoch, index, stream.slots, bytes.fromhex(stream.nonce))
+        return Read(head, slots.first, slots.last)
 
-    def _due(self, now: int, control: Control, committed: int) -> Span | None:
+    def _next_range(self, now: int, control: Control, committed: int) -> SlotRange | None:
         for epoch, stream in sorted(control.streams.items()):
-            if stream.over():
+            if stream.is_exported():
                 continue
             end = committed if stream.length is None else stream.length
             first = stream.acked + 1
-            _, bound = stream.part(first)
-            last = min(end, first + BATCH - 1, ((first - 1) // stream.slots + 1) * stream.slots, bound or end)
-            if stream.length is None:  # the live one, which comes last
-                few = last - first + 1 < BATCH
-                if last < first or (few and now - self._sent_at < self._every):
+            part_end = stream.part(first).last
+            segment_end = ((first - 1) // stream.slots + 1) * stream.slots
+            last = min(end, first + BATCH_SLOTS - 1, segment_end, part_end or end)
+            if stream.length is None:  # the one that is written, which comes last
+                is_full = last - first + 1 >= BATCH_SLOTS
+                if last < first or (not is_full and now - self._sent_at_ns < self._batch_delay_ns):
                     return None
-            return Span(epoch, first, last)
+            return SlotRange(epoch, first, last)
         return None
 
-    def made(self, control: Control, scan: Scan | None) -> None:
-        """The records of the batch; None: their segment is gone."""
-        assert self._span is not None and self.stage is Stage.READING
-        span, stream = self._span, control.streams[self._span.epoch]
-        part, bound = stream.part(span.first)
-        held = rows(scan, control.names[stream.names]) if scan is not None else ()
-        places = span.last - span.first + 1
-        holes = len([n for n in scan.bad if n <= span.last]) if scan is not None else places
-        names, old = control.names[stream.names], control.intent
-        again = old is not None and (old.epoch, old.first, old.last) == span
-        length = old.length if again and old is not None else bound
-        batch = Batch(
-            control.producer,
-            names.gateway,
-            span.epoch,
-            part.id,
-            part.first - 1,
-            span.first,
-            span.last,
-            length,
-            held,
-            holes,
-        )
+    def records_read(self, control: Control, scan: Scan | None) -> None:
+        """The records of the batch were read; `scan` is None if their segment is gone."""
+        assert self._range is not None and self.stage is Stage.READING
+        slots, previous = self._range, control.intent
+        is_repeat = previous is not None and (previous.epoch, previous.first, previous.last) == slots
+        length = control.streams[slots.epoch].part(slots.first).last
+        if is_repeat and previous is not None:
+            length = previous.length
+        batch = _batch(control, slots, length, scan)
         body = encode(batch)
         self._post = Post(batch.key, body, digest(body))
-        intent = Intent(span.epoch, span.first, span.last, length, self._post.digest)
-        if control.intent == intent:
+        intent = Intent(slots.epoch, slots.first, slots.last, length, self._post.digest)
+        if previous == intent:
             self.stage = Stage.READY
             return
-        if again:
+        if is_repeat:
             self.alarms.append(
                 f"batch {batch.key} has other bytes than when it was first sent: "
-                f"{holes} of its places can't be read"
+                f"{batch.holes} of its places can't be read"
             )
         control.intent = intent
         self.dirty = True
-        self.stage = Stage.NOTING
+        self.stage = Stage.SAVING_INTENT
 
-    def unread(self) -> None:
-        """The disk did not give the records; asked for again later."""
+    def read_failed(self) -> None:
+        """The disk did not return the records: they are to be read again."""
         self.stage = Stage.IDLE
-        self._span = None
+        self._range = None
 
-    def saved(self) -> None:
-        """The control, as it was when the save began with `dirty` cleared, is on the disk."""
-        if self.stage is Stage.NOTING and not self.dirty:
+    def checkpoint_saved(self) -> None:
+        """The checkpoint is on the disk as it was when `dirty` was last cleared."""
+        if self.stage is Stage.SAVING_INTENT and not self.dirty:
             self.stage = Stage.READY
 
-    def post(self, now: int) -> Post | None:
-        """The batch, when it may go; once for each try."""
-        if self.stage is Stage.RESTING and now >= self._until:
+    def next_post(self, now: int) -> Post | None:
+        """The batch if it is to be sent now, once per attempt; `now` is in ns."""
+        if self.stage is Stage.BACKING_OFF and now >= self._retry_at_ns:
             self.stage = Stage.READY
         if self.stage is not Stage.READY:
             return None
         self.stage = Stage.SENT
-        self._sent_at = now
-        self.posts += 1
+        self._sent_at_ns = now
         return self._post
 
-    # What came of it.
+    def send_failed(self, now: int, why: str, retry_after_ns: int = 0, final: bool = False) -> None:
+        """There was no reply, or none that concerns the batch.
 
-    def failed(self, now: int, why: str, retry_in: int = 0, final: bool = False) -> None:
-        """No answer, or one that says nothing about the batch. `retry_in`: ns, the receiver's own advice."""
-        self.stage = Stage.RESTING
-        self.resent = self.resent + 1
+        `retry_after_ns` is the receiver's Retry-After; `final`: a retry can't resolve it.
+        """
+        self.stage = Stage.BACKING_OFF
         if why != self.trouble:
             self.alarms.append(f"export waits: {why}")
         self.trouble = why
-        wait = REFUSED_WAIT if final else max(retry_in, int(self._wait * self._rng.uniform(0.5, 1.0)))
-        self._until = now + wait
-        self._wait = min(WAIT_MOST, 2 * self._wait)
-
-    def answered(self, control: Control, reply: Reply) -> None:
-        """Billing's word on the batch that was sent."""
-        assert self._span is not None and control.intent is not None
-        span, stream = self._span, control.streams[self._span.epoch]
+        if final:
+            pause_ns = REJECTED_BACKOFF_NS
+        else:
+            pause_ns = max(retry_after_ns, int(self._backoff_ns * self._rng.uniform(MIN_JITTER, 1.0)))
+        self._retry_at_ns = now + pause_ns
+        self._backoff_ns = min(MAX_BACKOFF_NS, 2 * self._backoff_ns)
+
+    def reply_received(self, control: Control, reply: Reply) -> None:
+        """Billing's reply to the batch that was sent."""
+        assert self._range is not None and control.intent is not None
+        slots, stream = self._range, control.streams[self._range.epoch]
         if self.trouble:
             self.alarms.append("export goes on")
         self.trouble = ""
-        self._wait = WAIT_LEAST
+        self._backoff_ns = MIN_BACKOFF_NS
         self.dirty = True
         if reply.conflict:
             self.alarms.append(
-                f"billing has other bytes for places {span.first} to {span.last} of epoch "
-                f"{span.epoch}: compare with `use reconcile`"
+                f"billing has other bytes for places {slots.first} to {slots.last} of epoch "
+                f"{slots.epoch}: compare with `use reconcile`"
             )
         if reply.fenced:
-            self._fenced(span, stream, reply)
-        elif reply.taken < span.first - 1:
-            self._forgotten(control, span, reply.taken)
+            self._fence(slots, stream, reply)
+        elif reply.taken < slots.first - 1:
+            self._rewind(control, slots, reply.taken)
         else:
-            _, bound = stream.part(span.first)
-            # A batch of a former life may lie behind places that billing is being asked about once more.
-            if stream.acked >= span.first - 1:
-                stream.acked = max(stream.acked, min(reply.taken, span.last if bound is None else bound))
-            # A batch that was first sent while the stream was written goes again without its length.
-            length_sent = control.intent.length is not None and span.first >= stream.parts[-1].first
-            whole = stream.length is not None and stream.acked >= stream.length
-            stream.sealed = stream.sealed or (whole and length_sent)
+            _acknowledge(stream, slots, control.intent, reply.taken)
         control.intent = None
-        self._span = None
+        self._range = None
         self._post = None
         self.stage = Stage.IDLE
 
-    def _fenced(self, span: Span, stream: Stream, reply: Reply) -> None:
-        """Some other life told an end of this stream before what is here: ours ends there too."""
+    def _fence(self, slots: SlotRange, stream: Stream, reply: Reply) -> None:
+        """Another incarnation has sealed this stream before its end here: it is split at the seal."""
         sealed = reply.sealed if reply.sealed is not None else reply.taken
-        part, _ = stream.part(span.first)
-        fresh = forked(part.id, sealed + 1)
-        stream.parts.insert(stream.parts.index(part) + 1, Part(sealed + 1, fresh))
+        part = stream.part(slots.first).part
+        name = forked(part.id, sealed + 1)
+        stream.parts.insert(stream.parts.index(part) + 1, Part(sealed + 1, name))
         stream.acked = min(stream.acked, sealed)
         self.alarms.append(
-            f"epoch {span.epoch} was taken over by another life, up to place {sealed}: two "
-            f"gateways have copies of one folder. What was counted here goes on as {fresh}"
+            f"epoch {slots.epoch} was taken over by another life, up to place {sealed}: two "
+            f"gateways have copies of one folder. What was counted here goes on as {name}"
         )
 
-    def _forgotten(self, control: Control, span: Span, taken: int) -> None:
-        """Billing was set back, perhaps to an old copy: it is asked about every stream that is still here,
-        and about this one from its beginning, as an earlier part may have another end by now."""
-        stream = control.streams[span.epoch]
-        stream.acked = 0
-        for each in control.streams.values():
-            each.sealed = False
+    def _rewind(self, control: Control, slots: SlotRange, taken: int) -> None:
+        """Billing has lost records, perhaps by a restore from a backup. All streams are checked with it
+        again, and this one from its first slot, as an earlier part of it may have another end by now."""
+        control.streams[slots.epoch].acked = 0
+        for stream in control.streams.values():
+            stream.sealed = False
         self.alarms.append(
-            f"billing has forgotten places {taken + 1} to {span.first - 1} of epoch "
-            f"{span.epoch}: what is still here is sent again"
+            f"billing has forgotten places {taken + 1} to {slots.first - 1} of epoch "
+            f"{slots.epoch}: what is still here is sent again"
         )
+
+
+def _batch(control: Control, slots: SlotRange, length: int | None, scan: Scan | None) -> Batch:
+    """The batch with the records in `scan`; without them all of its slots are holes."""
+    stream = control.streams[slots.epoch]
+    names = control.names[stream.names]
+    part = stream.part(slots.first).part
+    slot_count = slots.last - slots.first + 1
+    return Batch(
+        control.producer,
+        names.gateway,
+        slots.epoch,
+        part.id,
+        part.first - 1,
+        slots.first,
+        slots.last,
+        length,
+        rows(scan, names) if scan is not None else (),
+        sum(slot <= slots.last for slot in scan.bad) if scan is not None else slot_count,
+    )
+
+
+def _acknowledge(stream: Stream, slots: SlotRange, intent: Intent, taken: int) -> None:
+    """Billing has the stream's slots up to `taken`: advance the watermark, and seal a complete stream."""
+    part_end = stream.part(slots.first).last
+    # After a rewind this batch may lie ahead of slots that are checked with billing again.
+    if stream.acked >= slots.first - 1:
+        stream.acked = max(stream.acked, min(taken, slots.last if part_end is None else part_end))
+    # A batch that was first sent while the stream was written is sent again without the length.
+    has_length = intent.length is not None and slots.first >= stream.parts[-1].first
+    is_complete = stream.length is not None and stream.acked >= stream.length
+    stream.sealed = stream.sealed or (is_complete and has_length)
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -1,7 +1,7 @@
-"""Use records of a running gateway: a thread for the disk, a task for billing, and the clock.
+"""The host of a running gateway's ledger: a thread for the disk, a task for billing, and the clock.
 
-May know: loops, threads, the ledger. Decides nothing. The ledger's calls are carried out one at a time in a
-thread of their own, so that a slow disk never holds the loop up.
+The ledger's calls are performed one at a time in a thread of their own, so that a slow disk never blocks the
+event loop.
 """
 
 from __future__ import annotations
@@ -26,9 +26,14 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_LEAST, LOOK_MOST = 0.01, 0.25  # s between looks at what the ledger wants: half of a commit's wait
-ENDING = 5.0  # s that a stopping gateway waits for its last commit
-MILLISECOND = 1_000_000
+MIN_POLL_S = 0.01  # between two polls of the ledger for its next call
+MAX_POLL_S = 0.25
+POLLS_PER_COMMIT = 2
+STOP_TIMEOUT_S = 5.0  # for the last commit of a gateway that stops
+PROGRESS_S = 1.0  # between two reports of an export
+NS_PER_S = 1_000_000_000
+NS_PER_MS = 1_000_000
+EXPORT_BOUNDS = Bounds(64, 4, 0, 0, "fold")  # of a ledger that records nothing
 
 
 def _close(areas: list[Area]) -> None:
@@ -36,8 +41,12 @@
         area.close()
 
 
+def _ignore_progress(ledger: UsageLedger) -> None:
+    """What `export_all` calls by default."""
+
+
 class UseHost:
-    """One gateway's ledger, on a real folder and a real way to billing."""
+    """One gateway's ledger on a real folder, with a real sender."""
 
     def __init__(
         self,
@@ -48,6 +57,7 @@
         sender: Sender | None,
         write: bool = True,
     ) -> None:
+        """`now`: a clock in ns. Without a `sender` nothing is exported; without `write` nothing recorded."""
         self.ledger = UsageLedger(bounds, names, random.SystemRandom(), write)
         self._folder = folder
         self._now = now
@@ -57,41 +67,52 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._sending: asyncio.Task[None] | None = None
-        self._over = asyncio.Event()
+        self._stopped = asyncio.Event()
         self._abandoned = False
-        self._look = min(LOOK_MOST, max(LOOK_LEAST, bounds.commit / 2e9))
+        poll_s = bounds.commit_delay_ns / (POLLS_PER_COMMIT * NS_PER_S)
+        self._poll_s = min(MAX_POLL_S, max(MIN_POLL_S, poll_s))
 
     def start(self) -> None:
-        """Begin to look at what the ledger wants."""
-        self._pump()
+        """Begin to poll the ledger."""
+        self._poll()
 
     def count(
-        self, ending: Ending, cls: int, plan: int, version: int, customer: int, units: float, attempts: int
+        self,
+        ending: Ending,
+        request_class: int,
+        plan: int,
+        plan_version: int,
+        tenant: int,
+        units: float,
+        attempts: int,
     ) -> None:
-        """One request's final answer; before the answer is written, so that no answer is without a record."""
-        wall = time.time_ns() // MILLISECOND
-        self.ledger.count(self._now(), wall, ending, cls, plan, version, customer, nano(units), attempts)
-
-    def _pump(self) -> None:
-        self._go_on()
-        if not self.ledger.over:
-            self._timer = self._loop.call_later(self._look, self._pump)
-
-    def _go_on(self) -> None:
-        """Whatever can be begun now is."""
+        """Record one request's final answer. To be called before the answer is written, so that no answer is
+        without a record."""
+        time_ms = time.time_ns() // NS_PER_MS
+        self.ledger.count(
+            self._now(), time_ms, ending, request_class, plan, plan_version, tenant, nano(units), attempts
+        )
+
+    def _poll(self) -> None:
+        self._advance()
+        if not self.ledger.is_stopped:
+            self._timer = self._loop.call_later(self._poll_s, self._poll)
+
+    def _advance(self) -> None:
+        """Begin whatever can be begun now."""
         ledger, now = self.ledger, self._now()
-        if (call := ledger.call(now)) is not None:
+        if (call := ledger.next_call(now)) is not None:
             self._disk.submit(self._perform, call)
-        if self._sender is not None and (post := ledger.post(now)) is not None:
+        if self._sender is not None and (post := ledger.next_post(now)) is not None:
             self._sending = self._loop.create_task(self._send(self._sender, post))
         for text in ledger.alarms:
             log.warning("%s", text)
         ledger.alarms.clear()
-        if ledger.over:
-            self._over.set()
+        if ledger.is_stopped:
+            self._stopped.set()
 
     def _perform(self, call: Call) -> None:
-        """In the disk's thread."""
+        """In the disk's thread: perform a call and pass its result to the loop."""
         result: Result | OSError
         try:
             if self._files is None:
@@ -103,48 +124,45 @@
             if error.errno == errno.EWOULDBLOCK:
                 error = OSError(errno.EWOULDBLOCK, f"{self._folder} is another process's")
             result = error
-        except Exception as error:  # whatever it was: the ledger must not wait for ever
+        except Exception as error:  # the ledger must get a result in any case
             log.exception("fault in %s", type(call).__name__)
             result = OSError(errno.EIO, str(error))
-        self._loop.call_soon_threadsafe(self._done, result)
+        self._loop.call_soon_threadsafe(self._call_done, result)
 
-    def _done(self, result: Result | OSError) -> None:
+    def _call_done(self, result: Result | OSError) -> None:
         if self._abandoned:
             return
-        ledger = self.ledger
-        ledger.done(self._now(), result)
-        spent = ledger.spent
-        ledger.spent = []
-        if spent:
-            self._disk.submit(_close, spent)
-        # What follows at once is not made to wait for the next look: opening is a chain of calls.
-        self._go_on()
+        self.ledger.call_done(self._now(), result)
+        if areas := self.ledger.take_released_areas():
+            self._disk.submit(_close, areas)
+        # The next call does not wait for the next poll: recovery is a chain of calls.
+        self._advance()
 
     async def _send(self, sender: Sender, post: Post) -> None:
         exporter = self.ledger.exporter
         try:
             reply = await sender.send(post)
         except SendError as error:
-            exporter.failed(self._now(), str(error), error.retry_in, error.final)
+            exporter.send_failed(self._now(), str(error), error.retry_after_ns, error.final)
         except TimeoutError:
-            exporter.failed(self._now(), "billing does not answer")
+            exporter.send_failed(self._now(), "billing does not answer")
         except OSError as error:
-            exporter.failed(self._now(), f"billing can't be reached: {error.strerror or error}")
+            exporter.send_failed(self._now(), f"billing can't be reached: {error.strerror or error}")
         except Exception as error:
             log.exception("fault in sending to billing")
-            exporter.failed(self._now(), str(error))
+            exporter.send_failed(self._now(), str(error))
         else:
             if exporter.stage is Stage.SENT:
-                exporter.answered(self.ledger.control, reply)
-                self._go_on()
+                exporter.reply_received(self.ledger.control, reply)
+                self._advance()
 
     async def stop(self) -> None:
-        """Every record is on the disk when this returns, or `ENDING` has passed; what is left is told."""
+        """Commit every record, within `STOP_TIMEOUT_S`, and close; what could not be committed is logged."""
         self.ledger.close()
-        self._go_on()
+        self._advance()
         try:
-            async with asyncio.timeout(ENDING):
-                await self._over.wait()
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                await self._stopped.wait()
         except TimeoutError:
             journal = self.ledger.journal
             log.error(
@@ -155,7 +173,7 @@
         await self.abandon()
 
     async def abandon(self) -> None:
-        """Whatever is under way is left as it is; the folder is free when this returns."""
+        """Leave everything as it is, as a crash would; the folder is unlocked on return."""
         self._abandoned = True
         if self._timer is not None:
             self._timer.cancel()
@@ -167,17 +185,24 @@
 
 
 async def export_all(
-    folder: Path, sender: Sender, most: float, told: Callable[[UsageLedger], None] = lambda ledger: None
+    folder: Path,
+    sender: Sender,
+    timeout_s: float,
+    on_progress: Callable[[UsageLedger], None] = _ignore_progress,
 ) -> UsageLedger:
-    """Sends what the lives of a gateway left in its folder, while none of them runs; gives the ledger as it
-    was at the end: `exported` says whether all went. `most`: s it may take; `told`: called once a second."""
-    host = UseHost(folder, Bounds(64, 4, 0, 0, "fold"), Names("", (), ()), time.monotonic_ns, sender, False)
+    """Export what a gateway left in its folder, while the gateway does not run.
+
+    Calls `on_progress` once a second. Returns the ledger as it is at the end; its `exported` says whether all
+    records were sent.
+    """
+    host = UseHost(folder, EXPORT_BOUNDS, Names("", (), ()), time.monotonic_ns, sender, write=False)
     host.start()
-    end, next_word = time.monotonic() + most, 0.0
-    while not host.ledger.exported and not host.ledger.over and time.monotonic() < end:
-        await asyncio.sleep(LOOK_LEAST)
-        if time.monotonic() >= next_word:
-            next_word = time.monotonic() + 1.0
-            told(host.ledger)
+    deadline, next_report = time.monotonic() + timeout_s, 0.0
+    ledger = host.ledger
+    while not ledger.exported and not ledger.is_stopped and time.monotonic() < deadline:
+        await asyncio.sleep(MIN_POLL_S)
+        if time.monotonic() >= next_report:
+            next_report = time.monotonic() + PROGRESS_S
+            on_progress(ledger)
     await host.abandon()
-    return host.ledger
+    return ledger
--- a/trackspread/usage/meter.py
+++ b/trackspread/usage/meter.py
@@ -1,94 +1,112 @@
-"""What is counted, and when: records from answers, sums of what finds no room, a clock that a month holds.
+"""Metering: sums of requests that get no record of their own, and the time that a record is stamped with.
 
-May know: records. May not know: disks, streams. Rules:
-
-- Every answer is counted once: in a record of its own, or in a sum, or, past the bound on sums, as nobody's.
-- Refusals are summed: a flood of them takes one record for each member and `REFUSALS_MS`, not one each.
-- A clock set back across a month's end does not open that month again: what comes is booked on the first
-  moment of the newest month that was begun. Within a month the clock is followed, back too.
+- Each request is counted once: in its own record, in a sum, or, past `MAX_SUMS`, in an unattributed sum.
+- Rejected requests are always summed: a flood of them costs one record per tenant and `REJECTED_FLUSH_MS`.
+- A clock set back across the end of a month does not reopen the month: records are stamped with the start of
+  the newest month. Within a month the clock is followed in both directions.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from datetime import UTC, datetime
+from typing import NamedTuple
+
+from .record import DAY_MS, MAX_ATTEMPTS, MAX_NANO_UNITS, MAX_REQUESTS, Kind, UsageRecord
+
+MAX_SUMS = 4096  # about 300 bytes each in memory
+REJECTED_FLUSH_MS = 10_000  # between two writes of the sums to the journal
+UNATTRIBUTED = -1  # in place of a tenant
+MS_PER_S = 1000
+DAYS_INTO_NEXT_MONTH = 32  # from the start of any month
+
 
-from .record import COUNT_MOST, DAY_MS, NANO_MOST, Kind, Use
+class SumKey(NamedTuple):
+    """The requests that share a sum; `tenant` may be `UNATTRIBUTED`, `day` counts from 1970-01-01."""
 
-SUMS_MOST = 4096  # rows, some 300 bytes each: a megabyte and a bit, in memory
-REFUSALS_MS = 10_000  # between sums of refusals
+    ending: int
+    request_class: int
+    plan: int
+    plan_version: int
+    tenant: int
+    day: int
 
-Row = tuple[int, int, int, int, int, int]  # ending, class, plan, plan's version, customer or -1, day
 
+@dataclass(slots=True)
+class Sum:
+    """Requests folded together; `time_ms` is the time of the first."""
 
-def month_start(ms: int) -> int:
-    """The first moment of the month, UTC, in Unix ms."""
-    moment = datetime.fromtimestamp(ms // 1000, UTC)
-    return int(moment.replace(day=1, hour=0, minute=0, second=0).timestamp()) * 1000
+    requests: int
+    nano_units: int
+    attempts: int
+    time_ms: int
+
+
+def month_start(time_ms: int) -> int:
+    """The start of the month, UTC, in Unix milliseconds."""
+    day = datetime.fromtimestamp(time_ms // MS_PER_S, UTC)
+    return int(day.replace(day=1, hour=0, minute=0, second=0).timestamp()) * MS_PER_S
 
 
 class Meter:
-    """`nobodys`: requests past the bound on sums, for the alarm; they are in the records as nobody's too."""
+    """Sums and time stamps of one process. `unattributed` and `clamped` count requests for alarms:
+    those past `MAX_SUMS`, and those stamped with the start of the month."""
 
     def __init__(self) -> None:
-        self.floor = 0  # ms, start of the newest month that was begun
-        self.sums: dict[Row, list[int]] = {}  # count, units, attempts, time of the first
-        self.nobodys = 0
-        self.clamped = 0  # records whose time was held at the month's start
-        self._next = 0  # ms, start of the month after: nothing to work out before it
-
-    def begun(self, ms: int) -> None:
-        """A month that records of a former life, or other word of the past, show as begun."""
-        self.floor = max(self.floor, month_start(ms))
-
-    def stamp(self, ms: int) -> int:
-        """The time that a record at `ms` is booked on."""
-        if ms < self.floor:
+        self.month_start_ms = 0  # of the newest month that was begun
+        self.sums: dict[SumKey, Sum] = {}
+        self.unattributed = 0
+        self.clamped = 0
+        self._next_month_ms = 0  # no month has to be computed before this time
+
+    def stamp(self, time_ms: int) -> int:
+        """The time to record for a request that ended at `time_ms`."""
+        if time_ms < self.month_start_ms:
             self.clamped += 1
-            return self.floor
-        if ms >= self._next:
-            self.floor = month_start(ms)
-            self._next = month_start(self.floor + 32 * DAY_MS)  # 32 days on lies in the month after
-        return ms
-
-    def fold(self, use: Use) -> None:
-        """Into a sum. Past the bound the row is nobody's: class, plan and ending are kept."""
-        day = use.time // DAY_MS
-        row = use.ending, use.cls, use.plan, use.version, use.customer, day
-        if row not in self.sums and len(self.sums) >= SUMS_MOST:
-            self.nobodys += use.requests
-            row = use.ending, use.cls, use.plan, 0, -1, day
-        held = self.sums.setdefault(row, [0, 0, 0, use.time])
-        held[0] += use.requests
-        held[1] += use.units
-        held[2] += use.attempts
-
-    def oldest(self) -> Use | None:
-        """A record of the sum that is longest here, or of as much of it as one record holds. A sum is of one
-        day, and keeps the time of its first request."""
+            return self.month_start_ms
+        if time_ms >= self._next_month_ms:
+            self.month_start_ms = month_start(time_ms)
+            self._next_month_ms = month_start(self.month_start_ms + DAYS_INTO_NEXT_MONTH * DAY_MS)
+        return time_ms
+
+    def fold(self, record: UsageRecord) -> None:
+        """Add a record to its sum. Past `MAX_SUMS` only its class, plan and ending are kept."""
+        day = record.time_ms // DAY_MS
+        key = SumKey(
+            record.ending, record.request_class, record.plan, record.plan_version, record.tenant, day
+        )
+        if key not in self.sums and len(self.sums) >= MAX_SUMS:
+            self.unattributed += record.requests
+            key = SumKey(record.ending, record.request_class, record.plan, 0, UNATTRIBUTED, day)
+        total = self.sums.setdefault(key, Sum(0, 0, 0, record.time_ms))
+        total.requests += record.requests
+        total.nano_units += record.nano_units
+        total.attempts += record.attempts
+
+    def oldest(self) -> UsageRecord | None:
+        """The oldest sum, or as much of it as one record holds; None if there is none."""
         if not self.sums:
             return None
-        row, (requests, units, attempts, at) = next(iter(self.sums.items()))
-        ending, cls, plan, version, customer, _ = row
-        kind = Kind.SUM if customer >= 0 else Kind.LOST
-        return Use(
-            kind,
-            ending,
-            cls,
-            plan,
-            min(attempts, 0xFFFF),
-            version,
-            min(requests, COUNT_MOST),
-            at,
-            max(0, customer),
-            min(units, NANO_MOST),
+        key, total = next(iter(self.sums.items()))
+        return UsageRecord(
+            Kind.SUM if key.tenant >= 0 else Kind.LOST,
+            key.ending,
+            key.request_class,
+            key.plan,
+            min(total.attempts, MAX_ATTEMPTS),
+            key.plan_version,
+            min(total.requests, MAX_REQUESTS),
+            total.time_ms,
+            max(0, key.tenant),
+            min(total.nano_units, MAX_NANO_UNITS),
         )
 
-    def written(self, use: Use) -> None:
-        """The record that `oldest` gave has a place: only now does the sum let go of it."""
-        row = next(iter(self.sums))
-        held = self.sums[row]
-        held[0] -= use.requests
-        held[1] -= use.units
-        held[2] = 0
-        if not held[0] and not held[1]:
-            del self.sums[row]
+    def written(self, record: UsageRecord) -> None:
+        """The record that `oldest` returned is in the journal: subtract it from its sum."""
+        key = next(iter(self.sums))
+        total = self.sums[key]
+        total.requests -= record.requests
+        total.nano_units -= record.nano_units
+        total.attempts = 0
+        if not total.requests and not total.nano_units:
+            del self.sums[key]
--- a/trackspread/usage/record.py
+++ b/trackspread/usage/record.py
@@ -1,7 +1,6 @@
-"""One use record: what a client was answered, in the forty bytes of a slot, exact to a billionth of a unit.
+"""One usage record: what a client was answered, in the forty bytes of a journal slot.
 
-May know: layout. May not know: disks, decisions. Units are whole billionths here: sums of them are exact,
-whatever their order, and nine decimals are what a client can say.
+Units are integers of a billionth each, so that sums are exact in any order; a client can state nine decimals.
 """
 
 from __future__ import annotations
@@ -12,20 +11,22 @@
 
 NANO = 1_000_000_000
 DAY_MS = 86_400_000
-COUNT_MOST, NANO_MOST, ATTEMPTS_MOST = 0xFFFFFFFF, 0xFFFFFFFFFFFFFFFF, 0xFFFF
+MAX_REQUESTS = 0xFFFFFFFF
+MAX_NANO_UNITS = 0xFFFFFFFFFFFFFFFF
+MAX_ATTEMPTS = 0xFFFF
 _PAYLOAD = struct.Struct("<BBHHHIIQQQ")
 
 
 class Kind(IntEnum):
-    """What a record stands for; never 0 or 255, which are the journal's."""
+    """What a record stands for; 0 and 255 are reserved by the journal."""
 
     USE = 1  # one request
-    SUM = 2  # requests that were folded into one record: no room, or refusals
-    LOST = 3  # requests whose members could not be told apart any more: of nobody
+    SUM = 2  # several requests: rejected ones, or ones that found no room in the journal
+    LOST = 3  # several requests whose tenants are not known
 
 
 class Ending(IntEnum):
-    """The answer that the client got; LEFT: it had gone before there was one."""
+    """The final answer to a request; LEFT: the client disconnected before it."""
 
     SERVED = 1
     FAILED = 2
@@ -33,32 +34,36 @@
     LEFT = 4
 
 
-class Use(NamedTuple):
-    """`time`: Unix ms. `units`: billionths, of all `requests` together. `attempts`: begun at
-    backends, second copies among them. `version`: of the plan in force."""
+class UsageRecord(NamedTuple):
+    """One request, or a sum of requests that are alike; the fields are in the order of the bytes.
+
+    `request_class` and `plan` are indexes into the stream's `Names`. `attempts` counts those begun at
+    backends, hedged ones too. `plan_version` is the one in force. `nano_units` are of all requests together.
+    """
 
     kind: int
     ending: int
-    cls: int
+    request_class: int
     plan: int
     attempts: int
-    version: int
+    plan_version: int
     requests: int
-    time: int
-    customer: int
-    units: int
+    time_ms: int
+    tenant: int
+    nano_units: int
 
 
 def nano(units: float) -> int:
-    """Rounded once, here: a decimal of up to 15 digits comes out as it was written."""
+    """Units as billionths; a decimal number of up to 15 digits is converted exactly."""
     return round(units * NANO)
 
 
-pack = _PAYLOAD.pack  # of a use's fields, in their order: one call, as each request pays for it
+# Takes the fields of a `UsageRecord` in their order: no record is built for each request on the hot path.
+pack = _PAYLOAD.pack
 
 
-def unpack(payload: bytes) -> Use | None:
-    """None for a kind that this program doesn't know."""
-    use = Use._make(_PAYLOAD.unpack(payload))
-    known = Kind.USE <= use.kind <= Kind.LOST and Ending.SERVED <= use.ending <= Ending.LEFT
-    return use if known else None
+def unpack(payload: bytes) -> UsageRecord | None:
+    """The record in a slot's payload, None if its kind or ending is unknown to this version."""
+    record = UsageRecord._make(_PAYLOAD.unpack(payload))
+    known = Kind.USE <= record.kind <= Kind.LOST and Ending.SERVED <= record.ending <= Ending.LEFT
+    return record if known else None
--- /dev/null
+++ b/trackspread/usage/recovery.py
@@ -0,0 +1,88 @@
+"""Recovery of a usage folder: what earlier incarnations left is read, checked and made durable.
+
+A folder that a newer version of the program wrote, or whose checkpoint can't be read, is not changed: the
+ledger sums in memory, and an alarm says so.
+"""
+
+from __future__ import annotations
+
+from ..storage.calls import Call, Found, Look, Refresh, Result
+from .context import LedgerContext, State
+from .control import AREA_SIZE, AREAS, NewestCopy, newest
+from .disk_calls import Purpose
+from .segments import SegmentId
+
+
+class FolderRecovery:
+    """Drives the states from NEW to NO_STREAM, or to STUCK."""
+
+    def __init__(self, context: LedgerContext) -> None:
+        self._context = context
+
+    def next_call(self, now: int) -> Call | None:
+        """The next call for the recovery, None if none is due; `now` is in ns."""
+        match self._context.state:
+            case State.NEW:
+                return self._scan(now)
+            case State.REFRESHING:
+                return self._refresh(now)
+        return None
+
+    def _scan(self, now: int) -> Call | None:
+        context = self._context
+        if not context.calls.may_start(Purpose.SCAN, now):
+            return None
+        context.state = State.SCANNING
+        return context.calls.start(Look(AREAS, AREA_SIZE), self._scanned, self._scan_failed)
+
+    def _scan_failed(self, now: int, error: OSError) -> None:
+        self._context.state = State.NEW
+        self._context.calls.retry_later(Purpose.SCAN)(now, error)
+
+    def _scanned(self, now: int, found: Result) -> None:
+        assert isinstance(found, Found)
+        context, checkpoint = self._context, self._context.checkpoint
+        copy = newest([area.read() for area in found.areas])
+        context.alarms += [f"use: {text}" for text in copy.errors]
+        undeclared = {
+            SegmentId(epoch, index)
+            for epoch, index in found.segments
+            if copy.control is None or epoch not in copy.control.streams
+        }
+        if why := _why_stuck(copy, found, undeclared):
+            context.state = State.STUCK
+            context.released_areas += found.areas
+            context.alarms.append(f"use: {why}: nothing is written or exported, sums are kept in memory")
+            return
+        checkpoint.open(found.areas, copy.area)
+        context.state = State.REFRESHING
+        context.alarms += [f"use: {name}: {error}" for name, error in found.broken.items()]
+        if copy.control is not None:
+            checkpoint.control = copy.control
+        context.segment_store.load(checkpoint.control, found, undeclared)
+        # Epochs of streams that were never declared are not used again: their files are still to be removed.
+        context.highest_epoch = max([checkpoint.control.epoch, *(epoch for epoch, _ in found.segments)])
+        meter = context.meter
+        meter.month_start_ms = max(meter.month_start_ms, checkpoint.control.month_start_ms)
+
+    def _refresh(self, now: int) -> Call | None:
+        context, checkpoint = self._context, self._context.checkpoint
+        if not context.calls.may_start(Purpose.REFRESH, now):
+            return None
+        names = context.segment_store.open_stream_files(checkpoint.control)
+        call = Refresh((checkpoint.valid_area,), names)
+        return context.calls.start(call, self._refreshed, context.calls.retry_later(Purpose.REFRESH))
+
+    def _refreshed(self, now: int, _: Result) -> None:
+        self._context.segment_store.end_streams(self._context.checkpoint.control)
+        self._context.state = State.NO_STREAM
+
+
+def _why_stuck(copy: NewestCopy, found: Found, undeclared: set[SegmentId]) -> str:
+    """Why the folder must not be changed, empty if it may be."""
+    if copy.newer:
+        return "a newer program wrote here"
+    has_records = any(found.segments[segment][1] for segment in undeclared)
+    if copy.control is None and has_records:
+        return "there are records, and no control that can be read (`trackspread use repair` makes one)"
+    return ""
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -1,20 +1,19 @@
-"""Which segments are on the disk, and which may go.
-
-May know: the control, the names of files. May not know: why a segment is full. Rules:
-
-- A segment goes once the watermark that is on the disk lies behind it, and a document with its sums is there:
-  reconciling needs no record that billing has. Half of the share is left to such segments, should billing
-  forget.
-- When the share is full the operator's choice holds. `fold`: none is made, records become sums in memory
-  until billing has taken what is here. `drop`: the oldest goes, its records are counted as lost, and billing
-  is told of the hole.
-- A disk that is full before the share is counts as a share that is full.
+"""Which segments are on the disk, and which may be removed.
+
+- A segment is removed once the watermark on the disk is past it, and a document with its totals is saved:
+  reconciliation needs no record that billing has. Such segments stay while they take no more than half of the
+  limit, in case billing loses records.
+- At the limit the operator's choice applies. `fold`: no segment is created, and requests are summed in memory
+  until billing has taken what is here. `drop`: the oldest segment is removed, its records count as lost, and
+  billing is told of the hole.
+- A disk that is full below the limit counts as the limit.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Literal
+from dataclasses import dataclass
+from typing import Literal, NamedTuple
 
 from ..storage.calls import Call, Found, Read, Remove, Replace, Result, segment_name, segment_of
 from ..storage.journal import Journal
@@ -23,169 +22,229 @@
 from .record import unpack
 from .totals import SegmentTotals, Totals, pack, sum_name
 
-SUMS_KEPT = 1024  # documents of sums, one a segment, some 20 kB each at most; the oldest go first
+MAX_SUM_FILES = 1024  # one per segment, about 20 kB each at most; the oldest are removed first
 Full = Literal["fold", "drop"]
-At = tuple[int, int]  # epoch and index of a segment
-Step = tuple[Call, Callable[[Result], None]]  # a call, and what it is for
+
+
+class SegmentId(NamedTuple):
+    """A segment, by its stream and its index in it."""
+
+    epoch: int
+    index: int
+
+
+class Step(NamedTuple):
+    """A call to the disk, and what to do with its result."""
+
+    call: Call
+    on_success: Callable[[Result], None]
+
+
+@dataclass(slots=True)
+class Removal:
+    """A segment that is being removed: its records are read, their totals saved, its file removed."""
+
+    segment: SegmentId
+    totals: SegmentTotals | None = None
+    totals_done: bool = False  # they are saved, or the disk has no space for them
 
 
 class SegmentStore:
-    """`saved`: by epoch, the watermark that is on the disk. `short`: the disk had no room of late. `dirty`:
-    the control was changed here."""
+    """The segments in the folder.
 
-    def __init__(self, most: int, full: Full) -> None:
-        self.saved: dict[int, int] = {}
-        self.short = False
+    `saved_watermarks` are those on the disk, by epoch. `disk_full`: the last attempt found no space there.
+    `dirty`: the checkpoint was changed here and is to be saved. `alarms` are lines for operators.
+    """
+
+    def __init__(self, max_segments: int, when_full: Full) -> None:
+        self.saved_watermarks: dict[int, int] = {}
+        self.disk_full = False
         self.dirty = False
         self.alarms: list[str] = []
-        self._most = most
-        self._full = full
-        self._segments: set[At] = set()
-        self._sums: list[str] = []
-        self._leftover: list[str] = []  # of lives that were never declared, or counted nothing
-        self._filled: dict[int, int] = {}  # by epoch, the last place that a former life wrote
-        self._going: At | None = None
-        self._sum: SegmentTotals | None = None
-        self._summed = False  # the sum of what is going is on the disk, or finds no room there
-
-    def found(self, control: Control, found: Found, strangers: set[At]) -> None:
-        """What a former life left."""
+        self._max_segments = max_segments
+        self._when_full = when_full
+        self._segments: set[SegmentId] = set()
+        self._sum_files: list[str] = []
+        self._leftover_files: list[str] = []  # of streams that were never declared, or have no records
+        self._last_written: dict[int, int] = {}  # slot, by epoch: what earlier incarnations wrote
+        self._removal: Removal | None = None
+
+    def load(self, control: Control, found: Found, undeclared: set[SegmentId]) -> None:
+        """Take up the folder as earlier incarnations left it. `undeclared`: segments without a stream."""
         broken = {
-            at: found.lengths.get(name, (0, 0))[1]
+            SegmentId(*location): found.lengths.get(name, (0, 0))[1]
             for name in found.broken
-            if (at := segment_of(name)) is not None and at[0] in control.streams
+            if (location := segment_of(name)) is not None and location[0] in control.streams
+        }
+        last_slots = {
+            SegmentId(*location): head.first - 1 + written
+            for location, (head, written) in found.segments.items()
+            if written
         }
-        filled = {at: head.first - 1 + n for at, (head, n) in found.segments.items() if n}
-        filled |= {at: at[1] * control.streams[at[0]].slots + n for at, n in broken.items() if n}
-        self._segments = (set(found.segments) - strangers) | set(broken)
-        self._leftover = [segment_name(*at) for at in sorted(strangers)]
-        self._sums = [name for name in found.names if name.startswith("sum-")]
-        self._filled = {
-            epoch: max([s.acked, *(last for at, last in filled.items() if at[0] == epoch)])
-            for epoch, s in control.streams.items()
+        for segment, written in broken.items():
+            if written:
+                last_slots[segment] = segment.index * control.streams[segment.epoch].slots + written
+        # Built from dictionaries, as the order of the set decides in which order files are removed.
+        present = dict.fromkeys(SegmentId(*location) for location in found.segments)
+        self._segments = (set(present) - undeclared) | set(broken)
+        self._leftover_files = [segment_name(*segment) for segment in sorted(undeclared)]
+        self._sum_files = [name for name in found.names if name.startswith("sum-")]
+        self._last_written = {
+            epoch: max([stream.acked, *(last for each, last in last_slots.items() if each.epoch == epoch)])
+            for epoch, stream in control.streams.items()
         }
 
-    def unsure(self, control: Control) -> tuple[str, ...]:
-        """Files of streams that were not ended in good order."""
+    def open_stream_files(self, control: Control) -> tuple[str, ...]:
+        """Files of streams that have no end yet."""
         return tuple(
-            segment_name(*at) for at in sorted(self._segments) if control.streams[at[0]].length is None
+            segment_name(*segment)
+            for segment in sorted(self._segments)
+            if control.streams[segment.epoch].length is None
         )
 
-    def ended(self, control: Control) -> None:
-        """What was found is on the disk: streams that a former life was writing end with what it wrote."""
+    def end_streams(self, control: Control) -> None:
+        """What `load` took up is on the disk: each stream without an end ends with its last written slot."""
         for epoch, stream in list(control.streams.items()):
             if stream.length is None:
-                stream.length = self._filled[epoch]
+                stream.length = self._last_written[epoch]
             if not stream.length:
                 del control.streams[epoch]
-                self._leftover += [segment_name(*at) for at in self._of(epoch)]
+                self._leftover_files += [segment_name(*segment) for segment in self._of(epoch)]
                 self._segments -= set(self._of(epoch))
                 continue
-            # Billing is asked once a life whether it still has it all; of several parts, about each.
+            # Each incarnation checks once whether billing still has all; of several parts, from the first.
             stream.sealed = False
             stream.acked *= len(stream.parts) == 1
-            here = [index for _, index in self._of(epoch)]
-            stream.kept = min(here, default=-(-stream.length // stream.slots))
-        self.saved = {epoch: stream.acked for epoch, stream in control.streams.items()}
+            indexes = [segment.index for segment in self._of(epoch)]
+            stream.first_segment = min(indexes, default=-(-stream.length // stream.slots))
+        self.saved_watermarks = {epoch: stream.acked for epoch, stream in control.streams.items()}
 
     def add(self, epoch: int, index: int) -> None:
         """A segment was created."""
-        self._segments.add((epoch, index))
+        self._segments.add(SegmentId(epoch, index))
 
-    def room(self) -> bool:
+    def may_create(self) -> bool:
         """Whether another segment may be created."""
-        return len(self._segments) < self._most and not self.short
-
-    def next(self, control: Control, journal: Journal | None) -> Step | None:
-        """The next step towards more room, if one is wanted. `journal`: the stream that is written."""
-        if self._leftover:
-            return Remove((self._leftover[0],)), lambda _: self._leftover.__delitem__(0)
-        if len(self._sums) > SUMS_KEPT:
-            return Remove((self._sums[0],)), lambda _: self._sums.__delitem__(0)
-        if self._going is None:
-            self._going = self._choose(control, journal)
-        if self._going is None:
-            return None
-        at = self._going
-        if self._sum is None:
-            stream = control.streams[at[0]]
-            head = Head(at[0], at[1], stream.slots, bytes.fromhex(stream.nonce))
-            most = min(head.last, stream.length if stream.length is not None else head.last)
-            return Read(head, head.first, most), lambda scan: self._read(control, at, scan)
-        if not self._summed:
-            return Replace(sum_name(*at), pack(self._sum)), lambda _: self._noted(at)
-        return Remove((segment_name(*at),)), lambda _: self._gone(control, at)
-
-    def _read(self, control: Control, at: At, scan: Result) -> None:
-        assert scan is None or isinstance(scan, Scan)
-        self._sum = segment_totals(at, control.streams[at[0]], scan)
-
-    def _noted(self, at: At) -> None:
-        self._summed = True
-        self._sums.append(sum_name(*at))
-
-    def _gone(self, control: Control, at: At) -> None:
-        self._segments.discard(at)
-        stream = control.streams[at[0]]
-        stream.kept = max(stream.kept, at[1] + 1)
-        self._going = None
-        self._sum = None
-        self._summed = False
+        return len(self._segments) < self._max_segments and not self.disk_full
+
+    def next_step(self, control: Control, journal: Journal | None) -> Step | None:
+        """The next call that makes room, None if none is needed. `journal`: the stream that is written."""
+        if self._leftover_files:
+            return self._remove_oldest(self._leftover_files)
+        if len(self._sum_files) > MAX_SUM_FILES:
+            return self._remove_oldest(self._sum_files)
+        if self._removal is None and (segment := self._choose(control, journal)) is not None:
+            self._removal = Removal(segment)
+        return self._removal_step(control, self._removal) if self._removal is not None else None
+
+    def _remove_oldest(self, files: list[str]) -> Step:
+        def removed(_: Result) -> None:
+            del files[0]
+
+        return Step(Remove((files[0],)), removed)
+
+    def _removal_step(self, control: Control, removal: Removal) -> Step:
+        segment = removal.segment
+        stream = control.streams[segment.epoch]
+        if removal.totals is None:
+            head = Head(*segment, stream.slots, bytes.fromhex(stream.nonce))
+
+            def read(scan: Result) -> None:
+                assert scan is None or isinstance(scan, Scan)
+                removal.totals = segment_totals(segment, stream, scan)
+
+            return Step(Read(head, head.first, stream.last_slot(segment.index)), read)
+        if not removal.totals_done:
+
+            def saved(_: Result) -> None:
+                removal.totals_done = True
+                self._sum_files.append(sum_name(*segment))
+
+            return Step(Replace(sum_name(*segment), pack(removal.totals)), saved)
+        return Step(Remove((segment_name(*segment),)), lambda _: self._removed(stream, segment))
+
+    def _removed(self, stream: Stream, segment: SegmentId) -> None:
+        self._segments.discard(segment)
+        stream.first_segment = max(stream.first_segment, segment.index + 1)
+        self._removal = None
         self.dirty = True
-        self.short = False
-
-    def failed(self) -> None:
-        """A disk without room for the sums still gives back the segment; the rest is tried again."""
-        if self._sum is not None and not self._summed and self.short:
-            self._summed = True
+        self.disk_full = False
+
+    def step_failed(self) -> None:
+        """The call of the last step failed. Without space for the totals the segment is removed without them;
+        any other step is retried."""
+        removal = self._removal
+        if removal is None or removal.totals is None or removal.totals_done:
+            return
+        if self.disk_full:
+            removal.totals_done = True
             self.alarms.append("no room for the sums of a segment that goes: it can't be reconciled any more")
 
-    def _choose(self, control: Control, journal: Journal | None) -> At | None:
-        for epoch in [e for e, s in control.streams.items() if s.over() and not self._of(e)]:
-            if self.saved.get(epoch, -1) >= (control.streams[epoch].length or 0):
-                del control.streams[epoch]
-                self.dirty = True
-        if not self.short and 2 * len(self._segments) <= self._most and len(control.streams) <= self._most:
+    def _choose(self, control: Control, journal: Journal | None) -> SegmentId | None:
+        """The segment to remove, None if none has to be or may be."""
+        self._forget_exported(control)
+        max_segments = self._max_segments
+        needs_space = self.disk_full or 2 * len(self._segments) > max_segments
+        if not needs_space and len(control.streams) <= max_segments:
             return None
-        ready = sorted(at for at in self._segments if self._whole(at, journal) and at[0] in control.streams)
-        behind = [at for at in ready if self._behind(control.streams[at[0]], at)]
-        if behind:
-            return behind[0]
-        if self._full == "drop" and ready and not self.room():
-            self._give_up(control, ready[0])
-            return ready[0]
+        complete = sorted(
+            segment
+            for segment in self._segments
+            if self._is_complete(segment, journal) and segment.epoch in control.streams
+        )
+        for segment in complete:
+            if self._is_exported(control.streams[segment.epoch], segment):
+                return segment
+        if self._when_full == "drop" and complete and not self.may_create():
+            self._drop(control, complete[0])
+            return complete[0]
         return None
 
-    def _whole(self, at: At, journal: Journal | None) -> bool:
-        """Nothing will be written to it any more, and all of it is committed."""
-        if journal is None or at[0] != journal.epoch:
-            return journal is None or at[0] < journal.epoch
-        return at[1] < min(journal.committed // journal.slots, journal.index)
-
-    def _of(self, epoch: int) -> list[At]:
-        return [at for at in self._segments if at[0] == epoch]
-
-    def _behind(self, stream: Stream, at: At) -> bool:
-        last = (at[1] + 1) * stream.slots
-        end = last if stream.length is None else min(last, stream.length)
-        tail = stream.length is not None and last >= stream.length
-        # Billing that forgot moves the watermark back, and the disk may not know of it yet.
-        return min(self.saved.get(at[0], 0), stream.acked) >= end and (stream.sealed or not tail)
-
-    def _give_up(self, control: Control, at: At) -> None:
-        stream = control.streams[at[0]]
-        last = (at[1] + 1) * stream.slots
-        lost = min(last, stream.length if stream.length is not None else last) - stream.acked
+    def _forget_exported(self, control: Control) -> None:
+        """Remove exported streams without segments from the checkpoint."""
+        exported = [epoch for epoch, stream in control.streams.items() if stream.is_exported()]
+        for epoch in exported:
+            length = control.streams[epoch].length or 0
+            if not self._of(epoch) and self.saved_watermarks.get(epoch, -1) >= length:
+                del control.streams[epoch]
+                self.dirty = True
+
+    def _is_complete(self, segment: SegmentId, journal: Journal | None) -> bool:
+        """Whether all slots of the segment are written and committed."""
+        if journal is None or segment.epoch != journal.epoch:
+            return journal is None or segment.epoch < journal.epoch
+        return segment.index < min(journal.committed // journal.slots, journal.index)
+
+    def _of(self, epoch: int) -> list[SegmentId]:
+        return [segment for segment in self._segments if segment.epoch == epoch]
+
+    def _is_exported(self, stream: Stream, segment: SegmentId) -> bool:
+        """Whether billing has acknowledged the segment, also by the checkpoint on the disk."""
+        last = stream.last_slot(segment.index)
+        is_tail = stream.length is not None and last >= stream.length
+        # Billing that loses records moves the watermark back, before the disk has it.
+        watermark = min(self.saved_watermarks.get(segment.epoch, 0), stream.acked)
+        return watermark >= last and (stream.sealed or not is_tail)
+
+    def _drop(self, control: Control, segment: SegmentId) -> None:
+        """Count the records of a segment that is removed before it is exported."""
+        stream = control.streams[segment.epoch]
+        lost = stream.last_slot(segment.index) - stream.acked
         if lost > 0:
             control.lost["dropped"] = control.lost.get("dropped", 0) + lost
             self.dirty = True
-            self.alarms.append(f"no room: up to {lost} records of epoch {at[0]} go before billing had them")
+            self.alarms.append(
+                f"no room: up to {lost} records of epoch {segment.epoch} go before billing had them"
+            )
 
 
-def segment_totals(at: At, stream: Stream, scan: Scan | None) -> SegmentTotals:
-    """What one segment holds, as totals."""
-    totals, first = Totals(), at[1] * stream.slots + 1
+def segment_totals(segment: SegmentId, stream: Stream, scan: Scan | None) -> SegmentTotals:
+    """The totals of one segment; `scan` is None if its file is gone."""
+    totals = Totals()
+    first = segment.index * stream.slots + 1
     if scan is not None:
-        totals.uses(use for payload in scan.payloads.values() if (use := unpack(payload)) is not None)
-    bad = len(scan.bad) if scan is not None else stream.slots
-    return SegmentTotals(at[0], first, first + stream.slots - 1, bad, totals.lines())
+        payloads = scan.payloads.values()
+        totals.add_records(record for payload in payloads if (record := unpack(payload)) is not None)
+    unreadable = len(scan.bad) if scan is not None else stream.slots
+    last = first + stream.slots - 1
+    return SegmentTotals(segment.epoch, first, last, unreadable, totals.stored_rows())
--- a/trackspread/usage/senders.py
+++ b/trackspread/usage/senders.py
@@ -1,7 +1,6 @@
-"""Two ways to billing: HTTP with idempotency keys, and files that are dropped and answered.
+"""Senders of batches to billing: by HTTP with idempotency keys, or by files that billing picks up.
 
-May know: sockets, files, `Post` and `Reply`. Decides nothing: whatever goes wrong is told, the exporter tries
-again. The protocol of either way is written down in `docs/use-export.md`.
+Every failure is raised, the exporter retries. `docs/use-export.md` specifies both protocols.
 """
 
 from __future__ import annotations
@@ -22,23 +21,30 @@
 from .exporter import Post
 
 SECOND = 1_000_000_000
-ANSWER_MOST = 65_536  # bytes of an answer: one is under two hundred
-PATIENCE = 10.0  # s for one try, from connecting to the answer's end
-LOOK = 0.2  # s between looks for the answer to a dropped file
-MENDED_BY_RETRY = frozenset({408, 425, 429, 500, 502, 503, 504})  # RFC 9110 and 6585: worth trying again soon
+MAX_REPLY_BYTES = 65_536  # a valid reply has less than two hundred
+SEND_TIMEOUT_S = 10.0  # of one attempt, from connecting to the end of the reply
+REPLY_POLL_S = 0.2  # between two looks for the reply to a file
+HTTP_PORT = 80
+HTTPS_PORT = 443
+HTTP_OK = 200
+RETRYABLE_STATUS = frozenset({408, 425, 429, 500, 502, 503, 504})  # RFC 9110 and RFC 6585
+MAX_RETRY_AFTER_DIGITS = 5
 
 
 class SendError(Exception):
-    """A try that came to nothing. `retry_in`: ns, the receiver's advice; `final`: another won't mend it."""
+    """An attempt to send that failed.
 
-    def __init__(self, text: str, retry_in: int = 0, final: bool = False) -> None:
+    `retry_after_ns` is the receiver's Retry-After, 0 for none; `final`: a retry can't resolve it.
+    """
+
+    def __init__(self, text: str, retry_after_ns: int = 0, final: bool = False) -> None:
         super().__init__(text)
-        self.retry_in = retry_in
+        self.retry_after_ns = retry_after_ns
         self.final = final
 
 
 class Sender(Protocol):
-    """A way to billing."""
+    """What sends batches to billing."""
 
     async def send(self, post: Post) -> Reply:
         """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
@@ -46,7 +52,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where billing is, from the operator's file."""
+    """Billing's URL, the secret for signatures, and the file with its certificate authority; from the
+    operator's file."""
 
     url: str
     secret: bytes = b""
@@ -54,34 +61,36 @@
 
 
 def sender(target: Target) -> Sender:
-    """Raises `ValueError` with what is wanted."""
+    """The sender for a target's URL; raises `ValueError` that says which URLs are accepted."""
     parts = urlsplit(target.url)
     if parts.scheme == "file":
-        return Drop(Path(parts.path))
+        return FileSender(Path(parts.path))
     if parts.scheme not in ("http", "https") or not parts.hostname:
         raise ValueError("wanted http://HOST:PORT/PATH, https://HOST:PORT/PATH or file:///FOLDER")
-    return Http(target)
+    return HttpSender(target)
 
 
 def configured_sender(url: str, secret: str, ca: str) -> Sender:
-    """As the operator's file has it, `secret` being a file's name; raises `OSError` and `ValueError`."""
+    """The sender for the operator's settings; `secret` and `ca` are paths, or empty. Raises `OSError` and
+    `ValueError`."""
     return sender(Target(url, Path(secret).read_bytes().strip() if secret else b"", ca))
 
 
-class Http:
-    """POST of the batch, a connection each: batches are seldom, and none is left half open by a restart."""
+class HttpSender:
+    """Sends each batch by POST on a connection of its own: batches are rare, and a restart leaves no
+    connection half open."""
 
     def __init__(self, target: Target) -> None:
         parts = urlsplit(target.url)
         self._host = parts.hostname or ""
         self._path = parts.path or "/"
-        self._port = parts.port or (443 if parts.scheme == "https" else 80)
+        self._port = parts.port or (HTTPS_PORT if parts.scheme == "https" else HTTP_PORT)
         self._secret = target.secret
         self._tls = ssl.create_default_context(cafile=target.ca or None) if parts.scheme == "https" else None
 
     async def send(self, post: Post) -> Reply:
         """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(SEND_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(self._host, self._port, ssl=self._tls)
             try:
                 return await self._exchange(reader, writer, post)
@@ -91,7 +100,14 @@
     async def _exchange(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, post: Post
     ) -> Reply:
-        machine = h11.Connection(h11.CLIENT, max_incomplete_event_size=ANSWER_MOST)
+        connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_REPLY_BYTES)
+        request = h11.Request(method="POST", target=self._path, headers=self._headers(post))
+        for event in (request, h11.Data(data=post.body), h11.EndOfMessage()):
+            writer.write(connection.send(event) or b"")
+        await writer.drain()
+        return await _read_reply(connection, reader)
+
+    def _headers(self, post: Post) -> list[tuple[str, str]]:
         headers = [
             ("Host", f"{self._host}:{self._port}"),
             ("Content-Type", "application/json"),
@@ -102,50 +118,50 @@
         ]
         if self._secret:
             headers.append(("Signature", signature(post.body, post.key, self._secret)))
-        asked = h11.Request(method="POST", target=self._path, headers=headers)
-        for part in (asked, h11.Data(data=post.body), h11.EndOfMessage()):
-            writer.write(machine.send(part) or b"")
-        await writer.drain()
-        status, advice, body = 0, 0, b""
-        while True:
-            event = machine.next_event()
-            match event:
-                case h11.NEED_DATA:
-                    machine.receive_data(await reader.read(ANSWER_MOST))
-                case h11.Response():
-                    status = event.status_code
-                    advice = _advice(dict(event.headers).get(b"retry-after", b""))
-                case h11.Data():
-                    body += event.data
-                    if len(body) > ANSWER_MOST:
-                        raise SendError("billing's answer is too long", final=True)
-                case h11.EndOfMessage():
-                    return _answer(status, advice, body)
-                case h11.ConnectionClosed() | h11.PAUSED:
-                    raise SendError("billing hung up")
-
-
-def _advice(word: bytes) -> int:
-    """Retry-After in seconds (RFC 9110, 10.2.3), to ns; a date is not followed."""
-    return int(word) * SECOND if word.isdigit() and len(word) < 6 else 0
-
-
-def _answer(status: int, advice: int, body: bytes) -> Reply:
-    if status == 200:
-        return _reply(body)
+        return headers
+
+
+async def _read_reply(connection: h11.Connection, reader: asyncio.StreamReader) -> Reply:
+    status, retry_after_ns, body = 0, 0, b""
+    while True:
+        event = connection.next_event()
+        match event:
+            case h11.NEED_DATA:
+                connection.receive_data(await reader.read(MAX_REPLY_BYTES))
+            case h11.Response():
+                status = event.status_code
+                retry_after_ns = _retry_after_ns(dict(event.headers).get(b"retry-after", b""))
+            case h11.Data():
+                body += event.data
+                if len(body) > MAX_REPLY_BYTES:
+                    raise SendError("billing's answer is too long", final=True)
+            case h11.EndOfMessage():
+                return _check_status(status, retry_after_ns, body)
+            case h11.ConnectionClosed() | h11.PAUSED:
+                raise SendError("billing hung up")
+
+
+def _retry_after_ns(value: bytes) -> int:
+    """Retry-After in seconds (RFC 9110, 10.2.3) as ns; 0 for a date, which is not supported."""
+    return int(value) * SECOND if value.isdigit() and len(value) <= MAX_RETRY_AFTER_DIGITS else 0
+
+
+def _check_status(status: int, retry_after_ns: int, body: bytes) -> Reply:
+    if status == HTTP_OK:
+        return _decode_reply(body)
     text = f"billing answers {status}"
-    raise SendError(text, advice, final=status not in MENDED_BY_RETRY)
+    raise SendError(text, retry_after_ns, final=status not in RETRYABLE_STATUS)
 
 
-def _reply(body: bytes) -> Reply:
+def _decode_reply(body: bytes) -> Reply:
     try:
         return msgspec.json.decode(body, type=Reply, strict=True)
     except msgspec.DecodeError as error:
         raise SendError(f"billing's answer is no reply: {error}", final=True) from None
 
 
-class Drop:
-    """`in/KEY.json` is put there whole; billing takes it and puts its answer at `out/KEY.json`."""
+class FileSender:
+    """Writes each batch to `in/KEY.json`; billing removes it and writes its reply to `out/KEY.json`."""
 
     def __init__(self, folder: Path) -> None:
         self._in = folder / "in"
@@ -155,16 +171,16 @@
         """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
         name = post.key.replace(":", "_") + ".json"
         await asyncio.to_thread(put, self._in, name, post.body)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(SEND_TIMEOUT_S):
             while True:
-                body = await asyncio.to_thread(_take, self._out / name)
+                body = await asyncio.to_thread(_read_and_remove, self._out / name)
                 if body is not None:
-                    return _reply(body)
-                await asyncio.sleep(LOOK)
+                    return _decode_reply(body)
+                await asyncio.sleep(REPLY_POLL_S)
 
 
 def put(folder: Path, name: str, data: bytes) -> None:
-    """Whole or not at all, and on the disk; what is there under this name is replaced."""
+    """Write a file atomically and sync it; a file of this name is replaced. Raises `OSError`."""
     folder.mkdir(parents=True, exist_ok=True)
     descriptor, temporary = tempfile.mkstemp(prefix=".", dir=folder)
     try:
@@ -178,7 +194,7 @@
         raise
 
 
-def _take(path: Path) -> bytes | None:
+def _read_and_remove(path: Path) -> bytes | None:
     try:
         data = path.read_bytes()
     except FileNotFoundError:
