--- /dev/null
+++ b/trackspread/usage/stream_writer.py
@@ -0,0 +1,187 @@
+"""The stream that is written: its creation, its commits, and its end.
+
+- Each incarnation writes a stream of its own: first its first segment, then the checkpoint that names it,
+  then records.
+- After a failed sync nothing is known of what it was for. The stream ends with what was committed, the rest
+  is copied to a new stream, and one save of the checkpoint does both.
+"""
+
+from __future__ import annotations
+
+from typing import cast
+
+from ..storage.calls import Call, Create, Result
+from ..storage.journal import Commit, Journal
+from ..storage.seam import Area
+from ..storage.slots import MARK, Head
+from .context import ALARM_INTERVAL_NS, LedgerContext, State
+from .control import MAX_STREAMS, Part, Stream
+from .disk_calls import RETRY_NS, Purpose
+from .recorder import Recorder
+
+NONCE_BYTES = 16
+COMMIT_PENDING = 2  # half of a segment that is not committed is committed at once
+
+
+class StreamWriter:
+    """Drives the states from NO_STREAM to CLOSED."""
+
+    def __init__(self, context: LedgerContext, recorder: Recorder, write: bool) -> None:
+        """`write`: whether to create a stream at all."""
+        self._context = context
+        self._recorder = recorder
+        self._write = write
+        self._new_journal: Journal | None = None  # not declared yet
+
+    def next_call(self, now: int) -> Call | None:
+        """The next call for the stream, None if none is due; `now` is in ns."""
+        match self._context.state:
+            case State.NO_STREAM:
+                return self._create_if_allowed(now)
+            case State.COPYING:
+                return self._copy(now)
+            case State.DECLARING:
+                return self._declare(now)
+            case State.LIVE:
+                return self._write_live(now)
+        return None
+
+    def _abandon_new_stream(self, now: int, _: OSError) -> None:
+        """Something failed: start anew with another stream, after a pause."""
+        context = self._context
+        context.calls.postpone(Purpose.STREAM, now + RETRY_NS)
+        context.state = State.NO_STREAM
+        if self._new_journal is not None:
+            context.released_areas += self._new_journal.areas()
+            self._new_journal = None
+
+    def _create_if_allowed(self, now: int) -> Call | None:
+        context = self._context
+        if not self._write or not context.calls.may_start(Purpose.STREAM, now):
+            return None
+        if len(context.checkpoint.control.streams) < MAX_STREAMS:
+            return self._create()
+        context.alarms.append(f"use: {MAX_STREAMS} lives wait for their export: sums are kept")
+        context.calls.postpone(Purpose.STREAM, now + ALARM_INTERVAL_NS)
+        return None
+
+    def _create(self) -> Call:
+        context = self._context
+        context.state = State.CREATING
+        # An attempt that failed may have left files: its epoch is not used again.
+        context.highest_epoch += 1
+        nonce = context.rng.randbytes(NONCE_BYTES)
+        head = Head(context.highest_epoch, 0, context.bounds.segment_slots, nonce)
+
+        def created(now: int, area: Result) -> None:
+            self._new_journal = Journal(head, cast(Area, area))
+            former = self._recorder.journal
+            for payload in former.pending if former is not None else ():
+                if payload[0] != MARK:
+                    self._new_journal.append(payload)
+            context.state = State.COPYING
+
+        return context.calls.start(Create(head), created, self._abandon_new_stream)
+
+    def _copy(self, now: int) -> Call | None:
+        """Commit what the new stream has taken over from the former one."""
+        journal = self._new_journal
+        assert journal is not None
+        if (commit := journal.commit()) is None:
+            return self._declare(now)
+
+        def copied(now: int, _: Result) -> None:
+            self._context.released_areas += journal.synced(commit)
+            self._context.state = State.DECLARING
+
+        return self._context.calls.start(commit.call, copied, self._abandon_new_stream)
+
+    def _declare(self, now: int) -> Call | None:
+        """One save ends the former stream, if a failed commit left it in doubt, and names the new one."""
+        context, new, former = self._context, self._new_journal, self._recorder.journal
+        control = context.checkpoint.control
+        assert new is not None
+        context.state = State.DECLARING
+        epoch_before = control.epoch
+        if former is not None:
+            control.streams[former.epoch].length = former.committed
+        control.epoch = new.epoch
+        nonce = new.nonce.hex()
+        names_index = control.names_index(context.names)
+        control.streams[new.epoch] = Stream(nonce, new.slots, names_index, [Part(1, nonce)])
+
+        def declared(now: int, _: Result) -> None:
+            if former is not None:
+                context.released_areas += former.areas()
+            self._new_journal = None
+            context.state = State.LIVE
+            context.segment_store.add(new.epoch, 0)
+            context.exporter.dirty = True  # the checkpoint's other area is to name the stream as well
+            self._recorder.stream_declared(new)
+
+        def failed(now: int, error: OSError) -> None:
+            del control.streams[new.epoch]
+            control.epoch = epoch_before
+            if former is not None:
+                control.streams[former.epoch].length = None
+            self._abandon_new_stream(now, error)
+
+        return context.save_checkpoint(now, declared, failed)
+
+    def _write_live(self, now: int) -> Call | None:
+        context, recorder, journal = self._context, self._recorder, self._recorder.journal
+        assert journal is not None
+        recorder.flush_if_due(now, journal)
+        if self._commit_is_due(now, journal) and (commit := journal.commit()) is not None:
+            return context.calls.start(
+                commit.call, lambda now, _: self._committed(now, commit), self._commit_failed
+            )
+        if context.closing and not journal.pending and not context.meter.sums:
+            if not journal.ended():
+                return self._write_live(now)  # commits the last mark
+            return self._end(now, journal) if context.calls.may_start(Purpose.END, now) else None
+        return self._extend(now, journal)
+
+    def _commit_is_due(self, now: int, journal: Journal) -> bool:
+        context = self._context
+        has_waited = now - self._recorder.uncommitted_since_ns >= context.bounds.commit_delay_ns
+        return context.closing or has_waited or len(journal.pending) > journal.slots // COMMIT_PENDING
+
+    def _committed(self, now: int, commit: Commit) -> None:
+        journal = self._recorder.journal
+        assert journal is not None
+        self._context.released_areas += journal.synced(commit)
+        self._recorder.uncommitted_since_ns = now
+
+    def _commit_failed(self, now: int, error: OSError) -> None:
+        """No more is written to this stream, and a new one takes over what is not committed."""
+        self._context.alarms.append(
+            "use: a commit failed; what it was for is written anew, into a new stream"
+        )
+        self._abandon_new_stream(now, error)
+
+    def _extend(self, now: int, journal: Journal) -> Call | None:
+        """Create the next segment if the stream wants one and there is room."""
+        context = self._context
+        if (head := journal.wants()) is None or not context.segment_store.may_create():
+            return None
+        if not context.calls.may_start(Purpose.SEGMENT, now):
+            return None
+
+        def created(now: int, area: Result) -> None:
+            journal.provide(cast(Area, area))
+            context.segment_store.add(journal.epoch, journal.index + 1)
+
+        return context.calls.start(Create(head), created, context.calls.retry_later(Purpose.SEGMENT))
+
+    def _end(self, now: int, journal: Journal) -> Call | None:
+        """Save the length of the stream: all is committed and the ledger is closing."""
+        context = self._context
+        checkpoint = context.checkpoint
+        checkpoint.control.streams[journal.epoch].length = journal.committed
+
+        def ended(now: int, _: Result) -> None:
+            context.state = State.CLOSED
+            context.released_areas += [*journal.areas(), *checkpoint.areas]
+
+        return context.save_checkpoint(now, ended, context.calls.retry_later(Purpose.END))
--- a/trackspread/usage/totals.py
+++ b/trackspread/usage/totals.py
@@ -1,22 +1,20 @@
-"""Totals by member, day and ending: what segments that went held, and what is compared with billing.
-
-May know: records. May not know: disks.
-"""
+"""Totals by tenant, day and ending: the contents of removed segments, and what is compared with billing."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
 from ..storage.document import Schema
-from .record import DAY_MS, Use
+from .record import DAY_MS, UsageRecord
 
 SCHEMA = Schema("use-sum", 1)
 
 
 class TotalsRow(msgspec.Struct, frozen=True, array_like=True):
-    """`day` since 1970; `units` in billionths, as a decimal."""
+    """One row as it is stored: `day` counts from 1970-01-01, `units` are billionths as a decimal string."""
 
     customer: int
     day: int
@@ -26,7 +24,7 @@
 
 
 class SegmentTotals(msgspec.Struct, frozen=True):
-    """What one segment held: places `first` to `last` of a stream; `bad` could not be read."""
+    """The contents of one segment, slots `first` to `last` of a stream; `bad` slots could not be read."""
 
     epoch: int
     first: int
@@ -35,43 +33,63 @@
     lines: tuple[TotalsRow, ...]
 
 
+TotalsKey = tuple[int, int, int]  # tenant, day since 1970-01-01, ending
+
+
+class Amount(NamedTuple):
+    """Requests and their billionths of units."""
+
+    requests: int
+    nano_units: int
+
+
+NOTHING = Amount(0, 0)
+
+
 class Totals:
-    """Exact: whole numbers alone. Keys are member, day and ending."""
+    """Amounts by tenant, day and ending; integers only, hence exact."""
 
     def __init__(self) -> None:
-        self.rows: dict[tuple[int, int, int], tuple[int, int]] = {}
+        self.rows: dict[TotalsKey, Amount] = {}
 
-    def add(self, customer: int, day: int, ending: int, count: int, units: int) -> None:
+    def add(self, tenant: int, day: int, ending: int, requests: int, nano_units: int) -> None:
         """Add requests and billionths of units to one row."""
-        held = self.rows.get((customer, day, ending), (0, 0))
-        self.rows[customer, day, ending] = held[0] + count, held[1] + units
-
-    def uses(self, uses: Iterable[Use]) -> Totals:
-        """Add each record; gives these totals."""
-        for use in uses:
-            self.add(use.customer, use.time // DAY_MS, use.ending, use.requests, use.units)
+        key = tenant, day, ending
+        amount = self.rows.get(key, NOTHING)
+        self.rows[key] = Amount(amount.requests + requests, amount.nano_units + nano_units)
+
+    def add_records(self, records: Iterable[UsageRecord]) -> Totals:
+        """Add each record; returns these totals."""
+        for record in records:
+            day = record.time_ms // DAY_MS
+            self.add(record.tenant, day, record.ending, record.requests, record.nano_units)
         return self
 
-    def lines(self) -> tuple[TotalsRow, ...]:
-        """All rows, sorted."""
-        return tuple(TotalsRow(*key, count, str(units)) for key, (count, units) in sorted(self.rows.items()))
-
-    def add_rows(self, lines: Iterable[TotalsRow]) -> Totals:
-        """Add each row; gives these totals."""
-        for line in lines:
-            self.add(line.customer, line.day, line.ending, line.count, int(line.units))
+    def add_rows(self, rows: Iterable[TotalsRow]) -> Totals:
+        """Add each stored row; returns these totals."""
+        for row in rows:
+            self.add(row.customer, row.day, row.ending, row.count, int(row.units))
         return self
 
-    def total(self) -> tuple[int, int]:
-        """Requests and billionths of units, of all."""
-        return sum(c for c, _ in self.rows.values()), sum(u for _, u in self.rows.values())
+    def stored_rows(self) -> tuple[TotalsRow, ...]:
+        """All rows as they are stored, sorted."""
+        return tuple(
+            TotalsRow(*key, amount.requests, str(amount.nano_units))
+            for key, amount in sorted(self.rows.items())
+        )
+
+    def total(self) -> Amount:
+        """The amount of all rows together."""
+        amounts = self.rows.values()
+        requests = sum(amount.requests for amount in amounts)
+        return Amount(requests, sum(amount.nano_units for amount in amounts))
 
 
 def sum_name(epoch: int, index: int) -> str:
-    """File name of one segment's totals."""
+    """File name of the totals of one segment."""
     return f"sum-{epoch:08d}-{index:06d}.json"
 
 
 def pack(totals: SegmentTotals) -> bytes:
-    """The document's bytes."""
+    """The bytes of the stored document."""
     return SCHEMA.pack(totals)
