--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -27,10 +27,10 @@
 
 
 class SegmentId(NamedTuple):
-    """A segment, by its stream and its index in it."""
+    """A segment, by the epoch of its stream and its number in it, from 0."""
 
     epoch: int
-    index: int
+    number: int
 
 
 class Step(NamedTuple):
@@ -83,7 +83,7 @@
         }
         for segment, written in broken.items():
             if written:
-                last_slots[segment] = segment.index * control.streams[segment.epoch].slots + written
+                last_slots[segment] = segment.number * control.streams[segment.epoch].slots + written
         # Built from dictionaries, as the order of the set decides in which order files are removed.
         present = dict.fromkeys(SegmentId(*location) for location in found.segments)
         self._segments = (set(present) - undeclared) | set(broken)
@@ -115,8 +115,8 @@
             # Each incarnation checks once whether billing still has all; of several parts, from the first.
             stream.sealed = False
             stream.acked *= len(stream.parts) == 1
-            indexes = [segment.index for segment in self._of(epoch)]
-            stream.first_segment = min(indexes, default=-(-stream.length // stream.slots))
+            numbers = [segment.number for segment in self._of(epoch)]
+            stream.first_segment = min(numbers, default=-(-stream.length // stream.slots))
         self.saved_watermarks = {epoch: stream.acked for epoch, stream in control.streams.items()}
 
     def add(self, epoch: int, index: int) -> None:
@@ -153,7 +153,7 @@
                 assert scan is None or isinstance(scan, Scan)
                 removal.totals = segment_totals(segment, stream, scan)
 
-            return Step(Read(head, head.first, stream.last_slot(segment.index)), read)
+            return Step(Read(head, head.first, stream.last_slot(segment.number)), read)
         if not removal.totals_done:
 
             def saved(_: Result) -> None:
@@ -165,7 +165,7 @@
 
     def _removed(self, stream: Stream, segment: SegmentId) -> None:
         self._segments.discard(segment)
-        stream.first_segment = max(stream.first_segment, segment.index + 1)
+        stream.first_segment = max(stream.first_segment, segment.number + 1)
         self._removal = None
         self.dirty = True
         self.disk_full = False
@@ -213,14 +213,14 @@
         """Whether all slots of the segment are written and committed."""
         if journal is None or segment.epoch != journal.epoch:
             return journal is None or segment.epoch < journal.epoch
-        return segment.index < min(journal.committed // journal.slots, journal.index)
+        return segment.number < min(journal.committed // journal.slots, journal.index)
 
     def _of(self, epoch: int) -> list[SegmentId]:
         return [segment for segment in self._segments if segment.epoch == epoch]
 
     def _is_exported(self, stream: Stream, segment: SegmentId) -> bool:
         """Whether billing has acknowledged the segment, also by the checkpoint on the disk."""
-        last = stream.last_slot(segment.index)
+        last = stream.last_slot(segment.number)
         is_tail = stream.length is not None and last >= stream.length
         # Billing that loses records moves the watermark back, before the disk has it.
         watermark = min(self.saved_watermarks.get(segment.epoch, 0), stream.acked)
@@ -229,7 +229,7 @@
     def _drop(self, control: Control, segment: SegmentId) -> None:
         """Count the records of a segment that is removed before it is exported."""
         stream = control.streams[segment.epoch]
-        lost = stream.last_slot(segment.index) - stream.acked
+        lost = stream.last_slot(segment.number) - stream.acked
         if lost > 0:
             control.lost["dropped"] = control.lost.get("dropped", 0) + lost
             self.dirty = True
@@ -241,7 +241,7 @@
 def segment_totals(segment: SegmentId, stream: Stream, scan: Scan | None) -> SegmentTotals:
     """The totals of one segment; `scan` is None if its file is gone."""
     totals = Totals()
-    first = segment.index * stream.slots + 1
+    first = segment.number * stream.slots + 1
     if scan is not None:
         payloads = scan.payloads.values()
         totals.add_records(record for payload in payloads if (record := unpack(payload)) is not None)
