--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -137,7 +137,7 @@
         made["views_in_conflict"] = sum(each.rule == "view" for each in amiss)
         made["rights_over_whole"] = round(max(0.0, most - 1.0), 6)
         made["violations"] = len(amiss) + (len(verdict.violations) if verdict.state == "broken" else 0)
-        made["lag_ms"] = round(verdict.figures.lag / 1e6, 1)
+        made["lag_ms"] = round(verdict.summary.max_lag_ns / 1e6, 1)
         return made
 
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -228,10 +228,10 @@
             print(f"{each.rule}: {each.text}", file=sys.stderr)
         return {
             "figures_error": round(error, 4),
-            "upgrade_lost": fleet.clients.kinds["cut"] + verdict.figures.unanswered,
+            "upgrade_lost": fleet.clients.kinds["cut"] + verdict.summary.unanswered,
             "upgrade_crossed": round(again / count, 3),
             "upgrade_ready_s": round(max(waits), 2),
-            "quota_over": round(verdict.figures.beyond_share, 4),
+            "quota_over": round(verdict.summary.over_quota_share, 4),
             "violations": len(verdict.violations),
         }
 
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -76,17 +76,18 @@
         for name, planted, verdict, cpu_ms, memory in pool.imap_unordered(_scenario, jobs):
             told = ", ".join(f"{v.rule}: {v.text}" for v in verdict.violations[:2])
             if planted:
-                caught += (convicted := mutant_gateway.rule(planted) in verdict.broken())
+                caught += (convicted := mutant_gateway.rule(planted) in verdict.broken_rules())
                 say(f"mutant {planted} in {name}: {'convicted' if convicted else 'NOT CONVICTED'} ({told})")
                 continue
             violations += len(verdict.violations) if verdict.state != "void" else 0
             void += verdict.state == "void"
-            f = verdict.figures
-            figures[f"beyond_{name}"] = round(f.beyond_share, 4)
+            counts = verdict.summary
+            figures[f"beyond_{name}"] = round(counts.over_quota_share, 4)
             say(
-                f"{name}: {verdict.state}; {f.tries} tries, {f.served} served, {f.refused} refused "
-                f"({f.refused_with_room} with room), {f.failed} failed; {f.beyond_share:.1%} beyond quotas; "
-                f"{cpu_ms:.2f} ms CPU a try, {memory:.0f} MB; lag {f.lag / 1e6:.0f} ms {told}"
+                f"{name}: {verdict.state}; {counts.requests} tries, {counts.served} served, "
+                f"{counts.rejected} refused ({counts.rejected_with_quota_left} with room), "
+                f"{counts.failed} failed; {counts.over_quota_share:.1%} beyond quotas; "
+                f"{cpu_ms:.2f} ms CPU a try, {memory:.0f} MB; lag {counts.max_lag_ns / 1e6:.0f} ms {told}"
             )
     say(f"scenarios done after {time.monotonic() - began:.0f} s")
     count = SCHEDULES_QUICK if quick else SCHEDULES
--- a/benchmarks/scale/beside.py
+++ b/benchmarks/scale/beside.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.membership_records import Reader
+from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.judge.ledger import PlanRule
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.testing.standins.client_population import ClientPopulation
@@ -34,11 +34,11 @@
     times = members / scenario.gateways
     plans = {
         name: PlanRule(
-            plan.rate * times,
-            plan.burst * times,
-            plan.ceiling_rate * times,
-            plan.ceiling_burst * times,
-            plan.ceiling_slack * times,
+            plan.rate_per_s * times,
+            plan.burst_units * times,
+            plan.hard_limit_per_s * times,
+            plan.hard_limit_burst_units * times,
+            plan.hard_limit_slack_units * times,
         )
         for name, plan in scenario.plans.items()
     }
@@ -60,7 +60,7 @@
     """What one gateway has recorded of itself and its view; what was read once is not read again."""
 
     def __init__(self, path: Path) -> None:
-        self._reader, self._read = Reader([path]), 0
+        self._reader, self._read = RecordReader([path]), 0
         self.who: Who = ("", 0)
         self.view = View(0, (0, -1, 0))
 
@@ -69,7 +69,7 @@
         found = self._reader.all()
         for each in found[self._read :]:
             if each.kind == "started":
-                self.who = each.who
+                self.who = each.process_id
             elif each.kind == "view":
                 members = msgspec.convert(each.about["members"], tuple[Who, ...])
                 self.view = View(digest(members), msgspec.convert(each.about["number"], Number))
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -231,13 +231,13 @@
 
 def put_verdict(report: Report, verdict: Verdict, memory: int) -> None:
     """The judge's word on the real gateways; `memory`: bytes that the largest of them held at most."""
-    figures = verdict.figures
-    report.requests, report.served = figures.tries, figures.served
+    summary = verdict.summary
+    report.requests, report.served = summary.requests, summary.served
     if verdict.state == "broken":  # else what is amiss by the clock says more of the machine
         report.violations += len(verdict.violations)
     report.real_gateway_memory_mb = round(memory / MEGABYTE, 1)
     if verdict.state == "void":
-        put_void(report, f"no verdict of the judge: stand-ins lagged by {figures.lag / 1e6:.0f} ms")
+        put_void(report, f"no verdict of the judge: stand-ins lagged by {summary.max_lag_ns / 1e6:.0f} ms")
 
 
 def put_latency(report: Report, found: Latency) -> None:
--- a/benchmarks/version_handover.py
+++ b/benchmarks/version_handover.py
@@ -39,7 +39,9 @@
 HERE = Path(__file__).parent.parent
 LOAD = 0.3  # of what the rating nodes can do
 GREEDY_PLAN = "full"
-STRAY_UNITS = PLANS[GREEDY_PLAN].burst / 2  # beyond a full store that say nothing: a lost one gives a burst
+STRAY_UNITS = (
+    PLANS[GREEDY_PLAN].burst_units / 2
+)  # beyond a full store that say nothing: a lost one gives a burst
 GREEDY_PAUSE_S = 0.01  # between requests of a greedy customer
 GREEDY_WAIT = 1200 * MILLISECOND  # ns for an answer
 GREEDY_CUSTOMERS = 0xF00D0000  # number of the first
@@ -99,12 +101,12 @@
         asked = {
             e.request
             for e in entries
-            if isinstance(e, RequestSent) and e.customer == self.customer.number and e.at >= self.began
+            if isinstance(e, RequestSent) and e.tenant == self.customer.number and e.at >= self.began
         }
         sent = [e for e in entries if isinstance(e, AttemptReceived) and e.request in asked]
         rule = PLANS[GREEDY_PLAN]
         last = max((e.at for e in sent), default=self.began)
-        allowed = rule.burst + rule.rate * (last - self.began) / SECOND
+        allowed = rule.burst_units + rule.rate_per_s * (last - self.began) / SECOND
         return len({e.request for e in sent}) - allowed
 
 
@@ -156,8 +158,8 @@
             "handovers": len(waits),
             "taken_over": taken,
             "cold_starts": cold - len(held),  # each first process is one
-            "tries": verdict.figures.tries,
-            "served": verdict.figures.served,
+            "tries": verdict.summary.requests,
+            "served": verdict.summary.served,
             "lost": lost,
             "answered_twice": twice,
             "left": fleet.clients.kinds["left"],
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -28,7 +28,7 @@
 from trackspread.membership.messages import MemberMessage, Ping
 from trackspread.membership.slot_allocation import ALL_SLOTS
 from trackspread.membership.wire import MAX_DATAGRAM_BYTES, Keys, Wire
-from trackspread.testing.judge.membership_records import Reader
+from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.standins.loopback import Ports
 
 ZONE = Zone("r", "z")
@@ -184,7 +184,7 @@
 
     fleet = play(tmp_path, 6, work)
     assert len({name for name, epoch in fleet.led if epoch is not None}) >= 2
-    lines = Reader([tmp_path / "g0"]).all()
+    lines = RecordReader([tmp_path / "g0"]).all()
     kinds = [each.kind for each in lines]
     assert "joined" in kinds and "parted" in kinds and "view" in kinds
     assert {each.about["fleet"] for each in lines if each.kind == "view"} == {
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -106,7 +106,7 @@
     killed = next(e for e in entries if isinstance(e, GatewayKilled))
     back = [e for e in entries if isinstance(e, GatewayStarted) and e.gateway == "n1" and e.at > killed.at]
     assert killed.gateway == "n1" and len(back) == 1
-    faulted = [(e.fault, e.on) for e in entries if isinstance(e, FaultChanged)]
+    faulted = [(e.fault_index, e.active) for e in entries if isinstance(e, FaultChanged)]
     assert sorted(faulted) == [(n, on) for n in range(4) for on in (False, True)]
     # A direction that two faults cut is whole again only after both.
     assert holes == [(False, False), (True, True), (True, False), (False, False)]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -77,7 +77,7 @@
         if verdict.state != "void":
             break
     assert verdict.violations == ()
-    assert verdict.figures.served >= 90 and verdict.figures.tries > verdict.figures.served
+    assert verdict.summary.served >= 90 and verdict.summary.requests > verdict.summary.served
 
 
 async def planted(name: str) -> Verdict:
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("name", ["effects-forgotten", "socket-answers-lost", "socket-answers-twice"])
 def test_a_mutant_gateway_is_convicted_end_to_end(name: str) -> None:
     verdict = uvloop.run(asyncio.wait_for(planted(name), MOST))
-    assert mutant_gateway.rule(name) in verdict.broken() and verdict.state == "broken"
+    assert mutant_gateway.rule(name) in verdict.broken_rules() and verdict.state == "broken"
 
 
 def test_what_fails_inside_leaves_no_process_and_no_file_behind() -> None:
@@ -143,6 +143,6 @@
             while not any(isinstance(e, GatewayExited) and e.gateway == "n0" for e in fleet.ledger.entries):
                 await asyncio.sleep(0.01)
             assert [e.gateway for e in fleet.ledger.entries if isinstance(e, GatewayKilled)] == ["n1"]
-            assert fleet.verdict().broken() == {"crash"}
+            assert fleet.verdict().broken_rules() == {"crash"}
 
     uvloop.run(asyncio.wait_for(test(), MOST))
--- a/tests/test_following_process.py
+++ b/tests/test_following_process.py
@@ -10,7 +10,7 @@
 
 from trackspread.testing.harness import fault_run, membership_fleet
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.membership_records import SLOTS, MembershipRecord, slots_of
+from trackspread.testing.judge.membership_records import SLOTS, MembershipRecord, parse_slots
 from trackspread.testing.judge.ledger import GatewayKilled
 from trackspread.membership.identifiers import SECOND
 from trackspread.testing.standins import fault_schedule
@@ -31,7 +31,7 @@
 
 def slots(belief: MembershipRecord) -> int:
     """How many a record says are held."""
-    return slots_of(str(belief.about["part"])).bit_count()
+    return parse_slots(str(belief.about["part"])).bit_count()
 
 
 def held(fleet: Fleet, at: int) -> dict[str, int]:
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -15,15 +15,15 @@
 from hypothesis import strategies as st
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.ledger import Group, PlanRule, Repeat
+from trackspread.testing.judge.ledger import DeduplicationScope, Idempotency, PlanRule
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.testing.standins.rating_node import SECOND
 from trackspread.testing.standins.scenario import MILLISECOND, Scenario, ScenarioClass
 
 pytestmark = pytest.mark.processes
 
-REPEATS: tuple[Repeat, ...] = ("safe", "keyed", "unsafe")
-GROUPS: tuple[Group, ...] = ("all", "zone", "cell")
+REPEATS: tuple[Idempotency, ...] = ("safe", "keyed", "unsafe")
+GROUPS: tuple[DeduplicationScope, ...] = ("all", "zone", "cell")
 EXAMPLES = 5  # each some 8 s
 SERVED_LEAST = 0.1  # part of the tries: it serves, whatever the settings
 VOID_MOST = 3  # plays of one example while the rig lagged
@@ -33,8 +33,8 @@
 def classes(draw: st.DrawFn) -> tuple[ScenarioClass, ...]:
     made = []
     for number in range(draw(st.integers(1, 4))):
-        repeat: Repeat = draw(st.sampled_from(REPEATS))
-        group: Group = draw(st.sampled_from(GROUPS)) if repeat == "keyed" else "all"
+        repeat: Idempotency = draw(st.sampled_from(REPEATS))
+        group: DeduplicationScope = draw(st.sampled_from(GROUPS)) if repeat == "keyed" else "all"
         work = draw(st.sampled_from([20, 60, 100])) * MILLISECOND
         deadline = draw(st.sampled_from([300, 1000, 2000, 10_000])) * MILLISECOND
         aim = max(deadline // 3, min(2 * work, deadline))
@@ -113,4 +113,4 @@
             break
     assert verdict.state == "kept", [str(each) for each in verdict.violations[:5]]
     # Where gateways hear of nobody, ceilings in even slices turn most of a short run's tries away.
-    assert verdict.figures.served >= SERVED_LEAST * verdict.figures.tries > 0.0
+    assert verdict.summary.served >= SERVED_LEAST * verdict.summary.requests > 0.0
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -30,12 +30,12 @@
     GatewayStopping,
     UnexpectedBytes,
     EndpointAnnounced,
-    World,
+    RuleParameters,
     load,
 )
 
 MS, S = 1_000_000, 1_000_000_000
-WORLD = World(
+RULES = RuleParameters(
     {
         "look": ClassRule("safe", "all", S),
         "send": ClassRule("keyed", "cell", S),
@@ -45,25 +45,30 @@
     S,
     3 * S,
     3.0,
-    beyond_most=0.4,
+    max_over_quota_share=0.4,
 )
 BOOTS = [BackendStarted(0, f"b{n}", "a", n // 2, 2.0, 1.0, S) for n in range(4)]
 
 
-def asked(request: str = "r", at: int = 0, cls: str = "look", **changes: Any) -> RequestSent:
+def asked(request: str = "r", at: int = 0, request_class: str = "look", **changes: Any) -> RequestSent:
     made: dict[str, Any] = {
         "origin": request,
         "gateway": "n0",
         "plan": "free",
-        "customer": 1,
+        "tenant": 1,
         "units": 1.0,
-        "wait": 2 * S,
+        "wait_ns": 2 * S,
     }
-    return RequestSent(at, request, cls=cls, **{**made, **changes})
+    return RequestSent(at, request, request_class=request_class, **{**made, **changes})
 
 
 def attempted(at: int, request: str = "r", backend: str = "b0", **changes: Any) -> AttemptReceived:
-    made: dict[str, Any] = {"began": at, "gateway": "n0", "work": 50 * MS, "value": f"{backend}/{request}"}
+    made: dict[str, Any] = {
+        "began_at": at,
+        "gateway": "n0",
+        "work_ns": 50 * MS,
+        "value": f"{backend}/{request}",
+    }
     return AttemptReceived(at, request=request, backend=backend, **{**made, **changes})
 
 
@@ -71,11 +76,11 @@
     return ReplyReceived(at, request, kind, f"{backend}/{request}" if kind == "served" else "")
 
 
-def of(count: int, plan: str, gap: int, customer: int = 7) -> list[Entry]:
+def of(count: int, plan: str, gap: int, tenant: int = 7) -> list[Entry]:
     made: list[Entry] = []
     for n in range(count):
         made += [
-            asked(f"r{n}", n * gap, plan=plan, customer=customer),
+            asked(f"r{n}", n * gap, plan=plan, tenant=tenant),
             attempted(n * gap, f"r{n}"),
             answered(n * gap, request=f"r{n}"),
         ]
@@ -88,20 +93,20 @@
     "safe one sent again": [asked(), attempted(MS), attempted(2 * MS, backend="b3"), answered(9 * MS)],
     "safe one refused after it ran": [asked(), attempted(MS), answered(2 * MS, "refused")],
     "unsafe one sent again, turned away first": [
-        asked(cls="pay"),
-        attempted(MS, turned_away=True, value=""),
+        asked(request_class="pay"),
+        attempted(MS, rejected=True, value=""),
         attempted(2 * MS),
         answered(9 * MS),
     ],
     "keyed one sent again in its pod": [
-        asked(cls="send"),
+        asked(request_class="send"),
         attempted(MS),
         attempted(S, backend="b1"),
         answered(2 * S, backend="b1"),
     ],
     "crossed the end of a connection at rest, with no gateway left to take it": [
         asked(),
-        ConnectionLost(MS, "r", unreached=True),
+        ConnectionLost(MS, "r", gateway_unreachable=True),
     ],
     "late by as long as its gateway stood still": [
         asked(),
@@ -119,7 +124,7 @@
     "written as its connection closed, and once more": [
         asked(),
         ConnectionLost(MS, "r"),
-        asked(at=2 * MS, again=True),
+        asked(at=2 * MS, is_repeat=True),
         attempted(3 * MS),
         answered(9 * MS),
     ],
@@ -157,7 +162,7 @@
     "connection ended": ("answers", [asked(), ConnectionLost(MS, "r")]),
     "sent on, though it is said to have crossed an end": (
         "answers",
-        [asked(), attempted(MS), ConnectionLost(2 * MS, "r", unreached=True)],
+        [asked(), attempted(MS), ConnectionLost(2 * MS, "r", gateway_unreachable=True)],
     ),
     "answered twice": ("answers", [asked(), answered(MS, "refused"), answered(2 * MS, "failed")]),
     "answered late": ("answers", [asked(), answered(3 * S, "failed")]),
@@ -169,34 +174,34 @@
     "worded anew": ("answers", [MalformedRequest(MS, "b0", "n0", "CALL.GET nonsense")]),
     "unsafe one run twice": (
         "effects",
-        [asked(cls="pay"), attempted(MS), attempted(2 * MS, backend="b1"), answered(9 * MS)],
+        [asked(request_class="pay"), attempted(MS), attempted(2 * MS, backend="b1"), answered(9 * MS)],
     ),
     "unsafe one refused after it ran": (
         "effects",
-        [asked(cls="pay"), attempted(MS), answered(9 * MS, "refused")],
+        [asked(request_class="pay"), attempted(MS), answered(9 * MS, "refused")],
     ),
     "unsafe one run in two tries": (
         "effects",
         [
-            asked(cls="pay"),
+            asked(request_class="pay"),
             attempted(MS),
             answered(MS, "failed"),
-            asked("q", 2 * MS, cls="pay", origin="r"),
+            asked("q", 2 * MS, request_class="pay", origin="r"),
             attempted(3 * MS, "q"),
             answered(9 * MS, request="q"),
         ],
     ),
     "keyed one run outside its pod": (
         "effects",
-        [asked(cls="send"), attempted(MS), attempted(2 * MS, backend="b2"), answered(9 * MS)],
+        [asked(request_class="send"), attempted(MS), attempted(2 * MS, backend="b2"), answered(9 * MS)],
     ),
     "keyed one sent after its window": (
         "effects",
-        [asked(cls="send"), attempted(MS), attempted(3 * S // 2, backend="b1"), answered(2 * S)],
+        [asked(request_class="send"), attempted(MS), attempted(3 * S // 2, backend="b1"), answered(2 * S)],
     ),
     "keyed one refused after it ran": (
         "effects",
-        [asked(cls="send"), attempted(MS), answered(2 * MS, "refused")],
+        [asked(request_class="send"), attempted(MS), answered(2 * MS, "refused")],
     ),
     "drained": (
         "drains",
@@ -207,7 +212,7 @@
         [
             BackendStarted(0, "b9", "a", 0, 1.0, 0.1, 9 * S),
             asked(),
-            attempted(S, backend="b9", work=2 * S),
+            attempted(S, backend="b9", work_ns=2 * S),
             answered(S + MS, backend="b9"),
         ],
     ),
@@ -224,22 +229,22 @@
 
 @pytest.mark.parametrize("name", KEPT)
 def test_what_keeps_the_rules_is_let_pass(name: str) -> None:
-    verdict = judge(WORLD, [*BOOTS, *KEPT[name]])
+    verdict = judge(RULES, [*BOOTS, *KEPT[name]])
     assert verdict.state == "kept" and verdict.violations == ()
 
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_a_ledger_that_breaks_one_rule_is_convicted_of_that_rule_alone(name: str) -> None:
     rule, entries = BROKEN[name]
-    verdict = judge(WORLD, [*BOOTS, *entries])
-    assert verdict.state == "broken" and verdict.broken() == {rule}
+    verdict = judge(RULES, [*BOOTS, *entries])
+    assert verdict.state == "broken" and verdict.broken_rules() == {rule}
 
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_where_a_stand_in_lagged_only_what_hangs_on_no_time_counts(name: str) -> None:
     """A run in which it lagged has no verdict, unless a breach needs no clock."""
-    verdict = judge(WORLD, [*BOOTS, *BROKEN[name][1], HarnessLagged(S, "nodes", 80 * MS)])
-    assert verdict.state == ("void" if all(v.timed for v in verdict.violations) else "broken")
+    verdict = judge(RULES, [*BOOTS, *BROKEN[name][1], HarnessLagged(S, "nodes", 80 * MS)])
+    assert verdict.state == ("void" if all(v.time_dependent for v in verdict.violations) else "broken")
 
 
 def test_a_halt_excuses_no_more_than_it_lasted_and_no_other_gateway() -> None:
@@ -247,26 +252,29 @@
     late: list[Entry] = [asked(), *halt, attempted(MS), answered(3 * S + 100 * MS)]
     elsewhere: list[Entry] = [asked(gateway="n1"), *halt, attempted(MS), answered(2 * S + 100 * MS)]
     over: list[Entry] = [*halt, asked(at=2 * S), attempted(2 * S), answered(4 * S + 100 * MS)]
-    assert all(judge(WORLD, [*BOOTS, *each]).broken() == {"answers"} for each in (late, elsewhere, over))
+    assert all(
+        judge(RULES, [*BOOTS, *each]).broken_rules() == {"answers"} for each in (late, elsewhere, over)
+    )
 
 
 def test_order_in_the_ledger_is_that_of_times_not_of_writing() -> None:
     entries = [*BOOTS, *KEPT["told by the list that it is back"]]
-    assert judge(WORLD, entries[::-1]) == judge(WORLD, entries)
+    assert judge(RULES, entries[::-1]) == judge(RULES, entries)
 
 
 def test_use_is_counted_unit_by_unit() -> None:
-    figures = judge(
-        WORLD,
+    summary = judge(
+        RULES,
         [
             *BOOTS,
             *of(6, "team", MS),
-            asked("x", 9 * S, plan="team", customer=7),
+            asked("x", 9 * S, plan="team", tenant=7),
             answered(9 * S, "refused", "x"),
         ],
-    ).figures
-    assert (figures.units, figures.beyond, figures.refused_with_room) == (6.0, 2.0, 1)
-    assert (figures.tries, figures.served, figures.refused, figures.attempts) == (7, 6, 1, 6)
+    ).summary
+    assert (summary.forwarded_units, summary.over_quota_units) == (6.0, 2.0)
+    assert summary.rejected_with_quota_left == 1
+    assert (summary.requests, summary.served, summary.rejected, summary.attempts) == (7, 6, 1, 6)
 
 
 def test_a_saved_ledger_reads_back_whole(tmp_path: Path) -> None:
@@ -275,6 +283,6 @@
         for entry in entries:
             ledger.write(entry)
     path = tmp_path / "ledger.jsonl"
-    ledger.save(path, WORLD)
+    ledger.save(path, RULES)
     with path.open("rb") as file:
-        assert load(file) == (WORLD, ledger.entries)
+        assert load(file) == (RULES, ledger.entries)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -284,7 +284,7 @@
         and format_slots(ALL_SLOTS) == f"0-{SLOT_COUNT - 1}"
         and format_slots(0b1101) == "0-0,2-3"
     )
-    assert membership_records.slots_of(format_slots(mixed)) == mixed
+    assert membership_records.parse_slots(format_slots(mixed)) == mixed
     assert lowest_slots(0b1101, 2) == 0b101 and lowest_slots(0b1101, 9) == 0b1101
 
 
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -22,7 +22,12 @@
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.harness.fault_player import Player
 from trackspread.testing.harness.upgradable_gateway import HeldProcess
-from trackspread.testing.judge.membership_records import MembershipRecord, Reader, rights, views
+from trackspread.testing.judge.membership_records import (
+    MembershipRecord,
+    RecordReader,
+    find_grant_overlaps,
+    find_view_conflicts,
+)
 from trackspread.testing.standins import fault_schedule
 from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
 from trackspread.testing.standins.scenario import Scenario
@@ -313,13 +318,18 @@
 def test_records_that_do_not_fit_together_are_told(tmp_path: Path) -> None:
     one, two = (("a", 1),), (("a", 1), ("b", 1))
     view = {"number": (1, 0, 1), "parent": (0, -1, 0), "members": two}
-    assert views([belief(1, "a", "issued", **view), belief(2, "b", "view", **view)]) == []
-    assert views([belief(1, "a", "view", **view), belief(2, "b", "view", **{**view, "members": one})])
-    assert views([belief(1, "a", "issued", **view), belief(2, "b", "issued", **view)])
-    assert views([belief(1, "a", "issued", **{**view, "number": (1, 0, 3)})])
+    assert find_view_conflicts([belief(1, "a", "issued", **view), belief(2, "b", "view", **view)]) == []
+    assert find_view_conflicts(
+        [belief(1, "a", "view", **view), belief(2, "b", "view", **{**view, "members": one})]
+    )
+    assert find_view_conflicts([belief(1, "a", "issued", **view), belief(2, "b", "issued", **view)])
+    assert find_view_conflicts([belief(1, "a", "issued", **{**view, "number": (1, 0, 3)})])
     half, rest = {"part": "0-511", "lasts": 10}, {"part": "512-1023", "lasts": 10}
-    assert rights([belief(0, "a", "part", **half), belief(5, "b", "part", **rest)], []) == ([], 1.0)
+    assert find_grant_overlaps([belief(0, "a", "part", **half), belief(5, "b", "part", **rest)], []) == (
+        [],
+        1.0,
+    )
     over = [belief(0, "a", "part", **half), belief(5, "b", "part", part="511-1023", lasts=10)]
-    assert rights(over, [])[0] and rights(over, [(4, "a")])[0] == []
+    assert find_grant_overlaps(over, [])[0] and find_grant_overlaps(over, [(4, "a")])[0] == []
     (tmp_path / "x").write_bytes(b'{"at":1,"name":"a","born":1,"kind":"left"}\n{"at":2,"na')
-    assert [each.kind for each in Reader([tmp_path / "x", tmp_path / "none"]).all()] == ["left"]
+    assert [each.kind for each in RecordReader([tmp_path / "x", tmp_path / "none"]).all()] == ["left"]
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -35,5 +35,5 @@
 
 def test_twenty_processes_share_backends_that_are_all_cold() -> None:
     verdict, worst = uvloop.run(asyncio.wait_for(all_cold(), MOST))
-    assert verdict.figures.served >= SERVED
+    assert verdict.summary.served >= SERVED
     assert worst <= 0.0
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -378,8 +378,9 @@
 def test_quotas_are_shared_by_all_members_while_customers_ask_for_as_much() -> None:
     usual = Scenario(gateways=3, nodes=6, load=0.15, greedy=0.0, seed=49)
     shared = shared_scenario(usual, 63)
-    assert shared.plans["basic"].rate == pytest.approx(21 * usual.plans["basic"].rate)
-    assert shared.world().plans["full"].ceiling_burst == pytest.approx(21 * usual.plans["full"].ceiling_burst)
+    assert shared.plans["basic"].rate_per_s == pytest.approx(21 * usual.plans["basic"].rate_per_s)
+    burst_units = shared.world().plans["full"].hard_limit_burst_units
+    assert burst_units == pytest.approx(21 * usual.plans["full"].hard_limit_burst_units)
     assert shared.population().customers == usual.population().customers
 
 
--- a/tests/test_services_process.py
+++ b/tests/test_services_process.py
@@ -34,7 +34,9 @@
 
 def elsewhere(fleet: Fleet) -> Counter[str]:
     """Requests that came to a backend of another service than their own, by class."""
-    classes = {each.request: each.cls for each in fleet.ledger.entries if isinstance(each, RequestSent)}
+    classes = {
+        each.request: each.request_class for each in fleet.ledger.entries if isinstance(each, RequestSent)
+    }
     found: Counter[str] = Counter()
     for each in fleet.ledger.entries:
         if isinstance(each, AttemptReceived):
@@ -46,7 +48,7 @@
 def answers(entries: list[Entry], since: int, until: int) -> dict[str, Counter[str]]:
     """How requests ended that were asked in this span, by class."""
     classes = {
-        each.request: each.cls
+        each.request: each.request_class
         for each in entries
         if isinstance(each, RequestSent) and since <= each.at < until
     }
@@ -83,7 +85,9 @@
     """Until so many more requests of a class were asked."""
 
     def count() -> int:
-        return sum(isinstance(each, RequestSent) and each.cls == cls for each in fleet.ledger.entries)
+        return sum(
+            isinstance(each, RequestSent) and each.request_class == cls for each in fleet.ledger.entries
+        )
 
     goal = count() + more
     while count() < goal:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -37,7 +37,7 @@
 from trackspread.plans.registry import SCHEMA as REGISTRY
 from trackspread.plans.registry import Figures, applied, in_force
 from trackspread.storage.directory import Directory
-from trackspread.testing.judge.membership_records import Reader
+from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.standins.billing import Billing, Known, Plain
 from trackspread.usage import control as use_control
 from trackspread.usage import totals as use_totals
@@ -190,7 +190,7 @@
     for before, now in zip(lines[:3], lines[3:], strict=True):
         assert list(before) == list(now) == ["at", "name", "born", "kind", "about"]
         assert {**now, "at": before["at"]} == before
-    assert [each.kind for each in Reader([path]).all()].count("part") == 2
+    assert [each.kind for each in RecordReader([path]).all()].count("part") == 2
 
 
 # The plan registry.
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -25,7 +25,7 @@
     ConnectionLost,
     Entry,
     PlanRule,
-    World,
+    RuleParameters,
 )
 from trackspread.testing.standins.scenario import Scenario
 
@@ -65,8 +65,8 @@
 
 def test_tallies_count_by_gateway_and_tell_a_used_up_quota_from_one_with_room() -> None:
     plans = {"p": PlanRule(1.0, 2.0), "free": PlanRule(0.0, 0.0)}
-    world = World({"look": ClassRule("safe", "all", S)}, plans, S, S, 3.0)
-    tallies = Tallies(world)
+    rules = RuleParameters({"look": ClassRule("safe", "all", S)}, plans, S, S, 3.0)
+    tallies = Tallies(rules)
 
     def one(request: str, sent: bool, kind: Any, plan: str = "p") -> list[Entry]:
         made: list[Entry] = [RequestSent(0, request, request, "n0", "look", plan, 1, 1.0, S)]
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -25,7 +25,7 @@
     schedule = make(seed)
     verdict, _ = play(schedule)
     assert verdict.state == "kept", f"{schedule}: {verdict.violations[:3]}"
-    assert verdict.figures.served > 0 and verdict.figures.unanswered < verdict.figures.tries
+    assert verdict.summary.served > 0 and verdict.summary.unanswered < verdict.summary.requests
 
 
 def test_schedules_bring_every_fault_and_calm_ones_too() -> None:
@@ -71,7 +71,7 @@
         fleet = VirtualFleet(scenario, seed)
         fleet.conditions.peer_loss = loss
         fleet.run(8 * SECOND)
-        return judge(scenario.world(), fleet.ledger.entries).figures.beyond_share
+        return judge(scenario.world(), fleet.ledger.entries).summary.over_quota_share
 
     seeds = range(1, 5)
     now = sum(map(beyond, seeds)) / len(seeds)
--- a/trackspread/testing/harness/billing_check.py
+++ b/trackspread/testing/harness/billing_check.py
@@ -43,7 +43,7 @@
     for request, entry in asked.items():
         end = ends.get(request, "unknown")
         if end in ("served", "unknown"):
-            (sure if end == "served" else maybe)[f"{entry.customer:016x}"] += nano(entry.units)
+            (sure if end == "served" else maybe)[f"{entry.tenant:016x}"] += nano(entry.units)
     billed = Counter[str]()
     for (customer, _, ending), (_, units) in totals.items():
         billed[customer] += units * (ending == Ending.SERVED)
--- a/trackspread/testing/harness/cell_fleet.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -16,7 +16,13 @@
 
 import msgspec
 
-from ..judge.membership_records import Inconsistency, MembershipRecord, Reader, rights, views
+from ..judge.membership_records import (
+    Inconsistency,
+    MembershipRecord,
+    RecordReader,
+    find_grant_overlaps,
+    find_view_conflicts,
+)
 from ..judge.ledger import GatewayExited, GatewayKilled
 from ..standins.scenario import Scenario
 from .fleet import MEMBER_PORT, Fleet
@@ -110,7 +116,7 @@
         every = [*names, *self.control_names]
         self.members = {name: (self._ports.host(), MEMBER_PORT) for name in every}
         self.reached = await self.wire.posts(self.members)
-        self._reader = Reader([self.record(name) for name in every])
+        self._reader = RecordReader([self.record(name) for name in every])
         for name in self.control_names:
             file = self.folder / f"{name}.toml"
             file.write_text(self.table(name))
@@ -178,7 +184,7 @@
         found: list[Inconsistency] = []
         for cell in sorted({str(each.about["fleet"]) for each in self.beliefs() if "fleet" in each.about}):
             told = self.of(cell)
-            found += views(told) + rights(told, gone)[0]
+            found += find_view_conflicts(told) + find_grant_overlaps(told, gone)[0]
         told = self.beliefs()
         return sorted(found + backward(told) + together(told) + lingering(told) + given_up(told, gone))
 
@@ -191,9 +197,9 @@
         if each.kind != "joined":
             continue
         number = msgspec.convert(each.about["number"], tuple[int, ...])
-        if number < newest.get(each.who, ()):
+        if number < newest.get(each.process_id, ()):
             found.append(Inconsistency(each.at, "view", f"{each.name} goes back to {number}"))
-        newest[each.who] = max(number, newest.get(each.who, ()))
+        newest[each.process_id] = max(number, newest.get(each.process_id, ()))
     return found
 
 
@@ -203,11 +209,11 @@
     found = []
     for each in beliefs:
         if each.kind == "joined":
-            if each.who in inside:
+            if each.process_id in inside:
                 found.append(Inconsistency(each.at, "view", f"{each.name} is in two cells"))
-            inside[each.who] = str(each.about["cell"])
+            inside[each.process_id] = str(each.about["cell"])
         elif each.kind == "parted":
-            inside.pop(each.who, None)
+            inside.pop(each.process_id, None)
     return found
 
 
@@ -216,7 +222,7 @@
     until: dict[tuple[tuple[str, int], str], int] = {}
     found = []
     for each in beliefs:
-        key = each.who, str(each.about.get("fleet", each.about.get("cell", "")))
+        key = each.process_id, str(each.about.get("fleet", each.about.get("cell", "")))
         if each.kind == "part":
             lasts = cast(int, each.about["lasts"])
             until[key] = each.at + lasts * bool(each.about["part"])
--- a/trackspread/testing/harness/configuration_fleet.py
+++ b/trackspread/testing/harness/configuration_fleet.py
@@ -20,7 +20,7 @@
 from ...distribution.messages import Inspected
 from ...distribution.versions import NO_VERSION, Entry, Version
 from ...distribution.wire import Wire
-from ..judge.membership_records import MembershipRecord, Reader
+from ..judge.membership_records import MembershipRecord, RecordReader
 from ...membership.wire import Keys
 from ..standins.loopback import Ports
 from ..virtual.distribution.invariants import InvariantViolated, Judged
@@ -126,7 +126,7 @@
         self.gateways = Process(
             msgspec.structs.replace(spec, gateways=self._gateways), folder / "gateways.log"
         )
-        self._reader = Reader(
+        self._reader = RecordReader(
             [*(folder / f"replica-{n}.jsonl" for n in range(replicas)), folder / "gateways.jsonl"]
         )
         self._round = 0
--- a/trackspread/testing/harness/counter_faults.py
+++ b/trackspread/testing/harness/counter_faults.py
@@ -11,7 +11,8 @@
 from collections.abc import AsyncIterator
 import time
 
-from ..judge.judge import Case, Store
+from ..judge.run_history import RunHistory
+from ..judge.token_bucket import TokenBucket
 from ..standins.counter import Cluster, Shard
 from ..standins.counter_server import CounterServer
 from ..standins.scenario import Scenario
@@ -107,28 +108,32 @@
 def excess(fleet: Fleet) -> tuple[float, float]:
     """Of ceilings and of quotas: what the worst member sent on beyond the store, as a part of what the store
     allows in the run (its burst, and its rate over the span)."""
-    world = fleet.scenario.world()
-    case = Case(world, fleet.ledger.entries)
-    stores: dict[tuple[int, bool], Store] = {}
+    rules = fleet.scenario.world()
+    history = RunHistory(rules, fleet.ledger.entries)
+    buckets: dict[tuple[int, bool], TokenBucket] = {}
     over: dict[tuple[int, bool], float] = {}
-    firsts = list(case.firsts())
+    firsts = history.first_attempts()
     if not firsts:
         return 0.0, 0.0
     start, end = firsts[0][0].at, firsts[-1][0].at
     for attempt, asked in firsts:
-        plan = world.plans[asked.plan]
-        ceiling, quota = (plan.ceiling_rate, plan.ceiling_burst), (plan.rate, plan.burst)
-        for hard, (rate, burst) in ((True, ceiling), (False, quota)):
+        plan = rules.plans[asked.plan]
+        hard_limit = plan.hard_limit_per_s, plan.hard_limit_burst_units
+        quota = plan.rate_per_s, plan.burst_units
+        for hard, (rate, burst) in ((True, hard_limit), (False, quota)):
             if not rate:
                 continue
-            key = asked.customer, hard
-            store = stores.setdefault(key, Store(rate, burst, start))
-            if store.fill(attempt.at) >= asked.units:
-                store.level -= asked.units
+            key = asked.tenant, hard
+            bucket = buckets.setdefault(key, TokenBucket(rate, burst, start))
+            if bucket.refill(attempt.at) >= asked.units:
+                bucket.tokens -= asked.units
             else:
                 over[key] = over.get(key, 0.0) + asked.units
     span = (end - start) / 1e9
-    shares = {key: units / (stores[key].most + stores[key].rate * span) for key, units in over.items()}
+    shares = {
+        key: units / (buckets[key].burst_units + buckets[key].rate_per_s * span)
+        for key, units in over.items()
+    }
     return (
         max((s for (_, hard), s in shares.items() if hard), default=0.0),
         max((s for (_, hard), s in shares.items() if not hard), default=0.0),
@@ -138,20 +143,21 @@
 def inside(fleet: Fleet, since: int) -> float:
     """Units sent on from ledger entry `since` on, over those of the requests that one store for each quota
     would have let pass at their first try; at most 1."""
-    world, entries = fleet.scenario.world(), fleet.ledger.entries
-    case = Case(world, entries)
+    rules, entries = fleet.scenario.world(), fleet.ledger.entries
+    history = RunHistory(rules, entries)
     start = entries[since].at
-    stores: dict[int, Store] = {}
+    buckets: dict[int, TokenBucket] = {}
     due = 0.0
     origins: set[str] = set()
-    for asked in sorted(case.asked.values(), key=lambda each: each.at):
-        plan = world.plans[asked.plan]
-        store = stores.setdefault(asked.customer, Store(plan.rate, plan.burst, asked.at))
+    for asked in sorted(history.requests.values(), key=lambda each: each.at):
+        plan = rules.plans[asked.plan]
+        full = TokenBucket(plan.rate_per_s, plan.burst_units, asked.at)
+        bucket = buckets.setdefault(asked.tenant, full)
         if asked.origin in origins:
             continue
         origins.add(asked.origin)
-        if store.fill(asked.at) >= asked.units:
-            store.level -= asked.units
+        if bucket.refill(asked.at) >= asked.units:
+            bucket.tokens -= asked.units
             due += asked.units * (asked.at >= start)
-    sent = sum(asked.units for attempt, asked in case.firsts() if attempt.at >= start)
+    sent = sum(asked.units for attempt, asked in history.first_attempts() if attempt.at >= start)
     return min(1.0, sent / max(due, 1e-9))
--- a/trackspread/testing/harness/fault_run.py
+++ b/trackspread/testing/harness/fault_run.py
@@ -12,8 +12,9 @@
 
 import msgspec
 
-from ..judge.judge import Case, Use, over_ceilings
 from ..judge.ledger import RequestSent, Entry, FaultChanged
+from ..judge.limit_rules import QuotaUsage, max_hard_limit_excess
+from ..judge.run_history import RunHistory
 from ..standins.fault_schedule import Schedule
 from ..standins.rating_node import SECOND
 from ..standins.scenario import Scenario
@@ -86,23 +87,27 @@
         if keep is not None and verdict.state == "broken":
             _keep(fleet, schedule, keep / f"{schedule.name.replace(' ', '-')}-{schedule.seed}")
         entries = fleet.ledger.entries
-        case = Case(scenario.world(), entries)
-        use = Use(case)
-        shares = [use.over[member] / units for member, units in use.sent.items() if units >= MEMBER_LEAST]
+        history = RunHistory(scenario.world(), entries)
+        usage = QuotaUsage(history)
+        shares = [
+            usage.over_quota_by_tenant[tenant] / units
+            for tenant, units in usage.forwarded_by_tenant.items()
+            if units >= MEMBER_LEAST
+        ]
         return FaultRun(
             schedule.name,
             schedule.seed,
             schedule.gateways,
             verdict.state,
             tuple(f"{v.rule}: {v.text}" for v in verdict.violations),
-            verdict.figures.tries,
-            _late_by_halt(case),
-            _rooms(entries, use),
-            verdict.figures.beyond_share,
+            verdict.summary.requests,
+            _late_by_halt(history),
+            _rooms(entries, usage),
+            verdict.summary.over_quota_share,
             max(shares, default=0.0),
-            over_ceilings(case),
-            verdict.figures.lag / 1e6,
-            _windows(entries, use),
+            max_hard_limit_excess(history),
+            verdict.summary.max_lag_ns / 1e6,
+            _windows(entries, usage),
         )
 
 
@@ -136,20 +141,20 @@
     return min(on), max(on)
 
 
-def _rooms(entries: Sequence[Entry], use: Use) -> tuple[float, float, float]:
+def _rooms(entries: Sequence[Entry], usage: QuotaUsage) -> tuple[float, float, float]:
     """Refusals with room, as a share of the tries of the same time."""
     begun, ended = _trouble(entries)
     asked, refused = [0, 0, 0], [0, 0, 0]
     for entry in entries:
-        if isinstance(entry, RequestSent) and not entry.again:
+        if isinstance(entry, RequestSent) and not entry.is_repeat:
             asked[(entry.at >= begun) + (entry.at > ended)] += 1
-    for at, room in use.refused_at:
+    for at, room in usage.rejections:
         refused[(at >= begun) + (at > ended)] += room
     before, during, after = (r / a if a else 0.0 for r, a in zip(refused, asked, strict=True))
     return before, during, after
 
 
-def _windows(entries: Sequence[Entry], use: Use) -> tuple[float, ...]:
+def _windows(entries: Sequence[Entry], usage: QuotaUsage) -> tuple[float, ...]:
     """From the trouble's end to the last request."""
     _, ended = _trouble(entries)
     asked: dict[int, int] = {}
@@ -158,7 +163,7 @@
         if isinstance(entry, RequestSent) and entry.at > ended:
             window = (entry.at - ended) // (SPAN * SECOND)
             asked[window] = asked.get(window, 0) + 1
-    for at, room in use.refused_at:
+    for at, room in usage.rejections:
         if at > ended and room:
             window = (at - ended) // (SPAN * SECOND)
             refused[window] = refused.get(window, 0) + 1
@@ -166,12 +171,14 @@
     return tuple(refused.get(n, 0) / asked[n] if asked.get(n) else 0.0 for n in range(whole))
 
 
-def _late_by_halt(case: Case) -> int:
+def _late_by_halt(history: RunHistory) -> int:
     """Requests that a halt alone excuses."""
     late = 0
-    for request, asked in case.asked.items():
-        plain = asked.at + asked.wait + case.world.tolerance
-        got = case.answers.get(request, [])
-        ended = got[0].at if got else case.left[request].at if request in case.left else None
-        late += ended is not None and ended > plain and case.due(asked) > plain
+    for request, asked in history.requests.items():
+        plain = asked.at + asked.wait_ns + history.rules.time_tolerance_ns
+        got = history.replies.get(request, [])
+        ended = (
+            got[0].at if got else history.disconnects[request].at if request in history.disconnects else None
+        )
+        late += ended is not None and ended > plain and history.reply_deadline(asked) > plain
     return late
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -16,7 +16,7 @@
 from types import TracebackType
 from typing import Any
 
-from ..judge.membership_records import MembershipRecord, Reader
+from ..judge.membership_records import MembershipRecord, RecordReader
 from ..judge.judge import judge
 from ..judge.ledger import HarnessLagged, Ledger
 from ..judge.verdict import Verdict
@@ -71,7 +71,7 @@
         self._held = held
         self._viewed = viewed
         self._seats = [n for n in seats if n < scenario.gateways]
-        self._reader = Reader([])
+        self._reader = RecordReader([])
         self.members: dict[str, Address] = {}  # where each listens for the others of the view
         self.doors: dict[str, Address] = {}  # the operators', where a view is kept
         self.reached: dict[str, Address] = {}  # by which they reach it: over the wire
@@ -152,7 +152,7 @@
         """Where each of these listens for the others of the view, and how these reach it."""
         self.members = {name: (self._ports.host(), MEMBER_PORT) for name in names}
         self.reached = await self.wire.posts(self.members)
-        self._reader = Reader([self.record(name) for name in names])
+        self._reader = RecordReader([self.record(name) for name in names])
 
     def table(self, name: str) -> str:
         """The table [fleet] of one gateway; nothing where no view is kept."""
--- a/trackspread/testing/harness/membership_fleet.py
+++ b/trackspread/testing/harness/membership_fleet.py
@@ -10,14 +10,21 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from ..judge.membership_records import Inconsistency, MembershipRecord, Who, rights, settled_at, views
+from ..judge.membership_records import (
+    Inconsistency,
+    MembershipRecord,
+    ProcessId,
+    convergence_time_ns,
+    find_grant_overlaps,
+    find_view_conflicts,
+)
 from ..judge.ledger import GatewayExited, GatewayKilled
 from .fleet import Fleet
 
 LOOK = 0.1  # s between looks at the records
 
 
-def running(fleet: Fleet, found: Iterable[MembershipRecord]) -> list[Who]:
+def running(fleet: Fleet, found: Iterable[MembershipRecord]) -> list[ProcessId]:
     """The processes that run now, by their records: the last that began under each name."""
     born = {each.name: each.born for each in found if each.kind == "started"}
     return [
@@ -35,7 +42,7 @@
     end = loop.time() + most
     while True:
         found = fleet.beliefs()
-        took = settled_at(found, running(fleet, found), since)
+        took = convergence_time_ns(found, running(fleet, found), since)
         if took is not None:
             return took / 1e9
         if loop.time() >= end:
@@ -57,8 +64,8 @@
         for entry in fleet.ledger.entries
         if isinstance(entry, GatewayKilled | GatewayExited)
     ]
-    over, most = rights(found, gone)
-    return sorted(views(found) + over), most
+    over, most = find_grant_overlaps(found, gone)
+    return sorted(find_view_conflicts(found) + over), most
 
 
 def keep(fleet: Fleet, folder: Path) -> None:
--- a/trackspread/testing/harness/run_statistics.py
+++ b/trackspread/testing/harness/run_statistics.py
@@ -10,7 +10,6 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ..judge.judge import Store
 from ..judge.ledger import (
     ReplyReceived,
     RequestSent,
@@ -18,8 +17,9 @@
     ConnectionLost,
     Entry,
     ClientDisconnected,
-    World,
+    RuleParameters,
 )
+from ..judge.token_bucket import TokenBucket
 
 KEPT = 60  # s of counts that are kept, for a line of the recent past
 SECOND = 1_000_000_000
@@ -29,14 +29,14 @@
 class Tallies:
     """Feed it with `take`; `seconds` has a count of each kind for each second, the oldest first."""
 
-    world: World
+    rules: RuleParameters
     total: Counter[str] = field(default_factory=Counter)
     by_gateway: dict[str, Counter[str]] = field(default_factory=dict)
     refusals: Counter[str] = field(default_factory=Counter)
     seconds: deque[Counter[str]] = field(default_factory=lambda: deque(maxlen=KEPT))
     _asked: dict[str, RequestSent] = field(default_factory=dict)
     _sent: set[str] = field(default_factory=set)
-    _stores: dict[int, Store] = field(default_factory=dict)
+    _buckets: dict[int, TokenBucket] = field(default_factory=dict)
 
     def take(self, entries: Sequence[Entry]) -> None:
         """The entries since the last call; they make one more second."""
@@ -58,23 +58,24 @@
                         self._count(asked.gateway, "unanswered", second)
         self.seconds.append(second)
 
-    def _store(self, asked: RequestSent, now: int) -> Store | None:
-        plan = self.world.plans[asked.plan]
-        if not plan.rate:
+    def _bucket(self, asked: RequestSent, now: int) -> TokenBucket | None:
+        plan = self.rules.plans[asked.plan]
+        if not plan.rate_per_s:
             return None
-        store = self._stores.setdefault(asked.customer, Store(plan.rate, plan.burst, now))
-        store.fill(now)
-        return store
+        full = TokenBucket(plan.rate_per_s, plan.burst_units, now)
+        bucket = self._buckets.setdefault(asked.tenant, full)
+        bucket.refill(now)
+        return bucket
 
     def _attempted(self, entry: AttemptReceived) -> None:
         asked = self._asked.get(entry.request)
         if asked is None or entry.request in self._sent:
             return
         self._sent.add(entry.request)
-        store = self._store(asked, entry.at)
-        if store is None or store.level >= asked.units:
-            if store is not None:
-                store.level -= asked.units
+        bucket = self._bucket(asked, entry.at)
+        if bucket is None or bucket.tokens >= asked.units:
+            if bucket is not None:
+                bucket.tokens -= asked.units
         else:
             self.total["beyond"] += 1
 
@@ -86,10 +87,10 @@
     def _why(self, entry: ReplyReceived, asked: RequestSent) -> str:
         if entry.request in self._sent:
             return "tried, and no other try was allowed"
-        store = self._store(asked, entry.at)
-        if store is not None and store.level < asked.units:
+        bucket = self._bucket(asked, entry.at)
+        if bucket is not None and bucket.tokens < asked.units:
             return "its customer's quota is used up"
-        if store is not None and store.level < store.most / 2:
+        if bucket is not None and bucket.tokens < bucket.burst_units / 2:
             return "the quota is nearly used up"
         return "with quota left: a cap, a slice of the ceiling, or load"
 
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -212,13 +212,15 @@
     kills = plan_kills(kill, _scene(seed), seconds)
     gc.disable()  # a collection over the ledger would be a lag of the stand-ins
     verdict = uvloop.run(_run(seconds, kills, seed))
-    f = verdict.figures
+    summary = verdict.summary
     print(
-        f"\n{f.tries} requests: {f.served} served, {f.refused} refused, {f.failed} failed, {f.unanswered} "
-        f"left unanswered; {f.beyond_share:.1%} of what was sent on lay beyond quotas"
+        f"\n{summary.requests} requests: {summary.served} served, {summary.rejected} refused, "
+        f"{summary.failed} failed, {summary.unanswered} left unanswered; "
+        f"{summary.over_quota_share:.1%} of what was sent on lay beyond quotas"
     )
     if verdict.state == "void":
-        print(f"no verdict: this machine was too busy, the stand-ins lagged by {f.lag / 1e6:.0f} ms")
+        lag_ms = summary.max_lag_ns / 1e6
+        print(f"no verdict: this machine was too busy, the stand-ins lagged by {lag_ms:.0f} ms")
         return 0
     for violation in verdict.violations[:10]:
         print(f"rule broken: {violation.rule}: {violation.text}")
--- a/trackspread/testing/judge/__init__.py
+++ b/trackspread/testing/judge/__init__.py
@@ -1,5 +1,5 @@
-"""The judge of the five rules: a ledger of what stand-ins saw, and a checker of its own arithmetic.
+"""The judge of the five rules: a ledger of what stand-ins observed, and independent checks of it.
 
-Nothing in this package imports anything else of the project: a judge that borrowed the gateway's arithmetic
+Nothing in this package imports anything else of the project: a judge that used the gateway's own arithmetic
 would agree with its faults.
 """
--- a/trackspread/testing/judge/ledger.py
+++ b/trackspread/testing/judge/ledger.py
@@ -1,8 +1,9 @@
-"""What stand-ins saw, entry by entry: the judge's only evidence.
+"""The entries that stand-ins write about a run: the only evidence that the judge uses.
 
-Every `at` is in nanoseconds on one monotonic clock of the machine (or on a virtual one), taken by whoever saw
-the thing happen. Gateways write nothing here. Across processes the order of two entries is that of their
-times; what is closer together than `World.tolerance` has no order that a verdict may rest on.
+Each `at` is in nanoseconds on one monotonic clock of the machine (or on a virtual clock), read by the
+component that observed the event. Gateways write no entries. Entries of different processes are ordered by
+their times; those closer together than `RuleParameters.time_tolerance_ns` have no order that a verdict may
+depend on.
 """
 
 from __future__ import annotations
@@ -13,31 +14,38 @@
 
 import msgspec
 
-Repeat = Literal["safe", "keyed", "unsafe"]
-Group = Literal["all", "zone", "cell"]
+Idempotency = Literal["safe", "keyed", "unsafe"]
+DeduplicationScope = Literal["all", "zone", "cell"]
 
 
 class _Entry(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    at: int
+    at: int  # ns
 
 
 class RequestSent(_Entry, frozen=True):
-    """A client has written a request's last byte. `origin` is the first try's id, the same for all retries;
-    `again`: the same request once more, as the connection ended before the gateway can have read it."""
+    """A client has written the last byte of a request.
+
+    `origin`: the id of the client's first attempt, the same for all of its retries. `is_repeat`: the same
+    request is written once more, as the connection ended before the gateway can have read it. `wait_ns`: the
+    longest that the client waits for the reply.
+    """
 
     request: str
     origin: str
     gateway: str
-    cls: str
+    request_class: str
     plan: str
-    customer: int
+    tenant: int
     units: float
-    wait: int
-    again: bool = False
+    wait_ns: int
+    is_repeat: bool = False
 
 
 class ReplyReceived(_Entry, frozen=True):
-    """A client has read an answer's last byte; `value` is what was served, `retry_ms` the advice."""
+    """A client has read the last byte of a reply.
+
+    `value` is the payload of a served request; `retry_ms` the Retry-After of a rejected one.
+    """
 
     request: str
     kind: Literal["served", "refused", "failed"]
@@ -46,41 +54,47 @@
 
 
 class ConnectionLost(_Entry, frozen=True):
-    """A connection ended with no whole answer to this request. `unreached`: it crossed the end of a
-    connection that was at rest, and no gateway was there to take it when it was to be written once more."""
+    """A connection ended without a complete reply to this request.
+
+    `gateway_unreachable`: the request met the end of an idle connection, and no gateway accepted a connection
+    when the client wanted to write it again.
+    """
 
     request: str
-    unreached: bool = False
+    gateway_unreachable: bool = False
 
 
 class ClientDisconnected(_Entry, frozen=True):
-    """The client has hung up by itself."""
+    """The client has closed its connection before it had a reply."""
 
     request: str
 
 
 class UnexpectedBytes(_Entry, frozen=True):
-    """Bytes came to a client that had nothing outstanding on that connection."""
+    """A client that had no outstanding request on a connection received bytes on it."""
 
     gateway: str
 
 
 class AttemptReceived(_Entry, frozen=True):
-    """A request has come whole to a backend; its first byte came at `began`. `value`: what the backend makes
-    for it; `repeat`: recognized by its key, no effect of its own."""
+    """A backend has received the last byte of a request, and its first byte at `began_at`.
+
+    `work_ns`: core-nanoseconds. `value`: the payload that the backend produces for the request.
+    `is_duplicate`: the backend recognized the idempotency key, so this attempt has no effect of its own.
+    """
 
-    began: int
+    began_at: int
     request: str
     backend: str
     gateway: str
-    work: int
-    turned_away: bool = False
-    repeat: bool = False
+    work_ns: int
+    rejected: bool = False
+    is_duplicate: bool = False
     value: str = ""
 
 
 class MalformedRequest(_Entry, frozen=True):
-    """A backend was sent what no client sent in this form."""
+    """A backend has received a request in a form that no client sends."""
 
     backend: str
     gateway: str
@@ -88,7 +102,7 @@
 
 
 class EndpointAnnounced(_Entry, frozen=True):
-    """The list's word on a backend was written to a gateway."""
+    """The state of a backend in the endpoint list was written to a gateway."""
 
     gateway: str
     backend: str
@@ -96,19 +110,22 @@
 
 
 class BackendStarted(_Entry, frozen=True):
-    """A backend started, with `cores` in all. A cold one has `start` of its capacity at first and all of it
-    after `warm`; `start` is 1 for a warm one."""
+    """A backend with `cores` at full capacity has started.
+
+    It has the share `start_capacity` of its capacity at first (1 if it is warmed up already) and all of it
+    after `warmup_ns`.
+    """
 
     backend: str
     zone: str
     cell: int
     cores: float
-    start: float
-    warm: int
+    start_capacity: float
+    warmup_ns: int
 
 
 class BackendCrashed(_Entry, frozen=True):
-    """A cold backend fell over."""
+    """A backend that was warming up crashed under overload."""
 
     backend: str
 
@@ -120,49 +137,49 @@
 
 
 class GatewayStopping(_Entry, frozen=True):
-    """A gateway was asked to end (SIGTERM)."""
+    """A gateway was asked to shut down (SIGTERM)."""
 
     gateway: str
 
 
 class GatewayKilled(_Entry, frozen=True):
-    """A gateway was killed outright."""
+    """A gateway was killed (SIGKILL)."""
 
     gateway: str
 
 
 class GatewayPaused(_Entry, frozen=True):
-    """A gateway's process was stopped (SIGSTOP) and had taken no step more when this was written."""
+    """A gateway's process was stopped (SIGSTOP) and no longer runs when this is written."""
 
     gateway: str
 
 
 class GatewayResumed(_Entry, frozen=True):
-    """It is about to go on (SIGCONT)."""
+    """A gateway's process is about to be continued (SIGCONT)."""
 
     gateway: str
 
 
 class FaultChanged(_Entry, frozen=True):
-    """A fault of the schedule began, or ended; `fault` is its place there."""
+    """A fault of the schedule began or ended; `fault_index` is its position in the schedule."""
 
-    fault: int
-    on: bool
+    fault_index: int
+    active: bool
     text: str = ""
 
 
 class GatewayExited(_Entry, frozen=True):
-    """A gateway's process has ended."""
+    """A gateway's process has exited."""
 
     gateway: str
     status: int
 
 
 class HarnessLagged(_Entry, frozen=True):
-    """A stand-in's own loop came late by so much: what it saw then is no evidence on time."""
+    """The event loop of a stand-in ran late by `lag_ns`, so the times of its entries are no evidence."""
 
-    who: str
-    late: int
+    component: str
+    lag_ns: int
 
 
 Entry = (
@@ -188,54 +205,62 @@
 
 
 class ClassRule(msgspec.Struct, frozen=True):
-    """What the rules say of a class; `window`, ns: how long a group remembers a key."""
+    """What the rules permit for a class of requests.
+
+    `deduplication_window_ns`: how long the backends of a scope remember an idempotency key.
+    """
 
-    repeat: Repeat
-    group: Group
-    window: int
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_ns: int
 
 
 class PlanRule(msgspec.Struct, frozen=True):
-    """Each customer's quota and ceiling, in units and units a second; 0 rates for none."""
+    """The quota and the hard limit of each tenant of a plan, as token buckets; a rate of 0 means no limit."""
+
+    rate_per_s: float
+    burst_units: float
+    hard_limit_per_s: float = 0.0
+    hard_limit_burst_units: float = 0.0
+    hard_limit_slack_units: float = 0.0
 
-    rate: float
-    burst: float
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
 
+class RuleParameters(msgspec.Struct, frozen=True):
+    """The parameters of the rules that a run is judged by.
 
-class World(msgspec.Struct, frozen=True):
-    """The rules' figures. Times in ns."""
+    `time_tolerance_ns` extends each time limit, for delays on the machine. The slack of a hard limit is wider
+    by what its rate adds in `hard_limit_tolerance_ns`. `max_over_quota_share`: the largest permitted share of
+    the forwarded units that is beyond quotas; 1 if it is only measured.
+    """
 
     classes: dict[str, ClassRule]
     plans: dict[str, PlanRule]
-    grace: int  # of a drain
-    fall_window: int
-    fall_multiple: float
-    tolerance: int = 50_000_000  # by which each time limit is longer, for ways on the machine
-    ceiling_tolerance: int = 150_000_000  # what the ceiling's rate gives in this time widens the slack
-    beyond_most: float = 1.0  # part of the units sent on that may lie beyond the quotas; 1: only measured
+    drain_grace_ns: int
+    overload_window_ns: int
+    overload_multiple: float
+    time_tolerance_ns: int = 50_000_000
+    hard_limit_tolerance_ns: int = 150_000_000
+    max_over_quota_share: float = 1.0
 
 
 class Ledger:
-    """Entries as they are written, in memory; bounded by the run that writes them."""
+    """All entries of one run, in memory and in the order in which they were written."""
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
         self.write = self.entries.append
 
-    def save(self, path: Path, world: World) -> None:
-        """One JSON object a line: the world, then each entry."""
+    def save(self, path: Path, rules: RuleParameters) -> None:
+        """Write a file of JSON lines: the rules, then one line per entry."""
         encoder = msgspec.json.Encoder()
         with path.open("wb") as file:
-            for item in (world, *self.entries):
+            for item in (rules, *self.entries):
                 file.write(encoder.encode(item) + b"\n")
 
 
-def load(lines: Iterable[bytes]) -> tuple[World, list[Entry]]:
-    """What `Ledger.save` wrote; raises `msgspec.DecodeError` on anything else."""
-    rest = iter(lines)
-    world = msgspec.json.decode(next(rest, b""), type=World)
+def load(lines: Iterable[bytes]) -> tuple[RuleParameters, list[Entry]]:
+    """Read the lines that `Ledger.save` wrote; raises `msgspec.DecodeError` on any other input."""
+    remaining = iter(lines)
+    rules = msgspec.json.decode(next(remaining, b""), type=RuleParameters)
     decoder = msgspec.json.Decoder(Entry)
-    return world, [decoder.decode(line) for line in rest if line.strip()]
+    return rules, [decoder.decode(line) for line in remaining if line.strip()]
--- a/trackspread/testing/judge/membership_records.py
+++ b/trackspread/testing/judge/membership_records.py
@@ -1,167 +1,212 @@
-"""Whether gateways' beliefs about their own fleet fit together, from their records alone.
+"""Whether the membership views and slot grants of gateways were consistent, from their records alone.
 
-The records are what each process wrote of what it held and when, on the machine's one monotonic clock. The
-rules of this file:
-- Under one number there is one view; each is issued by one process, and follows its predecessor.
-- At no instant do two processes act on the same slot of what all share. A process holds its part for as long
-  as it was granted, also while it stands still; one that was killed or has ended holds nothing.
-- Since some moment all that run hold one view of just them.
+Each process records what it held and when, on the monotonic clock of the machine. The rules:
+- A view number identifies one view; each view is issued by one process and follows its predecessor.
+- At no instant do two processes own the same slot. A process owns its slots for as long as they were granted,
+  also while it is paused; one that was killed or has exited owns none.
+- From some time on, all running processes hold one view of exactly themselves.
 
-May not know: the gateway's code; how a view is agreed on.
+Nothing of the gateway's code is used, nor any knowledge of how views are agreed on.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from pathlib import Path
-from typing import Literal
+from typing import Literal, NamedTuple
 
 import msgspec
 
-SLOTS = 1024  # of what all share, which parts are sets of
-Number = tuple[int, int, int]
-Who = tuple[str, int]
+SLOTS = 1024  # of the shared quotas; grants are sets of slots
+ENDS_GRANTS = ("left", "fenced", "renamed", "made way")  # kinds of records after which a process owns nothing
+ViewNumber = tuple[int, int, int]
+ProcessId = tuple[str, int]
 
 
 class MembershipRecord(msgspec.Struct, frozen=True):
-    """One line of a record. `born`: which process of that name."""
+    """One line of a record; `born` tells processes of the same name apart, `about` depends on the kind."""
 
-    at: int
+    at: int  # ns
     name: str
     born: int
     kind: str
     about: dict[str, object] = {}
 
     @property
-    def who(self) -> Who:
+    def process_id(self) -> ProcessId:
+        """The process that wrote the record."""
         return self.name, self.born
 
 
 class Inconsistency(msgspec.Struct, frozen=True, order=True):
-    at: int
+    """One violation of the rules on views, or of those on grants."""
+
+    at: int  # ns
     rule: Literal["view", "rights"]
     text: str
 
 
-class Reader:
-    """Records that still grow; what was read once is not read again."""
+class RecordReader:
+    """Reads records that are still written to; each line is decoded once."""
 
     def __init__(self, paths: Iterable[Path]) -> None:
-        self._at = {path: 0 for path in paths}
+        self._offsets = {path: 0 for path in paths}
         self._decode = msgspec.json.Decoder(MembershipRecord).decode
-        self._all: list[MembershipRecord] = []
+        self._records: list[MembershipRecord] = []
 
     def all(self) -> list[MembershipRecord]:
-        """In the order of their stamps. A half line at an end is passed over: its process was killed, or has
-        not written the rest yet."""
-        fresh: list[MembershipRecord] = []
-        for path, at in self._at.items():
-            if not path.exists():
-                continue
-            with path.open("rb") as file:
-                file.seek(at)
-                whole, _, _ = file.read().rpartition(b"\n")
-            if whole:
-                self._at[path] = at + len(whole) + 1
-                fresh += [self._decode(line) for line in whole.split(b"\n")]
-        self._all += fresh
-        self._all.sort(key=lambda each: each.at)  # nearly in order: cheap
-        return self._all
-
-
-def _number(value: object) -> Number:
-    made: Number = msgspec.convert(value, Number)
-    return made
-
-
-def _members(value: object) -> tuple[Who, ...]:
-    made: tuple[Who, ...] = msgspec.convert(value, tuple[Who, ...])
-    return made
-
-
-def views(beliefs: Sequence[MembershipRecord]) -> list[Inconsistency]:
-    """The first rule."""
-    found: list[Inconsistency] = []
-    held: dict[Number, tuple[Number, tuple[Who, ...]]] = {}
-    issued: dict[Number, Who] = {}
-    for each in beliefs:
-        if each.kind not in ("view", "issued"):
+        """All records so far in the order of their times.
+
+        An incomplete last line is left out: its process was killed, or has not written the rest yet.
+        """
+        for path in self._offsets:
+            if path.exists():
+                self._records += self._read_new(path)
+        self._records.sort(key=lambda record: record.at)  # nearly sorted, so this is cheap
+        return self._records
+
+    def _read_new(self, path: Path) -> list[MembershipRecord]:
+        offset = self._offsets[path]
+        with path.open("rb") as file:
+            file.seek(offset)
+            complete, _, _ = file.read().rpartition(b"\n")
+        if not complete:
+            return []
+        self._offsets[path] = offset + len(complete) + 1
+        return [self._decode(line) for line in complete.split(b"\n")]
+
+
+def _view_number(value: object) -> ViewNumber:
+    number: ViewNumber = msgspec.convert(value, ViewNumber)
+    return number
+
+
+def _members(value: object) -> tuple[ProcessId, ...]:
+    members: tuple[ProcessId, ...] = msgspec.convert(value, tuple[ProcessId, ...])
+    return members
+
+
+def find_view_conflicts(records: Sequence[MembershipRecord]) -> list[Inconsistency]:
+    """Views of one number that differ or have two issuers, and views that don't follow their predecessor."""
+    conflicts: list[Inconsistency] = []
+    views: dict[ViewNumber, tuple[ViewNumber, tuple[ProcessId, ...]]] = {}
+    issuers: dict[ViewNumber, ProcessId] = {}
+    for record in records:
+        if record.kind not in ("view", "issued"):
             continue
-        number, parent = _number(each.about["number"]), _number(each.about["parent"])
-        told = parent, _members(each.about["members"])
-        if held.setdefault(number, told) != told:
-            found.append(Inconsistency(each.at, "view", f"{each.name} holds another view under {number}"))
-        if each.kind == "issued":
-            if issued.setdefault(number, each.who) != each.who:
-                found.append(
-                    Inconsistency(each.at, "view", f"{number} issued by {issued[number]} and {each.who}")
-                )
-            follows = parent == (*number[:2], number[2] - 1) if number[2] > 1 else parent < number
-            if not follows:
-                found.append(Inconsistency(each.at, "view", f"{number} follows {parent}"))
-    return found
-
-
-def rights(
-    beliefs: Sequence[MembershipRecord], gone: Iterable[tuple[int, str]]
-) -> tuple[list[Inconsistency], float]:
-    """The second rule, and the most that was held at once, as a share of all slots. `gone`: when a process
-    of a name was killed or had ended."""
-    ends: dict[str, list[int]] = {}
-    for at, name in gone:
-        ends.setdefault(name, []).append(at)
-    spans: dict[Who, list[list[int]]] = {}  # from, until, slots
-    for each in beliefs:
-        if each.kind in ("left", "fenced", "renamed", "made way") and (mine := spans.get(each.who)):
-            mine[-1][1] = min(mine[-1][1], each.at)
-        if each.kind != "part":
+        number, parent = _view_number(record.about["number"]), _view_number(record.about["parent"])
+        view = parent, _members(record.about["members"])
+        if views.setdefault(number, view) != view:
+            text = f"{record.name} holds another view under {number}"
+            conflicts.append(Inconsistency(record.at, "view", text))
+        if record.kind != "issued":
             continue
-        mine = spans.setdefault(each.who, [])
-        if mine:
-            mine[-1][1] = min(mine[-1][1], each.at)
-        until = each.at + int(each.about["lasts"])  # type: ignore[call-overload]
-        until = min([until, *(at for at in ends.get(each.name, []) if at >= each.at)])
-        mine.append([each.at, until, slots_of(str(each.about["part"]))])
-    steps: list[tuple[int, bool, int, Who]] = []
-    for who, mine in spans.items():
-        for since, until, part in mine:
+        issuer = issuers.setdefault(number, record.process_id)
+        if issuer != record.process_id:
+            text = f"{number} issued by {issuer} and {record.process_id}"
+            conflicts.append(Inconsistency(record.at, "view", text))
+        if not _follows(number, parent):
+            conflicts.append(Inconsistency(record.at, "view", f"{number} follows {parent}"))
+    return conflicts
+
+
+def _follows(number: ViewNumber, parent: ViewNumber) -> bool:
+    if number[2] > 1:
+        return parent == (*number[:2], number[2] - 1)
+    return parent < number
+
+
+class _Grant(NamedTuple):
+    """Slots that a process owns from a time until another, ns; `slots` has a bit for each."""
+
+    since: int
+    until: int
+    slots: int
+
+
+class _OwnershipChange(NamedTuple):
+    """Sorted by time; at equal times what ends (False) comes before what begins (True)."""
+
+    at: int
+    begins: bool
+    slots: int
+    process_id: ProcessId
+
+
+def find_grant_overlaps(
+    records: Sequence[MembershipRecord], exits: Iterable[tuple[int, str]]
+) -> tuple[list[Inconsistency], float]:
+    """The first overlap of two processes' slots, and the largest share of all slots owned at once.
+
+    `exits`: when (ns) a process of a name was killed or exited.
+    """
+    changes: list[_OwnershipChange] = []
+    for process_id, grants in _grants(records, exits).items():
+        for since, until, slots in grants:
             if until > since:
-                steps += [(since, True, part, who), (until, False, part, who)]
-    held: dict[Who, int] = {}
+                changes.append(_OwnershipChange(since, True, slots, process_id))
+                changes.append(_OwnershipChange(until, False, slots, process_id))
+    owned: dict[ProcessId, int] = {}
     most = 0
-    found: list[Inconsistency] = []
-    for at, begins, part, who in sorted(steps):  # what ends comes before what begins at the same instant
-        held.pop(who, None)
+    overlaps: list[Inconsistency] = []
+    for at, begins, slots, process_id in sorted(changes):
+        owned.pop(process_id, None)
         if not begins:
             continue
-        for other, theirs in held.items():
-            if part & theirs and not found:
-                count = (part & theirs).bit_count()
-                found.append(Inconsistency(at, "rights", f"{who} and {other} act on the same {count} slots"))
-        held[who] = part
-        most = max(most, sum(each.bit_count() for each in held.values()))
-    return found, most / SLOTS
+        for other, other_slots in owned.items():
+            if slots & other_slots and not overlaps:
+                count = (slots & other_slots).bit_count()
+                text = f"{process_id} and {other} act on the same {count} slots"
+                overlaps.append(Inconsistency(at, "rights", text))
+        owned[process_id] = slots
+        most = max(most, sum(each.bit_count() for each in owned.values()))
+    return overlaps, most / SLOTS
+
+
+def _grants(
+    records: Sequence[MembershipRecord], exits: Iterable[tuple[int, str]]
+) -> dict[ProcessId, list[_Grant]]:
+    exits_by_name: dict[str, list[int]] = {}
+    for at, name in exits:
+        exits_by_name.setdefault(name, []).append(at)
+    granted: dict[ProcessId, list[_Grant]] = {}
+    for record in records:
+        grants = granted.get(record.process_id, [])
+        if grants and (record.kind in ENDS_GRANTS or record.kind == "part"):
+            grants[-1] = grants[-1]._replace(until=min(grants[-1].until, record.at))
+        if record.kind != "part":
+            continue
+        expires_at = record.at + int(record.about["lasts"])  # type: ignore[call-overload]
+        later_exits = (at for at in exits_by_name.get(record.name, []) if at >= record.at)
+        grant = _Grant(record.at, min([expires_at, *later_exits]), parse_slots(str(record.about["part"])))
+        granted.setdefault(record.process_id, []).append(grant)
+    return granted
 
 
-def slots_of(text: str) -> int:
-    """`0-169,340-509` as bits."""
+def parse_slots(text: str) -> int:
+    """Slots in the form `0-169,340-509` as an integer with a bit for each."""
     slots = 0
-    for run in filter(None, text.split(",")):
-        first, _, last = run.partition("-")
+    for span in filter(None, text.split(",")):
+        first, _, last = span.partition("-")
         slots |= (1 << int(last) + 1) - (1 << int(first))
     return slots
 
 
-def settled_at(beliefs: Sequence[MembershipRecord], running: Sequence[Who], since: int) -> int | None:
-    """ns after `since` from which all that run hold one view of just them, and none has changed since; None
-    for never."""
-    wanted = tuple(sorted(running))
-    last: dict[Who, tuple[int, Number, tuple[Who, ...]]] = {}
-    for each in beliefs:
-        if each.kind == "view" and each.who in wanted:
-            last[each.who] = each.at, _number(each.about["number"]), _members(each.about["members"])
-    if set(last) != set(wanted) or len({number for _, number, _ in last.values()}) > 1:
+def convergence_time_ns(
+    records: Sequence[MembershipRecord], running: Sequence[ProcessId], since: int
+) -> int | None:
+    """How long after `since` (ns) all running processes came to hold one view of exactly themselves.
+
+    None if the last views of these processes are not all the same view, or have other members.
+    """
+    expected = tuple(sorted(running))
+    latest: dict[ProcessId, tuple[int, ViewNumber, tuple[ProcessId, ...]]] = {}
+    for record in records:
+        if record.kind == "view" and record.process_id in expected:
+            number = _view_number(record.about["number"])
+            latest[record.process_id] = record.at, number, _members(record.about["members"])
+    if set(latest) != set(expected) or len({number for _, number, _ in latest.values()}) > 1:
         return None
-    if any(members != wanted for _, _, members in last.values()):
+    if any(members != expected for _, _, members in latest.values()):
         return None
-    return max(0, max(at for at, _, _ in last.values()) - since)
+    return max(0, max(at for at, _, _ in latest.values()) - since)
--- a/trackspread/testing/judge/verdict.py
+++ b/trackspread/testing/judge/verdict.py
@@ -1,4 +1,4 @@
-"""What comes of a ledger: the rules that were broken, the figures, and whether the run says anything."""
+"""The result of judging a run: violated rules, counts, and whether the run is conclusive."""
 
 from __future__ import annotations
 
@@ -11,39 +11,47 @@
 
 
 class Violation(msgspec.Struct, frozen=True, order=True):
-    """One breach. `timed`: it hangs on a measured time, so that a lagging stand-in could have made it up."""
+    """One violation of a rule.
+
+    `time_dependent`: it follows from measured times, so a lagging stand-in could have caused it.
+    """
 
     at: int
     rule: Rule
     text: str
-    timed: bool = False
+    time_dependent: bool = False
 
 
-class Figures(msgspec.Struct, frozen=True):
-    """Counts over a run; tries are requests as clients sent them, each with an id of its own."""
+class RunSummary(msgspec.Struct, frozen=True):
+    """Counts over a run; a retry of a client counts as a request of its own."""
 
-    tries: int = 0
+    requests: int = 0
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
-    unanswered: int = 0  # at gateways that were killed, or by clients that hung up
+    unanswered: int = 0  # at killed gateways, or for clients that disconnected
     attempts: int = 0
-    units: float = 0.0  # sent on
-    beyond: float = 0.0  # of these, beyond quotas
-    refused_with_room: int = 0  # refused while half of the customer's quota was unused
-    lag: int = 0  # ns, the worst of any stand-in
+    forwarded_units: float = 0.0
+    over_quota_units: float = 0.0  # part of the forwarded units
+    rejected_with_quota_left: int = 0  # rejected while half of the tenant's burst was available
+    max_lag_ns: int = 0  # of all stand-ins
 
     @property
-    def beyond_share(self) -> float:
-        return self.beyond / self.units if self.units else 0.0
+    def over_quota_share(self) -> float:
+        """Share of the forwarded units that was beyond quotas, from 0 to 1."""
+        return self.over_quota_units / self.forwarded_units if self.forwarded_units else 0.0
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """`kept`, `broken`, or `void` where a stand-in lagged and nothing that needs no clock was broken."""
+    """The judge's decision on one run.
+
+    `state` is `kept`, `broken`, or `void` if a stand-in lagged and every violation depends on measured times.
+    """
 
     state: State
     violations: tuple[Violation, ...]
-    figures: Figures
+    summary: RunSummary
 
-    def broken(self) -> set[str]:
-        return {each.rule for each in self.violations}
+    def broken_rules(self) -> set[str]:
+        """Names of the rules that were violated."""
+        return {violation.rule for violation in self.violations}
--- a/trackspread/testing/standins/clients.py
+++ b/trackspread/testing/standins/clients.py
@@ -97,7 +97,7 @@
                 await self._fresh(elsewhere, request, connects - 1, again)
             elif again:
                 self.kinds["unreached"] += 1
-                self.ledger.write(ConnectionLost(time.monotonic_ns(), request, unreached=True))
+                self.ledger.write(ConnectionLost(time.monotonic_ns(), request, gateway_unreachable=True))
             else:
                 self.kinds["unreached"] += 1
             return
--- a/trackspread/testing/standins/scenario.py
+++ b/trackspread/testing/standins/scenario.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ..judge.ledger import ClassRule, Group, PlanRule, Repeat, World
+from ..judge.ledger import ClassRule, DeduplicationScope, Idempotency, PlanRule, RuleParameters
 from .client_population import ClassMix, ClientPopulation, Customer, ClientBehavior, draw_weights
 from .rating_node import SECOND, NodeSpec, Pod, RatingNode
 from .settings import class_settings, nested_settings, plan_settings
@@ -25,8 +25,8 @@
     """One class of request; times in ns, `work` the mean at one usual core."""
 
     name: str
-    repeat: Repeat
-    group: Group
+    repeat: Idempotency
+    group: DeduplicationScope
     share: float
     work: int
     aim: int
@@ -108,20 +108,20 @@
     def work(self, cls: str) -> int:
         return next(c.work for c in self.classes if c.name == cls)
 
-    def repeat(self, cls: str) -> Repeat:
+    def repeat(self, cls: str) -> Idempotency:
         return next(c.repeat for c in self.classes if c.name == cls)
 
-    def world(self) -> World:
+    def world(self) -> RuleParameters:
         """The judge's figures."""
         rules = {c.name: ClassRule(c.repeat, c.group, self.window) for c in self.classes}
-        return World(
+        return RuleParameters(
             rules,
             dict(self.plans),
             self.grace,
             self.fall_window,
             self.fall_multiple,
             self.tolerance,
-            beyond_most=self.beyond_most,
+            max_over_quota_share=self.beyond_most,
         )
 
     def settings(self, position: int) -> dict[str, Any]:
@@ -133,9 +133,9 @@
         plans = [
             plan_settings(
                 name,
-                p.rate,
-                p.burst,
-                (p.ceiling_rate, p.ceiling_burst, p.ceiling_slack),
+                p.rate_per_s,
+                p.burst_units,
+                (p.hard_limit_per_s, p.hard_limit_burst_units, p.hard_limit_slack_units),
                 over_cost=self.over_cost,
             )
             for name, p in self.plans.items()
@@ -166,7 +166,7 @@
             spread = min(self.gateways, rng.randint(2, 4))
             use = rng.uniform(2.0, 4.0) if rng.random() < self.greedy else rng.uniform(0.2, 0.9)
             first = rng.randrange(self.gateways)
-            rate = self.plans[plan].rate * use
+            rate = self.plans[plan].rate_per_s * use
             made.append(Customer(rng.getrandbits(33), plan, rate, spread, first, draw_weights(rng, spread)))
             asked += made[-1].rate
         classes = tuple(
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -82,11 +82,11 @@
     fleet.clock.after(TROUBLE, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
     fleet.run(SPAN)
     verdict = judge(scenario.world(), fleet.ledger.entries)
-    told, sent = verdict.figures, [e for e in fleet.ledger.entries if isinstance(e, AttemptReceived)]
-    due = told.served + told.refused_with_room + told.failed + told.unanswered
+    told, sent = verdict.summary, [e for e in fleet.ledger.entries if isinstance(e, AttemptReceived)]
+    due = told.served + told.rejected_with_quota_left + told.failed + told.unanswered
     return LoadShape(
         told.served / max(1, due),
-        told.refused_with_room / max(1, told.tries),
+        told.rejected_with_quota_left / max(1, told.requests),
         len(sent) / max(1, len({e.request for e in sent})) - 1.0,
         _peak(scenario, fleet, sent),
         len(verdict.violations),
@@ -94,10 +94,15 @@
 
 
 def _peak(scenario: Scenario, fleet: VirtualFleet, sent: list[AttemptReceived]) -> float:
-    cold = {e.backend: e for e in fleet.ledger.entries if isinstance(e, BackendStarted) and e.start < 1.0}
+    cold = {
+        e.backend: e for e in fleet.ledger.entries if isinstance(e, BackendStarted) and e.start_capacity < 1.0
+    }
     work = dict.fromkeys(cold, 0.0)
     first: dict[str, int] = {}
     for each in sorted(sent, key=lambda e: e.at):
         if each.backend in cold and each.at - first.setdefault(each.backend, each.at) < SECOND:
-            work[each.backend] += each.work / SECOND
-    return max((work[b] / (scenario.fall_multiple * e.start * e.cores) for b, e in cold.items()), default=0.0)
+            work[each.backend] += each.work_ns / SECOND
+    return max(
+        (work[b] / (scenario.fall_multiple * e.start_capacity * e.cores) for b, e in cold.items()),
+        default=0.0,
+    )
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -284,6 +284,6 @@
         for number, seed in enumerate(seeds):
             if number >= SEEDS_MOST:
                 break
-            if mutant.rule in play(make(seed))[0].broken():
+            if mutant.rule in play(make(seed))[0].broken_rules():
                 return seed
     return None
--- a/trackspread/testing/virtual/planning/account.py
+++ b/trackspread/testing/virtual/planning/account.py
@@ -17,17 +17,17 @@
 
 from collections.abc import Iterable
 
-from ...judge.judge import Store
+from ...judge.token_bucket import TokenBucket
 from ....planning.limits import Limit, TenantLimit
 from ....planning.timing import CLOCK_DRIFT
 
 ROUNDING = 1e-6  # units: stores are floats
 
 
-def _empty(rate: float, burst: float, now: int) -> Store:
-    store = Store(rate, burst, now)
-    store.level = 0.0
-    return store
+def _empty(rate: float, burst: float, now: int) -> TokenBucket:
+    bucket = TokenBucket(rate, burst, now)
+    bucket.tokens = 0.0
+    return bucket
 
 
 class CapAccount:
@@ -43,12 +43,12 @@
         self.excess = 0.0  # units, the worst
 
     def spent(self, now: int, leased: float, even: float) -> str:
-        for name, store, units in (("leases", self._leased, leased), ("slices", self._even, even)):
-            store.fill(now)
-            store.level -= units
-            if store.level < -ROUNDING:
-                self.excess = max(self.excess, -store.level)
-                return f"{-store.level:.3f} units that were never due were spent from {name}"
+        for name, bucket, units in (("leases", self._leased, leased), ("slices", self._even, even)):
+            bucket.refill(now)
+            bucket.tokens -= units
+            if bucket.tokens < -ROUNDING:
+                self.excess = max(self.excess, -bucket.tokens)
+                return f"{-bucket.tokens:.3f} units that were never due were spent from {name}"
         return ""
 
     def rights(self, out: Iterable[Limit]) -> str:
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...judge.judge import Store
+from ...judge.token_bucket import TokenBucket
 from ....planning.lease_table import LeaseTable
 from ....planning.election import ElectionMessage
 from ....planning.election import Outbox
@@ -227,8 +227,8 @@
     """Of one member."""
 
     accounts: tuple[CapAccount, ...]
-    quota: Store
-    perfect: Store
+    quota: TokenBucket
+    perfect: TokenBucket
     asked: int = 0
     sent: int = 0
     beyond: int = 0  # of these, beyond the quota
@@ -257,8 +257,8 @@
         self.counts = [
             Count(
                 tuple(CapAccount(cap, now) for cap in plan.caps(member)),
-                Store(limit.rate_per_s, limit.burst_units, now),
-                Store(limit.rate_per_s, limit.burst_units, now),
+                TokenBucket(limit.rate_per_s, limit.burst_units, now),
+                TokenBucket(limit.rate_per_s, limit.burst_units, now),
             )
             for member in range(plan.members)
         ]
--- a/trackspread/testing/virtual/quota_accuracy.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -59,7 +59,7 @@
     late: deque[tuple[int, str, float, bool]] = field(default_factory=deque)  # the last: inside
 
     def _now(self, now: int) -> float:
-        return min(self.rule.burst, self.level + self.rule.rate * (now - self.at) / SECOND)
+        return min(self.rule.burst_units, self.level + self.rule.rate_per_s * (now - self.at) / SECOND)
 
     def take(self, now: int, gateway: str, units: float) -> bool:
         """Whether the units were there; they are taken then."""
@@ -71,7 +71,7 @@
         return inside
 
     def roomy(self, now: int, units: float) -> bool:
-        return self._now(now) >= max(units, self.rule.burst / 2)
+        return self._now(now) >= max(units, self.rule.burst_units / 2)
 
     def seen(self, now: int, gateway: str) -> float:
         """At this gateway: without what others took in the last moments, but with all that it let through
@@ -111,11 +111,11 @@
     origins: set[str] = set()
     # A try takes its units when it has come whole to a backend; a refused one is looked at as it was asked.
     for at, each in sorted(((sent.get(r, a.at), a) for r, a in tries.items()), key=lambda pair: pair[0]):
-        rule, worth = scenario.plans[each.plan], points[each.cls] * each.units
-        groups = "all", f"class {each.cls}", f"plan {each.plan}"
+        rule, worth = scenario.plans[each.plan], points[each.request_class] * each.units
+        groups = "all", f"class {each.request_class}", f"plan {each.plan}"
 
         def store(whose: str, one: RequestSent = each, rule: PlanRule = rule) -> _Store:
-            return stores.setdefault((whose, one.customer), _Store(rule, rule.burst))
+            return stores.setdefault((whose, one.tenant), _Store(rule, rule.burst_units))
 
         def note(
             whose: str,
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -85,14 +85,14 @@
     fleet.clock.at(since, partial(trouble, fleet, random.Random(f"ramp:{seed}")))
     fleet.run(SPAN)
     verdict = judge(world.world(), fleet.ledger.entries)
-    figures = verdict.figures
-    due = figures.served + figures.refused_with_room + figures.failed + figures.unanswered
+    summary = verdict.summary
+    due = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
     return SlowStartRun(
         world.gateways,
         max(excess(world, fleet.ledger), default=-inf),
         _used(fleet.ledger, since),
-        figures.served / max(1, due),
-        frozenset(verdict.broken() - {"cold"}),
+        summary.served / max(1, due),
+        frozenset(verdict.broken_rules() - {"cold"}),
     )
 
 
@@ -143,11 +143,11 @@
 
 
 def _cold_starts(ledger: Ledger) -> dict[str, BackendStarted]:
-    return {e.backend: e for e in ledger.entries if isinstance(e, BackendStarted) and e.start < 1.0}
+    return {e.backend: e for e in ledger.entries if isinstance(e, BackendStarted) and e.start_capacity < 1.0}
 
 
 def _part(start: BackendStarted, at: int) -> float:
-    return start.start + (1.0 - start.start) * min(1.0, (at - start.at) / start.warm)
+    return start.start_capacity + (1.0 - start.start_capacity) * min(1.0, (at - start.at) / start.warmup_ns)
 
 
 def excess(world: Scenario, ledger: Ledger) -> Iterator[float]:
@@ -158,10 +158,10 @@
     sent = sorted((e for e in ledger.entries if isinstance(e, AttemptReceived)), key=lambda e: e.at)
     for each in sent:
         start = starts.get(each.backend)
-        if start is None or not start.at <= each.at < start.at + start.warm:
+        if start is None or not start.at <= each.at < start.at + start.warmup_ns:
             continue
         window = recent[each.backend]
-        window.append((each.at, each.work / mean))
+        window.append((each.at, each.work_ns / mean))
         while window[0][0] <= each.at - world.fall_window:
             window.popleft()
         able = start.cores * _part(start, each.at) * world.fall_window / mean
@@ -177,8 +177,12 @@
     work: defaultdict[str, int] = defaultdict(int)
     for each in ledger.entries:
         if isinstance(each, AttemptReceived) and first <= each.at < last:
-            work[each.backend] += each.work
-    steady = {e.backend: e.cores for e in ledger.entries if isinstance(e, BackendStarted) and e.start >= 1.0}
+            work[each.backend] += each.work_ns
+    steady = {
+        e.backend: e.cores
+        for e in ledger.entries
+        if isinstance(e, BackendStarted) and e.start_capacity >= 1.0
+    }
     left = _left(ledger, since)
     steady = {backend: cores for backend, cores in steady.items() if backend not in starts.keys() | left}
     cold_able = sum(s.cores * (_part(s, first) + _part(s, last)) / 2.0 for s in starts.values())
