--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -248,9 +248,9 @@
     world = World(1, count, settings={"max_members": 2 * count})
     world.begin(60 * SECOND, every=SECOND)
     while any(p.core is not None and len(p.core.gossip) for p in world.processes.values()):
-        world.step(world.true + SECOND)  # until nothing is told of the start any more
+        world.run_until(world.elapsed_ns + SECOND)  # until nothing is told of the start any more
     world.bytes = dict.fromkeys(world.processes, 0)
-    world.step(world.true + 10 * SECOND)
+    world.run_until(world.elapsed_ns + 10 * SECOND)
     return sum(world.bytes.values()) / count / 10.0
 
 
--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -74,14 +74,14 @@
 
     def run(self, span: float, until: Callable[[], bool] = lambda: False) -> float | None:
         """s of virtual time until `until` holds; None where it does not within `span` s."""
-        world, begun = self.world, self.world.true
+        world, begun = self.world, self.world.elapsed_ns
         end = begun + int(span * SECOND)
-        while world.true < end:
-            world.step(min(end, world.true + STEP))
+        while world.elapsed_ns < end:
+            world.run_until(min(end, world.elapsed_ns + STEP))
             self._judge()
             self._count()
             if until():
-                return (world.true - begun) / SECOND
+                return (world.elapsed_ns - begun) / SECOND
         return None
 
     def _judge(self) -> None:
@@ -109,9 +109,9 @@
         return core is not None and core.member_id == who
 
     def _count(self) -> None:
-        if self.world.true < self._second + SECOND:
+        if self.world.elapsed_ns < self._second + SECOND:
             return
-        self._second = self.world.true
+        self._second = self.world.elapsed_ns
         sent, came = self.world.sent, self.world.came
         for name in self.world.processes:
             now, before = (sent[name], came[name]), self._before.get(name, (0, 0))
--- a/tests/test_membership_fleets.py
+++ b/tests/test_membership_fleets.py
@@ -41,9 +41,9 @@
 def test_in_halves_the_one_with_most_seeds_goes_on_and_the_other_knows_that_it_is_cut_off() -> None:
     world = settled(12)
     with_seeds, without = [f"n{n}" for n in range(6)], [f"n{n}" for n in range(6, 12)]
-    ways = world.part(with_seeds, without)
+    ways = world.partition(with_seeds, without)
     world.until_settled(6 * SECOND, with_seeds)
-    world.step(world.true + 4 * SECOND)
+    world.run_until(world.elapsed_ns + 4 * SECOND)
     cores = [world.processes[name].core for name in without]
     assert all(c is not None and c.usable_slots(world.clock.now) == 0 for c in cores), (
         "nothing that is shared"
@@ -63,7 +63,7 @@
     ways = [
         way
         for a, b in ((with_one, with_two), (with_one, with_none), (with_two, with_none))
-        for way in world.part(a, b)
+        for way in world.partition(a, b)
     ]
 
     def held_by(names: list[str]) -> set[float]:
@@ -71,9 +71,9 @@
         cores = [core for name in names if (core := world.processes[name].core)]
         return {round(12 * core.usable_slots(world.clock.now).bit_count() / SLOT_COUNT, 1) for core in cores}
 
-    world.step(world.true + 5 * SECOND)
+    world.run_until(world.elapsed_ns + 5 * SECOND)
     assert held_by(with_one) == held_by(with_two) == {1.0} and held_by(with_none) == {0.0}
-    world.step(world.true + 6 * SECOND)
+    world.run_until(world.elapsed_ns + 6 * SECOND)
     assert held_by(with_one) == {0.0} and held_by(with_two) == {2.4}
     world.heal(ways)
     assert world.until_settled(5 * SECOND) <= 5 * SECOND
@@ -88,8 +88,8 @@
     without = ["n5"]
     most = [name for name in world.processes if name not in (leads, *without)]
     pieces = ([leads], most), ([leads], without), (most, without)
-    ways = [way for a, b in pieces for way in world.part(a, b)]
-    world.step(world.true + 6 * SECOND)
+    ways = [way for a, b in pieces for way in world.partition(a, b)]
+    world.run_until(world.elapsed_ns + 6 * SECOND)
     lapsed = world.processes["n5"].core
     assert lapsed is not None and lapsed.usable_slots(world.clock.now) == 0
     world.heal(ways)
@@ -103,14 +103,14 @@
         p for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
     )
     world.kill(leading)
-    world.step(world.true + 4 * SECOND)
+    world.run_until(world.elapsed_ns + 4 * SECOND)
     added = world.add(5)
     world.start(added)
-    world.step(world.true + SECOND)
+    world.run_until(world.elapsed_ns + SECOND)
     dead = slots_of((int(leading.name[1:]), 5))
     assert added.core is not None
     assert added.core.usable_slots(world.clock.now).bit_count() == (ALL_SLOTS ^ dead).bit_count() // 5
-    world.step(world.true + 3 * SECOND)
+    world.run_until(world.elapsed_ns + 3 * SECOND)
     assert world.rights() == ALL_SLOTS ^ dead, "the dead one's slots are kept"
 
 
@@ -129,7 +129,7 @@
 
     assert word(name) == [ForgetResponse(name, True, 0)]
     world.kill(world.processes[name])
-    world.step(world.true + 5 * SECOND)
+    world.run_until(world.elapsed_ns + 5 * SECOND)
     assert world.rights() == ALL_SLOTS ^ slots_of((int(name[1:]), 5))
     assert word(name) == [ForgetResponse(name, False, slots_of((int(name[1:]), 5)).bit_count())]
     assert word("nobody") == [ForgetResponse("nobody", False, 0)]
@@ -142,10 +142,10 @@
 def test_in_three_pieces_without_a_majority_of_seeds_no_view_is_made() -> None:
     world = settled(9)
     pieces = [[f"n{n}" for n in range(9) if n % 3 == p] for p in range(3)]
-    ways = [way for p in range(3) for q in range(p) for way in world.part(pieces[p], pieces[q])]
-    world.step(world.true + 4 * SECOND)
+    ways = [way for p in range(3) for q in range(p) for way in world.partition(pieces[p], pieces[q])]
+    world.run_until(world.elapsed_ns + 4 * SECOND)
     before = len(world.issued)
-    world.step(world.true + 6 * SECOND)
+    world.run_until(world.elapsed_ns + 6 * SECOND)
     assert len(world.issued) == before and world.rights() == 0
     world.heal(ways)
     world.until_settled(6 * SECOND)
@@ -157,7 +157,7 @@
         world.places[name] = OBSERVER
     for process in world.processes.values():
         world.start(process)
-    world.step(6 * SECOND)
+    world.run_until(6 * SECOND)
     parts = {name: p.core.usable_slots(world.clock.now) for name, p in world.processes.items() if p.core}
     assert [bool(parts[f"n{n}"]) for n in range(7)] == [False] * 3 + [True] * 4
     assert world.rights() == ALL_SLOTS
--- a/trackspread/testing/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -68,11 +68,11 @@
     def leader_stopped(self, span: int) -> None:
         """It wakes with an old lease."""
         if (leader := self._world.leader()) is not None:
-            self._world.halt(leader, span)
+            self._world.pause(leader, span)
 
     def some_stopped(self, span: int) -> None:
         for process in self._some(list(self._world.processes.values()), 4):
-            self._world.halt(process, span // 2)
+            self._world.pause(process, span // 2)
 
     def region_cut(self, span: int) -> None:
         regions = sorted({zone.region for zone in self._world.zones})
@@ -84,7 +84,7 @@
         """What some say to some others is lost, and what these say is not."""
         processes = list(self._world.processes)
         some, others = self._rng.sample(processes, 4), self._rng.sample(processes, len(processes) // 2)
-        ways = self._world.part(some, others, both=False)
+        ways = self._world.partition(some, others, both=False)
         self._world.clock.after(span, partial(self._world.heal, ways))
 
     def zone_lost(self, span: int) -> None:
@@ -98,15 +98,15 @@
     def rough(self, span: int) -> None:
         conditions = self._world.conditions
         conditions.loss = 0.1
-        conditions.twice = 0.1
-        conditions.jitter = 50 * MS
+        conditions.duplication = 0.1
+        conditions.jitter_ns = 50 * MS
         self._world.clock.after(span, self._calm)
 
     def _calm(self) -> None:
         conditions = self._world.conditions
         conditions.loss = 0.0
-        conditions.twice = 0.0
-        conditions.jitter = 0
+        conditions.duplication = 0.0
+        conditions.jitter_ns = 0
 
     def joined(self, span: int) -> None:
         """More than a cell takes, in one zone."""
@@ -150,7 +150,7 @@
     world.run(LEAD + SPAN + SECOND)
     took = world.until_settled(SETTLED)
     world.run(QUIET)
-    since = world.true
+    since = world.elapsed_ns
     world.run(CALM)
     moved = [told for at, _, told in world.told if at > since and isinstance(told, CellLeft)]
     if moved:
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -80,14 +80,14 @@
         self.told: list[tuple[int, str, object]] = []  # true time, process, what
         self._encode = msgspec.msgpack.Encoder().encode
         for machine in self.machines:
-            self._added(machine.name, machine.address)
+            self._add_process(machine.name, machine.address)
             self._zone_of[machine.name] = Zone(machine.region, machine.zone)
 
     def add(self, zone: Zone) -> Process:
         """A gateway that is yet to start."""
         number = sum(name.startswith("g") for name in self.processes)
         self._zone_of[f"g{number}"] = zone
-        return self._added(f"g{number}", (f"10.{1 + (number >> 8)}.{number & 255}.1", 7000))
+        return self._add_process(f"g{number}", (f"10.{1 + (number >> 8)}.{number & 255}.1", 7000))
 
     def populate(self, each: int) -> None:
         """So many gateways in every zone."""
@@ -98,7 +98,7 @@
     # Processes.
 
     def start(self, process: Process) -> None:
-        born = self._begun(process)
+        born = self._register_start(process)
         now, seed = process.now(self.clock.now), self.rng.getrandbits(60)
         core: Core
         if process.name.startswith("c"):
@@ -125,12 +125,12 @@
                 seed,
             )
         process.core = core
-        self._do(process, core.start(now))
-        self._ticking(process, core)
+        self._perform(process, core.start(now))
+        self._schedule_ticks(process, core)
 
     def leave(self, process: Process) -> None:
         if (core := process.core) is not None:
-            self._do(process, core.leave(process.now(self.clock.now)))
+            self._perform(process, core.leave(process.now(self.clock.now)))
             process.core = None
 
     def among(self, prefix: str, zone: Zone | None = None, region: str = "") -> list[Process]:
@@ -156,7 +156,7 @@
         """Who leads at this instant."""
         found = [p for p, core in self.controllers() if core.is_leader(p.now(self.clock.now))]
         if len(found) > 1:
-            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {[p.name for p in found]} lead together")
+            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {[p.name for p in found]} lead together")
         return found[0] if found else None
 
     # The network.
@@ -172,7 +172,7 @@
         regions = self._zone_of[source.name].region, self._zone_of[target.name].region
         return regions in self.cut_regions or super().severed(source, target)
 
-    def _do(self, process: Process, actions: Iterable[object]) -> None:
+    def _perform(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
             match action:
                 case SendCellsMessage(to, message):
@@ -195,9 +195,9 @@
         if target is None:
             return
         conditions, rng = self.conditions, self.rng
-        for _ in range(1 + (bool(conditions.twice) and rng.random() < conditions.twice)):
+        for _ in range(1 + (bool(conditions.duplication) and rng.random() < conditions.duplication)):
             if not (conditions.loss and rng.random() < conditions.loss):
-                late = self._late()
+                late = self._draw_delay_ns()
                 if self.words_late and isinstance(what, CellsMessage):
                     late += rng.randint(0, self.words_late)
                 self.clock.after(late, partial(self._arrive, process, target, what, size))
@@ -217,7 +217,7 @@
             self._note(target, core, what)
             return core.receive_cells_message(now, what, source.address)
 
-        self._on(target, core, there)
+        self._run_when_awake(target, core, there)
         self._going_by(target)
 
     def _connect(self, process: Process, fleet: str, to: Address) -> None:
@@ -227,7 +227,7 @@
             return
         table = core.table_snapshot(fleet)
         if table is not None:
-            self.clock.after(3 * self._late(), partial(self._swap, process, core, target, table))
+            self.clock.after(3 * self._draw_delay_ns(), partial(self._swap, process, core, target, table))
 
     def _swap(self, process: Process, core: Core, target: Process, table: TableSnapshot) -> None:
         other = target.core
@@ -242,12 +242,14 @@
             if back is not None:
                 self._carried(target, process, back)
                 self.clock.after(
-                    self._late(),
-                    lambda: self._on(process, core, lambda: core.merge(process.now(self.clock.now), back)),
+                    self._draw_delay_ns(),
+                    lambda: self._run_when_awake(
+                        process, core, lambda: core.merge(process.now(self.clock.now), back)
+                    ),
                 )
             return other.merge(now, table)
 
-        self._on(target, other, there)
+        self._run_when_awake(target, other, there)
 
     def _carried(self, source: Process, target: Process, table: TableSnapshot) -> None:
         size = len(self._encode(table)) + HEAD + LENGTH
@@ -257,7 +259,7 @@
     # What came to be, and whether it may.
 
     def _broken(self, why: str) -> InvariantViolated:
-        return InvariantViolated(f"{self.true / 1e9:.3f} s: {why}")
+        return InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {why}")
 
     def _note(self, process: Process, core: Core, message: CellsMessage) -> None:
         """What a gateway is told at this instant."""
@@ -288,7 +290,7 @@
     def _noticed(
         self, process: Process, what: CellJoined | CellLeft | LeadershipChanged | StatusEvent
     ) -> None:
-        self.told.append((self.true, process.name, what))
+        self.told.append((self.elapsed_ns, process.name, what))
         if isinstance(what, LeadershipChanged) and what.epoch is not None:
             self.leader()
         if isinstance(what, CellJoined):
@@ -311,7 +313,7 @@
             ]
 
     def _viewed(self, process: Process, fleet: str, told: StatusEvent) -> None:
-        self.told.append((self.true, process.name, MemberAction(fleet, told)))
+        self.told.append((self.elapsed_ns, process.name, MemberAction(fleet, told)))
         if told.kind == "view":
             about = told.details
             view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
@@ -434,19 +436,19 @@
 
     def run(self, span: int, every: int = 50_000_000) -> None:
         """On, with all that has to hold looked at."""
-        end = self.true + span
-        while self.true < end:
-            self.step(min(end, self.true + every))
+        end = self.elapsed_ns + span
+        while self.elapsed_ns < end:
+            self.run_until(min(end, self.elapsed_ns + every))
             self.check()
 
     def until_settled(self, most: int, every: int = 100_000_000) -> int:
         """ns until it is; raises `InvariantViolated` where that takes longer than `most`."""
-        begun = self.true
+        begun = self.elapsed_ns
         while amiss := self.settled():
-            if self.true - begun >= most:
+            if self.elapsed_ns - begun >= most:
                 raise self._broken(f"not settled {most / SECOND:.1f} s after: {amiss}")
             self.run(every)
-        return self.true - begun
+        return self.elapsed_ns - begun
 
     def begin(self, most: int) -> int:
         """All start at once; ns until they are settled."""
--- a/trackspread/testing/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -51,7 +51,7 @@
         core = process.core
         if not isinstance(core, Gateway) or not core.usable_slots(process.now(now)):
             raise InvariantViolated(f"seed {seed}: {process.name} holds nothing in a region that is cut off")
-    since, asked = world.true, world.asks.total()
+    since, asked = world.elapsed_ns, world.asks.total()
     world.heal_regions()
     world.run(10 * SECOND)
     most = 2 * len(world.among("g")) * 10 * SECOND // REFRESH_INTERVAL_NS + 10
@@ -75,7 +75,7 @@
         raise InvariantViolated(
             f"seed {seed}: {world.asks.total() - asked} questions in a minute without answers"
         )
-    since = world.true
+    since = world.elapsed_ns
     for process in world.among("c"):
         world.start(process)
     world.until_settled(START)
@@ -89,9 +89,9 @@
     world = begun(seed, 2, 6, 8, RESTLESS)
     zone = world.zones[seed % len(world.zones)]
     inside = [process.name for process in world.among("g", zone)]
-    ways = world.part(inside, [process.name for process in world.among("c")])
+    ways = world.partition(inside, [process.name for process in world.among("c")])
     world.run(60 * SECOND, every=200 * MS)
-    since = world.true
+    since = world.elapsed_ns
     world.heal(ways)
     world.until_settled(10 * SECOND)
     if moved := _moves(world, since):
@@ -108,11 +108,11 @@
         gone = leader
     world.kill(gone)
     world.conditions.loss = 0.05
-    world.conditions.twice = 0.2
+    world.conditions.duplication = 0.2
     world.words_late = 3 * SECOND
     world.run(50 * SECOND)
     world.conditions.loss = 0.0
-    world.conditions.twice = 0.0
+    world.conditions.duplication = 0.0
     world.words_late = 0
     world.run(10 * SECOND)
     world.until_settled(START)
@@ -127,11 +127,11 @@
     """Gateways stand still while they are to move, and wake with old leases and old words."""
     world = begun(seed, 1, 4, 6, SMALL)
     world.kill(next(p for p in world.among("c") if isinstance(p.core, Controller) and p.core.cells))
-    end = world.true + 30 * SECOND
-    while world.true < end:
+    end = world.elapsed_ns + 30 * SECOND
+    while world.elapsed_ns < end:
         world.run(world.rng.randint(500 * MS, 2 * SECOND))
         for process in world.rng.sample(world.among("g"), 3):
-            world.halt(process, world.rng.randint(500 * MS, 3 * SECOND))
+            world.pause(process, world.rng.randint(500 * MS, 3 * SECOND))
     world.run(4 * SECOND)
     world.until_settled(START)
 
@@ -140,7 +140,7 @@
     """Cells are opened, closed and given up faster than the words that say so arrive."""
     world = begun(seed, 1, 5, 1, SMALL)
     world.words_late = 6 * SECOND
-    world.conditions.twice = 0.5
+    world.conditions.duplication = 0.5
     for _ in range(6):
         for process in world.among("g", world.zones[0]):
             world.leave(process)
@@ -152,7 +152,7 @@
         world.start(world.add(world.zones[0]))
         world.run(8 * SECOND, every=100 * MS)
     world.words_late = 0
-    world.conditions.twice = 0.0
+    world.conditions.duplication = 0.0
     world.run(25 * SECOND)
     world.until_settled(START)
 
@@ -164,12 +164,12 @@
         leader = world.leader()
         if leader is None:
             raise InvariantViolated(f"seed {seed}: nobody leads")
-        world.conditions.jitter = 600 * MS
-        world.halt(leader, 4 * SECOND)
+        world.conditions.jitter_ns = 600 * MS
+        world.pause(leader, 4 * SECOND)
         for zone in world.zones:
             world.start(world.add(zone))
         world.run(6 * SECOND)
-        world.conditions.jitter = 0
+        world.conditions.jitter_ns = 0
         world.run(4 * SECOND)
     world.until_settled(START)
 
@@ -213,7 +213,7 @@
     for process in again:
         world.kill(process)
     for process in again:
-        world.at(world.true + world.rng.randint(100 * MS, 900 * MS), partial(world.start, process))
+        world.at(world.elapsed_ns + world.rng.randint(100 * MS, 900 * MS), partial(world.start, process))
     world.run(2 * SECOND)
     world.until_settled(START)
     after = {p.name: core.placement.cell.name for p, core in world.gateways() if core.placement is not None}
@@ -242,7 +242,7 @@
     ]
     if not all(kept):
         raise InvariantViolated(f"seed {seed}: gateways let go of what a live seed knows of")
-    since = world.true
+    since = world.elapsed_ns
     for process in gone:
         world.start(process)
     world.until_settled(START)
@@ -256,7 +256,7 @@
     for gateways in (4, 16):
         world = begun(seed, 1, 5, gateways, CellPolicy(4, 6, 1, 3, 4_096, 60 * SECOND, 600 * SECOND))
         world.datagrams.clear()
-        since = world.true
+        since = world.elapsed_ns
         world.run(10 * SECOND)
         if _moves(world, since):
             raise InvariantViolated(f"seed {seed}: moves in calm")
--- a/trackspread/testing/virtual/clock.py
+++ b/trackspread/testing/virtual/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock: what is due happens in the order of its time, and time is what it says."""
+"""A virtual clock: calls are made in the order of their times, and no real time passes between them."""
 
 from __future__ import annotations
 
@@ -6,25 +6,28 @@
 from heapq import heappop, heappush
 from itertools import count
 
-START = 1_000_000_000_000  # ns: not 0, as no clock of a machine is
+START = 1_000_000_000_000  # ns; a monotonic clock does not start at 0
 
 
 class Clock:
-    """`at` and `after` take calls; `run` makes them."""
+    """Schedules calls by virtual time; `now` is the current time in ns."""
 
     def __init__(self) -> None:
         self.now = START
-        self._due: list[tuple[int, int, Callable[[], object]]] = []
+        self._scheduled: list[tuple[int, int, Callable[[], object]]] = []
         self._order = count()
 
     def at(self, time: int, call: Callable[[], object]) -> None:
-        heappush(self._due, (max(self.now, time), next(self._order), call))
+        """Schedule a call for a time (ns); for now if that has passed."""
+        heappush(self._scheduled, (max(self.now, time), next(self._order), call))
 
     def after(self, wait: int, call: Callable[[], object]) -> None:
+        """Schedule a call for `wait` ns from now."""
         self.at(self.now + wait, call)
 
     def run(self, until: int) -> None:
-        while self._due and self._due[0][0] <= until:
-            self.now, _, call = heappop(self._due)
+        """Make all calls that are due until a time (ns), which becomes the current time."""
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self.now, _, call = heappop(self._scheduled)
             call()
         self.now = until
--- a/trackspread/testing/virtual/distribution/schedules.py
+++ b/trackspread/testing/virtual/distribution/schedules.py
@@ -98,8 +98,8 @@
     )
     world.begin()
     conditions, rng = world.conditions, world.rng
-    conditions.loss, conditions.twice = rng.choice([0.0, 0.02, 0.2]), rng.choice([0.0, 0.1])
-    conditions.jitter = rng.choice([0, 0, 300 * MILLISECOND])
+    conditions.loss, conditions.duplication = rng.choice([0.0, 0.02, 0.2]), rng.choice([0.0, 0.1])
+    conditions.jitter_ns = rng.choice([0, 0, 300 * MILLISECOND])
     changes(world, SPAN, rng.choice([30 * MILLISECOND, 300 * MILLISECOND, 2 * SECOND]))
     for _ in range(rng.randint(3, 14)):
         world.after(rng.randint(0, SPAN), partial(trouble, world))
@@ -188,7 +188,7 @@
     """Replicas that promise, or accept, die at once and come back with nothing, while leaders change."""
     world = World(seed, replicas=[3, 5][seed % 2], gateways=4)
     world.begin()
-    world.conditions.jitter = 200 * MILLISECOND
+    world.conditions.jitter_ns = 200 * MILLISECOND
     changes(world, 20 * SECOND, 50 * MILLISECOND)
     for turn in range(12):
         number = world.rng.randrange(len(world.replicas))
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -241,10 +241,10 @@
         size = len(self._encode(body)) + OVERHEAD
         self.sent[process.name] += 1
         self.bytes[process.name] += size
-        for _ in range(1 + (self.rng.random() < self.conditions.twice)):
+        for _ in range(1 + (self.rng.random() < self.conditions.duplication)):
             if self.rng.random() >= self.conditions.loss:
                 late = self.rng.randint(*(NEAR if process.region == target.region else FAR))
-                late += self.rng.randint(0, self.conditions.jitter)
+                late += self.rng.randint(0, self.conditions.jitter_ns)
                 self.clock.after(late, partial(self._arrive, process, process.born, target, body, size))
 
     def _arrive(self, source: Process, born: int, target: Process, body: MessageBody, size: int) -> None:
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -283,9 +283,9 @@
     del world.processes["n5"]
     second.name = "n4"
     world.processes["n4 again"] = second
-    world.step(world.true + SECOND)
+    world.run_until(world.elapsed_ns + SECOND)
     world.start(second)
-    world.step(world.true + 6 * SECOND)
+    world.run_until(world.elapsed_ns + 6 * SECOND)
     fenced = [p.core.is_fenced for p in (first, second) if p.core is not None]
     if fenced != [True, False]:
         raise InvariantViolated(f"of two under one name, these are fenced off: {fenced}")
@@ -304,11 +304,11 @@
     for _ in range(2):
         asked = core.renewal.next_at_ns
         while core.renewal.next_at_ns == asked:  # it stands still between its question and the answer
-            world.step(world.true + MS // 10)
-        world.halt(process, 4 * SECOND)
-        end = world.true + 6 * SECOND
-        while world.true < end:
-            world.step(world.true + 10 * MS)
+            world.run_until(world.elapsed_ns + MS // 10)
+        world.pause(process, 4 * SECOND)
+        end = world.elapsed_ns + 6 * SECOND
+        while world.elapsed_ns < end:
+            world.run_until(world.elapsed_ns + 10 * MS)
             world.rights()
     world.until_settled(8 * SECOND)
 
@@ -318,13 +318,13 @@
     # Probes that take their time: nobody is to be taken for dead here.
     world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
     world.begin(6 * SECOND)
-    world.conditions.jitter = 700 * MS
-    world.conditions.twice = 0.5
+    world.conditions.jitter_ns = 700 * MS
+    world.conditions.duplication = 0.5
     for number in range(2, 7):
         world.start(world.add(number))
-        end = world.true + world.rng.randint(1500 * MS, 4 * SECOND)
-        while world.true < end:
-            world.step(world.true + 10 * MS)
+        end = world.elapsed_ns + world.rng.randint(1500 * MS, 4 * SECOND)
+        while world.elapsed_ns < end:
+            world.run_until(world.elapsed_ns + 10 * MS)
             world.rights()
         if number % 2:
             world.leave(world.processes[f"n{number - 1}"])
@@ -340,7 +340,7 @@
     again = [["n0", "n1", "n2"], ["n0", "n1"], [], ["n0", "n1", "n2"]][seed % 4]
     away = ["n2"] * (len(again) == 2) + ["n5", "n6", "n7"]
     between = ["n2"] * (seed % 4 == 3)
-    world.part(away, [name for name in world.processes if name not in [*away, *between]])
+    world.partition(away, [name for name in world.processes if name not in [*away, *between]])
     if not again:
         leads = [
             p for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
@@ -350,11 +350,12 @@
         world.kill(world.processes[name])
     for name in again:
         world.at(
-            world.true + world.rng.randint(100 * MS, 800 * MS), partial(world.start, world.processes[name])
+            world.elapsed_ns + world.rng.randint(100 * MS, 800 * MS),
+            partial(world.start, world.processes[name]),
         )
-    end = world.true + 15 * SECOND
-    while world.true < end:
-        world.step(world.true + 20 * MS)
+    end = world.elapsed_ns + 15 * SECOND
+    while world.elapsed_ns < end:
+        world.run_until(world.elapsed_ns + 20 * MS)
         world.rights()
 
 
@@ -364,9 +365,9 @@
     world.begin(6 * SECOND)
     world.conditions.loss = 0.1
     for n in range(40):
-        world.at(world.true + n * 300_000_000, partial(world.halt, world.processes["n7"], 90_000_000))
-    since = world.true
-    world.step(world.true + 12 * SECOND)
+        world.at(world.elapsed_ns + n * 300_000_000, partial(world.pause, world.processes["n7"], 90_000_000))
+    since = world.elapsed_ns
+    world.run_until(world.elapsed_ns + 12 * SECOND)
     false = [
         t for at, _, t in world.told if at > since and t.kind == "member" and t.details["state"] == "DEAD"
     ]
--- a/trackspread/testing/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -113,17 +113,17 @@
                 pass
             case Cut():
                 for way in fault.pairs:
-                    world.cut[way] = world.cut.get(way, 0) + 1
+                    world.severed_links[way] = world.severed_links.get(way, 0) + 1
                 world.clock.after(span, partial(world.heal, fault.pairs))
             case Rough():
                 conditions = world.conditions
                 conditions.loss = fault.loss
-                conditions.twice = fault.twice
-                conditions.jitter = _ns(fault.delay + fault.jitter)
+                conditions.duplication = fault.twice
+                conditions.jitter_ns = _ns(fault.delay + fault.jitter)
                 world.clock.after(span, self._calm)
             case Halt():
                 for number in fault.gateways:
-                    world.halt(self._process(number), span)
+                    world.pause(self._process(number), span)
             case Duty():
                 self._duty(fault, world.clock.now + span)
             case Restart():
@@ -137,13 +137,13 @@
     def _calm(self) -> None:
         conditions = self._world.conditions
         conditions.loss = 0.0
-        conditions.twice = 0.0
-        conditions.jitter = 0
+        conditions.duplication = 0.0
+        conditions.jitter_ns = 0
 
     def _duty(self, fault: Duty, end: int) -> None:
         if self._world.clock.now < end:
             for number in fault.gateways:
-                self._world.halt(self._process(number), _ns(fault.part * fault.period))
+                self._world.pause(self._process(number), _ns(fault.part * fault.period))
             self._world.clock.after(_ns(fault.period), partial(self._duty, fault, end))
 
     def _loop(self, fault: Loop, end: int) -> None:
@@ -171,8 +171,8 @@
         world.at(world.rng.randint(0, 500 * MS), partial(world.start, process))
     Player(world, schedule).arrange()
     end = _ns(schedule.faults.seconds - TAIL) + _ns(AWAY)
-    while world.true < end:
-        world.step(world.true + 20 * MS)
+    while world.elapsed_ns < end:
+        world.run_until(world.elapsed_ns + 20 * MS)
         world.rights()
         world.leaders()
     return world, world.until_settled(SETTLED + schedule.keep - KEEP)
--- a/trackspread/testing/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -52,13 +52,13 @@
         name = f"n{number}"
         others = f"10.1.{number >> 8}.{number & 255}", 7000
         address = self._seeds[number] if number < len(self._seeds) else others
-        return self._added(name, address)
+        return self._add_process(name, address)
 
     # Processes.
 
     def start(self, process: Process) -> None:
         """A new process under the name, from nothing."""
-        born = self._begun(process)
+        born = self._register_start(process)
         place = self.places.get(process.name, (-1, 0))
         settings = MemberSettings(
             "fleet",
@@ -72,18 +72,18 @@
         )
         seed = self.rng.getrandbits(60)
         core = process.core = Member(settings, process.now(self.clock.now), seed)
-        self._do(process, core.start(process.now(self.clock.now)))
-        self._ticking(process, core)
+        self._perform(process, core.start(process.now(self.clock.now)))
+        self._schedule_ticks(process, core)
 
     def leave(self, process: Process) -> None:
         core = process.core
         if core is not None:
-            self._do(process, core.leave(process.now(self.clock.now)))
+            self._perform(process, core.leave(process.now(self.clock.now)))
             process.core = None
 
     # The network.
 
-    def _do(self, process: Process, actions: Iterable[object]) -> None:
+    def _perform(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
             match action:
                 case SendMessage(to, message):
@@ -100,15 +100,17 @@
         if target is None:
             return
         conditions, rng = self.conditions, self.rng
-        for _ in range(1 + (bool(conditions.twice) and rng.random() < conditions.twice)):
+        for _ in range(1 + (bool(conditions.duplication) and rng.random() < conditions.duplication)):
             if not (conditions.loss and rng.random() < conditions.loss):
-                self.clock.after(self._late(), partial(self._arrive, process, target, message))
+                self.clock.after(self._draw_delay_ns(), partial(self._arrive, process, target, message))
 
     def _arrive(self, source: Process, target: Process, message: MemberMessage) -> None:
         core = target.core
-        if core is None or (source.name, target.name) in self.cut:
+        if core is None or (source.name, target.name) in self.severed_links:
             return
-        self._on(target, core, lambda: core.receive(target.now(self.clock.now), message, source.address))
+        self._run_when_awake(
+            target, core, lambda: core.receive(target.now(self.clock.now), message, source.address)
+        )
 
     def _connect(self, process: Process, to: Address) -> None:
         """Tables go there and back as one; over a cut way, or to nobody, nothing comes of it."""
@@ -116,11 +118,14 @@
         if target is None or target is process or core is None:
             return
         table = core.table_snapshot()
-        self.clock.after(3 * self._late(), partial(self._swap, process, core, target, table))
+        self.clock.after(3 * self._draw_delay_ns(), partial(self._swap, process, core, target, table))
 
     def _swap(self, process: Process, core: Member, target: Process, table: TableSnapshot) -> None:
         other = target.core
-        cut = (process.name, target.name) in self.cut or (target.name, process.name) in self.cut
+        cut = (process.name, target.name) in self.severed_links or (
+            target.name,
+            process.name,
+        ) in self.severed_links
         if other is None or cut or process.core is not core:
             return
 
@@ -128,17 +133,19 @@
             now = target.now(self.clock.now)
             back = other.table_snapshot()
             self.clock.after(
-                self._late(),
-                lambda: self._on(process, core, lambda: core.merge(process.now(self.clock.now), back)),
+                self._draw_delay_ns(),
+                lambda: self._run_when_awake(
+                    process, core, lambda: core.merge(process.now(self.clock.now), back)
+                ),
             )
             return other.merge(now, table)
 
-        self._on(target, other, there)
+        self._run_when_awake(target, other, there)
 
     # What came to be, and whether it may.
 
     def _record(self, process: Process, told: StatusEvent) -> None:
-        self.told.append((self.true, process.name, told))
+        self.told.append((self.elapsed_ns, process.name, told))
         about = told.details
         match told.kind:
             case "issued":
@@ -146,7 +153,7 @@
             case "view":
                 view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
                 if self.views.setdefault(view.number, view) != view:
-                    raise InvariantViolated(f"{self.true / 1e9:.3f} s: two views under {view.number}")
+                    raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: two views under {view.number}")
             case "part" if told.details["part"]:
                 self.rights()
             case "leads":
@@ -154,10 +161,10 @@
 
     def _issued(self, process: Process, number: ViewNumber, parent: ViewNumber) -> None:
         if self.issued.setdefault(number, process.name) != process.name:
-            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {number} issued by two")
+            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {number} issued by two")
         follows = parent == (*number[:2], number[2] - 1) if number[2] > 1 else parent < number
         if not follows:
-            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {number} follows {parent}")
+            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {number} follows {parent}")
 
     def rights(self) -> int:
         """The slots that are acted on at this instant."""
@@ -166,7 +173,7 @@
             part = process.core.usable_slots(process.now(now)) if process.core is not None else 0
             if part & out:
                 raise InvariantViolated(
-                    f"{self.true / 1e9:.3f} s: {process.name} acts on slots that another acts on"
+                    f"{self.elapsed_ns / 1e9:.3f} s: {process.name} acts on slots that another acts on"
                 )
             out |= part
         return out
@@ -179,7 +186,7 @@
             if p.core is not None and p.core.is_coordinator(p.now(now))
         ]
         if len(leading) > 1:
-            raise InvariantViolated(f"{self.true / 1e9:.3f} s: {leading} lead together")
+            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {leading} lead together")
 
     def running(self) -> list[str]:
         return [name for name, process in self.processes.items() if process.core is not None]
@@ -215,11 +222,11 @@
 
     def until_settled(self, most: int, among: Iterable[str] | None = None, every: int = 50 * MS) -> int:
         """ns until it is; raises `InvariantViolated` where that takes longer than `most`."""
-        begun = self.true
+        begun = self.elapsed_ns
         while amiss := self.settled(among):
-            if self.true - begun >= most:
+            if self.elapsed_ns - begun >= most:
                 raise InvariantViolated(
-                    f"{self.true / 1e9:.3f} s: not settled {most / SECOND:.1f} s after: {amiss}"
+                    f"{self.elapsed_ns / 1e9:.3f} s: not settled {most / SECOND:.1f} s after: {amiss}"
                 )
-            self.step(self.true + every)
-        return self.true - begun
+            self.run_until(self.elapsed_ns + every)
+        return self.elapsed_ns - begun
--- a/trackspread/testing/virtual/processes.py
+++ b/trackspread/testing/virtual/processes.py
@@ -1,7 +1,7 @@
-"""Processes in virtual time: clocks that run fast or slow, a network that fails, cores that stop or die.
+"""Processes in virtual time: clocks that drift, a faulty network, cores that pause or crash.
 
-What a process says takes time, gets lost, doubled or cut. Nothing here decides, and nothing here knows what
-the cores are: a world built on it starts them and passes on what they say. May know: true time.
+Messages are delayed, lost, duplicated or cut off. This module decides nothing and does not know what the
+cores are: a world built on it starts them and performs their actions. True time is that of the virtual clock.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from ...membership.identifiers import MS, Address
 from .clock import Clock
 
-WALL = 1_790_000_000_000  # ms of wall clock at the beginning of every world
-RTT = (200_000, 2 * MS)  # ns that a way takes, from and to
-LATE_MOST = 5 * MS  # ns by which a tick comes late on a machine that is busy with others
+WALL_START_MS = 1_790_000_000_000  # wall clock at the start of every world
+DELAY_RANGE_NS = (200_000, 2 * MS)  # one way
+MAX_TICK_DELAY_NS = 5 * MS  # by which a tick comes late on a busy machine
 
 
 class InvariantViolated(Exception):
@@ -26,9 +26,10 @@
 
 
 class Ticking(Protocol):
-    """What any core has."""
+    """What every core has."""
 
-    def tick(self, now: int) -> Iterable[object]: ...
+    def tick(self, now: int) -> Iterable[object]:
+        """Do what is due at `now` (ns of the process's clock); returns actions."""
 
 
 Core = TypeVar("Core", bound=Ticking)
@@ -36,131 +37,151 @@
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """Of all ways between processes."""
+    """Faults on all links between processes; chances are from 0 to 1."""
 
     loss: float = 0.0
-    twice: float = 0.0
-    jitter: int = 0  # ns
+    duplication: float = 0.0
+    jitter_ns: int = 0
 
 
 @dataclass(slots=True)
 class Process(Generic[Core]):
-    """One name, and the process under it, if any."""
+    """A process name, and the core that runs under it, if any."""
 
     name: str
     address: Address
-    rate: float  # of its clock over true time
+    clock_rate: float  # of its clock, relative to true time
     core: Core | None = None
     starts: int = 0
-    halted_until: int = 0  # true time
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # what came while it stood still
-    begun: int = 0  # true time of its start
+    paused_until: int = 0  # ns of true time
+    deferred_calls: list[Callable[[], None]] = field(default_factory=list)  # that came during a pause
+    started_at: int = 0  # ns of true time
 
-    def now(self, true: int) -> int:
-        return int(true * self.rate)
+    def now(self, true_time: int) -> int:
+        """What the process's clock shows at a true time, both in ns."""
+        return int(true_time * self.clock_rate)
 
 
 class ProcessGroup(Generic[Core]):
-    """`processes` by name; `step` runs on to a true time, relative to the beginning."""
+    """Processes by name on one virtual clock, with the network between them.
 
-    def __init__(self, chances: str, drift: float) -> None:
-        self.rng = random.Random(chances)
+    `seed` seeds all random draws; clocks drift by up to the share `max_drift`. `severed_links` are pairs of
+    names (from, to) with the number of faults that sever each.
+    """
+
+    def __init__(self, seed: str, max_drift: float) -> None:
+        self.rng = random.Random(seed)
         self.clock = Clock()
         self.conditions = NetworkConditions()
         self.processes: dict[str, Process[Core]] = {}
         self._by_address: dict[Address, Process[Core]] = {}
-        self.cut: dict[tuple[str, str], int] = {}  # directions, by how many faults cut them
+        self.severed_links: dict[tuple[str, str], int] = {}
         self._start = self.clock.now
-        self._drift = drift
+        self._max_drift = max_drift
 
-    def _added(self, name: str, address: Address) -> Process[Core]:
-        rate = 1.0 + self._drift * self.rng.uniform(-1.0, 1.0)
-        made = self.processes[name] = self._by_address[address] = Process(name, address, rate)
-        return made
+    def _add_process(self, name: str, address: Address) -> Process[Core]:
+        clock_rate = 1.0 + self._max_drift * self.rng.uniform(-1.0, 1.0)
+        process: Process[Core] = Process(name, address, clock_rate)
+        self.processes[name] = self._by_address[address] = process
+        return process
 
     @property
-    def true(self) -> int:
-        """ns since the beginning."""
+    def elapsed_ns(self) -> int:
+        """True time since the start of the world."""
         return self.clock.now - self._start
 
-    def step(self, until: int) -> None:
-        self.clock.run(self._start + until)
+    def run_until(self, elapsed_ns: int) -> None:
+        """Run on to a time since the start of the world."""
+        self.clock.run(self._start + elapsed_ns)
 
-    def at(self, when: int, call: Callable[[], object]) -> None:
-        self.clock.at(self._start + when, call)
+    def at(self, elapsed_ns: int, call: Callable[[], object]) -> None:
+        """Schedule a call for a time since the start of the world."""
+        self.clock.at(self._start + elapsed_ns, call)
 
-    # What a world adds.
+    # Implemented by each world.
 
-    def _do(self, process: Process[Core], actions: Iterable[object]) -> None:
+    def _perform(self, process: Process[Core], actions: Iterable[object]) -> None:
         raise NotImplementedError
 
     def severed(self, source: Process[Core], target: Process[Core]) -> bool:
-        """Whether nothing gets from the one to the other."""
-        return (source.name, target.name) in self.cut
+        """Whether no message gets from one process to the other."""
+        return (source.name, target.name) in self.severed_links
 
     # Processes.
 
-    def _begun(self, process: Process[Core]) -> int:
-        """A new process under the name, from nothing; when it was born, ms of wall clock."""
+    def _register_start(self, process: Process[Core]) -> int:
+        """Reset the state of a process name for a new process; returns its start, ms of wall clock."""
         process.starts += 1
-        process.begun = self.clock.now
-        process.halted_until = 0
-        process.waiting.clear()
-        return WALL + self.true // MS
+        process.started_at = self.clock.now
+        process.paused_until = 0
+        process.deferred_calls.clear()
+        return WALL_START_MS + self.elapsed_ns // MS
 
-    def _ticking(self, process: Process[Core], core: Core) -> None:
-        """From within a tick on."""
+    def _schedule_ticks(self, process: Process[Core], core: Core) -> None:
+        """The first tick comes at a random time within one tick interval."""
         self.clock.after(self.rng.randint(0, TICK_NS), partial(self._tick, process, core))
 
     def kill(self, process: Process[Core]) -> None:
+        """End a process at once."""
         process.core = None
-        process.waiting.clear()
-
-    def halt(self, process: Process[Core], span: int) -> None:
-        process.halted_until = max(process.halted_until, self.clock.now + span)
-        self.clock.after(span, partial(self._wake, process))
-
-    def _wake(self, process: Process[Core]) -> None:
-        if self.clock.now >= process.halted_until:
-            came = process.waiting
-            process.waiting = []
-            for call in came:
+        process.deferred_calls.clear()
+
+    def pause(self, process: Process[Core], span_ns: int) -> None:
+        """Stop a process for some time; what comes for it meanwhile is deferred."""
+        process.paused_until = max(process.paused_until, self.clock.now + span_ns)
+        self.clock.after(span_ns, partial(self._resume, process))
+
+    def _resume(self, process: Process[Core]) -> None:
+        if self.clock.now >= process.paused_until:
+            deferred = process.deferred_calls
+            process.deferred_calls = []
+            for call in deferred:
                 call()
 
-    def _on(self, process: Process[Core], core: Core, call: Callable[[], Iterable[object]]) -> None:
-        """Now, or once the process goes on; never for a process that is gone."""
+    def _run_when_awake(
+        self, process: Process[Core], core: Core, call: Callable[[], Iterable[object]]
+    ) -> None:
+        """Make a call of the core now, or once a pause is over; never if the core no longer runs."""
         if process.core is not core:
             return
-        if self.clock.now < process.halted_until:
-            process.waiting.append(partial(self._on, process, core, call))
+        if self.clock.now < process.paused_until:
+            process.deferred_calls.append(partial(self._run_when_awake, process, core, call))
             return
-        self._do(process, call())
+        self._perform(process, call())
 
     def _tick(self, process: Process[Core], core: Core) -> None:
         if process.core is not core:
             return
-        if self.clock.now < process.halted_until:
-            process.waiting.append(partial(self._tick, process, core))
+        if self.clock.now < process.paused_until:
+            process.deferred_calls.append(partial(self._tick, process, core))
             return
-        self._do(process, core.tick(process.now(self.clock.now)))
-        self.clock.after(TICK_NS + self.rng.randint(0, LATE_MOST), partial(self._tick, process, core))
+        self._perform(process, core.tick(process.now(self.clock.now)))
+        wait_ns = TICK_NS + self.rng.randint(0, MAX_TICK_DELAY_NS)
+        self.clock.after(wait_ns, partial(self._tick, process, core))
 
     # The network.
 
-    def part(self, some: Iterable[str], others: Iterable[str], both: bool = True) -> list[tuple[str, str]]:
-        """Cuts what goes from the ones to the others, and back; to be handed to `heal`."""
+    def partition(
+        self, some: Iterable[str], others: Iterable[str], both: bool = True
+    ) -> list[tuple[str, str]]:
+        """Sever the links from some processes to others, and back if `both`; returns the links for `heal`."""
         others = list(others)
-        ways = [way for a in some for b in others if a != b for way in ((a, b), (b, a))[: 1 + both]]
-        for way in ways:
-            self.cut[way] = self.cut.get(way, 0) + 1
-        return ways
-
-    def heal(self, ways: Iterable[tuple[str, str]]) -> None:
-        for way in ways:
-            self.cut[way] -= 1
-            if not self.cut[way]:
-                del self.cut[way]
-
-    def _late(self) -> int:
-        jitter = self.conditions.jitter
-        return self.rng.randint(*RTT) + (self.rng.randint(0, jitter) if jitter else 0)
+        links: list[tuple[str, str]] = []
+        for source in some:
+            for target in others:
+                if source != target:
+                    links += [(source, target), (target, source)][: 1 + both]
+        for link in links:
+            self.severed_links[link] = self.severed_links.get(link, 0) + 1
+        return links
+
+    def heal(self, links: Iterable[tuple[str, str]]) -> None:
+        """Undo one fault on each of these links."""
+        for link in links:
+            self.severed_links[link] -= 1
+            if not self.severed_links[link]:
+                del self.severed_links[link]
+
+    def _draw_delay_ns(self) -> int:
+        jitter_ns = self.conditions.jitter_ns
+        return self.rng.randint(*DELAY_RANGE_NS) + (self.rng.randint(0, jitter_ns) if jitter_ns else 0)
