--- a/benchmarks/convict.py
+++ b/benchmarks/convict.py
@@ -25,7 +25,7 @@
 from trackspread.testing.mutation.equivalent import load
 from trackspread.testing.mutation.generate import Mutant, sample
 from trackspread.testing.mutation.plant import Result, put_all, require_sound
-from trackspread.testing.virtual.explorer import Found
+from trackspread.testing.virtual.explorer import Exploration
 
 PACKAGES = ("planning", "decide")
 QUICK, LONG = 100, 400  # mutants
@@ -55,7 +55,7 @@
     }
 
 
-def _explored(job: tuple[str, int]) -> Found:
+def _explored(job: tuple[str, int]) -> Exploration:
     # Imported here alone: children that plant mutants run this file's top first, and must not have the
     # modules.
     from trackspread.testing.virtual.explorer import explore
@@ -74,13 +74,13 @@
         figures = mutants(packages, count, seed, quick)
         found = explored.get()
     for each in found:
-        told = f"WRONG: {each.wrong}: {' / '.join(each.trace)}" if each.wrong else "nothing wrong"
+        told = f"WRONG: {each.violation}: {' / '.join(each.trace)}" if each.violation else "nothing wrong"
         say(f"smallest world of planning: {each.states} states, whole to depth {each.depth}; {told}")
     return {
         **figures,
         "model_states": sum(each.states for each in found),
         "model_depth": min(each.depth for each in found),
-        "model_violations": sum(bool(each.wrong) for each in found),
+        "model_violations": sum(bool(each.violation) for each in found),
     }
 
 
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -11,7 +11,7 @@
 import json
 from statistics import fmean
 
-from trackspread.testing.virtual.quota_accuracy import SCENARIOS, TROUBLES, QuietDay, play
+from trackspread.testing.virtual.quota_accuracy import FAULTS, SCENARIOS, QuotaAccuracy, play
 
 from .common import say
 
@@ -19,16 +19,16 @@
 WORST_GROUP = "worst_group_more"
 
 
-def told(days: list[QuietDay]) -> dict[str, float]:
-    groups = [(name, policy, late) for day in days for name, (policy, late) in day.groups.items()]
+def told(days: list[QuotaAccuracy]) -> dict[str, float]:
+    groups = [(name, policy, stale) for day in days for name, (policy, stale) in day.groups.items()]
     return {
         "inside": fmean(d.policy.inside for d in days),
         "over_price": fmean(d.policy.over_price for d in days),
-        "refused_with_room": fmean(d.policy.refused_with_room for d in days),
-        "late_inside": fmean(d.late.inside for d in days),
-        "late_over_price": fmean(d.late.over_price for d in days),
-        "more": fmean(d.more for d in days),
-        WORST_GROUP: max(policy.over_price - late.over_price for _, policy, late in groups),
+        "refused_with_room": fmean(d.policy.rejected_with_quota_left for d in days),
+        "late_inside": fmean(d.stale.inside for d in days),
+        "late_over_price": fmean(d.stale.over_price for d in days),
+        "more": fmean(d.price_difference for d in days),
+        WORST_GROUP: max(policy.over_price - stale.over_price for _, policy, stale in groups),
     }
 
 
@@ -38,7 +38,7 @@
     seeds = range(1, 1 + (QUICK if parser.parse_args().quick else FULL))
     figures: dict[str, dict[str, float]] = {}
     for name in SCENARIOS:
-        for trouble in TROUBLES:
+        for trouble in FAULTS:
             made = {k: round(v, 4) for k, v in told([play(name, trouble, seed) for seed in seeds]).items()}
             figures[f"{name}, {trouble}"] = made
             say(f"{name}, {trouble}: {made}")
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -13,7 +13,7 @@
 
 from trackspread.decide import broker
 from trackspread.decide.quota import Quota, hard_limit
-from trackspread.testing.virtual.patches import held
+from trackspread.testing.virtual.patches import applied
 from trackspread.testing.virtual.large_fleets import SHAPES, LoadShape, play
 
 QUICK, FULL = 1, 5  # seeds of each shape
@@ -25,7 +25,7 @@
         patch.object(hard_limit, "unspent_units", lambda *words: 0.0),
         patch.object(Quota, "is_known_spent", lambda *words: False),
     )
-    with held(former):
+    with applied(former):
         return play(name, seed)
 
 
@@ -39,8 +39,8 @@
         told[name] = {
             "served_share": fmean(s.served_share for s in now),
             "served_share_before": fmean(s.served_share for s in before),
-            "refused_with_room_share": fmean(s.refused_with_room_share for s in now),
-            "refused_with_room_share_before": fmean(s.refused_with_room_share for s in before),
+            "refused_with_room_share": fmean(s.rejected_share for s in now),
+            "refused_with_room_share_before": fmean(s.rejected_share for s in before),
             "retry_share": fmean(s.retry_share for s in now),
             "first_second_peak": max(s.first_second_peak for s in now),
             "violations": sum(s.violations for s in now),
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -264,7 +264,7 @@
     **{
         f"quiet, {scenario}, {trouble}": partial(quota_accuracy.play, scenario, trouble)
         for scenario in quota_accuracy.SCENARIOS
-        for trouble in quota_accuracy.TROUBLES
+        for trouble in quota_accuracy.FAULTS
     },
     **{f"vast, {shape}": partial(large_fleets.play, shape) for shape in large_fleets.SHAPES},
     **{f"cells, {play.__name__}": play for play in cells_worlds.WORLDS[1:]},
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -21,7 +21,7 @@
     unpack_quota_message,
 )
 from trackspread.decide.quota import UNRESPONSIVE_NS, Quota, state
-from trackspread.testing.virtual.patches import held, in_all_sharings
+from trackspread.testing.virtual.patches import applied, in_all_sharings
 from trackspread.decide.time_units import TICK
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
@@ -128,7 +128,7 @@
 
 PLANTED: dict[str, Callable[[], Any]] = {
     "home-forgets": _home_forgets,
-    "home-unasked": lambda: held(in_all_sharings("is_local", lambda self, account: True)),
+    "home-unasked": lambda: applied(in_all_sharings("is_local", lambda self, account: True)),
     "end-untold": lambda: patch.object(Quota, "release", lambda self, now, account: []),
     "none-told-as-out": lambda: patch.object(
         state, "QuotaMessage", lambda *told, in_flight: QuotaMessage(*told)
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -11,18 +11,24 @@
 from trackspread.testing.judge.ledger import RequestSent, AttemptReceived, Entry, PlanRule
 from trackspread.testing.standins.rating_node import SECOND
 from trackspread.testing.standins.scenario import MILLISECOND, Scenario
-from trackspread.testing.virtual.quota_accuracy import LATE, SCENARIOS, TROUBLES, judged, play
+from trackspread.testing.virtual.quota_accuracy import (
+    FAULTS,
+    SCENARIOS,
+    STALENESS_NS,
+    compare_policies,
+    play,
+)
 
 ALLOWED = 0.1  # price over that of the late-seeing policy
 SERVED = {"unheard": 0.75}  # part of the worth inside quotas; where anybody is heard 0.9
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("trouble", FAULTS)
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_beyond_quotas_costs_no_more_than_is_allowed_and_most_is_let_through(name: str, trouble: str) -> None:
     day = play(name, trouble, 1)
-    assert day.more <= ALLOWED and day.policy.over_price <= ALLOWED
-    assert all(policy.over_price - late.over_price <= ALLOWED for policy, late in day.groups.values())
+    assert day.price_difference <= ALLOWED and day.policy.over_price <= ALLOWED
+    assert all(policy.over_price - stale.over_price <= ALLOWED for policy, stale in day.groups.values())
     assert day.policy.inside >= SERVED.get(name, 0.9)
 
 
@@ -30,7 +36,7 @@
     spent = patch.object(Quota, "is_known_spent", lambda *words: False)
     with patch.object(token_bucket, "spend", lambda *words: True), spent:
         day = play("homes", "calm", 1)
-    assert day.policy.over_price > 3 * ALLOWED and day.more > ALLOWED
+    assert day.policy.over_price > 3 * ALLOWED and day.price_difference > ALLOWED
 
 
 def test_both_sides_are_judged_by_the_true_store() -> None:
@@ -43,14 +49,14 @@
         entries.append(RequestSent(now, f"r{n}", f"r{n}", gateway, cls, "p", 7, 1.0, SECOND))
         if n != 2:
             entries.append(AttemptReceived(now, now, f"r{n}", "s", gateway, 1))
-    day = judged(scenario, entries)
+    day = compare_policies(scenario, entries)
     # Two of three that were sent on were inside; the late-seeing one lets a third and a fourth through: at b
     # what a took is unseen, at a what b did.
-    assert (day.policy.inside, day.policy.over_price, day.policy.refused_with_room) == (1.0, 1.0, 0.0)
-    assert (day.late.inside, day.late.over_price) == (1.0, 2.0)
+    assert (day.policy.inside, day.policy.over_price, day.policy.rejected_with_quota_left) == (1.0, 1.0, 0.0)
+    assert (day.stale.inside, day.stale.over_price) == (1.0, 2.0)
     late: list[Entry] = [
         RequestSent(0, "r0", "r0", "a", cls, "p", 7, 2.0, SECOND),
         AttemptReceived(0, 0, "r0", "s", "a", 1),
-        RequestSent(LATE + 1, "r1", "r1", "b", cls, "p", 7, 1.0, SECOND),
+        RequestSent(STALENESS_NS + 1, "r1", "r1", "b", cls, "p", 7, 1.0, SECOND),
     ]
-    assert judged(scenario, late).late.over_price == 0.0
+    assert compare_policies(scenario, late).stale.over_price == 0.0
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -24,7 +24,7 @@
 def test_all_gateways_together_keep_a_cold_backends_budget_and_use_it(seed: int) -> None:
     run = play(seed)
     assert run.worst_excess <= 0.0
-    assert run.used > USED
+    assert run.relative_load > USED
     assert not run.violations
 
 
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -11,7 +11,7 @@
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.testing.standins.rating_node import SECOND
 from trackspread.testing.standins.scenario import Scenario
-from trackspread.testing.virtual.slow_start import excess
+from trackspread.testing.virtual.slow_start import overload_excess
 
 pytestmark = pytest.mark.processes
 
@@ -30,7 +30,7 @@
         while fleet.clients.kinds["served"] < SERVED:
             await asyncio.sleep(0.05)
         await fleet.settle()
-        return fleet.verdict(), max(excess(SCENARIO, fleet.ledger))
+        return fleet.verdict(), max(overload_excess(SCENARIO, fleet.ledger))
 
 
 def test_twenty_processes_share_backends_that_are_all_cold() -> None:
--- a/trackspread/testing/harness/configuration_process.py
+++ b/trackspread/testing/harness/configuration_process.py
@@ -27,7 +27,7 @@
 from ...distribution.wire import Wire
 from ...membership.wire import Keys
 from ..virtual.distribution.mutants import MUTANTS
-from ..virtual.patches import held
+from ..virtual.patches import applied
 
 FLEET = "configured"
 
@@ -141,6 +141,6 @@
 
 if __name__ == "__main__":
     given = msgspec.convert(json.loads(sys.argv[1]), ProcessSpec)
-    planted: Any = held(MUTANTS[given.mutant]()) if given.mutant else nullcontext()
+    planted: Any = applied(MUTANTS[given.mutant]()) if given.mutant else nullcontext()
     with planted:
         uvloop.run(main(given))
--- a/trackspread/testing/harness/fast_control.py
+++ b/trackspread/testing/harness/fast_control.py
@@ -18,7 +18,7 @@
 from ...node import control_machine
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
-from ..virtual.patches import held
+from ..virtual.patches import applied
 
 NONE = "none"
 TARGET, MOST, LEAST, MERGED = 2, 3, 1, 2  # gateways of a cell
@@ -40,7 +40,7 @@
     """In the foreground."""
     with ExitStack() as stack:
         stack.enter_context(patch.object(control_machine, "CellPolicy", _policy))
-        stack.enter_context(held(faults(names)))
+        stack.enter_context(applied(faults(names)))
         control_machine.run(control, Path(file))
 
 
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -18,7 +18,7 @@
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
 from ..virtual.mutants import MUTANTS
-from ..virtual.patches import held
+from ..virtual.patches import applied
 
 EVERY = 15  # a deed that goes wrong does so once in so many times
 
@@ -125,5 +125,5 @@
 
 
 if __name__ == "__main__":
-    with held(_patches(sys.argv[1])):
+    with applied(_patches(sys.argv[1])):
         serve.run(sys.argv[-1])
--- a/trackspread/testing/virtual/__init__.py
+++ b/trackspread/testing/virtual/__init__.py
@@ -1,5 +1,5 @@
-"""Virtual time: decisions of gateways, their messages, nodes and clients in one process, under faults.
+"""Virtual time: gateways, their messages, rating nodes and clients in one process, under seeded faults.
 
-It is for finding faults, not for a score. The decision module is the real one; the host round it follows what
-`node/gateway.py` does with events and actions.
+It finds faults and measures no performance. The decision module is the real one; its host does with events
+and actions what `node/gateway.py` does.
 """
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -21,7 +21,7 @@
 from ....membership.identifiers import SECOND, Address, Epoch, MemberId
 from ....membership.lease_renewal import LeaseRenewal
 from ....membership.messages import LeaseRequest
-from ..patches import held
+from ..patches import applied
 from ..processes import InvariantViolated
 from .worlds import WORLDS
 
@@ -300,7 +300,7 @@
 def tells(world: str, seed: int, name: str) -> bool:
     """Whether this world convicts the mutant."""
     played = next(each for each in WORLDS if each.__name__ == world)
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         try:
             played(seed)
         except InvariantViolated:
@@ -311,7 +311,7 @@
 def convict(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
     """The first world, by its name, and seed that tell the mutant; None if none does."""
     seeds = list(seeds)
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         for world in (*WORLDS[1:], WORLDS[0]):
             for seed in seeds:
                 try:
--- a/trackspread/testing/virtual/counter/mutants.py
+++ b/trackspread/testing/virtual/counter/mutants.py
@@ -19,7 +19,7 @@
 from ....counter.timing import LEASE_NS
 from ....decide.time_units import SECOND
 from . import schedules
-from ..patches import held
+from ..patches import applied
 
 
 def _proof_not_awaited() -> list[Any]:
@@ -243,7 +243,7 @@
 
 def convict(name: str, seeds: int) -> tuple[str, int] | None:
     """The kind and the first seed of a world that shows the mutant; None if none of so many of each has."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         return next(
             ((kind, seed) for kind, play in KINDS.items() for seed in range(seeds) if play(seed)), None
         )
@@ -251,5 +251,5 @@
 
 def shows(name: str, kind: str, seed: int) -> bool:
     """Whether this world shows the mutant."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         return bool(KINDS[kind](seed))
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -20,7 +20,7 @@
 from ....distribution.settings import ReplicaSettings
 from ....distribution.versions import NO_VERSION, Entry, Version
 from ....membership.identifiers import Address, Epoch
-from ..patches import held
+from ..patches import applied
 from .invariants import InvariantViolated
 from .schedules import LONG, SHORT
 
@@ -271,7 +271,7 @@
     """The first world and seed by which the mutant is told; None if none does. The long worlds are played by
     the first seed alone."""
     played = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         for seed, world in sorted(played, key=lambda each: each[0]):
             try:
                 world(seed)
--- /dev/null
+++ b/trackspread/testing/virtual/exchange.py
@@ -0,0 +1,100 @@
+"""One request of one client in virtual time, from the moment it is written until its reply or its end."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import Protocol
+
+from ..judge.ledger import ClientDisconnected, ConnectionLost, Ledger, ReplyReceived
+from ..standins.client_population import ClientRequest
+from .clock import Clock
+from .host import Host, IncomingRequest, ReplyKind
+
+
+class ExchangeWorld(Protocol):
+    """What an exchange needs of the world around it."""
+
+    clock: Clock
+    ledger: Ledger
+
+    def draw_delay_ns(self) -> int:
+        """A random one-way delay."""
+
+    def class_and_plan(self, wanted: ClientRequest) -> tuple[int, int]:
+        """Class and plan of a request by their indexes in the settings."""
+
+    def close_exchange(self, gateway: int, request: str) -> None:
+        """A request at the gateway of this position is no longer outstanding."""
+
+    def schedule_retry(self, wanted: ClientRequest, kind: str, retry_after_ms: int) -> None:
+        """The client may send the request again after a reply (or `cut`) of this kind."""
+
+
+class Exchange:
+    """One request of one client at one process of a gateway.
+
+    `is_over`: the client waits no longer; `is_disconnected`: it does not read a reply any more.
+    """
+
+    def __init__(self, world: ExchangeWorld, wanted: ClientRequest, request: str, host: Host) -> None:
+        self._world = world
+        self._wanted = wanted
+        self._request = request
+        self._host = host
+        self._number = 0  # in the host, once it has accepted the request
+        self.is_over = False
+        self.is_disconnected = False
+
+    def deliver(self) -> None:
+        """The request reaches its gateway."""
+        if self.is_over or not self._host.alive:
+            return
+        wanted, customer = self._wanted, self._wanted.customer
+        request_class, plan = self._world.class_and_plan(wanted)
+        incoming = IncomingRequest(
+            self._request,
+            request_class,
+            plan,
+            customer.number,
+            wanted.wait,
+            wanted.units,
+            customer.spread,
+            customer.first,
+        )
+        self._number = self._host.accept(incoming, self._on_reply)
+
+    def _on_reply(self, kind: ReplyKind, value: str, retry_after_ms: int) -> None:
+        """The host has written a reply; it arrives a delay later, also if the host is killed meanwhile."""
+        wait_ns = self._world.draw_delay_ns()
+        self._world.clock.after(wait_ns, partial(self._read_reply, kind, value, retry_after_ms))
+
+    def _read_reply(self, kind: ReplyKind, value: str, retry_after_ms: int) -> None:
+        if self.is_disconnected:
+            return
+        now = self._world.clock.now
+        self._world.ledger.write(ReplyReceived(now, self._request, kind, value, retry_after_ms))
+        if not self.is_over:
+            self._end()
+            if kind != "served":
+                self._world.schedule_retry(self._wanted, kind, retry_after_ms)
+
+    def cut(self) -> None:
+        """The connection ends, as the gateway was killed."""
+        if not self.is_over:
+            self._end()
+            self.is_disconnected = True
+            self._world.ledger.write(ConnectionLost(self._world.clock.now, self._request))
+            self._world.schedule_retry(self._wanted, "cut", 0)
+
+    def disconnect(self) -> None:
+        """The client gives up and closes its connection, if it still waits."""
+        if not self.is_over:
+            self._end()
+            self.is_disconnected = True
+            self._world.ledger.write(ClientDisconnected(self._world.clock.now, self._request))
+            if self._number:
+                self._host.disconnect_client(self._number)
+
+    def _end(self) -> None:
+        self.is_over = True
+        self._world.close_exchange(self._wanted.gateway, self._request)
--- a/trackspread/testing/virtual/explorer.py
+++ b/trackspread/testing/virtual/explorer.py
@@ -1,8 +1,8 @@
-"""A breadth-first explorer: every order of happenings in a small world, up to a bound, each state once.
+"""A breadth-first model checker: every order of events in a small world up to a bound, each state once.
 
-A state is a plain value that can be copied by pickling (here only, never from a network); its digest tells
-it from others. A violation comes as the shortest trace of happenings that leads to it. May not know: what the
-states mean.
+A state is a plain value that is copied by pickling (in this module only, never from a network); its digest
+identifies it. A violation is reported with a shortest trace of events that leads to it. Nothing here depends
+on what the states mean.
 """
 
 from __future__ import annotations
@@ -14,75 +14,91 @@
 from hashlib import blake2b
 from typing import Protocol, Self, TypeVar
 
+DIGEST_BYTES = 16
+
 
 class State(Protocol):
     """What a world must offer."""
 
-    def happenings(self) -> Iterable[str]:
-        """Names of all that may happen next, in a fixed order."""
+    def events(self) -> Iterable[str]:
+        """Names of all events that are possible next, in a fixed order."""
 
-    def happen(self, name: str) -> None: ...
+    def apply(self, event: str) -> None:
+        """Let an event happen."""
 
-    def wrong(self) -> str:
-        """What must never be, or an empty text."""
+    def violation(self) -> str:
+        """The invariant that does not hold, or an empty text."""
 
-    def settled(self) -> Self:
-        """Itself, with what makes no difference put in order."""
+    def normalized(self) -> Self:
+        """The state with everything that makes no difference in a canonical order."""
 
 
-S = TypeVar("S", bound=State)
+StateT = TypeVar("StateT", bound=State)
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """`trace` is empty where nothing was wrong. `whole`: no state within the depth was left out."""
+class Exploration:
+    """What an exploration found.
+
+    `trace`: the events up to the violation, empty if there is none. `is_complete`: no state within the depth
+    was left out.
+    """
 
     states: int
     depth: int
-    whole: bool
-    wrong: str
+    is_complete: bool
+    violation: str
     trace: tuple[str, ...]
 
 
-def explore(start: Callable[[], S], depth: int, most: int) -> Found:
-    """From `start`, all orders of at most `depth` happenings, at most `most` states."""
-    first = _packed(start())
-    came: dict[bytes, tuple[bytes, str]] = {_digest(first): (b"", "")}
-    layer: deque[tuple[bytes, bytes]] = deque([(_digest(first), first)])
+@dataclass(frozen=True, slots=True)
+class _Step:
+    """How a state was reached first: from which state (its digest), and by which event."""
+
+    source: bytes
+    event: str
+
+
+def explore(start: Callable[[], StateT], depth: int, max_states: int) -> Exploration:
+    """Explore all orders of at most `depth` events from `start`, until there are `max_states` states."""
+    first = _pickled(start())
+    reached: dict[bytes, _Step] = {_digest(first): _Step(b"", "")}
+    layer: deque[tuple[bytes, bytes]] = deque([(_digest(first), first)])  # digests and pickled states
     for level in range(depth):
-        following: deque[tuple[bytes, bytes]] = deque()
+        next_layer: deque[tuple[bytes, bytes]] = deque()
         while layer:
-            digest, packed = layer.popleft()
-            for name in list(pickle.loads(packed).happenings()):
-                state: S = pickle.loads(packed)
-                state.happen(name)
-                after = _packed(state)
-                key = _digest(after)
-                if key in came:
+            digest, pickled = layer.popleft()
+            for event in list(pickle.loads(pickled).events()):
+                state: StateT = pickle.loads(pickled)
+                state.apply(event)
+                next_pickled = _pickled(state)
+                next_digest = _digest(next_pickled)
+                if next_digest in reached:
                     continue
-                came[key] = digest, name
-                if wrong := state.wrong():
-                    return Found(len(came), level + 1, False, wrong, _trace(came, key))
-                if len(came) >= most:
-                    return Found(len(came), level, False, "", ())
-                following.append((key, after))
-        if not following:
-            return Found(len(came), level, True, "", ())
-        layer = following
-    return Found(len(came), depth, True, "", ())
+                reached[next_digest] = _Step(digest, event)
+                if violation := state.violation():
+                    trace = _trace(reached, next_digest)
+                    return Exploration(len(reached), level + 1, False, violation, trace)
+                if len(reached) >= max_states:
+                    return Exploration(len(reached), level, False, "", ())
+                next_layer.append((next_digest, next_pickled))
+        if not next_layer:
+            return Exploration(len(reached), level, True, "", ())
+        layer = next_layer
+    return Exploration(len(reached), depth, True, "", ())
 
 
-def _packed(state: State) -> bytes:
-    return pickle.dumps(state.settled(), protocol=pickle.HIGHEST_PROTOCOL)
+def _pickled(state: State) -> bytes:
+    return pickle.dumps(state.normalized(), protocol=pickle.HIGHEST_PROTOCOL)
 
 
-def _digest(packed: bytes) -> bytes:
-    return blake2b(packed, digest_size=16).digest()
+def _digest(pickled: bytes) -> bytes:
+    return blake2b(pickled, digest_size=DIGEST_BYTES).digest()
 
 
-def _trace(came: dict[bytes, tuple[bytes, str]], key: bytes) -> tuple[str, ...]:
-    names = []
-    while came[key][1]:
-        key, name = came[key]
-        names.append(name)
-    return tuple(reversed(names))
+def _trace(reached: dict[bytes, _Step], digest: bytes) -> tuple[str, ...]:
+    events = []
+    while reached[digest].event:
+        events.append(reached[digest].event)
+        digest = reached[digest].source
+    return tuple(reversed(events))
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet in virtual time: hosts, network, rating nodes, the list, clients; all of it into a ledger.
+"""A complete fleet in virtual time: gateways, network, rating nodes, the endpoint list and clients.
 
-May know: everything about its world; faults are plain attributes that a schedule sets. May not know: what the
-module decides or why.
+All that its stand-ins observe goes into a ledger. Faults are plain attributes that a schedule sets. Nothing
+here depends on what the decision module decides or why.
 """
 
 from __future__ import annotations
@@ -16,64 +16,68 @@
 from ...decide.events import Outcome
 from ...decide.settings import Settings
 from ..judge.ledger import (
-    ReplyReceived,
-    RequestSent,
     AttemptReceived,
-    BackendStarted,
-    ConnectionLost,
     BackendCrashed,
+    BackendStarted,
+    EndpointAnnounced,
     GatewayKilled,
-    Ledger,
-    ClientDisconnected,
     GatewayStarted,
-    EndpointAnnounced,
+    Ledger,
+    RequestSent,
 )
 from ...lists.seam import backend_id
 from ...simulator.wire import parse_settings
 from ..standins.client_population import ClientRequest
-from ..standins.rating_node import NodeSpec, Pod, RatingNode, work_of
+from ..standins.rating_node import NodeSpec, Pod, RatingNode, Taken, work_of
 from ..standins.scenario import MILLISECOND, ZONES, Scenario
 from .clock import Clock
-from .host import Attempt, Host, Kind
+from .exchange import Exchange
+from .host import Attempt, Host
 
-WITNESS = 200 * MILLISECOND  # for which a client looks on after its time, to see an answer that is late
-CONNECTS = 3  # gateways that a client tries in turn
-LATE_UP = 250 * MILLISECOND  # a connection that takes longer is given up, as the settings have it
+LINGER_NS = 200 * MILLISECOND  # after its deadline a client still reads, to observe a late reply
+MAX_GATEWAYS_TRIED = 3  # by a client that can't connect
+MAX_CONNECT_DELAY_NS = 250 * MILLISECOND  # the connect timeout of the settings
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """The network's state. One-way delays in ns; chances from 0 to 1."""
+    """The state of the network. Chances are from 0 to 1, delays are one way."""
 
-    least: int = 200_000
-    most: int = 2 * MILLISECOND
+    min_delay_ns: int = 200_000
+    max_delay_ns: int = 2 * MILLISECOND
     peer_loss: float = 0.02
-    peer_twice: float = 0.0
-    peer_delay: int = 0  # ns more, at most, for messages between gateways: they overtake one another
-    reset: float = 0.0  # chance that an attempt is reset once it has come whole
-    late_up: float = 0.0  # chance that a connection comes up late, by `LATE_UP` at most
-    unwritten: float = 0.0  # chance that a connection breaks before the request's last byte is out
-    list_delay: int = 300 * MILLISECOND  # at most, for news of the list
+    peer_duplication: float = 0.0
+    max_peer_delay_ns: int = 0  # in addition, between gateways: messages are reordered by it
+    reset_chance: float = 0.0  # that an attempt is reset after the request was received
+    slow_connect_chance: float = 0.0  # that connecting takes up to `MAX_CONNECT_DELAY_NS` longer
+    broken_write_chance: float = 0.0  # that a connection breaks before the request's last byte is sent
+    max_list_delay_ns: int = 300 * MILLISECOND  # of updates of the endpoint list
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A rating node and what the list says of it."""
+    """A rating node and its entry in the endpoint list."""
 
     spec: NodeSpec
     model: RatingNode
     id: int
     entry: Backend
-    up: bool = True
-    silent: bool = False  # takes what comes and says nothing
-    out: dict[Attempt, Host] = field(default_factory=dict)
+    running: bool = True
+    unresponsive: bool = False  # receives requests and sends nothing
+    in_flight: dict[Attempt, Host] = field(default_factory=dict)
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it runs, and is ready by the endpoint list."""
+        return self.running and self.entry.health is Health.READY
 
 
 class VirtualFleet:
-    """Make it, put happenings on its clock, `run` it, and hand its ledger to the judge."""
+    """A fleet of a scenario: schedule events on its `clock`, `run` it, and give its `ledger` to the judge."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.scenario, self.rng = scenario, random.Random(f"virtual:{seed}")
+        self.scenario = scenario
+        self.rng = random.Random(f"virtual:{seed}")
         self.clock = Clock()
         self.ledger = Ledger()
         self.conditions = NetworkConditions()
@@ -81,152 +85,162 @@
         self._settings = [_settings(scenario, position) for position in range(scenario.gateways)]
         self._classes = {c.name: number for number, c in enumerate(scenario.classes)}
         self._plans = {name: number for number, name in enumerate(scenario.world().plans)}
-        self._windows = {c.name: scenario.window for c in scenario.classes if c.repeat == "keyed"}
-        self._asked: dict[str, tuple[str, str]] = {}  # each request's class and key
-        self.apart: set[frozenset[int]] = set()  # pairs of gateways that don't hear one another
+        self._deduplication_windows = {
+            c.name: scenario.window for c in scenario.classes if c.repeat == "keyed"
+        }
+        self._class_and_key: dict[str, tuple[str, str]] = {}  # by request
+        self.partitioned: set[frozenset[int]] = set()  # pairs of gateways that get no message of each other
         self.pods: dict[int, Pod] = {}
         self.nodes: dict[int, Node] = {}
-        self.version = 1
+        self.list_version = 1
         for spec in scenario.specs():
-            self.boot(spec, cold=False, tell=False)
+            self.start_node(spec, cold=False, announce=False)
         self.hosts: list[Host | None] = [None] * scenario.gateways
-        self._known: list[tuple[Backend, ...]] = [()] * scenario.gateways
-        self._list_at = [0] * scenario.gateways  # when the last news reaches each: news comes in order
-        self._open: list[dict[str, Callable[[], None]]] = [{} for _ in range(scenario.gateways)]
+        self._known_endpoints: list[tuple[Backend, ...]] = [()] * scenario.gateways
+        self._last_update_at = [0] * scenario.gateways  # updates reach each gateway in order
+        self._open_exchanges: list[dict[str, Callable[[], None]]] = [{} for _ in range(scenario.gateways)]
         for position in range(scenario.gateways):
-            self.start(position)
-        self._arrive()
+            self.start_gateway(position)
+        self._send_next_request()
 
     def run(self, span: int) -> None:
-        """`span` ns of happenings, and then so long as requests may still be under way."""
+        """Run for `span` ns of load, and then until no request can be outstanding."""
         end = self.clock.now + span
-        self.clock.at(end, self._stop_asking)
-        self.clock.run(end + max(c.deadline for c in self.scenario.classes) + WITNESS)
+        self.clock.at(end, self._stop_load)
+        self.clock.run(end + max(c.deadline for c in self.scenario.classes) + LINGER_NS)
 
-    def _stop_asking(self) -> None:
+    def _stop_load(self) -> None:
         self.population.surge = 0.0
 
-    def _delay(self) -> int:
-        return self.rng.randint(self.conditions.least, self.conditions.most)
+    def draw_delay_ns(self) -> int:
+        """A random one-way delay."""
+        return self.rng.randint(self.conditions.min_delay_ns, self.conditions.max_delay_ns)
 
     # Gateways.
 
-    def start(self, position: int) -> None:
-        """A gateway starts from nothing but the list that it last had."""
+    def start_gateway(self, position: int) -> None:
+        """Start a gateway that has no state but the endpoint list it last received."""
         if self.hosts[position] is not None:
             return
         seed = self.rng.getrandbits(48)
         host = self.hosts[position] = Host(self.clock, self, position, self._settings[position], seed)
-        self._list_at[position] = 0
-        known = self._known[position] or self._entries()
-        host.learn(EndpointUpdate(EndpointUpdateKind.CACHED, 0, known))
-        self._news(host, EndpointUpdateKind.FULL, self._entries())
+        self._last_update_at[position] = 0
+        known = self._known_endpoints[position] or self._listed_endpoints()
+        host.update_endpoints(EndpointUpdate(EndpointUpdateKind.CACHED, 0, known))
+        self._send_update(host, EndpointUpdateKind.FULL, self._listed_endpoints())
         self.ledger.write(GatewayStarted(self.clock.now, f"n{position}"))
 
-    def kill(self, position: int) -> None:
-        """Outright: what it held is the clients' to retry."""
+    def kill_gateway(self, position: int) -> None:
+        """Kill a gateway at once; its clients may retry the requests that it held."""
         host = self.hosts[position]
         if host is None:
             return
         host.alive = False
         self.hosts[position] = None
         self.ledger.write(GatewayKilled(self.clock.now, f"n{position}"))
-        for cut in list(self._open[position].values()):
+        for cut in list(self._open_exchanges[position].values()):
             cut()
-        self._open[position].clear()
+        self._open_exchanges[position].clear()
 
-    # The list.
+    # The endpoint list.
 
-    def _entries(self) -> tuple[Backend, ...]:
+    def _listed_endpoints(self) -> tuple[Backend, ...]:
         return tuple(node.entry for node in self.nodes.values() if node.entry.health is not Health.REMOVED)
 
-    def _change(self, node: Node, health: Health) -> None:
-        self.version += 1
+    def set_health(self, node: Node, health: Health) -> None:
+        """Change a node's entry in the endpoint list and send the update to all gateways."""
+        self.list_version += 1
         node.entry = replace(node.entry, health=health)
         for host in self.hosts:
             if host is not None:
-                self._news(host, EndpointUpdateKind.DELTA, (node.entry,))
-
-    def _news(self, host: Host, kind: EndpointUpdateKind, entries: tuple[Backend, ...]) -> None:
-        position, version = host.position, self.version
-        wait = self.rng.randint(MILLISECOND, self.conditions.list_delay)
-        at = self._list_at[position] = max(self._list_at[position], self.clock.now + wait)
-        self.clock.at(at, partial(self._told, host, kind, version, entries))
-
-    def _told(self, host: Host, kind: EndpointUpdateKind, version: int, entries: tuple[Backend, ...]) -> None:
+                self._send_update(host, EndpointUpdateKind.DELTA, (node.entry,))
+
+    def _send_update(self, host: Host, kind: EndpointUpdateKind, entries: tuple[Backend, ...]) -> None:
+        position, version = host.position, self.list_version
+        wait_ns = self.rng.randint(MILLISECOND, self.conditions.max_list_delay_ns)
+        arrives_at = max(self._last_update_at[position], self.clock.now + wait_ns)
+        self._last_update_at[position] = arrives_at
+        self.clock.at(arrives_at, partial(self._deliver_update, host, kind, version, entries))
+
+    def _deliver_update(
+        self, host: Host, kind: EndpointUpdateKind, version: int, entries: tuple[Backend, ...]
+    ) -> None:
         if not host.alive:
             return
-        names = {entry.id: entry.health is Health.READY for entry in entries}
+        is_full = kind is EndpointUpdateKind.FULL
+        is_ready = {entry.id: entry.health is Health.READY for entry in entries}
         for node in self.nodes.values():
-            if node.id in names or kind is EndpointUpdateKind.FULL:
-                self.ledger.write(
-                    EndpointAnnounced(
-                        self.clock.now, f"n{host.position}", node.spec.name, names.get(node.id, False)
-                    )
-                )
-        known = (
-            {}
-            if kind is EndpointUpdateKind.FULL
-            else {entry.id: entry for entry in self._known[host.position]}
-        )
+            if node.id in is_ready or is_full:
+                ready = is_ready.get(node.id, False)
+                announced = EndpointAnnounced(self.clock.now, f"n{host.position}", node.spec.name, ready)
+                self.ledger.write(announced)
+        known = {} if is_full else {entry.id: entry for entry in self._known_endpoints[host.position]}
         known.update({entry.id: entry for entry in entries})
-        self._known[host.position] = tuple(e for e in known.values() if e.health is not Health.REMOVED)
-        host.learn(EndpointUpdate(kind, version, entries))
+        listed = (entry for entry in known.values() if entry.health is not Health.REMOVED)
+        self._known_endpoints[host.position] = tuple(listed)
+        host.update_endpoints(EndpointUpdate(kind, version, entries))
 
     # Rating nodes.
 
-    def boot(self, spec: NodeSpec, cold: bool, tell: bool = True) -> Node:
+    def start_node(self, spec: NodeSpec, cold: bool, announce: bool = True) -> Node:
+        """Start a node, warming up if `cold`, and announce it in the endpoint list."""
         now, number = self.clock.now, backend_id(spec.name)
         model = self.scenario.node(spec, self.pods, now, cold)
         entry = Backend(number, ZONES.index(spec.zone), 0, spec.cell, Health.READY, 1.0, now if cold else 0)
         node = self.nodes[number] = Node(spec, model, number, entry)
-        start = spec.start if cold else 1.0
+        capacity = spec.start if cold else 1.0
         cores = spec.cores * spec.speed
-        self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, start, spec.warm))
-        if tell:
-            self._change(node, Health.READY)
+        self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, capacity, spec.warm))
+        if announce:
+            self.set_health(node, Health.READY)
         return node
 
-    def drain(self, node: Node) -> None:
+    def drain_node(self, node: Node) -> None:
+        """A node rejects new requests from now on, and the endpoint list says so."""
         node.model.draining = True
-        self._change(node, Health.DRAINING)
+        self.set_health(node, Health.DRAINING)
 
-    def down(self, node: Node) -> None:
-        """The process dies: what is out there is reset, and new connections are refused."""
-        node.up = False
-        for attempt, host in list(node.out.items()):
-            self._finish(node, attempt, host, Outcome.RESET)
+    def crash_node(self, node: Node) -> None:
+        """A node's process ends: its connections are reset, and new ones are refused."""
+        node.running = False
+        for attempt, host in list(node.in_flight.items()):
+            self._finish_attempt(node, attempt, host, Outcome.RESET)
 
-    def remove(self, node: Node) -> None:
-        self.down(node)
-        self._change(node, Health.REMOVED)
+    def remove_node(self, node: Node) -> None:
+        """A node's process ends, and it is removed from the endpoint list."""
+        self.crash_node(node)
+        self.set_health(node, Health.REMOVED)
 
-    def _fall(self, node: Node) -> None:
+    def _crash_by_overload(self, node: Node) -> None:
         self.ledger.write(BackendCrashed(self.clock.now, node.spec.name))
-        self.down(node)
+        self.crash_node(node)
 
     # Attempts.
 
-    def send(self, host: Host, request: str, attempt: Attempt) -> None:
+    def send_attempt(self, host: Host, request: str, attempt: Attempt) -> None:
+        """Connect to the attempt's backend; the request arrives, or connecting fails, a delay later."""
         node = self.nodes.get(attempt.backend)
-        if node is None or not node.up or self.rng.random() < self.conditions.unwritten:
-            self.clock.after(self._delay(), partial(host.ended, attempt, Outcome.CONNECT_FAILED))
+        if node is None or not node.running or self.rng.random() < self.conditions.broken_write_chance:
+            failed = partial(host.end_attempt, attempt, Outcome.CONNECT_FAILED)
+            self.clock.after(self.draw_delay_ns(), failed)
             return
-        late = self.conditions.late_up and self.rng.random() < self.conditions.late_up
-        wait = self._delay() + (self.rng.randint(0, LATE_UP) if late else 0)
-        self.clock.after(wait, partial(self._come, node, host, request, attempt))
-
-    def _come(self, node: Node, host: Host, request: str, attempt: Attempt) -> None:
-        if not node.up:
-            host.ended(attempt, Outcome.CONNECT_FAILED)
+        chance = self.conditions.slow_connect_chance
+        is_slow = chance and self.rng.random() < chance
+        wait_ns = self.draw_delay_ns() + (self.rng.randint(0, MAX_CONNECT_DELAY_NS) if is_slow else 0)
+        self.clock.after(wait_ns, partial(self._receive_attempt, node, host, request, attempt))
+
+    def _receive_attempt(self, node: Node, host: Host, request: str, attempt: Attempt) -> None:
+        if not node.running:
+            host.end_attempt(attempt, Outcome.CONNECT_FAILED)
+            return
+        if not host.may_write(attempt):
             return
-        if not host.writes(attempt):
-            return  # given up before it was written whole
         attempt.written = True
         now = self.clock.now
-        cls, key = self._asked[request]
-        work = work_of(self.scenario.seed, request, self.scenario.work(cls))
-        taken = node.model.arrive(now, request, work, key, self._windows.get(cls, 0))
+        request_class, key = self._class_and_key[request]
+        work_ns = work_of(self.scenario.seed, request, self.scenario.work(request_class))
+        window_ns = self._deduplication_windows.get(request_class, 0)
+        taken = node.model.arrive(now, request, work_ns, key, window_ns)
         self.ledger.write(
             AttemptReceived(
                 now,
@@ -234,160 +248,112 @@
                 request,
                 node.spec.name,
                 f"n{host.position}",
-                work,
+                work_ns,
                 taken is None,
                 bool(taken and taken.repeat),
                 taken.value if taken else "",
             )
         )
         if node.model.fallen:
-            self._fall(node)
-            host.ended(attempt, Outcome.RESET)
-            return
-        if taken is None and not node.silent:
-            self.clock.after(self._delay(), partial(host.ended, attempt, Outcome.REJECTED))
+            self._crash_by_overload(node)
+            host.end_attempt(attempt, Outcome.RESET)
+        else:
+            self._process_attempt(node, host, attempt, taken)
+
+    def _process_attempt(self, node: Node, host: Host, attempt: Attempt, taken: Taken | None) -> None:
+        """What the node does with an attempt, by what its model says; None if the model rejects it."""
+        if taken is None and not node.unresponsive:
+            self.clock.after(self.draw_delay_ns(), partial(host.end_attempt, attempt, Outcome.REJECTED))
             return
-        node.out[attempt] = host
-        if taken is None or node.silent:
+        node.in_flight[attempt] = host
+        if taken is None or node.unresponsive:
             return
-        if self.rng.random() < self.conditions.reset:
-            at = self.rng.randint(now, taken.done)
-            self.clock.at(at, partial(self._finish, node, attempt, host, Outcome.RESET))
+        if self.rng.random() < self.conditions.reset_chance:
+            reset_at = self.rng.randint(self.clock.now, taken.done)
+            self.clock.at(reset_at, partial(self._finish_attempt, node, attempt, host, Outcome.RESET))
         else:
-            self.clock.at(taken.done, partial(self._finish, node, attempt, host, Outcome.OK, taken.value))
+            finish = partial(self._finish_attempt, node, attempt, host, Outcome.OK, taken.value)
+            self.clock.at(taken.done, finish)
 
-    def _finish(self, node: Node, attempt: Attempt, host: Host, outcome: Outcome, value: str = "") -> None:
-        if node.out.pop(attempt, None) is not None:
-            self.clock.after(self._delay(), partial(host.ended, attempt, outcome, value))
+    def _finish_attempt(
+        self, node: Node, attempt: Attempt, host: Host, outcome: Outcome, value: str = ""
+    ) -> None:
+        if node.in_flight.pop(attempt, None) is not None:
+            self.clock.after(self.draw_delay_ns(), partial(host.end_attempt, attempt, outcome, value))
 
-    def hang_up(self, host: Host, attempt: Attempt) -> None:
+    def close_attempt(self, host: Host, attempt: Attempt) -> None:
+        """The gateway closes the connection of an attempt."""
         node = self.nodes.get(attempt.backend)
         if node is not None:
-            node.out.pop(attempt, None)
+            node.in_flight.pop(attempt, None)
 
     # Between gateways.
 
-    def tell(self, host: Host, to: int | None, data: bytes) -> None:
+    def send_to_peers(self, host: Host, to: int | None, data: bytes) -> None:
+        """Send a message to one gateway or to all others; it may be lost, duplicated or reordered."""
         targets = range(self.scenario.gateways) if to is None else [to]
         for target in targets:
-            if target == host.position or frozenset((target, host.position)) in self.apart:
+            if target == host.position or frozenset((target, host.position)) in self.partitioned:
                 continue
-            copies = 1 + (self.rng.random() < self.conditions.peer_twice)
+            copies = 1 + (self.rng.random() < self.conditions.peer_duplication)
             for _ in range(copies * (self.rng.random() >= self.conditions.peer_loss)):
-                late = self.rng.randint(0, self.conditions.peer_delay)
-                self.clock.after(self._delay() + late, partial(self._hear, target, host.position, data))
+                more_ns = self.rng.randint(0, self.conditions.max_peer_delay_ns)
+                deliver = partial(self._deliver_peer_message, target, host.position, data)
+                self.clock.after(self.draw_delay_ns() + more_ns, deliver)
 
-    def _hear(self, target: int, sender: int, data: bytes) -> None:
+    def _deliver_peer_message(self, target: int, sender: int, data: bytes) -> None:
         if (host := self.hosts[target]) is not None:
-            host.heard(sender, data)
+            host.receive_peer_message(sender, data)
 
     # Clients.
 
-    def _arrive(self) -> None:
+    def _send_next_request(self) -> None:
+        """Send a request and schedule the next one, until the load stops."""
         if self.population.surge:
-            self._try(self.population.want(), CONNECTS)
-            self.clock.after(self.population.pause(), self._arrive)
+            self._send_request(self.population.want(), MAX_GATEWAYS_TRIED)
+            self.clock.after(self.population.pause(), self._send_next_request)
 
-    def _try(self, want: ClientRequest, connects: int) -> None:
-        host = self.hosts[want.gateway]
+    def _send_request(self, wanted: ClientRequest, gateways_left: int) -> None:
+        host = self.hosts[wanted.gateway]
         if host is None:
-            if connects > 1:
-                other = self.population.entry(want.customer, want.gateway)
-                self._try(replace(want, gateway=other), connects - 1)
+            if gateways_left > 1:
+                other = self.population.entry(wanted.customer, wanted.gateway)
+                self._send_request(replace(wanted, gateway=other), gateways_left - 1)
             return
-        now, request, customer = self.clock.now, self.population.request_id(want), want.customer
-        self._asked[request] = want.cls, want.key
+        request, customer = self.population.request_id(wanted), wanted.customer
+        self._class_and_key[request] = wanted.cls, wanted.key
         self.ledger.write(
             RequestSent(
-                now,
+                self.clock.now,
                 request,
-                want.origin,
-                f"n{want.gateway}",
-                want.cls,
+                wanted.origin,
+                f"n{wanted.gateway}",
+                wanted.cls,
                 customer.plan,
                 customer.number,
-                want.units,
-                want.wait,
+                wanted.units,
+                wanted.wait,
             )
         )
-        exchange = Exchange(self, want, request, host)
-        self._open[want.gateway][request] = exchange.cut
-        self.clock.after(self._delay(), exchange.deliver)
-        self.clock.after(want.wait + WITNESS, exchange.leave)
-
-    def close(self, position: int, request: str) -> None:
-        self._open[position].pop(request, None)
-
-    def come_again(self, want: ClientRequest, kind: str, advice_ms: int) -> None:
-        if (again := self.population.again(want, kind, advice_ms)) is not None and self.population.surge:
-            self.clock.after(again[0], partial(self._try, again[1], CONNECTS))
-
-    def arrival(self, want: ClientRequest) -> tuple[int, int]:
-        """Class and plan as the settings number them."""
-        return self._classes[want.cls], self._plans[want.customer.plan]
-
-
-class Exchange:
-    """One request of one client, until its answer or its end."""
-
-    def __init__(self, fleet: VirtualFleet, want: ClientRequest, request: str, host: Host) -> None:
-        self.fleet = fleet
-        self.want = want
-        self.request = request
-        self.host = host
-        self.number = 0
-        self.over = False
-        self.gone = False
-
-    def deliver(self) -> None:
-        if self.over or not self.host.alive:
-            return
-        want, (cls, plan) = self.want, self.fleet.arrival(self.want)
-        customer = want.customer
-        self.number = self.host.take(
-            self.request,
-            cls,
-            plan,
-            customer.number,
-            want.wait,
-            want.units,
-            customer.spread,
-            customer.first,
-            self.answered,
-        )
-
-    def answered(self, kind: Kind, value: str, advice_ms: int) -> None:
-        """The host has written an answer; it is on its way, unless the host dies before it has left."""
-        self.fleet.clock.after(self.fleet._delay(), partial(self._read, kind, value, advice_ms))
-
-    def _read(self, kind: Kind, value: str, advice_ms: int) -> None:
-        if self.gone:
-            return
-        now = self.fleet.clock.now
-        self.fleet.ledger.write(ReplyReceived(now, self.request, kind, value, advice_ms))
-        if not self.over:
-            self._end()
-            if kind != "served":
-                self.fleet.come_again(self.want, kind, advice_ms)
-
-    def cut(self) -> None:
-        if not self.over:
-            self._end()
-            self.gone = True
-            self.fleet.ledger.write(ConnectionLost(self.fleet.clock.now, self.request))
-            self.fleet.come_again(self.want, "cut", 0)
-
-    def leave(self) -> None:
-        if not self.over:
-            self._end()
-            self.gone = True
-            self.fleet.ledger.write(ClientDisconnected(self.fleet.clock.now, self.request))
-            if self.number:
-                self.host.left(self.number)
-
-    def _end(self) -> None:
-        self.over = True
-        self.fleet.close(self.want.gateway, self.request)
+        exchange = Exchange(self, wanted, request, host)
+        self._open_exchanges[wanted.gateway][request] = exchange.cut
+        self.clock.after(self.draw_delay_ns(), exchange.deliver)
+        self.clock.after(wanted.wait + LINGER_NS, exchange.disconnect)
+
+    def close_exchange(self, gateway: int, request: str) -> None:
+        """A request at the gateway of this position is no longer outstanding."""
+        self._open_exchanges[gateway].pop(request, None)
+
+    def schedule_retry(self, wanted: ClientRequest, kind: str, retry_after_ms: int) -> None:
+        """The client sends the request again after a while, if its behavior says so."""
+        retry = self.population.again(wanted, kind, retry_after_ms)
+        if retry is not None and self.population.surge:
+            wait_ns, retried = retry
+            self.clock.after(wait_ns, partial(self._send_request, retried, MAX_GATEWAYS_TRIED))
+
+    def class_and_plan(self, wanted: ClientRequest) -> tuple[int, int]:
+        """Class and plan of a request by their indexes in the settings."""
+        return self._classes[wanted.cls], self._plans[wanted.customer.plan]
 
 
 def _settings(scenario: Scenario, position: int) -> Settings:
--- a/trackspread/testing/virtual/host.py
+++ b/trackspread/testing/virtual/host.py
@@ -1,6 +1,6 @@
 """One gateway in virtual time: the real decision module in a host that treats it as `node/gateway.py` does.
 
-May know: events, actions, the network that it is handed. Decides nothing.
+It translates between events, actions and the network that it is given, and decides nothing.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import Literal, Protocol
+from typing import Literal, NamedTuple, Protocol
 
 from ...decide.broker import Broker
 from ...decide.actions import (
@@ -36,202 +36,234 @@
 from .clock import Clock
 
 MILLISECOND = 1_000_000
-MARGIN = 10 * MILLISECOND  # before a client's time ends, as the running gateway keeps it
-Kind = Literal["served", "refused", "failed"]
-Answer = Callable[[Kind, str, int], None]  # kind, value, advice in ms
+EXPIRY_MARGIN_NS = 10 * MILLISECOND  # before the client's deadline, as in the running gateway
+ReplyKind = Literal["served", "refused", "failed"]
+OnReply = Callable[[ReplyKind, str, int], None]  # kind, value, Retry-After in ms
 
 
 class Network(Protocol):
-    """What a host needs of the world round it."""
+    """What a host needs of the world around it."""
 
-    def send(self, host: Host, request: str, attempt: Attempt) -> None: ...
+    def send_attempt(self, host: Host, request: str, attempt: Attempt) -> None:
+        """Connect to the attempt's backend and send the request."""
 
-    def tell(self, host: Host, to: int | None, data: bytes) -> None: ...
+    def send_to_peers(self, host: Host, to: int | None, data: bytes) -> None:
+        """Send a message to the gateway at a position, or to all if it is None."""
 
-    def hang_up(self, host: Host, attempt: Attempt) -> None: ...
+    def close_attempt(self, host: Host, attempt: Attempt) -> None:
+        """Close the connection of an attempt; its result is no longer wanted."""
+
+
+class IncomingRequest(NamedTuple):
+    """A request as a client sends it; class and plan by their indexes in the settings."""
+
+    name: str
+    request_class: int
+    plan: int
+    tenant: int
+    wait_ns: int
+    units: float
+    gateway_span: int
+    first_gateway: int
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of one request at one backend. `over`: its outcome has been told."""
+    """One attempt of one request at one backend.
+
+    `not_after_ns`: when it may no longer be written, as the backends' deduplication window ends; 0 for never.
+    `ended`: its outcome is known.
+    """
 
-    number: int
+    request: int
     index: int
     backend: int
-    started: int
-    expires: int
+    started_at: int
     written: bool = False
-    until: int = 0  # when the window ends in which it may be a repeat; 0 for none
-    over: bool = False
+    not_after_ns: int = 0
+    ended: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Held:
-    """A request that was taken, until its final answer and its last attempt's end."""
+class PendingRequest:
+    """An accepted request until its final reply was given and its last attempt has ended."""
 
     name: str
-    valid_until: int
-    answer: Answer
+    expires_at: int
+    on_reply: OnReply
     closed: bool = False
     attempts: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
 
 
 class Host:
-    """One start of one gateway; dead once it was killed."""
+    """One process of one gateway; `alive` until it is killed."""
 
     def __init__(self, clock: Clock, network: Network, position: int, settings: Settings, seed: int) -> None:
         self.clock = clock
         self.network = network
         self.position = position
-        self.module = Broker(settings, seed, clock.now)
+        self.broker = Broker(settings, seed, clock.now)
         self.alive = True
-        self.taking = True
-        self.held: dict[int, Held] = {}
-        self._count = 0
-
-    # From the world.
-
-    def take(
-        self,
-        name: str,
-        cls: int,
-        plan: int,
-        customer: int,
-        wait: int,
-        units: float,
-        spread: int,
-        first: int,
-        answer: Answer,
-    ) -> int:
-        self._count += 1
-        number, now = self._count, self.clock.now
-        held = self.held[number] = Held(name, now + max(0, wait - MARGIN), answer)
-        self.handle(RequestArrived(number, cls, plan, customer, held.valid_until, units, spread, first, 0))
-        if number in self.held:
-            self.clock.at(held.valid_until, partial(self._time_is_up, number))
+        self.pending: dict[int, PendingRequest] = {}
+        self._last_number = 0
+
+    # Called by the world.
+
+    def accept(self, incoming: IncomingRequest, on_reply: OnReply) -> int:
+        """Take a request from a client; returns its number in this process."""
+        self._last_number += 1
+        number = self._last_number
+        expires_at = self.clock.now + max(0, incoming.wait_ns - EXPIRY_MARGIN_NS)
+        pending = self.pending[number] = PendingRequest(incoming.name, expires_at, on_reply)
+        self.handle(
+            RequestArrived(
+                number,
+                incoming.request_class,
+                incoming.plan,
+                incoming.tenant,
+                expires_at,
+                incoming.units,
+                incoming.gateway_span,
+                incoming.first_gateway,
+                0,
+            )
+        )
+        if number in self.pending:
+            self.clock.at(pending.expires_at, partial(self._expire_request, number))
         return number
 
-    def left(self, number: int) -> None:
-        held = self.held.get(number)
-        if held is not None and not held.closed:
-            self._close(number, held)
+    def disconnect_client(self, number: int) -> None:
+        """The client of a request has closed its connection."""
+        pending = self.pending.get(number)
+        if pending is not None and not pending.closed:
+            self._close(number, pending)
             self.handle(ClientDisconnected(number))
-            for attempt in list(held.out.values()):
+            for attempt in list(pending.in_flight.values()):
                 if not attempt.written:
-                    self.ended(attempt, Outcome.NOT_SENT)
+                    self.end_attempt(attempt, Outcome.NOT_SENT)
 
-    def learn(self, topology: EndpointUpdate) -> None:
-        self.handle(topology)
+    def update_endpoints(self, update: EndpointUpdate) -> None:
+        """The endpoint list has changed."""
+        self.handle(update)
 
-    def heard(self, sender: int, data: bytes) -> None:
+    def receive_peer_message(self, sender: int, data: bytes) -> None:
+        """A message of another gateway has arrived."""
         self.handle(PeerMessage(sender, data))
 
-    def writes(self, attempt: Attempt) -> bool:
-        """Its connection is up: whether it is written, as a repeat is within its window alone."""
-        if attempt.until and self.clock.now >= attempt.until:
-            self.ended(attempt, Outcome.NOT_SENT)
-        return not attempt.over
+    def may_write(self, attempt: Attempt) -> bool:
+        """Whether a connected attempt may still be written; if it is too late, it ends here."""
+        if attempt.not_after_ns and self.clock.now >= attempt.not_after_ns:
+            self.end_attempt(attempt, Outcome.NOT_SENT)
+        return not attempt.ended
 
-    def ended(self, attempt: Attempt, outcome: Outcome, value: str = "") -> None:
-        """How an attempt ended; what comes after the first word on it is nobody's."""
-        if attempt.over or not self.alive:
+    def end_attempt(self, attempt: Attempt, outcome: Outcome, value: str = "") -> None:
+        """An attempt has ended; only its first outcome counts."""
+        if attempt.ended or not self.alive:
             return
-        attempt.over = True
-        held = self.held[attempt.number]
-        held.out.pop(attempt.index, None)
-        if outcome is Outcome.OK and not held.closed:
-            self._close(attempt.number, held)
-            held.answer("served", value, 0)
-        elapsed = self.clock.now - attempt.started
+        attempt.ended = True
+        pending = self.pending[attempt.request]
+        pending.in_flight.pop(attempt.index, None)
+        if outcome is Outcome.OK and not pending.closed:
+            self._close(attempt.request, pending)
+            pending.on_reply("served", value, 0)
+        elapsed_ns = self.clock.now - attempt.started_at
         self.handle(
             AttemptEnded(
-                attempt.number, held.closed, 0, attempt.backend, 0, outcome, elapsed, attempt.index, ()
+                attempt.request,
+                pending.closed,
+                0,
+                attempt.backend,
+                0,
+                outcome,
+                elapsed_ns,
+                attempt.index,
+                (),
             )
         )
-        self._forget(attempt.number, held)
+        self._forget_if_done(attempt.request, pending)
 
-    def _time_is_up(self, number: int) -> None:
-        held = self.held.get(number)
-        if held is None or not self.alive:
+    def _expire_request(self, number: int) -> None:
+        pending = self.pending.get(number)
+        if pending is None or not self.alive:
             return
-        for attempt in list(held.out.values()):
-            self._expire(attempt)
-        if not held.closed:
-            self._close(number, held)
-            held.answer("failed", "", 0)
+        for attempt in list(pending.in_flight.values()):
+            self._expire_attempt(attempt)
+        if not pending.closed:
+            self._close(number, pending)
+            pending.on_reply("failed", "", 0)
             self.handle(ClientDisconnected(number))
 
-    def _expire(self, attempt: Attempt) -> None:
-        if not attempt.over and self.alive:
-            self.network.hang_up(self, attempt)
-            self.ended(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
+    def _expire_attempt(self, attempt: Attempt) -> None:
+        if not attempt.ended and self.alive:
+            self.network.close_attempt(self, attempt)
+            self.end_attempt(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
-    def _close(self, number: int, held: Held) -> None:
-        held.closed = True
-        self._forget(number, held)
+    def _close(self, number: int, pending: PendingRequest) -> None:
+        pending.closed = True
+        self._forget_if_done(number, pending)
 
-    def _forget(self, number: int, held: Held) -> None:
-        if held.closed and not held.out:
-            self.held.pop(number, None)
+    def _forget_if_done(self, number: int, pending: PendingRequest) -> None:
+        if pending.closed and not pending.in_flight:
+            self.pending.pop(number, None)
 
-    # The module.
+    # The decision module.
 
     def handle(self, event: Event) -> None:
+        """Give an event to the decision module and perform what it wants done."""
         if self.alive:
-            for action in self.module.handle(self.clock.now, event):
-                self._act(action)
+            for action in self.broker.handle(self.clock.now, event):
+                self._perform(action)
 
-    def _act(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         match action:
             case StartAttempt():
-                self._send(action)
-            case Reject(number, retry_in):
-                self.reply(number, "refused", -(-retry_in // MILLISECOND))
+                self._start_attempt(action)
+            case Reject(number, retry_after_ns):
+                retry_after_ms = -(-retry_after_ns // MILLISECOND)  # rounded up
+                self.reply(number, "refused", retry_after_ms)
             case Fail(number):
                 self.reply(number, "failed", 0)
-            case SetTimer(after, token):
-                self.clock.after(after, partial(self.handle, TimerFired(token)))
+            case SetTimer(after_ns, token):
+                self.clock.after(after_ns, partial(self.handle, TimerFired(token)))
             case SendToPeers(to, data):
-                self.network.tell(self, to, data)
+                self.network.send_to_peers(self, to, data)
             case CancelAttempt(number, index):
-                held = self.held.get(number)
-                if held is not None and (attempt := held.out.get(index)) is not None:
+                pending = self.pending.get(number)
+                if pending is not None and (attempt := pending.in_flight.get(index)) is not None:
                     self.clock.after(0, partial(self._cancel, attempt))
             case CheckHealth(backend):
                 self.handle(HealthChecked(Outcome.ERROR, backend, 0, ()))
 
-    def reply(self, number: int, kind: Kind, advice_ms: int) -> None:
-        """The module's own final answer."""
-        held = self.held.get(number)
-        if held is not None and not held.closed:
-            self._close(number, held)
-            held.answer(kind, "", advice_ms)
+    def reply(self, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
+        """Give the decision module's own final reply to a request, if it has none yet."""
+        pending = self.pending.get(number)
+        if pending is not None and not pending.closed:
+            self._close(number, pending)
+            pending.on_reply(kind, "", retry_after_ms)
 
     def _cancel(self, attempt: Attempt) -> None:
-        self.network.hang_up(self, attempt)
-        self.ended(attempt, Outcome.CANCELLED)
+        self.network.close_attempt(self, attempt)
+        self.end_attempt(attempt, Outcome.CANCELLED)
 
-    def _send(self, action: StartAttempt) -> None:
-        held, now = self.held.get(action.request), self.clock.now
-        if held is None:
-            self._moot(action, 0, True)
+    def _start_attempt(self, action: StartAttempt) -> None:
+        pending, now = self.pending.get(action.request), self.clock.now
+        if pending is None:
+            self._report_not_sent(action, 0, True)
             return
-        index = held.attempts
-        held.attempts += 1
-        if held.closed or now >= held.valid_until:
-            self._moot(action, index, held.closed)
+        index = pending.attempts
+        pending.attempts += 1
+        if pending.closed or now >= pending.expires_at:
+            self._report_not_sent(action, index, pending.closed)
             return
-        left = held.valid_until - now
-        patience = action.timeout_ns if 0 < action.timeout_ns < left else left
-        attempt = Attempt(
-            action.request, index, action.backend, now, now + patience, until=action.not_after_ns
-        )
-        held.out[index] = attempt
-        self.network.send(self, held.name, attempt)
-        if patience < left:
-            self.clock.after(patience, partial(self._expire, attempt))
-
-    def _moot(self, action: StartAttempt, index: int, finished: bool) -> None:
+        remaining_ns = pending.expires_at - now
+        has_timeout = 0 < action.timeout_ns < remaining_ns
+        attempt = Attempt(action.request, index, action.backend, now, not_after_ns=action.not_after_ns)
+        pending.in_flight[index] = attempt
+        self.network.send_attempt(self, pending.name, attempt)
+        if has_timeout:
+            self.clock.after(action.timeout_ns, partial(self._expire_attempt, attempt))
+
+    def _report_not_sent(self, action: StartAttempt, index: int, finished: bool) -> None:
         event = AttemptEnded(action.request, finished, 0, action.backend, 0, Outcome.NOT_SENT, 0, index, ())
         self.clock.after(0, partial(self.handle, event))
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -1,7 +1,7 @@
-"""The shapes of a large fleet's bad days in virtual time, and what was served through them.
+"""Faults of a large fleet in virtual time, and how much was served through them.
 
-May know: the virtual fleet's handles, the ledger. May not know: what the module decides or why. Connections
-and calls to discovery are no part of this world: their own tests and the running program show those.
+It uses the controls of the virtual fleet and the ledger, and does not depend on what the decision module
+decides. Connections and calls to discovery are not part of this world; tests on real sockets cover them.
 """
 
 from __future__ import annotations
@@ -19,51 +19,62 @@
 from .fleet import Node, VirtualFleet
 
 GATEWAYS, NODES = 40, 60
-SPAN = 5 * SECOND  # of happenings; the trouble starts after one, so that cold starts lie within
-TROUBLE = SECOND
-MOST = 0.7  # of the gateways that are killed at once
-REPLACED = 0.6  # of the nodes that a join replaces
-LATE = 2 * SECOND  # by which the list lags on these days
+SPAN = 5 * SECOND  # of load
+FAULTS_AFTER_NS = SECOND  # early enough for backends to warm up within the span
+KILLED_SHARE = 0.7  # of the gateways, at once
+REPLACED_SHARE = 0.6  # of the nodes, within `REPLACEMENT_NS`
+REPLACEMENT_NS = 2 * SECOND
+MAX_LIST_DELAY_NS = 2 * SECOND
+FAILED_ZONE = "b"
 
 
 class LoadShape(msgspec.Struct, frozen=True):
-    """What came of one shape; shares from 0 to 1, the peak in times of a cold node's budget."""
-
-    served_share: float  # served, of what was served, refused with room, failed or left unanswered
-    refused_with_room_share: float  # of the tries
-    retry_share: float  # further attempts for each request sent on
-    first_second_peak: float  # work for a cold node in the second from its first request, over its budget
+    """The result of one run.
+
+    `served_share`: of all requests but those rejected while the quota was used up. `rejected_share`: rejected
+    while quota was left, of all requests. `retry_share`: further attempts for each forwarded request.
+    `first_second_peak`: the largest work for a node in the second from its first request, over what it may
+    get then.
+    """
+
+    served_share: float
+    rejected_share: float
+    retry_share: float
+    first_second_peak: float
     violations: int
 
 
-def _successor(fleet: VirtualFleet, node: Node) -> None:
-    fleet.boot(fleet.scenario.successor(node.spec), True)
+def _start_successor(fleet: VirtualFleet, node: Node) -> None:
+    fleet.start_node(fleet.scenario.successor(node.spec), True)
 
 
 def release(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Most gateways die at once while nodes are replaced and the list lags."""
+    """Most gateways are killed at once while nodes are replaced and the endpoint list lags."""
     join(fleet, rng)
-    for position in rng.sample(range(GATEWAYS), int(MOST * GATEWAYS)):
-        fleet.kill(position)
-        fleet.clock.after(rng.randint(800, 2000) * MILLISECOND, partial(fleet.start, position))
+    for position in rng.sample(range(GATEWAYS), int(KILLED_SHARE * GATEWAYS)):
+        fleet.kill_gateway(position)
+        wait_ns = rng.randint(800, 2000) * MILLISECOND
+        fleet.clock.after(wait_ns, partial(fleet.start_gateway, position))
 
 
 def zone(fleet: VirtualFleet, rng: random.Random) -> None:
-    """All nodes of a zone die without a word, and come back cold under new ids."""
-    for node in [n for n in fleet.nodes.values() if n.spec.zone == "b"]:
-        fleet.down(node)
-        fleet.clock.after(rng.randint(1500, 2000) * MILLISECOND, partial(_successor, fleet, node))
-        fleet.clock.after(2 * SECOND, partial(fleet.remove, node))
+    """All nodes of a zone crash without notice and are replaced by cold ones under new ids."""
+    for node in [node for node in fleet.nodes.values() if node.spec.zone == FAILED_ZONE]:
+        fleet.crash_node(node)
+        wait_ns = rng.randint(1500, 2000) * MILLISECOND
+        fleet.clock.after(wait_ns, partial(_start_successor, fleet, node))
+        fleet.clock.after(2 * SECOND, partial(fleet.remove_node, node))
 
 
 def join(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Six in ten nodes drain and are replaced by cold ones."""
-    nodes = rng.sample(list(fleet.nodes.values()), int(REPLACED * NODES))
+    """Most nodes drain, one after the other, and are replaced by cold ones."""
+    nodes = rng.sample(list(fleet.nodes.values()), int(REPLACED_SHARE * NODES))
     for number, node in enumerate(nodes):
-        at = number * 2 * SECOND // len(nodes)
-        fleet.clock.after(at, partial(fleet.drain, node))
-        fleet.clock.after(at + rng.randint(0, 500) * MILLISECOND, partial(_successor, fleet, node))
-        fleet.clock.after(at + 1500 * MILLISECOND, partial(fleet.remove, node))
+        drained_after = number * REPLACEMENT_NS // len(nodes)
+        fleet.clock.after(drained_after, partial(fleet.drain_node, node))
+        started_after = drained_after + rng.randint(0, 500) * MILLISECOND
+        fleet.clock.after(started_after, partial(_start_successor, fleet, node))
+        fleet.clock.after(drained_after + 1500 * MILLISECOND, partial(fleet.remove_node, node))
 
 
 SHAPES: dict[str, Callable[[VirtualFleet, random.Random], None]] = {
@@ -74,35 +85,40 @@
 
 
 def play(name: str, seed: int) -> LoadShape:
-    """One day of the shape; the same seed gives the same day."""
+    """One run of the shape; the same seed gives the same run."""
     scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy=0.2, seed=seed)
     fleet = VirtualFleet(scenario, seed)
     fleet.conditions.peer_loss = 0.05
-    fleet.conditions.list_delay = LATE
-    fleet.clock.after(TROUBLE, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
+    fleet.conditions.max_list_delay_ns = MAX_LIST_DELAY_NS
+    fleet.clock.after(FAULTS_AFTER_NS, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
     fleet.run(SPAN)
     verdict = judge(scenario.world(), fleet.ledger.entries)
-    told, sent = verdict.summary, [e for e in fleet.ledger.entries if isinstance(e, AttemptReceived)]
-    due = told.served + told.rejected_with_quota_left + told.failed + told.unanswered
+    summary = verdict.summary
+    attempts = [entry for entry in fleet.ledger.entries if isinstance(entry, AttemptReceived)]
+    forwarded = {attempt.request for attempt in attempts}
+    servable = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
     return LoadShape(
-        told.served / max(1, due),
-        told.rejected_with_quota_left / max(1, told.requests),
-        len(sent) / max(1, len({e.request for e in sent})) - 1.0,
-        _peak(scenario, fleet, sent),
+        summary.served / max(1, servable),
+        summary.rejected_with_quota_left / max(1, summary.requests),
+        len(attempts) / max(1, len(forwarded)) - 1.0,
+        _first_second_peak(scenario, fleet, attempts),
         len(verdict.violations),
     )
 
 
-def _peak(scenario: Scenario, fleet: VirtualFleet, sent: list[AttemptReceived]) -> float:
-    cold = {
-        e.backend: e for e in fleet.ledger.entries if isinstance(e, BackendStarted) and e.start_capacity < 1.0
-    }
-    work = dict.fromkeys(cold, 0.0)
-    first: dict[str, int] = {}
-    for each in sorted(sent, key=lambda e: e.at):
-        if each.backend in cold and each.at - first.setdefault(each.backend, each.at) < SECOND:
-            work[each.backend] += each.work_ns / SECOND
+def _first_second_peak(scenario: Scenario, fleet: VirtualFleet, attempts: list[AttemptReceived]) -> float:
+    starts = [entry for entry in fleet.ledger.entries if isinstance(entry, BackendStarted)]
+    cold = {start.backend: start for start in starts if start.start_capacity < 1.0}
+    work_s = dict.fromkeys(cold, 0.0)
+    first_at: dict[str, int] = {}
+    for attempt in sorted(attempts, key=lambda attempt: attempt.at):
+        backend = attempt.backend
+        if backend in cold and attempt.at - first_at.setdefault(backend, attempt.at) < SECOND:
+            work_s[backend] += attempt.work_ns / SECOND
     return max(
-        (work[b] / (scenario.fall_multiple * e.start_capacity * e.cores) for b, e in cold.items()),
+        (
+            work_s[backend] / (scenario.fall_multiple * start.start_capacity * start.cores)
+            for backend, start in cold.items()
+        ),
         default=0.0,
     )
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -25,7 +25,7 @@
 from ....membership.slot_leases import SlotGrant, SlotLeases
 from ....membership.update_handler import UpdateHandler
 from ....planning.election import Election
-from ..patches import held
+from ..patches import applied
 from .schedules import make, play
 from .world import InvariantViolated, World
 
@@ -387,7 +387,7 @@
 
 def convict(name: str, seeds: Iterable[int]) -> int | None:
     """The first seed by which a world of whichever kind tells the mutant; None if none does."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         for seed in seeds:
             for world in WORLDS:
                 try:
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -1,6 +1,6 @@
-"""Gateways with one fault each, for the judge to convict: a judge that cannot fail proves nothing.
+"""Gateways with one fault each, which the judge must detect: a judge that cannot fail proves nothing.
 
-Each mutant changes one decision (or one deed of the host) by a patch that is taken back; it names the rule
+Each mutant changes one decision, or one action of the host, by patches that are reverted; it names the rule
 that it breaks. Only tests and benchmarks plant them.
 """
 
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, replace
+from itertools import count, islice
 from typing import Any
 from unittest.mock import patch
 
@@ -23,12 +24,13 @@
 from ...decide.quota_admission import QuotaAdmission
 from ...decide.retry_policy import RetryPolicy
 from ..judge.verdict import Rule
-from .host import Host, Kind
-from .patches import held, in_all_sharings
+from .host import Host, ReplyKind
+from .patches import applied, in_all_sharings
 from .schedules import make, play
 
-EVERY = 23  # a deed that goes wrong does so once in so many times
-SEEDS_MOST = 400  # schedules after which a mutant counts as not convicted
+FAULT_INTERVAL = 23  # an intermittent fault occurs once in so many calls
+MAX_SEEDS = 400  # schedules after which a mutant counts as not detected
+REPLY_DELAY_NS = 100_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,24 +42,28 @@
 
 
 def _effects_forgotten() -> list[Any]:
-    """What broke after it was written counts as never run: unsafe requests are sent again."""
+    """Attempts that failed after they were written count as not executed, so unsafe requests are retried."""
     return [patch.object(attempt_results, "NOT_EXECUTED", frozenset(Outcome))]
 
 
 def _refuses_after_run() -> list[Any]:
+    """Requests that may have been executed are rejected instead of failed."""
     real = Broker._retry_or_finish
 
     def mutant(self: Broker, now: int, request: Any) -> list[Any]:
-        return [Reject(a.request, 0) if isinstance(a, Fail) else a for a in real(self, now, request)]
+        actions = real(self, now, request)
+        return [Reject(each.request, 0) if isinstance(each, Fail) else each for each in actions]
 
     return [patch.object(Broker, "_retry_or_finish", mutant)]
 
 
 def _group_forgotten() -> list[Any]:
+    """Requests with an idempotency key are retried at any backend."""
     return [patch.object(RetryPolicy, "allowed_backends", lambda self, now, request: lambda backend: True)]
 
 
 def _window_forgotten() -> list[Any]:
+    """Requests with an idempotency key are retried after the deduplication window."""
     real = RetryPolicy.allowed_backends
 
     def mutant(self: RetryPolicy, now: int, request: Any) -> Any:
@@ -67,38 +73,40 @@
 
 
 def _window_outlasted() -> list[Any]:
-    """What was decided within the window is written whenever its connection comes up."""
-    return [patch.object(Host, "writes", lambda self, attempt: not attempt.over)]
+    """A retry that was decided on within the window is written whenever its connection is up."""
+    return [patch.object(Host, "may_write", lambda self, attempt: not attempt.ended)]
 
 
 def _two_copies() -> list[Any]:
-    """A second copy at once, whatever the class."""
+    """A second attempt at once, whatever the class."""
     real = QuotaAdmission.admit
 
     def mutant(self: QuotaAdmission, now: int, request: Any, announces: bool) -> list[Any]:
-        made = real(self, now, request, announces)
-        again = (
-            self._requests.start_attempt(now, request) if made and isinstance(made[0], StartAttempt) else None
-        )
-        return [*made, again] if again else made
+        actions = real(self, now, request, announces)
+        if not actions or not isinstance(actions[0], StartAttempt):
+            return actions
+        second = self._requests.start_attempt(now, request)
+        return [*actions, second] if second else actions
 
     return [patch.object(QuotaAdmission, "admit", mutant)]
 
 
 def _drains_ignored() -> list[Any]:
+    """Draining backends count as ready."""
     real = LoadBalancer.update_endpoints
 
     def mutant(self: LoadBalancer, now: int, event: Any) -> None:
-        kept = tuple(
-            replace(e, health=Health.READY) if e.health is Health.DRAINING else e for e in event.backends
+        backends = tuple(
+            replace(each, health=Health.READY) if each.health is Health.DRAINING else each
+            for each in event.backends
         )
-        real(self, now, replace(event, backends=kept))
+        real(self, now, replace(event, backends=backends))
 
     return [patch.object(LoadBalancer, "update_endpoints", mutant)]
 
 
 def _cold_flooded() -> list[Any]:
-    """A new backend stands idle, so it gets all."""
+    """A backend that is warming up gets nearly all requests, as it is idle."""
     real = LoadBalancer.expected_wait
 
     def mutant(self: LoadBalancer, now: int, server: Any) -> float:
@@ -114,20 +122,21 @@
 
 
 def _ceilings_ignored() -> list[Any]:
+    """There are no hard limits."""
     real = Broker.__init__
 
     def mutant(self: Broker, settings: Any, seed: int, now: int) -> None:
-        plans = tuple(replace(p, hard_limit_per_s=0.0, overage_weight=9.0) for p in settings.plans)
+        plans = tuple(replace(plan, hard_limit_per_s=0.0, overage_weight=9.0) for plan in settings.plans)
         real(self, replace(settings, plans=plans), seed, now)
 
     return [patch.object(Broker, "__init__", mutant)]
 
 
 def _whole_ceiling_each() -> list[Any]:
-    """Each gateway grants the whole of ceiling and quota."""
+    """Each gateway grants all of the hard limit and the quota."""
     real = accounts.assign_static_share
 
-    def mutant(sharing: QuotaSharing, now: int, account: Any, n: int, first: int) -> None:
+    def mutant(sharing: QuotaSharing, now: int, account: Any, gateways: int, first: int) -> None:
         real(sharing, now, account, 1, sharing.state.settings.gateway_index)
         account.hard_limit_tokens = account.plan.hard_limit_burst_units
 
@@ -135,7 +144,7 @@
 
 
 def _peers_unheard() -> list[Any]:
-    """Others' use is believed to be nothing, and the whole quota to be here."""
+    """Each gateway assumes that the others use nothing and that it owns all of the quota."""
     return [
         patch.object(Quota, "receive_usage_totals", lambda self, now, event: None),
         *in_all_sharings("local_share", lambda self, now, account: 1.0),
@@ -143,107 +152,106 @@
 
 
 def _quota_unbooked() -> list[Any]:
+    """No request takes tokens of its quota."""
     return [patch.object(token_bucket, "spend", lambda account, units, pays: True)]
 
 
 def _used_units_back() -> list[Any]:
-    """Units go back at a request's end though an attempt came to a backend."""
+    """Units are refunded when a request ends though a backend received an attempt."""
     real = Broker._on_attempt_ended
 
     def mutant(self: Broker, now: int, event: Any) -> list[Any]:
         request = self.requests.attempts.get((event.request, event.attempt))
-        made = real(self, now, event)
+        actions = real(self, now, event)
         if request is not None and not request.attempts_in_flight:
             request.account.give_back(request.balances_taken)
-        return made
+        return actions
 
     return [patch.object(Broker, "_on_attempt_ended", mutant)]
 
 
-def _now_and_then() -> Callable[[], bool]:
-    counted = [0]
-
-    def due() -> bool:
-        counted[0] += 1
-        return counted[0] % EVERY == 0
-
-    return due
+def _intermittent() -> Callable[[], bool]:
+    """A function that is true once in `FAULT_INTERVAL` calls."""
+    calls = count(1)
+    return lambda: next(calls) % FAULT_INTERVAL == 0
 
 
 def _answers_lost() -> list[Any]:
-    real, due = Host.reply, _now_and_then()
+    """Some replies are never sent."""
+    real, is_faulty = Host.reply, _intermittent()
 
-    def mutant(self: Host, number: int, kind: Kind, advice_ms: int) -> None:
-        held = self.held.get(number)
-        if held is not None and due():
-            self._close(number, held)
+    def mutant(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
+        pending = self.pending.get(number)
+        if pending is not None and is_faulty():
+            self._close(number, pending)
         else:
-            real(self, number, kind, advice_ms)
+            real(self, number, kind, retry_after_ms)
 
     return [patch.object(Host, "reply", mutant)]
 
 
 def _answers_twice() -> list[Any]:
-    real, due = Host.reply, _now_and_then()
+    """Some replies are sent twice."""
+    real, is_faulty = Host.reply, _intermittent()
 
-    def mutant(self: Host, number: int, kind: Kind, advice_ms: int) -> None:
-        held = self.held.get(number)
-        real(self, number, kind, advice_ms)
-        if held is not None and due():
-            held.answer(kind, "", advice_ms)
+    def mutant(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
+        pending = self.pending.get(number)
+        real(self, number, kind, retry_after_ms)
+        if pending is not None and is_faulty():
+            pending.on_reply(kind, "", retry_after_ms)
 
     return [patch.object(Host, "reply", mutant)]
 
 
 def _answers_late() -> list[Any]:
-    """A request given up is answered once its client's time is over."""
-    real, due = Host.reply, _now_and_then()
-
-    def mutant(self: Host, number: int, kind: Kind, advice_ms: int) -> None:
-        held = self.held.get(number)
-        if held is not None and due():
-            late = held.valid_until + 100_000_000
-            self.clock.at(late, lambda: real(self, number, kind, advice_ms))
-            held.valid_until = late + 100_000_000
+    """Some replies are sent after the client's deadline."""
+    real_reply, real_expire, is_faulty = Host.reply, Host._expire_request, _intermittent()
+
+    def reply(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
+        pending = self.pending.get(number)
+        if pending is not None and is_faulty():
+            late = pending.expires_at + REPLY_DELAY_NS
+            self.clock.at(late, lambda: real_reply(self, number, kind, retry_after_ms))
+            pending.expires_at = late + REPLY_DELAY_NS
         else:
-            real(self, number, kind, advice_ms)
+            real_reply(self, number, kind, retry_after_ms)
 
-    def waits(self: Host, number: int) -> None:
-        held = self.held.get(number)
-        if held is not None and held.valid_until <= self.clock.now:
-            up(self, number)
+    def expire(self: Host, number: int) -> None:
+        pending = self.pending.get(number)
+        if pending is not None and pending.expires_at <= self.clock.now:
+            real_expire(self, number)
 
-    up = Host._time_is_up
-    return [patch.object(Host, "reply", mutant), patch.object(Host, "_time_is_up", waits)]
+    return [patch.object(Host, "reply", reply), patch.object(Host, "_expire_request", expire)]
 
 
 def _answers_swapped() -> list[Any]:
-    """Now and then a client is served what was made for the one before."""
-    real, due, last = Host.ended, _now_and_then(), [""]
+    """Some clients are served the value that a backend made for the request before."""
+    real, is_faulty, previous = Host.end_attempt, _intermittent(), [""]
 
     def mutant(self: Host, attempt: Any, outcome: Outcome, value: str = "") -> None:
+        served = value
         if outcome is Outcome.OK:
-            last[0], made = value, value
-            value = last_made[0] if due() and last_made[0] else made
-            last_made[0] = made
-        real(self, attempt, outcome, value)
+            if is_faulty() and previous[0]:
+                served = previous[0]
+            previous[0] = value
+        real(self, attempt, outcome, served)
 
-    last_made = [""]
-    return [patch.object(Host, "ended", mutant)]
+    return [patch.object(Host, "end_attempt", mutant)]
 
 
 def _sent_after_answer() -> list[Any]:
-    """A refused request is sent on all the same."""
-    real, due = Host.reply, _now_and_then()
-
-    def mutant(self: Host, number: int, kind: Kind, advice_ms: int) -> None:
-        held = self.held.get(number)
-        real(self, number, kind, advice_ms)
-        server = next(iter(self.module.load_balancer.backends), None)
-        if held is not None and server is not None and due():
-            held.closed = False
-            self.held[number] = held
-            self.clock.after(100_000_000, lambda: self._send(StartAttempt(number, server, 0)))
+    """Some rejected requests are forwarded all the same."""
+    real, is_faulty = Host.reply, _intermittent()
+
+    def mutant(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
+        pending = self.pending.get(number)
+        real(self, number, kind, retry_after_ms)
+        backend = next(iter(self.broker.load_balancer.backends), None)
+        if pending is not None and backend is not None and is_faulty():
+            pending.closed = False
+            self.pending[number] = pending
+            start = StartAttempt(number, backend, 0)
+            self.clock.after(REPLY_DELAY_NS, lambda: self._start_attempt(start))
 
     return [patch.object(Host, "reply", mutant)]
 
@@ -272,18 +280,16 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[Mutant]:
-    """The mutant in place of the real thing, for as long as the block lasts, in this process."""
+    """Plant the mutant in this process until the block ends."""
     mutant = MUTANTS[name]
-    with held(mutant.patches()):
+    with applied(mutant.patches()):
         yield mutant
 
 
 def convict(name: str, seeds: Iterator[int]) -> int | None:
-    """The first of the seeds whose schedule shows the mutant breaking its rule; None if none does."""
+    """The first of the seeds whose schedule shows that the mutant breaks its rule; None if none does."""
     with planted(name) as mutant:
-        for number, seed in enumerate(seeds):
-            if number >= SEEDS_MOST:
-                break
+        for seed in islice(seeds, MAX_SEEDS):
             if mutant.rule in play(make(seed))[0].broken_rules():
                 return seed
     return None
--- a/trackspread/testing/virtual/patches.py
+++ b/trackspread/testing/virtual/patches.py
@@ -1,4 +1,4 @@
-"""Patches that stand for as long as a block lasts: how hand-made mutants are planted, in all their homes."""
+"""Patches that apply for the length of a block: how hand-written mutants are planted."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from ...decide.quota.owner_sharing import OwnerSharing
 from ...decide.quota.static_sharing import StaticSharing
 
-SHARINGS = (GossipSharing, LeaseSharing, OwnerSharing, StaticSharing)  # a shared counter's is a static one
+SHARINGS = (GossipSharing, LeaseSharing, OwnerSharing, StaticSharing)  # with a shared counter it is static
 
 
 @contextmanager
-def held(patches: Iterable[Any]) -> Iterator[None]:
-    """All of them, until the block ends."""
+def applied(patches: Iterable[Any]) -> Iterator[None]:
+    """Apply all patches until the block ends."""
     with ExitStack() as stack:
         for each in patches:
             stack.enter_context(each)
         yield
 
 
-def in_all_sharings(name: str, fault: Callable[..., Any]) -> list[Any]:
-    """The fault in place of a method of every way in which gateways share quotas."""
-    return [patch.object(sharing, name, fault) for sharing in SHARINGS]
+def in_all_sharings(method: str, mutant: Callable[..., Any]) -> list[Any]:
+    """Patches that replace a method in every class by which gateways share quotas."""
+    return [patch.object(sharing, method, mutant) for sharing in SHARINGS]
--- a/trackspread/testing/virtual/plain_settings.py
+++ b/trackspread/testing/virtual/plain_settings.py
@@ -1,4 +1,4 @@
-"""Settings with one class and one plan, for worlds in which only the limits matter."""
+"""Settings with one class and one plan, for tests in which only the limits matter."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 def plain_settings(plan: Plan, **changes: Any) -> Settings:
-    """One class, one plan, one gateway, where nothing else is said."""
-    made = Settings(
+    """Settings of one gateway with one class and this plan; `changes` replace fields of the settings."""
+    settings = Settings(
         classes=(
             RequestClass(
                 "read", SECOND, 3 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0
@@ -44,4 +44,4 @@
         slow_start_ns=20 * SECOND,
         cross_zone_cost=0.0,
     )
-    return replace(made, **changes)
+    return replace(settings, **changes)
--- a/trackspread/testing/virtual/planning/mutants.py
+++ b/trackspread/testing/virtual/planning/mutants.py
@@ -20,7 +20,7 @@
 from ....planning.timing import LEASE_NS
 from . import saturated
 from . import schedules
-from ..patches import held
+from ..patches import applied
 
 
 def _no_learning() -> list[Any]:
@@ -127,7 +127,7 @@
 
 def convict(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds that has a schedule, of either kind, that shows the mutant; None if none has."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if _shows(seed)), None)
 
 
--- a/trackspread/testing/virtual/planning/small.py
+++ b/trackspread/testing/virtual/planning/small.py
@@ -29,7 +29,7 @@
 from ....planning.messages import Grant, LeaseRequest
 from ....planning.timing import HEARTBEAT_NS, LEASE_NS
 from .account import CapAccount
-from ..patches import held
+from ..patches import applied
 from .saturated import DRIFT_STATED
 
 MEMBER = 1
@@ -90,7 +90,8 @@
 
     # What may happen.
 
-    def happenings(self) -> Iterable[str]:
+    def events(self) -> Iterable[str]:
+        """Names of all exchanges and faults that are possible next."""
         yield from (f"late word {number} comes" for number in range(len(self.late)))
         for number in range(2):
             if self.planners[number].elections[0]._next_attempt_ns <= self._at("p", number):
@@ -108,8 +109,9 @@
         if self.steps:
             yield "time goes on"
 
-    def happen(self, name: str) -> None:
-        match name.split():
+    def apply(self, event: str) -> None:
+        """Let an exchange or a fault happen."""
+        match event.split():
             case ["late", "word", number, _]:
                 self._exchange([self.late.pop(int(number))], False)
             case ["planner", number, "bids", *more]:
@@ -173,7 +175,8 @@
 
     # What must never be.
 
-    def wrong(self) -> str:
+    def violation(self) -> str:
+        """The invariant that does not hold, or an empty text."""
         owners = [n for n in range(2) if self.planners[n].elections[0].owns(self._at("p", n))]
         if len(owners) > 1:
             return "two planners own the slot"
@@ -184,7 +187,8 @@
                 rights.append(member.holders[0].limit)
         return CapAccount(CAP, self.now).rights(rights)
 
-    def settled(self) -> Self:
+    def normalized(self) -> Self:
+        """The state itself: it has no parts whose order makes no difference."""
         return self
 
 
@@ -193,9 +197,9 @@
     whole."""
     world = SmallWorld()
     while world.now < START + ACCEPTED_NS + LEASE_NS + 2 * TERM_NS:
-        world.happen("time goes on")
-        world.happen("planner 0 bids")
-        world.happen("forwarder 0 asks planner 0")
+        world.apply("time goes on")
+        world.apply("planner 0 bids")
+        world.apply("forwarder 0 asks planner 0")
     if not world.forwarders[0].tenants[MEMBER].holders[0].limit.rate_per_s:
         raise RuntimeError("the first forwarder got no right: the prefix no longer fits planning")
     world.steps = STEPS
@@ -205,5 +209,5 @@
 @contextmanager
 def one_slot() -> Iterator[None]:
     """All members in one slot, as elections of others would only multiply states."""
-    with held([patch.object(placement, "SLOTS", 1), patch.object(planner, "SLOTS", 1)]):
+    with applied([patch.object(placement, "SLOTS", 1), patch.object(planner, "SLOTS", 1)]):
         yield
--- a/trackspread/testing/virtual/reservations.py
+++ b/trackspread/testing/virtual/reservations.py
@@ -1,9 +1,9 @@
-"""Plans and reservations that change under load, held against a store worked out apart, in virtual time.
+"""Plan changes and reservations under load in virtual time, checked against an exact token bucket.
 
-May know: the module's events, the rule by which stores are carried over. May not know: how the module keeps
-its stores. One gateway, one member that asks for several times its quota: at every request sent on, a
-reference store, in exact fractions, must hold its units; and of what it would have let pass nearly all must
-be sent on.
+One gateway, and one tenant that requests several times its quota. At every forwarded request a reference
+bucket in exact fractions must hold the units, and of the requests that it would have admitted nearly all must
+be forwarded. The check uses the events of the decision module and the rule by which tokens are carried over
+when a plan changes, and does not depend on how the module keeps its tokens.
 """
 
 from __future__ import annotations
@@ -26,110 +26,142 @@
 from ...decide.quota.state import QuotaState
 from ...decide.tenant_account import rescaled_tokens
 from .clock import Clock
-from .patches import held
+from .patches import applied
 from .plain_settings import plain_settings
 
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
-SPAN = 30 * SECOND  # some changes, each with many times a burst of demand round it
-OWED = 0.99  # of what the reference lets pass: nothing else binds in these worlds
-SLACK = Fraction(1, 10**6)  # units: rounding of the module's floats
+SPAN = 30 * SECOND  # several changes, each among many bursts of requests
+FIRST_CHANGE_NS = 3 * SECOND
+REQUEST_WAIT_NS = 3 * SECOND
+MIN_FORWARDED_SHARE = 0.99  # of what the reference admits: no other limit applies
+SLACK_UNITS = Fraction(1, 10**6)  # for rounding of the module's floats
+LOAD_FACTOR = 3  # requests, over what the quota admits
+TENANT = 77
+BACKENDS = (1, 2, 3)
+
+
+class ReferenceBucket:
+    """A token bucket in exact fractions; it starts full."""
+
+    def __init__(self, rate_per_s: float, burst_units: float, now: int) -> None:
+        self.rate_per_s = Fraction(rate_per_s)
+        self.burst_units = Fraction(burst_units)
+        self.updated_at = now
+        self.tokens = self.burst_units
+
+    def refill(self, now: int) -> None:
+        """Add what the rate yields until a time, ns."""
+        refilled = self.tokens + self.rate_per_s * Fraction(now - self.updated_at, SECOND)
+        self.tokens = min(self.burst_units, refilled)
+        self.updated_at = now
+
+    def change(self, now: int, rate_per_s: float, burst_units: float) -> None:
+        """Change the limits: a smaller burst scales the tokens down, a larger one leaves them."""
+        self.refill(now)
+        burst = Fraction(burst_units)
+        self.tokens = min(self.tokens, self.tokens * burst / self.burst_units)
+        self.rate_per_s = Fraction(rate_per_s)
+        self.burst_units = burst
+
+
+class _Run:
+    """One gateway, its clock, and the two reference buckets."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(f"booked:{seed}")
+        self.clock = Clock()
+        rng, now = self.rng, self.clock.now
+        self.plan = Plan("team", rng.uniform(2, 20), rng.uniform(4, 40), 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+        self.reservation = (0.0, 0.0)  # rate a second and burst units, in addition to the plan's
+        self.broker = Broker(plain_settings(self.plan), seed, now)
+        rate_per_s, burst_units = self.plan.rate_per_s, self.plan.burst_units
+        self.of_forwarded = ReferenceBucket(rate_per_s, burst_units, now)  # pays for what was forwarded
+        self.of_requested = ReferenceBucket(rate_per_s, burst_units, now)  # pays for what it would admit
+        self.violations: list[str] = []
+        self.forwarded = 0
+        self.admissible = 0  # by the reference
+
+    def play(self) -> None:
+        """Run all requests and changes."""
+        backends = tuple(Backend(number, 0, 0, 0, Health.READY, 1.0, 0) for number in BACKENDS)
+        self._handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, backends))
+        self.clock.after(0, partial(self._send_request, 1))
+        self.clock.after(FIRST_CHANGE_NS, self._change_plan)
+        self.clock.run(self.clock.now + SPAN)
+        if self.forwarded < MIN_FORWARDED_SHARE * self.admissible:
+            counts = f"{self.forwarded} requests were sent on, of {self.admissible}"
+            self.violations.append(f"{counts} that the store would have let pass")
+
+    def _handle(self, event: Event) -> None:
+        for action in self.broker.handle(self.clock.now, event):
+            if isinstance(action, SetTimer):
+                self.clock.after(action.after_ns, partial(self._handle, TimerFired(action.token)))
+            elif isinstance(action, StartAttempt):
+                self._forward(action)
+
+    def _forward(self, action: StartAttempt) -> None:
+        now, bucket = self.clock.now, self.of_forwarded
+        bucket.refill(now)
+        bucket.tokens -= 1
+        self.forwarded += 1
+        if bucket.tokens < -SLACK_UNITS:
+            self.violations.append(f"at {now}: {float(-bucket.tokens):.3f} units too many were sent")
+        ended = AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MILLISECOND, 0, ())
+        self.clock.after(MILLISECOND, partial(self._handle, ended))
+
+    def _send_request(self, number: int) -> None:
+        now = self.clock.now
+        self.of_requested.refill(now)
+        if self.of_requested.tokens >= 1:
+            self.of_requested.tokens -= 1
+            self.admissible += 1
+        self._handle(RequestArrived(number, 0, 0, TENANT, now + REQUEST_WAIT_NS, 1.0, 1, 0, 0))
+        wait_s = self.rng.expovariate(LOAD_FACTOR * (self.plan.rate_per_s + self.reservation[0]))
+        self.clock.after(int(wait_s * SECOND) + 1, partial(self._send_request, number + 1))
+
+    def _change_plan(self) -> None:
+        """Change the plan's limits, or begin or end a reservation, and schedule the next change."""
+        rng = self.rng
+        if rng.random() < 0.5:
+            factor = rng.choice((0.25, 0.5, 2.0, 4.0))
+            rate_per_s = min(40.0, max(1.0, self.plan.rate_per_s * factor))
+            burst_units = max(2.0, rate_per_s * rng.uniform(1.0, 3.0))
+            self.plan = replace(self.plan, rate_per_s=rate_per_s, burst_units=burst_units)
+        else:
+            rate_per_s = rng.uniform(1, 20)
+            self.reservation = (0.0, 0.0) if self.reservation[0] else (rate_per_s, 2 * rate_per_s)
+        reserved_per_s, reserved_units = self.reservation
+        for bucket in (self.of_forwarded, self.of_requested):
+            limits = self.plan.rate_per_s + reserved_per_s, self.plan.burst_units + reserved_units
+            bucket.change(self.clock.now, *limits)
+        reserved = ((TENANT, *self.reservation),) if reserved_per_s else ()
+        self._handle(PlansChanged((self.plan,), reserved))
+        self.clock.after(rng.randint(SECOND, 6 * SECOND), self._change_plan)
 
 
-class Reference:
-    """One store, exactly."""
+def play(seed: int) -> list[str]:
+    """Violations of one run; none if tokens were carried over correctly at every change."""
+    return run(seed)[0]
 
-    def __init__(self, rate: float, burst: float, now: int) -> None:
-        self.rate = Fraction(rate)
-        self.burst = Fraction(burst)
-        self.at = now
-        self.level = self.burst
 
-    def advance(self, now: int) -> None:
-        self.level = min(self.burst, self.level + self.rate * Fraction(now - self.at, SECOND))
-        self.at = now
+def run(seed: int) -> tuple[list[str], int, int]:
+    """Violations, the requests that were forwarded, and those that the reference would have admitted."""
+    played = _Run(seed)
+    played.play()
+    return played.violations, played.forwarded, played.admissible
 
-    def change(self, now: int, rate: float, burst: float) -> None:
-        self.advance(now)
-        fresh = Fraction(burst)
-        self.level = min(self.level, self.level * fresh / self.burst)
-        self.rate = Fraction(rate)
-        self.burst = fresh
 
+def _carried_tokens(mutant: Callable[[float, float, float], float]) -> list[Any]:
+    """Another rule for the tokens after a change, from the tokens, the old and the new burst."""
 
-def play(seed: int) -> list[str]:
-    """What is wrong; nothing, if every change was carried over as promised."""
-    return run(seed)[0]
-
+    def rescaled(tokens: float, old: float, new: float) -> float:
+        return mutant(tokens, old, new) if old else 0.0
 
-def run(seed: int) -> tuple[list[str], int, int]:
-    """As `play`, with the requests that were sent on, and those that the reference would have let pass."""
-    rng, clock = random.Random(f"booked:{seed}"), Clock()
-    base = Plan("team", rng.uniform(2, 20), rng.uniform(4, 40), 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-    module = Broker(plain_settings(base), seed, clock.now)
-    entries = tuple(Backend(n, 0, 0, 0, Health.READY, 1.0, 0) for n in (1, 2, 3))
-    store, owed = (
-        Reference(base.rate_per_s, base.burst_units, clock.now),
-        Reference(base.rate_per_s, base.burst_units, clock.now),
-    )
-    wrong, counts = list[str](), [0, 0]  # sent on, owed
-    current, extra = base, (0.0, 0.0)
-
-    def handle(event: Event) -> None:
-        for action in module.handle(clock.now, event):
-            if isinstance(action, SetTimer):
-                clock.after(action.after_ns, partial(handle, TimerFired(action.token)))
-            elif isinstance(action, StartAttempt):
-                store.advance(clock.now)
-                store.level -= 1
-                counts[0] += 1
-                if store.level < -SLACK:
-                    wrong.append(f"at {clock.now}: {float(-store.level):.3f} units too many were sent")
-                end = AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MILLISECOND, 0, ())
-                clock.after(MILLISECOND, partial(handle, end))
-
-    def ask(number: int) -> None:
-        owed.advance(clock.now)
-        if owed.level >= 1:
-            owed.level -= 1
-            counts[1] += 1
-        handle(RequestArrived(number, 0, 0, 77, clock.now + 3 * SECOND, 1.0, 1, 0, 0))
-        pause = rng.expovariate(3 * (current.rate_per_s + extra[0]))
-        clock.after(int(pause * SECOND) + 1, partial(ask, number + 1))
-
-    def change() -> None:
-        nonlocal current, extra
-        if rng.random() < 0.5:
-            factor = rng.choice((0.25, 0.5, 2.0, 4.0))
-            rate = min(40.0, max(1.0, current.rate_per_s * factor))
-            current = replace(current, rate_per_s=rate, burst_units=max(2.0, rate * rng.uniform(1.0, 3.0)))
-        else:
-            rate = rng.uniform(1, 20)
-            extra = (0.0, 0.0) if extra[0] else (rate, 2 * rate)
-        for each in (store, owed):
-            each.change(clock.now, current.rate_per_s + extra[0], current.burst_units + extra[1])
-        handle(PlansChanged((current,), ((77, *extra),) if extra[0] else ()))
-        clock.after(rng.randint(SECOND, 6 * SECOND), change)
-
-    handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, entries))
-    clock.after(0, partial(ask, 1))
-    clock.after(3 * SECOND, change)
-    clock.run(clock.now + SPAN)
-    if counts[0] < OWED * counts[1]:
-        wrong.append(f"{counts[0]} requests were sent on, of {counts[1]} that the store would have let pass")
-    return wrong, counts[0], counts[1]
-
-
-def _formula(mutant: Callable[[float, float, float], float]) -> list[Any]:
-    """Where there was a store before; without one nothing is carried in any mutant."""
-    return [
-        patch.object(
-            accounts, "rescaled_tokens", lambda level, old, new: mutant(level, old, new) if old else 0.0
-        )
-    ]
+    return [patch.object(accounts, "rescaled_tokens", rescaled)]
 
 
 def _not_refilled_before() -> list[Any]:
-    """What came in until the change is filled by the new rate."""
+    """The time before a change is refilled at the new rate."""
 
     def mutant(sharing: QuotaSharing, now: int, account: Any, index: int) -> None:
         old, new = account.plan, accounts.plan_of(sharing.state, account.tenant, index)
@@ -141,32 +173,33 @@
 
 
 def _never_ends() -> list[Any]:
-    """A reservation stays when its time is over."""
+    """A reservation remains after its end."""
     real = Quota.change_plans
 
     def mutant(self: Quota, now: int, event: PlansChanged) -> None:
-        kept = tuple((customer, *extra) for customer, extra in self.reservations.items())
-        real(self, now, PlansChanged(event.plans, event.reserved or kept))
+        earlier = tuple((tenant, *limits) for tenant, limits in self.reservations.items())
+        real(self, now, PlansChanged(event.plans, event.reserved or earlier))
 
     return [patch.object(Quota, "change_plans", mutant)]
 
 
 def _reserved_only() -> list[Any]:
-    """A reservation takes the plan's place."""
+    """A reservation replaces the plan's limits."""
     real = accounts.plan_of
 
-    def mutant(state: QuotaState, customer: int, index: int) -> Plan:
-        plan, (rate, burst) = real(state, customer, index), state.reservations.get(customer, (0.0, 0.0))
-        return replace(plan, rate_per_s=rate, burst_units=burst) if rate else plan
+    def mutant(state: QuotaState, tenant: int, index: int) -> Plan:
+        plan = real(state, tenant, index)
+        rate_per_s, burst_units = state.reservations.get(tenant, (0.0, 0.0))
+        return replace(plan, rate_per_s=rate_per_s, burst_units=burst_units) if rate_per_s else plan
 
     return [patch.object(accounts, "plan_of", mutant)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
-    "given-anew": lambda: _formula(lambda level, old, new: new),
-    "share-both-ways": lambda: _formula(lambda level, old, new: level * new / old),
-    "units-both-ways": lambda: _formula(lambda level, old, new: level),
-    "emptied": lambda: _formula(lambda level, old, new: 0.0),
+    "given-anew": lambda: _carried_tokens(lambda tokens, old, new: new),
+    "share-both-ways": lambda: _carried_tokens(lambda tokens, old, new: tokens * new / old),
+    "units-both-ways": lambda: _carried_tokens(lambda tokens, old, new: tokens),
+    "emptied": lambda: _carried_tokens(lambda tokens, old, new: 0.0),
     "not-refilled-before": _not_refilled_before,
     "never-ends": _never_ends,
     "reserved-only": _reserved_only,
@@ -176,5 +209,5 @@
 
 def convict(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds that shows the mutant; None if none does."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if play(seed)), None)
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -1,6 +1,7 @@
-"""Seeded schedules of faults: what goes wrong and when hangs on the seed alone, and a failing one replays.
+"""Seeded schedules of faults: the seed alone determines which faults occur and when, so a failure replays.
 
-May know: the virtual fleet's handles. May not know: what the module decides or what the judge looks for.
+A schedule uses the controls of the virtual fleet; it depends neither on what the decision module decides nor
+on what the judge looks for.
 """
 
 from __future__ import annotations
@@ -18,179 +19,196 @@
 from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
-SPAN = 4 * SECOND  # of happenings; long enough for a drain with its grace, and a cold start after it
-BEYOND_MOST = 0.15  # of what a calm fleet sends on, beyond quotas: 1.3% on average, 9% at worst of 250
-CALM = 8  # every so many schedules one is calm, and held to the quotas as well
+SPAN = 4 * SECOND  # of load: enough for a drain with its grace period and a slow start after it
+MAX_OVER_QUOTA_SHARE = 0.15  # of the units that a calm fleet forwards
+CALM = 8  # one schedule in so many has no faults, and must also keep to the quotas
+MIN_NODES_LEFT = 2  # ready nodes that a fault leaves
+RESTART_INTERVAL_NS = 700 * MILLISECOND  # of a rolling restart of gateways
+REPLACEMENT_INTERVAL_NS = 400 * MILLISECOND  # of a rolling replacement of nodes
 Fault = Callable[[VirtualFleet, random.Random], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A scenario and the faults in it, by name and time (ns from the start)."""
+    """A scenario and the faults in it, by time (ns from the start) and name."""
 
     seed: int
     scenario: Scenario
     faults: tuple[tuple[int, str], ...]
 
     def __str__(self) -> str:
-        told = ", ".join(f"{name} at {at / SECOND:.2f} s" for at, name in self.faults)
+        faults = ", ".join(f"{name} at {at / SECOND:.2f} s" for at, name in self.faults)
         sizes = f"{self.scenario.gateways} gateways, {self.scenario.nodes} nodes"
-        return f"seed {self.seed}: {sizes}; {told or 'calm'}"
-
-
-def _someone(fleet: VirtualFleet, rng: random.Random) -> int:
-    return rng.randrange(fleet.scenario.gateways)
+        return f"seed {self.seed}: {sizes}; {faults or 'calm'}"
 
 
 def _restart(fleet: VirtualFleet, rng: random.Random, position: int) -> None:
-    fleet.kill(position)
-    wait = rng.randint(100 * MILLISECOND, 1500 * MILLISECOND)
-    fleet.clock.after(wait, partial(fleet.start, position))
+    fleet.kill_gateway(position)
+    wait_ns = rng.randint(100 * MILLISECOND, 1500 * MILLISECOND)
+    fleet.clock.after(wait_ns, partial(fleet.start_gateway, position))
 
 
-def kill_one(fleet: VirtualFleet, rng: random.Random) -> None:
-    _restart(fleet, rng, _someone(fleet, rng))
+def restart_gateway(fleet: VirtualFleet, rng: random.Random) -> None:
+    """One gateway is killed and starts again."""
+    _restart(fleet, rng, rng.randrange(fleet.scenario.gateways))
 
 
-def kill_half(fleet: VirtualFleet, rng: random.Random) -> None:
+def restart_half_of_gateways(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Half of the gateways are killed at once and start again."""
     for position in rng.sample(range(fleet.scenario.gateways), max(1, fleet.scenario.gateways // 2)):
         _restart(fleet, rng, position)
 
 
-def roll(fleet: VirtualFleet, rng: random.Random) -> None:
+def rolling_restart(fleet: VirtualFleet, rng: random.Random) -> None:
+    """All gateways are restarted, one after the other."""
     for number, position in enumerate(rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways)):
-        fleet.clock.after(number * 700 * MILLISECOND, partial(_restart, fleet, rng, position))
+        fleet.clock.after(number * RESTART_INTERVAL_NS, partial(_restart, fleet, rng, position))
 
 
-def _up(fleet: VirtualFleet) -> list[Node]:
-    return [n for n in fleet.nodes.values() if n.up and n.entry.health is Health.READY]
+def _ready_nodes(fleet: VirtualFleet) -> list[Node]:
+    return [node for node in fleet.nodes.values() if node.is_ready]
 
 
-def drain(fleet: VirtualFleet, rng: random.Random) -> None:
-    """One node drains, ends, and has a cold successor."""
-    if len(nodes := _up(fleet)) > 2:
-        _deploy(fleet, rng, rng.choice(nodes))
+def replace_node(fleet: VirtualFleet, rng: random.Random) -> None:
+    """One node drains, ends, and has a successor that is not warmed up."""
+    nodes = _ready_nodes(fleet)
+    if len(nodes) > MIN_NODES_LEFT:
+        _replace(fleet, rng, rng.choice(nodes))
 
 
-def deploy(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Most nodes do, one after the other."""
-    nodes = _up(fleet)
+def rolling_replacement(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Half of the nodes are replaced, one after the other."""
+    nodes = _ready_nodes(fleet)
     for number, node in enumerate(rng.sample(nodes, len(nodes) // 2)):
-        fleet.clock.after(number * 400 * MILLISECOND, partial(_deploy, fleet, rng, node))
+        fleet.clock.after(number * REPLACEMENT_INTERVAL_NS, partial(_replace, fleet, rng, node))
 
 
-def _deploy(fleet: VirtualFleet, rng: random.Random, node: Node) -> None:
-    if not node.up or node.entry.health is not Health.READY:
+def _replace(fleet: VirtualFleet, rng: random.Random, node: Node) -> None:
+    if not node.is_ready:
         return
-    fleet.drain(node)
+    fleet.drain_node(node)
     spec = fleet.scenario.successor(node.spec)
-    fleet.clock.after(rng.randint(SECOND, 2 * SECOND), partial(fleet.remove, node))
-    fleet.clock.after(rng.randint(0, SECOND), partial(fleet.boot, spec, True))
+    fleet.clock.after(rng.randint(SECOND, 2 * SECOND), partial(fleet.remove_node, node))
+    fleet.clock.after(rng.randint(0, SECOND), partial(fleet.start_node, spec, True))
 
 
-def undrain(fleet: VirtualFleet, rng: random.Random) -> None:
-    """One node drains and is wanted again soon after."""
-    if nodes := _up(fleet):
+def cancel_drain(fleet: VirtualFleet, rng: random.Random) -> None:
+    """One node drains and is ready again soon after."""
+    if nodes := _ready_nodes(fleet):
         node = rng.choice(nodes)
-        fleet.drain(node)
+        fleet.drain_node(node)
+        wait_ns = rng.randint(200 * MILLISECOND, 1800 * MILLISECOND)
+        fleet.clock.after(wait_ns, partial(_make_ready_again, fleet, node))
 
-        def back() -> None:
-            if node.up and node.entry.health is Health.DRAINING:
-                node.model.draining = False
-                fleet._change(node, Health.READY)
 
-        fleet.clock.after(rng.randint(200 * MILLISECOND, 1800 * MILLISECOND), back)
+def _make_ready_again(fleet: VirtualFleet, node: Node) -> None:
+    if node.running and node.entry.health is Health.DRAINING:
+        node.model.draining = False
+        fleet.set_health(node, Health.READY)
 
 
-def node_dies(fleet: VirtualFleet, rng: random.Random) -> None:
-    """The list hears of it late."""
-    if len(nodes := _up(fleet)) > 2:
+def node_crashes(fleet: VirtualFleet, rng: random.Random) -> None:
+    """A node crashes; the endpoint list is updated later."""
+    nodes = _ready_nodes(fleet)
+    if len(nodes) > MIN_NODES_LEFT:
         node = rng.choice(nodes)
-        fleet.down(node)
-        fleet.clock.after(rng.randint(SECOND // 2, 2 * SECOND), partial(fleet.remove, node))
+        fleet.crash_node(node)
+        fleet.clock.after(rng.randint(SECOND // 2, 2 * SECOND), partial(fleet.remove_node, node))
 
 
-def node_silent(fleet: VirtualFleet, rng: random.Random) -> None:
-    if nodes := _up(fleet):
+def node_unresponsive(fleet: VirtualFleet, rng: random.Random) -> None:
+    """A node sends no replies for a while."""
+    if nodes := _ready_nodes(fleet):
         node = rng.choice(nodes)
-        node.silent = True
-        fleet.clock.after(rng.randint(SECOND // 2, 2 * SECOND), partial(setattr, node, "silent", False))
+        node.unresponsive = True
+        wait_ns = rng.randint(SECOND // 2, 2 * SECOND)
+        fleet.clock.after(wait_ns, partial(setattr, node, "unresponsive", False))
 
 
-def node_freezes(fleet: VirtualFleet, rng: random.Random) -> None:
-    """A node says nothing more, and resets all that it holds when it dies at last."""
-    if len(nodes := _up(fleet)) > 2:
+def node_hangs_and_crashes(fleet: VirtualFleet, rng: random.Random) -> None:
+    """A node sends no more replies, and resets all of its connections when it crashes at last."""
+    nodes = _ready_nodes(fleet)
+    if len(nodes) > MIN_NODES_LEFT:
         node = rng.choice(nodes)
-        node.silent = True
-        wait = rng.randint(SECOND // 2, 3 * SECOND // 2)
-        fleet.clock.after(wait, partial(fleet.down, node))
-        fleet.clock.after(wait + SECOND, partial(fleet.remove, node))
+        node.unresponsive = True
+        wait_ns = rng.randint(SECOND // 2, 3 * SECOND // 2)
+        fleet.clock.after(wait_ns, partial(fleet.crash_node, node))
+        fleet.clock.after(wait_ns + SECOND, partial(fleet.remove_node, node))
 
 
 def node_slow(fleet: VirtualFleet, rng: random.Random) -> None:
-    if nodes := _up(fleet):
+    """A node takes several times as long for each request, to the end."""
+    if nodes := _ready_nodes(fleet):
         rng.choice(nodes).model.slow = rng.uniform(3.0, 20.0)
 
 
-def resets(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.conditions.reset, fleet.conditions.unwritten = rng.uniform(0.02, 0.3), rng.uniform(0.0, 0.1)
-    fleet.conditions.late_up = rng.uniform(0.0, 0.5)
+def connection_faults(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Connections to nodes are reset, break while a request is written, or are slow to connect."""
+    fleet.conditions.reset_chance = rng.uniform(0.02, 0.3)
+    fleet.conditions.broken_write_chance = rng.uniform(0.0, 0.1)
+    fleet.conditions.slow_connect_chance = rng.uniform(0.0, 0.5)
 
 
-def apart(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Some gateways don't hear the others for a while."""
-    n = fleet.scenario.gateways
-    some = set(rng.sample(range(n), rng.randint(1, n - 1)))
-    fleet.apart = {frozenset((a, b)) for a in some for b in range(n) if b not in some}
-    fleet.clock.after(rng.randint(SECOND, 4 * SECOND), partial(setattr, fleet, "apart", set()))
+def partition_gateways(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Some gateways and the others get no messages of each other for a while."""
+    gateways = range(fleet.scenario.gateways)
+    some = set(rng.sample(gateways, rng.randint(1, len(gateways) - 1)))
+    fleet.partitioned = {frozenset((one, other)) for one in some for other in gateways if other not in some}
+    fleet.clock.after(rng.randint(SECOND, 4 * SECOND), partial(setattr, fleet, "partitioned", set()))
 
 
-def lossy(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.conditions.peer_loss, fleet.conditions.peer_twice = rng.uniform(0.2, 0.9), rng.uniform(0.0, 0.3)
-    fleet.conditions.peer_delay = rng.randint(0, SECOND // 2)
+def lossy_peer_network(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Messages between gateways are lost, duplicated and delayed."""
+    fleet.conditions.peer_loss = rng.uniform(0.2, 0.9)
+    fleet.conditions.peer_duplication = rng.uniform(0.0, 0.3)
+    fleet.conditions.max_peer_delay_ns = rng.randint(0, SECOND // 2)
 
 
-def move(fleet: VirtualFleet, rng: random.Random) -> None:
+def migrate_clients(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Many customers change the gateways that they use."""
     fleet.population.move(rng.uniform(0.3, 1.0))
 
 
 def surge(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Clients send more requests, to the end."""
     fleet.population.surge = rng.uniform(1.5, 3.0)
 
 
-def late_list(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.conditions.list_delay = rng.randint(SECOND // 2, 3 * SECOND)
+def late_endpoint_updates(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Updates of the endpoint list arrive late."""
+    fleet.conditions.max_list_delay_ns = rng.randint(SECOND // 2, 3 * SECOND)
 
 
+# In the order in which seeds draw from them.
 FAULTS: dict[str, Fault] = {
-    each.__name__: each
-    for each in (
-        kill_one,
-        kill_half,
-        roll,
-        drain,
-        deploy,
-        undrain,
-        node_dies,
-        node_silent,
-        node_freezes,
+    fault.__name__: fault
+    for fault in (
+        restart_gateway,
+        restart_half_of_gateways,
+        rolling_restart,
+        replace_node,
+        rolling_replacement,
+        cancel_drain,
+        node_crashes,
+        node_unresponsive,
+        node_hangs_and_crashes,
         node_slow,
-        resets,
-        apart,
-        lossy,
-        move,
+        connection_faults,
+        partition_gateways,
+        lossy_peer_network,
+        migrate_clients,
         surge,
-        late_list,
+        late_endpoint_updates,
     )
 }
 
 
 def make(seed: int) -> Schedule:
-    """The schedule of a seed. Every eighth is calm."""
+    """The schedule of a seed; one in `CALM` has no faults."""
     rng = random.Random(f"schedule:{seed}")
-    calm = seed % CALM == 0
+    is_calm = seed % CALM == 0
     scenario = Scenario(
-        gateways=3 if calm else rng.randint(2, 4),
+        gateways=3 if is_calm else rng.randint(2, 4),
         nodes=rng.randint(3, 7),
         load=rng.uniform(0.2, 0.7),
         greedy=rng.choice((0.1, 0.5)),
@@ -199,15 +217,15 @@
         start=rng.choice((0.1, 0.25)),
         warm=rng.randint(4 * SECOND, 10 * SECOND),
         behavior=ClientBehavior(rng.randint(0, 2), rng.uniform(0.3, 1.0)),
-        beyond_most=BEYOND_MOST if calm else 1.0,
+        beyond_most=MAX_OVER_QUOTA_SHARE if is_calm else 1.0,
     )
-    names = [] if calm else rng.choices(list(FAULTS), k=rng.randint(1, 4))
+    names = [] if is_calm else rng.choices(list(FAULTS), k=rng.randint(1, 4))
     faults = tuple(sorted((rng.randint(SECOND // 4, SPAN * 3 // 4), name) for name in names))
     return Schedule(seed, scenario, faults)
 
 
 def play(schedule: Schedule) -> tuple[Verdict, VirtualFleet]:
-    """The same schedule gives the same ledger, to the last entry."""
+    """The verdict on a schedule; the same schedule gives the same ledger, to the last entry."""
     fleet = VirtualFleet(schedule.scenario, schedule.seed)
     start = fleet.clock.now
     for number, (at, name) in enumerate(schedule.faults):
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -1,6 +1,7 @@
-"""Cold backends before many gateways in virtual time: what all of them together send to each one.
+"""Backends that are warming up behind many gateways in virtual time: what all gateways send to each of them.
 
-May know: the virtual fleet's handles, the ledger. May not know: what the module decides or why.
+It uses the controls of the virtual fleet and the ledger, and does not depend on what the decision module
+decides.
 """
 
 from __future__ import annotations
@@ -20,47 +21,52 @@
 from .fleet import Node, VirtualFleet
 
 NODES = 9
-REPLACED = 2  # drain and have a successor under another name
-RETURNED = 2  # die and come back under the same name
-LEAST_GATEWAYS, MOST_GATEWAYS = 20, 32
-CALM = 3 * SECOND  # before anything happens: gateways learn what warm backends carry
-RAMP = 6 * SECOND  # from a start until the backend is warm
-SPAN = CALM + RAMP + SECOND
-BURST = 1.5  # times of the usual asking while backends are cold
+REPLACED = 2  # nodes that drain and have a successor under another name
+RETURNED = 2  # nodes that crash and come back under the same name
+MIN_GATEWAYS, MAX_GATEWAYS = 20, 32
+CALM_NS = 3 * SECOND  # before any fault: gateways learn what warmed-up backends can do
+WARMUP_NS = 6 * SECOND
+SPAN = CALM_NS + WARMUP_NS + SECOND
+LOAD_FACTOR = 1.5  # of the load while backends warm up
+Faults = Callable[[VirtualFleet, random.Random], None]
 
 
 class SlowStartRun(msgspec.Struct, frozen=True):
-    """What came of one run. `worst_excess`: requests of mean work that one cold backend got in a window, less
-    N + 2 x root of N + 2. `used`: load of cold backends for what they can do at the time, over the warm
-    ones' load. `served`: of what was served, refused with room, failed or left unanswered. `violations`: of
-    the other rules; the judge allows no chance at cold backends."""
+    """The result of one run.
+
+    `worst_excess`: the largest value of `overload_excess`. `relative_load`: the load of backends that are
+    warming up, relative to their capacity, over that of the others. `served_share`: of all requests but those
+    rejected while the quota was used up. `violations`: the other rules that were violated; the judge makes no
+    allowance for chance at backends that warm up.
+    """
 
     gateways: int
     worst_excess: float
-    used: float
-    served: float
+    relative_load: float
+    served_share: float
     violations: frozenset[str]
 
 
-class LastingScenario(Scenario):
-    """A scenario whose backends never fall, so that all is counted that gateways send them."""
+class UncrashableScenario(Scenario):
+    """A scenario whose backends never crash, so that everything that gateways send them is counted."""
 
     def node(self, spec: NodeSpec, pods: dict[int, Pod], now: int, cold: bool) -> RatingNode:
+        """A rating node without a limit on its load."""
         node = super().node(spec, pods, now, cold)
         node.fall_multiple = inf
         return node
 
 
 def scenario(seed: int) -> Scenario:
-    """Another fleet for each seed: its gateways, its window, its multiple, its start and its load."""
+    """A fleet drawn by the seed: its gateways, overload window and multiple, start capacity and load."""
     rng = random.Random(f"ramp-scene:{seed}")
-    return LastingScenario(
-        gateways=rng.randint(LEAST_GATEWAYS, MOST_GATEWAYS),
+    return UncrashableScenario(
+        gateways=rng.randint(MIN_GATEWAYS, MAX_GATEWAYS),
         nodes=NODES,
         load=rng.uniform(0.5, 0.7),
         greedy=0.2,
         seed=seed,
-        warm=RAMP,
+        warm=WARMUP_NS,
         start=rng.uniform(0.15, 0.35),
         fall_window=rng.choice([SECOND // 2, SECOND, 3 * SECOND]),
         fall_multiple=rng.choice([2.0, 3.0]),
@@ -68,132 +74,149 @@
 
 
 def play(seed: int) -> SlowStartRun:
-    """Some backends are replaced and others come back cold, under a burst, while gateways die, start and are
-    cut off from the others. The same seed gives the same run."""
-    return _run(seed, _trouble)
+    """Some backends are replaced and others come back cold under high load, while gateways are killed,
+    restarted and partitioned. The same seed gives the same run."""
+    return _run(seed, _replace_and_return)
 
 
 def play_none_warm(seed: int) -> SlowStartRun:
-    """All backends come back cold, one after the other, while half of the gateways start anew."""
-    return _run(seed, _all_cold)
+    """All backends come back cold, one after the other, while half of the gateways restart."""
+    return _run(seed, _return_all)
 
 
-def _run(seed: int, trouble: Callable[[VirtualFleet, random.Random], None]) -> SlowStartRun:
-    world = scenario(seed)
-    fleet = VirtualFleet(world, seed)
-    since = fleet.clock.now + CALM
-    fleet.clock.at(since, partial(trouble, fleet, random.Random(f"ramp:{seed}")))
+def _run(seed: int, faults: Faults) -> SlowStartRun:
+    played = scenario(seed)
+    fleet = VirtualFleet(played, seed)
+    faults_at = fleet.clock.now + CALM_NS
+    fleet.clock.at(faults_at, partial(faults, fleet, random.Random(f"ramp:{seed}")))
     fleet.run(SPAN)
-    verdict = judge(world.world(), fleet.ledger.entries)
+    verdict = judge(played.world(), fleet.ledger.entries)
     summary = verdict.summary
-    due = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
+    servable = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
     return SlowStartRun(
-        world.gateways,
-        max(excess(world, fleet.ledger), default=-inf),
-        _used(fleet.ledger, since),
-        summary.served / max(1, due),
+        played.gateways,
+        max(overload_excess(played, fleet.ledger), default=-inf),
+        _relative_load(fleet.ledger, faults_at),
+        summary.served / max(1, servable),
         frozenset(verdict.broken_rules() - {"cold"}),
     )
 
 
-def _trouble(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.population.surge = BURST
+def _replace_and_return(fleet: VirtualFleet, rng: random.Random) -> None:
+    fleet.population.surge = LOAD_FACTOR
     nodes = rng.sample(list(fleet.nodes.values()), REPLACED + RETURNED)
     for node in nodes[:REPLACED]:
         _replace(fleet, node)
     for node in nodes[REPLACED:]:
-        fleet.down(node)
-        fleet.clock.after(rng.randint(100, 500) * MILLISECOND, partial(fleet.boot, node.spec, True))
+        fleet.crash_node(node)
+        restart = partial(fleet.start_node, node.spec, True)
+        fleet.clock.after(rng.randint(100, 500) * MILLISECOND, restart)
     positions = rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways // 2)
     third = len(positions) // 3
     for position in positions[:third]:
-        at = rng.randint(0, 2000) * MILLISECOND
-        fleet.clock.after(at, partial(fleet.kill, position))
-        fleet.clock.after(at + rng.randint(300, 1500) * MILLISECOND, partial(fleet.start, position))
+        killed_after = rng.randint(0, 2000) * MILLISECOND
+        fleet.clock.after(killed_after, partial(fleet.kill_gateway, position))
+        started_after = killed_after + rng.randint(300, 1500) * MILLISECOND
+        fleet.clock.after(started_after, partial(fleet.start_gateway, position))
     for position in positions[third : 2 * third]:
-        fleet.clock.after(rng.randint(0, 3000) * MILLISECOND, partial(fleet.kill, position))
+        fleet.clock.after(rng.randint(0, 3000) * MILLISECOND, partial(fleet.kill_gateway, position))
     for position in positions[2 * third :]:
-        fleet.clock.after(rng.randint(0, 2000) * MILLISECOND, partial(_cut_off, fleet, position))
+        fleet.clock.after(rng.randint(0, 2000) * MILLISECOND, partial(_isolate, fleet, position))
 
 
-def _all_cold(fleet: VirtualFleet, rng: random.Random) -> None:
+def _return_all(fleet: VirtualFleet, rng: random.Random) -> None:
     for node in list(fleet.nodes.values()):
-        fleet.clock.after(rng.randint(0, 1000) * MILLISECOND, partial(_come_back, fleet, node))
+        fleet.clock.after(rng.randint(0, 1000) * MILLISECOND, partial(_crash_and_return, fleet, node))
     for position in rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways // 2):
-        at = rng.randint(0, 1500) * MILLISECOND
-        fleet.clock.after(at, partial(fleet.kill, position))
-        fleet.clock.after(at + 500 * MILLISECOND, partial(fleet.start, position))
+        killed_after = rng.randint(0, 1500) * MILLISECOND
+        fleet.clock.after(killed_after, partial(fleet.kill_gateway, position))
+        fleet.clock.after(killed_after + 500 * MILLISECOND, partial(fleet.start_gateway, position))
 
 
-def _come_back(fleet: VirtualFleet, node: Node) -> None:
-    fleet.down(node)
-    fleet.clock.after(200 * MILLISECOND, partial(fleet.boot, node.spec, True))
+def _crash_and_return(fleet: VirtualFleet, node: Node) -> None:
+    fleet.crash_node(node)
+    fleet.clock.after(200 * MILLISECOND, partial(fleet.start_node, node.spec, True))
 
 
 def _replace(fleet: VirtualFleet, node: Node) -> None:
-    fleet.boot(fleet.scenario.successor(node.spec), True)
-    fleet.drain(node)
-    fleet.clock.after(2 * SECOND, partial(fleet.remove, node))
+    fleet.start_node(fleet.scenario.successor(node.spec), True)
+    fleet.drain_node(node)
+    fleet.clock.after(2 * SECOND, partial(fleet.remove_node, node))
 
 
-def _cut_off(fleet: VirtualFleet, position: int) -> None:
-    """No gateway hears it, nor it another; clients and backends reach it as before."""
+def _isolate(fleet: VirtualFleet, position: int) -> None:
+    """Partition a gateway from all others; it still has its clients and backends."""
     others = range(fleet.scenario.gateways)
-    fleet.apart |= {frozenset((position, other)) for other in others if other != position}
+    fleet.partitioned |= {frozenset((position, other)) for other in others if other != position}
 
 
 def _cold_starts(ledger: Ledger) -> dict[str, BackendStarted]:
-    return {e.backend: e for e in ledger.entries if isinstance(e, BackendStarted) and e.start_capacity < 1.0}
+    """The last start of each backend that started cold."""
+    starts = (entry for entry in ledger.entries if isinstance(entry, BackendStarted))
+    return {start.backend: start for start in starts if start.start_capacity < 1.0}
+
 
+def _capacity(start: BackendStarted, at: int) -> float:
+    """The share of its capacity that a backend has at a time."""
+    progress = min(1.0, (at - start.at) / start.warmup_ns)
+    return start.start_capacity + (1.0 - start.start_capacity) * progress
 
-def _part(start: BackendStarted, at: int) -> float:
-    return start.start_capacity + (1.0 - start.start_capacity) * min(1.0, (at - start.at) / start.warmup_ns)
 
+def overload_excess(played: Scenario, ledger: Ledger) -> Iterator[float]:
+    """For each request to a backend that warms up, how far the work in the window that ends with it exceeds
+    the limit, in requests of mean work; negative below the limit.
 
-def excess(world: Scenario, ledger: Ledger) -> Iterator[float]:
-    """At each request for a cold backend: what came in the window that ends then, over what may come."""
-    mean = sum(c.share * c.work for c in world.classes) / sum(c.share for c in world.classes)
+    The limit is N + 2 sqrt(N) + 2, which allows for chance, where N is the overload multiple of what the
+    backend can do in the window.
+    """
+    mean_work = sum(c.share * c.work for c in played.classes) / sum(c.share for c in played.classes)
     starts = _cold_starts(ledger)
     recent: dict[str, deque[tuple[int, float]]] = {backend: deque() for backend in starts}
-    sent = sorted((e for e in ledger.entries if isinstance(e, AttemptReceived)), key=lambda e: e.at)
-    for each in sent:
-        start = starts.get(each.backend)
-        if start is None or not start.at <= each.at < start.at + start.warmup_ns:
+    attempts = [entry for entry in ledger.entries if isinstance(entry, AttemptReceived)]
+    for attempt in sorted(attempts, key=lambda attempt: attempt.at):
+        start = starts.get(attempt.backend)
+        if start is None or not start.at <= attempt.at < start.at + start.warmup_ns:
             continue
-        window = recent[each.backend]
-        window.append((each.at, each.work_ns / mean))
-        while window[0][0] <= each.at - world.fall_window:
+        window = recent[attempt.backend]
+        window.append((attempt.at, attempt.work_ns / mean_work))
+        while window[0][0] <= attempt.at - played.fall_window:
             window.popleft()
-        able = start.cores * _part(start, each.at) * world.fall_window / mean
-        allowed = world.fall_multiple * able
+        able = start.cores * _capacity(start, attempt.at) * played.fall_window / mean_work
+        allowed = played.fall_multiple * able
         yield sum(work for _, work in window) - (allowed + 2.0 * sqrt(allowed) + 2.0)
 
 
-def _used(ledger: Ledger, since: int) -> float:
-    """Load of cold backends for what they can do, as part of the warm ones' load, between a second after
-    the trouble and its end."""
-    starts = _cold_starts(ledger)
-    first, last = since + SECOND, since + RAMP
+def _relative_load(ledger: Ledger, faults_at: int) -> float:
+    """The load of backends that warm up, relative to their capacity, over that of the others.
+
+    It is measured from a second after the faults until all backends are warmed up. If there are no others, it
+    is the load for the capacity alone.
+    """
+    cold = _cold_starts(ledger)
+    first, last = faults_at + SECOND, faults_at + WARMUP_NS
     work: defaultdict[str, int] = defaultdict(int)
-    for each in ledger.entries:
-        if isinstance(each, AttemptReceived) and first <= each.at < last:
-            work[each.backend] += each.work_ns
-    steady = {
-        e.backend: e.cores
-        for e in ledger.entries
-        if isinstance(e, BackendStarted) and e.start_capacity >= 1.0
-    }
-    left = _left(ledger, since)
-    steady = {backend: cores for backend, cores in steady.items() if backend not in starts.keys() | left}
-    cold_able = sum(s.cores * (_part(s, first) + _part(s, last)) / 2.0 for s in starts.values())
-    cold = sum(work[backend] for backend in starts) / cold_able
-    if not steady:
-        return cold / (last - first)
-    return cold / max(1e-9, sum(work[backend] for backend in steady) / sum(steady.values()))
-
-
-def _left(ledger: Ledger, since: int) -> set[str]:
-    """Backends that were taken off the list since then."""
-    return {
-        e.backend for e in ledger.entries if isinstance(e, EndpointAnnounced) and e.at > since and not e.ready
-    }
+    for entry in ledger.entries:
+        if isinstance(entry, AttemptReceived) and first <= entry.at < last:
+            work[entry.backend] += entry.work_ns
+    cold_capacity = sum(
+        start.cores * (_capacity(start, first) + _capacity(start, last)) / 2.0 for start in cold.values()
+    )
+    cold_load = sum(work[backend] for backend in cold) / cold_capacity
+    warm_cores = _warm_cores(ledger, cold.keys() | _drained(ledger, faults_at))
+    if not warm_cores:
+        return cold_load / (last - first)
+    warm_load = sum(work[backend] for backend in warm_cores) / sum(warm_cores.values())
+    return cold_load / max(1e-9, warm_load)
+
+
+def _warm_cores(ledger: Ledger, excluded: set[str]) -> dict[str, float]:
+    """Cores of the backends that started warmed up."""
+    starts = (entry for entry in ledger.entries if isinstance(entry, BackendStarted))
+    warm = {start.backend: start.cores for start in starts if start.start_capacity >= 1.0}
+    return {backend: cores for backend, cores in warm.items() if backend not in excluded}
+
+
+def _drained(ledger: Ledger, since: int) -> set[str]:
+    """Backends that some gateway learned not to be ready after a time."""
+    updates = (entry for entry in ledger.entries if isinstance(entry, EndpointAnnounced))
+    return {update.backend for update in updates if update.at > since and not update.ready}
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -23,7 +23,7 @@
 from ....usage.record import Use, pack
 from ....usage.segments import SegmentStore
 from . import world as used
-from ..patches import held
+from ..patches import applied
 from .schedules import make, play
 
 
@@ -288,7 +288,7 @@
 
 def convict(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds whose schedule shows the mutant; None if none does."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if _shows(seed)), None)
 
 
