--- a/benchmarks/convict.py
+++ b/benchmarks/convict.py
@@ -24,7 +24,7 @@
 from trackspread.testing.mutation.checks import SCHEDULES
 from trackspread.testing.mutation.equivalent import load
 from trackspread.testing.mutation.generate import Mutant, sample
-from trackspread.testing.mutation.plant import Result, put_all, require_sound
+from trackspread.testing.mutation.plant import Result, require_sound, run_all
 from trackspread.testing.virtual.explorer import Exploration
 
 PACKAGES = ("planning", "decide")
@@ -104,7 +104,7 @@
     KEPT.parent.mkdir(exist_ok=True)
     with KEPT.open("a") as file:
         end = time.monotonic() + BUDGET_QUICK if quick else float("inf")
-        for result in put_all(todo, workers, end, schedules):
+        for result in run_all(todo, workers, end, schedules):
             results.append(result)
             file.write(json.dumps({"digest": digest, "result": msgspec.to_builtins(result)}) + "\n")
             file.flush()
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -21,7 +21,7 @@
     sample,
     source,
 )
-from trackspread.testing.mutation.plant import put, put_all
+from trackspread.testing.mutation.plant import run_all, run_mutant
 
 PLACEMENT = "trackspread.planning.placement"
 TURNS = "trackspread.planning.rotation"
@@ -53,18 +53,18 @@
 def test_a_mutant_is_found_by_the_checks_and_the_file_stays_as_it_is() -> None:
     text = source(PLACEMENT)
     wrong = Mutant(PLACEMENT, "hand-made", 1, "", "", text.replace("% SLOTS", "% 2"))
-    result = put(wrong)
+    result = run_mutant(wrong)
     assert (result.fate, result.by) == ("killed", "tests") and source(PLACEMENT) == text
 
 
 def test_a_mutant_that_hangs_is_ended_by_the_clock_and_one_that_does_not_load_is_found() -> None:
     hangs = Mutant(PLACEMENT, "hand-made", 1, "", "", "while True:\n    pass\n")
-    assert put(hangs, patience=2.0).by == "clock"
+    assert run_mutant(hangs, timeout_s=2.0).by == "clock"
     gone = Mutant("trackspread.testing.mutation.checks", "hand-made", 1, "", "", "")
     with pytest.raises(RuntimeError, match="could not be planted"):  # no verdict, and surely no kill
-        put(gone)
+        run_mutant(gone)
     broken = Mutant(PLACEMENT, "hand-made", 1, "", "", "raise RuntimeError\n")
-    assert put(broken).fate == "killed"
+    assert run_mutant(broken).fate == "killed"
 
 
 def test_checks_that_find_fault_with_the_text_as_it_is_give_no_figure(
@@ -79,7 +79,7 @@
 def test_nothing_is_begun_once_the_time_is_over() -> None:
     mutant = make(Place(TURNS, "AddNot", 0))
     assert mutant is not None
-    assert list(put_all([mutant] * 3, 2, time.monotonic() - 1.0)) == []
+    assert list(run_all([mutant] * 3, 2, time.monotonic() - 1.0)) == []
 
 
 def test_what_is_imported_already_cannot_be_planted() -> None:
--- a/trackspread/testing/mutation/__init__.py
+++ b/trackspread/testing/mutation/__init__.py
@@ -1,4 +1,4 @@
-"""Mutation testing of the parts that decide: generated faults, planted in memory, for the checks to kill.
+"""Mutation testing of the decision logic: generated faults, planted in memory, that the checks must detect.
 
 Only `make mutants`, tests and benchmarks use it; nothing that serves imports it.
 """
--- a/trackspread/testing/mutation/checks.py
+++ b/trackspread/testing/mutation/checks.py
@@ -1,6 +1,6 @@
-"""The checks that mutants are put to, cheapest first; each says whether it found anything wrong.
+"""The checks that mutants are run against, cheapest first.
 
-Modules under test are imported inside the checks alone: by then the mutant stands in their place.
+Modules under test are imported inside the checks only: by then the mutant has replaced them.
 """
 
 from __future__ import annotations
@@ -11,101 +11,105 @@
 from dataclasses import dataclass
 from functools import partial
 
-Check = Callable[[], bool]  # True: something is wrong
+Check = Callable[[], bool]  # returns whether it found a fault
 
-SCHEDULES = 24  # seeds that a mutant is played under, of each kind of world; a sixth in a quick run
+SCHEDULES = 24  # seeds that a mutant is played with, of each kind of world; a sixth in a quick run
+CALM_INTERVAL = 8  # one schedule of the gateways in so many is calm
+USAGE_FACTOR = 4  # schedules of usage records, which are short, for each of the others
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """A check by name."""
+class NamedCheck:
+    """A check and the name that results report it by."""
 
     name: str
     run: Check
 
 
-def _tests(*paths: str) -> Named:
-    def run() -> bool:
-        import pytest
+def _run_pytest(*names: str) -> bool:
+    import pytest
 
-        with contextlib.redirect_stdout(io.StringIO()), contextlib.redirect_stderr(io.StringIO()):
-            return (
-                pytest.main(
-                    [
-                        "-x",
-                        "-q",
-                        "-p",
-                        "no:cacheprovider",
-                        "--hypothesis-seed=0",
-                        *(f"tests/{path}.py" for path in paths),
-                    ]
-                )
-                != 0
-            )
+    options = ["-x", "-q", "-p", "no:cacheprovider", "--hypothesis-seed=0"]
+    paths = [f"tests/{name}.py" for name in names]
+    with contextlib.redirect_stdout(io.StringIO()), contextlib.redirect_stderr(io.StringIO()):
+        return pytest.main([*options, *paths]) != 0
 
-    return Named("tests", run)
 
+def _tests(*names: str) -> NamedCheck:
+    return NamedCheck("tests", partial(_run_pytest, *names))
 
-def _planned(seeds: Iterable[int]) -> bool:
+
+def _planning_schedules_fail(seeds: Iterable[int]) -> bool:
     from ..virtual.planning.schedules import make, play
 
     return any(play(make(seed)).broken for seed in seeds)
 
 
-def _saturated(seeds: Iterable[int]) -> bool:
+def _saturated_planning_fails(seeds: Iterable[int]) -> bool:
     from ..virtual.planning.saturated import make, play
 
     return any(play(make(seed)).broken for seed in seeds)
 
 
-def _schedules(seeds: Iterable[int]) -> bool:
+def _gateway_schedules_fail(seeds: Iterable[int]) -> bool:
     from ..virtual.schedules import make, play
 
     return any(play(make(seed))[0].violations for seed in seeds)
 
 
-def _used(seeds: Iterable[int]) -> bool:
+def _usage_schedules_fail(seeds: Iterable[int]) -> bool:
     from ..virtual.usage.schedules import make, play
 
     return any(play(make(seed))[0] for seed in seeds)
 
 
-def _booked(seeds: Iterable[int]) -> bool:
+def _reservations_fail(seeds: Iterable[int]) -> bool:
     from ..virtual.reservations import play
 
     return any(play(seed) for seed in seeds)
 
 
-def _counted(seeds: Iterable[int]) -> bool:
+def _counter_schedules_fail(seeds: Iterable[int]) -> bool:
     from ..virtual.counter.mutants import KINDS
 
     return any(play(seed) for seed in seeds for play in KINDS.values())
 
 
-def checks(package: str, schedules: int = SCHEDULES) -> tuple[Named, ...]:
-    """What may kill a mutant of this package. Of the gateways' schedules as many again are calm ones,
-    which alone are held to quotas."""
-    if package == "planning":
-        return (
-            _tests("test_planning"),
-            Named("saturated", partial(_saturated, range(schedules))),
-            Named("planned", partial(_planned, range(schedules))),
-        )
-    if package == "decide":
-        calm = range(schedules, schedules + 8 * schedules, 8)
-        return (
-            _tests("test_model", "test_broker", "test_limits", "test_scale"),
-            Named("schedules", partial(_schedules, (*range(schedules), *calm))),
-        )
-    if package in ("storage", "usage"):
-        return (
-            _tests("test_storage", "test_usage"),
-            Named("used", partial(_used, range(4 * schedules))),
-        )
-    if package == "counter":
-        return _tests("test_counted"), Named("counted", partial(_counted, range(schedules)))
-    if package == "plans":
-        return _tests("test_plans", "test_calendar"), Named("booked", partial(_booked, range(schedules)))
+def checks(package: str, schedules: int = SCHEDULES) -> tuple[NamedCheck, ...]:
+    """The checks for mutants of a package; raises `KeyError` for a package that has none.
+
+    As many calm schedules of the gateways are added, as only these are checked for use of quotas.
+    """
+    seeds = range(schedules)
+    match package:
+        case "planning":
+            return (
+                _tests("test_planning"),
+                NamedCheck("saturated", partial(_saturated_planning_fails, seeds)),
+                NamedCheck("planned", partial(_planning_schedules_fail, seeds)),
+            )
+        case "decide":
+            calm = range(schedules, schedules + CALM_INTERVAL * schedules, CALM_INTERVAL)
+            return (
+                _tests("test_model", "test_broker", "test_limits", "test_scale"),
+                NamedCheck("schedules", partial(_gateway_schedules_fail, (*seeds, *calm))),
+            )
+        case "storage" | "usage":
+            usage_seeds = range(USAGE_FACTOR * schedules)
+            return (
+                _tests("test_storage", "test_usage"),
+                NamedCheck("used", partial(_usage_schedules_fail, usage_seeds)),
+            )
+        case "counter":
+            return (
+                _tests("test_counted"),
+                NamedCheck("counted", partial(_counter_schedules_fail, seeds)),
+            )
+        case "plans":
+            return (
+                _tests("test_plans", "test_calendar"),
+                NamedCheck("booked", partial(_reservations_fail, seeds)),
+            )
     return {
         "testing.judge": (_tests("test_judge"),),
         "backends": (_tests("test_net_backends"),),
--- a/trackspread/testing/mutation/equivalent.py
+++ b/trackspread/testing/mutation/equivalent.py
@@ -1,7 +1,7 @@
-"""Mutants that change nothing that anybody is promised, each with its reason: read one by one, not counted.
+"""Mutants that change no specified behaviour, each with its reason: reviewed one by one, not counted.
 
-`equivalent.toml` holds them by module and by the lines before and after, so that they outlive moves of
-lines. An entry that no mutant of its module bears any more is an error: the list must not grow stale.
+`equivalent.toml` identifies them by module and by the lines before and after, so that they survive moves of
+lines. An entry that matches no mutant of its module any more is an error.
 """
 
 from __future__ import annotations
@@ -11,11 +11,14 @@
 
 import msgspec
 
-FILE = Path(__file__).with_name("equivalent.toml")
+DEFAULT_FILE = Path(__file__).with_name("equivalent.toml")
+
+
+MIN_REASON_WORDS = 4
 
 
 class Equivalent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One mutant: `before` and `after` as `Mutant` has them."""
+    """One entry of the list; `before` and `after` as in `Mutant`."""
 
     module: str
     before: str
@@ -23,19 +26,20 @@
     reason: str
 
 
-class _Listed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _EquivalentList(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     mutants: list[Equivalent]
 
 
-def load(file: Path = FILE) -> dict[tuple[str, str, str], str]:
-    """Reasons, by module, before and after; raises `ValueError` with one plain line."""
+def load(file: Path = DEFAULT_FILE) -> dict[tuple[str, str, str], str]:
+    """The reasons by module, before and after; raises `ValueError` with a text of one line."""
     try:
-        listed = msgspec.convert(tomllib.loads(file.read_text()), _Listed).mutants
+        entries = msgspec.convert(tomllib.loads(file.read_text()), _EquivalentList).mutants
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ValueError(f"{file.name}: {error}") from None
-    made = {(each.module, each.before, each.after): each.reason for each in listed}
-    if len(made) < len(listed):
+    reasons = {(entry.module, entry.before, entry.after): entry.reason for entry in entries}
+    if len(reasons) < len(entries):
         raise ValueError(f"{file.name}: a mutant stands twice")
-    if bare := next((each for each in listed if len(each.reason.split()) < 4), None):
-        raise ValueError(f"{file.name}: {bare.module}: {bare.after!r} wants a reason in a few words")
-    return made
+    for entry in entries:
+        if len(entry.reason.split()) < MIN_REASON_WORDS:
+            raise ValueError(f"{file.name}: {entry.module}: {entry.after!r} wants a reason in a few words")
+    return reasons
--- a/trackspread/testing/mutation/generate.py
+++ b/trackspread/testing/mutation/generate.py
@@ -1,8 +1,8 @@
-"""All mutants of a module: each its text with one place changed.
+"""All mutants of a module: its text with a change in one place each.
 
-What changes no meaning is left out: annotations (never evaluated here), docstrings, twins of another mutant,
-texts that no longer compile, and whole numbers of 100 and more that change by one: nanoseconds and tuned
-figures. May know: source text. Runs nothing.
+Changes without a meaning are left out: annotations (never evaluated here), docstrings, duplicates of another
+mutant, texts that don't compile, and integers of at least `LARGE` that change by one. Source text is read and
+not executed.
 """
 
 from __future__ import annotations
@@ -26,11 +26,14 @@
 
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT.name
-LARGE = 99  # from which a change by one is no fault that anybody would make
+LARGE = 99  # integers from which a change by one is not a realistic fault
+
+
+KEY_BYTES = 8
 
 
 class Place(NamedTuple):
-    """One mutant, not made yet."""
+    """Where a mutant can be made: an occurrence, among those of an operator, in a module."""
 
     module: str
     operator: str
@@ -39,8 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One fault: `before` and `after` are the lines that differ; `text` is the whole module with it.
-    `key`: the same for the same fault in the same text, whatever else changes."""
+    """One fault: `before` and `after` are the lines that differ, `text` is the complete module with it.
+
+    `key`: the same for the same fault in the same text, whatever else changes.
+    """
 
     module: str
     operator: str
@@ -54,8 +59,8 @@
         return f"{self.module}:{self.line} {self.operator}: {self.before!r} -> {self.after!r}"
 
 
-class _Bare(ast.NodeTransformer):
-    """Without annotations, docstrings and what only type checkers read."""
+class _RemoveAnnotations(ast.NodeTransformer):
+    """Removes annotations, which only type checkers read."""
 
     def visit_AnnAssign(self, node: ast.AnnAssign) -> ast.AST:
         node.annotation = ast.Constant(None)
@@ -73,8 +78,8 @@
 
 
 def meaning(text: str) -> str:
-    """What of a module's text can make a difference when it runs; raises `SyntaxError`."""
-    return ast.dump(_Bare().visit(ast.parse(text)))
+    """What of a module's text can make a difference at run time; raises `SyntaxError`."""
+    return ast.dump(_RemoveAnnotations().visit(ast.parse(text)))
 
 
 def modules(package: str) -> list[str]:
@@ -86,11 +91,12 @@
 
 
 def source(module: str) -> str:
+    """The text of a module, by its dotted name."""
     return ROOT.joinpath(*module.split(".")[1:]).with_suffix(".py").read_text()
 
 
 def places(module: str) -> list[Place]:
-    """Where a mutant can be made: operator and occurrence, in a fixed order."""
+    """All places of a module, in a fixed order."""
     nodes = list(_walk(get_ast(source(module))))
     return [
         Place(module, name, occurrence)
@@ -106,38 +112,41 @@
 
 
 def make(place: Place) -> Mutant | None:
-    """The mutant of a place; None where the text would mean the same, or nothing."""
-    text, means = _as_it_is(place.module)
-    made = mutate_code(text, operators()[place.operator], place.occurrence)
-    if made is None:
+    """The mutant of a place; None if its text would mean the same, or does not compile."""
+    text, original_meaning = _original(place.module)
+    mutated = mutate_code(text, operators()[place.operator], place.occurrence)
+    if mutated is None:
         return None
     try:
-        old, new = ast.parse(text), ast.parse(made)
+        old, new = ast.parse(text), ast.parse(mutated)
     except SyntaxError:
         return None
-    if not _decides(old, new) or _nudged(old, new) or meaning(made) == means:
+    if _changes_only_types(old, new) or _is_large_number_off_by_one(old, new):
         return None
-    return _told(place.module, place.operator, text, made)
+    if meaning(mutated) == original_meaning:
+        return None
+    return _mutant(place.module, place.operator, text, mutated)
 
 
 @cache
-def _as_it_is(module: str) -> tuple[str, str]:
+def _original(module: str) -> tuple[str, str]:
     """A module's text and its meaning."""
     text = source(module)
     return text, meaning(text)
 
 
 def sample(packages: Iterable[str], count: int, seed: int, workers: int = 1) -> Iterator[Mutant]:
-    """So many, drawn by the seed from all places of the packages; 0 for all of them. No two are alike.
+    """Draw `count` different mutants (0 for all) by the seed from all places of the packages.
 
-    A text is parsed for each, a fifth of a second for a long one: `workers` processes share that."""
+    Each requires parsing a module, up to a fifth of a second, which `workers` processes share.
+    """
     names = [module for package in packages for module in modules(package)]
     seen = set[str]()
     with multiprocessing.get_context("spawn").Pool(workers) if workers > 1 else nullcontext() as pool:
         found = map(places, names) if pool is None else pool.imap(places, names, 1)
-        drawn = [place for each in found for place in each]
-        random.Random(f"mutants:{seed}").shuffle(drawn)
-        made: Iterable[Mutant | None] = map(make, drawn) if pool is None else pool.imap(make, drawn)
+        candidates = [place for each in found for place in each]
+        random.Random(f"mutants:{seed}").shuffle(candidates)
+        made: Iterable[Mutant | None] = map(make, candidates) if pool is None else pool.imap(make, candidates)
         for mutant in made:
             if mutant is not None and mutant.key not in seen:
                 seen.add(mutant.key)
@@ -146,30 +155,34 @@
                 return
 
 
-def _nudged(old: ast.Module, new: ast.Module) -> bool:
-    """Whether a large whole number has changed by one, which is under a hundredth of it."""
-    before, after = ([n.value for n in ast.walk(tree) if isinstance(n, ast.Constant)] for tree in (old, new))
-    changed = next(((a, b) for a, b in zip(before, after, strict=False) if a != b), None)
-    return changed is not None and all(isinstance(x, int) and abs(x) >= LARGE for x in changed)
+def _is_large_number_off_by_one(old: ast.Module, new: ast.Module) -> bool:
+    """Whether a large integer has changed by one, which is under a hundredth of it."""
+    pairs = zip(_constants(old), _constants(new), strict=False)
+    changed = next(((before, after) for before, after in pairs if before != after), None)
+    return changed is not None and all(isinstance(value, int) and abs(value) >= LARGE for value in changed)
+
+
+def _constants(tree: ast.Module) -> list[Any]:
+    return [node.value for node in ast.walk(tree) if isinstance(node, ast.Constant)]
 
 
-def _decides(old: ast.Module, new: ast.Module) -> bool:
-    """False where a name that only type checkers use changes: a union of types bound at the top."""
+def _changes_only_types(old: ast.Module, new: ast.Module) -> bool:
+    """Whether a name that only type checkers use has changed: a union of types bound at module level."""
     pairs = zip(old.body, new.body, strict=False)
-    changed = next((a for a, b in pairs if ast.dump(a) != ast.dump(b)), None)
-    union = ast.BinOp | ast.Subscript
-    return not (
+    changed = next((before for before, after in pairs if ast.dump(before) != ast.dump(after)), None)
+    return (
         isinstance(changed, ast.Assign)
-        and isinstance(changed.value, union)
+        and isinstance(changed.value, ast.BinOp | ast.Subscript)
         and isinstance(changed.targets[0], ast.Name)
         and not changed.targets[0].id.isupper()
     )
 
 
-def _told(module: str, name: str, text: str, made: str) -> Mutant:
-    old, new = text.splitlines(), made.splitlines()
-    change = next(op for op in SequenceMatcher(None, old, new, False).get_opcodes() if op[0] != "equal")
-    _, i, j, k, m = change
-    before, after = (" ".join(line.strip() for line in lines) for lines in (old[i:j], new[k:m]))
-    key = blake2b(f"{module}\n{meaning(made)}".encode(), digest_size=8).hexdigest()
-    return Mutant(module, name, i + 1, before, after, made, key)
+def _mutant(module: str, operator: str, text: str, mutated: str) -> Mutant:
+    old, new = text.splitlines(), mutated.splitlines()
+    opcodes = SequenceMatcher(None, old, new, False).get_opcodes()
+    _, old_start, old_end, new_start, new_end = next(opcode for opcode in opcodes if opcode[0] != "equal")
+    before = " ".join(line.strip() for line in old[old_start:old_end])
+    after = " ".join(line.strip() for line in new[new_start:new_end])
+    key = blake2b(f"{module}\n{meaning(mutated)}".encode(), digest_size=KEY_BYTES).hexdigest()
+    return Mutant(module, operator, old_start + 1, before, after, mutated, key)
--- a/trackspread/testing/mutation/operators.py
+++ b/trackspread/testing/mutation/operators.py
@@ -1,7 +1,7 @@
-"""Which faults are generated: cosmic-ray's operators, less those that hardly ever say anything, and two more.
+"""Which faults are generated: a selection of cosmic-ray's operators, and two more.
 
-Left out on purpose: replacements that nearly always raise (`+` by `<<` on floats), as they would be killed by
-any check and so make the share look better than it is. May know: parso's trees. Changes no file.
+Replacements that nearly always raise (`+` by `<<` on floats) are left out, as any check detects them and the
+share of detected mutants would look better than it is. No file is changed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cosmic_ray.operators.operator import Operator
 from cosmic_ray.plugins import get_operator, operator_names
 
-Place = tuple[tuple[int, int], tuple[int, int]]
+Span = tuple[tuple[int, int], tuple[int, int]]  # from line and column to line and column
 
 _PAIRS = {
     "ReplaceBinaryOperator": ("Add_Sub", "Sub_Add", "Mul_Div", "Div_Mul", "FloorDiv_Div", "Mod_FloorDiv"),
@@ -48,69 +48,75 @@
 
 
 class DropStatement(Operator):  # type: ignore[misc]
-    """A statement of one line that is there for its effect is left out."""
+    """Replaces a statement of one line in a function by `pass`."""
 
-    def mutation_positions(self, node: Any) -> Iterator[Place]:
-        if node.type == "simple_stmt" and node.get_first_leaf().value not in _KEPT:
-            first = node.children[0]
-            if first.type not in ("string", "import_from", "import_name") and _inside(node, "funcdef"):
-                yield node.start_pos, node.end_pos
+    def mutation_positions(self, node: Any) -> Iterator[Span]:
+        """The span of the node if it is such a statement."""
+        if node.type != "simple_stmt" or node.get_first_leaf().value in _NOT_DROPPED_KEYWORDS:
+            return
+        if node.children[0].type not in _NOT_DROPPED_TYPES and _is_inside(node, "funcdef"):
+            yield node.start_pos, node.end_pos
 
     def mutate(self, node: Any, index: int) -> Any:
-        prefix = node.get_first_leaf().prefix
-        made = parso.parse("pass\n").children[0]  # type: ignore[no-untyped-call]
-        made.parent = node.parent
-        made.get_first_leaf().prefix = prefix
-        return made
+        """`pass` in the place of the node."""
+        replacement = parso.parse("pass\n").children[0]  # type: ignore[no-untyped-call]
+        replacement.parent = node.parent
+        replacement.get_first_leaf().prefix = node.get_first_leaf().prefix
+        return replacement
 
     @classmethod
     def examples(cls) -> tuple[()]:
+        """None: cosmic-ray's own tests use them."""
         return ()
 
 
-_KEPT = {"pass", "return", "raise", "break", "continue", "assert", "yield"}
+_NOT_DROPPED_KEYWORDS = {"pass", "return", "raise", "break", "continue", "assert", "yield"}
+_NOT_DROPPED_TYPES = ("string", "import_from", "import_name")
 
 
 class SwapMinMax(Operator):  # type: ignore[misc]
-    """The other bound."""
+    """Replaces a call of `min` by `max` and the reverse."""
 
-    def mutation_positions(self, node: Any) -> Iterator[Place]:
-        if node.type == "name" and node.value in _SWAPPED and _called(node):
+    def mutation_positions(self, node: Any) -> Iterator[Span]:
+        """The span of the node if it is the name of a called function to swap."""
+        if node.type == "name" and node.value in _SWAPPED and _is_called(node):
             yield node.start_pos, node.end_pos
 
     def mutate(self, node: Any, index: int) -> Any:
+        """The node with the other name."""
         node.value = _SWAPPED[node.value]
         return node
 
     @classmethod
     def examples(cls) -> tuple[()]:
+        """None: cosmic-ray's own tests use them."""
         return ()
 
 
 _SWAPPED = {"min": "max", "max": "min"}
 
 
-def _called(node: Any) -> bool:
-    after = node.get_next_sibling()
-    return after is not None and after.type == "trailer" and after.children[0].value == "("
+def _is_called(node: Any) -> bool:
+    sibling = node.get_next_sibling()
+    return sibling is not None and sibling.type == "trailer" and sibling.children[0].value == "("
 
 
-def _inside(node: Any, kind: str) -> bool:
-    """Whether some tree round it is of this kind."""
+def _is_inside(node: Any, node_type: str) -> bool:
+    """Whether an ancestor of the node is of this type."""
     while node.parent is not None:
         node = node.parent
-        if node.type == kind:
+        if node.type == node_type:
             return True
     return False
 
 
 @cache
 def operators() -> dict[str, Operator]:
-    """By name, in a fixed order."""
+    """All operators by name, in a fixed order; raises `RuntimeError` if cosmic-ray lacks one."""
     wanted = {f"core/{name}_{pair}" for name, pairs in _PAIRS.items() for pair in pairs}
     wanted |= {f"core/{name}" for name in _SINGLE}
     known = set(operator_names())
     if missing := wanted - known:
         raise RuntimeError(f"cosmic-ray has no operator {sorted(missing)[0]}")
-    made = {name.partition("/")[2]: get_operator(name)() for name in sorted(wanted)}
-    return {**made, "DropStatement": DropStatement(), "SwapMinMax": SwapMinMax()}
+    selected = {name.partition("/")[2]: get_operator(name)() for name in sorted(wanted)}
+    return {**selected, "DropStatement": DropStatement(), "SwapMinMax": SwapMinMax()}
--- a/trackspread/testing/mutation/plant.py
+++ b/trackspread/testing/mutation/plant.py
@@ -1,7 +1,7 @@
-"""Puts a mutant in its module's place in a fresh process, and the checks to it.
+"""Runs the checks on a mutant, which replaces its module in a new process.
 
-The module's file is not touched: an import hook hands out the mutant's text. A mutant that hangs, or takes
-many times what the checks usually take, is ended by the parent and counts as found by the clock.
+The module's file is not changed: an import hook supplies the mutant's text. A mutant that hangs, or takes
+many times as long as the checks usually do, is killed by the parent and counts as detected by the clock.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 from concurrent.futures import ThreadPoolExecutor, as_completed
 from importlib.machinery import ModuleSpec
 from multiprocessing.connection import Connection
+from multiprocessing.context import ForkServerProcess
 from types import ModuleType
 from typing import Literal
 
@@ -25,14 +26,14 @@
 from .checks import SCHEDULES, checks
 from .generate import Mutant, source
 
-PATIENCE = 60.0  # s for one mutant: some ten times the checks over the text as it stands
+TIMEOUT_S = 60.0  # for one mutant: about ten times what the checks take on the original text
 PRELOADED = ["pytest", "hypothesis", "msgspec", "trackspread.testing.mutation.checks"]  # no module under test
-PLANTED = "planted"  # the child's first word
+PLANTED = "planted"  # the first message of the child
 Fate = Literal["killed", "survived"]
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What became of a mutant; `by` is the check that found it, or `clock`."""
+    """The result for one mutant; `by` is the check that detected it, `clock` or `crash`, or empty."""
 
     key: str
     module: str
@@ -45,8 +46,8 @@
     seconds: float
 
 
-class _Planted(importlib.abc.MetaPathFinder, importlib.abc.Loader):
-    """Finds one module, and gives it another text."""
+class _MutantImporter(importlib.abc.MetaPathFinder, importlib.abc.Loader):
+    """Imports one module with another text."""
 
     def __init__(self, module: str, text: str) -> None:
         self._module = module
@@ -62,50 +63,56 @@
 
 
 def plant(module: str, text: str) -> None:
-    """From now on this process has the mutant, for good."""
+    """Replace a module in this process by a mutant; raises `RuntimeError` if it is imported already."""
     if module in sys.modules:
         raise RuntimeError(f"{module} is imported already")
-    sys.meta_path.insert(0, _Planted(module, text))
+    sys.meta_path.insert(0, _MutantImporter(module, text))
 
 
-def _found(module: str, text: str, schedules: int, answer: Connection) -> None:
-    """In the child: the name of the first check that finds the mutant, or nothing."""
-    os.setpgrp()  # whatever the checks start goes with it
+def _run_checks(module: str, text: str, schedules: int, connection: Connection) -> None:
+    """In the child: sends the name of the first check that detects the mutant, or an empty text."""
+    os.setpgrp()  # so that processes that the checks start are killed with this one
     plant(module, text)
-    answer.send(PLANTED)
+    connection.send(PLANTED)
     for check in checks(module.split(".")[1], schedules):
         try:
-            wrong = check.run()
-        except Exception:  # a check that a mutant has crash has found it
-            wrong = True
-        if wrong:
-            answer.send(check.name)
+            detected = check.run()
+        except Exception:  # a check that the mutant makes crash has detected it
+            detected = True
+        if detected:
+            connection.send(check.name)
             return
-    answer.send("")
+    connection.send("")
 
 
-def put(mutant: Mutant, schedules: int = SCHEDULES, patience: float = PATIENCE) -> Result:
-    """One mutant to its end."""
-    context, began = multiprocessing.get_context("forkserver"), time.monotonic()
-    context.set_forkserver_preload(PRELOADED)  # counts before the server's start, with the first of all
-    mine, its = context.Pipe(duplex=False)
-    child = context.Process(target=_found, args=(mutant.module, mutant.text, schedules, its), daemon=True)
-    child.start()
-    its.close()
-    by, planted = "clock", False
-    try:
-        planted = mine.recv() == PLANTED
-        if mine.poll(patience):
-            by = mine.recv()
-    except EOFError:
-        by = "crash"
+def _kill(child: ForkServerProcess) -> None:
+    """Kill the child and what it has started."""
     if child.pid is not None and child.is_alive():
         try:
             os.killpg(child.pid, signal.SIGKILL)
         except ProcessLookupError:
             child.kill()
     child.join()
-    if not planted:  # nothing was tried: that is no verdict on any check
+
+
+def run_mutant(mutant: Mutant, schedules: int = SCHEDULES, timeout_s: float = TIMEOUT_S) -> Result:
+    """Run the checks on one mutant; raises `RuntimeError` if it could not be planted."""
+    context, began = multiprocessing.get_context("forkserver"), time.monotonic()
+    context.set_forkserver_preload(PRELOADED)  # has an effect only before the server is started
+    receiver, sender = context.Pipe(duplex=False)
+    arguments = mutant.module, mutant.text, schedules, sender
+    child = context.Process(target=_run_checks, args=arguments, daemon=True)
+    child.start()
+    sender.close()
+    by, planted = "clock", False
+    try:
+        planted = receiver.recv() == PLANTED
+        if receiver.poll(timeout_s):
+            by = receiver.recv()
+    except EOFError:
+        by = "crash"
+    _kill(child)
+    if not planted:  # no check was run, so there is no result
         raise RuntimeError(f"{mutant.module} could not be planted: is it imported by what starts the checks?")
     fate: Fate = "killed" if by else "survived"
     return Result(
@@ -122,23 +129,23 @@
 
 
 def require_sound(modules: Iterable[str], schedules: int = SCHEDULES) -> None:
-    """Checks that find fault with the text as it stands would find every mutant: raises `RuntimeError`."""
+    """Raises `RuntimeError` if the checks fail on the original text, as they would detect every mutant."""
     for module in modules:
-        as_it_is = Mutant(module, "none", 0, "", "", source(module))
-        if by := put(as_it_is, schedules).by:
+        unchanged = Mutant(module, "none", 0, "", "", source(module))
+        if by := run_mutant(unchanged, schedules).by:
             package = module.split(".")[1]
             raise RuntimeError(f"the checks of {package} find fault with the text as it stands ({by})")
 
 
-def put_all(
+def run_all(
     mutants: Iterable[Mutant], workers: int, end: float, schedules: int = SCHEDULES
 ) -> Iterator[Result]:
-    """Side by side, as they end. None is begun after `end`, on the monotonic clock, in seconds."""
+    """Run mutants in parallel and yield results as they come; none is started after `end` (monotonic s)."""
 
-    def in_time(mutant: Mutant) -> Result | None:
-        return put(mutant, schedules) if time.monotonic() < end else None
+    def run_in_time(mutant: Mutant) -> Result | None:
+        return run_mutant(mutant, schedules) if time.monotonic() < end else None
 
     with ThreadPoolExecutor(workers) as pool:
-        for done in as_completed([pool.submit(in_time, mutant) for mutant in mutants]):
-            if (result := done.result()) is not None:
+        for future in as_completed([pool.submit(run_in_time, mutant) for mutant in mutants]):
+            if (result := future.result()) is not None:
                 yield result
