--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -94,7 +94,7 @@
         self.nodes: dict[int, Node] = {}
         self.list_version = 1
         for spec in scenario.specs():
-            self.start_node(spec, cold=False, announce=False)
+            self.start_node(spec, warms_up=False, announce=False)
         self.hosts: list[Host | None] = [None] * scenario.gateways
         self._known_endpoints: list[tuple[Backend, ...]] = [()] * scenario.gateways
         self._last_update_at = [0] * scenario.gateways  # updates reach each gateway in order
@@ -182,13 +182,15 @@
 
     # Rating nodes.
 
-    def start_node(self, spec: NodeSpec, cold: bool, announce: bool = True) -> Node:
-        """Start a node, warming up if `cold`, and announce it in the endpoint list."""
+    def start_node(self, spec: NodeSpec, warms_up: bool, announce: bool = True) -> Node:
+        """Start a node, at full capacity unless it `warms_up`, and announce it in the endpoint list."""
         now, number = self.clock.now, backend_id(spec.name)
-        model = self.scenario.node(spec, self.pods, now, cold)
-        entry = Backend(number, ZONES.index(spec.zone), 0, spec.cell, Health.READY, 1.0, now if cold else 0)
+        model = self.scenario.node(spec, self.pods, now, warms_up)
+        entry = Backend(
+            number, ZONES.index(spec.zone), 0, spec.cell, Health.READY, 1.0, now if warms_up else 0
+        )
         node = self.nodes[number] = Node(spec, model, number, entry)
-        capacity = spec.start if cold else 1.0
+        capacity = spec.start if warms_up else 1.0
         cores = spec.cores * spec.speed
         self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, capacity, spec.warm))
         if announce:
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -58,7 +58,7 @@
 
 
 def zone(fleet: VirtualFleet, rng: random.Random) -> None:
-    """All nodes of a zone crash without notice and are replaced by cold ones under new ids."""
+    """All nodes of a zone crash without notice and are replaced by new ones that warm up, under new ids."""
     for node in [node for node in fleet.nodes.values() if node.spec.zone == FAILED_ZONE]:
         fleet.crash_node(node)
         wait_ns = rng.randint(1500, 2000) * MILLISECOND
@@ -67,7 +67,7 @@
 
 
 def join(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Most nodes drain, one after the other, and are replaced by cold ones."""
+    """Most nodes drain, one after the other, and are replaced by new ones that warm up."""
     nodes = rng.sample(list(fleet.nodes.values()), int(REPLACED_SHARE * NODES))
     for number, node in enumerate(nodes):
         drained_after = number * REPLACEMENT_NS // len(nodes)
@@ -108,17 +108,17 @@
 
 def _first_second_peak(scenario: Scenario, fleet: VirtualFleet, attempts: list[AttemptReceived]) -> float:
     starts = [entry for entry in fleet.ledger.entries if isinstance(entry, BackendStarted)]
-    cold = {start.backend: start for start in starts if start.start_capacity < 1.0}
-    work_s = dict.fromkeys(cold, 0.0)
+    warming_up = {start.backend: start for start in starts if start.start_capacity < 1.0}
+    work_s = dict.fromkeys(warming_up, 0.0)
     first_at: dict[str, int] = {}
     for attempt in sorted(attempts, key=lambda attempt: attempt.at):
         backend = attempt.backend
-        if backend in cold and attempt.at - first_at.setdefault(backend, attempt.at) < SECOND:
+        if backend in warming_up and attempt.at - first_at.setdefault(backend, attempt.at) < SECOND:
             work_s[backend] += attempt.work_ns / SECOND
     return max(
         (
             work_s[backend] / (scenario.fall_multiple * start.start_capacity * start.cores)
-            for backend, start in cold.items()
+            for backend, start in warming_up.items()
         ),
         default=0.0,
     )
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -41,12 +41,12 @@
     patches: Callable[[], list[Any]]
 
 
-def _effects_forgotten() -> list[Any]:
+def _execution_forgotten() -> list[Any]:
     """Attempts that failed after they were written count as not executed, so unsafe requests are retried."""
     return [patch.object(attempt_results, "NOT_EXECUTED", frozenset(Outcome))]
 
 
-def _refuses_after_run() -> list[Any]:
+def _rejects_after_execution() -> list[Any]:
     """Requests that may have been executed are rejected instead of failed."""
     real = Broker._retry_or_finish
 
@@ -57,12 +57,12 @@
     return [patch.object(Broker, "_retry_or_finish", mutant)]
 
 
-def _group_forgotten() -> list[Any]:
+def _scope_ignored() -> list[Any]:
     """Requests with an idempotency key are retried at any backend."""
     return [patch.object(RetryPolicy, "allowed_backends", lambda self, now, request: lambda backend: True)]
 
 
-def _window_forgotten() -> list[Any]:
+def _window_ignored() -> list[Any]:
     """Requests with an idempotency key are retried after the deduplication window."""
     real = RetryPolicy.allowed_backends
 
@@ -77,7 +77,7 @@
     return [patch.object(Host, "may_write", lambda self, attempt: not attempt.ended)]
 
 
-def _two_copies() -> list[Any]:
+def _two_attempts() -> list[Any]:
     """A second attempt at once, whatever the class."""
     real = QuotaAdmission.admit
 
@@ -105,7 +105,7 @@
     return [patch.object(LoadBalancer, "update_endpoints", mutant)]
 
 
-def _cold_flooded() -> list[Any]:
+def _warming_up_overloaded() -> list[Any]:
     """A backend that is warming up gets nearly all requests, as it is idle."""
     real = LoadBalancer.expected_wait
 
@@ -121,7 +121,7 @@
     ]
 
 
-def _ceilings_ignored() -> list[Any]:
+def _hard_limits_ignored() -> list[Any]:
     """There are no hard limits."""
     real = Broker.__init__
 
@@ -132,7 +132,7 @@
     return [patch.object(Broker, "__init__", mutant)]
 
 
-def _whole_ceiling_each() -> list[Any]:
+def _hard_limit_granted_by_each() -> list[Any]:
     """Each gateway grants all of the hard limit and the quota."""
     real = accounts.assign_static_share
 
@@ -143,7 +143,7 @@
     return [patch.object(accounts, "assign_static_share", mutant)]
 
 
-def _peers_unheard() -> list[Any]:
+def _peers_ignored() -> list[Any]:
     """Each gateway assumes that the others use nothing and that it owns all of the quota."""
     return [
         patch.object(Quota, "receive_usage_totals", lambda self, now, event: None),
@@ -151,12 +151,12 @@
     ]
 
 
-def _quota_unbooked() -> list[Any]:
+def _quota_not_charged() -> list[Any]:
     """No request takes tokens of its quota."""
     return [patch.object(token_bucket, "spend", lambda account, units, pays: True)]
 
 
-def _used_units_back() -> list[Any]:
+def _used_units_refunded() -> list[Any]:
     """Units are refunded when a request ends though a backend received an attempt."""
     real = Broker._on_attempt_ended
 
@@ -176,7 +176,7 @@
     return lambda: next(calls) % FAULT_INTERVAL == 0
 
 
-def _answers_lost() -> list[Any]:
+def _replies_lost() -> list[Any]:
     """Some replies are never sent."""
     real, is_faulty = Host.reply, _intermittent()
 
@@ -190,7 +190,7 @@
     return [patch.object(Host, "reply", mutant)]
 
 
-def _answers_twice() -> list[Any]:
+def _replies_duplicated() -> list[Any]:
     """Some replies are sent twice."""
     real, is_faulty = Host.reply, _intermittent()
 
@@ -203,7 +203,7 @@
     return [patch.object(Host, "reply", mutant)]
 
 
-def _answers_late() -> list[Any]:
+def _replies_late() -> list[Any]:
     """Some replies are sent after the client's deadline."""
     real_reply, real_expire, is_faulty = Host.reply, Host._expire_request, _intermittent()
 
@@ -224,7 +224,7 @@
     return [patch.object(Host, "reply", reply), patch.object(Host, "_expire_request", expire)]
 
 
-def _answers_swapped() -> list[Any]:
+def _replies_swapped() -> list[Any]:
     """Some clients are served the value that a backend made for the request before."""
     real, is_faulty, previous = Host.end_attempt, _intermittent(), [""]
 
@@ -239,7 +239,7 @@
     return [patch.object(Host, "end_attempt", mutant)]
 
 
-def _sent_after_answer() -> list[Any]:
+def _forwarded_after_reply() -> list[Any]:
     """Some rejected requests are forwarded all the same."""
     real, is_faulty = Host.reply, _intermittent()
 
@@ -257,24 +257,24 @@
 
 
 MUTANTS: dict[str, Mutant] = {
-    "effects-forgotten": Mutant("effects", _effects_forgotten),
-    "refuses-after-run": Mutant("effects", _refuses_after_run),
-    "group-forgotten": Mutant("effects", _group_forgotten),
-    "window-forgotten": Mutant("effects", _window_forgotten),
+    "effects-forgotten": Mutant("effects", _execution_forgotten),
+    "refuses-after-run": Mutant("effects", _rejects_after_execution),
+    "group-forgotten": Mutant("effects", _scope_ignored),
+    "window-forgotten": Mutant("effects", _window_ignored),
     "window-outlasted": Mutant("effects", _window_outlasted),
-    "two-copies": Mutant("effects", _two_copies),
+    "two-copies": Mutant("effects", _two_attempts),
     "drains-ignored": Mutant("drains", _drains_ignored),
-    "cold-flooded": Mutant("cold", _cold_flooded),
-    "ceilings-ignored": Mutant("ceilings", _ceilings_ignored),
-    "whole-ceiling-each": Mutant("ceilings", _whole_ceiling_each),
-    "peers-unheard": Mutant("quotas", _peers_unheard),
-    "quota-unbooked": Mutant("quotas", _quota_unbooked),
-    "used-units-back": Mutant("quotas", _used_units_back),
-    "answers-lost": Mutant("answers", _answers_lost),
-    "answers-twice": Mutant("answers", _answers_twice),
-    "answers-late": Mutant("answers", _answers_late),
-    "answers-swapped": Mutant("answers", _answers_swapped),
-    "sent-after-answer": Mutant("answers", _sent_after_answer),
+    "cold-flooded": Mutant("cold", _warming_up_overloaded),
+    "ceilings-ignored": Mutant("ceilings", _hard_limits_ignored),
+    "whole-ceiling-each": Mutant("ceilings", _hard_limit_granted_by_each),
+    "peers-unheard": Mutant("quotas", _peers_ignored),
+    "quota-unbooked": Mutant("quotas", _quota_not_charged),
+    "used-units-back": Mutant("quotas", _used_units_refunded),
+    "answers-lost": Mutant("answers", _replies_lost),
+    "answers-twice": Mutant("answers", _replies_duplicated),
+    "answers-late": Mutant("answers", _replies_late),
+    "answers-swapped": Mutant("answers", _replies_swapped),
+    "sent-after-answer": Mutant("answers", _forwarded_after_reply),
 }
 
 
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -74,13 +74,13 @@
 
 
 def play(seed: int) -> SlowStartRun:
-    """Some backends are replaced and others come back cold under high load, while gateways are killed,
+    """Some backends are replaced and others come back under high load, while gateways are killed,
     restarted and partitioned. The same seed gives the same run."""
     return _run(seed, _replace_and_return)
 
 
 def play_none_warm(seed: int) -> SlowStartRun:
-    """All backends come back cold, one after the other, while half of the gateways restart."""
+    """All backends come back and warm up, one after the other, while half of the gateways restart."""
     return _run(seed, _return_all)
 
 
@@ -150,8 +150,8 @@
     fleet.partitioned |= {frozenset((position, other)) for other in others if other != position}
 
 
-def _cold_starts(ledger: Ledger) -> dict[str, BackendStarted]:
-    """The last start of each backend that started cold."""
+def _slow_starts(ledger: Ledger) -> dict[str, BackendStarted]:
+    """The last start of each backend that had to warm up."""
     starts = (entry for entry in ledger.entries if isinstance(entry, BackendStarted))
     return {start.backend: start for start in starts if start.start_capacity < 1.0}
 
@@ -170,7 +170,7 @@
     backend can do in the window.
     """
     mean_work = sum(c.share * c.work for c in played.classes) / sum(c.share for c in played.classes)
-    starts = _cold_starts(ledger)
+    starts = _slow_starts(ledger)
     recent: dict[str, deque[tuple[int, float]]] = {backend: deque() for backend in starts}
     attempts = [entry for entry in ledger.entries if isinstance(entry, AttemptReceived)]
     for attempt in sorted(attempts, key=lambda attempt: attempt.at):
@@ -192,21 +192,22 @@
     It is measured from a second after the faults until all backends are warmed up. If there are no others, it
     is the load for the capacity alone.
     """
-    cold = _cold_starts(ledger)
+    warming_up = _slow_starts(ledger)
     first, last = faults_at + SECOND, faults_at + WARMUP_NS
     work: defaultdict[str, int] = defaultdict(int)
     for entry in ledger.entries:
         if isinstance(entry, AttemptReceived) and first <= entry.at < last:
             work[entry.backend] += entry.work_ns
-    cold_capacity = sum(
-        start.cores * (_capacity(start, first) + _capacity(start, last)) / 2.0 for start in cold.values()
+    slow_capacity = sum(
+        start.cores * (_capacity(start, first) + _capacity(start, last)) / 2.0
+        for start in warming_up.values()
     )
-    cold_load = sum(work[backend] for backend in cold) / cold_capacity
-    warm_cores = _warm_cores(ledger, cold.keys() | _drained(ledger, faults_at))
+    slow_load = sum(work[backend] for backend in warming_up) / slow_capacity
+    warm_cores = _warm_cores(ledger, warming_up.keys() | _drained(ledger, faults_at))
     if not warm_cores:
-        return cold_load / (last - first)
+        return slow_load / (last - first)
     warm_load = sum(work[backend] for backend in warm_cores) / sum(warm_cores.values())
-    return cold_load / max(1e-9, warm_load)
+    return slow_load / max(1e-9, warm_load)
 
 
 def _warm_cores(ledger: Ledger, excluded: set[str]) -> dict[str, float]:
