--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -61,7 +61,7 @@
     settled = world.begin(START)
     for counted in (world.sent, world.came, world.datagrams):
         counted.clear()
-    world.step(world.true + seconds * SECOND)
+    world.run_until(world.elapsed_ns + seconds * SECOND)
     leader = world.leader()
     seats = [len(core.cells) for _, core in world.controllers()]
     return Line(
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -304,16 +304,16 @@
     def taken(self, number: int, member: int, sent: bool) -> None:
         now, count = self.clock.now, self.counts[member]
         count.asked += 1
-        if count.perfect.fill(now) >= 1.0:
-            count.perfect.level -= 1.0
+        if count.perfect.refill(now) >= 1.0:
+            count.perfect.tokens -= 1.0
             count.inside += 1
         if sent:
             count.sent += 1
             self.sent_by[number][member] += 1
             second = now // SECOND
             count.by_second[second] = count.by_second.get(second, 0) + 1
-            if count.quota.fill(now) >= 1.0:
-                count.quota.level -= 1.0
+            if count.quota.refill(now) >= 1.0:
+                count.quota.tokens -= 1.0
             else:
                 count.beyond += 1
 
