--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -137,7 +137,7 @@
         made["views_in_conflict"] = sum(each.rule == "view" for each in amiss)
         made["rights_over_whole"] = round(max(0.0, most - 1.0), 6)
         made["violations"] = len(amiss) + (len(verdict.violations) if verdict.state == "broken" else 0)
-        made["lag_ms"] = round(verdict.figures.lag / 1e6, 1)
+        made["lag_ms"] = round(verdict.summary.max_lag_ns / 1e6, 1)
         return made
 
 
@@ -248,9 +248,9 @@
     world = World(1, count, settings={"max_members": 2 * count})
     world.begin(60 * SECOND, every=SECOND)
     while any(p.core is not None and len(p.core.gossip) for p in world.processes.values()):
-        world.step(world.true + SECOND)  # until nothing is told of the start any more
+        world.run_until(world.elapsed_ns + SECOND)  # until nothing is told of the start any more
     world.bytes = dict.fromkeys(world.processes, 0)
-    world.step(world.true + 10 * SECOND)
+    world.run_until(world.elapsed_ns + 10 * SECOND)
     return sum(world.bytes.values()) / count / 10.0
 
 
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...judge.judge import Store
+from ...judge.token_bucket import TokenBucket
 from ....planning.lease_table import LeaseTable
 from ....planning.election import ElectionMessage
 from ....planning.election import Outbox
@@ -227,8 +227,8 @@
     """Of one member."""
 
     accounts: tuple[CapAccount, ...]
-    quota: Store
-    perfect: Store
+    quota: TokenBucket
+    perfect: TokenBucket
     asked: int = 0
     sent: int = 0
     beyond: int = 0  # of these, beyond the quota
@@ -257,8 +257,8 @@
         self.counts = [
             Count(
                 tuple(CapAccount(cap, now) for cap in plan.caps(member)),
-                Store(limit.rate_per_s, limit.burst_units, now),
-                Store(limit.rate_per_s, limit.burst_units, now),
+                TokenBucket(limit.rate_per_s, limit.burst_units, now),
+                TokenBucket(limit.rate_per_s, limit.burst_units, now),
             )
             for member in range(plan.members)
         ]
@@ -304,16 +304,16 @@
     def taken(self, number: int, member: int, sent: bool) -> None:
         now, count = self.clock.now, self.counts[member]
         count.asked += 1
-        if count.perfect.fill(now) >= 1.0:
-            count.perfect.level -= 1.0
+        if count.perfect.refill(now) >= 1.0:
+            count.perfect.tokens -= 1.0
             count.inside += 1
         if sent:
             count.sent += 1
             self.sent_by[number][member] += 1
             second = now // SECOND
             count.by_second[second] = count.by_second.get(second, 0) + 1
-            if count.quota.fill(now) >= 1.0:
-                count.quota.level -= 1.0
+            if count.quota.refill(now) >= 1.0:
+                count.quota.tokens -= 1.0
             else:
                 count.beyond += 1
 
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -26,8 +26,8 @@
 from ....usage.recovery import FolderRecovery
 from ....usage.segments import SegmentStore
 from ....usage.stream_writer import StreamWriter
+from ..patches import applied
 from . import world as virtual_world
-from ..patches import held
 from .schedules import make, play
 
 
@@ -303,7 +303,7 @@
 
 def convict(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds whose schedule detects the mutant; None if none does."""
-    with held(MUTANTS[name]()):
+    with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if _convicts(seed)), None)
 
 
