--- a/trackspread/testing/mutation/checks.py
+++ b/trackspread/testing/mutation/checks.py
@@ -91,7 +91,12 @@
         case "decide":
             calm = range(schedules, schedules + CALM_INTERVAL * schedules, CALM_INTERVAL)
             return (
-                _tests("decide/test_model", "decide/test_broker", "project/test_limits", "decide/test_many_gateways"),
+                _tests(
+                    "decide/test_model",
+                    "decide/test_broker",
+                    "project/test_limits",
+                    "decide/test_many_gateways",
+                ),
                 NamedCheck("schedules", partial(_gateway_schedules_fail, (*seeds, *calm))),
             )
         case "storage" | "usage":
