--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -18,7 +18,8 @@
 
 import uvloop
 
-from trackspread.testing.harness.gateway_process import GatewayProcess, cpu_seconds
+from trackspread.testing.harness.gateway_process import GatewayProcess
+from trackspread.testing.harness.limited_process import cpu_seconds
 from trackspread.testing.judge.ledger import Ledger
 from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Ports
@@ -123,7 +124,7 @@
         "peer_listen": peers[0],
         "settings": _settings(quota, gateways),
     }
-    process = kind("n0", at, config, folder, ledger, sockets=2048, own=own)
+    process = kind("n0", at, config, folder, ledger, max_descriptors=2048, operator_file=own)
     await process.start()
     try:
         return await _drive(at, process.pid, work.customers, SERVED, span)
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -192,7 +192,7 @@
         "peers": [],
         "settings": _settings(),
     }
-    process = kind("n0", at, config, folder, ledger, sockets=2048)
+    process = kind("n0", at, config, folder, ledger, max_descriptors=2048)
     await process.start()
     try:
         tally, numbers = Tally(), itertools.count()
@@ -211,7 +211,7 @@
         for transport, _ in asking:
             transport.close()
         if not process.running:
-            raise RuntimeError(f"the gateway ended: {process.tail()}")
+            raise RuntimeError(f"the gateway ended: {process.log_tail()}")
         say(f"{len(record.left)} requests left behind, {tally.served} served beside, lag {record.lag:.3f} s")
         for name in record.waited():
             if (after := record.sent.get(name, 0.0) - record.left[name]) > 0.0:
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -145,9 +145,9 @@
             fleet.ask()
             await asyncio.sleep(2.0)  # both have their lists, connections and caps
             fleet.ledger.entries.clear()
-            before = {gateway.name: gateway.used() for gateway in fleet.gateways}
+            before = {gateway.name: gateway.cpu_used_s() for gateway in fleet.gateways}
             await asyncio.sleep(seconds)
-            used = {gateway.name: gateway.used() - before[gateway.name] for gateway in fleet.gateways}
+            used = {gateway.name: gateway.cpu_used_s() - before[gateway.name] for gateway in fleet.gateways}
             asked = {e.request: e.gateway for e in fleet.ledger.entries if isinstance(e, RequestSent)}
             tries = Counter(
                 asked[e.request]
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -75,9 +75,9 @@
 
 async def _used(fleet: Fleet) -> float:
     await asyncio.sleep(1.0)
-    before = sum(gateway.used() for gateway in fleet.gateways)
+    before = sum(gateway.cpu_used_s() for gateway in fleet.gateways)
     await asyncio.sleep(CALM)
-    return (sum(gateway.used() for gateway in fleet.gateways) - before) / len(fleet.gateways) / CALM
+    return (sum(gateway.cpu_used_s() for gateway in fleet.gateways) - before) / len(fleet.gateways) / CALM
 
 
 def _dead(fleet: Fleet, since: int) -> int:
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -21,7 +21,7 @@
 
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.harness.gateway_process import GatewayProcess
-from trackspread.testing.harness.upgradable_gateway import HeldProcess, figures
+from trackspread.testing.harness.upgradable_gateway import UpgradableGateway, gateway_stats
 from trackspread.testing.judge.ledger import Ledger
 from trackspread.testing.standins.client_population import ClientRequest
 from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
@@ -59,7 +59,7 @@
         self.agent = DiscoveryAgent(listed, 0, self.ledger)
         self.folder, self.listed = folder, listed
 
-    async def __aenter__(self) -> HeldProcess:
+    async def __aenter__(self) -> UpgradableGateway:
         await self.agent.start()
         at = self.ports.tcp()
         config = {
@@ -71,7 +71,7 @@
             "peers": [],
             "settings": _settings([_class(), _class("charge-post", "single_shot")]),
         }
-        self.made = HeldProcess("n0", at, config, self.folder, self.ledger, 512, self.ports)
+        self.made = UpgradableGateway("n0", at, config, self.folder, self.ledger, 512, self.ports)
         await self.made.start()
         return self.made
 
@@ -91,13 +91,13 @@
                 for _ in range(ASKERS)
             ]
             held = [await asyncio.open_connection(*made.address) for _ in range(CROWD)]
-            held += [await asyncio.open_connection(*made.door) for _ in range(HOLDERS)]
+            held += [await asyncio.open_connection(*made.control_address) for _ in range(HOLDERS)]
             for _, writer in held:
                 writer.write(b"*4\r\n$8\r\nCALL")
             end = loop.time() + span
             while loop.time() < end:
                 began = loop.time()
-                await figures(made.door)
+                await gateway_stats(made.control_address)
                 worst = max(worst, loop.time() - began)
                 await asyncio.sleep(0.05)
             tally.asking = False
@@ -116,7 +116,7 @@
     process, nodes = await spawn("nodes", "3")
     wrong = 0
 
-    async def said(made: HeldProcess, cls: str, safe: bool) -> bytes:
+    async def said(made: UpgradableGateway, cls: str, safe: bool) -> bytes:
         reader, writer = await asyncio.open_connection(*made.address)
         pairs = f"c={cls},t=wide,d=2000,units=1,spread=1,first=0".encode()
         words = [b"CALL.GET" if safe else b"CALL.POST", b"%016x" % 7, os.urandom(8).hex().encode(), pairs]
@@ -133,7 +133,7 @@
                 made.config["settings"] = _settings([_class(f"new-{number}", repeat), _class()])
                 made.write_config()
                 made.signal(signal.SIGHUP)
-                while (await figures(made.door))["reloads_ok"] <= number:
+                while (await gateway_stats(made.control_address))["reloads_ok"] <= number:
                     await asyncio.sleep(0.01)
                 safe = repeat == "free"
                 wrong += await said(made, f"new-{number}", safe) != b"$"
@@ -195,8 +195,12 @@
             direct = statistics.median([(await _take(at, 0.0))[0] for _ in range(15)])
             through = statistics.median([(await _take(made.address, 0.0))[0] for _ in range(15)])
             came = await asyncio.gather(*(_take(made.address, 0.05) for _ in range(SLOW)))
-            made.measure()
-            return made.peak / (LIMIT_MB << 20), through / direct, sum(size < LONG for _, size in came)
+            made.record_usage()
+            return (
+                made.peak_memory_bytes / (LIMIT_MB << 20),
+                through / direct,
+                sum(size < LONG for _, size in came),
+            )
     finally:
         server.close()
 
@@ -205,7 +209,7 @@
     """Each gateway is replaced by a new process under load, `rounds` times."""
     scenario = Scenario(load=LOAD, seed=7)
     async with Fleet(scenario, held=True) as fleet:
-        held = [each for each in fleet.gateways if isinstance(each, HeldProcess)]
+        held = [each for each in fleet.gateways if isinstance(each, UpgradableGateway)]
         again = 0
         once_more = fleet.clients.once_more
 
@@ -217,7 +221,7 @@
         fleet.clients.once_more = counted  # type: ignore[method-assign]
         fleet.ask()
         await asyncio.sleep(span)
-        told = [await figures(each.door) for each in held]
+        told = [await gateway_stats(each.control_address) for each in held]
         served = sum(v for one in told for k, v in one.items() if k.startswith("served."))
         error = abs(served - fleet.clients.kinds["served"]) / max(1, served)
         waits = [await each.upgrade() for _ in range(rounds) for each in held]
--- a/benchmarks/scale/beside.py
+++ b/benchmarks/scale/beside.py
@@ -136,8 +136,8 @@
     def memory(self) -> int:
         """Bytes that the largest of them held at most."""
         for gateway in self._fleet.gateways:
-            gateway.measure()
-        return max(gateway.peak for gateway in self._fleet.gateways)
+            gateway.record_usage()
+        return max(gateway.peak_memory_bytes for gateway in self._fleet.gateways)
 
     async def verdict(self) -> Verdict:
         """No more is asked; all that was is seen to its end, and the judge decides."""
--- a/benchmarks/scale/children.py
+++ b/benchmarks/scale/children.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from trackspread.testing.harness.gateway_process import END_MOST
+from trackspread.testing.harness.gateway_process import STOP_TIMEOUT_S
 
 from .messages import Message
 
@@ -71,7 +71,7 @@
         if self._process.returncode is not None:
             return
         try:
-            async with asyncio.timeout(END_MOST):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 if self._process.stdin is not None:
                     self._process.stdin.close()
                 await self._process.wait()
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -225,7 +225,7 @@
         "peer_listen": peer,
         "settings": _settings(QUOTA, 1),
     }
-    gateway = GatewayProcess("n0", at, config, folder, ledger, sockets=1024)
+    gateway = GatewayProcess("n0", at, config, folder, ledger, max_descriptors=1024)
     await gateway.start()
     try:
         return await _both(nodes, at, agent, span)
--- a/benchmarks/version_handover.py
+++ b/benchmarks/version_handover.py
@@ -24,7 +24,7 @@
 from benchmarks.common import say
 from trackspread.testing.harness import fleet as fleets
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.upgradable_gateway import HeldProcess
+from trackspread.testing.harness.upgradable_gateway import UpgradableGateway
 from trackspread.testing.judge.ledger import (
     ReplyReceived,
     RequestSent,
@@ -54,7 +54,7 @@
 SERVES = "the newer process serves"
 
 
-class Versioned(HeldProcess):
+class Versioned(UpgradableGateway):
     """A gateway that runs in `checkout`; the next process may be of another one."""
 
     checkout = HERE
@@ -136,8 +136,8 @@
                 await asyncio.sleep(BEFORE_S)
                 gateway.checkout = (new, old)[turn % 2]
                 if planted:
-                    gateway.common = fleet.folder / f"apart-{turn}-{position}"
-                    gateway.common.mkdir()
+                    gateway.handover_folder = fleet.folder / f"apart-{turn}-{position}"
+                    gateway.handover_folder.mkdir()
                 waits.append(await gateway.upgrade())
                 assert gateway.runs() == gateway.checkout
                 await asyncio.sleep(AFTER_S)
@@ -174,7 +174,7 @@
     rounds, span = (1, 1.5) if quick else (2, 4.0)
     for name, old, new in (("to_this", before, HERE), ("from_this", HERE, before)):
         Versioned.checkout = old
-        with patch.object(fleets, "HeldProcess", Versioned):
+        with patch.object(fleets, "UpgradableGateway", Versioned):
             told = await handed_over(old, new, rounds, span, planted, seed)
         say(f"{name}: {told}")
         made |= {f"{name}_{key}": value for key, value in told.items()}
--- a/tests/test_cells_process.py
+++ b/tests/test_cells_process.py
@@ -14,7 +14,7 @@
 
 from trackspread.membership.identifiers import MS
 from trackspread.testing.harness import membership_fleet
-from trackspread.testing.harness.cell_fleet import COMMAND, CelledFleet, whole_cells
+from trackspread.testing.harness.cell_fleet import CONTROL_COMMAND, CelledFleet, whole_cells
 from trackspread.testing.standins.scenario import Scenario
 
 pytestmark = pytest.mark.processes
@@ -33,7 +33,7 @@
     loop = asyncio.get_running_loop()
     end = loop.time() + most
     while amiss := whole_cells(fleet):
-        assert loop.time() < end, f"{amiss}; {[c.tail(2) for c in fleet.control.values()]}"
+        assert loop.time() < end, f"{amiss}; {[c.log_tail(2) for c in fleet.control.values()]}"
         await asyncio.sleep(LOOK)
 
 
@@ -50,7 +50,7 @@
 )  # small cells, merged and replaced within seconds
 
 
-def play(work: Work, controls: tuple[str, ...] = COMMAND, keys: str = "keep_s = 3.0") -> None:
+def play(work: Work, controls: tuple[str, ...] = CONTROL_COMMAND, keys: str = "keep_s = 3.0") -> None:
     """The rules, and all records, are decided on after it; a run in which the rig lagged is played again."""
 
     async def once() -> bool:
@@ -149,7 +149,7 @@
         await fleet.restart([0, 1, 2], 0.2)
         await settled(fleet)
         assert fleet.cells() == before, "all come back to the cells that they were in"
-        fleet.gateways[5].halt()
+        fleet.gateways[5].pause()
         await asyncio.sleep(6.0)  # over the life of what it holds
         fleet.gateways[5].resume()
         await settled(fleet)
--- a/tests/test_configuration_process.py
+++ b/tests/test_configuration_process.py
@@ -17,7 +17,7 @@
 from trackspread.distribution.settings import SubscriberSettings
 from trackspread.distribution.versions import Version
 from trackspread.distribution.wire import Wire
-from trackspread.testing.harness.gateway_process import BOUNDED
+from trackspread.testing.harness.limited_process import EXEC_WITH_LIMITS
 from trackspread.membership.wire import Keys
 from trackspread.testing.standins.loopback import Ports
 
@@ -57,7 +57,7 @@
             self._running[number] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-c",
-                BOUNDED,
+                EXEC_WITH_LIMITS,
                 str(SOCKETS),
                 sys.executable,
                 "-m",
--- a/tests/test_descriptors_process.py
+++ b/tests/test_descriptors_process.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from trackspread.testing.harness.gateway_process import GatewayProcess
-from trackspread.testing.harness.upgradable_gateway import door
+from trackspread.testing.harness.upgradable_gateway import http_get
 from trackspread.testing.judge.ledger import Ledger
 from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
 from trackspread.testing.standins.loopback import Address, Ports
@@ -101,7 +101,7 @@
         config = raw_config(agent.address[1])
         config["discovery"], config["listen"] = "{}:{}".format(*agent.address), "{}:{}".format(*at)
         config["control"], config["limits"] = "{}:{}".format(*control), {"sockets": named}
-        gateway = GatewayProcess("n0", at, config, folder, Ledger(), sockets=SOCKETS)
+        gateway = GatewayProcess("n0", at, config, folder, Ledger(), max_descriptors=SOCKETS)
         made = Filled(gateway, at, control, agent, listed, backend)
         made.tell("in_service")
         await gateway.start()
@@ -117,7 +117,7 @@
                 task.cancel()
             for each in made.population:
                 each.close()
-            print(f"descriptors open at once: {made.most} of {SOCKETS}; log: {gateway.tail(3)}")
+            print(f"descriptors open at once: {made.most} of {SOCKETS}; log: {gateway.log_tail(3)}")
             await gateway.kill()
             agent.close()
             ports.close()
@@ -137,7 +137,7 @@
                 assert await client.next() == b"v"
                 connection.abort()  # the next attempt needs a descriptor of its own
                 client.abort()
-                status, _ = await asyncio.wait_for(door(f.door, "/stats"), AT_ONCE)
+                status, _ = await asyncio.wait_for(http_get(f.door, "/stats"), AT_ONCE)
                 assert status == 200
                 await asyncio.sleep(0.1)
             assert f.most < SOCKETS
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -21,7 +21,7 @@
 from trackspread.testing.harness import membership_fleet
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.harness.fault_player import Player
-from trackspread.testing.harness.upgradable_gateway import HeldProcess
+from trackspread.testing.harness.upgradable_gateway import UpgradableGateway
 from trackspread.testing.judge.membership_records import MembershipRecord, Reader, rights, views
 from trackspread.testing.standins import fault_schedule
 from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
@@ -77,7 +77,9 @@
 
 async def settled(fleet: Fleet, most: float) -> None:
     took = await membership_fleet.until_settled(fleet, 2 * most)
-    assert took is not None and took <= most, f"took {took} s, {most} at most; {fleet.gateways[0].tail(3)}"
+    assert took is not None and took <= most, (
+        f"took {took} s, {most} at most; {fleet.gateways[0].log_tail(3)}"
+    )
 
 
 async def faulty(fleet: Fleet, seconds: float, *made: Fault) -> None:
@@ -178,7 +180,7 @@
 def test_a_new_version_that_takes_over_is_neither_a_crash_nor_another_gateway() -> None:
     async def work(fleet: Fleet) -> None:
         upgraded = fleet.gateways[2]
-        assert isinstance(upgraded, HeldProcess)
+        assert isinstance(upgraded, UpgradableGateway)
         await upgraded.upgrade()
         await settled(fleet, JOIN)
         said = [b.about for b in fleet.beliefs() if b.kind == "member"]
--- a/trackspread/testing/harness/cell_fleet.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -7,9 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
-import signal
-import sys
 from collections.abc import Iterable, Sequence
 from pathlib import Path
 from typing import cast
@@ -20,68 +17,52 @@
 from ..judge.ledger import GatewayExited, GatewayKilled
 from ..standins.scenario import Scenario
 from .fleet import MEMBER_PORT, Fleet
-from .gateway_process import BOUNDED
+from .gateway_process import RUN_COMMAND, STOP_TIMEOUT_S
+from .limited_process import LimitedProcess, limited_command
 
-COMMAND = ("-m", "trackspread")
-SOCKETS = 1_024  # descriptors that a control machine may have
-END_MOST = 10.0  # s that one has to end after SIGTERM
+CONTROL_COMMAND = ("-m", "trackspread")
+MAX_DESCRIPTORS = 1_024  # of a control machine
 ZONES = 2  # of the one region
 
 
-class ControlProcess:
-    """One control machine; it never outlives whoever started it."""
+class ControlProcess(LimitedProcess):
+    """One control machine in a process of its own.
 
-    def __init__(self, name: str, file: Path, log: Path, command: tuple[str, ...] = COMMAND) -> None:
-        """`command`: what runs it, without the interpreter, the words `control NAME` and the file."""
-        self.name = name
-        self._file = file
-        self._log = log
-        self._command = command
-        self._process: asyncio.subprocess.Process | None = None
+    `operator_file` is the path of its file, `command` the interpreter's arguments without the words
+    `control NAME` and the file.
+    """
 
-    @property
-    def running(self) -> bool:
-        return self._process is not None and self._process.returncode is None
+    def __init__(
+        self, name: str, operator_file: Path, log: Path, command: tuple[str, ...] = CONTROL_COMMAND
+    ) -> None:
+        super().__init__(name, log)
+        self._operator_file = operator_file
+        self._command = command
 
     async def start(self) -> None:
-        """From nothing."""
-        bounded = (sys.executable, "-I", "-S", "-c", BOUNDED, str(SOCKETS), sys.executable)
-        with self._log.open("ab") as log:
-            self._process = await asyncio.create_subprocess_exec(
-                *bounded,
-                *self._command,
-                "control",
-                self.name,
-                "--file",
-                str(self._file),
-                stdout=log,
-                stderr=log,
-                env=dict(os.environ),
-            )
+        """Starts it without any state."""
+        arguments = (*self._command, "control", self.name, "--file", str(self._operator_file))
+        self._process = await self._spawn(limited_command(MAX_DESCRIPTORS, *arguments), {})
 
     async def kill(self) -> None:
-        """Outright."""
+        """SIGKILL; returns once the process has ended."""
         if self._process is not None and self.running:
             self._process.kill()
             await self._process.wait()
 
     async def end(self) -> int | None:
-        """SIGTERM; its exit status."""
+        """SIGTERM; returns its exit status, None if it never started.
+
+        Raises `TimeoutError` if it has not ended after `STOP_TIMEOUT_S`.
+        """
         if self._process is None:
             return None
         if self.running:
             self._process.terminate()
-            async with asyncio.timeout(END_MOST):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await self._process.wait()
         return self._process.returncode
 
-    def signal(self, number: signal.Signals) -> None:
-        if self._process is not None and self.running:
-            self._process.send_signal(number)
-
-    def tail(self, lines: int = 5) -> str:
-        return " | ".join(self._log.read_text(errors="replace").splitlines()[-lines:])
-
 
 class CelledFleet(Fleet):
     """Use as `async with CelledFleet(scenario, control) as fleet`; gateways n0, n1, ... in turn in zones z0
@@ -92,8 +73,8 @@
         scenario: Scenario,
         control: int,
         keys: str = "",
-        runs: tuple[str, ...] = ("-m", "trackspread", "run"),
-        controls: tuple[str, ...] = COMMAND,
+        runs: tuple[str, ...] = RUN_COMMAND,
+        controls: tuple[str, ...] = CONTROL_COMMAND,
     ) -> None:
         """`keys`: further ones of every table [fleet]; `runs`, `controls`: what runs a gateway, and a control
         machine."""
--- a/trackspread/testing/harness/configuration_fleet.py
+++ b/trackspread/testing/harness/configuration_fleet.py
@@ -8,7 +8,6 @@
 import asyncio
 import os
 import signal
-import sys
 import time
 from collections.abc import Iterable
 from pathlib import Path
@@ -25,41 +24,32 @@
 from ..standins.loopback import Ports
 from ..virtual.distribution.invariants import InvariantViolated, Judged
 from .configuration_process import FLEET, Gateway, ProcessSpec, ConfigurationReceived
-from .gateway_process import BOUNDED
+from .limited_process import LimitedProcess, limited_command
 
-SOCKETS = 512  # descriptors of one process
+MAX_DESCRIPTORS = 512  # of one process
 LOOK = 0.1  # s between looks at the records
 BEGIN = 10.0  # s for a first leader
 
 
-class Process:
+class Process(LimitedProcess):
     """One of the fleet's."""
 
     def __init__(self, spec: ProcessSpec, log: Path) -> None:
+        super().__init__(log.stem, log)
         self.spec = spec
-        self._log = log
         self.told = ConfigurationReceived()
-        self._process: asyncio.subprocess.Process | None = None
-
-    @property
-    def running(self) -> bool:
-        return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
         """From nothing; returns once it listens."""
-        words = (
+        command = limited_command(
+            MAX_DESCRIPTORS,
             "-m",
             "trackspread.testing.harness.configuration_process",
             msgspec.json.encode(self.spec).decode(),
         )
-        with self._log.open("ab") as log:
+        with self.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-c",
-                BOUNDED,
-                str(SOCKETS),
-                sys.executable,
-                *words,
+                *command,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
@@ -67,7 +57,7 @@
             )
         assert self._process.stdout is not None
         if await self._process.stdout.readline() != b"ready\n":
-            raise RuntimeError(self._log.read_text()[-2000:])
+            raise RuntimeError(self.log.read_text()[-2000:])
         self.tell(self.told)
 
     def tell(self, told: ConfigurationReceived) -> None:
@@ -76,10 +66,6 @@
         if self.running and self._process is not None and self._process.stdin is not None:
             self._process.stdin.write(msgspec.json.encode(told) + b"\n")
 
-    def signal(self, number: int) -> None:
-        if self.running and self._process is not None:
-            self._process.send_signal(number)
-
     async def kill(self) -> None:
         self.signal(signal.SIGKILL)
         if self._process is not None:
--- a/trackspread/testing/harness/fault_player.py
+++ b/trackspread/testing/harness/fault_player.py
@@ -86,7 +86,7 @@
     async def _halt(self, fault: Halt) -> None:
         chosen = [self._fleet.gateways[number] for number in fault.gateways]
         for gateway in chosen:
-            gateway.halt()
+            gateway.pause()
         await asyncio.sleep(fault.span)
         for gateway in chosen:
             gateway.resume()
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -28,7 +28,7 @@
 from ..standins.scenario import Scenario
 from ..standins.faulty_network import FaultyNetwork
 from .gateway_process import GatewayProcess
-from .upgradable_gateway import HeldProcess
+from .upgradable_gateway import UpgradableGateway
 
 BEAT = 0.01  # s between looks at this loop's own lag
 LAG_NOTED = 0.02  # s from which a lag goes into the ledger
@@ -123,7 +123,7 @@
                 self.doors[name] = self._ports.tcp()
                 config["control"] = _text(self.doors[name])
             self.gateways.append(
-                HeldProcess(
+                UpgradableGateway(
                     name,
                     at,
                     config,
@@ -298,8 +298,8 @@
         """CPU of the gateways a try, in ms, and the most memory that one held, in MB."""
         tries = max(1, len(self.clients.forms))
         return {
-            "cpu_ms": 1000 * sum(g.used() for g in self.gateways) / tries,
-            "memory_mb": max(g.peak for g in self.gateways) / (1 << 20),
+            "cpu_ms": 1000 * sum(g.cpu_used_s() for g in self.gateways) / tries,
+            "memory_mb": max(g.peak_memory_bytes for g in self.gateways) / (1 << 20),
         }
 
 
--- a/trackspread/testing/harness/gateway_process.py
+++ b/trackspread/testing/harness/gateway_process.py
@@ -1,54 +1,41 @@
-"""One gateway in a process of its own, with its limits; it never outlives whoever started it."""
+"""One gateway in a process of its own."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import os
 import random
 import signal
-import sys
 import time
 from pathlib import Path
 from typing import Any
 
 from ..judge.ledger import (
     GatewayExited,
-    GatewayPaused,
     GatewayKilled,
-    Ledger,
+    GatewayPaused,
     GatewayResumed,
     GatewayStarted,
     GatewayStopping,
+    Ledger,
 )
 from ..standins.loopback import Address
+from .limited_process import LimitedProcess, cpu_seconds, limited_command
 
-READY_MOST = 20.0  # s until a gateway answers a ping; a loaded machine may be slow to start twenty of them
-READY_LOOK = 0.02  # s between pings
-PING_MOST = 2.0  # s for one: another follows, and a process that has ended meanwhile is seen
-END_MOST = 10.0  # s that a gateway has to end after SIGTERM, over the longest deadline
-# Its limits are set by a step between, not by a function before the exec: that would have this process copied
-# with all of its ledger, and its loop stand still for so long. 1: PR_SET_PDEATHSIG of prctl(2), 9: SIGKILL.
-# A lower priority: a dozen that start at once would take the cores from the rig that is to see what they do.
-BOUNDED = (
-    "import ctypes, os, resource, sys; ctypes.CDLL(None).prctl(1, 9); most = int(sys.argv[1]); "
-    "resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)); os.nice(5); "
-    "os.execv(sys.argv[2], sys.argv[2:])"
-)
-TICKS = os.sysconf("SC_CLK_TCK")
-
+READY_TIMEOUT_S = 20.0  # until a gateway answers a ping; a loaded machine may be slow to start twenty of them
+READY_POLL_S = 0.02
+PING_TIMEOUT_S = 2.0  # short, so that a process that has ended meanwhile is noticed
+STOP_TIMEOUT_S = 10.0  # after SIGTERM; longer than the longest deadline
+RUN_COMMAND = ("-m", "trackspread", "run")
+SEED_BITS = 63
 
-def cpu_seconds(pid: int) -> float:
-    """What a process has used so far; 0 for one that is gone."""
-    try:
-        fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    except OSError:
-        return 0.0
-    return (int(fields[11]) + int(fields[12])) / TICKS
 
+class GatewayProcess(LimitedProcess):
+    """Starts, pauses, kills and stops one gateway; all that happens to it goes into the ledger.
 
-class GatewayProcess:
-    """Starts, kills and ends one gateway; `command` is what runs it, without the interpreter."""
+    `config` is the platform's configuration, `operator_file` the text of the operator's file, `command` the
+    interpreter's arguments. `folder` takes the log and both files.
+    """
 
     def __init__(
         self,
@@ -57,73 +44,74 @@
         config: dict[str, Any],
         folder: Path,
         ledger: Ledger,
-        command: tuple[str, ...] = ("-m", "trackspread", "run"),
-        sockets: int = 1024,
-        own: str = "",
+        command: tuple[str, ...] = RUN_COMMAND,
+        max_descriptors: int = 1024,
+        operator_file: str = "",
     ) -> None:
-        """`own`: the text of the operator's file."""
-        self.name = name
+        super().__init__(name, folder / f"{name}.log")
         self.address = address
         self.config = config
-        self.log = folder / f"{name}.log"
-        self._path = folder / f"{name}.json"
-        self._own = folder / f"{name}.toml"
+        self._config_path = folder / f"{name}.json"
+        self._operator_path = folder / f"{name}.toml"
         self._ledger = ledger
         self._command = command
-        self._sockets = sockets
-        self._own.write_text(own)
-        self._process: asyncio.subprocess.Process | None = None
-        self._watch: asyncio.Task[None] | None = None
+        self._max_descriptors = max_descriptors
+        self._operator_path.write_text(operator_file)
+        self._exit_task: asyncio.Task[None] | None = None
         self.starts = 0
-        self.halted = False
-        self.cpu = 0.0  # s, of the processes that have ended
-        self.peak = 0  # bytes of memory that any of them held at most
+        self.paused = False
+        self.peak_memory_bytes = 0  # the largest of its processes so far
+        self._ended_cpu_s = 0.0  # of the processes that have ended
 
-    @property
-    def running(self) -> bool:
-        return self._process is not None and self._process.returncode is None
+    async def start(self) -> None:
+        """Starts it without any state; returns once it has answered a ping.
 
-    @property
-    def pid(self) -> int:
-        return self._process.pid if self._process is not None else 0
+        Raises `RuntimeError` if the process ends first and `TimeoutError` after `READY_TIMEOUT_S`.
+        """
+        self._adopt(await self._spawn_gateway())
+        await self._ready()
 
-    async def start(self) -> None:
-        """From nothing; returns once it has answered a ping."""
+    async def _spawn_gateway(self) -> asyncio.subprocess.Process:
         self.write_config()
-        with self.log.open("ab") as log:
-            self._process = await asyncio.create_subprocess_exec(
-                *self.command(),
-                stdout=log,
-                stderr=log,
-                env={**os.environ, "ROUTER_CONFIG": str(self._path)},
-            )
-        self._watch = asyncio.get_running_loop().create_task(self._ended(self._process))
-        await self._ready()
+        return await self._spawn(self.command(), self.environment(), self.inherited_descriptors())
+
+    def _adopt(self, process: asyncio.subprocess.Process) -> None:
+        """From now on this process is the gateway."""
+        self._process = process
+        self._exit_task = asyncio.get_running_loop().create_task(self._record_exit(process))
 
     def command(self) -> tuple[str, ...]:
-        """What starts it, bounded."""
-        bounded = (sys.executable, "-I", "-S", "-c", BOUNDED, str(self._sockets), sys.executable)
-        return *bounded, *self._command, "--file", str(self._own)
+        """The complete command line, with the limits."""
+        arguments = (*self._command, "--file", str(self._operator_path))
+        return limited_command(self._max_descriptors, *arguments)
+
+    def environment(self) -> dict[str, str]:
+        """The variables that a process gets beside this process's own."""
+        return {"ROUTER_CONFIG": str(self._config_path)}
+
+    def inherited_descriptors(self) -> tuple[int, ...]:
+        """The open descriptors that a process inherits."""
+        return ()
 
     def write_config(self) -> None:
-        """For one more start."""
+        """Writes the configuration for one more start, with a seed of its own."""
         self.starts += 1
-        # Not `hash`: that of a name is another in every process, and a run could not be replayed.
-        seed = random.Random(f"{self.name}:{self.starts}").getrandbits(63)
+        # Not `hash`: it differs in every process, and a run could not be replayed.
+        seed = random.Random(f"{self.name}:{self.starts}").getrandbits(SEED_BITS)
         self.config["seed"] = f"{seed:016x}"
-        self._path.write_text(json.dumps(self.config))
+        self._config_path.write_text(json.dumps(self.config))
 
     async def _ready(self) -> None:
-        async with asyncio.timeout(READY_MOST):
-            while not await self._pinged():
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._answers_ping():
                 if not self.running:
-                    raise RuntimeError(f"{self.name} did not start; its log: {self.tail()}")
-                await asyncio.sleep(READY_LOOK)
+                    raise RuntimeError(f"{self.name} did not start; its log: {self.log_tail()}")
+                await asyncio.sleep(READY_POLL_S)
         self._ledger.write(GatewayStarted(time.monotonic_ns(), self.name))
 
-    async def _pinged(self) -> bool:
+    async def _answers_ping(self) -> bool:
         try:
-            async with asyncio.timeout(PING_MOST):
+            async with asyncio.timeout(PING_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address)
                 try:
                     writer.write(b"*1\r\n$4\r\nPING\r\n")
@@ -133,68 +121,61 @@
         except (OSError, TimeoutError):
             return False
 
-    def tail(self, lines: int = 5) -> str:
-        return " | ".join(self.log.read_text(errors="replace").splitlines()[-lines:])
-
-    async def _ended(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         status = await process.wait()
         self._ledger.write(GatewayExited(time.monotonic_ns(), self.name, status))
 
     async def kill(self) -> None:
-        """Outright, as a machine that loses power."""
+        """SIGKILL, as a machine that loses power; returns once the process has ended."""
         if self._process is not None and self.running:
             self.resume()
-            self.measure()
+            self.record_usage()
             self._ledger.write(GatewayKilled(time.monotonic_ns(), self.name))
             self._process.kill()
-            await self._gone()
+            await self._exited()
 
     async def end(self) -> None:
-        """SIGTERM, and wait until it is gone."""
+        """SIGTERM, and SIGKILL after `STOP_TIMEOUT_S`; returns once the process has ended."""
         if self._process is not None and self.running:
             self.resume()
-            self.measure()
+            self.record_usage()
             self._ledger.write(GatewayStopping(time.monotonic_ns(), self.name))
             self._process.terminate()
             try:
-                async with asyncio.timeout(END_MOST):
-                    await self._gone()
+                async with asyncio.timeout(STOP_TIMEOUT_S):
+                    await self._exited()
             except TimeoutError:
                 self._process.kill()
-                await self._gone()
+                await self._exited()
 
-    async def _gone(self) -> None:
-        if self._watch is not None:
-            await asyncio.shield(self._watch)
-
-    def signal(self, number: signal.Signals) -> None:
-        if self._process is not None and self.running:
-            self._process.send_signal(number)
+    async def _exited(self) -> None:
+        if self._exit_task is not None:
+            await asyncio.shield(self._exit_task)
 
-    def halt(self) -> None:
-        """SIGSTOP: a machine that stands still, and knows nothing of it."""
-        if self._process is not None and self.running and not self.halted:
-            self.halted = True
+    def pause(self) -> None:
+        """SIGSTOP, as a machine that freezes."""
+        if self._process is not None and self.running and not self.paused:
+            self.paused = True
             self._process.send_signal(signal.SIGSTOP)
             self._ledger.write(GatewayPaused(time.monotonic_ns(), self.name))
 
     def resume(self) -> None:
-        if self._process is not None and self.halted:
-            self.halted = False
+        """SIGCONT after a pause."""
+        if self._process is not None and self.paused:
+            self.paused = False
             self._ledger.write(GatewayResumed(time.monotonic_ns(), self.name))
-            if self.running:
-                self._process.send_signal(signal.SIGCONT)
+            self.signal(signal.SIGCONT)
 
-    def used(self) -> float:
-        """CPU seconds of all its processes so far."""
-        return self.cpu + cpu_seconds(self.pid)
+    def cpu_used_s(self) -> float:
+        """CPU time of all its processes so far, in s."""
+        return self._ended_cpu_s + cpu_seconds(self.pid)
 
-    def measure(self) -> None:
-        """Take note of CPU and memory before the process goes."""
-        self.cpu += cpu_seconds(self.pid)
+    def record_usage(self) -> None:
+        """Adds up CPU time and peak memory; called before the process ends."""
+        self._ended_cpu_s += cpu_seconds(self.pid)
         try:
             status = Path(f"/proc/{self.pid}/status").read_text()
         except OSError:
             return
-        held = next((line for line in status.splitlines() if line.startswith("VmHWM")), "VmHWM: 0 kB")
-        self.peak = max(self.peak, int(held.split()[1]) << 10)
+        peak = next((line for line in status.splitlines() if line.startswith("VmHWM")), "VmHWM: 0 kB")
+        self.peak_memory_bytes = max(self.peak_memory_bytes, int(peak.split()[1]) << 10)
--- a/trackspread/testing/harness/upgradable_gateway.py
+++ b/trackspread/testing/harness/upgradable_gateway.py
@@ -1,14 +1,11 @@
-"""A gateway whose clients' socket the harness holds, as a platform does: new versions start beside the old
-one.
+"""A gateway whose listening socket the harness owns, so that a new version can start beside the old one.
 
-May know: processes, descriptors, the door. What clients see of it is the ledger's; a process that another
-one took over from has not ended for them.
+The ledger records what clients see: a process from which another one has taken over has not ended for them.
 """
 
 from __future__ import annotations
 
 import asyncio
-import os
 import signal
 import socket
 import time
@@ -17,13 +14,15 @@
 
 from ..judge.ledger import GatewayExited, Ledger
 from ..standins.loopback import Address, Ports
-from .gateway_process import READY_LOOK, READY_MOST, GatewayProcess
+from .gateway_process import READY_POLL_S, READY_TIMEOUT_S, RUN_COMMAND, GatewayProcess
 
-UPGRADE_MOST = 6.0  # s that the platform gives a new process to say yes
+UPGRADE_TIMEOUT_S = 6.0  # that the platform gives a new process to become healthy
+LISTEN_BACKLOG = 1024
+HTTP_OK = 200
 
 
-async def door(address: Address, path: str) -> tuple[int, str]:
-    """Status and text of one call to a gateway's door."""
+async def http_get(address: Address, path: str) -> tuple[int, str]:
+    """Status and body of one GET request to a gateway's control address."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(b"GET %b HTTP/1.1\r\nHost: x\r\n\r\n" % path.encode())
@@ -33,14 +32,15 @@
         writer.close()
 
 
-async def figures(address: Address) -> dict[str, int]:
-    _, text = await door(address, "/stats")
+async def gateway_stats(address: Address) -> dict[str, int]:
+    """The figures that a gateway shows at its control address, by name."""
+    _, text = await http_get(address, "/stats")
     pairs = (line.removeprefix("router.").split("=") for line in text.splitlines())
     return {name: int(value) for name, value in pairs}
 
 
-class HeldProcess(GatewayProcess):
-    """As `GatewayProcess`, with a door, a common folder and the listening socket inherited."""
+class UpgradableGateway(GatewayProcess):
+    """A `GatewayProcess` with a control address, an inherited listening socket and a folder for handovers."""
 
     def __init__(
         self,
@@ -49,75 +49,79 @@
         config: dict[str, Any],
         folder: Path,
         ledger: Ledger,
-        sockets: int,
+        max_descriptors: int,
         ports: Ports,
-        own: str = "",
+        operator_file: str = "",
     ) -> None:
-        super().__init__(name, address, config, folder, ledger, sockets=sockets, own=own)
+        super().__init__(name, address, config, folder, ledger, RUN_COMMAND, max_descriptors, operator_file)
         self._ports = ports
-        self.door = ports.tcp()
-        self.socket = socket.create_server(address, backlog=1024)
-        self.common = folder / f"{name}-common"
-        self.common.mkdir()
-        self._log = self.log.open("ab")
-        self.older: list[asyncio.subprocess.Process] = []
-
-    async def _spawn(self) -> asyncio.subprocess.Process:
-        environment = {
-            **os.environ,
-            "ROUTER_CONFIG": str(self._path),
-            "ROUTER_CONTROL": "{}:{}".format(*self.door),
-            "ROUTER_ACCEPT_FD": str(self.socket.fileno()),
-            "TMPDIR": str(self.common),
+        self.control_address = ports.tcp()
+        self._listening_socket = socket.create_server(address, backlog=LISTEN_BACKLOG)
+        self.handover_folder = folder / f"{name}-common"
+        self.handover_folder.mkdir()
+        self._predecessors: list[asyncio.subprocess.Process] = []
+
+    def environment(self) -> dict[str, str]:
+        """The variables that a process gets beside this process's own."""
+        return {
+            **super().environment(),
+            "ROUTER_CONTROL": "{}:{}".format(*self.control_address),
+            "ROUTER_ACCEPT_FD": str(self._listening_socket.fileno()),
+            "TMPDIR": str(self.handover_folder),
         }
-        return await asyncio.create_subprocess_exec(
-            *self.command(),
-            stdout=self._log,
-            stderr=self._log,
-            env=environment,
-            pass_fds=[self.socket.fileno()],
-        )
-
-    async def start(self) -> None:
-        self.write_config()
-        self._process = await self._spawn()
-        self._watch = asyncio.get_running_loop().create_task(self._ended(self._process))
-        await self._ready()
+
+    def inherited_descriptors(self) -> tuple[int, ...]:
+        """The listening socket."""
+        return (self._listening_socket.fileno(),)
 
     async def upgrade(self) -> float:
-        """A new process takes over; returns the seconds until its yes. The old one is told to end then."""
-        loop, old, watch = asyncio.get_running_loop(), self._process, self._watch
-        assert old is not None and watch is not None
-        watch.cancel()  # its end in good order is not the gateway's, and may come before the yes is seen here
-        self.door, began = self._ports.tcp(), loop.time()
-        self.write_config()
-        fresh = await self._spawn()
-        async with asyncio.timeout(UPGRADE_MOST):
-            while True:
-                try:
-                    if (await door(self.door, "/healthcheck"))[0] == 200:
-                        break
-                except OSError:
-                    pass
-                if fresh.returncode is not None:
-                    raise RuntimeError(f"{self.name}: the new process ended; its log: {self.tail()}")
-                await asyncio.sleep(READY_LOOK)
-        took = loop.time() - began
-        self._process, self._watch = fresh, loop.create_task(self._ended(fresh))
-        if old.returncode is None:
-            old.send_signal(signal.SIGTERM)
-        self.older.append(old)
-        async with asyncio.timeout(READY_MOST):
-            status = await old.wait()
-        if status not in (0, -signal.SIGTERM):  # it may come when its handlers are gone
-            self._ledger.write(GatewayExited(time.monotonic_ns(), self.name, status))
+        """Has a new process take over and the old one end; returns the s until the new one was healthy.
+
+        Raises `RuntimeError` if the new process ends first and `TimeoutError` after `UPGRADE_TIMEOUT_S`.
+        """
+        loop = asyncio.get_running_loop()
+        predecessor = self._process
+        assert predecessor is not None and self._exit_task is not None
+        # The old process's exit is not the gateway's, and may come before the new one is seen to be healthy.
+        self._exit_task.cancel()
+        self.control_address = self._ports.tcp()
+        started = loop.time()
+        successor = await self._spawn_gateway()
+        await self._healthy(successor)
+        took = loop.time() - started
+        self._adopt(successor)
+        await self._end_predecessor(predecessor)
         return took
 
+    async def _healthy(self, process: asyncio.subprocess.Process) -> None:
+        async with asyncio.timeout(UPGRADE_TIMEOUT_S):
+            while not await self._answers_health_check():
+                if process.returncode is not None:
+                    raise RuntimeError(f"{self.name}: the new process ended; its log: {self.log_tail()}")
+                await asyncio.sleep(READY_POLL_S)
+
+    async def _answers_health_check(self) -> bool:
+        try:
+            status, _ = await http_get(self.control_address, "/healthcheck")
+        except OSError:
+            return False
+        return status == HTTP_OK
+
+    async def _end_predecessor(self, process: asyncio.subprocess.Process) -> None:
+        if process.returncode is None:
+            process.send_signal(signal.SIGTERM)
+        self._predecessors.append(process)
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            status = await process.wait()
+        # SIGTERM may arrive after the process has removed its handlers.
+        if status not in (0, -signal.SIGTERM):
+            self._ledger.write(GatewayExited(time.monotonic_ns(), self.name, status))
+
     async def kill(self) -> None:
+        """Kills all its processes and closes the listening socket."""
         await super().kill()
-        for process in self.older:
+        for process in self._predecessors:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        self.socket.close()
-        self._log.close()
+        self._listening_socket.close()
