--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -21,7 +21,8 @@
 from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.harness.limited_process import cpu_seconds
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.loopback import Ports
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
@@ -119,7 +120,7 @@
         "listen": f"{at[0]}:{at[1]}",
         "discovery": f"{agent.address[0]}:{agent.address[1]}",
         "limits": {"memory_mb": 192, "sockets": 2048},
-        "known": listed.whole(0),
+        "known": listed.snapshot(0),
         "peers": peers,
         "peer_listen": peers[0],
         "settings": _settings(quota, gateways),
--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -19,7 +19,7 @@
 
 from trackspread.commands.quota import ask
 from trackspread.config.addresses import ConfigError
-from trackspread.testing.harness import counter_faults
+from trackspread.testing.harness import counter_faults, quota_use
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.standins.counter import Shard
 from trackspread.testing.standins.counter_server import CounterServer
@@ -30,7 +30,7 @@
 from .cost import Work, gateway, spawn
 
 # Demand under the nodes' capacity, so that limits alone refuse; a third of the members ask beyond quotas.
-SCENARIO = Scenario(gateways=4, nodes=9, customers=60, load=0.5, greedy=0.3, seed=11)
+SCENARIO = Scenario(gateways=4, nodes=9, max_tenants=60, load=0.5, greedy_share=0.3, seed=11)
 WARM, TROUBLE, AFTER = 8.0, 9.0, 4.0  # s: stores fill; longer than any burst; what comes back
 TROUBLES = ("none", "cut", "cut_half", "split", "replace", "slow", "silent", "kill")
 RECOVERED_MOST = 20.0  # s that the counter's return is watched for
@@ -39,17 +39,19 @@
 
 
 async def _trouble(name: str, folder: Path) -> dict[str, float]:
-    async with counter_faults.counted(SCENARIO, more=lambda n: f'status = "{folder / n}"') as (fleet, server):
-        fleet.ask()
+    async with counter_faults.fleet_with_counter(
+        SCENARIO, counter_settings=lambda n: f'status = "{folder / n}"'
+    ) as (fleet, server):
+        fleet.start_clients()
         await asyncio.sleep(WARM)
         mark = len(fleet.ledger.entries)
-        await getattr(counter_faults, name)(fleet, server, TROUBLE)
+        await counter_faults.FAULTS[name](fleet, server, TROUBLE)
         recovery = await _recovery(fleet, folder) if name == "cut" else 0.0
         await asyncio.sleep(max(0.0, AFTER - recovery))
         await fleet.settle()
         verdict = fleet.verdict()
-        ceiling, quota = counter_faults.excess(fleet)
-        inside = counter_faults.inside(fleet, mark)
+        ceiling, quota = quota_use.excess(fleet)
+        inside = quota_use.allowed_use(fleet, mark)
     return {
         "ceiling": ceiling,
         "quota": quota,
@@ -62,7 +64,7 @@
 
 async def _recovery(fleet: Fleet, folder: Path) -> float:
     """Seconds from the counter's return until every gateway keeps whole quotas again."""
-    began, members = time.monotonic(), [c.number for c in fleet.clients.population.customers[:12]]
+    began, members = time.monotonic(), [c.number for c in fleet.clients.population.tenants[:12]]
     while time.monotonic() - began < RECOVERED_MOST:
         told = []
         for name in (g.name for g in fleet.gateways):
@@ -93,11 +95,11 @@
             costs: dict[bool, list[float]] = {True: [], False: []}
             calls = requests = 0.0
             for on in (False, True, True, False):
-                own = f'[counter]\nservers = ["{server.named(0)[0]}"]\n' if on else ""
-                looks, began = server.shards[0].looks, time.monotonic()
+                own = f'[counter]\nservers = ["{server.server_texts(0)[0]}"]\n' if on else ""
+                looks, began = server.shards[0].time_commands, time.monotonic()
                 cost, rate = await gateway(work, nodes, Path(folder), span, own, QUOTA, 2)
                 if on:
-                    calls += (server.shards[0].looks - looks) / (time.monotonic() - began)
+                    calls += (server.shards[0].time_commands - looks) / (time.monotonic() - began)
                     requests += rate
                 costs[on].append(cost)
         finally:
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -24,7 +24,8 @@
 
 from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.loopback import Ports, own_address
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
@@ -188,7 +189,7 @@
         "listen": f"{at[0]}:{at[1]}",
         "discovery": f"{agent.address[0]}:{agent.address[1]}",
         "limits": {"memory_mb": 128, "sockets": 2048},
-        "known": listed.whole(0),
+        "known": listed.snapshot(0),
         "peers": [],
         "settings": _settings(),
     }
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -23,7 +23,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from trackspread.testing.harness.billing_check import Billed, compare
+from trackspread.testing.harness.billing_check import BillingComparison, compare
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.judge.ledger import ReplyReceived, RequestSent
 from trackspread.plans.registry import SCHEMA, Figures, PlanRegistry, Version
@@ -100,16 +100,16 @@
     )
 
 
-async def _killed(kills: int) -> tuple[Billed, Counter[str]]:
+async def _killed(kills: int) -> tuple[BillingComparison, Counter[str]]:
     rng = random.Random(kills)
     with tempfile.TemporaryDirectory(prefix="trackspread-use-") as place:
         folder = Path(place)
         server = BillingServer(folder / "billing.db")
-        server.lost = server.busy = 0.1
+        server.answer_loss = server.unavailable_share = 0.1
         await server.start()
         scenario = Scenario(gateways=2, nodes=4, load=0.6, seed=11)
-        async with Fleet(scenario, own=lambda name: _own(folder, server.url, name)) as fleet:
-            fleet.ask()
+        async with Fleet(scenario, operator_file=lambda name: _own(folder, server.url, name)) as fleet:
+            fleet.start_clients()
             for number in range(kills):
                 await asyncio.sleep(rng.uniform(0.05, 0.6))
                 if number % 5 == 4:
@@ -120,14 +120,14 @@
                     print(f"{number + 1} of {kills} kills", file=sys.stderr, flush=True)
             await asyncio.sleep(1.0)
             await fleet.settle()
-            server.lost = server.busy = 0.0
+            server.answer_loss = server.unavailable_share = 0.0
             for name in ("n0", "n1"):
                 ledger = await export_all(folder / name, sender(Target(server.url)), DRAIN_MOST)
                 if not ledger.exported:
                     raise RuntimeError(f"{name} is not exported: {ledger.exporter.trouble}")
-            told = compare(fleet.ledger.entries, server.ledger.totals())
+            told = compare(fleet.ledger.entries, server.database.totals())
         server.close()
-        return told, server.billing.seen
+        return told, server.billing.reply_counts
 
 
 async def _side_by_side(seconds: float, recording: str) -> dict[str, tuple[float, int]]:
@@ -141,8 +141,8 @@
             told = f'[use]\nfolder = "{folder / name}"\nbilling = "{server.url}"\n'
             return told if name == recording else ""
 
-        async with Fleet(Scenario(gateways=2, nodes=9, load=0.9, seed=12), own=own) as fleet:
-            fleet.ask()
+        async with Fleet(Scenario(gateways=2, nodes=9, load=0.9, seed=12), operator_file=own) as fleet:
+            fleet.start_clients()
             await asyncio.sleep(2.0)  # both have their lists, connections and caps
             fleet.ledger.entries.clear()
             before = {gateway.name: gateway.cpu_used_s() for gateway in fleet.gateways}
@@ -249,8 +249,8 @@
         path = Path(place) / "plans.json"
         scenario = Scenario(gateways=4, nodes=4, load=0.5, seed=13)
         plan = scenario.settings(0)["packages"][0]["name"]
-        async with Fleet(scenario, own=lambda name: f'[plans]\nbook = "{path}"\n') as fleet:
-            fleet.ask()
+        async with Fleet(scenario, operator_file=lambda name: f'[plans]\nbook = "{path}"\n') as fleet:
+            fleet.start_clients()
             now = time.time_ns() // 1_000_000
             version = Version(1, now + AHEAD_MS, now, "", {plan: Figures(10.0, 20.0)})
             put(path.parent, path.name, SCHEMA.pack(PlanRegistry((version,))))
@@ -279,7 +279,7 @@
         "kills": kills,
         "units_lost": told.lost / 1e9,
         "units_doubled": told.doubled / 1e9,
-        "units_read": round(told.read / 1e9, 3),
+        "units_read": round(told.served / 1e9, 3),
         "batches_again": seen["again"],
         "conflicts": seen["conflict"],
         "cpu_ratio": round(uvloop.run(_cpu_ratio(pair)), 3),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,12 +23,19 @@
 
 from benchmarks.common import chunks, say
 from trackspread.testing.harness import mutant_gateway, membership_fleet
-from trackspread.testing.harness.fault_run import FaultRun, play_clear
+from trackspread.testing.harness.fault_run import FaultRun, play_until_judged
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.fault_player import Player
+from trackspread.testing.harness.fault_player import FaultPlayer
 from trackspread.membership.identifiers import SECOND
 from trackspread.testing.standins import fault_schedule
-from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Rough, Schedule, draw
+from trackspread.testing.standins.fault_schedule import (
+    Cut,
+    PauseCycle,
+    Fault,
+    DegradedNetwork,
+    Schedule,
+    draw,
+)
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.membership.world import InvariantViolated, World
 from trackspread.testing.virtual.membership.mutants import MUTANTS, convict
@@ -60,11 +67,11 @@
 
 
 async def _faulty(fleet: Fleet, seconds: float, *made: Fault) -> None:
-    await Player(fleet, Schedule("bench", 1, len(fleet.gateways), seconds, made)).play()
+    await FaultPlayer(fleet, Schedule("bench", 1, len(fleet.gateways), seconds, made)).play()
 
 
 def _cut(span: float, some: list[str], others: list[str]) -> Cut:
-    return Cut(0.0, span, fault_schedule.parted(some, others))
+    return Cut(0.0, span, fault_schedule.partition(some, others))
 
 
 async def _idle(count: int) -> float:
@@ -84,7 +91,7 @@
     """Members that run and were taken for dead by somebody."""
     said = {
         b.about["who"][0]  # type: ignore[index]
-        for b in fleet.beliefs()
+        for b in fleet.records()
         if b.at > since and b.kind == "member" and b.about["state"] == "DEAD"
     }
     return len(said)
@@ -92,29 +99,29 @@
 
 async def _joined(fleet: Fleet, numbers: list[int], what: str) -> float:
     """s from the last one's start, as it records it, until all hold one view of just those that run."""
-    await fleet.begin(numbers)
-    return await _settled(fleet, what, membership_fleet.started(fleet, numbers))
+    await fleet.start_gateways(numbers)
+    return await _settled(fleet, what, membership_fleet.started_at(fleet, numbers))
 
 
 async def _large(count: int, quick: bool) -> dict[str, float]:
     """All of it on one fleet, under some load."""
     names = [f"n{n}" for n in range(count)]
-    async with Fleet(Scenario(gateways=count, nodes=6, load=0.2, seed=2), viewed="") as fleet:
-        since = membership_fleet.started(fleet, range(count))
+    async with Fleet(Scenario(gateways=count, nodes=6, load=0.2, seed=2), view_settings="") as fleet:
+        since = membership_fleet.started_at(fleet, range(count))
         made = {"settle_s_start": await _settled(fleet, f"{count} started", since)}
         made["cpu_share"] = await _used(fleet)
-        fleet.ask()
-        await fleet.end([count - 1])
+        fleet.start_clients()
+        await fleet.stop_gateways([count - 1])
         made["detect_s_worst"] = await _settled(fleet, "one killed")
-        await fleet.end([1])  # a seed, and now and then the coordinator
+        await fleet.stop_gateways([1])  # a seed, and now and then the coordinator
         made["settle_s_seed"] = await _settled(fleet, "a seed killed")
         made["settle_s_join"] = await _joined(fleet, [1, count - 1], "two joined")
         five = list(range(count // 2, count // 2 + 5))
-        await fleet.end(five)
+        await fleet.stop_gateways(five)
         made["settle_s_crash"] = await _settled(fleet, "five killed")
         await _joined(fleet, five, "five joined")
         await _faulty(
-            fleet, 10.0, Cut(0.0, 10.0, fault_schedule.parted(names[: count // 2], names[count // 2 :]))
+            fleet, 10.0, Cut(0.0, 10.0, fault_schedule.partition(names[: count // 2], names[count // 2 :]))
         )
         made["settle_s_heal"] = await _settled(fleet, "halves healed")
         since = time.monotonic_ns()
@@ -123,12 +130,12 @@
         await _faulty(
             fleet,
             span,
-            Rough(0.0, span, fault_schedule.among(names), ("udp",), loss=0.1),
-            Duty(0.0, span, slow, 0.3, 0.3),
+            DegradedNetwork(0.0, span, fault_schedule.all_directions(names), ("udp",), loss=0.1),
+            PauseCycle(0.0, span, slow, 0.3, 0.3),
         )
         made["false_dead"] = _dead(fleet, since)
         await fleet.settle()
-        amiss, most = membership_fleet.amiss(fleet)
+        amiss, most = membership_fleet.check_records(fleet)
         verdict = fleet.verdict()
         for each in amiss[:3]:
             say(f"AMISS: {each.rule}: {each.text}")
@@ -145,11 +152,13 @@
     """What a fleet with this fault does wrong; nothing if nothing is told. Without one: nothing may be."""
     command = mutant_gateway.command(planted) if planted else ("-m", "trackspread", "run")
     names = [f"n{n}" for n in range(SMALL)]
-    async with Fleet(Scenario(gateways=SMALL, nodes=3, load=0.1, seed=seed), command, viewed="") as fleet:
+    async with Fleet(
+        Scenario(gateways=SMALL, nodes=3, load=0.1, seed=seed), command, view_settings=""
+    ) as fleet:
         steps: list[tuple[str, float, Callable[[], Awaitable[None]]]] = [
             ("start", 6.0, lambda: asyncio.sleep(0.0)),
             ("a join", 3.0, lambda: fleet.restart([4], 0.2)),
-            ("a crash", 6.0, lambda: fleet.end([4])),
+            ("a crash", 6.0, lambda: fleet.stop_gateways([4])),
             ("halves", 6.0, lambda: _faulty(fleet, 5.0, _cut(5.0, names[:2], names[2:]))),
             ("other halves", 6.0, lambda: _faulty(fleet, 3.0, _cut(3.0, names[:3], names[3:]))),
         ]
@@ -158,7 +167,7 @@
             await step()
             if await membership_fleet.until_settled(fleet, most) is None:
                 found = f"not settled {most:.0f} s after {what}"
-            amiss, _ = membership_fleet.amiss(fleet)
+            amiss, _ = membership_fleet.check_records(fleet)
             if amiss:
                 found = amiss[0].text
             if found:
@@ -171,8 +180,9 @@
     seed, view = job
     gc.disable()
     names = [f"n{n}" for n in range(FARING)]
-    cut = Cut(5.0, 7.0, fault_schedule.parted(names[: FARING // 2], names[FARING // 2 :]))
-    return uvloop.run(play_clear(Schedule("halves", seed, FARING, 18.0, (cut,)), TRIES, view=view))
+    cut = Cut(5.0, 7.0, fault_schedule.partition(names[: FARING // 2], names[FARING // 2 :]))
+    schedule = Schedule("halves", seed, FARING, 18.0, (cut,))
+    return uvloop.run(play_until_judged(schedule, TRIES, view_settings=view))
 
 
 def _faring(seeds: tuple[int, ...]) -> dict[str, float]:
@@ -181,21 +191,22 @@
     with multiprocessing.get_context("spawn").Pool(2, maxtasksperchild=1) as pool:
         found = list(zip(jobs, pool.imap(_fares, jobs), strict=True))
     share = {
-        kind: [sum(p.with_room[1:]) for (_, view), p in found if (view is None) is kind]
+        kind: [sum(p.refused_with_quota[1:]) for (_, view), p in found if (view is None) is kind]
         for kind in (False, True)
     }
     for (seed, view), played in found:
+        refused = played.refused_with_quota
         say(
             f"halves, seed {seed}, {'without' if view is None else 'with'} a view: {played.state}, refused "
-            f"with room {played.with_room[1]:.1%} and {played.with_room[2]:.1%} after, beyond quotas "
-            f"{played.beyond:.2%}, over a ceiling by {played.over_ceiling:.0%} of its slack"
+            f"with room {refused.during:.1%} and {refused.after:.1%} after, beyond quotas "
+            f"{played.excess_share:.2%}, over a ceiling by {played.hard_limit_excess:.0%} of its slack"
         )
     with_view = [p for (_, view), p in found if view is not None]
     return {
         "refused_with_room_ratio": round(sum(share[False]) / max(1e-9, sum(share[True])), 3),
-        "rights_excess": round(max(p.over_ceiling for p in with_view), 3),
-        "beyond_quotas": round(max(p.beyond for p in with_view), 4),
-        "faring_broken": sum(len(p.broken) for p in with_view),
+        "rights_excess": round(max(p.hard_limit_excess for p in with_view), 3),
+        "beyond_quotas": round(max(p.excess_share for p in with_view), 4),
+        "faring_broken": sum(len(p.violations) for p in with_view),
     }
 
 
@@ -204,13 +215,13 @@
     gc.disable()
 
     async def once(played: int) -> str | None:
-        async with Fleet(Scenario(gateways=12, nodes=6, load=0.15, seed=played), viewed="") as fleet:
+        async with Fleet(Scenario(gateways=12, nodes=6, load=0.15, seed=played), view_settings="") as fleet:
             await membership_fleet.until_settled(fleet, 15.0)
-            fleet.ask()
-            await Player(fleet, draw(played, 12, 14.0, 1.0, 1.0)).play()
+            fleet.start_clients()
+            await FaultPlayer(fleet, draw(played, 12, 14.0, 1.0, 1.0)).play()
             took = await membership_fleet.until_settled(fleet, 8.0)
             await fleet.settle()
-            verdict, (amiss, _) = fleet.verdict(), membership_fleet.amiss(fleet)
+            verdict, (amiss, _) = fleet.verdict(), membership_fleet.check_records(fleet)
             if verdict.state == "void":
                 return None
             broken = [f"{v.rule}: {v.text}" for v in verdict.violations] + [a.text for a in amiss]
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -24,7 +24,8 @@
 from trackspread.testing.harness.upgradable_gateway import UpgradableGateway, gateway_stats
 from trackspread.testing.judge.ledger import Ledger
 from trackspread.testing.standins.client_population import ClientRequest
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.loopback import Address, Ports, own_address
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
@@ -67,7 +68,7 @@
             "listen": f"{at[0]}:{at[1]}",
             "discovery": f"{self.agent.address[0]}:{self.agent.address[1]}",
             "limits": {"memory_mb": LIMIT_MB, "sockets": 512},
-            "known": self.listed.whole(0),
+            "known": self.listed.snapshot(0),
             "peers": [],
             "settings": _settings([_class(), _class("charge-post", "single_shot")]),
         }
@@ -208,22 +209,22 @@
 async def upgrades(span: float, rounds: int) -> dict[str, float]:
     """Each gateway is replaced by a new process under load, `rounds` times."""
     scenario = Scenario(load=LOAD, seed=7)
-    async with Fleet(scenario, held=True) as fleet:
+    async with Fleet(scenario, upgradable=True) as fleet:
         held = [each for each in fleet.gateways if isinstance(each, UpgradableGateway)]
         again = 0
-        once_more = fleet.clients.once_more
+        once_more = fleet.clients.resend
 
         def counted(want: ClientRequest, request: str) -> None:
             nonlocal again
             again += 1
             once_more(want, request)
 
-        fleet.clients.once_more = counted  # type: ignore[method-assign]
-        fleet.ask()
+        fleet.clients.resend = counted  # type: ignore[method-assign]
+        fleet.start_clients()
         await asyncio.sleep(span)
         told = [await gateway_stats(each.control_address) for each in held]
         served = sum(v for one in told for k, v in one.items() if k.startswith("served."))
-        error = abs(served - fleet.clients.kinds["served"]) / max(1, served)
+        error = abs(served - fleet.clients.outcome_counts["served"]) / max(1, served)
         waits = [await each.upgrade() for _ in range(rounds) for each in held]
         await asyncio.sleep(span)
         await fleet.settle()
@@ -232,7 +233,7 @@
             print(f"{each.rule}: {each.text}", file=sys.stderr)
         return {
             "figures_error": round(error, 4),
-            "upgrade_lost": fleet.clients.kinds["cut"] + verdict.figures.unanswered,
+            "upgrade_lost": fleet.clients.outcome_counts["cut"] + verdict.figures.unanswered,
             "upgrade_crossed": round(again / count, 3),
             "upgrade_ready_s": round(max(waits), 2),
             "quota_over": round(verdict.figures.beyond_share, 4),
--- a/benchmarks/parted.py
+++ b/benchmarks/parted.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from benchmarks.common import say
-from trackspread.testing.harness.fault_run import AGAIN, FaultRun, play_clear
+from trackspread.testing.harness.fault_run import SEED_STEP, FaultRun, play_until_judged
 from trackspread.testing.standins import fault_schedule
 from trackspread.testing.standins.fault_schedule import Schedule
 
@@ -39,13 +39,13 @@
     """The troubles of the table, for so many gateways."""
     names, half = _names(count), count // 2
     return {
-        "calm": (fault_schedule.Calm(LEAD, span),),
-        "halves": (fault_schedule.Cut(LEAD, span, fault_schedule.parted(names[:half], names[half:])),),
+        "calm": (fault_schedule.NoFault(LEAD, span),),
+        "halves": (fault_schedule.Cut(LEAD, span, fault_schedule.partition(names[:half], names[half:])),),
         "one way": (fault_schedule.Cut(LEAD, span, fault_schedule.one_way(names[:half], names[half:])),),
         "ring": (fault_schedule.Cut(LEAD, span, fault_schedule.ring(names)),),
-        "one stopped 5 s": (fault_schedule.Halt(LEAD, 5.0, (1,)),),
-        "one in a duty cycle": (fault_schedule.Duty(LEAD, span, (1,), 0.3, 0.3),),
-        "one killed in a loop": (fault_schedule.Loop(LEAD, span, 1, 0.3),),
+        "one stopped 5 s": (fault_schedule.Pause(LEAD, 5.0, (1,)),),
+        "one in a duty cycle": (fault_schedule.PauseCycle(LEAD, span, (1,), 0.3, 0.3),),
+        "one killed in a loop": (fault_schedule.CrashLoop(LEAD, span, 1, 0.3),),
         "all by SIGTERM": (fault_schedule.Restart(LEAD, 0.5, tuple(range(count)), False),),
     }
 
@@ -53,15 +53,16 @@
 def _play(job: tuple[Schedule, str, str | None]) -> FaultRun:
     schedule, keep, view = job
     gc.disable()  # a collection over the ledger would be a lag
-    return uvloop.run(play_clear(schedule, TRIES, Path(keep) if keep else None, view))
+    return uvloop.run(play_until_judged(schedule, TRIES, Path(keep) if keep else None, view))
 
 
 def _line(played: FaultRun, calm: float) -> str:
     f = played
+    refused = f.refused_with_quota
     return (
-        f"| {f.gateways} | {f.name} | {f.seed} | {f.state} | {f.tries} | {f.late_by_halt} | "
-        f"{f.with_room[0]:.1%}, {f.with_room[1]:.1%}, {f.with_room[2]:.1%} | {f.beyond:.2%} | "
-        f"{f.beyond_worst:.0%} | {f.right_again(calm):.0f} |"
+        f"| {f.gateways} | {f.name} | {f.seed} | {f.state} | {f.requests} | {f.late_by_pause} | "
+        f"{refused.before:.1%}, {refused.during:.1%}, {refused.after:.1%} | {f.excess_share:.2%} | "
+        f"{f.worst_excess_share:.0%} | {f.recovery_s(calm):.0f} |"
     )
 
 
@@ -92,37 +93,37 @@
     with multiprocessing.get_context("spawn").Pool(side, maxtasksperchild=1) as pool:
         for played in pool.imap(_play, jobs):
             if played.name == "calm":
-                calm[played.gateways, played.seed % AGAIN] = played.with_room[1]
+                calm[played.gateways, played.seed % SEED_STEP] = played.refused_with_quota.during
             found.append(played)
             if played.state == "void":
                 say(f"  the rig lagged by {played.lag_ms:.0f} ms")
-            say(_line(played, calm[played.gateways, played.seed % AGAIN]))
-            for text in played.broken[:3]:
+            say(_line(played, calm[played.gateways, played.seed % SEED_STEP]))
+            for text in played.violations[:3]:
                 say(f"  {text}")
     last: dict[str, Any] = {
         "plays": len(found),
         "void": sum(p.state == "void" for p in found),
-        "violations": sum(len(p.broken) for p in found),
+        "violations": sum(len(p.violations) for p in found),
     }
     for count in sizes:
         for name in chosen:
             same = [p for p in found if (p.gateways, p.name) == (count, name)]
             key = f"{name.replace(' ', '_')}_{count}"
-            last[f"with_room_{key}"] = round(sum(p.with_room[1] for p in same) / len(same), 4)
-            last[f"beyond_{key}"] = round(sum(p.beyond for p in same) / len(same), 4)
-            last[f"over_ceiling_{key}"] = round(max(p.over_ceiling for p in same), 4)
-            last[f"after_{key}"] = round(sum(p.with_room[2] for p in same) / len(same), 4)
-            last[f"right_again_s_{key}"] = max(p.right_again(calm[count, p.seed % AGAIN]) for p in same)
+            last[f"with_room_{key}"] = round(sum(p.refused_with_quota.during for p in same) / len(same), 4)
+            last[f"beyond_{key}"] = round(sum(p.excess_share for p in same) / len(same), 4)
+            last[f"over_ceiling_{key}"] = round(max(p.hard_limit_excess for p in same), 4)
+            last[f"after_{key}"] = round(sum(p.refused_with_quota.after for p in same) / len(same), 4)
+            last[f"right_again_s_{key}"] = max(p.recovery_s(calm[count, p.seed % SEED_STEP]) for p in same)
     return last
 
 
 def replay(path: Path, view: str | None) -> int:
     """One kept schedule; its violations line by line."""
     played = _play((fault_schedule.load(path), "", view))
-    for text in played.broken:
+    for text in played.violations:
         print(text)
-    print(json.dumps({"state": played.state, "violations": len(played.broken)}))
-    return 1 if played.broken else 0
+    print(json.dumps({"state": played.state, "violations": len(played.violations)}))
+    return 1 if played.violations else 0
 
 
 def main() -> int:
--- a/benchmarks/scale/beside.py
+++ b/benchmarks/scale/beside.py
@@ -97,14 +97,14 @@
         self._at: dict[str, Address] = {f"n{n}": (self._ports.host(), MEMBER_PORT) for n in range(count)}
         self._seeds, self._most, self._name = seeds, most, fleet
         scenario = shared_scenario(
-            Scenario(gateways=count, nodes=nodes, load=LOAD, greedy=0.0, seed=49), members
+            Scenario(gateways=count, nodes=nodes, load=LOAD, greedy_share=0.0, seed=49), members
         )
-        self._fleet = Fleet(scenario, own=self._table)
+        self._fleet = Fleet(scenario, operator_file=self._table)
         self._records = [Record(self._record(name)) for name in self._at]
 
     async def __aenter__(self) -> RealGateways:
         await self._fleet.__aenter__()
-        self._fleet.ask()
+        self._fleet.start_clients()
         return self
 
     async def __aexit__(
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -29,7 +29,8 @@
 from benchmarks.cost import SERVED, _settings, spawn
 from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.loopback import Ports
 
 from .module import SERVICE_BACKENDS, this_run
@@ -96,7 +97,7 @@
     def whole(self) -> None:
         """To every watch."""
         for watch in self._watches:
-            watch.tell(self.listed.whole(self.gateway))
+            watch.send_update(self.backend_list.snapshot(self.gateway))
 
 
 class Caller(asyncio.Protocol):
@@ -220,7 +221,7 @@
         "listen": f"{at[0]}:{at[1]}",
         "discovery": f"{agent.address[0]}:{agent.address[1]}",
         "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": listed.whole(0),
+        "known": listed.snapshot(0),
         "peers": [peer],
         "peer_listen": peer,
         "settings": _settings(QUOTA, 1),
--- a/benchmarks/version_handover.py
+++ b/benchmarks/version_handover.py
@@ -32,7 +32,7 @@
     ConnectionLost,
     ClientDisconnected,
 )
-from trackspread.testing.standins.client_population import Customer, ClientRequest
+from trackspread.testing.standins.client_population import Tenant, ClientRequest
 from trackspread.testing.standins.rating_node import SECOND
 from trackspread.testing.standins.scenario import MILLISECOND, PLANS, Scenario
 
@@ -76,7 +76,7 @@
 
     def __init__(self, fleet: Fleet, position: int, first_request: int) -> None:
         number = GREEDY_CUSTOMERS + position
-        self.customer = Customer(number, GREEDY_PLAN, 0.0, 1, position, [1.0])
+        self.customer = Tenant(number, GREEDY_PLAN, 0.0, 1, position, [1.0])
         self._fleet, self._position, self._request = fleet, position, first_request
         self.began = time.monotonic_ns()
         self._task = asyncio.get_running_loop().create_task(self._ask())
@@ -85,11 +85,11 @@
         clients = self._fleet.clients
         while True:
             self._request += 1
-            origin = clients.population.name(self._request, 0)
+            origin = clients.population.request_name(self._request, 0)
             want = ClientRequest(
                 origin, self.customer, "rate-lookup", self._position, 1.0, "", GREEDY_WAIT, 9
             )
-            clients._begin(want, 1)
+            clients.send(want, 1)
             await asyncio.sleep(GREEDY_PAUSE_S)
 
     async def over_quota(self) -> float:
@@ -123,10 +123,12 @@
 ) -> dict[str, float]:
     """All gateways go from `old` to `new`, back, and so on: `rounds` times to `new`."""
     scenario = Scenario(load=LOAD, seed=seed)
-    async with Fleet(scenario, held=True, own=lambda name: "[log]\nlevel = 'info'\n") as fleet:
+    async with Fleet(
+        scenario, upgradable=True, operator_file=lambda name: "[log]\nlevel = 'info'\n"
+    ) as fleet:
         held = [each for each in fleet.gateways if isinstance(each, Versioned)]
         assert len(held) == scenario.gateways and all(each.runs() == old for each in held)
-        fleet.ask()
+        fleet.start_clients()
         await asyncio.sleep(span)
         overs, waits, numbers = list[float](), list[float](), GREEDY_REQUESTS
         for turn in range(2 * rounds - 1):
@@ -160,7 +162,7 @@
             "served": verdict.figures.served,
             "lost": lost,
             "answered_twice": twice,
-            "left": fleet.clients.kinds["left"],
+            "left": fleet.clients.outcome_counts["left"],
             "worst_over_quota": round(max(overs), 2),
             "state_missed": sum(over > STRAY_UNITS for over in overs),
             "violations": len(verdict.violations),
--- a/tests/test_cells_process.py
+++ b/tests/test_cells_process.py
@@ -14,7 +14,7 @@
 
 from trackspread.membership.identifiers import MS
 from trackspread.testing.harness import membership_fleet
-from trackspread.testing.harness.cell_fleet import CONTROL_COMMAND, CelledFleet, whole_cells
+from trackspread.testing.harness.cell_fleet import CONTROL_COMMAND, CelledFleet, unsettled_cells
 from trackspread.testing.standins.scenario import Scenario
 
 pytestmark = pytest.mark.processes
@@ -32,8 +32,8 @@
 async def settled(fleet: CelledFleet, most: float = SETTLED) -> None:
     loop = asyncio.get_running_loop()
     end = loop.time() + most
-    while amiss := whole_cells(fleet):
-        assert loop.time() < end, f"{amiss}; {[c.log_tail(2) for c in fleet.control.values()]}"
+    while amiss := unsettled_cells(fleet):
+        assert loop.time() < end, f"{amiss}; {[c.log_tail(2) for c in fleet.control_machines.values()]}"
         await asyncio.sleep(LOOK)
 
 
@@ -54,18 +54,18 @@
     """The rules, and all records, are decided on after it; a run in which the rig lagged is played again."""
 
     async def once() -> bool:
-        scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance=200 * MS)
-        async with CelledFleet(scenario, CONTROL, keys, controls=controls) as fleet:
+        scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance_ns=200 * MS)
+        async with CelledFleet(scenario, CONTROL, keys, control_command=controls) as fleet:
             await settled(fleet, START)
-            fleet.ask()
+            fleet.start_clients()
             await work(fleet)
             await fleet.settle()
-            amiss = fleet.amiss_in_cells()
+            amiss = fleet.inconsistencies()
             verdict = fleet.verdict()
             if verdict.state == "void" and not amiss:
                 return False
             if verdict.state == "broken" or amiss:
-                membership_fleet.keep(fleet, KEPT)
+                membership_fleet.save_run(fleet, KEPT)
             assert amiss == []
             assert verdict.state == "kept", verdict.violations
             return True
@@ -77,14 +77,14 @@
 
 
 def moves(fleet: CelledFleet, since: int) -> list[str]:
-    return [each.name for each in fleet.beliefs() if each.at > since and each.kind == "parted"]
+    return [each.name for each in fleet.records() if each.at > since and each.kind == "parted"]
 
 
 def cut(fleet: CelledFleet, some: list[str], others: list[str], hole: bool) -> None:
     """What the ones say to the others."""
     for a in some:
         for b in others:
-            fleet.wire.between(a, b, "udp").hole = fleet.wire.between(a, b, "tcp").hole = hole
+            fleet.network.path(a, b, "udp").blackhole = fleet.network.path(a, b, "tcp").blackhole = hole
 
 
 async def command(*words: str) -> tuple[int | None, str]:
@@ -103,9 +103,11 @@
 
 def direct(fleet: CelledFleet, name: str) -> Path:
     """A control machine's file with the addresses themselves: the wire knows no stranger's questions."""
-    text = fleet.table(name)
+    text = fleet.fleet_table(name)
     for each in fleet.control_names:
-        text = text.replace("{}:{}".format(*fleet.reached[each]), "{}:{}".format(*fleet.members[each]))
+        text = text.replace(
+            "{}:{}".format(*fleet.advertised_addresses[each]), "{}:{}".format(*fleet.member_addresses[each])
+        )
     (fleet.folder / "direct.toml").write_text(text)
     return fleet.folder / "direct.toml"
 
@@ -116,19 +118,19 @@
 
 def test_a_leader_and_coordinators_end_and_the_operator_sees_the_cells() -> None:
     async def work(fleet: CelledFleet) -> None:
-        doors = ["{}:{}".format(*fleet.doors[name]) for name in names(fleet)]
+        doors = ["{}:{}".format(*fleet.control_addresses[name]) for name in names(fleet)]
         status, out = await command("fleet", "view", *doors, "--wait", "10")
         assert status == 0, out
         assert out.count("cell r.z0.") == out.count("cell r.z1.") == GATEWAYS // 2
         leader = fleet.leader()
-        await fleet.control[leader].kill()  # it coordinates some cell too, or its seat there is lost
+        await fleet.control_machines[leader].kill()  # it coordinates some cell too, or its seat there is lost
         await until(lambda: fleet.leader() not in ("", leader))
         await settled(fleet)
-        await fleet.end([4])
+        await fleet.stop_gateways([4])
         await settled(fleet)
-        await fleet.begin([4])
+        await fleet.start_gateways([4])
         await settled(fleet)
-        await fleet.control[leader].start()
+        await fleet.control_machines[leader].start()
         file = str(direct(fleet, leader))
 
         async def listed() -> str:
@@ -138,17 +140,17 @@
             while f"2 cells, {GATEWAYS} gateways" not in await listed():
                 await asyncio.sleep(LOOK)
         other = next(name for name in fleet.control_names if name not in (leader, fleet.leader()))
-        assert await fleet.control[other].end() == 0
+        assert await fleet.control_machines[other].end() == 0
 
     play(work)
 
 
 def test_half_of_the_fleet_starts_anew_and_a_stopped_one_wakes_with_an_old_lease() -> None:
     async def work(fleet: CelledFleet) -> None:
-        before = fleet.cells()
+        before = fleet.cells_by_gateway()
         await fleet.restart([0, 1, 2], 0.2)
         await settled(fleet)
-        assert fleet.cells() == before, "all come back to the cells that they were in"
+        assert fleet.cells_by_gateway() == before, "all come back to the cells that they were in"
         fleet.gateways[5].pause()
         await asyncio.sleep(6.0)  # over the life of what it holds
         fleet.gateways[5].resume()
@@ -159,21 +161,21 @@
 
 def test_two_that_believe_they_lead_and_control_machines_that_all_start_anew() -> None:
     async def work(fleet: CelledFleet) -> None:
-        since = fleet.beliefs()[-1].at
+        since = fleet.records()[-1].at
         leader = fleet.leader()
-        fleet.control[leader].signal(signal.SIGSTOP)
+        fleet.control_machines[leader].signal(signal.SIGSTOP)
         await until(lambda: fleet.leader() not in ("", leader))
-        fleet.control[leader].signal(signal.SIGCONT)
+        fleet.control_machines[leader].signal(signal.SIGCONT)
         await settled(fleet)
-        for control in fleet.control.values():
+        for control in fleet.control_machines.values():
             await control.kill()
-        for control in fleet.control.values():
+        for control in fleet.control_machines.values():
             await control.start()
         await until(
             lambda: (
                 fleet.leader() != ""
                 and any(
-                    each.kind == "control leads" and each.name == fleet.leader() for each in fleet.beliefs()
+                    each.kind == "control leads" and each.name == fleet.leader() for each in fleet.records()
                 )
             )
         )
@@ -185,7 +187,7 @@
 
 def test_cells_that_reach_no_control_machine_or_one_way_only_go_on_and_heal_without_a_move() -> None:
     async def work(fleet: CelledFleet) -> None:
-        since = fleet.beliefs()[-1].at
+        since = fleet.records()[-1].at
         cut(fleet, names(fleet), fleet.control_names, True)
         cut(fleet, fleet.control_names, names(fleet), True)
         await asyncio.sleep(6.0)
@@ -203,20 +205,20 @@
 
 def test_gateways_move_when_a_control_machine_is_gone_for_good_and_when_cells_are_merged() -> None:
     async def work(fleet: CelledFleet) -> None:
-        since = fleet.beliefs()[-1].at
-        before = fleet.cells()
+        since = fleet.records()[-1].at
+        before = fleet.cells_by_gateway()
         assert len(set(before.values())) == 4, "two gateways and one in each zone"
         gone = next(name for name in fleet.control_names if name != fleet.leader())
-        await fleet.control[gone].kill()
-        await until(lambda: bool(moves(fleet, since)) and whole_cells(fleet) == "", 60.0)
+        await fleet.control_machines[gone].kill()
+        await until(lambda: bool(moves(fleet, since)) and unsettled_cells(fleet) == "", 60.0)
         await settled(fleet)
         # Of the cell of two in zone z0 one ends for good: what is left of it is merged with the other.
-        cells = fleet.cells()
+        cells = fleet.cells_by_gateway()
         in_zone = [name for name in names(fleet) if cells[name].startswith("r.z0.")]
         of_two = next(name for name in in_zone if list(cells.values()).count(cells[name]) == 2)
-        await fleet.end([int(of_two[1:])])
+        await fleet.stop_gateways([int(of_two[1:])])
         left = [name for name in in_zone if name != of_two]
-        await until(lambda: len({fleet.cells().get(name) for name in left}) == 1, 60.0)
+        await until(lambda: len({fleet.cells_by_gateway().get(name) for name in left}) == 1, 60.0)
         await settled(fleet)
 
     play(work, QUICK)
@@ -224,8 +226,8 @@
 
 def test_cells_that_heal_one_after_the_other_are_not_merged_meanwhile() -> None:
     async def work(fleet: CelledFleet) -> None:
-        since = fleet.beliefs()[-1].at
-        cells = fleet.cells()
+        since = fleet.records()[-1].at
+        cells = fleet.cells_by_gateway()
         in_zone = [name for name in names(fleet) if cells[name].startswith("r.z0.")]
         alone = next(name for name in in_zone if list(cells.values()).count(cells[name]) == 1)
         others = [name for name in names(fleet) if name != alone]
@@ -248,24 +250,28 @@
 
 def gateways_seen(fleet: CelledFleet, cell: str) -> set[str]:
     """Gateways in the newest view of a cell that its control machines hold."""
-    held = [each for each in fleet.of(cell) if each.kind == "view" and each.name in fleet.control_names]
+    held = [
+        each
+        for each in fleet.records_of_cell(cell)
+        if each.kind == "view" and each.name in fleet.control_names
+    ]
     members = {name for name, _ in held[-1].about["members"]} if held else set()  # type: ignore[attr-defined]
     return members - set(fleet.control_names)
 
 
 def by_zone(fleet: CelledFleet) -> bool:
     """Whether each gateway is in a cell of its own zone."""
-    return all(cell.startswith(f"r.z{int(name[1:]) % 2}.") for name, cell in fleet.cells().items())
+    return all(cell.startswith(f"r.z{int(name[1:]) % 2}.") for name, cell in fleet.cells_by_gateway().items())
 
 
 def seeded_by(fleet: CelledFleet, control: str) -> set[str]:
     """Gateways in cells that a control machine seeds."""
     cells = {
         str(each.about["cell"])
-        for each in fleet.beliefs()
+        for each in fleet.records()
         if each.kind == "control seeds" and each.name == control
     }
-    return {name for name, cell in fleet.cells().items() if cell in cells}
+    return {name for name, cell in fleet.cells_by_gateway().items() if cell in cells}
 
 
 async def told(fleet: CelledFleet) -> str:
@@ -274,7 +280,7 @@
         await settled(fleet, START)
         if not by_zone(fleet):
             return "a gateway is in a cell of another zone"
-        since = fleet.beliefs()[-1].at
+        since = fleet.records()[-1].at
         cut(fleet, names(fleet), fleet.control_names, True)
         await asyncio.sleep(8.0)
         cut(fleet, names(fleet), fleet.control_names, False)
@@ -285,13 +291,13 @@
         gone = max(others, key=lambda name: len(seeded_by(fleet, name)))
         left = seeded_by(fleet, gone)
         assert left, "no gateway is in a cell that this control machine seeds"
-        await fleet.control[gone].kill()
+        await fleet.control_machines[gone].kill()
         # All of them: a cell that is given up too early is told by whoever is still in it.
-        await until(lambda: left <= set(moves(fleet, since)) and whole_cells(fleet) == "")
+        await until(lambda: left <= set(moves(fleet, since)) and unsettled_cells(fleet) == "")
         await settled(fleet)
     except (AssertionError, TimeoutError) as error:
         return f"not settled: {error}"
-    return "; ".join(each.text for each in fleet.amiss_in_cells()[:2])
+    return "; ".join(each.text for each in fleet.inconsistencies()[:2])
 
 
 PLANTED = (
--- a/tests/test_cells_records.py
+++ b/tests/test_cells_records.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from trackspread.testing.harness.cell_fleet import backward, given_up, lingering, together
+from trackspread.testing.harness.cell_records import (
+    double_memberships,
+    older_placements,
+    retired_with_members,
+    unreturned_slots,
+)
 from trackspread.testing.judge.membership_records import MembershipRecord
 
 
@@ -16,22 +21,26 @@
 
 def test_one_that_leaves_before_it_joins_by_newer_words_is_in_order() -> None:
     told = [joined(1, "a", 1), parted(2, "a"), joined(2, "b", 2), joined(3, "a", 1, "h")]
-    assert not backward(told) and not together(told)
-    assert not backward([joined(1, "a", 4), joined(2, "a", 1, born=2)]), "another process knows nothing of it"
+    assert not older_placements(told) and not double_memberships(told)
+    assert not older_placements([joined(1, "a", 4), joined(2, "a", 1, born=2)]), (
+        "another process knows nothing of it"
+    )
 
 
 def test_one_that_goes_back_or_is_in_two_cells_is_told() -> None:
-    assert [each.at for each in backward([joined(1, "a", 2), parted(2, "a"), joined(3, "b", 1)])] == [3]
-    assert [each.at for each in together([joined(1, "a", 1), joined(2, "b", 2)])] == [2]
+    assert [each.at for each in older_placements([joined(1, "a", 2), parted(2, "a"), joined(3, "b", 1)])] == [
+        3
+    ]
+    assert [each.at for each in double_memberships([joined(1, "a", 1), joined(2, "b", 2)])] == [2]
 
 
 def test_one_that_keeps_its_slots_or_loses_its_cell_is_told() -> None:
     part = MembershipRecord(2, "g", 1, "part", {"fleet": "a", "part": "0-9", "lasts": 100})
     left = MembershipRecord(3, "g", 1, "left", {"fleet": "a"})
-    assert [each.at for each in lingering([joined(1, "a", 1), part, parted(4, "a")])] == [4]
-    assert not lingering([joined(1, "a", 1), part, left, parted(4, "a")])
-    assert not lingering([joined(1, "a", 1), part, parted(200, "a")]), "it had ended"
+    assert [each.at for each in unreturned_slots([joined(1, "a", 1), part, parted(4, "a")])] == [4]
+    assert not unreturned_slots([joined(1, "a", 1), part, left, parted(4, "a")])
+    assert not unreturned_slots([joined(1, "a", 1), part, parted(200, "a")]), "it had ended"
     retired = MembershipRecord(9, "c", 1, "control retired", {"cell": "a"})
-    assert [each.at for each in given_up([joined(1, "a", 1), retired], [])] == [9]
-    assert not given_up([joined(1, "a", 1), parted(4, "a"), joined(4, "b", 2), retired], [])
-    assert not given_up([joined(1, "a", 1), retired], [(5, "g")]), "it was killed"
+    assert [each.at for each in retired_with_members([joined(1, "a", 1), retired], [])] == [9]
+    assert not retired_with_members([joined(1, "a", 1), parted(4, "a"), joined(4, "b", 2), retired], [])
+    assert not retired_with_members([joined(1, "a", 1), retired], [(5, "g")]), "it was killed"
--- a/tests/test_client_left_process.py
+++ b/tests/test_client_left_process.py
@@ -324,7 +324,7 @@
     async def test() -> None:
         server = CounterServer([Shard(0)], 2)
         await server.start()
-        own = f'[counter]\nservers = ["{server.named(0)[0]}"]\npartitions = 1\n'
+        own = f'[counter]\nservers = ["{server.server_texts(0)[0]}"]\npartitions = 1\n'
         plan = plan_settings("team", 10.0, 2.0)  # none of it is kept here before a word comes
         async with gateway(tmp_path, operator=own, packages=[plan]) as process:
             await heard_counter(process)
@@ -333,18 +333,18 @@
 
             def held(gateway: int, words: tuple[bytes, ...], now: int, asking: bool = False) -> Any:
                 if asked_of in words:
-                    server.delay = HELD
+                    server.delay_s = HELD
                 return execute(gateway, words, now, asking)
 
             shard.execute = held  # type: ignore[method-assign]
             client = Customer(process.port)
             client.send(call(customer=b"%016x" % ELSEWHERE))
-            while not (asking := [line for line in server.lines if line._waiting]):
+            while not (asking := [line for line in server.connections if line._delayed]):
                 await asyncio.sleep(0)
             with stopped(process):
                 (transport,) = [line._transport for line in asking if line._transport is not None]
                 descriptor = transport.get_extra_info("socket").fileno()
-                os.write(descriptor, b"".join(asking[0]._waiting))
+                os.write(descriptor, b"".join(asking[0]._delayed))
                 client.leave(how)
             assert await ended(process) == 0
         server.close()
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -18,7 +18,7 @@
 from trackspread.counter.timing import EXPIRY_NS, HEARTBEAT_NS, LEASE_NS
 from trackspread.decide.time_units import MILLISECOND, SECOND
 from trackspread.decide.settings import Plan
-from trackspread.testing.standins.counter import Cluster, Failure, Shard, slot_of
+from trackspread.testing.standins.counter import Cluster, CommandError, Shard, slot_of
 from trackspread.testing.virtual.counter.world import Plant, World
 from trackspread.testing.virtual.counter.mutants import KINDS, shows
 from trackspread.testing.virtual.counter.schedules import (
@@ -156,7 +156,7 @@
     words = commands_for(Call(1, 0, None, b"v"), "ts", 0, b"t")[1]
     assert owner.execute(0, words, 0) == 1
     assert str(other.execute(0, words, 0)).startswith("MOVED ")
-    cluster.moving[slot_of(name)] = other.number
+    cluster.migrating[slot_of(name)] = other.number
     assert owner.execute(0, (b"HGETALL", name), 0) == [b"0", b"v"]
     assert str(owner.execute(0, (b"HGETALL", name + b"x"), 0)).startswith("ASK ")
     assert other.execute(0, (b"HGETALL", name + b"x"), 0, asking=True) == []
@@ -171,8 +171,8 @@
     shard.promote(2000, 500)
     assert shard.execute(0, (b"HGETALL", b"n"), 2000) == [b"0", b"old"]
     assert shard.execute(0, (b"HGETALL", b"n"), 6001) == []
-    shard.read_only = "READONLY no"
-    assert isinstance(shard.execute(0, (b"HSET", b"n", b"0", b"x"), 2000), Failure)
+    shard.write_error = "READONLY no"
+    assert isinstance(shard.execute(0, (b"HSET", b"n", b"0", b"x"), 2000), CommandError)
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/test_counter_process.py
+++ b/tests/test_counter_process.py
@@ -25,7 +25,7 @@
 from trackspread.counter.routing import Router
 from trackspread.decide.events import AllocationChanged
 from trackspread.decide.settings import Plan
-from trackspread.testing.harness import counter_faults
+from trackspread.testing.harness import counter_faults, quota_use
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.node.quota_counter_part import _remove_stale_socket, counter_access
 from trackspread.testing.standins.counter import SLOTS, Cluster, Shard
@@ -119,7 +119,7 @@
                 while not side.known() >= set(members):
                     await side.ask_all(members)
             calls = [shard.calls for shard in cluster.shards]
-            cluster.move(range(SLOTS), 1)
+            cluster.migrate(range(SLOTS), 1)
             side = sides[0]
             await side.until(
                 lambda: all(
@@ -150,10 +150,10 @@
             await first.until(
                 lambda: bool(first.events) and first.events[-1].hard_limit_share > 0.7, range(7, 8)
             )
-            server.cut({0})
+            server.disconnect({0})
             await first.until(lambda: first.events[-1].hard_limit_share == 0.5, range(7, 8))
             assert 0.25 <= first.events[-1].quota_share < 1.0
-            server.mend()
+            server.end_faults()
             await first.until(lambda: first.events[-1].quota_share == 1.0, range(7, 8))
             await first.until(lambda: first.events[-1].hard_limit_share > 0.7, range(7, 8))
         finally:
@@ -255,29 +255,31 @@
 
 
 async def _troubled(folder: Path, found: list[Verdict], capsys: pytest.CaptureFixture[str]) -> None:
-    scenario = Scenario(gateways=3, nodes=6, customers=30, load=0.4, greedy=0.5, seed=4)
-    async with counter_faults.counted(scenario, more=lambda name: f'status = "{folder / name}"') as (
+    scenario = Scenario(gateways=3, nodes=6, max_tenants=30, load=0.4, greedy_share=0.5, seed=4)
+    async with counter_faults.fleet_with_counter(
+        scenario, counter_settings=lambda name: f'status = "{folder / name}"'
+    ) as (
         fleet,
         server,
     ):
-        fleet.ask()
-        while fleet.clients.kinds["served"] < 20:
+        fleet.start_clients()
+        while fleet.clients.outcome_counts["served"] < 20:
             await asyncio.sleep(0.02)
         for trouble in (
             counter_faults.split,
-            counter_faults.cut,
+            counter_faults.disconnect_all,
             counter_faults.replace,
-            counter_faults.kill,
+            counter_faults.kill_gateway,
         ):
             await trouble(fleet, server, 2.0)
-        member = fleet.clients.population.customers[0].number
+        member = fleet.clients.population.tenants[0].number
         told = json.loads(await asyncio.to_thread(ask, str(folder / "n1"), member))
         assert told["state"] in ("sound", "doubted", "split", "lost", "rebuilding") and told["replaced"] >= 1
         status = await asyncio.to_thread(main, ["quota", f"{member:x}", "--socket", str(folder / "n1")])
         assert status == 0 and "source of truth" in capsys.readouterr().out
         await fleet.settle()
         found.append(fleet.verdict())
-        ceiling, _ = counter_faults.excess(fleet)
+        ceiling, _ = quota_use.excess(fleet)
         assert ceiling <= 0.02
         assert sum(shard.calls for shard in server.shards) > 0
 
--- a/tests/test_descriptors_process.py
+++ b/tests/test_descriptors_process.py
@@ -19,7 +19,8 @@
 from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.harness.upgradable_gateway import http_get
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.loopback import Address, Ports
 
 from .fakes import Backend, Connection, call, listening, raw_config, served, soon
@@ -107,8 +108,8 @@
         await gateway.start()
         tasks = [asyncio.create_task(made.watch())]
         try:
-            agent.refuse()
-            agent.cut()
+            agent.stop_listening()
+            agent.abort_watches()
             await made.fill()
             tasks.append(asyncio.create_task(made.keep_full()))
             yield made
@@ -152,16 +153,16 @@
     async def test() -> None:
         async with filled(tmp_path, named) as f:
             await asyncio.sleep(2.0)
-            f.agent.calls.clear()
+            f.agent.call_times_ns.clear()
             await f.agent.start()
             f.tell("terminating")
             back = time.monotonic_ns()
-            while not f.agent.calls:
+            while not f.agent.call_times_ns:
                 assert time.monotonic_ns() - back < AT_ONCE * SECOND
                 await asyncio.sleep(0.01)
             acted = asyncio.create_task(f.refused())
             assert await asyncio.wait_for(acted, AT_ONCE), "sent on"
             assert f.most < SOCKETS
-            print(f"discovery was called {(f.agent.calls[0] - back) / SECOND:.2f} s after its return")
+            print(f"discovery was called {(f.agent.call_times_ns[0] - back) / SECOND:.2f} s after its return")
 
     uvloop.run(asyncio.wait_for(test(), 60.0))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.fault_player import Player
+from trackspread.testing.harness.fault_player import FaultPlayer
 from trackspread.testing.judge.ledger import (
     Entry,
     FaultChanged,
@@ -21,11 +21,11 @@
 from trackspread.testing.standins import fault_schedule
 from trackspread.testing.standins.fault_schedule import (
     Cut,
-    Duty,
-    Halt,
-    Loop,
+    PauseCycle,
+    Pause,
+    CrashLoop,
     Restart,
-    Rough,
+    DegradedNetwork,
     Schedule,
     draw,
     load,
@@ -42,24 +42,24 @@
         each.save(tmp_path / "schedule.json")
         assert load(tmp_path / "schedule.json") == each
     kinds = {type(fault) for each in made for fault in each.faults}
-    assert kinds == {Cut, Rough, Halt, Duty, Restart, Loop}
+    assert kinds == {Cut, DegradedNetwork, Pause, PauseCycle, Restart, CrashLoop}
 
 
 def test_nobody_is_killed_or_stopped_by_two_faults_and_all_end_before_the_tail() -> None:
     for seed in range(200):
         chosen: list[int] = []
         for fault in (schedule := draw(seed, 6)).faults:
-            assert fault.at >= 2.0 and fault.at + fault.span <= schedule.seconds - 4.0
+            assert fault.start_s >= 2.0 and fault.start_s + fault.duration_s <= schedule.duration_s - 4.0
             match fault:
-                case Halt() | Duty() | Restart():
+                case Pause() | PauseCycle() | Restart():
                     chosen += fault.gateways
-                case Loop():
+                case CrashLoop():
                     chosen.append(fault.gateway)
         assert len(chosen) == len(set(chosen))
 
 
 def test_shapes_of_cuts() -> None:
-    assert set(fault_schedule.parted(["n0"], ["n1"])) == {("n0", "n1"), ("n1", "n0")}
+    assert set(fault_schedule.partition(["n0"], ["n1"])) == {("n0", "n1"), ("n1", "n0")}
     assert fault_schedule.one_way(["n0"], ["n0", "n1"]) == (("n0", "n1"),)
     cut = fault_schedule.ring(NAMES)
     reached = {a: {b for b in NAMES if b != a and (a, b) not in cut} for a in NAMES}
@@ -74,9 +74,9 @@
         3,
         1.5,
         (
-            Halt(0.1, 0.5, (0,)),
+            Pause(0.1, 0.5, (0,)),
             Restart(0.2, 0.1, (1,)),
-            Cut(0.1, 0.6, fault_schedule.parted(["n0"], ["n2"])),
+            Cut(0.1, 0.6, fault_schedule.partition(["n0"], ["n2"])),
             Cut(0.3, 1.0, fault_schedule.one_way(["n0"], ["n2"])),
         ),
     )
@@ -87,13 +87,13 @@
 
             async def look() -> None:
                 while True:
-                    there, back = (fleet.wire.between(*way, "udp") for way in (("n0", "n2"), ("n2", "n0")))
-                    if not holes or holes[-1] != (there.hole, back.hole):
-                        holes.append((there.hole, back.hole))
+                    there, back = (fleet.network.path(*way, "udp") for way in (("n0", "n2"), ("n2", "n0")))
+                    if not holes or holes[-1] != (there.blackhole, back.blackhole):
+                        holes.append((there.blackhole, back.blackhole))
                     await asyncio.sleep(0.005)
 
             looking = asyncio.get_running_loop().create_task(look())
-            await Player(fleet, schedule).play()
+            await FaultPlayer(fleet, schedule).play()
             await asyncio.sleep(0.05)
             looking.cancel()
             return list(fleet.ledger.entries)
--- a/tests/test_faulty_wire.py
+++ b/tests/test_faulty_wire.py
@@ -8,7 +8,9 @@
 from typing import cast
 
 from trackspread.testing.standins.loopback import Address, Ports
-from trackspread.testing.standins.faulty_network import TcpRelay, FaultyNetwork, reset
+from trackspread.testing.standins.faulty_network import FaultyNetwork
+from trackspread.testing.standins.tcp_relay import TcpRelay
+from trackspread.testing.standins.transports import reset
 
 from .fakes import LOCAL, run, until
 
@@ -55,7 +57,7 @@
     try:
         _, client = await loop.create_connection(End, *await wire.tcp("a", "b", at))
         await until(lambda: bool(servers) and hasattr(servers[0], "transport"))
-        (relay,) = wire.relays("a", "b")
+        (relay,) = wire.tcp_relays("a", "b")
         yield Pair(wire, relay, client, servers[0])
     finally:
         server.close()
@@ -65,8 +67,8 @@
 def test_bytes_pass_in_order_both_ways_whatever_the_jitter() -> None:
     async def test() -> None:
         async with pair() as p:
-            for path in p.wire.each("ab"):
-                path.delay, path.jitter = 0.001, 0.004
+            for path in p.wire.paths_between("ab"):
+                path.delay_s, path.jitter_s = 0.001, 0.004
             for n in range(50):
                 p.client.transport.write(b"%03d," % n)
                 p.server.transport.write(b"%03d;" % n)
@@ -113,7 +115,7 @@
         async with pair() as p:
             p.client.transport.write(b"x")
             await until(lambda: p.server.got == b"x")
-            assert p.relay.cut() == 2
+            assert p.relay.reset_connections() == 2
             await until(lambda: p.client.lost and p.server.lost)
             assert isinstance(p.client.error, ConnectionResetError)
             assert isinstance(p.server.error, ConnectionResetError)
@@ -140,7 +142,7 @@
 def test_a_black_hole_takes_and_says_nothing_until_it_heals() -> None:
     async def test() -> None:
         async with pair() as p:
-            p.wire.part("a", "b")
+            p.wire.partition("a", "b")
             p.client.transport.write(b"gone")
             p.server.transport.write(b"gone")
             await until(lambda: p.client.transport.get_write_buffer_size() == 0)
@@ -217,7 +219,7 @@
 def test_a_partition_is_one_line_and_heals() -> None:
     async def test() -> None:
         async with post() as p:
-            p.wire.part(["a"], ["b", "c"])
+            p.wire.partition(["a"], ["b", "c"])
             for a, b in (("a", "b"), ("b", "a"), ("c", "a"), ("b", "c")):
                 p.send(a, b, b"x")
             await until(lambda: p.came("c") == [b"x"])
@@ -235,14 +237,14 @@
         draws = [[w.rng.random() for _ in range(20)] for w in (wire, again, other)]
         assert draws[0] == draws[1] != draws[2]
         async with post(5) as p:
-            path = p.wire.between("a", "b", "udp")
-            path.loss, path.twice = 0.4, 0.2
+            path = p.wire.path("a", "b", "udp")
+            path.loss, path.duplication = 0.4, 0.2
             sent = 0
             while sent < 300:
                 p.send("a", "b", b"%d" % sent)
                 sent += 1
                 await asyncio.sleep(0.0002)
-            path.loss = path.twice = 0.0
+            path.loss = path.duplication = 0.0
             p.send("a", "b", b"end")
             await until(lambda: b"end" in p.came("b"))
             came = p.came("b")
@@ -254,7 +256,7 @@
 def test_jitter_lets_datagrams_overtake_one_another() -> None:
     async def test() -> None:
         async with post() as p:
-            p.wire.between("a", "b", "udp").jitter = 0.02
+            p.wire.path("a", "b", "udp").jitter_s = 0.02
             for n in range(40):
                 p.send("a", "b", b"%02d" % n)
             await until(lambda: len(p.came("b")) == 40)
@@ -271,7 +273,7 @@
     for name, where in at.items():
         _, boxes[name] = await loop.create_datagram_endpoint(Mailbox, local_addr=where)
     try:
-        yield wire, boxes, await wire.posts(at)
+        yield wire, boxes, await wire.shared_addresses(at)
     finally:
         wire.close()
         ports.close()
@@ -282,7 +284,7 @@
 def test_at_one_address_for_all_whoever_comes_is_known_by_its_host_and_seen_by_its_own_address() -> None:
     async def test() -> None:
         async with posts("abc") as (wire, boxes, at):
-            wire.between("a", "c", "udp").hole = True
+            wire.path("a", "c", "udp").blackhole = True
             for _ in range(3):
                 boxes["a"].transport.sendto(b"from a", at["c"])
             boxes["b"].transport.sendto(b"from b", at["c"])
@@ -303,10 +305,10 @@
 
         at = {name: (ports.host(), 4000) for name in "ab"}
         server = await loop.create_server(accept, *at["b"])
-        told = await wire.posts(at)
+        told = await wire.shared_addresses(at)
         try:
             for cut in (False, True):
-                wire.between("a", "b", "tcp").hole = cut
+                wire.path("a", "b", "tcp").blackhole = cut
                 _, end = await loop.create_connection(End, *told["b"], local_addr=(at["a"][0], 0))
                 end.transport.write(b"hello")
                 await asyncio.sleep(0.05)  # nothing is waited for where nothing may come
@@ -325,7 +327,7 @@
 def test_a_rate_is_kept_to() -> None:
     async def test() -> None:
         async with pair() as p:
-            p.wire.between("a", "b", "tcp").rate = 100_000.0
+            p.wire.path("a", "b", "tcp").bytes_per_s = 100_000.0
             began = asyncio.get_running_loop().time()
             for _ in range(4):
                 p.client.transport.write(bytes(5_000))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,7 @@
 
 async def served(fleet: Fleet, more: int) -> None:
     """Wait until so many more were served, and some refused or failed as well, or not."""
-    kinds = fleet.clients.kinds
+    kinds = fleet.clients.outcome_counts
     goal = kinds["served"] + more
     while kinds["served"] < goal:
         await asyncio.sleep(0.01)
@@ -41,14 +41,14 @@
 
 async def kill_and_part() -> tuple[Verdict, list[int]]:
     async with Fleet(SMALL) as fleet:
-        fleet.ask()
+        fleet.start_clients()
         await served(fleet, 30)
         pids = [gateway.pid for gateway in fleet.gateways]
-        fleet.wire.part(["n0"], ["n1"])
+        fleet.network.partition(["n0"], ["n1"])
         await fleet.restart([0], 0.2)
         await served(fleet, 30)
-        fleet.wire.heal()
-        node = fleet.listed()[0]
+        fleet.network.heal()
+        node = fleet.nodes_in_service()[0]
         await fleet.replace(node, 0.3)
         await served(fleet, 30)
         pids += [gateway.pid for gateway in fleet.gateways]
@@ -62,7 +62,7 @@
 
     async def start() -> bool:
         async with Fleet(SMALL.changed(gateways=1, nodes=3), mutant_gateway.command(planted)) as fleet:
-            fleet.ask()
+            fleet.start_clients()
             while not any(isinstance(entry, AttemptReceived) for entry in fleet.ledger.entries):
                 await asyncio.sleep(0.01)
             return fleet.gateways[0].running
@@ -82,9 +82,9 @@
 
 async def planted(name: str) -> Verdict:
     async with Fleet(SMALL.changed(load=0.8), mutant_gateway.command(name)) as fleet:
-        for node in fleet.listed():
-            node.reset = 0.2
-        fleet.ask()
+        for node in fleet.nodes_in_service():
+            node.reset_chance = 0.2
+        fleet.start_clients()
         await served(fleet, 60)
         await fleet.settle()
         return fleet.verdict()
--- a/tests/test_generated_settings.py
+++ b/tests/test_generated_settings.py
@@ -73,25 +73,25 @@
         gateways=draw(st.integers(2, 4)),
         nodes=6,
         load=0.25,
-        greedy=0.3,
+        greedy_share=0.3,
         seed=draw(st.integers(1, 10_000)),
-        window=draw(st.sampled_from([2, 5])) * SECOND,
-        grace=draw(st.sampled_from([600, 1000])) * MILLISECOND,
+        deduplication_window_ns=draw(st.sampled_from([2, 5])) * SECOND,
+        drain_grace_ns=draw(st.sampled_from([600, 1000])) * MILLISECOND,
         classes=draw(classes()),
         plans=draw(plans()),
-        allow=tuple(allow),
+        setting_overrides=tuple(allow),
         zones=draw(st.sampled_from([(), ("only",), ("a", "b", "c", "d", "e")])),
     )
 
 
 async def played(scenario: Scenario) -> Verdict:
     async with Fleet(scenario) as fleet:
-        fleet.ask()
+        fleet.start_clients()
         await asyncio.sleep(1.0)
         async with asyncio.TaskGroup() as group:
-            for node in fleet.listed()[:2]:
+            for node in fleet.nodes_in_service()[:2]:
                 group.create_task(fleet.replace(node, 1.5))
-            group.create_task(fleet.restart([0], 0.3, outright=False))
+            group.create_task(fleet.restart([0], 0.3, kill=False))
         await asyncio.sleep(1.0)
         await fleet.settle()
         return fleet.verdict()
--- a/tests/test_handing_down_process.py
+++ b/tests/test_handing_down_process.py
@@ -13,7 +13,7 @@
 
 from trackspread.distribution.client import LeaderUnavailable
 from trackspread.distribution.versions import Version
-from trackspread.testing.harness.configuration_fleet import Configured
+from trackspread.testing.harness.configuration_fleet import ConfigurationFleet
 from trackspread.testing.virtual.distribution.invariants import InvariantViolated
 
 pytestmark = pytest.mark.processes
@@ -21,14 +21,16 @@
 IN_FORCE = 9.0  # s
 MOST = 110.0  # s: only a hang reaches it
 
-Work = Callable[[Configured], Awaitable[None]]
+Work = Callable[[ConfigurationFleet], Awaitable[None]]
 
 
 def play(work: Work, folder: Path, gateways: int = 30, mutant: str = "", recent: int = 8192) -> None:
     """The records are decided on after it."""
 
     async def once() -> None:
-        async with Configured(folder, gateways=gateways, mutant=mutant, recent=recent) as fleet:
+        async with ConfigurationFleet(
+            folder, gateways=gateways, mutant=mutant, recent_entries=recent
+        ) as fleet:
             await work(fleet)
             fleet.judge()
 
@@ -36,7 +38,7 @@
 
 
 async def burst(
-    fleet: Configured,
+    fleet: ConfigurationFleet,
     count: int,
     name: str = "key",
     patience: float = 5.0,
@@ -58,7 +60,7 @@
     return [each for each in made if each is not None]
 
 
-async def settled(fleet: Configured, version: Version | None) -> None:
+async def settled(fleet: ConfigurationFleet, version: Version | None) -> None:
     """All gateways act on it in time."""
     if version is None:
         raise InvariantViolated("not committed")
@@ -66,17 +68,17 @@
         raise InvariantViolated(f"{version} is not in force everywhere after {IN_FORCE} s")
 
 
-async def put(fleet: Configured, value: bytes) -> Version | None:
+async def put(fleet: ConfigurationFleet, value: bytes) -> Version | None:
     return await fleet.put(fleet.services[0], "one", value)
 
 
-async def a_leader_is_killed(fleet: Configured) -> None:
+async def a_leader_is_killed(fleet: ConfigurationFleet) -> None:
     """In the middle of a burst."""
     under_way = asyncio.create_task(burst(fleet, 100, patience=9.0))
     await asyncio.sleep(0.05)
     await fleet.replicas[0].kill()
     await asyncio.sleep(0.5)
-    fleet.appoint(1)
+    fleet.elect(1)
     made = await under_way
     if len(made) < 100:
         raise InvariantViolated(f"{len(made)} of 100 changes are committed")
@@ -86,7 +88,7 @@
     await becomes(fleet, 0, "follower")
 
 
-async def becomes(fleet: Configured, number: int, role: str) -> None:
+async def becomes(fleet: ConfigurationFleet, number: int, role: str) -> None:
     """Within `IN_FORCE`."""
     end = time.monotonic() + IN_FORCE
     while (shown := await fleet.show(number)) is None or shown.role != role:
@@ -95,62 +97,62 @@
         await asyncio.sleep(0.1)
 
 
-async def two_lead(fleet: Configured) -> None:
+async def two_lead(fleet: ConfigurationFleet) -> None:
     """The older one does not hear the newer one; both are asked."""
     fleet.cut([2], [0], both=False)
-    fleet.appoint(2, former=False)
+    fleet.elect(2, notify_former=False)
     for turn in range(4):
         await burst(fleet, 10, f"turn-{turn}", patience=2.0, first=(0, 2))
     fleet.heal()
     await settled(fleet, await put(fleet, b"one leader"))
 
 
-async def an_old_leader_wakes(fleet: Configured) -> None:
+async def an_old_leader_wakes(fleet: ConfigurationFleet) -> None:
     """It stood still for 3 s, and goes on by the lease that it had."""
     under_way = asyncio.create_task(burst(fleet, 60, patience=9.0))
     await asyncio.sleep(0.05)
     fleet.replicas[0].signal(signal.SIGSTOP)
-    fleet.appoint(3, former=False)
+    fleet.elect(3, notify_former=False)
     await asyncio.sleep(3.0)
     fleet.replicas[0].signal(signal.SIGCONT)
     await under_way
     await settled(fleet, await put(fleet, b"woken"))
 
 
-async def a_minority_goes_on(fleet: Configured) -> None:
+async def a_minority_goes_on(fleet: ConfigurationFleet) -> None:
     """The leader and one follower, cut off from the other three, one of which is elected."""
     fleet.cut([0, 1], [2, 3, 4])
     assert await burst(fleet, 10, "lost", patience=1.0, first=(0,)) == []
-    fleet.appoint(2, former=False)
+    fleet.elect(2, notify_former=False)
     await settled(fleet, await fleet.put(fleet.services[0], "one", b"kept", first=2))
     fleet.heal()
     await settled(fleet, await fleet.put(fleet.services[0], "one", b"healed", first=2))
 
 
-async def a_follower_behind_leads(fleet: Configured) -> None:
+async def a_follower_behind_leads(fleet: ConfigurationFleet) -> None:
     """It has missed what the others committed, and the leader dies."""
     fleet.cut([1], [0, 2, 3, 4])
     made = await burst(fleet, 40)
     await settled(fleet, max(made))
     fleet.heal()
-    fleet.appoint(1)
+    fleet.elect(1)
     await fleet.replicas[0].kill()
     await settled(fleet, await put(fleet, b"after"))
 
 
-async def gateways_are_cut_off(fleet: Configured) -> None:
+async def gateways_are_cut_off(fleet: ConfigurationFleet) -> None:
     """They go on by what they have, and take up what they missed."""
     await settled(fleet, await put(fleet, b"before"))
-    before = fleet.acted()
+    before = fleet.versions_in_use()
     fleet.cut_gateways(True)
     missed = await burst(fleet, 60)
     await asyncio.sleep(12.0)
-    assert fleet.acted() == before
+    assert fleet.versions_in_use() == before
     fleet.cut_gateways(False)
     await settled(fleet, max(missed))
 
 
-async def followers_are_cut_off(fleet: Configured) -> None:
+async def followers_are_cut_off(fleet: ConfigurationFleet) -> None:
     """Those of one region from the other replicas, not from the gateways, which go elsewhere."""
     fleet.cut([1, 3], [0, 2, 4])
     await settled(fleet, max(await burst(fleet, 30)))
@@ -158,14 +160,14 @@
     await settled(fleet, await put(fleet, b"healed"))
 
 
-async def gateways_are_restarted(fleet: Configured) -> None:
+async def gateways_are_restarted(fleet: ConfigurationFleet) -> None:
     made = await burst(fleet, 60)
     await fleet.gateways.kill()
     await fleet.gateways.start()
     await settled(fleet, max(made))
 
 
-async def a_majority_is_lost(fleet: Configured) -> None:
+async def a_majority_is_lost(fleet: ConfigurationFleet) -> None:
     """Nothing is committed until an operator begins a new history, and nothing is forgotten meanwhile."""
     before = await put(fleet, b"kept")
     await settled(fleet, before)
@@ -173,16 +175,16 @@
         await fleet.replicas[number].kill()
     for number in (1, 2, 3):
         await fleet.replicas[number].start()
-    fleet.appoint(1)
-    assert await fleet.put(fleet.services[0], "two", b"lost", patience=3.0) is None
+    fleet.elect(1)
+    assert await fleet.put(fleet.services[0], "two", b"lost", timeout_s=3.0) is None
     version = await asyncio.to_thread(fleet.client().begin)
     after = await put(fleet, b"anew")
     assert before is not None and after is not None and after.history == version.history > before.history
     await settled(fleet, after)
 
 
-async def a_tenth_is_lost(fleet: Configured) -> None:
-    fleet.lossy(0.1)
+async def a_tenth_is_lost(fleet: ConfigurationFleet) -> None:
+    fleet.set_loss(0.1)
     await settled(fleet, max(await burst(fleet, 100, patience=9.0)))
 
 
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -20,11 +20,20 @@
 from trackspread.membership.wire import Keys, Wire
 from trackspread.testing.harness import membership_fleet
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.fault_player import Player
+from trackspread.testing.harness.fault_player import FaultPlayer
 from trackspread.testing.harness.upgradable_gateway import UpgradableGateway
 from trackspread.testing.judge.membership_records import MembershipRecord, Reader, rights, views
 from trackspread.testing.standins import fault_schedule
-from trackspread.testing.standins.fault_schedule import Cut, Duty, Fault, Halt, Loop, Restart, Schedule, draw
+from trackspread.testing.standins.fault_schedule import (
+    Cut,
+    PauseCycle,
+    Fault,
+    Pause,
+    CrashLoop,
+    Restart,
+    Schedule,
+    draw,
+)
 from trackspread.testing.standins.scenario import Scenario
 
 from .fakes import LOCAL, raw_config
@@ -46,26 +55,26 @@
     work: Work,
     gateways: int = MANY,
     keys: str = "",
-    held: bool = False,
-    seats: tuple[int, ...] = (0, 1, 2),
+    upgradable: bool = False,
+    seeds: tuple[int, ...] = (0, 1, 2),
 ) -> None:
     """The rules and the records are decided on after it; one in which the rig lagged is played again."""
 
     async def once() -> bool:
         # A dozen that start at once take the cores for a moment: time is told less finely than elsewhere.
-        scenario = Scenario(gateways=gateways, nodes=6, load=0.15, seed=5, tolerance=200 * MS)
-        async with Fleet(scenario, viewed=keys, held=held, seats=seats) as fleet:
+        scenario = Scenario(gateways=gateways, nodes=6, load=0.15, seed=5, tolerance_ns=200 * MS)
+        async with Fleet(scenario, view_settings=keys, upgradable=upgradable, seeds=seeds) as fleet:
             took = await membership_fleet.until_settled(fleet, 2 * START)
-            fleet.ask()
+            fleet.start_clients()
             await work(fleet)
             await fleet.settle()
             verdict = fleet.verdict()
             if verdict.state == "void":
                 return False
-            if verdict.state == "broken" or membership_fleet.amiss(fleet)[0]:
-                membership_fleet.keep(fleet, KEPT)
+            if verdict.state == "broken" or membership_fleet.check_records(fleet).inconsistencies:
+                membership_fleet.save_run(fleet, KEPT)
             assert verdict.state == "kept", verdict.violations
-            assert membership_fleet.amiss(fleet)[0] == []
+            assert membership_fleet.check_records(fleet).inconsistencies == []
             assert took is not None and took <= START
             return True
 
@@ -83,7 +92,7 @@
 
 
 async def faulty(fleet: Fleet, seconds: float, *made: Fault) -> None:
-    await Player(fleet, Schedule("test", 1, len(fleet.gateways), seconds, made)).play()
+    await FaultPlayer(fleet, Schedule("test", 1, len(fleet.gateways), seconds, made)).play()
 
 
 async def command(*words: str) -> tuple[int | None, str]:
@@ -102,26 +111,26 @@
 
 def test_crashes_joins_an_orderly_end_and_power_loss() -> None:
     async def work(fleet: Fleet) -> None:
-        doors = ["{}:{}".format(*fleet.doors[name]) for name in NAMES]
+        doors = ["{}:{}".format(*fleet.control_addresses[name]) for name in NAMES]
         status, out = await command("fleet", "view", *doors, "--wait", "5")
         assert status == 0 and out.count("settled, view") == MANY and "amiss" not in out
         status, out = await command("fleet", "view", doors[3], "--json")
         told = json.loads(out)
         assert (status, told["name"], told["standing"], told["differ"]) == (0, "n3", "settled", [])
         assert await command("fleet", "view", "127.0.0.1:9") == (2, "")
-        await fleet.end([11])
+        await fleet.stop_gateways([11])
         await settled(fleet, CRASH)
-        await fleet.begin([11])
+        await fleet.start_gateways([11])
         await settled(fleet, JOIN)
-        await fleet.end([1, 5, 6, 7, 8])
+        await fleet.stop_gateways([1, 5, 6, 7, 8])
         await settled(fleet, CRASH)
-        await fleet.begin([1, 5, 6, 7, 8])
+        await fleet.start_gateways([1, 5, 6, 7, 8])
         await settled(fleet, JOIN)
-        await fleet.restart([9], 0.1, outright=False)
+        await fleet.restart([9], 0.1, kill=False)
         await settled(fleet, JOIN)
         await fleet.restart(range(MANY), 0.1)
         await settled(fleet, START)
-        said = [b for b in fleet.beliefs() if b.kind == "member" and b.about["state"] == "LEFT"]
+        said = [b for b in fleet.records() if b.kind == "member" and b.about["state"] == "LEFT"]
         assert {b.about["who"][0] for b in said} == {"n9"}  # type: ignore[index]
 
     play(work)
@@ -130,8 +139,8 @@
 def test_partitions_of_all_shapes_and_processes_that_stand_still() -> None:
     async def work(fleet: Fleet) -> None:
         half, other = NAMES[:6], NAMES[6:]
-        await faulty(fleet, 7.0, Cut(0.0, 7.0, fault_schedule.parted(half, other)))
-        held = list(fleet.beliefs())
+        await faulty(fleet, 7.0, Cut(0.0, 7.0, fault_schedule.partition(half, other)))
+        held = list(fleet.records())
         await settled(fleet, HEAL)
         # The half without a majority of seeds made no view, and knew that it holds nothing.
         last = {b.name: b for b in held if b.kind == "part"}
@@ -144,7 +153,7 @@
         await settled(fleet, HEAL)
         await faulty(fleet, 4.0, Cut(0.0, 4.0, fault_schedule.ring(NAMES)))
         await settled(fleet, HEAL)
-        await faulty(fleet, 5.0, Halt(0.0, 5.0, (0,)), Halt(0.0, 5.0, (7,)))
+        await faulty(fleet, 5.0, Pause(0.0, 5.0, (0,)), Pause(0.0, 5.0, (7,)))
         await settled(fleet, HEAL)
 
     play(work)
@@ -152,17 +161,19 @@
 
 def test_slow_peers_are_not_taken_for_dead_and_a_crash_loop_settles() -> None:
     async def work(fleet: Fleet) -> None:
-        since = fleet.beliefs()[-1].at
+        since = fleet.records()[-1].at
         slow = (3, 7)
-        await faulty(fleet, 6.0, Duty(0.0, 6.0, slow, 0.3, 0.3))
+        await faulty(fleet, 6.0, PauseCycle(0.0, 6.0, slow, 0.3, 0.3))
         dead = [
-            b for b in fleet.beliefs() if b.at > since and b.kind == "member" and b.about["state"] == "DEAD"
+            b for b in fleet.records() if b.at > since and b.kind == "member" and b.about["state"] == "DEAD"
         ]
         assert dead == []
-        await faulty(fleet, 4.0, Loop(0.0, 4.0, 2, 0.3))
+        await faulty(fleet, 4.0, CrashLoop(0.0, 4.0, 2, 0.3))
         await settled(fleet, JOIN)
         three = [NAMES[n::3] for n in range(3)]
-        cuts = [Cut(0.0, 5.0, fault_schedule.parted(three[a], three[b])) for a in range(3) for b in range(a)]
+        cuts = [
+            Cut(0.0, 5.0, fault_schedule.partition(three[a], three[b])) for a in range(3) for b in range(a)
+        ]
         await faulty(fleet, 5.0, *cuts, Restart(2.0, 0.3, (4,)))
         await settled(fleet, HEAL)
 
@@ -171,7 +182,7 @@
 
 def test_a_mixed_schedule(seed: int = 3) -> None:
     async def work(fleet: Fleet) -> None:
-        await Player(fleet, draw(seed, MANY, 9.0, 0.5, 1.0)).play()
+        await FaultPlayer(fleet, draw(seed, MANY, 9.0, 0.5, 1.0)).play()
         await settled(fleet, 8.0)
 
     play(work)
@@ -183,24 +194,24 @@
         assert isinstance(upgraded, UpgradableGateway)
         await upgraded.upgrade()
         await settled(fleet, JOIN)
-        said = [b.about for b in fleet.beliefs() if b.kind == "member"]
+        said = [b.about for b in fleet.records() if b.kind == "member"]
         states = {str(about["state"]) for about in said if about["who"][0] == "n2"}  # type: ignore[index]
         assert states and states <= {"ALIVE", "SUSPECT"}
 
-    play(work, 4, held=True)
+    play(work, 4, upgradable=True)
 
 
 def test_a_second_process_under_a_name_has_it_and_the_first_is_fenced_off_and_says_why() -> None:
     async def work(fleet: Fleet) -> None:
         first = fleet.gateways[3]
-        listen = fleet.members["n3"]
+        listen = fleet.member_addresses["n3"]
         own = fleet.folder / "twin.toml"
         # At another port of the same host: it has no wire in between.
         own.write_text(
-            fleet.table("n3")
+            fleet.fleet_table("n3")
             .replace(f'listen = "{listen[0]}:{listen[1]}"', f'listen = "{listen[0]}:{listen[1] + 1}"')
             .replace(
-                'advertise = "{}:{}"'.format(*fleet.reached["n3"]),
+                'advertise = "{}:{}"'.format(*fleet.advertised_addresses["n3"]),
                 f'advertise = "{listen[0]}:{listen[1] + 1}"',
             )
         )
@@ -223,7 +234,7 @@
         )
         try:
             for _ in range(100):
-                fenced = [b for b in fleet.beliefs() if b.kind == "fenced"]
+                fenced = [b for b in fleet.records() if b.kind == "fenced"]
                 if fenced:
                     break
                 await asyncio.sleep(0.1)
@@ -239,7 +250,7 @@
 
 def test_junk_strangers_and_wrong_keys_are_counted_and_keys_change_in_service() -> None:
     async def work(fleet: Fleet) -> None:
-        at = fleet.members["n1"]
+        at = fleet.member_addresses["n1"]
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         wrong = Wire("test", Keys(b"another key of some length"), 8)
         ping = message(fleet="test", name="n2", created_at_ms=1 << 50, body=Ping(1, ("n1", 1)))
@@ -249,7 +260,7 @@
             if n % 100 == 0:
                 await asyncio.sleep(0.005)
         stranger.close()
-        door = "{}:{}".format(*fleet.doors["n1"])
+        door = "{}:{}".format(*fleet.control_addresses["n1"])
         status, out = await command("fleet", "view", door, "--json", "--wait", "3")
         dropped = json.loads(out)["dropped"]
         assert status == 0 and dropped["digest"] > 100 and dropped["foreign"] > 100
@@ -262,19 +273,19 @@
                 (fleet.folder / "previous").write_bytes(stage[1] or stage[0])
                 gateway.signal(signal.SIGHUP)
                 await asyncio.sleep(0.1)
-        await fleet.end([0])
+        await fleet.stop_gateways([0])
         await settled(fleet, CRASH)
 
     async def once() -> None:
         scenario = Scenario(gateways=4, nodes=3, load=0.1, seed=5)
-        fleet = Fleet(scenario, viewed="")
-        fleet._viewed = f'key = "{fleet.folder / "key"}"\nprevious = "{fleet.folder / "previous"}"'
+        fleet = Fleet(scenario, view_settings="")
+        fleet.view_settings = f'key = "{fleet.folder / "key"}"\nprevious = "{fleet.folder / "previous"}"'
         (fleet.folder / "key").write_bytes(b"the older key, 16 or more")
         (fleet.folder / "previous").write_bytes(b"the older key, 16 or more")
         async with fleet:
             await settled(fleet, START)
             await work(fleet)
-            assert membership_fleet.amiss(fleet)[0] == []
+            assert membership_fleet.check_records(fleet).inconsistencies == []
 
     uvloop.run(asyncio.wait_for(once(), MOST))
 
--- a/tests/test_quiet.py
+++ b/tests/test_quiet.py
@@ -35,7 +35,7 @@
 
 def test_both_sides_are_judged_by_the_true_store() -> None:
     """One store of two units that hardly fills; four tries by two gateways, of which the third is refused."""
-    scenario = Scenario(plans={"p": PlanRule(0.001, 2.0)}, over_cost=2.0)
+    scenario = Scenario(plans={"p": PlanRule(0.001, 2.0)}, excess_cost=2.0)
     cls = scenario.classes[0].name
     entries: list[Entry] = []
     for n, (gateway, at) in enumerate([("a", 0), ("b", 10), ("b", 20), ("a", 30)]):
--- a/tests/test_ramp_process.py
+++ b/tests/test_ramp_process.py
@@ -16,18 +16,20 @@
 pytestmark = pytest.mark.processes
 
 GATEWAYS = 20
-SCENARIO = Scenario(gateways=GATEWAYS, nodes=3, load=0.5, seed=11, warm=300 * SECOND, fall_multiple=2.0)
+SCENARIO = Scenario(
+    gateways=GATEWAYS, nodes=3, load=0.5, seed=11, warm_up_ns=300 * SECOND, overload_multiple=2.0
+)
 SERVED = 20  # by backends that stay cold throughout
 MOST = 100.0  # s: only a hang reaches it
 
 
 async def all_cold() -> tuple[Verdict, float]:
     async with Fleet(SCENARIO) as fleet:
-        for node in fleet.listed():
+        for node in fleet.nodes_in_service():
             await fleet.replace(node, 0.0)
         await fleet.restart(range(GATEWAYS), 0.1)
-        fleet.ask()
-        while fleet.clients.kinds["served"] < SERVED:
+        fleet.start_clients()
+        while fleet.clients.outcome_counts["served"] < SERVED:
             await asyncio.sleep(0.05)
         await fleet.settle()
         return fleet.verdict(), max(excess(SCENARIO, fleet.ledger))
--- a/tests/test_ready_process.py
+++ b/tests/test_ready_process.py
@@ -16,12 +16,8 @@
 
 from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import (
-    DiscoveryAgent,
-    BackendList,
-    ListedBackend,
-    AgentFault,
-)
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import AgentFault, DiscoveryAgent
 from trackspread.testing.standins.loopback import Ports
 
 from .fakes import raw_config
@@ -38,10 +34,10 @@
 TROUBLES = {
     "refused": None,
     "error": AgentFault.ERROR,
-    "kept waiting": AgentFault.KEPT_WAITING,
+    "kept waiting": AgentFault.CLOSED_LATE,
     "reset": AgentFault.RESET,
-    "ended": AgentFault.ENDED,
-    "silent": AgentFault.SILENT,
+    "ended": AgentFault.EMPTY_ANSWER,
+    "silent": AgentFault.UNRESPONSIVE,
     "trickle": AgentFault.TRICKLE,
 }
 LISTS = ("with the list last known", "without a list")
@@ -56,11 +52,11 @@
         gateways = []
         for number, agent in enumerate(agents):
             await agent.start()
-            agent.trouble = trouble
+            agent.fault = trouble
             if trouble is None:
-                agent.refuse()
+                agent.stop_listening()
             at = ports.tcp()
-            last = listed.whole(number) if known else None
+            last = listed.snapshot(number) if known else None
             config = raw_config(agent.address[1], last, replicasOfMe=GATEWAYS)
             config["discovery"], config["listen"] = "{}:{}".format(*agent.address), "{}:{}".format(*at)
             gateways.append(GatewayProcess(f"n{number}", at, config, Path(folder), Ledger()))
@@ -74,7 +70,7 @@
         async def back() -> None:
             await asyncio.sleep(DOWN)
             for agent in agents:
-                agent.trouble = None
+                agent.fault = None
                 if trouble is None:
                     await agent.start()
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -376,7 +376,7 @@
 
 
 def test_quotas_are_shared_by_all_members_while_customers_ask_for_as_much() -> None:
-    usual = Scenario(gateways=3, nodes=6, load=0.15, greedy=0.0, seed=49)
+    usual = Scenario(gateways=3, nodes=6, load=0.15, greedy_share=0.0, seed=49)
     shared = shared_scenario(usual, 63)
     assert shared.plans["basic"].rate == pytest.approx(21 * usual.plans["basic"].rate)
     assert shared.world().plans["full"].ceiling_burst == pytest.approx(21 * usual.plans["full"].ceiling_burst)
--- a/tests/test_services_process.py
+++ b/tests/test_services_process.py
@@ -64,9 +64,11 @@
     """A run in which the rig lagged is played again; the rules are decided on after it."""
 
     async def once() -> tuple[Fleet, Verdict]:
-        scenario = ServiceScene(gateways=3, load=0.2, greedy=0.0, seed=11, tolerance=200 * MILLISECOND)
-        async with Fleet(scenario, own=lambda name: table) as fleet:
-            fleet.ask()
+        scenario = ServiceScene(
+            gateways=3, load=0.2, greedy_share=0.0, seed=11, tolerance_ns=200 * MILLISECOND
+        )
+        async with Fleet(scenario, operator_file=lambda name: table) as fleet:
+            fleet.start_clients()
             await work(fleet)
             await fleet.settle()
             return fleet, fleet.verdict()
@@ -94,7 +96,7 @@
     """Nodes of both services are replaced, and a gateway starts anew."""
     await asked(fleet, CHARGE, 20)
     chosen = [
-        next(n for n in fleet.listed() if (fleet.scenario.service(n.spec) != "") is charging)
+        next(n for n in fleet.nodes_in_service() if (fleet.scenario.service(n.spec) != "") is charging)
         for charging in (True, False)
     ]
     await asyncio.gather(fleet.restart([0], 0.1), *(fleet.replace(node, 1.5) for node in chosen))
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -13,80 +13,89 @@
 from trackspread.testing.judge.ledger import ReplyReceived, ConnectionLost, Ledger
 from trackspread.simulator.wire import parse_settings
 from trackspread.config.platform import flatten
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.clients import Clients
 from trackspread.testing.standins.loopback import NAMED, Ports, own_address
-from trackspread.testing.standins.rating_node import SECOND, NodeSpec, Pod, RatingNode, work_of
+from trackspread.testing.standins.rating_node import (
+    SECOND,
+    NodeSpec,
+    IdempotencyCache,
+    RatingNode,
+    request_work_ns,
+)
 from trackspread.testing.standins.scenario import MILLISECOND, Scenario
 
 
 def node(cold: bool = False, **changes: object) -> RatingNode:
     spec = NodeSpec("s", **changes)  # type: ignore[arg-type]
-    return RatingNode(spec, Pod(), 0, cold, 3 * SECOND, 3.0)
+    return RatingNode(spec, IdempotencyCache(), 0, cold, 3 * SECOND, 3.0)
 
 
 def test_two_cores_work_at_once_and_the_third_waits() -> None:
     n = node()
-    done = [taken.done for i in range(3) if (taken := n.arrive(0, f"r{i}", 100)) is not None]
+    done = [taken.done_at for i in range(3) if (taken := n.accept(0, f"r{i}", 100)) is not None]
     assert done == [100, 100, 200]
-    assert n.arrive(150, "r3", 100).done == 250  # type: ignore[union-attr]
+    assert n.accept(150, "r3", 100).done_at == 250  # type: ignore[union-attr]
 
 
 def test_one_that_holds_too_many_turns_away_and_takes_again_later() -> None:
-    n = node(held=2)
-    assert [n.arrive(0, f"r{i}", 100) is None for i in range(3)] == [False, False, True]
-    assert n.arrive(101, "r3", 100) is not None
+    n = node(max_in_flight=2)
+    assert [n.accept(0, f"r{i}", 100) is None for i in range(3)] == [False, False, True]
+    assert n.accept(101, "r3", 100) is not None
     n.draining = True
-    assert n.arrive(300, "r4", 100) is None
+    assert n.accept(300, "r4", 100) is None
 
 
 def test_a_cold_one_is_slow_at_first_and_falls_over_when_flooded() -> None:
-    n = node(cold=True, start=0.25, warm=10 * SECOND)
-    assert n.arrive(0, "r", 100).done == 400  # type: ignore[union-attr]
-    assert n.part(5 * SECOND) == pytest.approx(0.625) and n.part(10 * SECOND) == 1.0
+    n = node(cold=True, initial_capacity=0.25, warm_up_ns=10 * SECOND)
+    assert n.accept(0, "r", 100).done_at == 400  # type: ignore[union-attr]
+    assert n.capacity_share(5 * SECOND) == pytest.approx(0.625) and n.capacity_share(10 * SECOND) == 1.0
     able = 2 * 0.25 * 3 * SECOND * 3  # cores, capacity, window, multiple
-    calm, flooded = (node(cold=True, start=0.25, warm=10**6 * SECOND) for _ in range(2))
+    calm, flooded = (node(cold=True, initial_capacity=0.25, warm_up_ns=10**6 * SECOND) for _ in range(2))
     for i in range(10):
-        calm.arrive(i * SECOND, f"r{i}", int(able / 3.5))
-        flooded.arrive(i, f"r{i}", int(able / 3.5))
-    assert not calm.fallen and flooded.fallen
-    assert flooded.arrive(20, "more", 1) is None
+        calm.accept(i * SECOND, f"r{i}", int(able / 3.5))
+        flooded.accept(i, f"r{i}", int(able / 3.5))
+    assert not calm.crashed and flooded.crashed
+    assert flooded.accept(20, "more", 1) is None
 
 
 def test_a_pod_drops_a_repeat_while_it_remembers_the_key() -> None:
-    pod = Pod()
+    pod = IdempotencyCache()
     a, b = (RatingNode(NodeSpec(name), pod, 0, False, SECOND, 3.0) for name in "ab")
-    first = a.arrive(0, "r1", 100, "key", 1000)
-    again = b.arrive(50, "r1", 100, "key", 1000)
-    later = b.arrive(2000, "r1", 100, "key", 1000)
+    first = a.accept(0, "r1", 100, "key", 1000)
+    again = b.accept(50, "r1", 100, "key", 1000)
+    later = b.accept(2000, "r1", 100, "key", 1000)
     assert first and again and later
-    assert (again.repeat, again.value) == (True, first.value) and again.done >= first.done
-    assert not later.repeat and later.value != first.value
+    assert (again.is_repeat, again.value) == (True, first.value) and again.done_at >= first.done_at
+    assert not later.is_repeat and later.value != first.value
 
 
 def test_work_is_the_same_everywhere_and_has_the_mean_that_was_asked_for() -> None:
-    assert work_of(1, "r", 1000) == work_of(1, "r", 1000) != work_of(2, "r", 1000)
-    drawn = [work_of(1, str(i), 10**6) for i in range(4000)]
+    assert request_work_ns(1, "r", 1000) == request_work_ns(1, "r", 1000) != request_work_ns(2, "r", 1000)
+    drawn = [request_work_ns(1, str(i), 10**6) for i in range(4000)]
     assert sum(drawn) / len(drawn) == pytest.approx(10**6, rel=0.03)
 
 
 def test_a_crowd_replays_and_asks_as_much_as_the_scene_says() -> None:
     scenario = Scenario(load=0.5)
     one, two = scenario.population(), scenario.population()
-    assert [(one.pause(), one.want()) for _ in range(200)] == [(two.pause(), two.want()) for _ in range(200)]
-    mean = sum(c.share * c.work for c in scenario.classes) / SECOND
-    asked = sum(c.rate for c in one.customers) * mean / (scenario.nodes * 2)
+    assert [(one.next_pause_ns(), one.next_request()) for _ in range(200)] == [
+        (two.next_pause_ns(), two.next_request()) for _ in range(200)
+    ]
+    mean = sum(c.share * c.work_ns for c in scenario.classes) / SECOND
+    asked = sum(c.requests_per_s for c in one.tenants) * mean / (scenario.nodes * 2)
     assert 0.5 <= asked < 0.7
-    assert one.move(1.0) == len(one.customers)
+    assert one.move(1.0) == len(one.tenants)
 
 
 def test_clients_come_again_only_where_that_is_harmless() -> None:
     population = Scenario(behavior=Scenario().behavior).population()
     seen: dict[tuple[str, str], set[bool]] = {}
     for _ in range(600):
-        want = population.want()
+        want = population.next_request()
         for kind in ("refused", "failed", "cut"):
-            again = population.again(want, kind, 200)
+            again = population.retry(want, kind, 200)
             seen.setdefault((want.cls, kind), set()).add(again is not None)
             if again is not None:
                 assert again[1].origin == want.origin and again[1].key == want.key
@@ -101,7 +110,7 @@
     waits = [
         again[0]
         for _ in range(400)
-        if (again := population.again(population.want(), "refused", 900)) is not None
+        if (again := population.retry(population.next_request(), "refused", 900)) is not None
     ]
     obeyed = sum(wait >= 900 * MILLISECOND for wait in waits)
     assert 0.7 < obeyed / len(waits) < 0.9
@@ -121,17 +130,17 @@
 def test_a_list_tells_what_changed_or_the_whole() -> None:
     listed = BackendList()
     DiscoveryAgent(listed, 0, Ledger())
-    listed.agents.clear()  # nobody watches
+    listed.subscribers.clear()  # nobody watches
     listed.put(entry("x"))
     listed.put(entry("y"))
     at = listed.version
     listed.put(entry("x", "terminating"))
     listed.put(entry("y", "terminated"))
-    changes = listed.since(0, at)
+    changes = listed.changes_since(0, at)
     assert not changes["whole"] and changes["seq"] == listed.version
     assert {h["host"]: h["health"] for h in changes["hosts"]} == {"x": "terminating", "y": "terminated"}
-    assert listed.since(0, listed.version)["hosts"] == []
-    assert listed.since(0, 99)["whole"] and [h["host"] for h in listed.whole(0)["hosts"]] == ["x"]
+    assert listed.changes_since(0, listed.version)["hosts"] == []
+    assert listed.changes_since(0, 99)["whole"] and [h["host"] for h in listed.snapshot(0)["hosts"]] == ["x"]
 
 
 def test_ports_are_given_once_at_an_address_where_nobody_takes_one_by_chance() -> None:
@@ -170,10 +179,10 @@
             while sum(isinstance(e, ReplyReceived | ConnectionLost) for e in ledger.entries) < count:
                 await asyncio.sleep(0.005)
 
-        clients._begin(clients.population.want(), 3)
+        clients.send(clients.population.next_request(), 3)
         await ended(1)
         server.close()
-        clients._begin(clients.population.want(), 3)
+        clients.send(clients.population.next_request(), 3)
         await asyncio.sleep(0)
         made[0].transport.abort()
         await ended(2)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -38,7 +38,7 @@
 from trackspread.plans.registry import Figures, applied, in_force
 from trackspread.storage.directory import Directory
 from trackspread.testing.judge.membership_records import Reader
-from trackspread.testing.standins.billing import Billing, Known, Plain
+from trackspread.testing.standins.billing import Billing, MemoryStore, StreamState
 from trackspread.usage import control as use_control
 from trackspread.usage import totals as use_totals
 from trackspread.usage.audit import Received, audit, reconcile
@@ -64,8 +64,8 @@
 
     def __init__(self) -> None:
         before = json.loads((DATA / "billing.json").read_bytes())
-        self.memory = Plain()
-        self.memory.streams = {name: Known(*known) for name, known in before["streams"].items()}
+        self.memory = MemoryStore()
+        self.memory.streams = {name: StreamState(*known) for name, known in before["streams"].items()}
         self.before = msgspec.convert(before["received"], list[Received], strict=True)
         self._billing = Billing(self.memory)
 
--- a/tests/test_told_process.py
+++ b/tests/test_told_process.py
@@ -17,12 +17,8 @@
 
 from trackspread.testing.harness.gateway_process import GatewayProcess
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import (
-    DiscoveryAgent,
-    BackendList,
-    ListedBackend,
-    AgentFault,
-)
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import AgentFault, DiscoveryAgent
 from trackspread.testing.standins.loopback import Address, Ports
 
 from .fakes import Backend, Connection, busy_listener, call, listening, raw_config, served
@@ -52,14 +48,14 @@
 CASES = (
     Case("reset", ((AgentFault.RESET, 8),)),
     Case("reset, long grace", ((AgentFault.RESET, 8),), 10 * SECOND),
-    Case("ended", ((AgentFault.ENDED, 8),)),
-    Case("ended, long grace", ((AgentFault.ENDED, 8),), 10 * SECOND),
+    Case("ended", ((AgentFault.EMPTY_ANSWER, 8),)),
+    Case("ended, long grace", ((AgentFault.EMPTY_ANSWER, 8),), 10 * SECOND),
     # The wait is drawn: more than one, so that one that is too long shows.
     *(Case(f"error {number}", ((AgentFault.ERROR, 2),)) for number in range(5)),
-    *(Case(f"kept waiting {number}", ((AgentFault.KEPT_WAITING, 2),)) for number in range(5)),
+    *(Case(f"kept waiting {number}", ((AgentFault.CLOSED_LATE, 2),)) for number in range(5)),
     Case("error, few gateways", ((AgentFault.ERROR, 8),), 10 * SECOND, 4),
-    Case("silent", ((AgentFault.SILENT, 1),)),
-    Case("silent after resets", ((AgentFault.RESET, 8), (AgentFault.SILENT, 1)), 10 * SECOND),
+    Case("silent", ((AgentFault.UNRESPONSIVE, 1),)),
+    Case("silent after resets", ((AgentFault.RESET, 8), (AgentFault.UNRESPONSIVE, 1)), 10 * SECOND),
     Case("trickle", ((AgentFault.TRICKLE, 1),)),
 )
 
@@ -83,7 +79,7 @@
 
     def drain(self) -> None:
         """Discovery can be reached, and has a drain."""
-        self.agent.trouble, self.begun = None, time.monotonic_ns()
+        self.agent.fault, self.begun = None, time.monotonic_ns()
         self.tell("terminating")
         self.drained.set()
 
@@ -152,32 +148,32 @@
         def troubled() -> None:
             left.pop(0)
             if left:
-                stage.agent.trouble = left[0]
+                stage.agent.fault = left[0]
             else:
-                stage.agent.troubled = lambda: None
+                stage.agent.on_fault = lambda: None
                 stage.drain()
 
-        stage.agent.trouble, stage.agent.troubled = left[0], troubled
-        stage.agent.cut()
+        stage.agent.fault, stage.agent.on_fault = left[0], troubled
+        stage.agent.abort_watches()
 
     return begin
 
 
 def silent_watch(stage: Stage) -> None:
-    stage.agent.silence()
+    stage.agent.stop_updates()
     stage.drain()
 
 
 def refused(stage: Stage) -> None:
     """Long enough for the waits between calls to be at their longest."""
-    stage.agent.refuse()
-    stage.agent.cut()
+    stage.agent.stop_listening()
+    stage.agent.abort_watches()
     stage.back = asyncio.create_task(again(stage, 5.0))
 
 
 def never_comes_up(stage: Stage) -> None:
-    stage.agent.refuse()
-    stage.agent.cut()
+    stage.agent.stop_listening()
+    stage.agent.abort_watches()
     stage.back = asyncio.create_task(crowded(stage))
 
 
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -15,7 +15,7 @@
 from trackspread.cli import main
 from trackspread.config.addresses import ConfigError
 from trackspread.testing.harness.screen import GatewayRow, NodeRow, Snapshot, bars, draw, one_line
-from trackspread.testing.harness.run_statistics import Tallies
+from trackspread.testing.harness.run_statistics import RunStatistics
 from trackspread.testing.harness.trial import plan_kills
 from trackspread.testing.judge.ledger import (
     ReplyReceived,
@@ -66,15 +66,15 @@
 def test_tallies_count_by_gateway_and_tell_a_used_up_quota_from_one_with_room() -> None:
     plans = {"p": PlanRule(1.0, 2.0), "free": PlanRule(0.0, 0.0)}
     world = World({"look": ClassRule("safe", "all", S)}, plans, S, S, 3.0)
-    tallies = Tallies(world)
+    tallies = RunStatistics(world)
 
     def one(request: str, sent: bool, kind: Any, plan: str = "p") -> list[Entry]:
         made: list[Entry] = [RequestSent(0, request, request, "n0", "look", plan, 1, 1.0, S)]
         made += [AttemptReceived(0, 0, request, "s", "n0", 1)] * sent
         return [*made, ReplyReceived(0, request, kind)] if kind else [*made, ConnectionLost(0, request)]
 
-    tallies.take([*one("a", False, "refused"), *one("b", True, "served")])
-    tallies.take(
+    tallies.add_second([*one("a", False, "refused"), *one("b", True, "served")])
+    tallies.add_second(
         [
             *one("c", True, "refused"),
             *one("d", False, "refused"),
@@ -84,9 +84,9 @@
         ]
     )
     assert tallies.by_gateway["n0"] == Counter(refused=4, served=2, unanswered=1)
-    assert sorted(tallies.refusals.values()) == [1, 1, 2] and len(tallies.refusals) == 3
-    assert tallies.refusals["its customer's quota is used up"] == 1 and tallies.total["beyond"] == 2
-    assert [second["asked"] for second in tallies.seconds] == [2, 5]
+    assert sorted(tallies.rejections.values()) == [1, 1, 2] and len(tallies.rejections) == 3
+    assert tallies.rejections["its customer's quota is used up"] == 1 and tallies.total["beyond"] == 2
+    assert [second["asked"] for second in tallies.by_second] == [2, 5]
 
 
 def test_in_a_pipe_it_prints_a_line_a_second_and_ends_with_the_verdict() -> None:
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from trackspread.testing.standins.billing import Billing, Plain
+from trackspread.testing.standins.billing import Billing, MemoryStore
 from trackspread.storage.slots import Scan
 from trackspread.usage import meter as meters
 from trackspread.usage.batch import Batch, decode, digest, encode, rows, signature, signed
@@ -156,7 +156,7 @@
 
 
 def test_a_stream_is_sealed_only_by_a_batch_that_named_its_length() -> None:
-    billing = Billing(Plain())
+    billing = Billing(MemoryStore())
     scan = Scan({n: pack_use(*USE) for n in range(1, 4)})
     control = Control("p", names=[Names("n0", ("look", "charge"), ("a", "b", "c"))])
     stream = control.streams[1] = Stream("00" * 16, 16, 0, [Part(1, "s")])
@@ -177,15 +177,15 @@
 
 
 def test_billing_takes_places_once_in_order_and_up_to_the_seal() -> None:
-    memory = Plain()
+    memory = MemoryStore()
     billing = Billing(memory)
     assert billing.post(_batch(1, 4)).taken == 4
-    assert billing.post(_batch(1, 4)).taken == 4 and billing.seen["again"] == 1
+    assert billing.post(_batch(1, 4)).taken == 4 and billing.reply_counts["again"] == 1
     assert billing.post(_batch(3, 6)).taken == 6, "a batch that was cut otherwise gives what is new in it"
     assert billing.post(_batch(9, 9)).taken == 6, "nothing is left out"
     assert billing.post(_batch(7, 6, 6)).sealed == 6
     fenced = billing.post(_batch(5, 8))
-    assert fenced.fenced and fenced.sealed == 6 and billing.seen["fenced"] == 1
+    assert fenced.fenced and fenced.sealed == 6 and billing.reply_counts["fenced"] == 1
     assert billing.post(_batch(7, 8, stream=forked("s", 7), base=6)).taken == 8
     assert [int(row.units) // NANO for row in memory.rows] == list(range(1, 9))
     first = memory.rows[0]
@@ -193,7 +193,7 @@
 
 
 def test_other_records_under_places_that_were_taken_are_told() -> None:
-    billing = Billing(Plain())
+    billing = Billing(MemoryStore())
     billing.post(_batch(1, 2))
     batch = decode(_batch(1, 2))
     changed = encode(msgspec.structs.replace(batch, rows=batch.rows[:1]))
--- a/tests/test_use_process.py
+++ b/tests/test_use_process.py
@@ -14,8 +14,8 @@
 from trackspread.cli import main
 from trackspread.testing.harness.billing_check import compare
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.standins.billing import Billing, Plain
-from trackspread.testing.standins.billing_server import BillingServer, take_drops
+from trackspread.testing.standins.billing import Billing, MemoryStore
+from trackspread.testing.standins.billing_server import BillingServer, take_dropped_files
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.directory import Directory
 from trackspread.storage.slots import HEAD, SLOT
@@ -35,7 +35,7 @@
 
 async def _killed(folder: Path) -> None:
     server = BillingServer(folder / "billing.db", SECRET)
-    server.lost = server.busy = 0.2
+    server.answer_loss = server.unavailable_share = 0.2
     await server.start()
     (folder / "secret").write_bytes(SECRET + b"\n")
 
@@ -46,26 +46,26 @@
         )
 
     rng = random.Random(5)
-    async with Fleet(Scenario(gateways=2, nodes=3, load=0.6, seed=9), own=own) as fleet:
-        fleet.ask()
+    async with Fleet(Scenario(gateways=2, nodes=3, load=0.6, seed=9), operator_file=own) as fleet:
+        fleet.start_clients()
         for _ in range(4):
             await asyncio.sleep(rng.uniform(0.2, 0.6))
             await fleet.restart([rng.randrange(2)], 0.05)
         server.stop()
         await asyncio.sleep(0.3)
         await server.start()
-        goal = fleet.clients.kinds["served"] + 20
-        while fleet.clients.kinds["served"] < goal:
+        goal = fleet.clients.outcome_counts["served"] + 20
+        while fleet.clients.outcome_counts["served"] < goal:
             await asyncio.sleep(0.01)
         await fleet.settle()
-        server.lost = server.busy = 0.0
+        server.answer_loss = server.unavailable_share = 0.0
         for name in ("n0", "n1"):
             ledger = await export_all(folder / name, sender(Target(server.url, SECRET)), MOST)
             assert ledger.exported, ledger.exporter.trouble
-        told = compare(fleet.ledger.entries, server.ledger.totals())
-    assert server.billing.seen["again"] > 0 and server.billing.seen["conflict"] == 0
-    assert told.read > 0 and (told.lost, told.doubled) == (0, 0)
-    assert all(stream["sealed"] == stream["taken"] for stream in server.ledger.streams())
+        told = compare(fleet.ledger.entries, server.database.totals())
+    assert server.billing.reply_counts["again"] > 0 and server.billing.reply_counts["conflict"] == 0
+    assert told.served > 0 and (told.lost, told.doubled) == (0, 0)
+    assert all(stream["sealed"] == stream["taken"] for stream in server.database.streams())
     server.close()
 
 
@@ -127,15 +127,15 @@
 
 def test_dropped_files_are_taken_once_and_answered(tmp_path: Path) -> None:
     async def body() -> None:
-        billing, drop = Billing(Plain()), Drop(tmp_path)
+        billing, drop = Billing(MemoryStore()), Drop(tmp_path)
         for number in (1, 2):
             sending = asyncio.create_task(drop.send(_post(number)))
-            while not take_drops(tmp_path, billing):
+            while not take_dropped_files(tmp_path, billing):
                 await asyncio.sleep(0.005)
             assert await sending == Reply(number)
         # A crash of the taker between its answer and the removal: the file is there once more.
         (tmp_path / "in" / "s_2-2.json").write_bytes(_post(2).body)
-        assert take_drops(tmp_path, billing) == 1 and billing.seen["taken"] == 2
+        assert take_dropped_files(tmp_path, billing) == 1 and billing.reply_counts["taken"] == 2
         assert list((tmp_path / "in").iterdir()) == []
 
     uvloop.run(asyncio.wait_for(body(), MOST))
@@ -148,11 +148,11 @@
         with pytest.raises(SendError, match="403") as caught:
             await sender(Target(server.url, b"another")).send(_post(1))
         assert caught.value.final
-        server.busy = 1.0
+        server.unavailable_share = 1.0
         with pytest.raises(SendError, match="503") as caught:
             await sender(Target(server.url, SECRET)).send(_post(1))
         assert caught.value.retry_in == 1_000_000_000 and not caught.value.final
-        server.busy = 0.0
+        server.unavailable_share = 0.0
         assert await sender(Target(server.url, SECRET)).send(_post(1)) == Reply(1)
         server.close()
 
@@ -202,17 +202,17 @@
     status, told = _words(capsys, "reconcile", str(folder), "--received", str(received))
     assert status == 1 and "not exported yet" in told and "2 differences" in told
 
-    billing = Billing(Plain())
+    billing = Billing(MemoryStore())
 
     async def exported() -> None:
         sending = asyncio.create_task(export_all(folder, Drop(tmp_path / "drop"), MOST))
         while not sending.done():
-            take_drops(tmp_path / "drop", billing)
+            take_dropped_files(tmp_path / "drop", billing)
             await asyncio.sleep(0.01)
         assert (await sending).exported
 
     uvloop.run(exported())
-    rows = billing.memory.rows  # type: ignore[attr-defined]
+    rows = billing.store.rows  # type: ignore[attr-defined]
     day = rows[0].time // DAY_MS
     assert len(rows) == 40 and {row.time // DAY_MS for row in rows} == {day}
     lines = [(f"{member:016x}", day, 1, 20, str(10 * NANO)) for member in (7, 8)]
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -67,7 +67,7 @@
     """Before, a home went on granting all of a quota that others spent beside it."""
 
     def beyond(seed: int) -> float:
-        scenario = Scenario(gateways=8, nodes=12, load=0.35, greedy=0.3, seed=seed)
+        scenario = Scenario(gateways=8, nodes=12, load=0.35, greedy_share=0.3, seed=seed)
         fleet = VirtualFleet(scenario, seed)
         fleet.conditions.peer_loss = loss
         fleet.run(8 * SECOND)
--- a/trackspread/testing/harness/billing_check.py
+++ b/trackspread/testing/harness/billing_check.py
@@ -1,8 +1,7 @@
-"""What clients were answered, held against what billing has: the account of use on real processes.
+"""Compares what clients were answered with what billing has, for runs on real processes.
 
-May know: the ledger, billing's totals. A record bears no request's name, so members' totals are compared:
-what a client read as served must be billed; what was under way when a gateway was killed or a client left
-may be.
+A usage record does not name its request, so tenants' totals are compared: what a client read as served must
+be billed; what was open when a gateway was killed or a client left may be.
 """
 
 from __future__ import annotations
@@ -11,46 +10,51 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..judge.ledger import ReplyReceived, RequestSent, ConnectionLost, Entry, ClientDisconnected
 from ...usage.record import Ending, nano
-
-Totals = dict[tuple[str, int, int], tuple[int, int]]
+from ..judge.ledger import ClientDisconnected, ConnectionLost, Entry, ReplyReceived, RequestSent
+from ..standins.billing_database import UsageTotals
 
 
 @dataclass(frozen=True, slots=True)
-class Billed:
-    """In billionths of units. `lost`: read as served and not billed. `doubled`: billed past all that was
-    asked and may have been served. `read`: what clients read as served."""
+class BillingComparison:
+    """Sums over all tenants, in billionths of units.
+
+    `served`: read as served by clients. `lost`: of this, not billed. `doubled`: billed beyond all that may
+    have been served.
+    """
 
-    read: int
+    served: int
     billed: int
     lost: int
     doubled: int
 
 
-def compare(entries: Iterable[Entry], totals: Totals) -> Billed:
-    asked: dict[str, RequestSent] = {}
-    ends: dict[str, str] = {}
+def compare(entries: Iterable[Entry], totals: UsageTotals) -> BillingComparison:
+    """Compares a run's ledger with billing's totals."""
+    requests: dict[str, RequestSent] = {}
+    endings: dict[str, str] = {}
     for entry in entries:
         match entry:
             case RequestSent():
-                asked[entry.request] = entry
+                requests[entry.request] = entry
             case ReplyReceived():
-                ends[entry.request] = entry.kind
+                endings[entry.request] = entry.kind
             case ConnectionLost() | ClientDisconnected():
-                ends.setdefault(entry.request, "unknown")
-    sure, maybe = Counter[str](), Counter[str]()
-    for request, entry in asked.items():
-        end = ends.get(request, "unknown")
-        if end in ("served", "unknown"):
-            (sure if end == "served" else maybe)[f"{entry.customer:016x}"] += nano(entry.units)
+                endings.setdefault(entry.request, "unknown")
+    served = Counter[str]()
+    uncertain = Counter[str]()
+    for request, sent in requests.items():
+        ending = endings.get(request, "unknown")
+        if ending in ("served", "unknown"):
+            counts = served if ending == "served" else uncertain
+            counts[f"{sent.customer:016x}"] += nano(sent.units)
     billed = Counter[str]()
-    for (customer, _, ending), (_, units) in totals.items():
-        billed[customer] += units * (ending == Ending.SERVED)
-    members = sure.keys() | maybe.keys() | billed.keys()
-    return Billed(
-        sum(sure.values()),
+    for (tenant, _, record_ending), (_, units) in totals.items():
+        billed[tenant] += units * (record_ending == Ending.SERVED)
+    tenants = served.keys() | uncertain.keys() | billed.keys()
+    return BillingComparison(
+        sum(served.values()),
         sum(billed.values()),
-        sum(max(0, sure[m] - billed[m]) for m in members),
-        sum(max(0, billed[m] - sure[m] - maybe[m]) for m in members),
+        sum(max(0, served[tenant] - billed[tenant]) for tenant in tenants),
+        sum(max(0, billed[tenant] - served[tenant] - uncertain[tenant]) for tenant in tenants),
     )
--- a/trackspread/testing/harness/cell_fleet.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -1,22 +1,20 @@
-"""Fleets of processes in cells: gateways, and beside them control machines, each a process.
+"""Fleets of processes in cells: gateways, and control machines beside them.
 
-All words between any two of them go over the wire, which can be cut. May know: fleets, records. May not know:
-how cells come to be.
+All messages between any two of them go over the faulty network.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Iterable, Sequence
+from collections.abc import Sequence
 from pathlib import Path
-from typing import cast
 
-import msgspec
-
-from ..judge.membership_records import Inconsistency, MembershipRecord, Reader, rights, views
 from ..judge.ledger import GatewayExited, GatewayKilled
+from ..judge.membership_records import Inconsistency, MembershipRecord, rights, views
+from ..standins.loopback import address_text
 from ..standins.scenario import Scenario
-from .fleet import MEMBER_PORT, Fleet
+from .cell_records import double_memberships, older_placements, retired_with_members, unreturned_slots
+from .fleet import Fleet
 from .gateway_process import RUN_COMMAND, STOP_TIMEOUT_S
 from .limited_process import LimitedProcess, limited_command
 
@@ -65,189 +63,133 @@
 
 
 class CelledFleet(Fleet):
-    """Use as `async with CelledFleet(scenario, control) as fleet`; gateways n0, n1, ... in turn in zones z0
-    and z1 of one region, control machines c0, c1, ... beside them."""
+    """Use as `async with CelledFleet(scenario, control_count) as fleet`.
+
+    Gateways n0, n1, ... are in zones z0 and z1 of one region by turns, control machines c0, c1, ... too.
+    `view_settings`: further keys of every table [fleet]. `gateway_command`, `control_command`: the
+    interpreter's arguments that run each.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
-        control: int,
-        keys: str = "",
-        runs: tuple[str, ...] = RUN_COMMAND,
-        controls: tuple[str, ...] = CONTROL_COMMAND,
+        control_count: int,
+        view_settings: str = "",
+        gateway_command: tuple[str, ...] = RUN_COMMAND,
+        control_command: tuple[str, ...] = CONTROL_COMMAND,
     ) -> None:
-        """`keys`: further ones of every table [fleet]; `runs`, `controls`: what runs a gateway, and a control
-        machine."""
-        super().__init__(scenario, runs, viewed=keys)
-        self._controls = controls
-        self.control_names = [f"c{number}" for number in range(control)]
-        self.control: dict[str, ControlProcess] = {}
+        super().__init__(scenario, gateway_command, view_settings=view_settings)
+        self._control_command = control_command
+        self.control_names = [f"c{number}" for number in range(control_count)]
+        self.control_machines: dict[str, ControlProcess] = {}
 
     async def __aenter__(self) -> CelledFleet:
         await super().__aenter__()
         return self
 
-    async def _view(self, names: Sequence[str]) -> None:
-        every = [*names, *self.control_names]
-        self.members = {name: (self._ports.host(), MEMBER_PORT) for name in every}
-        self.reached = await self.wire.posts(self.members)
-        self._reader = Reader([self.record(name) for name in every])
+    async def _prepare_view(self, names: Sequence[str]) -> None:
+        """Starts the control machines too."""
+        await super()._prepare_view([*names, *self.control_names])
         for name in self.control_names:
-            file = self.folder / f"{name}.toml"
-            file.write_text(self.table(name))
-            self.control[name] = ControlProcess(name, file, self.folder / f"{name}.log", self._controls)
-            await self.control[name].start()
-
-    def table(self, name: str) -> str:
-        """The table [fleet] of a gateway, or of a control machine."""
-        place = (
-            ""
-            if name in self.control_names
-            else (
-                f'advertise = "{_text(self.reached[name])}"\n'
+            operator_file = self.folder / f"{name}.toml"
+            operator_file.write_text(self.fleet_table(name))
+            control = ControlProcess(name, operator_file, self.folder / f"{name}.log", self._control_command)
+            self.control_machines[name] = control
+            await control.start()
+
+    def fleet_table(self, name: str) -> str:
+        """The table [fleet] of a gateway or a control machine."""
+        placement = ""
+        if name not in self.control_names:
+            placement = (
+                f'advertise = "{address_text(self.advertised_addresses[name])}"\n'
                 f'region = "r"\nzone = "z{int(name[1:]) % ZONES}"\n'
             )
-        )
-        seats = "".join(
-            f'[[fleet.control]]\nname = "{each}"\nregion = "r"\nzone = "z{number % ZONES}"\n'
-            f'address = "{_text(self.reached[each])}"\n'
-            for number, each in enumerate(self.control_names)
+        control_tables = "".join(
+            f'[[fleet.control]]\nname = "{control}"\nregion = "r"\nzone = "z{number % ZONES}"\n'
+            f'address = "{address_text(self.advertised_addresses[control])}"\n'
+            for number, control in enumerate(self.control_names)
         )
         return (
-            f'\n[fleet]\nname = "test"\nlisten = "{_text(self.members[name])}"\n{place}'
-            f'record = "{self.record(name)}"\n{self._viewed}\n{seats}'
+            f'\n[fleet]\nname = "test"\nlisten = "{address_text(self.member_addresses[name])}"\n{placement}'
+            f'record = "{self.record_path(name)}"\n{self.view_settings}\n{control_tables}'
         )
 
     async def _close(self) -> None:
-        for control in self.control.values():
+        for control in self.control_machines.values():
             await control.kill()
         await super()._close()
 
     # What the records say.
 
-    def cells(self) -> dict[str, str]:
-        """The cell that each gateway last joined and has not left, by its name."""
-        held: dict[str, str] = {}
-        for each in self.beliefs():
-            if each.kind == "joined":
-                held[each.name] = str(each.about["cell"])
-            elif each.kind == "parted":
-                held.pop(each.name, None)
-        return held
+    def cells_by_gateway(self) -> dict[str, str]:
+        """The cell that each gateway last joined and has not left."""
+        cells: dict[str, str] = {}
+        for record in self.records():
+            if record.kind == "joined":
+                cells[record.name] = str(record.about["cell"])
+            elif record.kind == "parted":
+                cells.pop(record.name, None)
+        return cells
 
-    def of(self, cell: str) -> list[MembershipRecord]:
-        """What was believed in one cell's view."""
-        return [each for each in self.beliefs() if each.about.get("fleet") == cell]
+    def records_of_cell(self, cell: str) -> list[MembershipRecord]:
+        """The records that concern one cell's view."""
+        return [record for record in self.records() if record.about.get("fleet") == cell]
 
     def leader(self) -> str:
         """The control machine that last began to lead and has not ceased; "" for none."""
-        found = ""
-        for each in self.beliefs():
-            if each.kind == "control leads":
-                found = each.name
-            elif each.kind == "control leads no more" and each.name == found:
-                found = ""
-        return found
-
-    def amiss_in_cells(self) -> list[Inconsistency]:
-        """What does not fit together in the records of every view, the control machines' own among them."""
-        gone = [
+        leader = ""
+        for record in self.records():
+            if record.kind == "control leads":
+                leader = record.name
+            elif record.kind == "control leads no more" and record.name == leader:
+                leader = ""
+        return leader
+
+    def inconsistencies(self) -> list[Inconsistency]:
+        """What does not fit together in the records of every view, the control machines' own included."""
+        process_ends = [
             (entry.at, entry.gateway)
             for entry in self.ledger.entries
             if isinstance(entry, GatewayKilled | GatewayExited)
         ]
+        records = self.records()
         found: list[Inconsistency] = []
-        for cell in sorted({str(each.about["fleet"]) for each in self.beliefs() if "fleet" in each.about}):
-            told = self.of(cell)
-            found += views(told) + rights(told, gone)[0]
-        told = self.beliefs()
-        return sorted(found + backward(told) + together(told) + lingering(told) + given_up(told, gone))
-
-
-def backward(beliefs: Iterable[MembershipRecord]) -> list[Inconsistency]:
-    """Gateways that went by an older word on their cell after a newer."""
-    newest: dict[tuple[str, int], tuple[int, ...]] = {}
-    found = []
-    for each in beliefs:
-        if each.kind != "joined":
-            continue
-        number = msgspec.convert(each.about["number"], tuple[int, ...])
-        if number < newest.get(each.who, ()):
-            found.append(Inconsistency(each.at, "view", f"{each.name} goes back to {number}"))
-        newest[each.who] = max(number, newest.get(each.who, ()))
-    return found
-
-
-def together(beliefs: Iterable[MembershipRecord]) -> list[Inconsistency]:
-    """Gateways that joined a cell before they had left another."""
-    inside: dict[tuple[str, int], str] = {}
-    found = []
-    for each in beliefs:
-        if each.kind == "joined":
-            if each.who in inside:
-                found.append(Inconsistency(each.at, "view", f"{each.name} is in two cells"))
-            inside[each.who] = str(each.about["cell"])
-        elif each.kind == "parted":
-            inside.pop(each.who, None)
-    return found
-
-
-def lingering(beliefs: Iterable[MembershipRecord]) -> list[Inconsistency]:
-    """Gateways that parted from a cell without giving back what they held there."""
-    until: dict[tuple[tuple[str, int], str], int] = {}
-    found = []
-    for each in beliefs:
-        key = each.who, str(each.about.get("fleet", each.about.get("cell", "")))
-        if each.kind == "part":
-            lasts = cast(int, each.about["lasts"])
-            until[key] = each.at + lasts * bool(each.about["part"])
-        elif each.kind in ("left", "fenced", "made way"):
-            until.pop(key, None)
-        elif each.kind == "parted" and until.get(key, 0) > each.at:
-            found.append(
-                Inconsistency(each.at, "rights", f"{each.name} parted from {key[1]} and keeps its slots")
-            )
-    return found
-
-
-def given_up(beliefs: Iterable[MembershipRecord], gone: Iterable[tuple[int, str]]) -> list[Inconsistency]:
-    """Cells that a control machine gave up while a gateway that runs was in them. `gone`: when a process of a
-    name was killed or had ended."""
-    inside: dict[str, str] = {}
-    ends = sorted(gone)
-    found = []
-    for each in beliefs:
-        while ends and ends[0][0] <= each.at:
-            inside.pop(ends.pop(0)[1], None)
-        if each.kind == "joined":
-            inside[each.name] = str(each.about["cell"])
-        elif each.kind in ("parted", "left"):
-            inside.pop(each.name, None)
-        elif each.kind == "control retired" and each.about["cell"] in inside.values():
-            found.append(
-                Inconsistency(each.at, "view", f"{each.about['cell']} is given up with gateways in it")
-            )
-    return found
+        for cell in sorted({str(record.about["fleet"]) for record in records if "fleet" in record.about}):
+            cell_records = self.records_of_cell(cell)
+            found += views(cell_records) + rights(cell_records, process_ends)[0]
+        records = self.records()
+        found += older_placements(records) + double_memberships(records) + unreturned_slots(records)
+        return sorted(found + retired_with_members(records, process_ends))
+
 
+def unsettled_cells(fleet: CelledFleet) -> str:
+    """Why the cells are not settled; "" once they are.
 
-def whole_cells(fleet: CelledFleet) -> str:
-    """Whether every gateway that runs is in a cell whose last view, at each of them, is of just the gateways
-    of that cell that run, beside control machines: nothing, or what is amiss."""
-    cells, running = fleet.cells(), {g.name for g in fleet.gateways if g.running}
-    if lacking := running - cells.keys():
-        return f"{sorted(lacking)} are in no cell"
+    They are settled when every running gateway is in a cell and its last view of that cell has just the
+    running gateways of the cell, beside control machines.
+    """
+    cells = fleet.cells_by_gateway()
+    running = {gateway.name for gateway in fleet.gateways if gateway.running}
+    if without_cell := running - cells.keys():
+        return f"{sorted(without_cell)} are in no cell"
     for cell in {cells[name] for name in running}:
-        inside = {name for name in running if cells[name] == cell}
-        last = {each.name: each for each in fleet.of(cell) if each.kind == "view" and each.name in inside}
-        numbers = {str(each.about["number"]) for each in last.values()}
-        if last.keys() != inside or len(numbers) != 1:
-            return f"{cell}: {len(numbers)} views at {sorted(last)}"
-        for each in last.values():
-            members = {name for name, _ in each.about["members"]}  # type: ignore[attr-defined]
-            if members - set(fleet.control_names) != inside:
-                return f"{cell}: {each.name} holds a view of {sorted(members)}"
+        if reason := _unsettled_cell(fleet, cell, {name for name in running if cells[name] == cell}):
+            return reason
     return ""
 
 
-def _text(address: tuple[str, int]) -> str:
-    return f"{address[0]}:{address[1]}"
+def _unsettled_cell(fleet: CelledFleet, cell: str, gateways: set[str]) -> str:
+    last_views = {
+        record.name: record
+        for record in fleet.records_of_cell(cell)
+        if record.kind == "view" and record.name in gateways
+    }
+    numbers = {str(record.about["number"]) for record in last_views.values()}
+    if last_views.keys() != gateways or len(numbers) != 1:
+        return f"{cell}: {len(numbers)} views at {sorted(last_views)}"
+    for record in last_views.values():
+        members = {name for name, _ in record.about["members"]}  # type: ignore[attr-defined]
+        if members - set(fleet.control_names) != gateways:
+            return f"{cell}: {record.name} holds a view of {sorted(members)}"
+    return ""
--- a/trackspread/testing/harness/configuration_fleet.py
+++ b/trackspread/testing/harness/configuration_fleet.py
@@ -1,7 +1,4 @@
-"""Processes that hand configuration down, faults between them, and what their records say.
-
-May know: processes, records, who is told to lead. May not know: how changes are agreed on.
-"""
+"""A fleet of processes over which configuration is distributed, with faults and a check of the records."""
 
 from __future__ import annotations
 
@@ -19,28 +16,30 @@
 from ...distribution.messages import Inspected
 from ...distribution.versions import NO_VERSION, Entry, Version
 from ...distribution.wire import Wire
-from ..judge.membership_records import MembershipRecord, Reader
 from ...membership.wire import Keys
+from ..judge.membership_records import MembershipRecord, Reader
 from ..standins.loopback import Ports
 from ..virtual.distribution.invariants import InvariantViolated, Judged
-from .configuration_process import FLEET, Gateway, ProcessSpec, ConfigurationReceived
+from .configuration_process import FLEET, Conditions, GatewaySpec, ProcessSpec
 from .limited_process import LimitedProcess, limited_command
 
 MAX_DESCRIPTORS = 512  # of one process
-LOOK = 0.1  # s between looks at the records
-BEGIN = 10.0  # s for a first leader
+RECORD_POLL_S = 0.1
+FIRST_LEADER_TIMEOUT_S = 10.0
+CLIENT_TIMEOUT_S = 5.0
+LOG_TAIL_CHARACTERS = 2000
 
 
-class Process(LimitedProcess):
-    """One of the fleet's."""
+class ConfigurationProcess(LimitedProcess):
+    """A process with a replica or with gateways; it keeps its network's conditions over restarts."""
 
     def __init__(self, spec: ProcessSpec, log: Path) -> None:
         super().__init__(log.stem, log)
         self.spec = spec
-        self.told = ConfigurationReceived()
+        self.conditions = Conditions()
 
     async def start(self) -> None:
-        """From nothing; returns once it listens."""
+        """Starts it without any state; returns once it listens. Raises `RuntimeError` if it does not."""
         command = limited_command(
             MAX_DESCRIPTORS,
             "-m",
@@ -57,24 +56,29 @@
             )
         assert self._process.stdout is not None
         if await self._process.stdout.readline() != b"ready\n":
-            raise RuntimeError(self.log.read_text()[-2000:])
-        self.tell(self.told)
+            raise RuntimeError(self.log.read_text()[-LOG_TAIL_CHARACTERS:])
+        self.set_conditions(self.conditions)
 
-    def tell(self, told: ConfigurationReceived) -> None:
-        """What holds from now on, for whichever process runs here."""
-        self.told = told
+    def set_conditions(self, conditions: Conditions) -> None:
+        """What holds from now on, also for processes that are started later."""
+        self.conditions = conditions
         if self.running and self._process is not None and self._process.stdin is not None:
-            self._process.stdin.write(msgspec.json.encode(told) + b"\n")
+            self._process.stdin.write(msgspec.json.encode(conditions) + b"\n")
 
     async def kill(self) -> None:
+        """SIGKILL; the next process is not the leader."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
-        self.told = msgspec.structs.replace(self.told, lead=None)
+        self.conditions = msgspec.structs.replace(self.conditions, leader=None)
 
 
-class Configured:
-    """A fleet: a process for each replica, and one with all gateways."""
+class ConfigurationFleet:
+    """Use as `async with`: a process for each replica, and one with all gateways.
+
+    Gateways g0, g1, ... are in the regions by turns and each use two of the services. `mutant` names a
+    planted fault. `recent_entries`, `pieces_per_s`, `key`: see `ProcessSpec`.
+    """
 
     def __init__(
         self,
@@ -84,17 +88,16 @@
         regions: int = 2,
         services: int = 6,
         mutant: str = "",
-        recent: int = 8192,
-        pieces: int = 2000,
+        recent_entries: int = 8192,
+        pieces_per_s: int = 2000,
         key: str = "a key of many bytes",
     ) -> None:
         self._ports = Ports()
-        self._folder = folder
         self._key = key
         self.services = tuple(f"service-{n}" for n in range(services))
         self.addresses = tuple(self._ports.udp() for _ in range(replicas))
         self._gateways = tuple(
-            Gateway(
+            GatewaySpec(
                 f"g{n}",
                 self._ports.udp(),
                 n % regions,
@@ -103,158 +106,190 @@
             for n in range(gateways)
         )
         spec = ProcessSpec(
-            str(folder), self.addresses, regions, key=key, mutant=mutant, recent=recent, pieces=pieces
+            str(folder),
+            self.addresses,
+            regions,
+            key=key,
+            mutant=mutant,
+            recent_entries=recent_entries,
+            pieces_per_s=pieces_per_s,
         )
         self.replicas = [
-            Process(msgspec.structs.replace(spec, replica=n), folder / f"replica-{n}.log")
+            ConfigurationProcess(msgspec.structs.replace(spec, replica=n), folder / f"replica-{n}.log")
             for n in range(replicas)
         ]
-        self.gateways = Process(
+        self.gateways = ConfigurationProcess(
             msgspec.structs.replace(spec, gateways=self._gateways), folder / "gateways.log"
         )
         self._reader = Reader(
             [*(folder / f"replica-{n}.jsonl" for n in range(replicas)), folder / "gateways.jsonl"]
         )
-        self._round = 0
-        self.put_at: list[tuple[int, Version]] = []  # ns of the answer, and what it said
-
-    async def __aenter__(self) -> Configured:
-        await asyncio.gather(*(each.start() for each in self.replicas))
-        self.appoint(0)
-        await asyncio.to_thread(self.client(BEGIN).begin)
-        await self._all_whole()
+        self._elections = 0
+        self.put_at: list[tuple[int, Version]] = []  # when a change was acknowledged, in ns, and its version
+
+    async def __aenter__(self) -> ConfigurationFleet:
+        await asyncio.gather(*(replica.start() for replica in self.replicas))
+        self.elect(0)
+        await asyncio.to_thread(self.client(FIRST_LEADER_TIMEOUT_S).begin)
+        await self._all_complete()
         await self.gateways.start()
         return self
 
-    async def _all_whole(self) -> None:
-        """Raises `RuntimeError` where some replicas do not come to count in time."""
-        end = time.monotonic() + BEGIN
+    async def _all_complete(self) -> None:
+        """Waits until every replica counts; raises `RuntimeError` after `FIRST_LEADER_TIMEOUT_S`."""
+        end = time.monotonic() + FIRST_LEADER_TIMEOUT_S
         while time.monotonic() < end:
             shown = [await self.show(number) for number in range(len(self.replicas))]
             if all(each is not None and each.role in ("leader", "follower") for each in shown):
                 return
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(RECORD_POLL_S)
         raise RuntimeError("some replicas are not whole")
 
-    async def __aexit__(self, *words: object) -> None:
-        for each in (*self.replicas, self.gateways):
-            await each.kill()
+    async def __aexit__(self, *_: object) -> None:
+        for process in self._processes():
+            await process.kill()
+
+    def _processes(self) -> tuple[ConfigurationProcess, ...]:
+        return (*self.replicas, self.gateways)
 
-    def client(self, patience: float = 5.0, first: int | None = None) -> ReplicaClient:
-        return ReplicaClient(Wire(FLEET, Keys(self._key.encode())), self.addresses, patience, first)
+    def client(self, timeout_s: float = CLIENT_TIMEOUT_S, first: int | None = None) -> ReplicaClient:
+        """An operator's client; `first`: the number of the replica that it asks first."""
+        return ReplicaClient(Wire(FLEET, Keys(self._key.encode())), self.addresses, timeout_s, first)
 
-    def appoint(self, number: int, former: bool = True) -> None:
-        """The election's word; `former` False: those that led before are not told."""
-        self._round += 1
-        for at, process in enumerate(self.replicas):
-            if at == number:
-                process.tell(msgspec.structs.replace(process.told, lead=(self._round, number)))
-            elif former:
-                process.tell(msgspec.structs.replace(process.told, lead=None))
+    def elect(self, number: int, notify_former: bool = True) -> None:
+        """Makes a replica the leader. `notify_former`: those that led before learn of it."""
+        self._elections += 1
+        for position, process in enumerate(self.replicas):
+            if position == number:
+                epoch = (self._elections, number)
+                process.set_conditions(msgspec.structs.replace(process.conditions, leader=epoch))
+            elif notify_former:
+                process.set_conditions(msgspec.structs.replace(process.conditions, leader=None))
 
     def cut(
         self,
-        some: Iterable[int],
-        others: Iterable[int],
+        sources: Iterable[int],
+        targets: Iterable[int],
         gateways: bool = False,
         both: bool = True,
     ) -> None:
-        """Nothing goes from the one replicas to the others; `gateways`: nor to gateways; `both`: nor back."""
-        theirs = [self.addresses[n] for n in others]
-        theirs += [each.address for each in self._gateways] if gateways else []
-        for number in some:
+        """Cuts the ways from some replicas to others. `gateways`: also to all gateways; `both`: also back."""
+        addresses = [self.addresses[number] for number in targets]
+        addresses += [gateway.address for gateway in self._gateways] if gateways else []
+        for number in sources:
             process = self.replicas[number]
-            process.tell(
+            process.set_conditions(
                 msgspec.structs.replace(
-                    process.told, cut=frozenset(theirs), deaf=frozenset(theirs if both else ())
+                    process.conditions,
+                    blocked_targets=frozenset(addresses),
+                    blocked_sources=frozenset(addresses if both else ()),
                 )
             )
 
     def cut_gateways(self, off: bool) -> None:
-        """All gateways from all replicas."""
-        cut = frozenset(self.addresses if off else ())
-        self.gateways.tell(msgspec.structs.replace(self.gateways.told, cut=cut, deaf=cut))
+        """Cuts the ways between all gateways and all replicas, or mends them."""
+        addresses = frozenset(self.addresses if off else ())
+        self.gateways.set_conditions(
+            msgspec.structs.replace(
+                self.gateways.conditions, blocked_targets=addresses, blocked_sources=addresses
+            )
+        )
 
     def heal(self) -> None:
-        for process in (*self.replicas, self.gateways):
-            process.tell(ConfigurationReceived(process.told.lead))
+        """Ends all faults of the network."""
+        for process in self._processes():
+            process.set_conditions(Conditions(process.conditions.leader))
 
-    def lossy(self, loss: float) -> None:
-        for process in (*self.replicas, self.gateways):
-            process.tell(msgspec.structs.replace(process.told, loss=loss))
+    def set_loss(self, loss: float) -> None:
+        """The part of all datagrams that is lost from now on."""
+        for process in self._processes():
+            process.set_conditions(msgspec.structs.replace(process.conditions, loss=loss))
 
     async def put(
         self,
         service: str,
         key: str,
         value: bytes | None,
-        patience: float = 5.0,
+        timeout_s: float = CLIENT_TIMEOUT_S,
         first: int | None = None,
     ) -> Version | None:
-        """The version, once committed; None where nobody answered. `first`: the replica that is asked
-        first."""
+        """Changes a value; returns its version once it is committed, None if no leader answered.
+
+        `value`: None removes the key. `first`: the replica that is asked first.
+        """
         try:
-            version = await asyncio.to_thread(self.client(patience, first).put, service, key, value)
+            version = await asyncio.to_thread(self.client(timeout_s, first).put, service, key, value)
         except LeaderUnavailable:
             return None
         self.put_at.append((time.monotonic_ns(), version))
         return version
 
     async def show(self, number: int) -> Inspected | None:
+        """A replica's state; None if it does not answer."""
         return await asyncio.to_thread(self.client().show, number)
 
-    # What came to be.
+    # What the records say.
 
     def records(self) -> list[MembershipRecord]:
+        """All records so far, in order of time."""
         return self._reader.all()
 
-    def acted(self) -> dict[str, Version]:
-        """The newest version of each gateway's present process."""
-        found: dict[str, Version] = {each.name: NO_VERSION for each in self._gateways}
-        for each in self.records():
-            if each.kind == "acts":
-                found[each.name] = _version(each.about["version"])
-        return found
-
-    async def in_force(self, version: Version, most: float) -> float | None:
-        """s until all gateways act on this version or a newer one; None where they don't within `most` s."""
-        began = time.monotonic()
-        while time.monotonic() - began < most:
-            if min(self.acted().values()) >= version:
-                return time.monotonic() - began
-            await asyncio.sleep(LOOK)
+    def versions_in_use(self) -> dict[str, Version]:
+        """The newest version that each gateway has taken over, by its name."""
+        versions: dict[str, Version] = {gateway.name: NO_VERSION for gateway in self._gateways}
+        for record in self.records():
+            if record.kind == "acts":
+                versions[record.name] = _version(record.about["version"])
+        return versions
+
+    async def in_force(self, version: Version, timeout_s: float) -> float | None:
+        """The s until all gateways use this version or a newer one; None after `timeout_s`."""
+        started = time.monotonic()
+        while time.monotonic() - started < timeout_s:
+            if min(self.versions_in_use().values()) >= version:
+                return time.monotonic() - started
+            await asyncio.sleep(RECORD_POLL_S)
         return None
 
     def judge(self) -> Judged:
-        """Raises `InvariantViolated` where records do not fit, or a change told to be committed is not."""
-        judged, born = Judged(), dict[str, int]()
-        services = {each.name: each.services for each in self._gateways}
-        for line in self.records():
-            match line.kind:
-                case "committed":
-                    for entry in msgspec.convert(line.about["entries"], tuple[Entry, ...]):
-                        judged.commits(line.at, line.name, entry)
-                case "numbered":
-                    judged.numbered(f"{line.name} {line.born}", _version(line.about["version"]))
-        for line in self.records():
-            if line.kind == "acts":
-                if born.setdefault(line.name, line.born) != line.born:
-                    born[line.name] = line.born
-                    judged.starts(line.name)
-                _acts(judged, line, services[line.name])
+        """Checks all records.
+
+        Raises `InvariantViolated` if they do not fit, or if an acknowledged change is not committed.
+        """
+        judged = Judged()
+        for record in self.records():
+            _judge_replica(judged, record)
+        services = {gateway.name: gateway.services for gateway in self._gateways}
+        processes = dict[str, int]()
+        for record in self.records():
+            if record.kind != "acts":
+                continue
+            if processes.setdefault(record.name, record.born) != record.born:
+                processes[record.name] = record.born
+                judged.starts(record.name)
+            _judge_gateway(judged, record, services[record.name])
         for _, version in self.put_at:
             if version not in judged.committed:
                 raise InvariantViolated(f"{version} was told to be committed, and is not")
         return judged
 
 
-def _acts(judged: Judged, line: MembershipRecord, services: frozenset[str]) -> None:
-    version = _version(line.about["version"])
-    wanted = {s: keys for s, keys in judged.state(version).items() if s in services}
-    if line.about["values"] != fingerprint(wanted):
-        raise InvariantViolated(f"{line.name} acts on other values than those of {version}")
-    judged.acts(line.name, version, wanted, services)
+def _judge_replica(judged: Judged, record: MembershipRecord) -> None:
+    match record.kind:
+        case "committed":
+            for entry in msgspec.convert(record.about["entries"], tuple[Entry, ...]):
+                judged.commits(record.at, record.name, entry)
+        case "numbered":
+            judged.numbered(f"{record.name} {record.born}", _version(record.about["version"]))
+
+
+def _judge_gateway(judged: Judged, record: MembershipRecord, services: frozenset[str]) -> None:
+    version = _version(record.about["version"])
+    expected = {name: keys for name, keys in judged.state(version).items() if name in services}
+    if record.about["values"] != fingerprint(expected):
+        raise InvariantViolated(f"{record.name} acts on other values than those of {version}")
+    judged.acts(record.name, version, expected, services)
 
 
-def _version(told: object) -> Version:
-    return msgspec.convert(told, Version)
+def _version(value: object) -> Version:
+    return msgspec.convert(value, Version)
--- a/trackspread/testing/harness/configuration_process.py
+++ b/trackspread/testing/harness/configuration_process.py
@@ -1,9 +1,9 @@
-"""Runs replicas or gateways of handed-down configuration.
+"""Runs replicas or gateways of distributed configuration.
 
-Usage: `python -m trackspread.testing.harness.configuration_process SPEC`.
+Usage: `python -m trackspread.testing.harness.configuration_process SPEC`; SPEC is a `ProcessSpec` as JSON.
 
-Who leads and which ways are cut is told on standard input, a JSON object a line; what came to be is recorded.
-A planted fault may be named.
+Who leads and which ways are cut comes on standard input, a JSON object (`Conditions`) a line; what happens is
+recorded in files. A planted fault may be named.
 """
 
 from __future__ import annotations
@@ -23,17 +23,18 @@
 from ...distribution.host import Endpoint, ReplicaHost, SubscriberHost
 from ...distribution.messages import MessageBody
 from ...distribution.settings import ReplicaSettings, SubscriberSettings
-from ...membership.identifiers import Address, Epoch
 from ...distribution.wire import Wire
+from ...membership.identifiers import Address, Epoch
 from ...membership.wire import Keys
 from ..virtual.distribution.mutants import MUTANTS
 from ..virtual.patches import held
 
 FLEET = "configured"
+SEED_BITS = 60
 
 
-class Gateway(msgspec.Struct, frozen=True):
-    """`region`: of those that replicas are spread over by turns."""
+class GatewaySpec(msgspec.Struct, frozen=True):
+    """One gateway; `region`: the number of its region, over which the replicas are spread by turns."""
 
     name: str
     address: Address
@@ -42,101 +43,122 @@
 
 
 class ProcessSpec(msgspec.Struct, frozen=True):
-    """One process: a replica by its number, or the gateways."""
+    """One process: a replica by its number, or the gateways where that is negative.
+
+    `recent_entries`: committed entries that a replica caches for deltas. `pieces_per_s`: datagrams with
+    entries that it sends to gateways. `key`: shared by all. `mutant`: a planted fault's name; empty for none.
+    """
 
     folder: str
     replicas: tuple[Address, ...]
     regions: int
     replica: int = -1
-    gateways: tuple[Gateway, ...] = ()
+    gateways: tuple[GatewaySpec, ...] = ()
     key: str = ""
     mutant: str = ""
-    recent: int = 8192
-    pieces: int = 2000
+    recent_entries: int = 8192
+    pieces_per_s: int = 2000
+
 
+class Conditions(msgspec.Struct, frozen=True):
+    """A line of standard input: what holds from now on.
 
-class ConfigurationReceived(msgspec.Struct, frozen=True):
-    """A line of standard input: what holds from now on. `cut`: addresses that nothing is sent to, `deaf`:
-    that nothing is heard from; `loss`: of all that is sent."""
+    `leader`: the election's result, None while there is none. `blocked_targets`: addresses to which nothing
+    is sent. `blocked_sources`: addresses from which nothing is received. `loss`: the part of datagrams sent
+    that is lost.
+    """
 
-    lead: Epoch | None = None
-    cut: frozenset[Address] = frozenset()
-    deaf: frozenset[Address] = frozenset()
+    leader: Epoch | None = None
+    blocked_targets: frozenset[Address] = frozenset()
+    blocked_sources: frozenset[Address] = frozenset()
     loss: float = 0.0
 
 
 class FaultyTransport:
-    """The network of one process, and who leads here."""
+    """The network of one process under the conditions that it was last given."""
 
     def __init__(self) -> None:
-        self.told, self._rng = ConfigurationReceived(), random.Random(1)
+        self.conditions = Conditions()
+        self._rng = random.Random(1)
 
-    def plant(self, endpoint: Endpoint) -> None:
-        """Its datagrams go by what holds."""
-        send, came = endpoint.send, endpoint.on_datagram
+    def attach(self, endpoint: Endpoint) -> None:
+        """Makes an endpoint's datagrams subject to the conditions."""
+        send = endpoint.send
+        receive = endpoint.on_datagram
 
-        def sent(to: Address, body: MessageBody) -> None:
-            if to not in self.told.cut and self._rng.random() >= self.told.loss:
-                send(to, body)
+        def faulty_send(target: Address, body: MessageBody) -> None:
+            conditions = self.conditions
+            if target not in conditions.blocked_targets and self._rng.random() >= conditions.loss:
+                send(target, body)
 
-        def arrived(data: bytes, source: Address) -> None:
-            if source not in self.told.deaf:
-                came(data, source)
+        def faulty_receive(data: bytes, source: Address) -> None:
+            if source not in self.conditions.blocked_sources:
+                receive(data, source)
 
-        endpoint.send = sent  # type: ignore[method-assign]
-        endpoint.on_datagram = arrived  # type: ignore[method-assign]
+        endpoint.send = faulty_send  # type: ignore[method-assign]
+        endpoint.on_datagram = faulty_receive  # type: ignore[method-assign]
 
-    async def listen(self) -> None:
-        """To standard input, until it ends."""
+    async def read_conditions(self) -> None:
+        """Takes conditions from standard input until it ends."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
-            self.told = msgspec.json.decode(line, type=ConfigurationReceived)
+            self.conditions = msgspec.json.decode(line, type=Conditions)
 
 
-def made(spec: ProcessSpec, faulty: FaultyTransport) -> list[Endpoint]:
-    """All that runs in this process."""
-    wire, born, folder = Wire(FLEET, Keys(spec.key.encode())), time.time_ns() // 1_000_000, Path(spec.folder)
+def build_endpoints(spec: ProcessSpec, transport: FaultyTransport) -> list[Endpoint]:
+    """The replica or the gateways that run in this process."""
+    wire = Wire(FLEET, Keys(spec.key.encode()))
+    created_at_ms = time.time_ns() // 1_000_000
+    folder = Path(spec.folder)
     if spec.replica >= 0:
-        settings = ReplicaSettings(spec.replica, born, spec.replicas, spec.recent, pieces_per_s=spec.pieces)
-        return [
-            ReplicaHost(
-                settings,
-                spec.replicas[spec.replica],
-                wire,
-                random.getrandbits(60),
-                time.monotonic_ns,
-                lambda: faulty.told.lead,
-                record=folder / f"replica-{spec.replica}.jsonl",
-            )
-        ]
-    hosts: list[Endpoint] = []
-    for each in spec.gateways:
-        near = spec.replicas[each.region :: spec.regions]
-        others = tuple(a for a in spec.replicas if a not in near)
-        hosts.append(
-            SubscriberHost(
-                each.name,
-                SubscriberSettings(near, each.services, others),
-                each.address,
-                wire,
-                random.getrandbits(60),
-                born,
-                time.monotonic_ns,
-                record=folder / "gateways.jsonl",
-            )
-        )
-    return hosts
+        return [_replica(spec, transport, wire, created_at_ms, folder)]
+    return [_gateway(spec, gateway, wire, created_at_ms, folder) for gateway in spec.gateways]
+
+
+def _replica(
+    spec: ProcessSpec, transport: FaultyTransport, wire: Wire, created_at_ms: int, folder: Path
+) -> ReplicaHost:
+    settings = ReplicaSettings(
+        spec.replica, created_at_ms, spec.replicas, spec.recent_entries, pieces_per_s=spec.pieces_per_s
+    )
+    return ReplicaHost(
+        settings,
+        spec.replicas[spec.replica],
+        wire,
+        random.getrandbits(SEED_BITS),
+        time.monotonic_ns,
+        lambda: transport.conditions.leader,
+        record=folder / f"replica-{spec.replica}.jsonl",
+    )
+
+
+def _gateway(
+    spec: ProcessSpec, gateway: GatewaySpec, wire: Wire, created_at_ms: int, folder: Path
+) -> SubscriberHost:
+    same_region = spec.replicas[gateway.region :: spec.regions]
+    other_regions = tuple(address for address in spec.replicas if address not in same_region)
+    return SubscriberHost(
+        gateway.name,
+        SubscriberSettings(same_region, gateway.services, other_regions),
+        gateway.address,
+        wire,
+        random.getrandbits(SEED_BITS),
+        created_at_ms,
+        time.monotonic_ns,
+        record=folder / "gateways.jsonl",
+    )
 
 
 async def main(spec: ProcessSpec) -> None:
-    faulty = FaultyTransport()
-    for host in made(spec, faulty):
-        faulty.plant(host)
-        await host.start()
+    """Starts all endpoints, says so on standard output, and runs until standard input ends."""
+    transport = FaultyTransport()
+    for endpoint in build_endpoints(spec, transport):
+        transport.attach(endpoint)
+        await endpoint.start()
     print("ready", flush=True)
-    await faulty.listen()
+    await transport.read_conditions()
 
 
 if __name__ == "__main__":
--- a/trackspread/testing/harness/counter_faults.py
+++ b/trackspread/testing/harness/counter_faults.py
@@ -1,157 +1,127 @@
-"""Real gateways that share the stand-in counter, while it is cut, split, replaced and slow.
-
-May know: fleets, the stand-in. May not know: what gateways decide.
-"""
+"""Faults of the shared counter, played on a fleet of real gateways that use the stand-in counter."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable
-from contextlib import asynccontextmanager
-from collections.abc import AsyncIterator
 import time
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
 
-from ..judge.judge import Case, Store
 from ..standins.counter import Cluster, Shard
 from ..standins.counter_server import CounterServer
 from ..standins.scenario import Scenario
 from .fleet import Fleet
 
+REPLICA_LAG_MS = 1000
+SLOW_ANSWER_S = 0.6  # longer than a gateway waits for an answer
+
+CounterFault = Callable[[Fleet, CounterServer, float], Awaitable[None]]  # the last: how long, in s
+
+
+def _no_settings(name: str) -> str:
+    return ""
+
 
 @asynccontextmanager
-async def counted(
+async def fleet_with_counter(
     scenario: Scenario,
     shards: int = 1,
     cluster: bool = False,
-    more: Callable[[str], str] = lambda name: "",
+    counter_settings: Callable[[str], str] = _no_settings,
 ) -> AsyncIterator[tuple[Fleet, CounterServer]]:
-    """A fleet that runs, with its counter; `more`: further keys of the table [counter], by name."""
-    made = Cluster(shards) if cluster else None
-    server = CounterServer(
-        made.shards if made else [Shard(n) for n in range(shards)], scenario.gateways, made
-    )
+    """A running fleet and its counter.
+
+    `cluster`: the shards form a cluster. `counter_settings`: further keys of the table [counter], by a
+    gateway's name.
+    """
+    counter_cluster = Cluster(shards) if cluster else None
+    counter_shards = counter_cluster.shards if counter_cluster else [Shard(n) for n in range(shards)]
+    server = CounterServer(counter_shards, scenario.gateways, counter_cluster)
     await server.start()
 
-    def own(name: str) -> str:
-        named = ", ".join(f'"{each}"' for each in server.named(int(name[1:])))
-        return f"[counter]\nservers = [{named}]\ncluster = {str(cluster).lower()}\n{more(name)}\n"
+    def operator_file(name: str) -> str:
+        servers = ", ".join(f'"{text}"' for text in server.server_texts(int(name[1:])))
+        flag = str(cluster).lower()
+        return f"[counter]\nservers = [{servers}]\ncluster = {flag}\n{counter_settings(name)}\n"
 
     try:
-        async with Fleet(scenario, own=own) as fleet:
+        async with Fleet(scenario, operator_file=operator_file) as fleet:
             yield fleet, server
     finally:
         server.close()
 
 
-def now_ms() -> int:
+def _now_ms() -> int:
     return time.time_ns() // 1_000_000
 
 
-Trouble = Callable[[Fleet, CounterServer, float], Awaitable[None]]
+def _every_other_gateway(server: CounterServer) -> set[int]:
+    return set(range(0, server.gateways, 2))
 
 
-async def cut(fleet: Fleet, server: CounterServer, span: float) -> None:
-    """All gateways lose it."""
-    server.cut(set(range(server.gateways)))
-    await asyncio.sleep(span)
-    server.mend()
+async def disconnect_all(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """No gateway reaches the counter."""
+    server.disconnect(set(range(server.gateways)))
+    await asyncio.sleep(duration_s)
+    server.end_faults()
 
 
-async def cut_half(fleet: Fleet, server: CounterServer, span: float) -> None:
-    server.cut(set(range(0, server.gateways, 2)))
-    await asyncio.sleep(span)
-    server.mend()
+async def disconnect_half(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """Half of the gateways do not reach the counter."""
+    server.disconnect(_every_other_gateway(server))
+    await asyncio.sleep(duration_s)
+    server.end_faults()
 
 
-async def split(fleet: Fleet, server: CounterServer, span: float) -> None:
-    """Half of the gateways find a replica that lagged by a second and was promoted."""
+async def split(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """Half of the gateways reach a replica that lagged by a second and was promoted."""
     for shard in server.shards:
-        shard.split(set(range(0, server.gateways, 2)), now_ms(), 1000)
-    await asyncio.sleep(span)
+        shard.split(_every_other_gateway(server), _now_ms(), REPLICA_LAG_MS)
+    await asyncio.sleep(duration_s)
     for shard in server.shards:
         shard.heal(0)
 
 
-async def replace(fleet: Fleet, server: CounterServer, span: float) -> None:
-    """An empty one in its place, halfway."""
-    await asyncio.sleep(span / 2)
+async def replace(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """Halfway, empty servers take the place of all shards."""
+    await asyncio.sleep(duration_s / 2)
     for shard in server.shards:
         shard.replace()
-    await asyncio.sleep(span / 2)
-
-
-async def slow(fleet: Fleet, server: CounterServer, span: float) -> None:
-    """Each answer comes later than a call waits."""
-    server.delay = 0.6
-    await asyncio.sleep(span)
-    server.mend()
-
-
-async def silent(fleet: Fleet, server: CounterServer, span: float) -> None:
-    """Commands are carried out, and one gateway hears no answer."""
-    server.silent = {0}
-    await asyncio.sleep(span)
-    server.mend()
-
-
-async def kill(fleet: Fleet, server: CounterServer, span: float) -> None:
-    """A gateway dies and comes back knowing nothing."""
-    await fleet.restart([0], span / 2)
-    await asyncio.sleep(span / 2)
-
-
-async def none(fleet: Fleet, server: CounterServer, span: float) -> None:
-    await asyncio.sleep(span)
-
-
-def excess(fleet: Fleet) -> tuple[float, float]:
-    """Of ceilings and of quotas: what the worst member sent on beyond the store, as a part of what the store
-    allows in the run (its burst, and its rate over the span)."""
-    world = fleet.scenario.world()
-    case = Case(world, fleet.ledger.entries)
-    stores: dict[tuple[int, bool], Store] = {}
-    over: dict[tuple[int, bool], float] = {}
-    firsts = list(case.firsts())
-    if not firsts:
-        return 0.0, 0.0
-    start, end = firsts[0][0].at, firsts[-1][0].at
-    for attempt, asked in firsts:
-        plan = world.plans[asked.plan]
-        ceiling, quota = (plan.ceiling_rate, plan.ceiling_burst), (plan.rate, plan.burst)
-        for hard, (rate, burst) in ((True, ceiling), (False, quota)):
-            if not rate:
-                continue
-            key = asked.customer, hard
-            store = stores.setdefault(key, Store(rate, burst, start))
-            if store.fill(attempt.at) >= asked.units:
-                store.level -= asked.units
-            else:
-                over[key] = over.get(key, 0.0) + asked.units
-    span = (end - start) / 1e9
-    shares = {key: units / (stores[key].most + stores[key].rate * span) for key, units in over.items()}
-    return (
-        max((s for (_, hard), s in shares.items() if hard), default=0.0),
-        max((s for (_, hard), s in shares.items() if not hard), default=0.0),
-    )
-
-
-def inside(fleet: Fleet, since: int) -> float:
-    """Units sent on from ledger entry `since` on, over those of the requests that one store for each quota
-    would have let pass at their first try; at most 1."""
-    world, entries = fleet.scenario.world(), fleet.ledger.entries
-    case = Case(world, entries)
-    start = entries[since].at
-    stores: dict[int, Store] = {}
-    due = 0.0
-    origins: set[str] = set()
-    for asked in sorted(case.asked.values(), key=lambda each: each.at):
-        plan = world.plans[asked.plan]
-        store = stores.setdefault(asked.customer, Store(plan.rate, plan.burst, asked.at))
-        if asked.origin in origins:
-            continue
-        origins.add(asked.origin)
-        if store.fill(asked.at) >= asked.units:
-            store.level -= asked.units
-            due += asked.units * (asked.at >= start)
-    sent = sum(asked.units for attempt, asked in case.firsts() if attempt.at >= start)
-    return min(1.0, sent / max(due, 1e-9))
+    await asyncio.sleep(duration_s / 2)
+
+
+async def delay_answers(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """Each answer comes later than a gateway waits for it."""
+    server.delay_s = SLOW_ANSWER_S
+    await asyncio.sleep(duration_s)
+    server.end_faults()
+
+
+async def drop_answers(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """One gateway's commands are executed and not answered."""
+    server.unanswered_gateways = {0}
+    await asyncio.sleep(duration_s)
+    server.end_faults()
+
+
+async def kill_gateway(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """One gateway is killed and starts again without any state."""
+    await fleet.restart([0], duration_s / 2)
+    await asyncio.sleep(duration_s / 2)
+
+
+async def no_fault(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
+    """Nothing happens, for comparison."""
+    await asyncio.sleep(duration_s)
+
+
+FAULTS: dict[str, CounterFault] = {
+    "none": no_fault,
+    "cut": disconnect_all,
+    "cut_half": disconnect_half,
+    "split": split,
+    "replace": replace,
+    "slow": delay_answers,
+    "silent": drop_answers,
+    "kill": kill_gateway,
+}
--- a/trackspread/testing/harness/fast_control.py
+++ b/trackspread/testing/harness/fast_control.py
@@ -1,8 +1,8 @@
-"""Runs a control machine whose cells are small, and are merged and replaced within seconds, so that a test
-sees gateways move: `python -m trackspread.testing.harness.fast_control [FAULTS] control NAME --file FILE`.
+"""Runs a control machine with small cells that are merged and replaced within seconds, for tests.
 
-`FAULTS`: planted ones by name, with commas between, or "none". A gateway runs with such faults by
-`harness/mutant_gateway.py`. May know: the program's entries.
+Usage: `python -m trackspread.testing.harness.fast_control FAULTS control NAME --file FILE`. `FAULTS`: names
+of planted faults, separated by commas, or "none". For gateways with such faults see
+`harness/mutant_gateway.py`.
 """
 
 from __future__ import annotations
@@ -20,28 +20,37 @@
 from ..virtual.membership import mutants as membered_mutants
 from ..virtual.patches import held
 
-NONE = "none"
-TARGET, MOST, LEAST, MERGED = 2, 3, 1, 2  # gateways of a cell
-IDLE = 60 * SECOND  # in place of the ten minutes
-SOON = 4 * SECOND  # ns in place of the half minute and the two minutes
+NO_FAULTS = "none"
+CELL_TARGET, CELL_MAX, CELL_MIN, CELL_MERGED = 2, 3, 1, 2  # gateways of a cell
+IDLE_NS = 60 * SECOND  # instead of ten minutes
+CHANGE_DELAY_NS = 4 * SECOND  # instead of half a minute and two minutes
 
 
-def faults(names: str) -> list[Any]:
-    """The patches of all these."""
+def fault_patches(names: str) -> list[Any]:
+    """The patches that plant the named faults."""
     known = {**membered_mutants.MUTANTS, **celled_mutants.MUTANTS}
-    return [each for name in names.split(",") if name != NONE for each in known[name]()]
+    return [each for name in names.split(",") if name != NO_FAULTS for each in known[name]()]
 
 
 def _policy(max_fleet_gateways: int) -> CellPolicy:
-    return CellPolicy(TARGET, MOST, LEAST, MERGED, max_fleet_gateways, SOON, SOON, IDLE)
-
-
-def main(names: str, control: str, file: str) -> None:
-    """In the foreground."""
+    return CellPolicy(
+        CELL_TARGET,
+        CELL_MAX,
+        CELL_MIN,
+        CELL_MERGED,
+        max_fleet_gateways,
+        CHANGE_DELAY_NS,
+        CHANGE_DELAY_NS,
+        IDLE_NS,
+    )
+
+
+def main(faults: str, control_name: str, file: str) -> None:
+    """Runs the control machine in the foreground."""
     with ExitStack() as stack:
         stack.enter_context(patch.object(control_machine, "CellPolicy", _policy))
-        stack.enter_context(held(faults(names)))
-        control_machine.run(control, Path(file))
+        stack.enter_context(held(fault_patches(faults)))
+        control_machine.run(control_name, Path(file))
 
 
 if __name__ == "__main__":
--- a/trackspread/testing/harness/fault_player.py
+++ b/trackspread/testing/harness/fault_player.py
@@ -1,7 +1,4 @@
-"""Plays a schedule of faults on a fleet of processes; the ledger says when each in fact began and ended.
-
-May know: fleets, schedules. May not know: what gateways make of it.
-"""
+"""Plays a schedule of faults on a fleet of processes; the ledger records when each one began and ended."""
 
 from __future__ import annotations
 
@@ -10,97 +7,116 @@
 from collections.abc import Awaitable
 
 from ..judge.ledger import FaultChanged
-from ..standins.fault_schedule import AWAY, Calm, Cut, Duty, Fault, Halt, Loop, Restart, Rough, Schedule
-from ..standins.faulty_network import Over
+from ..standins.fault_schedule import (
+    CRASH_LOOP_DOWNTIME_S,
+    CrashLoop,
+    Cut,
+    DegradedNetwork,
+    Fault,
+    NoFault,
+    Pause,
+    PauseCycle,
+    Restart,
+    Schedule,
+)
+from ..standins.network_path import NetworkPath, NetworkProtocol
 from .fleet import Fleet
 
 
-class Player:
-    """Plays a schedule on a fleet that runs. A direction that two faults cut is whole again after both."""
+class FaultPlayer:
+    """Plays a schedule on a running fleet. A direction that two faults cut is healed when both have ended."""
 
     def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
         self._fleet = fleet
         self._schedule = schedule
-        self._cuts: dict[tuple[str, str, Over], int] = {}
+        self._cuts: dict[tuple[str, str, NetworkProtocol], int] = {}  # how many faults cut a direction
 
     async def play(self) -> None:
-        """Returns once the schedule's seconds are over and every fault has ended."""
+        """Returns once the schedule's time is over and every fault has ended."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(asyncio.sleep(self._schedule.seconds))
+            group.create_task(asyncio.sleep(self._schedule.duration_s))
             for number, fault in enumerate(self._schedule.faults):
-                group.create_task(self._one(number, fault))
+                group.create_task(self._play_fault(number, fault))
 
-    async def _one(self, number: int, fault: Fault) -> None:
-        await asyncio.sleep(fault.at)
+    async def _play_fault(self, number: int, fault: Fault) -> None:
+        await asyncio.sleep(fault.start_s)
         write = self._fleet.ledger.write
-        write(FaultChanged(time.monotonic_ns(), number, True, type(fault).__name__))
+        write(FaultChanged(time.monotonic_ns(), number, True, fault.kind))
         try:
-            await self._do(fault)
+            await self._inject(fault)
         finally:
-            write(FaultChanged(time.monotonic_ns(), number, False, type(fault).__name__))
+            write(FaultChanged(time.monotonic_ns(), number, False, fault.kind))
 
-    def _do(self, fault: Fault) -> Awaitable[None]:
+    def _inject(self, fault: Fault) -> Awaitable[None]:
         match fault:
-            case Calm():
-                return asyncio.sleep(fault.span)
+            case NoFault():
+                return asyncio.sleep(fault.duration_s)
             case Cut():
                 return self._cut(fault)
-            case Rough():
-                return self._rough(fault)
-            case Halt():
-                return self._halt(fault)
-            case Duty():
-                return self._duty(fault)
+            case DegradedNetwork():
+                return self._degrade(fault)
+            case Pause():
+                return self._pause(fault.gateways, fault.duration_s)
+            case PauseCycle():
+                return self._pause_cycle(fault)
             case Restart():
-                return self._fleet.restart(fault.gateways, fault.span, fault.outright)
-            case Loop():
-                return self._loop(fault)
+                return self._fleet.restart(fault.gateways, fault.duration_s, fault.kill)
+            case CrashLoop():
+                return self._crash_loop(fault)
 
     async def _cut(self, fault: Cut) -> None:
-        ways = [(*pair, over) for pair in fault.pairs for over in fault.over]
-        for way in ways:
-            self._cuts[way] = self._cuts.get(way, 0) + 1
-            self._fleet.wire.between(*way).hole = True
-        await asyncio.sleep(fault.span)
-        for way in ways:
-            self._cuts[way] -= 1
-            self._fleet.wire.between(*way).hole = self._cuts[way] > 0
-
-    async def _rough(self, fault: Rough) -> None:
-        """The last to end leaves the ways calm."""
-        ways = [self._fleet.wire.between(*pair, over) for pair in fault.pairs for over in fault.over]
-        for path in ways:
-            path.delay = fault.delay
-            path.jitter = fault.jitter
+        directions = [(*pair, protocol) for pair in fault.directions for protocol in fault.protocols]
+        for direction in directions:
+            self._cuts[direction] = self._cuts.get(direction, 0) + 1
+            self._fleet.network.path(*direction).blackhole = True
+        await asyncio.sleep(fault.duration_s)
+        for direction in directions:
+            self._cuts[direction] -= 1
+            self._fleet.network.path(*direction).blackhole = self._cuts[direction] > 0
+
+    async def _degrade(self, fault: DegradedNetwork) -> None:
+        """Where two such faults overlap, the first to end restores the paths."""
+        paths = [
+            self._fleet.network.path(*pair, protocol)
+            for pair in fault.directions
+            for protocol in fault.protocols
+        ]
+        for path in paths:
+            path.delay_s = fault.delay_s
+            path.jitter_s = fault.jitter_s
             path.loss = fault.loss
-            path.twice = fault.twice
-            path.rate = fault.rate
-        await asyncio.sleep(fault.span)
-        for path in ways:
-            path.delay = 0.0
-            path.jitter = 0.0
-            path.loss = 0.0
-            path.twice = 0.0
-            path.rate = 0.0
-
-    async def _halt(self, fault: Halt) -> None:
-        chosen = [self._fleet.gateways[number] for number in fault.gateways]
+            path.duplication = fault.duplication
+            path.bytes_per_s = fault.bytes_per_s
+        await asyncio.sleep(fault.duration_s)
+        for path in paths:
+            _restore(path)
+
+    async def _pause(self, gateways: tuple[int, ...], duration_s: float) -> None:
+        chosen = [self._fleet.gateways[number] for number in gateways]
         for gateway in chosen:
             gateway.pause()
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(duration_s)
         for gateway in chosen:
             gateway.resume()
 
-    async def _duty(self, fault: Duty) -> None:
+    async def _pause_cycle(self, fault: PauseCycle) -> None:
         loop = asyncio.get_running_loop()
-        end = loop.time() + fault.span
+        end = loop.time() + fault.duration_s
         while loop.time() < end:
-            await self._halt(Halt(0.0, fault.part * fault.period, fault.gateways))
-            await asyncio.sleep((1.0 - fault.part) * fault.period)
+            await self._pause(fault.gateways, fault.paused_share * fault.period_s)
+            await asyncio.sleep((1.0 - fault.paused_share) * fault.period_s)
 
-    async def _loop(self, fault: Loop) -> None:
+    async def _crash_loop(self, fault: CrashLoop) -> None:
         loop = asyncio.get_running_loop()
-        end = loop.time() + fault.span
+        end = loop.time() + fault.duration_s
         while loop.time() < end:
-            await self._fleet.restart([fault.gateway], AWAY)
-            await asyncio.sleep(fault.every)
+            await self._fleet.restart([fault.gateway], CRASH_LOOP_DOWNTIME_S)
+            await asyncio.sleep(fault.interval_s)
+
+
+def _restore(path: NetworkPath) -> None:
+    path.delay_s = 0.0
+    path.jitter_s = 0.0
+    path.loss = 0.0
+    path.duplication = 0.0
+    path.bytes_per_s = 0.0
--- a/trackspread/testing/harness/fault_run.py
+++ b/trackspread/testing/harness/fault_run.py
@@ -1,7 +1,6 @@
-"""One play: a fleet under load while a schedule of faults is played on it, and what its ledger says of it.
+"""Runs a schedule of faults on a fleet under load, and sums up what its ledger says of it.
 
-What broke a rule is kept whole where a folder is named: the schedule, to be played again, the ledger and each
-gateway's log. May know: fleets, schedules, ledgers. May not know: what gateways decide, or why.
+Of a run that broke a rule the schedule, the ledger and each gateway's log are saved where a folder is named.
 """
 
 from __future__ import annotations
@@ -9,120 +8,145 @@
 import shutil
 from collections.abc import Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
 from ..judge.judge import Case, Use, over_ceilings
-from ..judge.ledger import RequestSent, Entry, FaultChanged
+from ..judge.ledger import Entry, FaultChanged, RequestSent
 from ..standins.fault_schedule import Schedule
 from ..standins.rating_node import SECOND
 from ..standins.scenario import Scenario
+from .fault_player import FaultPlayer
 from .fleet import Fleet
-from .fault_player import Player
+from .gateway_process import RUN_COMMAND
 from .membership_fleet import until_settled
 
-NODES = 3  # to a gateway
-LOAD = 0.35  # of what the nodes can do
-MEMBER_LEAST = 10.0  # units sent on from which a member's own share beyond its quota says something
-SPAN = 1  # s of the windows by which it is told when all is right again
-AGAIN_TIMES, AGAIN_MORE = 1.5, 0.03  # of the calm share of refusals with room, and more, that still are right
-AGAIN = 1000  # between the seeds of plays of one schedule
-START = 10.0  # s in which a view is waited for before anybody asks
-SETTLED = 2  # windows in a row that have to be
+NODES_PER_GATEWAY = 3
+LOAD = 0.35  # of the nodes' capacity
+GREEDY_SHARE = 0.2  # of the tenants, that ask for more than their quota
+WARM_UP_NS = 6 * SECOND
+MIN_TENANT_UNITS = 10.0  # forwarded, from which a tenant's own excess share is meaningful
+WINDOW_S = 1  # of the windows by which recovery is judged
+RECOVERED_FACTOR, RECOVERED_MARGIN = 1.5, 0.03  # of the refusals without faults that still count as recovered
+RECOVERED_WINDOWS = 2  # in a row that have to be
+SEED_STEP = 1000  # between the seeds of repeated runs of one schedule
+SETTLE_TIMEOUT_S = 10.0  # for the first view, before clients start
+
+
+class Phases(NamedTuple):
+    """A figure before, during and after the faults."""
+
+    before: float
+    during: float
+    after: float
 
 
 class FaultRun(msgspec.Struct, frozen=True):
-    """Figures of one play. Of three: before, during and after the trouble. Shares are of all tries."""
+    """Figures of one run.
+
+    A refusal with quota left is one while its tenant still had at least half of its burst.
+    """
 
     name: str
     seed: int
     gateways: int
     state: str  # the judge's
-    broken: tuple[str, ...]
-    tries: int
-    late_by_halt: int  # answers that came, or would have come, too late but for a halt of their gateway
-    with_room: tuple[float, float, float]
-    beyond: float  # of the units sent on
-    beyond_worst: float  # of the member whose share is largest
-    over_ceiling: float  # of a ceiling's slack, by whoever went furthest
-    lag_ms: float  # the rig's worst
-    windows: tuple[float, ...]  # shares of refusals with room from the trouble's end on, each over `SPAN`
-
-    def right_again(self, calm: float) -> float:
-        """s from the trouble's end until that share stays where it is when all is calm; as long as was
-        looked at where it never does."""
-        right = [share <= calm * AGAIN_TIMES + AGAIN_MORE for share in self.windows]
-        for at in range(len(right)):
-            if all(right[at : at + SETTLED]):
-                return float(at * SPAN)
-        return float(len(right) * SPAN)
+    violations: tuple[str, ...]
+    requests: int
+    late_by_pause: int  # requests whose answer is excused by a pause of their gateway alone
+    refused_with_quota: Phases  # shares of all requests
+    excess_share: float  # of the units forwarded, beyond quotas
+    worst_excess_share: float  # of the tenant whose share is largest
+    hard_limit_excess: float  # of a hard limit's slack, of the tenant that went furthest
+    lag_ms: float  # the longest lag of the harness
+    refusal_windows: tuple[float, ...]  # refused with quota left after the faults, each over `WINDOW_S`
+
+    def recovery_s(self, share_without_faults: float) -> float:
+        """The s from the faults' end until refusals with quota left are as rare as without faults.
+
+        Where they never are, the time that was observed.
+        """
+        limit = share_without_faults * RECOVERED_FACTOR + RECOVERED_MARGIN
+        recovered = [share <= limit for share in self.refusal_windows]
+        for window in range(len(recovered)):
+            if all(recovered[window : window + RECOVERED_WINDOWS]):
+                return float(window * WINDOW_S)
+        return float(len(recovered) * WINDOW_S)
 
 
 async def play(
     schedule: Schedule,
-    keep: Path | None = None,
-    command: tuple[str, ...] = ("-m", "trackspread", "run"),
-    view: str | None = None,
+    save_folder: Path | None = None,
+    command: tuple[str, ...] = RUN_COMMAND,
+    view_settings: str | None = None,
 ) -> FaultRun:
-    """Once, from a fleet that has just started to its end in good order. `view`: further keys of the table
-    [fleet], where the gateways keep a view of their fleet."""
+    """Runs a schedule once, from a fresh fleet to its shutdown.
+
+    `save_folder`: for runs that break a rule. `view_settings`: see `Fleet`.
+    """
+    count = schedule.gateways
     scenario = Scenario(
-        gateways=schedule.gateways,
-        nodes=NODES * schedule.gateways,
+        gateways=count,
+        nodes=NODES_PER_GATEWAY * count,
         load=LOAD,
-        greedy=0.2,
-        warm=6 * SECOND,
+        greedy_share=GREEDY_SHARE,
+        warm_up_ns=WARM_UP_NS,
         seed=schedule.seed,
     )
-    count = schedule.gateways
-    seats = 0, count // 3, 2 * count // 3  # as the pages say: not all on one side of a likely cut
-    async with Fleet(scenario, command, viewed=view, seats=seats) as fleet:
-        if view is not None:
-            await until_settled(fleet, START)
-        fleet.ask()
-        await Player(fleet, schedule).play()
+    seeds = 0, count // 3, 2 * count // 3  # spread, so that no likely cut has all on one side
+    async with Fleet(scenario, command, view_settings=view_settings, seeds=seeds) as fleet:
+        if view_settings is not None:
+            await until_settled(fleet, SETTLE_TIMEOUT_S)
+        fleet.start_clients()
+        await FaultPlayer(fleet, schedule).play()
         await fleet.settle()
-        verdict = fleet.verdict()
-        if keep is not None and verdict.state == "broken":
-            _keep(fleet, schedule, keep / f"{schedule.name.replace(' ', '-')}-{schedule.seed}")
-        entries = fleet.ledger.entries
-        case = Case(scenario.world(), entries)
-        use = Use(case)
-        shares = [use.over[member] / units for member, units in use.sent.items() if units >= MEMBER_LEAST]
-        return FaultRun(
-            schedule.name,
-            schedule.seed,
-            schedule.gateways,
-            verdict.state,
-            tuple(f"{v.rule}: {v.text}" for v in verdict.violations),
-            verdict.figures.tries,
-            _late_by_halt(case),
-            _rooms(entries, use),
-            verdict.figures.beyond_share,
-            max(shares, default=0.0),
-            over_ceilings(case),
-            verdict.figures.lag / 1e6,
-            _windows(entries, use),
-        )
-
-
-async def play_clear(
+        return _summary(fleet, schedule, save_folder)
+
+
+async def play_until_judged(
     schedule: Schedule,
-    tries: int,
-    keep: Path | None = None,
-    view: str | None = None,
+    attempts: int,
+    save_folder: Path | None = None,
+    view_settings: str | None = None,
 ) -> FaultRun:
-    """Played again under other seeds while the rig lagged; the last play, if it lagged in all."""
-    for number in range(tries):
-        played = await play(
-            msgspec.structs.replace(schedule, seed=schedule.seed + AGAIN * number), keep, view=view
-        )
-        if played.state != "void":
+    """Repeats a run with other seeds until the harness did not lag; the last one if it always did."""
+    for number in range(attempts):
+        repeated = msgspec.structs.replace(schedule, seed=schedule.seed + SEED_STEP * number)
+        run = await play(repeated, save_folder, view_settings=view_settings)
+        if run.state != "void":
             break
-    return played
+    return run
+
+
+def _summary(fleet: Fleet, schedule: Schedule, save_folder: Path | None) -> FaultRun:
+    verdict = fleet.verdict()
+    if save_folder is not None and verdict.state == "broken":
+        _save(fleet, schedule, save_folder / f"{schedule.name.replace(' ', '-')}-{schedule.seed}")
+    entries = fleet.ledger.entries
+    case = Case(fleet.scenario.world(), entries)
+    use = Use(case)
+    tenant_shares = [
+        use.over[tenant] / units for tenant, units in use.sent.items() if units >= MIN_TENANT_UNITS
+    ]
+    return FaultRun(
+        schedule.name,
+        schedule.seed,
+        schedule.gateways,
+        verdict.state,
+        tuple(f"{violation.rule}: {violation.text}" for violation in verdict.violations),
+        verdict.figures.tries,
+        _late_by_pause(case),
+        _refusals_by_phase(entries, use),
+        verdict.figures.beyond_share,
+        max(tenant_shares, default=0.0),
+        over_ceilings(case),
+        verdict.figures.lag / 1e6,
+        _refusals_by_window(entries, use),
+    )
 
 
-def _keep(fleet: Fleet, schedule: Schedule, folder: Path) -> None:
+def _save(fleet: Fleet, schedule: Schedule, folder: Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     schedule.save(folder / "schedule.json")
     fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.world())
@@ -130,48 +154,51 @@
         shutil.copy(gateway.log, folder)
 
 
-def _trouble(entries: Sequence[Entry]) -> tuple[int, int]:
-    """When it in fact began and ended."""
-    on = [entry.at for entry in entries if isinstance(entry, FaultChanged)]
-    return min(on), max(on)
+def _fault_times(entries: Sequence[Entry]) -> tuple[int, int]:
+    """When the first fault in fact began and the last one ended."""
+    times = [entry.at for entry in entries if isinstance(entry, FaultChanged)]
+    return min(times), max(times)
 
 
-def _rooms(entries: Sequence[Entry], use: Use) -> tuple[float, float, float]:
-    """Refusals with room, as a share of the tries of the same time."""
-    begun, ended = _trouble(entries)
-    asked, refused = [0, 0, 0], [0, 0, 0]
+def _refusals_by_phase(entries: Sequence[Entry], use: Use) -> Phases:
+    """Refusals with quota left, as a share of the requests of the same phase."""
+    began, ended = _fault_times(entries)
+    requests = [0, 0, 0]
+    refused = [0, 0, 0]
     for entry in entries:
         if isinstance(entry, RequestSent) and not entry.again:
-            asked[(entry.at >= begun) + (entry.at > ended)] += 1
-    for at, room in use.refused_at:
-        refused[(at >= begun) + (at > ended)] += room
-    before, during, after = (r / a if a else 0.0 for r, a in zip(refused, asked, strict=True))
-    return before, during, after
+            requests[(entry.at >= began) + (entry.at > ended)] += 1
+    for at, with_quota in use.refused_at:
+        refused[(at >= began) + (at > ended)] += with_quota
+    shares = [part / total if total else 0.0 for part, total in zip(refused, requests, strict=True)]
+    return Phases(*shares)
 
 
-def _windows(entries: Sequence[Entry], use: Use) -> tuple[float, ...]:
-    """From the trouble's end to the last request."""
-    _, ended = _trouble(entries)
-    asked: dict[int, int] = {}
+def _refusals_by_window(entries: Sequence[Entry], use: Use) -> tuple[float, ...]:
+    """Refusals with quota left in each window from the faults' end to the last complete window."""
+    _, ended = _fault_times(entries)
+    requests: dict[int, int] = {}
     refused: dict[int, int] = {}
     for entry in entries:
         if isinstance(entry, RequestSent) and entry.at > ended:
-            window = (entry.at - ended) // (SPAN * SECOND)
-            asked[window] = asked.get(window, 0) + 1
-    for at, room in use.refused_at:
-        if at > ended and room:
-            window = (at - ended) // (SPAN * SECOND)
+            window = (entry.at - ended) // (WINDOW_S * SECOND)
+            requests[window] = requests.get(window, 0) + 1
+    for at, with_quota in use.refused_at:
+        if at > ended and with_quota:
+            window = (at - ended) // (WINDOW_S * SECOND)
             refused[window] = refused.get(window, 0) + 1
-    whole = max(asked, default=0)  # the last one is none
-    return tuple(refused.get(n, 0) / asked[n] if asked.get(n) else 0.0 for n in range(whole))
+    complete = max(requests, default=0)
+    return tuple(
+        refused.get(window, 0) / requests[window] if requests.get(window) else 0.0
+        for window in range(complete)
+    )
 
 
-def _late_by_halt(case: Case) -> int:
-    """Requests that a halt alone excuses."""
+def _late_by_pause(case: Case) -> int:
     late = 0
-    for request, asked in case.asked.items():
-        plain = asked.at + asked.wait + case.world.tolerance
-        got = case.answers.get(request, [])
-        ended = got[0].at if got else case.left[request].at if request in case.left else None
-        late += ended is not None and ended > plain and case.due(asked) > plain
+    for request, sent in case.asked.items():
+        due_without_pauses = sent.at + sent.wait + case.world.tolerance
+        answers = case.answers.get(request, [])
+        ended = answers[0].at if answers else case.left[request].at if request in case.left else None
+        late += ended is not None and ended > due_without_pauses and case.due(sent) > due_without_pauses
     return late
