--- a/trackspread/testing/harness/fault_scenarios.py
+++ b/trackspread/testing/harness/fault_scenarios.py
@@ -1,6 +1,6 @@
-"""Scenarios on a fleet of real processes: what goes wrong, in a few lines each, and how it is judged.
+"""Named scenarios on a fleet of real processes: which faults are played, and on what fleet.
 
-Times are scaled down to what a person waits for; each scenario says what it stands for.
+Times are scaled down to seconds; each scenario says what it stands for.
 """
 
 from __future__ import annotations
@@ -14,27 +14,33 @@
 from ..standins.rating_node import SECOND
 from ..standins.scenario import Scenario
 from .fleet import Fleet
+from .gateway_process import RUN_COMMAND
 
 Play = Callable[[Fleet, random.Random], Awaitable[None]]
-BEYOND_CALM = 0.05  # of the units sent on that may lie beyond quotas on a calm fleet
-LOAD = 0.35  # of what the nodes can do, asked; some 90 requests a second on nine nodes of two cores
+MAX_EXCESS_CALM = 0.05  # of the units forwarded that may lie beyond quotas without faults
+LOAD = 0.35  # of the nodes' capacity; some 90 requests a second on nine nodes of two cores
+GREEDY_SHARE = 0.2  # of the tenants, that ask for more than their quota
+WARM_UP_NS = 6 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class FaultScenario:
-    """`play` lasts as long as it runs; before and after it nothing goes wrong for `lead` seconds."""
+    """`play` lasts as long as it runs; there are `lead_s` without faults before and after it.
+
+    `relay_nodes`: see `Fleet`.
+    """
 
     name: str
     stands_for: str
     play: Play
     scenario: Scenario
-    lead: float = 1.5
-    relays: bool = False
+    lead_s: float = 1.5
+    relay_nodes: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of one run."""
+    """The result of one run; `cpu_ms` a request, `memory_mb` of the largest gateway."""
 
     fault_scenario: FaultScenario
     verdict: Verdict
@@ -43,24 +49,26 @@
 
 
 async def calm(fleet: Fleet, rng: random.Random) -> None:
+    """Nothing happens."""
     await asyncio.sleep(7.0)
 
 
 async def half_killed(fleet: Fleet, rng: random.Random) -> None:
+    """Half of the gateways are killed at once."""
     count = fleet.scenario.gateways
     await fleet.restart(rng.sample(range(count), count // 2), rng.uniform(1.0, 2.0))
     await asyncio.sleep(3.0)
 
 
 async def rolling_restart(fleet: Fleet, rng: random.Random) -> None:
-    """By SIGTERM, one after the other: the next goes before the one before it has long been back."""
+    """Each gateway is restarted by SIGTERM, as soon as the one before it is back."""
     for number in range(fleet.scenario.gateways):
-        await fleet.restart([number], 0.3, outright=False)
+        await fleet.restart([number], 0.3, kill=False)
 
 
 async def rolling_deploy(fleet: Fleet, rng: random.Random) -> None:
-    """Two thirds of the nodes are replaced by cold successors, one each 0.8 s."""
-    nodes = rng.sample(fleet.listed(), fleet.scenario.nodes * 2 // 3)
+    """Two thirds of the nodes are replaced by successors that have to warm up, one each 0.8 s."""
+    nodes = rng.sample(fleet.nodes_in_service(), fleet.scenario.nodes * 2 // 3)
     async with asyncio.TaskGroup() as group:
         for node in nodes:
             group.create_task(fleet.replace(node, rng.uniform(1.5, 2.5)))
@@ -68,7 +76,8 @@
     await asyncio.sleep(1.5)
 
 
-async def moved(fleet: Fleet, rng: random.Random) -> None:
+async def traffic_moved(fleet: Fleet, rng: random.Random) -> None:
+    """Most tenants change at once which gateways they use, three times."""
     for _ in range(3):
         await asyncio.sleep(2.0)
         fleet.clients.population.move(0.6)
@@ -76,81 +85,89 @@
 
 
 async def partitioned(fleet: Fleet, rng: random.Random) -> None:
-    fleet.wire.part(["n0"], [f"n{n}" for n in range(1, fleet.scenario.gateways)])
+    """One gateway is cut off from the others for 5 s."""
+    fleet.network.partition(["n0"], _gateway_names(fleet)[1:])
     await asyncio.sleep(5.0)
-    fleet.wire.heal()
+    fleet.network.heal()
     await asyncio.sleep(2.0)
 
 
 async def half_lost(fleet: Fleet, rng: random.Random) -> None:
-    for path in fleet.wire.each(f"n{n}" for n in range(fleet.scenario.gateways)):
+    """Half of the datagrams between gateways are lost."""
+    for path in fleet.network.paths_between(_gateway_names(fleet)):
         path.loss = 0.5
-        path.jitter = 0.05
+        path.jitter_s = 0.05
     await asyncio.sleep(7.0)
 
 
-async def rude_nodes(fleet: Fleet, rng: random.Random) -> None:
-    """One node spoils answers, one resets, one says nothing for a while, one dies unheard of."""
-    spoils, resets, silent, dies = rng.sample(fleet.listed(), 4)
-    spoils.spoil = 0.2
-    resets.reset = 0.2
-    silent.silent = True
-    dies.down()
+async def faulty_nodes(fleet: Fleet, rng: random.Random) -> None:
+    """One node sends invalid answers, one resets, one does not answer for a while, one crashes."""
+    invalid, resetting, unresponsive, crashing = rng.sample(fleet.nodes_in_service(), 4)
+    invalid.invalid_answer_chance = 0.2
+    resetting.reset_chance = 0.2
+    unresponsive.unresponsive = True
+    crashing.down()
     await asyncio.sleep(3.0)
-    silent.silent = False
-    fleet.told(dies, "terminated")
+    unresponsive.unresponsive = False
+    fleet.announce(crashing, "terminated")
     await asyncio.sleep(3.0)
 
 
-async def rough_wire(fleet: Fleet, rng: random.Random) -> None:
-    """Ways to nodes are slow and cut, one node is out of reach for a while and tells nobody."""
+async def faulty_node_network(fleet: Fleet, rng: random.Random) -> None:
+    """Connections to nodes are slow and reset, and one node is out of reach while the list has it."""
     names = list(fleet.nodes)
-    for number in range(fleet.scenario.gateways):
+    gateways = _gateway_names(fleet)
+    for gateway in gateways:
         for name in names:
-            path = fleet.wire.between(f"n{number}", name, "tcp")
-            path.delay = 0.005
-            path.jitter = 0.01
-    far = rng.choice(names)
-    fleet.wire.part([f"n{n}" for n in range(fleet.scenario.gateways)], [far])
+            path = fleet.network.path(gateway, name, "tcp")
+            path.delay_s = 0.005
+            path.jitter_s = 0.01
+    fleet.network.partition(gateways, [rng.choice(names)])
     for _ in range(10):
         await asyncio.sleep(0.3)
-        for relay in fleet.wire.relays(f"n{rng.randrange(fleet.scenario.gateways)}", rng.choice(names)):
-            relay.cut()
-    fleet.wire.heal()
+        for relay in fleet.network.tcp_relays(f"n{rng.randrange(len(gateways))}", rng.choice(names)):
+            relay.reset_connections()
+    fleet.network.heal()
     await asyncio.sleep(2.0)
 
 
-_SCENE = Scenario(load=LOAD, greedy=0.2, warm=6 * SECOND)
+def _gateway_names(fleet: Fleet) -> list[str]:
+    return [f"n{number}" for number in range(fleet.scenario.gateways)]
+
+
+_SCENARIO = Scenario(load=LOAD, greedy_share=GREEDY_SHARE, warm_up_ns=WARM_UP_NS)
 SCENARIOS: dict[str, FaultScenario] = {
     each.name: each
     for each in (
-        FaultScenario("calm", "a calm minute", calm, _SCENE.changed(beyond_most=BEYOND_CALM)),
+        FaultScenario("calm", "a calm minute", calm, _SCENARIO.changed(max_excess_share=MAX_EXCESS_CALM)),
         FaultScenario(
-            "half-killed", "half the gateways killed at once", half_killed, _SCENE.changed(gateways=4)
+            "half-killed", "half the gateways killed at once", half_killed, _SCENARIO.changed(gateways=4)
         ),
-        FaultScenario("rolling-restart", "a rolling restart by SIGTERM", rolling_restart, _SCENE),
-        FaultScenario("rolling-deploy", "a rolling deploy of cold nodes", rolling_deploy, _SCENE),
-        FaultScenario("moved", "traffic moved between gateways at one stroke", moved, _SCENE),
-        FaultScenario("partitioned", "peers partitioned for 5 s", partitioned, _SCENE),
-        FaultScenario("half-lost", "half of the datagrams lost", half_lost, _SCENE.changed(gateways=4)),
+        FaultScenario("rolling-restart", "a rolling restart by SIGTERM", rolling_restart, _SCENARIO),
+        FaultScenario("rolling-deploy", "a rolling deploy of cold nodes", rolling_deploy, _SCENARIO),
+        FaultScenario("moved", "traffic moved between gateways at one stroke", traffic_moved, _SCENARIO),
+        FaultScenario("partitioned", "peers partitioned for 5 s", partitioned, _SCENARIO),
+        FaultScenario("half-lost", "half of the datagrams lost", half_lost, _SCENARIO.changed(gateways=4)),
         FaultScenario(
-            "rough-wire", "connections to nodes slow, cut and silent", rough_wire, _SCENE, relays=True
+            "rough-wire",
+            "connections to nodes slow, cut and silent",
+            faulty_node_network,
+            _SCENARIO,
+            relay_nodes=True,
         ),
-        FaultScenario("rude-nodes", "spoilt, reset and missing answers", rude_nodes, _SCENE),
+        FaultScenario("rude-nodes", "spoilt, reset and missing answers", faulty_nodes, _SCENARIO),
     )
 }
 
 
-async def run(
-    fault_scenario: FaultScenario, seed: int, command: tuple[str, ...] = ("-m", "trackspread", "run")
-) -> Outcome:
-    """Play it once; the same seed gives the same plan, on a machine whose times are its own."""
+async def run(fault_scenario: FaultScenario, seed: int, command: tuple[str, ...] = RUN_COMMAND) -> Outcome:
+    """Plays a scenario once. The same seed gives the same faults, at times that vary with the machine."""
     scenario = fault_scenario.scenario.changed(seed=seed)
-    async with Fleet(scenario, command, relays=fault_scenario.relays) as fleet:
-        fleet.ask()
-        await asyncio.sleep(fault_scenario.lead)
+    async with Fleet(scenario, command, relay_nodes=fault_scenario.relay_nodes) as fleet:
+        fleet.start_clients()
+        await asyncio.sleep(fault_scenario.lead_s)
         await fault_scenario.play(fleet, random.Random(f"{fault_scenario.name}:{seed}"))
-        await asyncio.sleep(fault_scenario.lead)
+        await asyncio.sleep(fault_scenario.lead_s)
         await fleet.settle()
-        figures = fleet.figures()
-        return Outcome(fault_scenario, fleet.verdict(), figures["cpu_ms"], figures["memory_mb"])
+        usage = fleet.resource_usage()
+        return Outcome(fault_scenario, fleet.verdict(), usage.cpu_ms, usage.memory_mb)
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet to play a scenario on: gateways as processes; nodes, lists, clients and the wire in this one.
+"""A fleet to play a scenario on: gateways as processes, and all stand-ins in this process.
 
-Everything is on loopback; whatever happens, nothing of it is left behind. All stand-ins share this process,
-its clock and its ledger, and its loop is watched: where it lagged the run has no verdict on time.
+Everything is on loopback and removed at the end. All stand-ins share this process, its clock and its ledger;
+where its event loop lagged, the run has no verdict on time.
 """
 
 from __future__ import annotations
@@ -12,75 +12,96 @@
 import tempfile
 import time
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from types import TracebackType
-from typing import Any
 
-from ..judge.membership_records import MembershipRecord, Reader
 from ..judge.judge import judge
 from ..judge.ledger import HarnessLagged, Ledger
+from ..judge.membership_records import MembershipRecord, Reader
 from ..judge.verdict import Verdict
-from ..standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from ..standins.backend_list import BackendList, ListedBackend
 from ..standins.clients import Clients
-from ..standins.loopback import Address, Ports
+from ..standins.discovery_agent import DiscoveryAgent
+from ..standins.faulty_network import FaultyNetwork
+from ..standins.loopback import Address, Ports, address_text
 from ..standins.node_server import NodeServer
-from ..standins.rating_node import NodeSpec, Pod
+from ..standins.rating_node import IdempotencyCache, NodeSpec
 from ..standins.scenario import Scenario
-from ..standins.faulty_network import FaultyNetwork
-from .gateway_process import GatewayProcess
+from .gateway_process import RUN_COMMAND, GatewayProcess
 from .upgradable_gateway import UpgradableGateway
 
-BEAT = 0.01  # s between looks at this loop's own lag
-LAG_NOTED = 0.02  # s from which a lag goes into the ledger
-LEAVING = (0.2, 0.4)  # s after SIGTERM in which new connections still come
-SPAWN = 0.01  # s between starts of gateways that start together
-MEMBER_PORT = 7400  # at which each listens for the others' words, at a host of its own
-MEMORY_MB = 64  # what each gateway is told that it may use
+LAG_POLL_S = 0.01  # between looks at the event loop's lag
+LAG_NOTED_S = 0.02  # from which a lag goes into the ledger
+CONNECTIONS_STOP_S = (0.2, 0.4)  # after SIGTERM; until then new connections still come
+START_SPACING_S = 0.01  # between starts of gateways that start together
+MEMBER_PORT = 7400  # for the other members' messages; each member has a host of its own
+MEMORY_MB = 64  # limit in each gateway's configuration
+CORES = 1.0  # limit in each gateway's configuration
+
+
+def _no_operator_file(name: str) -> str:
+    return ""
+
+
+@dataclass(frozen=True, slots=True)
+class ResourceUsage:
+    """What the gateways used in a run: CPU time per request, and the largest one's peak memory."""
+
+    cpu_ms: float
+    memory_mb: float
 
 
 class Fleet:
-    """Use as `async with Fleet(scenario) as fleet`; it starts everything but the clients."""
+    """Use as `async with Fleet(scenario) as fleet`; it starts everything but the clients.
+
+    `command`: the interpreter's arguments that run a gateway. `max_descriptors`: of each gateway.
+    `relay_nodes`: connections to rating nodes go over the faulty network too, as those between gateways
+    always do. `operator_file`: the text of a gateway's file, by its name. `upgradable`: the listening sockets
+    belong to the harness, so that new versions can start beside old ones. `view_settings`: further keys of
+    the table [fleet]; None where the gateways keep no view of their fleet. `seeds`: the numbers of the view's
+    seeds.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
-        command: tuple[str, ...] = ("-m", "trackspread", "run"),
-        sockets: int = 256,
-        relays: bool = False,
-        own: Callable[[str], str] = lambda name: "",
-        held: bool = False,
-        viewed: str | None = None,
-        seats: tuple[int, ...] = (0, 1, 2),
+        command: tuple[str, ...] = RUN_COMMAND,
+        max_descriptors: int = 256,
+        relay_nodes: bool = False,
+        operator_file: Callable[[str], str] = _no_operator_file,
+        upgradable: bool = False,
+        view_settings: str | None = None,
+        seeds: tuple[int, ...] = (0, 1, 2),
     ) -> None:
-        """`own`: each gateway's operator's file, by name. `viewed`: further keys of the table [fleet], where
-        the gateways keep a view of their fleet; `seats`: which are seeds. `held`: the clients' sockets are
-        held here, so that new versions can start beside old ones, and each has a door. `relays`: also the
-        ways to the rating nodes go over the wire (those between gateways always do)."""
         self.scenario = scenario
         self.ledger = Ledger()
-        self.wire = FaultyNetwork(scenario.seed)
-        self.list = BackendList()
+        self.network = FaultyNetwork(scenario.seed)
+        self.backend_list = BackendList()
         self.folder = Path(tempfile.mkdtemp(prefix="trackspread-"))
         self.nodes: dict[str, NodeServer] = {}
         self.gateways: list[GatewayProcess] = []
-        self.agents = [DiscoveryAgent(self.list, number, self.ledger) for number in range(scenario.gateways)]
+        self.agents = [
+            DiscoveryAgent(self.backend_list, number, self.ledger) for number in range(scenario.gateways)
+        ]
+        self.view_settings = view_settings
         self._command = command
-        self._sockets = sockets
-        self._relays = relays
-        self._own = own
-        self._held = held
-        self._viewed = viewed
-        self._seats = [n for n in seats if n < scenario.gateways]
+        self._max_descriptors = max_descriptors
+        self._relay_nodes = relay_nodes
+        self._operator_file = operator_file
+        self._upgradable = upgradable
+        self._seeds = [number for number in seeds if number < scenario.gateways]
         self._reader = Reader([])
-        self.members: dict[str, Address] = {}  # where each listens for the others of the view
-        self.doors: dict[str, Address] = {}  # the operators', where a view is kept
-        self.reached: dict[str, Address] = {}  # by which they reach it: over the wire
+        self.member_addresses: dict[str, Address] = {}  # where each listens for the other members
+        self.advertised_addresses: dict[str, Address] = {}  # by which others reach it, over the network
+        self.control_addresses: dict[str, Address] = {}  # of the operators' HTTP, where a view is kept
         self._rng = random.Random(f"fleet:{scenario.seed}")
-        self._ports, self._pods = Ports(), dict[int, Pod]()
+        self._ports = Ports()
+        self._caches = dict[int, IdempotencyCache]()  # by cell
         addresses = [self._ports.tcp() for _ in range(scenario.gateways)]
         self.clients = Clients(scenario, scenario.population(), self.ledger, addresses)
-        self._dials: dict[str, tuple[Address, ...]] = {}
-        self._beat: asyncio.Task[None] | None = None
+        self._dialed_addresses: dict[str, tuple[Address, ...]] = {}  # of each node, by gateway
+        self._lag_task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> Fleet:
         try:
@@ -96,212 +117,225 @@
         await self._close()
 
     async def _start(self) -> None:
-        scenario = self.scenario
-        for spec in scenario.specs():
-            await self.boot(spec, cold=False)
+        for spec in self.scenario.node_specs():
+            await self.start_node(spec, slow_start=False)
         for agent in self.agents:
             await agent.start()
-        names = [f"n{number}" for number in range(scenario.gateways)]
-        heard_at = {name: self._ports.udp() for name in names}
-        peers = await self.wire.datagrams(heard_at)
-        if self._viewed is not None:
-            await self._view(names)
+        names = [f"n{number}" for number in range(self.scenario.gateways)]
+        peer_addresses = {name: self._ports.udp() for name in names}
+        relayed_addresses = await self.network.datagrams(peer_addresses)
+        if self.view_settings is not None:
+            await self._prepare_view(names)
         for number, name in enumerate(names):
-            told = [_text(heard_at[other] if other == name else peers[name, other]) for other in names]
-            config = {
-                "name": name,
-                "listen": _text(self.clients.addresses[number]),
-                "discovery": _text(self.agents[number].address),
-                "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": self._sockets},
-                "peer_listen": _text(heard_at[name]),
-                "peers": told,
-                "known": self.list.whole(number),
-                "settings": scenario.settings(number),
-            }
-            at = self.clients.addresses[number]
-            if self._viewed is not None and not self._held:
-                self.doors[name] = self._ports.tcp()
-                config["control"] = _text(self.doors[name])
-            self.gateways.append(
-                UpgradableGateway(
-                    name,
-                    at,
-                    config,
-                    self.folder,
-                    self.ledger,
-                    self._sockets,
-                    self._ports,
-                    self._own(name) + self.table(name),
-                )
-                if self._held
-                else GatewayProcess(
-                    name,
-                    at,
-                    config,
-                    self.folder,
-                    self.ledger,
-                    self._command,
-                    self._sockets,
-                    self._own(name) + self.table(name),
-                )
-            )
+            peers = [
+                peer_addresses[other] if other == name else relayed_addresses[name, other] for other in names
+            ]
+            self.gateways.append(self._gateway(number, name, peer_addresses[name], peers))
         await asyncio.gather(*(gateway.start() for gateway in self.gateways))
-        self._beat = asyncio.get_running_loop().create_task(self._watch_lag())
+        self._lag_task = asyncio.get_running_loop().create_task(self._watch_lag())
+
+    def _gateway(
+        self, number: int, name: str, peer_listen: Address, peers: Sequence[Address]
+    ) -> GatewayProcess:
+        address = self.clients.addresses[number]
+        config = {
+            "name": name,
+            "listen": address_text(address),
+            "discovery": address_text(self.agents[number].address),
+            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": self._max_descriptors},
+            "peer_listen": address_text(peer_listen),
+            "peers": [address_text(peer) for peer in peers],
+            "known": self.backend_list.snapshot(number),
+            "settings": self.scenario.settings(number),
+        }
+        if self.view_settings is not None and not self._upgradable:
+            self.control_addresses[name] = self._ports.tcp()
+            config["control"] = address_text(self.control_addresses[name])
+        operator_file = self._operator_file(name) + self.fleet_table(name)
+        if self._upgradable:
+            return UpgradableGateway(
+                name,
+                address,
+                config,
+                self.folder,
+                self.ledger,
+                self._max_descriptors,
+                self._ports,
+                operator_file,
+            )
+        return GatewayProcess(
+            name,
+            address,
+            config,
+            self.folder,
+            self.ledger,
+            self._command,
+            self._max_descriptors,
+            operator_file,
+        )
 
-    async def _view(self, names: Sequence[str]) -> None:
-        """Where each of these listens for the others of the view, and how these reach it."""
-        self.members = {name: (self._ports.host(), MEMBER_PORT) for name in names}
-        self.reached = await self.wire.posts(self.members)
-        self._reader = Reader([self.record(name) for name in names])
+    async def _prepare_view(self, names: Sequence[str]) -> None:
+        """Gives each of these members an address, a relay before it, and a file for its records."""
+        self.member_addresses = {name: (self._ports.host(), MEMBER_PORT) for name in names}
+        self.advertised_addresses = await self.network.shared_addresses(self.member_addresses)
+        self._reader = Reader([self.record_path(name) for name in names])
 
-    def table(self, name: str) -> str:
-        """The table [fleet] of one gateway; nothing where no view is kept."""
-        if self._viewed is None:
+    def fleet_table(self, name: str) -> str:
+        """The table [fleet] of one gateway's operator's file; empty where no view is kept."""
+        if self.view_settings is None:
             return ""
-        seeds = ", ".join(f'"{_text(self.reached[f"n{n}"])}"' for n in self._seats)
+        seeds = ", ".join(f'"{address_text(self.advertised_addresses[f"n{n}"])}"' for n in self._seeds)
         return (
-            f'\n[fleet]\nname = "test"\nlisten = "{_text(self.members[name])}"\n'
-            f'advertise = "{_text(self.reached[name])}"\nseeds = [{seeds}]\nmost = 128\n'
-            f'record = "{self.record(name)}"\n{self._viewed}\n'
+            f'\n[fleet]\nname = "test"\nlisten = "{address_text(self.member_addresses[name])}"\n'
+            f'advertise = "{address_text(self.advertised_addresses[name])}"\nseeds = [{seeds}]\nmost = 128\n'
+            f'record = "{self.record_path(name)}"\n{self.view_settings}\n'
         )
 
-    def beliefs(self) -> list[MembershipRecord]:
-        """All that the gateways have recorded so far, in its order."""
+    def records(self) -> list[MembershipRecord]:
+        """All that the members have recorded so far, in order of time."""
         return self._reader.all()
 
-    def record(self, name: str) -> Path:
-        """What this gateway believed, and when."""
+    def record_path(self, name: str) -> Path:
+        """The file to which a member writes its records."""
         return self.folder / f"{name}.view"
 
     async def _watch_lag(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + BEAT
-            await asyncio.sleep(BEAT)
-            if (late := loop.time() - due) > LAG_NOTED:
-                self.ledger.write(HarnessLagged(time.monotonic_ns(), "stand-ins", int(late * 1e9)))
+            due = loop.time() + LAG_POLL_S
+            await asyncio.sleep(LAG_POLL_S)
+            if (lag := loop.time() - due) > LAG_NOTED_S:
+                self.ledger.write(HarnessLagged(time.monotonic_ns(), "stand-ins", int(lag * 1e9)))
 
     async def _close(self) -> None:
-        if self._beat is not None:
-            self._beat.cancel()
-        self.clients.asking = False
+        if self._lag_task is not None:
+            self._lag_task.cancel()
+        self.clients.sending = False
         for gateway in self.gateways:
             await gateway.kill()
         for agent in self.agents:
             agent.close()
         for node in self.nodes.values():
             node.down()
-        self.wire.close()
+        self.network.close()
         self._ports.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
     # Rating nodes.
 
-    async def boot(self, spec: NodeSpec, cold: bool = True) -> NodeServer:
-        """A new node, which the list tells of."""
-        scenario = self.scenario
-        node = self.nodes[spec.name] = NodeServer(
-            scenario, spec, self._pods, self.ledger, self.clients.forms, scenario.gateways, cold
+    async def start_node(self, spec: NodeSpec, slow_start: bool = True) -> NodeServer:
+        """Starts a new node and lists it. `slow_start`: it has to warm up first."""
+        node = NodeServer(
+            self.scenario,
+            spec,
+            self._caches,
+            self.ledger,
+            self.clients.command_forms,
+            self.scenario.gateways,
+            slow_start,
         )
+        self.nodes[spec.name] = node
         await node.start()
-        dials = list(node.addresses)
-        if self._relays:
-            dials = [await self.wire.tcp(f"n{n}", spec.name, at) for n, at in enumerate(dials)]
-        self._dials[spec.name] = tuple(dials)
-        self.told(node, "in_service")
+        addresses = list(node.addresses)
+        if self._relay_nodes:
+            addresses = [
+                await self.network.tcp(f"n{number}", spec.name, address)
+                for number, address in enumerate(addresses)
+            ]
+        self._dialed_addresses[spec.name] = tuple(addresses)
+        self.announce(node, "in_service")
         return node
 
-    def told(self, node: NodeServer, health: str) -> None:
-        """What the list says of a node from now on."""
+    def announce(self, node: NodeServer, health: str) -> None:
+        """Sets a node's health on the backend list: `in_service`, `terminating` or `terminated`."""
         spec = node.spec
-        self.list.put(
+        self.backend_list.put(
             ListedBackend(
                 spec.name,
-                self._dials[spec.name],
+                self._dialed_addresses[spec.name],
                 spec.zone,
                 spec.kind,
                 spec.cell,
                 health,
-                node.born_ms,
+                node.created_at_ms,
                 self.scenario.service(spec),
             )
         )
 
     def drain(self, node: NodeServer) -> None:
+        """The node takes no new requests, and the list says so."""
         node.model.draining = True
-        self.told(node, "terminating")
+        self.announce(node, "terminating")
 
     def remove(self, node: NodeServer) -> None:
+        """The node ends and leaves the list."""
         node.down()
-        self.told(node, "terminated")
+        self.announce(node, "terminated")
 
-    async def replace(self, node: NodeServer, leave: float) -> None:
-        """Drain, start a cold successor, and end the old one after `leave` seconds."""
+    async def replace(self, node: NodeServer, drain_s: float) -> None:
+        """Drains a node, starts a successor that has to warm up, and removes the old one after `drain_s`."""
         self.drain(node)
-        await self.boot(self.scenario.successor(node.spec))
-        await asyncio.sleep(leave)
+        await self.start_node(self.scenario.successor(node.spec))
+        await asyncio.sleep(drain_s)
         self.remove(node)
 
-    def listed(self) -> list[NodeServer]:
-        """Those that run and are wanted."""
-        return [n for n in self.nodes.values() if n.running and not n.model.draining]
+    def nodes_in_service(self) -> list[NodeServer]:
+        """The nodes that run and are not draining."""
+        return [node for node in self.nodes.values() if node.running and not node.model.draining]
 
     # Gateways.
 
-    async def restart(self, numbers: Sequence[int], away: float, outright: bool = True) -> None:
-        """Kill (or end) them together; after `away` seconds they start from nothing but the last list."""
-        await self.end(numbers, outright)
-        await asyncio.sleep(away)
-        await self.begin(numbers)
+    async def restart(self, numbers: Sequence[int], downtime_s: float, kill: bool = True) -> None:
+        """Stops these gateways together and starts them again after `downtime_s`. `kill`: without SIGTERM."""
+        await self.stop_gateways(numbers, kill)
+        await asyncio.sleep(downtime_s)
+        await self.start_gateways(numbers)
 
-    async def end(self, numbers: Sequence[int], outright: bool = True) -> None:
-        """Kill (or end) them together; their clients know."""
+    async def stop_gateways(self, numbers: Sequence[int], kill: bool = True) -> None:
+        """Kills these gateways together, or sends them SIGTERM; their clients are notified."""
         chosen = [self.gateways[number] for number in numbers]
-        if outright:
-            self.clients.killed.update(numbers)
+        if kill:
+            self.clients.killed_gateways.update(numbers)
         else:
-            self._leave(numbers)
-        await asyncio.gather(*(g.kill() if outright else g.end() for g in chosen))
+            self._stop_connections(numbers)
+        await asyncio.gather(*(gateway.kill() if kill else gateway.end() for gateway in chosen))
 
-    async def begin(self, numbers: Sequence[int]) -> None:
-        """Those that have ended, from nothing but the last list."""
+    async def start_gateways(self, numbers: Sequence[int]) -> None:
+        """Starts gateways that have ended, without any state but the last backend list."""
         for number in numbers:
-            self.gateways[number].config["known"] = self.list.whole(number)
+            self.gateways[number].config["known"] = self.backend_list.snapshot(number)
         async with asyncio.TaskGroup() as group:
             for number in numbers:
-                # Not all in one turn of the loop: each start costs it some milliseconds.
                 group.create_task(self.gateways[number].start())
-                await asyncio.sleep(SPAWN)
-        self.clients.leaving.difference_update(numbers)
-        self.clients.killed.difference_update(numbers)
+                # Each start occupies the event loop for some milliseconds.
+                await asyncio.sleep(START_SPACING_S)
+        self.clients.closing_gateways.difference_update(numbers)
+        self.clients.killed_gateways.difference_update(numbers)
 
-    def _leave(self, numbers: Sequence[int]) -> None:
-        """At a planned restart new connections go on coming for a moment, as the platform's pages have it."""
+    def _stop_connections(self, numbers: Sequence[int]) -> None:
+        """In a planned restart the platform goes on opening connections to a gateway for a moment."""
         for number in numbers:
-            wait = self._rng.uniform(*LEAVING)
-            asyncio.get_running_loop().call_later(wait, self.clients.leaving.add, number)
+            delay = self._rng.uniform(*CONNECTIONS_STOP_S)
+            asyncio.get_running_loop().call_later(delay, self.clients.closing_gateways.add, number)
 
     # The run.
 
-    def ask(self) -> None:
+    def start_clients(self) -> None:
+        """Clients begin to send requests."""
         self.clients.start()
 
     async def settle(self) -> None:
-        """No more is asked; all that was is seen to its end, and the gateways end in good order."""
+        """Clients send no more; returns once every request has ended and the gateways have shut down."""
         await self.clients.settle()
         await asyncio.gather(*(gateway.end() for gateway in self.gateways))
 
     def verdict(self) -> Verdict:
+        """The judge's verdict on what the ledger has so far."""
         return judge(self.scenario.world(), self.ledger.entries)
 
-    def figures(self) -> dict[str, Any]:
-        """CPU of the gateways a try, in ms, and the most memory that one held, in MB."""
-        tries = max(1, len(self.clients.forms))
-        return {
-            "cpu_ms": 1000 * sum(g.cpu_used_s() for g in self.gateways) / tries,
-            "memory_mb": max(g.peak_memory_bytes for g in self.gateways) / (1 << 20),
-        }
-
-
-def _text(address: Address) -> str:
-    return f"{address[0]}:{address[1]}"
+    def resource_usage(self) -> ResourceUsage:
+        """What the gateways used so far."""
+        requests = max(1, len(self.clients.command_forms))
+        cpu_s = sum(gateway.cpu_used_s() for gateway in self.gateways)
+        peak_bytes = max(gateway.peak_memory_bytes for gateway in self.gateways)
+        return ResourceUsage(1000 * cpu_s / requests, peak_bytes / (1 << 20))
--- a/trackspread/testing/harness/membership_fleet.py
+++ b/trackspread/testing/harness/membership_fleet.py
@@ -1,7 +1,4 @@
-"""Fleets of processes that keep a view of themselves: started, waited for, and judged by their records.
-
-May know: fleets, their records. May not know: how members agree.
-"""
+"""Fleets of processes that keep a view of themselves: waits for them and checks their records."""
 
 from __future__ import annotations
 
@@ -9,63 +6,73 @@
 import time
 from collections.abc import Iterable
 from pathlib import Path
+from typing import NamedTuple
 
-from ..judge.membership_records import Inconsistency, MembershipRecord, Who, rights, settled_at, views
 from ..judge.ledger import GatewayExited, GatewayKilled
+from ..judge.membership_records import Inconsistency, MembershipRecord, Who, rights, settled_at, views
 from .fleet import Fleet
 
-LOOK = 0.1  # s between looks at the records
+RECORD_POLL_S = 0.1
+
 
+class RecordCheck(NamedTuple):
+    """What is inconsistent in the records, and the largest part of all slots that was in use at once."""
 
-def running(fleet: Fleet, found: Iterable[MembershipRecord]) -> list[Who]:
-    """The processes that run now, by their records: the last that began under each name."""
-    born = {each.name: each.born for each in found if each.kind == "started"}
+    inconsistencies: list[Inconsistency]
+    peak_slot_share: float
+
+
+def running_processes(fleet: Fleet, records: Iterable[MembershipRecord]) -> list[Who]:
+    """The gateways' running processes, by their records: the last that started under each name."""
+    incarnations = {record.name: record.born for record in records if record.kind == "started"}
     return [
-        (gateway.name, born[gateway.name])
+        (gateway.name, incarnations[gateway.name])
         for gateway in fleet.gateways
-        if gateway.running and gateway.name in born
+        if gateway.running and gateway.name in incarnations
     ]
 
 
-async def until_settled(fleet: Fleet, most: float, since: int | None = None) -> float | None:
-    """s after `since` (now, where it is left out) until all that run held one view of just them; None where
-    they did not within `most` s."""
+async def until_settled(fleet: Fleet, timeout_s: float, since: int | None = None) -> float | None:
+    """The s from `since` until all running gateways had one view of just them; None after `timeout_s`.
+
+    `since`: in ns of the monotonic clock; None for now.
+    """
     since = time.monotonic_ns() if since is None else since
     loop = asyncio.get_running_loop()
-    end = loop.time() + most
+    end = loop.time() + timeout_s
     while True:
-        found = fleet.beliefs()
-        took = settled_at(found, running(fleet, found), since)
-        if took is not None:
-            return took / 1e9
+        records = fleet.records()
+        took_ns = settled_at(records, running_processes(fleet, records), since)
+        if took_ns is not None:
+            return took_ns / 1e9
         if loop.time() >= end:
             return None
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(RECORD_POLL_S)
 
 
-def started(fleet: Fleet, numbers: Iterable[int]) -> int:
-    """When the last of these began, as it recorded itself."""
+def started_at(fleet: Fleet, numbers: Iterable[int]) -> int:
+    """When the last of these gateways started, in ns, by its own record."""
     names = {fleet.gateways[number].name for number in numbers}
-    return max(b.at for b in fleet.beliefs() if b.kind == "started" and b.name in names)
+    return max(record.at for record in fleet.records() if record.kind == "started" and record.name in names)
 
 
-def amiss(fleet: Fleet) -> tuple[list[Inconsistency], float]:
-    """What does not fit together in all the records, and the most that was held at once."""
-    found = fleet.beliefs()
-    gone = [
+def check_records(fleet: Fleet) -> RecordCheck:
+    """Checks whether all records fit together."""
+    records = fleet.records()
+    process_ends = [
         (entry.at, entry.gateway)
         for entry in fleet.ledger.entries
         if isinstance(entry, GatewayKilled | GatewayExited)
     ]
-    over, most = rights(found, gone)
-    return sorted(views(found) + over), most
+    slot_inconsistencies, peak_slot_share = rights(records, process_ends)
+    return RecordCheck(sorted(views(records) + slot_inconsistencies), peak_slot_share)
 
 
-def keep(fleet: Fleet, folder: Path) -> None:
-    """What a failing run leaves: its ledger, each gateway's log and record."""
+def save_run(fleet: Fleet, folder: Path) -> None:
+    """Saves a failed run: its ledger, each gateway's log and records."""
     folder.mkdir(parents=True, exist_ok=True)
     fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.world())
     for gateway in fleet.gateways:
-        for path in (fleet.record(gateway.name), gateway.log):
+        for path in (fleet.record_path(gateway.name), gateway.log):
             if path.exists():
                 (folder / path.name).write_bytes(path.read_bytes())
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -1,6 +1,7 @@
 """Runs a gateway with one planted fault.
 
-Usage: `python -m trackspread.testing.harness.mutant_gateway NAME --file FILE`."""
+Usage: `python -m trackspread.testing.harness.mutant_gateway NAME --file FILE`.
+"""
 
 from __future__ import annotations
 
@@ -12,46 +13,54 @@
 
 from ...backends.pools import ConnectionPools
 from ...fronts.client import Slot
-from ..judge.verdict import Rule
 from ...node import serve
 from ...node.gateway import Gateway
+from ..judge.verdict import Rule
 from ..virtual.cells import mutants as celled_mutants
 from ..virtual.membership import mutants as membered_mutants
 from ..virtual.mutants import MUTANTS
 from ..virtual.patches import held
 
-EVERY = 15  # a deed that goes wrong does so once in so many times
+FAULT_INTERVAL = 15  # one call in so many goes wrong
+REQUESTS_UNTIL_CRASH = 20 * FAULT_INTERVAL
+CRASH_STATUS = 70
 
 
 def _answers_twice() -> list[Any]:
-    real, count = Slot.refused, [0]
+    real = Slot.refused
+    calls = 0
 
     def mutant(self: Slot, call: Any, wait_ms: int) -> None:
+        nonlocal calls
         real(self, call, wait_ms)
-        count[0] += 1
-        if count[0] % EVERY == 0 and not self.client.slots:
+        calls += 1
+        if calls % FAULT_INTERVAL == 0 and not self.client.slots:
             self.client._transport.write(b"-BUSY\r\n")  # type: ignore[union-attr]
 
     return [patch.object(Slot, "refused", mutant)]
 
 
 def _answers_lost() -> list[Any]:
-    real, count = Slot.served, [0]
+    real = Slot.served
+    calls = 0
 
     def mutant(self: Slot, call: Any, value: bytes) -> None:
-        count[0] += 1
-        if count[0] % EVERY:
+        nonlocal calls
+        calls += 1
+        if calls % FAULT_INTERVAL:
             real(self, call, value)
 
     return [patch.object(Slot, "served", mutant)]
 
 
 def _connection_ended() -> list[Any]:
-    real, count = Slot.served, [0]
+    real = Slot.served
+    calls = 0
 
     def mutant(self: Slot, call: Any, value: bytes) -> None:
-        count[0] += 1
-        if count[0] % EVERY:
+        nonlocal calls
+        calls += 1
+        if calls % FAULT_INTERVAL:
             real(self, call, value)
         else:
             self.client.abort()
@@ -77,8 +86,8 @@
 
     def mutant(self: Gateway, call: Any, slot: Any, waited: float) -> None:
         real(self, call, slot, waited)
-        if next(self._numbers) > 20 * EVERY:
-            os._exit(70)
+        if next(self._numbers) > REQUESTS_UNTIL_CRASH:
+            os._exit(CRASH_STATUS)
 
     return [patch.object(Gateway, "take", mutant)]
 
@@ -92,27 +101,35 @@
     "socket-crashes": ("crash", _crashes),
 }
 
-# What only virtual time convicts: the pool's own grace holds back a drain that the decisions ignore, and the
-# rest need a population or a cold node that the scenarios do not bring, or are faults of the virtual host.
+# Only virtual time detects these.
 VIRTUAL_ONLY = {
+    # The connection pool's own grace time stops what the decisions send to a draining backend.
     "drains-ignored",
+    # The scenarios do not bring the clients or the warming node that these need.
     "whole-ceiling-each",
     "cold-flooded",
     "window-forgotten",
+    # No scenario has connections that come up so late.
     "window-outlasted",
-}  # the last: no scenario has connections that come up so late
-VIRTUAL_ONLY |= {"used-units-back"}  # not played on processes yet
-VIRTUAL_ONLY |= {"answers-lost", "answers-twice", "answers-late", "answers-swapped", "sent-after-answer"}
+    # Not played on processes yet.
+    "used-units-back",
+    # Faults of the virtual host.
+    "answers-lost",
+    "answers-twice",
+    "answers-late",
+    "answers-swapped",
+    "sent-after-answer",
+}
 PROCESSES = tuple(name for name in (*MUTANTS, *ON_SOCKETS) if name not in VIRTUAL_ONLY)
 
 
 def rule(name: str) -> Rule:
-    """What the mutant breaks."""
+    """The rule that a mutant breaks."""
     return ON_SOCKETS[name][0] if name in ON_SOCKETS else MUTANTS[name].rule
 
 
 def command(name: str) -> tuple[str, ...]:
-    """What runs the mutant, for `Fleet`."""
+    """The command that runs a mutant, for `Fleet`."""
     return "-m", "trackspread.testing.harness.mutant_gateway", name
 
 
--- a/trackspread/testing/harness/run_statistics.py
+++ b/trackspread/testing/harness/run_statistics.py
@@ -1,7 +1,7 @@
-"""What a run shows while it goes on: counts by gateway and second, and why requests were refused.
+"""What `trackspread try` shows of a run: counts by gateway and second, and why requests were rejected.
 
-May know: ledger entries, in the order in which they are written. May not know: the gateways' own reasons;
-what is told as a reason follows from an exact count of each customer's quota. Without I/O or clock.
+From ledger entries alone, in the order in which they are written. The gateways' own reasons are not known: a
+reason follows from an exact count of each tenant's quota.
 """
 
 from __future__ import annotations
@@ -12,84 +12,88 @@
 
 from ..judge.judge import Store
 from ..judge.ledger import (
-    ReplyReceived,
-    RequestSent,
     AttemptReceived,
+    ClientDisconnected,
     ConnectionLost,
     Entry,
-    ClientDisconnected,
+    ReplyReceived,
+    RequestSent,
     World,
 )
 
-KEPT = 60  # s of counts that are kept, for a line of the recent past
-SECOND = 1_000_000_000
+MAX_SECONDS = 60  # whose counts are kept
 
 
 @dataclass(slots=True)
-class Tallies:
-    """Feed it with `take`; `seconds` has a count of each kind for each second, the oldest first."""
+class RunStatistics:
+    """Counts by kind: `asked`, `served`, `refused`, `failed`, `unanswered`; in `total` also `beyond`.
+
+    `by_second` has those of each second, the oldest first. `rejections` counts reasons.
+    """
 
     world: World
     total: Counter[str] = field(default_factory=Counter)
     by_gateway: dict[str, Counter[str]] = field(default_factory=dict)
-    refusals: Counter[str] = field(default_factory=Counter)
-    seconds: deque[Counter[str]] = field(default_factory=lambda: deque(maxlen=KEPT))
-    _asked: dict[str, RequestSent] = field(default_factory=dict)
-    _sent: set[str] = field(default_factory=set)
-    _stores: dict[int, Store] = field(default_factory=dict)
+    rejections: Counter[str] = field(default_factory=Counter)
+    by_second: deque[Counter[str]] = field(default_factory=lambda: deque(maxlen=MAX_SECONDS))
+    _open: dict[str, RequestSent] = field(default_factory=dict)
+    _forwarded: set[str] = field(default_factory=set)
+    _buckets: dict[int, Store] = field(default_factory=dict)  # by tenant
 
-    def take(self, entries: Sequence[Entry]) -> None:
-        """The entries since the last call; they make one more second."""
+    def add_second(self, entries: Sequence[Entry]) -> None:
+        """Takes the entries since the last call; they make one more second."""
         second: Counter[str] = Counter()
         for entry in entries:
             match entry:
                 case RequestSent():
-                    self._asked[entry.request] = entry
+                    self._open[entry.request] = entry
                     second["asked"] += 1
                 case AttemptReceived():
-                    self._attempted(entry)
+                    self._forward(entry)
                 case ReplyReceived():
-                    asked = self._asked.pop(entry.request, None)
-                    if asked is not None:
-                        self._answered(entry, asked, second)
-                    self._sent.discard(entry.request)
+                    request = self._open.pop(entry.request, None)
+                    if request is not None:
+                        self._answer(entry, request, second)
+                    self._forwarded.discard(entry.request)
                 case ConnectionLost() | ClientDisconnected():
-                    if (asked := self._asked.pop(entry.request, None)) is not None:
-                        self._count(asked.gateway, "unanswered", second)
-        self.seconds.append(second)
+                    if (request := self._open.pop(entry.request, None)) is not None:
+                        self._count(request.gateway, "unanswered", second)
+        self.by_second.append(second)
 
-    def _store(self, asked: RequestSent, now: int) -> Store | None:
-        plan = self.world.plans[asked.plan]
+    def _bucket(self, request: RequestSent, now: int) -> Store | None:
+        """The tenant's quota at a time in ns; None where it has none."""
+        plan = self.world.plans[request.plan]
         if not plan.rate:
             return None
-        store = self._stores.setdefault(asked.customer, Store(plan.rate, plan.burst, now))
-        store.fill(now)
-        return store
+        bucket = self._buckets.setdefault(request.customer, Store(plan.rate, plan.burst, now))
+        bucket.fill(now)
+        return bucket
 
-    def _attempted(self, entry: AttemptReceived) -> None:
-        asked = self._asked.get(entry.request)
-        if asked is None or entry.request in self._sent:
+    def _forward(self, entry: AttemptReceived) -> None:
+        request = self._open.get(entry.request)
+        if request is None or entry.request in self._forwarded:
+            return
+        self._forwarded.add(entry.request)
+        bucket = self._bucket(request, entry.at)
+        if bucket is None:
             return
-        self._sent.add(entry.request)
-        store = self._store(asked, entry.at)
-        if store is None or store.level >= asked.units:
-            if store is not None:
-                store.level -= asked.units
+        if bucket.level >= request.units:
+            bucket.level -= request.units
         else:
             self.total["beyond"] += 1
 
-    def _answered(self, entry: ReplyReceived, asked: RequestSent, second: Counter[str]) -> None:
-        self._count(asked.gateway, entry.kind, second)
+    def _answer(self, entry: ReplyReceived, request: RequestSent, second: Counter[str]) -> None:
+        self._count(request.gateway, entry.kind, second)
         if entry.kind == "refused":
-            self.refusals[self._why(entry, asked)] += 1
+            self.rejections[self._reason(entry, request)] += 1
 
-    def _why(self, entry: ReplyReceived, asked: RequestSent) -> str:
-        if entry.request in self._sent:
+    def _reason(self, entry: ReplyReceived, request: RequestSent) -> str:
+        if entry.request in self._forwarded:
             return "tried, and no other try was allowed"
-        store = self._store(asked, entry.at)
-        if store is not None and store.level < asked.units:
+        bucket = self._bucket(request, entry.at)
+        if bucket is not None and bucket.level < request.units:
             return "its customer's quota is used up"
-        if store is not None and store.level < store.most / 2:
+        if bucket is not None and bucket.level < bucket.most / 2:
             return "the quota is nearly used up"
         return "with quota left: a cap, a slice of the ceiling, or load"
 
--- a/trackspread/testing/harness/screen.py
+++ b/trackspread/testing/harness/screen.py
@@ -1,4 +1,4 @@
-"""A plain text screen of a fleet that runs, for a terminal or a pipe. Pure: a snapshot in, lines out."""
+"""A plain text screen of a running fleet, for a terminal or a pipe. Pure: a snapshot in, lines out."""
 
 from __future__ import annotations
 
@@ -6,12 +6,17 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-BARS = " ▁▂▃▄▅▆▇█"  # a value's part of the greatest, in eighths
-WIDTH = 40  # cells of the line of the recent past
+BARS = " ▁▂▃▄▅▆▇█"  # a value as a part of the largest, in eighths
+MAX_BARS = 40  # seconds of the recent past that are shown
+NODES_PER_LINE = 3
+MAX_EVENTS = 4  # the last ones
+KINDS = ("asked", "served", "refused", "failed")
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayRow:
+    """One gateway; `counts` by kind."""
+
     name: str
     up: bool
     counts: Counter[str]
@@ -19,78 +24,100 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRow:
+    """One rating node; `busy`: part of its cores."""
+
     name: str
-    state: str  # "ready", "cold", "draining", "silent" or "down"
-    busy: float  # part of its cores
-    held: int
+    state: str  # "ready", "cold", "draining", "silent" or "DOWN"
+    busy: float
+    in_flight: int
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that is shown; `elapsed` and `seconds` in s."""
+    """All that is shown. `by_second`: counts by kind of each recent second, the oldest first."""
 
-    elapsed: float
-    seconds: float
+    elapsed_s: float
+    duration_s: float
     gateways: Sequence[GatewayRow]
     nodes: Sequence[NodeRow]
     total: Counter[str]
-    refusals: Counter[str]
-    past: Sequence[Counter[str]]
-    happened: Sequence[str] = field(default=())
+    rejections: Counter[str]
+    by_second: Sequence[Counter[str]]
+    events: Sequence[str] = field(default=())
 
 
-def bars(values: Iterable[float], most: float) -> str:
-    """One character a value, its height as a part of `most`."""
+def bars(values: Iterable[float], largest: float) -> str:
+    """One character a value, its height as a part of `largest`."""
     top = len(BARS) - 1
-    return "".join(BARS[min(top, round(top * value / most))] if most > 0 else BARS[0] for value in values)
+    return "".join(
+        BARS[min(top, round(top * value / largest))] if largest > 0 else BARS[0] for value in values
+    )
+
+
+def draw(snapshot: Snapshot, show_keys: bool) -> list[str]:
+    """Lines of at most 100 characters. `show_keys`: say which keys do what."""
+    return [
+        *_header(snapshot, show_keys),
+        "gateways",
+        *(_gateway(row) for row in snapshot.gateways),
+        "",
+        "rating nodes (busy, requests held)",
+        *_nodes(snapshot.nodes),
+        "",
+        *_recent(snapshot.by_second),
+        "",
+        "why refused",
+        *_rejections(snapshot.rejections),
+        "",
+        *(f"  {text}" for text in snapshot.events[-MAX_EVENTS:]),
+    ]
+
+
+def _header(snapshot: Snapshot, show_keys: bool) -> list[str]:
+    keys = "   keys: g kill a gateway, n kill a node, q quit" if show_keys else ""
+    return [f"trackspread try: {snapshot.elapsed_s:.0f} of {snapshot.duration_s:.0f} s{keys}", ""]
 
 
 def _gateway(row: GatewayRow) -> str:
-    c = row.counts
+    counts = row.counts
     state = "up" if row.up else "DOWN"
     return (
-        f"  {row.name:<8}{state:<10}{c['served']:>7} served {c['refused']:>7} refused "
-        f"{c['failed']:>5} failed {c['unanswered']:>4} unanswered"
+        f"  {row.name:<8}{state:<10}{counts['served']:>7} served {counts['refused']:>7} refused "
+        f"{counts['failed']:>5} failed {counts['unanswered']:>4} unanswered"
     )
 
 
-def _node(row: NodeRow) -> str:
-    return f"{row.name:<7}{row.state:<9}{bars([row.busy], 1.0)} {row.held:>2}"
+def _nodes(rows: Sequence[NodeRow]) -> list[str]:
+    cells = [f"{row.name:<7}{row.state:<9}{bars([row.busy], 1.0)} {row.in_flight:>2}" for row in rows]
+    lines = (cells[at : at + NODES_PER_LINE] for at in range(0, len(cells), NODES_PER_LINE))
+    return ["  " + "   ".join(f"{cell:<21}" for cell in line) for line in lines]
 
 
-def draw(shot: Snapshot, keys: bool) -> list[str]:
-    """Lines of at most 100 characters; `keys`: say which keys do what."""
-    past = list(shot.past)[-WIDTH:]
-    most = max((c["asked"] for c in past), default=0)
-    now = past[-1] if past else Counter[str]()
-    lines = [
-        f"trackspread try: {shot.elapsed:.0f} of {shot.seconds:.0f} s"
-        + ("   keys: g kill a gateway, n kill a node, q quit" if keys else ""),
-        "",
-        "gateways",
-    ]
-    lines += [_gateway(row) for row in shot.gateways]
-    lines += ["", "rating nodes (busy, requests held)"]
-    cells = [_node(row) for row in shot.nodes]
-    lines += ["  " + "   ".join(f"{cell:<21}" for cell in cells[i : i + 3]) for i in range(0, len(cells), 3)]
-    lines += ["", f"a second        now  the last {len(past)} s, the highest bar is {most}"]
-    lines += [
-        f"  {kind:<11}{now[kind]:>6}  {bars([c[kind] for c in past], most)}"
-        for kind in ("asked", "served", "refused", "failed")
+def _recent(by_second: Sequence[Counter[str]]) -> list[str]:
+    recent = list(by_second)[-MAX_BARS:]
+    largest = max((counts["asked"] for counts in recent), default=0)
+    now = recent[-1] if recent else Counter[str]()
+    return [
+        f"a second        now  the last {len(recent)} s, the highest bar is {largest}",
+        *(
+            f"  {kind:<11}{now[kind]:>6}  {bars([counts[kind] for counts in recent], largest)}"
+            for kind in KINDS
+        ),
     ]
-    lines += ["", "why refused"]
-    lines += [f"  {count:>6}  {why}" for why, count in shot.refusals.most_common()] or ["  nothing yet"]
-    lines += ["", *(f"  {text}" for text in shot.happened[-4:])]
-    return lines
 
 
-def one_line(shot: Snapshot) -> str:
+def _rejections(rejections: Counter[str]) -> list[str]:
+    return [f"  {count:>6}  {reason}" for reason, count in rejections.most_common()] or ["  nothing yet"]
+
+
+def one_line(snapshot: Snapshot) -> str:
     """The same for a pipe, where nothing can be drawn over."""
-    now = shot.past[-1] if shot.past else Counter[str]()
-    up = sum(row.up for row in shot.gateways)
-    nodes = sum(row.state in ("ready", "cold") for row in shot.nodes)
+    now = snapshot.by_second[-1] if snapshot.by_second else Counter[str]()
+    up = sum(row.up for row in snapshot.gateways)
+    nodes = sum(row.state in ("ready", "cold") for row in snapshot.nodes)
     return (
-        f"{shot.elapsed:5.1f} s  {up}/{len(shot.gateways)} gateways, {nodes}/{len(shot.nodes)} nodes  "
+        f"{snapshot.elapsed_s:5.1f} s  {up}/{len(snapshot.gateways)} gateways, "
+        f"{nodes}/{len(snapshot.nodes)} nodes  "
         f"asked {now['asked']:>4}  served {now['served']:>4}  refused {now['refused']:>4}  "
         f"failed {now['failed']:>3}  unanswered {now['unanswered']:>3}"
     )
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -22,21 +22,31 @@
 
 from ...config.addresses import ConfigError
 from ..judge.verdict import Verdict
+from ..standins.node_server import NodeServer
 from ..standins.rating_node import SECOND
 from ..standins.scenario import Scenario
 from .fleet import Fleet
+from .run_statistics import RunStatistics
 from .screen import GatewayRow, NodeRow, Snapshot, draw, one_line
-from .run_statistics import Tallies
 
-AWAY = 2.0  # s until a killed gateway or node is back
-LOAD = 0.35  # of what the nodes can do
-EVERY = 1.0  # s between screens
-LEAST_SECONDS = 3.0
+DOWNTIME_S = 2.0  # until a killed gateway or node is back
+LOAD = 0.35  # of the nodes' capacity
+GREEDY_SHARE = 0.2  # of the tenants, that ask for more than their quota
+WARM_UP_NS = 6 * SECOND
+REDRAW_S = 1.0
+MIN_STEP_S = 0.01
+MIN_DURATION_S, MAX_DURATION_S = 3.0, 3600
+MAX_VIOLATIONS = 10  # that are printed
+CTRL_C = "\x03"
+CLEAR_SCREEN, HOME, CLEAR_LINE, CLEAR_BELOW = "\x1b[2J", "\x1b[H", "\x1b[K", "\x1b[J"
+HIDE_CURSOR, SHOW_CURSOR = "\x1b[?25l", "\x1b[?25h"
 _KILL = re.compile(r"(?P<what>n\d+|s-\d+)(?:@(?P<at>\d+(?:\.\d+)?))?")
 
+Kill = tuple[float, str]  # when, in s from the start, and the name of what is killed
 
-def plan_kills(words: list[str], scenario: Scenario, seconds: float) -> list[tuple[float, str]]:
-    """`NAME` or `NAME@SECONDS`, sorted by time; raises `ConfigError`."""
+
+def plan_kills(words: list[str], scenario: Scenario, seconds: float) -> list[Kill]:
+    """Reads `NAME` or `NAME@SECONDS`; returns the kills sorted by time. Raises `ConfigError`."""
     kills = []
     known = [f"n{i}" for i in range(scenario.gateways)] + [f"s-{i}" for i in range(scenario.nodes)]
     for word in words:
@@ -54,173 +64,205 @@
 
 
 class Trial:
-    """One run; `step` once a second takes note and draws."""
+    """One run: kills parts of the fleet and sums up what happens."""
 
-    def __init__(self, fleet: Fleet, seconds: float, seed: int) -> None:
+    def __init__(self, fleet: Fleet, duration_s: float, seed: int) -> None:
         self.fleet = fleet
-        self.seconds = seconds
-        self.tallies = Tallies(fleet.scenario.world())
-        self.happened: list[str] = []
+        self.duration_s = duration_s
+        self.events: list[str] = []
         self.stop = asyncio.Event()
+        self._statistics = RunStatistics(fleet.scenario.world())
         self._rng = random.Random(f"trial:{seed}")
-        self._began = asyncio.get_running_loop().time()
-        self._read = 0
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._started = asyncio.get_running_loop().time()
+        self._entries_read = 0
+        self._kill_tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def elapsed(self) -> float:
-        return asyncio.get_running_loop().time() - self._began
+    def elapsed_s(self) -> float:
+        """Time since the start."""
+        return asyncio.get_running_loop().time() - self._started
 
-    def note(self, text: str) -> None:
-        self.happened.append(f"{self.elapsed:5.1f} s  {text}")
+    def _note(self, text: str) -> None:
+        self.events.append(f"{self.elapsed_s:5.1f} s  {text}")
 
-    def key(self, word: str) -> None:
-        """What a person asked for by a key."""
+    def press(self, key: str) -> None:
+        """Does what a key stands for."""
         fleet = self.fleet
-        if word == "g" and (up := [g.name for g in fleet.gateways if g.running]):
+        if key == "g" and (up := [gateway.name for gateway in fleet.gateways if gateway.running]):
             self.kill(self._rng.choice(up))
-        elif word == "n" and len(ready := fleet.listed()) > 1:
+        elif key == "n" and len(ready := fleet.nodes_in_service()) > 1:
             self.kill(self._rng.choice(ready).spec.name)
-        elif word in ("q", "\x03"):
+        elif key in ("q", CTRL_C):
             self.stop.set()
 
     def kill(self, name: str) -> None:
-        task = asyncio.get_running_loop().create_task(self._kill(name))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    async def _kill(self, name: str) -> None:
-        if name.startswith("n"):
-            if not self.fleet.gateways[int(name[1:])].running:
-                return
-            self.note(f"gateway {name} is killed; what it held is its clients' to ask again")
-            await self.fleet.restart([int(name[1:])], AWAY)
-            self.note(f"gateway {name} is back, knowing nothing but the last list")
+        """Kills a gateway or node, which comes back after `DOWNTIME_S`."""
+        victim = self._kill_gateway(name) if name.startswith("n") else self._kill_node(name)
+        task = asyncio.get_running_loop().create_task(victim)
+        self._kill_tasks.add(task)
+        task.add_done_callback(self._kill_tasks.discard)
+
+    async def _kill_gateway(self, name: str) -> None:
+        number = int(name[1:])
+        if not self.fleet.gateways[number].running:
             return
+        self._note(f"gateway {name} is killed; what it held is its clients' to ask again")
+        await self.fleet.restart([number], DOWNTIME_S)
+        self._note(f"gateway {name} is back, knowing nothing but the last list")
+
+    async def _kill_node(self, name: str) -> None:
         node = self.fleet.nodes[name]
         if not node.running:
             return
-        self.note(f"node {name} is killed; the list tells so {AWAY / 2:g} s later")
+        self._note(f"node {name} is killed; the list tells so {DOWNTIME_S / 2:g} s later")
         node.down()
-        await asyncio.sleep(AWAY / 2)
-        self.fleet.told(node, "terminated")
-        await asyncio.sleep(AWAY / 2)
-        fresh = self.fleet.scenario.successor(node.spec)
-        await self.fleet.boot(fresh)
-        self.note(f"node {fresh.name} takes its place, cold")
+        await asyncio.sleep(DOWNTIME_S / 2)
+        self.fleet.announce(node, "terminated")
+        await asyncio.sleep(DOWNTIME_S / 2)
+        successor = self.fleet.scenario.successor(node.spec)
+        await self.fleet.start_node(successor)
+        self._note(f"node {successor.name} takes its place, cold")
 
-    async def over(self) -> None:
-        """Kills that are under way come to their end first."""
-        await asyncio.gather(*self._tasks)
+    async def finish_kills(self) -> None:
+        """Returns once everything that was killed is back."""
+        await asyncio.gather(*self._kill_tasks)
 
     def step(self) -> Snapshot:
+        """Takes what happened since the last call as one second; returns what is to be shown."""
         entries = self.fleet.ledger.entries
-        self.tallies.take(entries[self._read :])
-        self._read = len(entries)
-        tallies, fleet = self.tallies, self.fleet
-        nodes = []
-        for node in fleet.nodes.values():
-            busy, _, held = node.model.report(time.monotonic_ns())
-            if not node.running:
-                if node.model.draining or node.spec.name not in fleet.list.hosts:
-                    continue
-                state, busy, held = "DOWN", 0.0, 0.0
-            elif node.model.part(time.monotonic_ns()) < 1.0:
-                state = "cold"
-            else:
-                state = "silent" if node.silent else "draining" if node.model.draining else "ready"
-            nodes.append(NodeRow(node.spec.name, state, busy, int(held)))
+        statistics = self._statistics
+        statistics.add_second(entries[self._entries_read :])
+        self._entries_read = len(entries)
         gateways = [
-            GatewayRow(g.name, g.running, tallies.by_gateway.get(g.name, Counter())) for g in fleet.gateways
+            GatewayRow(gateway.name, gateway.running, statistics.by_gateway.get(gateway.name, Counter()))
+            for gateway in self.fleet.gateways
         ]
+        rows = [self._node_row(node) for node in self.fleet.nodes.values()]
         return Snapshot(
-            self.elapsed,
-            self.seconds,
+            self.elapsed_s,
+            self.duration_s,
             gateways,
-            nodes,
-            tallies.total,
-            tallies.refusals,
-            tuple(tallies.seconds),
-            tuple(self.happened),
+            [row for row in rows if row is not None],
+            statistics.total,
+            statistics.rejections,
+            tuple(statistics.by_second),
+            tuple(self.events),
         )
 
+    def _node_row(self, node: NodeServer) -> NodeRow | None:
+        """None for a node that has ended and is off the list."""
+        now = time.monotonic_ns()
+        load = node.model.load_report(now)
+        name = node.spec.name
+        if not node.running:
+            if node.model.draining or name not in self.fleet.backend_list.hosts:
+                return None
+            return NodeRow(name, "DOWN", 0.0, 0)
+        if node.model.capacity_share(now) < 1.0:
+            state = "cold"
+        elif node.unresponsive:
+            state = "silent"
+        else:
+            state = "draining" if node.model.draining else "ready"
+        return NodeRow(name, state, load.busy, load.in_flight)
+
 
 @contextlib.contextmanager
-def _keys(trial: Trial) -> Iterator[bool]:
-    """Single keys, where standard input is a terminal; it is as before afterwards."""
+def _keyboard(trial: Trial) -> Iterator[bool]:
+    """Takes single keys where standard input is a terminal, else gives False; restores it afterwards."""
     if not (sys.stdin.isatty() and sys.stdout.isatty()):
         yield False
         return
-    number, loop = sys.stdin.fileno(), asyncio.get_running_loop()
-    before = termios.tcgetattr(number)
-    tty.setcbreak(number)
-    loop.add_reader(number, lambda: trial.key(sys.stdin.read(1)))
-    sys.stdout.write("\x1b[2J\x1b[?25l")
+    descriptor, loop = sys.stdin.fileno(), asyncio.get_running_loop()
+    attributes = termios.tcgetattr(descriptor)
+    tty.setcbreak(descriptor)
+    loop.add_reader(descriptor, lambda: trial.press(sys.stdin.read(1)))
+    sys.stdout.write(CLEAR_SCREEN + HIDE_CURSOR)
     try:
         yield True
     finally:
-        loop.remove_reader(number)
-        termios.tcsetattr(number, termios.TCSADRAIN, before)
-        sys.stdout.write("\x1b[?25h")
+        loop.remove_reader(descriptor)
+        termios.tcsetattr(descriptor, termios.TCSADRAIN, attributes)
+        sys.stdout.write(SHOW_CURSOR)
+
+
+async def _wait_for_redraw(trial: Trial) -> None:
+    """Until the next screen is due or the trial is stopped."""
+    left_s = max(MIN_STEP_S, trial.duration_s - trial.elapsed_s)
+    with contextlib.suppress(TimeoutError):
+        async with asyncio.timeout(min(REDRAW_S, left_s)):
+            await trial.stop.wait()
 
 
-async def _run(seconds: float, kills: list[tuple[float, str]], seed: int) -> Verdict:
-    scenario = _scene(seed)
+async def _play(trial: Trial, kills: list[Kill]) -> None:
+    """Shows the trial and kills what is due, until its time is over or it is stopped."""
+    waiting = list(kills)
+    events_shown = 0
+    with _keyboard(trial) as interactive:
+        while trial.elapsed_s < trial.duration_s and not trial.stop.is_set():
+            await _wait_for_redraw(trial)
+            while waiting and waiting[0][0] <= trial.elapsed_s:
+                trial.kill(waiting.pop(0)[1])
+                await asyncio.sleep(0)
+            snapshot = trial.step()
+            if interactive:
+                lines = "".join(f"{line}{CLEAR_LINE}\n" for line in draw(snapshot, True))
+                sys.stdout.write(f"{HOME}{lines}{CLEAR_BELOW}")
+            else:
+                print(*trial.events[events_shown:], one_line(snapshot), sep="\n")
+                events_shown = len(trial.events)
+            sys.stdout.flush()
+
+
+async def _run(duration_s: float, kills: list[Kill], seed: int) -> Verdict:
+    scenario = _scenario(seed)
     print(
         f"starting {scenario.gateways} gateways and {scenario.nodes} rating nodes "
         f"on loopback (seed {seed}) ...",
         flush=True,
     )
     async with Fleet(scenario) as fleet:
-        trial = Trial(fleet, seconds, seed)
-        fleet.ask()
-        waiting, told = list(kills), 0
-        with _keys(trial) as keyed:
-            while trial.elapsed < seconds and not trial.stop.is_set():
-                with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(min(EVERY, max(0.01, seconds - trial.elapsed))):
-                        await trial.stop.wait()
-                while waiting and waiting[0][0] <= trial.elapsed:
-                    trial.kill(waiting.pop(0)[1])
-                    await asyncio.sleep(0)
-                shot = trial.step()
-                if keyed:
-                    lines = "".join(f"{line}\x1b[K\n" for line in draw(shot, True))
-                    sys.stdout.write(f"\x1b[H{lines}\x1b[J")
-                else:
-                    print(*trial.happened[told:], one_line(shot), sep="\n")
-                    told = len(trial.happened)
-                sys.stdout.flush()
-        await trial.over()
+        trial = Trial(fleet, duration_s, seed)
+        fleet.start_clients()
+        await _play(trial, kills)
+        await trial.finish_kills()
         up = [gateway.running for gateway in fleet.gateways]
         await fleet.settle()
-        shot = trial.step()
-        rows = [replace(row, up=was) for row, was in zip(shot.gateways, up, strict=True)]
-        shot = replace(shot, gateways=rows, elapsed=min(seconds, shot.elapsed))
-        print("\n" + "\n".join(draw(shot, False)))
+        snapshot = trial.step()
+        rows = [replace(row, up=was_up) for row, was_up in zip(snapshot.gateways, up, strict=True)]
+        snapshot = replace(snapshot, gateways=rows, elapsed_s=min(duration_s, snapshot.elapsed_s))
+        print("\n" + "\n".join(draw(snapshot, False)))
         return fleet.verdict()
 
 
-def _scene(seed: int) -> Scenario:
-    return Scenario(load=LOAD, greedy=0.2, warm=6 * SECOND, seed=seed)
+def _scenario(seed: int) -> Scenario:
+    return Scenario(load=LOAD, greedy_share=GREEDY_SHARE, warm_up_ns=WARM_UP_NS, seed=seed)
 
 
 def run(seconds: float, kill: list[str], seed: int) -> int:
-    """Exit status: 0 kept, 1 broken; raises `ConfigError` on what can't be meant."""
-    if not LEAST_SECONDS <= seconds <= 3600:
-        raise ConfigError(f"--seconds: found {seconds:g}, wanted {LEAST_SECONDS:g} to 3600")
-    kills = plan_kills(kill, _scene(seed), seconds)
+    """Runs a trial; returns the exit status: 0 for rules kept, 1 for broken.
+
+    `kill`: the words of `--kill`. Raises `ConfigError` on a word or a time that can't be used.
+    """
+    if not MIN_DURATION_S <= seconds <= MAX_DURATION_S:
+        raise ConfigError(f"--seconds: found {seconds:g}, wanted {MIN_DURATION_S:g} to {MAX_DURATION_S}")
+    kills = plan_kills(kill, _scenario(seed), seconds)
     gc.disable()  # a collection over the ledger would be a lag of the stand-ins
     verdict = uvloop.run(_run(seconds, kills, seed))
-    f = verdict.figures
+    _print_verdict(verdict)
+    return 1 if verdict.state != "void" and verdict.violations else 0
+
+
+def _print_verdict(verdict: Verdict) -> None:
+    figures = verdict.figures
     print(
-        f"\n{f.tries} requests: {f.served} served, {f.refused} refused, {f.failed} failed, {f.unanswered} "
-        f"left unanswered; {f.beyond_share:.1%} of what was sent on lay beyond quotas"
+        f"\n{figures.tries} requests: {figures.served} served, {figures.refused} refused, "
+        f"{figures.failed} failed, {figures.unanswered} "
+        f"left unanswered; {figures.beyond_share:.1%} of what was sent on lay beyond quotas"
     )
     if verdict.state == "void":
-        print(f"no verdict: this machine was too busy, the stand-ins lagged by {f.lag / 1e6:.0f} ms")
-        return 0
-    for violation in verdict.violations[:10]:
+        print(f"no verdict: this machine was too busy, the stand-ins lagged by {figures.lag / 1e6:.0f} ms")
+        return
+    for violation in verdict.violations[:MAX_VIOLATIONS]:
         print(f"rule broken: {violation.rule}: {violation.text}")
     print("the five rules were " + ("kept" if verdict.state == "kept" else "BROKEN"))
-    return 1 if verdict.violations else 0
--- a/trackspread/testing/harness/upgradable_gateway.py
+++ b/trackspread/testing/harness/upgradable_gateway.py
@@ -10,7 +10,7 @@
 import socket
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from ..judge.ledger import GatewayExited, Ledger
 from ..standins.loopback import Address, Ports
@@ -21,21 +21,28 @@
 HTTP_OK = 200
 
 
-async def http_get(address: Address, path: str) -> tuple[int, str]:
-    """Status and body of one GET request to a gateway's control address."""
+class HttpReply(NamedTuple):
+    """Status and body of an HTTP response."""
+
+    status: int
+    body: str
+
+
+async def http_get(address: Address, path: str) -> HttpReply:
+    """The reply to one GET request to a gateway's control address. Raises `OSError`."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(b"GET %b HTTP/1.1\r\nHost: x\r\n\r\n" % path.encode())
         head, _, body = (await reader.read()).partition(b"\r\n\r\n")
-        return int(head.split()[1]), body.decode()
+        return HttpReply(int(head.split()[1]), body.decode())
     finally:
         writer.close()
 
 
 async def gateway_stats(address: Address) -> dict[str, int]:
     """The figures that a gateway shows at its control address, by name."""
-    _, text = await http_get(address, "/stats")
-    pairs = (line.removeprefix("router.").split("=") for line in text.splitlines())
+    reply = await http_get(address, "/stats")
+    pairs = (line.removeprefix("router.").split("=") for line in reply.body.splitlines())
     return {name: int(value) for name, value in pairs}
 
 
@@ -102,10 +109,10 @@
 
     async def _answers_health_check(self) -> bool:
         try:
-            status, _ = await http_get(self.control_address, "/healthcheck")
+            reply = await http_get(self.control_address, "/healthcheck")
         except OSError:
             return False
-        return status == HTTP_OK
+        return reply.status == HTTP_OK
 
     async def _end_predecessor(self, process: asyncio.subprocess.Process) -> None:
         if process.returncode is None:
--- a/trackspread/testing/standins/billing_server.py
+++ b/trackspread/testing/standins/billing_server.py
@@ -1,117 +1,147 @@
-"""The billing stand-in at work: over HTTP, with its memory in SQLite, and on dropped files.
-
-May know: sockets, files, the rules in `billing.py`. It can be made to fail as receivers do: be away, answer
-late, take a batch and lose the answer, turn away for a while.
-"""
+"""The billing stand-in over HTTP, with its store in SQLite, and on files that are dropped into a folder."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 from pathlib import Path
+from typing import NamedTuple
 
 import h11
 import msgspec
 
 from ...usage.batch import signed
 from ...usage.senders import put
-from .billing import Billing, Ledger
+from .billing import Billing
+from .billing_database import BillingDatabase
+
+MAX_BODY_BYTES = 4 << 20  # of a batch; one of 256 records is some 30 kB
+READ_BYTES = 65_536
+HOST = "127.0.0.1"
+OK, BAD_REQUEST, FORBIDDEN, UNAVAILABLE = 200, 400, 403, 503
+
+
+class _Request(NamedTuple):
+    method: bytes
+    headers: dict[bytes, bytes]
+    body: bytes
+
 
-BODY_MOST = 4 << 20  # bytes of a batch; one of 256 records is some 30 kB
+class _Response(NamedTuple):
+    status: int
+    body: bytes
 
 
 class BillingServer:
-    """`lost`: part of the answers that are not given although the batch was taken; `busy`: part turned away
-    with 503 before it is looked at; `late`: s before an answer, at most."""
+    """A billing system that may be faulty.
+
+    `answer_loss`: part of the answers that are not given although the batch was taken. `unavailable_share`:
+    part of the batches that are answered with 503 before they are read. `max_delay_s`: before an answer.
+    """
 
     def __init__(self, path: Path, secret: bytes = b"", seed: int = 1) -> None:
-        self.ledger = Ledger(path)
-        self.billing = Billing(self.ledger)
-        self.lost = 0.0
-        self.busy = 0.0
-        self.late = 0.0
+        self.database = BillingDatabase(path)
+        self.billing = Billing(self.database)
+        self.answer_loss = 0.0
+        self.unavailable_share = 0.0
+        self.max_delay_s = 0.0
         self.port = 0
-        self._secret, self._rng = secret, random.Random(f"billing:{seed}")
+        self._secret = secret
+        self._rng = random.Random(f"billing:{seed}")
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Where it was before, if it was."""
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
+        """Listens; always at the same port."""
+        self._server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     @property
     def url(self) -> str:
-        return f"http://127.0.0.1:{self.port}/use"
+        """Where batches are sent to."""
+        return f"http://{HOST}:{self.port}/use"
 
     def stop(self) -> None:
-        """Away, as a system that is down: connections are refused until the next start."""
+        """Connections are refused until the next start."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close(self) -> None:
+        """Ends the server and closes the database."""
         self.stop()
-        self.ledger.close()
+        self.database.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            await self._one(reader, writer)
+            await self._exchange(reader, writer)
         except (h11.RemoteProtocolError, ConnectionError):
-            pass  # whoever it was will come again
+            pass  # the sender will try again
         finally:
             writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        machine = h11.Connection(h11.SERVER)
-        method, headers = b"", dict[bytes, bytes]()
-        body = b""
-        while True:
-            match event := machine.next_event():
-                case h11.NEED_DATA:
-                    machine.receive_data(await reader.read(65_536))
-                case h11.Request():
-                    method, headers = event.method, dict(event.headers)
-                case h11.Data() if len(body) <= BODY_MOST:
-                    body += event.data
-                case h11.EndOfMessage():
-                    break
-                case _:
-                    return
-        await asyncio.sleep(self._rng.uniform(0.0, self.late))
-        status, answer = self._answer(method, headers, body)
-        if self._rng.random() < self.lost:
+    async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        http = h11.Connection(h11.SERVER)
+        request = await _read_request(http, reader)
+        if request is None:
+            return
+        await asyncio.sleep(self._rng.uniform(0.0, self.max_delay_s))
+        status, body = self._answer(request)
+        if self._rng.random() < self.answer_loss:
             return
-        more = [("Retry-After", "1")] if status == 503 else []
-        for part in (
-            h11.Response(status_code=status, headers=[("Content-Length", str(len(answer))), *more]),
-            h11.Data(data=answer),
+        headers = [("Content-Length", str(len(body)))]
+        if status == UNAVAILABLE:
+            headers.append(("Retry-After", "1"))
+        for event in (
+            h11.Response(status_code=status, headers=headers),
+            h11.Data(data=body),
             h11.EndOfMessage(),
         ):
-            writer.write(machine.send(part) or b"")
+            writer.write(http.send(event) or b"")
         await writer.drain()
 
-    def _answer(self, method: bytes, headers: dict[bytes, bytes], body: bytes) -> tuple[int, bytes]:
-        if method == b"GET":
-            return 200, msgspec.json.encode(
-                [
-                    (*key, requests, str(units))
-                    for key, (requests, units) in sorted(self.ledger.totals().items())
-                ]
-            )
-        if self._rng.random() < self.busy:
-            return 503, b"busy"
-        key = headers.get(b"idempotency-key", b"").decode()
-        if self._secret and not signed(body, key, self._secret, headers.get(b"signature", b"").decode()):
-            return 403, b"the signature does not fit"
+    def _answer(self, request: _Request) -> _Response:
+        if request.method == b"GET":
+            return _Response(OK, self._totals())
+        if self._rng.random() < self.unavailable_share:
+            return _Response(UNAVAILABLE, b"busy")
+        key = request.headers.get(b"idempotency-key", b"").decode()
+        signature = request.headers.get(b"signature", b"").decode()
+        if self._secret and not signed(request.body, key, self._secret, signature):
+            return _Response(FORBIDDEN, b"the signature does not fit")
         try:
-            return 200, msgspec.json.encode(self.billing.post(body))
+            return _Response(OK, msgspec.json.encode(self.billing.post(request.body)))
         except msgspec.DecodeError as error:
-            return 400, str(error).encode()
-
-
-def take_drops(folder: Path, billing: Billing) -> int:
-    """Takes what lies in `in`, oldest name first, and answers in `out`; how many there were. A crash anywhere
-    in it is harmless: what is still in `in` is taken again, and is there once all the same."""
+            return _Response(BAD_REQUEST, str(error).encode())
+
+    def _totals(self) -> bytes:
+        totals = sorted(self.database.totals().items())
+        return msgspec.json.encode([(*key, requests, str(units)) for key, (requests, units) in totals])
+
+
+async def _read_request(http: h11.Connection, reader: asyncio.StreamReader) -> _Request | None:
+    """A complete request; None if there is none, or its body is too long."""
+    method, headers = b"", dict[bytes, bytes]()
+    body = b""
+    while True:
+        match event := http.next_event():
+            case h11.NEED_DATA:
+                http.receive_data(await reader.read(READ_BYTES))
+            case h11.Request():
+                method, headers = event.method, dict(event.headers)
+            case h11.Data() if len(body) <= MAX_BODY_BYTES:
+                body += event.data
+            case h11.EndOfMessage():
+                return _Request(method, headers, body)
+            case _:
+                return None
+
+
+def take_dropped_files(folder: Path, billing: Billing) -> int:
+    """Takes the files in `in`, oldest name first, and answers in `out`; returns how many there were.
+
+    A crash anywhere in it is harmless: what is still in `in` is taken again, and is counted once all the
+    same.
+    """
     taken = 0
     for path in sorted((folder / "in").glob("[!.]*.json")):
         reply = billing.post(path.read_bytes())
--- a/trackspread/testing/standins/client_population.py
+++ b/trackspread/testing/standins/client_population.py
@@ -1,7 +1,7 @@
-"""Customers and their clients as a model: who asks when, for what, through which gateway, and comes again.
+"""Tenants and their clients as a model: who sends what when, through which gateway, and who retries.
 
-May know: seeded randomness, times handed in. May not know: sockets, the protocol, the ledger. Arrivals are
-drawn ahead and do not wait for answers; what a client does after an answer is `ClientBehavior`'s.
+Without I/O and clock. Arrivals are drawn ahead and do not wait for answers; what a client does after an
+answer is given by `ClientBehavior`.
 """
 
 from __future__ import annotations
@@ -9,135 +9,168 @@
 import random
 from dataclasses import dataclass, field
 from itertools import accumulate
+from typing import NamedTuple
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
+MIN_TIMEOUT_SHARE = 0.6  # of its class's, that a client waits at least
+MAX_BACKOFF_FACTOR = 1.3
+MIN_WEIGHT = 0.02  # of a tenant's gateway
+_NUMBER = slice(4, 14)  # of a request, in its name
 
 
 @dataclass(slots=True)
-class Customer:
-    """One customer: `rate` is what it asks for, requests a second; `weights` over the gateways of its set."""
+class Tenant:
+    """One tenant and what its clients ask for.
+
+    It uses `gateway_count` gateways from `first_gateway` on, as `weights` say.
+    """
 
     number: int
     plan: str
-    rate: float
-    spread: int
-    first: int
+    requests_per_s: float
+    gateway_count: int
+    first_gateway: int
     weights: list[float]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request that a client wants to send; `key` where the class is keyed, `wait` in ns."""
+    """One request that a client sends.
+
+    `origin`: the first attempt's name. `key`: the idempotency key; "" for none. `timeout_ns`: how long its
+    client waits for an answer.
+    """
 
     origin: str
-    customer: Customer
+    tenant: Tenant
     cls: str
     gateway: int
     units: float
     key: str
-    wait: int
-    tries: int = 1
+    timeout_ns: int
+    attempt: int = 1
+
+
+class Retry(NamedTuple):
+    """A further attempt of a client, and after how many ns."""
+
+    delay_ns: int
+    request: ClientRequest
 
 
 @dataclass(frozen=True, slots=True)
-class ClassMix:
-    """A class as the population asks for it: part of all requests, whether it carries a key, waits in ns."""
+class ClassDemand:
+    """A class as clients ask for it. `share`: of all requests; `repeat`: "safe", "keyed" or "unsafe"."""
 
     name: str
     share: float
-    keyed: bool
+    has_key: bool
     repeat: str
-    wait: int
+    timeout_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBehavior:
-    """What clients do after an answer that is not the one they want."""
+    """What clients do after an answer that is not the one they want.
+
+    `obedience`: the part of them that waits as Retry-After says. The others, and those without a
+    Retry-After, wait for `backoff_ns`.
+    """
 
-    retries: int = 2
-    obeys: float = 0.8  # part of the clients that wait as long as the advice says
-    backoff: int = 50 * MILLISECOND  # of those that do not, or had no advice
+    max_retries: int = 2
+    obedience: float = 0.8
+    backoff_ns: int = 50 * MILLISECOND
 
 
 @dataclass(slots=True)
 class ClientPopulation:
-    """All customers; the same seed and calls give the same requests."""
+    """All tenants; the same seed and calls give the same requests. `rate_multiple`: of the usual rate."""
 
-    customers: list[Customer]
-    classes: tuple[ClassMix, ...]
+    tenants: list[Tenant]
+    classes: tuple[ClassDemand, ...]
     gateways: int
     seed: int
     behavior: ClientBehavior = field(default_factory=ClientBehavior)
-    surge: float = 1.0  # times the usual rate
+    rate_multiple: float = 1.0
     _rng: random.Random = field(default_factory=random.Random)
-    _count: int = 0
-    _rates: list[float] = field(default_factory=list)  # running sums: they do not change
-    _shares: list[float] = field(default_factory=list)
+    _requests: int = 0
+    _cumulative_rates: list[float] = field(default_factory=list)
+    _cumulative_shares: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self._rng = random.Random(f"crowd:{self.seed}")
-        self._rates = list(accumulate(customer.rate for customer in self.customers))
-        self._shares = list(accumulate(mix.share for mix in self.classes))
+        self._cumulative_rates = list(accumulate(tenant.requests_per_s for tenant in self.tenants))
+        self._cumulative_shares = list(accumulate(demand.share for demand in self.classes))
 
-    def pause(self) -> int:
-        """ns until the next request of anybody."""
-        return int(self._rng.expovariate(self._rates[-1] * self.surge) * SECOND)
+    def next_pause_ns(self) -> int:
+        """The time until the next request of any tenant."""
+        return int(self._rng.expovariate(self._cumulative_rates[-1] * self.rate_multiple) * SECOND)
 
-    def want(self) -> ClientRequest:
+    def next_request(self) -> ClientRequest:
+        """The next request of any tenant."""
         rng = self._rng
-        customer = rng.choices(self.customers, cum_weights=self._rates)[0]
-        mix = rng.choices(self.classes, cum_weights=self._shares)[0]
-        self._count += 1
-        key = f"{self.seed & 0xFFFF:04x}{self._count:012x}" if mix.keyed else ""
-        origin = self.name(self._count, 0)
-        wait = int(mix.wait * rng.uniform(0.6, 1.0))
-        return ClientRequest(origin, customer, mix.name, self.entry(customer), 1.0, key, wait)
-
-    def name(self, number: int, tries: int) -> str:
-        """A request's id: 16 hex digits."""
-        return f"{self.seed & 0xFFFF:04x}{number:010x}{tries:02x}"
-
-    def entry(self, customer: Customer, but: int = -1) -> int:
-        """The gateway that the customer's next request goes to; not `but`, where there is another."""
-        offsets = [i for i in range(customer.spread) if (customer.first + i) % self.gateways != but]
+        tenant = rng.choices(self.tenants, cum_weights=self._cumulative_rates)[0]
+        demand = rng.choices(self.classes, cum_weights=self._cumulative_shares)[0]
+        self._requests += 1
+        key = f"{self.seed & 0xFFFF:04x}{self._requests:012x}" if demand.has_key else ""
+        origin = self.request_name(self._requests, 0)
+        timeout_ns = int(demand.timeout_ns * rng.uniform(MIN_TIMEOUT_SHARE, 1.0))
+        return ClientRequest(origin, tenant, demand.name, self.choose_gateway(tenant), 1.0, key, timeout_ns)
+
+    def request_name(self, number: int, attempt: int) -> str:
+        """A request's name on the wire: 16 hex digits. `attempt`: from 0 on."""
+        return f"{self.seed & 0xFFFF:04x}{number:010x}{attempt:02x}"
+
+    def request_id(self, request: ClientRequest) -> str:
+        """The name of a request's present attempt."""
+        return self.request_name(int(request.origin[_NUMBER], 16), request.attempt - 1)
+
+    def choose_gateway(self, tenant: Tenant, excluded: int = -1) -> int:
+        """The gateway for a tenant's next request; not `excluded`, where it has another."""
+        first = tenant.first_gateway
+        offsets = [i for i in range(tenant.gateway_count) if (first + i) % self.gateways != excluded]
         if not offsets:
-            return but
-        weights = [customer.weights[i] for i in offsets]
-        return (customer.first + self._rng.choices(offsets, weights)[0]) % self.gateways
-
-    def again(self, want: ClientRequest, kind: str, advice_ms: int) -> tuple[int, ClientRequest] | None:
-        """After how many ns the client comes again, and with what; None if it does not. What failed, or was
-        never answered, promises nothing: only what is safe to repeat is."""
-        repeat = next(mix.repeat for mix in self.classes if mix.name == want.cls)
-        if want.tries > self.behavior.retries or (kind != "refused" and repeat != "safe"):
+            return excluded
+        weights = [tenant.weights[i] for i in offsets]
+        return (first + self._rng.choices(offsets, weights)[0]) % self.gateways
+
+    def retry(self, request: ClientRequest, outcome: str, retry_after_ms: int) -> Retry | None:
+        """The client's next attempt after an outcome other than "served"; None if it makes none.
+
+        What failed or was never answered may have been executed: it is retried only where that is safe.
+        What was refused was not. `retry_after_ms`: 0 for none.
+        """
+        repeat = next(demand.repeat for demand in self.classes if demand.name == request.cls)
+        if request.attempt > self.behavior.max_retries or (outcome != "refused" and repeat != "safe"):
             return None
-        number = int(want.origin[4:14], 16)
-        obeys = self._rng.random() < self.behavior.obeys
-        wait = advice_ms * MILLISECOND if advice_ms and obeys else self.behavior.backoff
-        gateway = self.entry(want.customer)
-        return int(wait * self._rng.uniform(1.0, 1.3)), ClientRequest(
-            self.name(number, 0),
-            want.customer,
-            want.cls,
-            gateway,
-            want.units,
-            want.key,
-            want.wait,
-            want.tries + 1,
+        number = int(request.origin[_NUMBER], 16)
+        obeys = self._rng.random() < self.behavior.obedience
+        wait_ns = retry_after_ms * MILLISECOND if retry_after_ms and obeys else self.behavior.backoff_ns
+        gateway = self.choose_gateway(request.tenant)
+        delay_ns = int(wait_ns * self._rng.uniform(1.0, MAX_BACKOFF_FACTOR))
+        return Retry(
+            delay_ns,
+            ClientRequest(
+                self.request_name(number, 0),
+                request.tenant,
+                request.cls,
+                gateway,
+                request.units,
+                request.key,
+                request.timeout_ns,
+                request.attempt + 1,
+            ),
         )
 
-    def request_id(self, want: ClientRequest) -> str:
-        return self.name(int(want.origin[4:14], 16), want.tries - 1)
-
     def move(self, share: float) -> int:
-        """So many of the customers get new weights at one stroke; how many did."""
-        moved = [c for c in self.customers if self._rng.random() < share]
-        for customer in moved:
-            customer.weights = draw_weights(self._rng, customer.spread)
+        """Draws new weights for a share of the tenants; returns how many that were."""
+        moved = [tenant for tenant in self.tenants if self._rng.random() < share]
+        for tenant in moved:
+            tenant.weights = draw_weights(self._rng, tenant.gateway_count)
         return len(moved)
 
 
-def draw_weights(rng: random.Random, spread: int) -> list[float]:
-    """Uneven: the busiest gateway of a set takes several times what the others do."""
-    return [rng.expovariate(1.0) ** 2 + 0.02 for _ in range(spread)]
+def draw_weights(rng: random.Random, count: int) -> list[float]:
+    """Uneven weights: the busiest gateway of a tenant takes several times what the others do."""
+    return [rng.expovariate(1.0) ** 2 + MIN_WEIGHT for _ in range(count)]
--- a/trackspread/testing/standins/clients.py
+++ b/trackspread/testing/standins/clients.py
@@ -1,7 +1,8 @@
-"""Clients on sockets, RESP2: a thin shell round `ClientPopulation`, a connection for each request under way.
+"""Clients on sockets, RESP2: one connection for each request of a `ClientPopulation` that is in flight.
 
-Connections are kept and dealt out again. A request whose kept connection ends at once, before any of its
-answer has come, is written once more on a new one: the gateway may have closed it as it was on its way.
+Idle connections are reused. A request whose reused connection ends at once, before any of its answer has
+come, is sent once more on a new one: the gateway may have closed the connection while the request was on
+its way.
 """
 
 from __future__ import annotations
@@ -9,34 +10,41 @@
 import asyncio
 import time
 from collections import Counter
+from collections.abc import Coroutine
 from dataclasses import replace
-from typing import Literal, cast
+from typing import Literal, NamedTuple, cast
 
 import hiredis
 
 from ..judge.ledger import (
-    ReplyReceived,
-    RequestSent,
+    ClientDisconnected,
     ConnectionLost,
     Ledger,
-    ClientDisconnected,
+    ReplyReceived,
+    RequestSent,
     UnexpectedBytes,
 )
 from .client_population import ClientPopulation, ClientRequest
+from .command_form import CommandForms, command_form
 from .loopback import Address
-from .node_server import form
 from .scenario import MILLISECOND, Scenario
 
-CROSSING = 100 * MILLISECOND  # ns after its writing in which an end may have crossed a request
-WITNESS = 0.2  # s for which a client looks on after its time, to see an answer that is late
-CONNECT = 0.25  # s
-CONNECTS = 3  # gateways that a client tries in turn
-IDLE_MOST = 64  # kept connections to each gateway
-Kind = Literal["served", "refused", "failed"]
+CROSSING_NS = 100 * MILLISECOND  # after its sending, in which a connection's end may have crossed a request
+LATE_ANSWER_S = 0.2  # for which a client waits beyond its timeout, to see an answer that is late
+CONNECT_TIMEOUT_S = 0.25
+CONNECT_ATTEMPTS = 3  # gateways that a client tries in turn
+MAX_IDLE = 64  # idle connections to each gateway
+SETTLE_POLL_S = 0.01
+ReplyKind = Literal["served", "refused", "failed"]
 
 
 class Clients:
-    """All clients of one run. `asking` may be set off and on; `under_way` counts exchanges without an end."""
+    """All clients of one run.
+
+    `sending` may be set off and on. `outcome_counts`: requests by "served", "refused", "failed", "cut",
+    "left" and "unreached". `command_forms`: what was sent, by request. The harness sets `closing_gateways`,
+    to which no new connections are opened, and `killed_gateways`, whose requests may have been executed.
+    """
 
     def __init__(
         self, scenario: Scenario, population: ClientPopulation, ledger: Ledger, addresses: list[Address]
@@ -45,181 +53,219 @@
         self.population = population
         self.ledger = ledger
         self.addresses = addresses
-        self.forms: dict[str, bytes] = {}
-        self.asking = False
-        self.kinds: Counter[str] = Counter()
-        self.leaving: set[int] = set()  # gateways to which the front opens no new connections any more
-        self.killed: set[int] = set()  # gateways that were killed outright: nothing crossed, it may have run
-        self.idle: list[list[_Line]] = [[] for _ in addresses]
+        self.command_forms: CommandForms = {}
+        self.sending = False
+        self.outcome_counts: Counter[str] = Counter()
+        self.closing_gateways: set[int] = set()
+        self.killed_gateways: set[int] = set()
+        self.idle_connections: list[list[_Connection]] = [[] for _ in addresses]
         self.exchanges: set[Exchange] = set()
         self._arrivals: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        self.asking = True
+        """Clients begin to send requests."""
+        self.sending = True
         self._arrivals = asyncio.get_running_loop().create_task(self._arrive())
 
     async def _arrive(self) -> None:
         loop = asyncio.get_running_loop()
         due = loop.time()
-        while self.asking:
-            due += self.population.pause() / 1e9
+        while self.sending:
+            due += self.population.next_pause_ns() / 1e9
             await asyncio.sleep(max(0.0, due - loop.time()))
-            self._begin(self.population.want(), CONNECTS)
+            self.send(self.population.next_request())
 
-    def _begin(self, want: ClientRequest, connects: int) -> None:
-        task = asyncio.get_running_loop().create_task(self._try(want, connects))
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _try(self, want: ClientRequest, connects: int) -> None:
-        request = self.population.request_id(want)
-        kept = self.idle[want.gateway]
-        while kept:
-            line = kept.pop()
-            if line.usable():
-                Exchange(self, want, request, line).begin()
+    def send(self, request: ClientRequest, connect_attempts: int = CONNECT_ATTEMPTS) -> None:
+        """Sends a request on an idle connection or a new one, in a task of its own."""
+        self._spawn(self._send(request, connect_attempts))
+
+    async def _send(self, request: ClientRequest, connect_attempts: int) -> None:
+        request_id = self.population.request_id(request)
+        idle = self.idle_connections[request.gateway]
+        while idle:
+            connection = idle.pop()
+            if connection.usable():
+                Exchange(self, request, request_id, connection).begin()
                 return
-        await self._fresh(want, request, connects)
+        await self._send_on_new_connection(request, request_id, connect_attempts)
 
-    async def _fresh(self, want: ClientRequest, request: str, connects: int, again: bool = False) -> None:
-        loop = asyncio.get_running_loop()
+    async def _send_on_new_connection(
+        self, request: ClientRequest, request_id: str, connect_attempts: int, resent: bool = False
+    ) -> None:
+        """`resent`: the same request was sent before, on a connection that had ended."""
         try:
-            if want.gateway in self.leaving:
-                raise ConnectionRefusedError
-            async with asyncio.timeout(CONNECT):
-                _, line = await loop.create_connection(
-                    lambda: _Line(self, want.gateway), *self.addresses[want.gateway]
-                )
+            connection = await self._connect(request.gateway)
         except (OSError, TimeoutError):
-            if connects > 1:
-                elsewhere = replace(want, gateway=self.population.entry(want.customer, want.gateway))
-                await self._fresh(elsewhere, request, connects - 1, again)
-            elif again:
-                self.kinds["unreached"] += 1
-                self.ledger.write(ConnectionLost(time.monotonic_ns(), request, unreached=True))
-            else:
-                self.kinds["unreached"] += 1
+            if connect_attempts > 1:
+                other = self.population.choose_gateway(request.tenant, request.gateway)
+                elsewhere = replace(request, gateway=other)
+                await self._send_on_new_connection(elsewhere, request_id, connect_attempts - 1, resent)
+                return
+            self.outcome_counts["unreached"] += 1
+            if resent:
+                self.ledger.write(ConnectionLost(time.monotonic_ns(), request_id, unreached=True))
             return
-        Exchange(self, want, request, line, again).begin()
+        Exchange(self, request, request_id, connection, resent).begin()
+
+    async def _connect(self, gateway: int) -> _Connection:
+        if gateway in self.closing_gateways:
+            raise ConnectionRefusedError
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, connection = await asyncio.get_running_loop().create_connection(
+                lambda: _Connection(self, gateway), *self.addresses[gateway]
+            )
+        return connection
 
-    def once_more(self, want: ClientRequest, request: str) -> None:
-        task = asyncio.get_running_loop().create_task(self._fresh(want, request, CONNECTS, True))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+    def resend(self, request: ClientRequest, request_id: str) -> None:
+        """Sends a request once more that the gateway cannot have read."""
+        self._spawn(self._send_on_new_connection(request, request_id, CONNECT_ATTEMPTS, resent=True))
 
-    def come_again(self, want: ClientRequest, kind: str, advice_ms: int) -> None:
-        if self.asking and (again := self.population.again(want, kind, advice_ms)) is not None:
-            asyncio.get_running_loop().call_later(again[0] / 1e9, self._begin, again[1], CONNECTS)
+    def retry(self, request: ClientRequest, outcome: str, retry_after_ms: int) -> None:
+        """Schedules the client's next attempt, if it makes one."""
+        if self.sending and (retry := self.population.retry(request, outcome, retry_after_ms)) is not None:
+            asyncio.get_running_loop().call_later(retry.delay_ns / 1e9, self.send, retry.request)
 
     async def settle(self) -> None:
-        """Ask no more, and see every exchange to its end."""
-        self.asking = False
+        """Sends nothing new; returns once every request has ended."""
+        self.sending = False
         if self._arrivals is not None:
             await self._arrivals
         while self.exchanges or self._tasks:
-            await asyncio.sleep(0.01)
-        for kept in self.idle:
-            for line in kept:
-                line.close()
-
-    def command(self, want: ClientRequest, request: str) -> bytes:
-        customer = want.customer
-        safe = self.scenario.repeat(want.cls) == "safe"
-        pairs = [f"c={want.cls}", f"t={customer.plan}", f"d={want.wait // MILLISECOND}"]
-        pairs += [f"k={want.key}"] * bool(want.key) + ["r=1"] * (want.tries > 1)
-        pairs += [f"units={want.units:g}", f"spread={customer.spread}", f"first={customer.first}"]
+            await asyncio.sleep(SETTLE_POLL_S)
+        for connections in self.idle_connections:
+            for connection in connections:
+                connection.close()
+
+    def command(self, request: ClientRequest, request_id: str) -> bytes:
+        """The request as RESP2; its form is kept for the rating nodes to check."""
+        tenant = request.tenant
+        is_safe = self.scenario.repeat(request.cls) == "safe"
+        options = [f"c={request.cls}", f"t={tenant.plan}", f"d={request.timeout_ns // MILLISECOND}"]
+        options += [f"k={request.key}"] * bool(request.key) + ["r=1"] * (request.attempt > 1)
+        options += [
+            f"units={request.units:g}",
+            f"spread={tenant.gateway_count}",
+            f"first={tenant.first_gateway}",
+        ]
         words = [
-            b"CALL.GET" if safe else b"CALL.POST",
-            b"%016x" % customer.number,
-            request.encode(),
-            ",".join(pairs).encode(),
-        ] + [b"body of " + request.encode()] * (not safe)
-        self.forms[request] = form(words)
+            b"CALL.GET" if is_safe else b"CALL.POST",
+            b"%016x" % tenant.number,
+            request_id.encode(),
+            ",".join(options).encode(),
+        ]
+        if not is_safe:
+            words.append(b"body of " + request_id.encode())
+        self.command_forms[request_id] = command_form(words)
         return cast(bytes, hiredis.pack_command(tuple(words)))  # type: ignore[arg-type]
 
 
 class Exchange:
-    """One request, from its writing to its answer or its end."""
+    """One request, from its sending to its answer or its end.
+
+    `resent`: it was sent before, on a connection that had ended.
+    """
 
     def __init__(
-        self, clients: Clients, want: ClientRequest, request: str, line: _Line, again: bool = False
+        self,
+        clients: Clients,
+        request: ClientRequest,
+        request_id: str,
+        connection: _Connection,
+        resent: bool = False,
     ) -> None:
-        self._clients = clients
-        self.want = want
         self.request = request
-        self._line = line
-        self._again = again
-        self._kept = line.served > 0
-        self._asked = 0
+        self.request_id = request_id
+        self._clients = clients
+        self._connection = connection
+        self._resent = resent
+        self._connection_reused = connection.answers > 0
+        self._sent_at = 0
         self._timer: asyncio.TimerHandle | None = None
 
     def begin(self) -> None:
-        clients, want, customer = self._clients, self.want, self.want.customer
-        self._line.exchange = self
+        """Sends the request."""
+        clients, request = self._clients, self.request
+        self._connection.exchange = self
         clients.exchanges.add(self)
-        self._line.write(clients.command(want, self.request))
-        self._asked = time.monotonic_ns()
+        self._connection.write(clients.command(request, self.request_id))
+        self._sent_at = time.monotonic_ns()
         clients.ledger.write(
             RequestSent(
-                self._asked,
-                self.request,
-                want.origin,
-                f"n{want.gateway}",
-                want.cls,
-                customer.plan,
-                customer.number,
-                want.units,
-                want.wait,
-                self._again,
+                self._sent_at,
+                self.request_id,
+                request.origin,
+                f"n{request.gateway}",
+                request.cls,
+                request.tenant.plan,
+                request.tenant.number,
+                request.units,
+                request.timeout_ns,
+                self._resent,
             )
         )
-        self._timer = asyncio.get_running_loop().call_later(want.wait / 1e9 + WITNESS, self._leave)
+        timeout_s = request.timeout_ns / 1e9 + LATE_ANSWER_S
+        self._timer = asyncio.get_running_loop().call_later(timeout_s, self._leave)
 
     def answered(self, answer: object) -> None:
-        kind, value, advice = _read(answer)
+        """The complete answer has come."""
+        reply = _parse_reply(answer)
         self._end()
-        self._clients.kinds[kind] += 1
-        self._clients.ledger.write(ReplyReceived(time.monotonic_ns(), self.request, kind, value, advice))
-        if kind != "served":
-            self._clients.come_again(self.want, kind, advice)
+        self._clients.outcome_counts[reply.kind] += 1
+        self._clients.ledger.write(
+            ReplyReceived(time.monotonic_ns(), self.request_id, reply.kind, reply.value, reply.retry_after_ms)
+        )
+        if reply.kind != "served":
+            self._clients.retry(self.request, reply.kind, reply.retry_after_ms)
 
-    def cut(self, midway: bool) -> None:
-        """The connection ended first."""
+    def connection_ended(self, partly_answered: bool) -> None:
+        """The connection ended before the complete answer."""
         now = time.monotonic_ns()
         self._end()
-        crossed = now - self._asked < CROSSING and self.want.gateway not in self._clients.killed
-        if crossed and self._kept and not midway and not self._again:
-            self._clients.once_more(self.want, self.request)
+        killed = self.request.gateway in self._clients.killed_gateways
+        crossed = now - self._sent_at < CROSSING_NS and not killed
+        if crossed and self._connection_reused and not partly_answered and not self._resent:
+            self._clients.resend(self.request, self.request_id)
             return
-        self._clients.kinds["cut"] += 1
-        self._clients.ledger.write(ConnectionLost(now, self.request))
-        self._clients.come_again(self.want, "cut", 0)
+        self._clients.outcome_counts["cut"] += 1
+        self._clients.ledger.write(ConnectionLost(now, self.request_id))
+        self._clients.retry(self.request, "cut", 0)
 
     def _leave(self) -> None:
         self._end()
-        self._clients.kinds["left"] += 1
-        self._clients.ledger.write(ClientDisconnected(time.monotonic_ns(), self.request))
-        self._line.close()
+        self._clients.outcome_counts["left"] += 1
+        self._clients.ledger.write(ClientDisconnected(time.monotonic_ns(), self.request_id))
+        self._connection.close()
 
     def _end(self) -> None:
-        self._line.exchange = None
+        self._connection.exchange = None
         self._clients.exchanges.discard(self)
         if self._timer is not None:
             self._timer.cancel()
 
 
-def _read(answer: object) -> tuple[Kind, str, int]:
+class _Reply(NamedTuple):
+    kind: ReplyKind
+    value: str = ""
+    retry_after_ms: int = 0
+
+
+def _parse_reply(answer: object) -> _Reply:
     if isinstance(answer, bytes):
-        return "served", answer.decode(errors="replace"), 0
+        return _Reply("served", answer.decode(errors="replace"))
     word, _, advice = str(answer).partition(" ")
     if isinstance(answer, hiredis.ReplyError) and word == "BUSY" and (advice.isdigit() or not advice):
-        return "refused", "", int(advice or 0)
-    return "failed", "", 0
+        return _Reply("refused", "", int(advice or 0))
+    return _Reply("failed")
 
 
-class _Line(asyncio.Protocol):
-    """One connection to one gateway, one request on it at a time."""
+class _Connection(asyncio.Protocol):
+    """One connection to one gateway, with one request at a time."""
 
     def __init__(self, clients: Clients, gateway: int) -> None:
         self._clients = clients
@@ -227,7 +273,7 @@
         self._reader = hiredis.Reader()
         self._transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
-        self.served = 0
+        self.answers = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -244,30 +290,31 @@
             while (answer := self._reader.gets()) is not False:
                 self._answer(answer)
         except hiredis.ProtocolError:
-            self._stray()
+            self._unexpected()
 
     def _answer(self, answer: object) -> None:
         exchange = self.exchange
         if exchange is None:
-            return self._stray()
-        self.served += 1
+            self._unexpected()
+            return
+        self.answers += 1
         exchange.answered(answer)
-        kept = self._clients.idle[self._gateway]
-        if len(kept) < IDLE_MOST:
-            kept.append(self)
+        idle = self._clients.idle_connections[self._gateway]
+        if len(idle) < MAX_IDLE:
+            idle.append(self)
         else:
             self.close()
 
-    def _stray(self) -> None:
+    def _unexpected(self) -> None:
         self._clients.ledger.write(UnexpectedBytes(time.monotonic_ns(), f"n{self._gateway}"))
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        kept = self._clients.idle[self._gateway]
-        if self in kept:
-            kept.remove(self)
+        idle = self._clients.idle_connections[self._gateway]
+        if self in idle:
+            idle.remove(self)
         if self.exchange is not None:
-            self.exchange.cut(self._reader.has_data())
+            self.exchange.connection_ended(self._reader.has_data())
 
     def close(self) -> None:
         cast(asyncio.Transport, self._transport).close()
--- a/trackspread/testing/standins/discovery_agent.py
+++ b/trackspread/testing/standins/discovery_agent.py
@@ -1,7 +1,7 @@
-"""The platform's discovery agent: one for each gateway, all telling one list, each with addresses of its own.
+"""The platform's discovery agent: one for each gateway, each at an address of its own, all with one list.
 
-`GET /api/targets` gives the whole list, `?stream=1&index=N` a watch. What is written to a gateway goes into
-the ledger as told. While discovery is in trouble calls end as `AgentFault` says; open watches go on.
+`GET /api/targets` gives the complete list, `?stream=1&index=N` a watch. What is written to a gateway goes
+into the ledger. During a fault calls end as `AgentFault` says; open watches go on.
 """
 
 from __future__ import annotations
@@ -11,162 +11,117 @@
 import json
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, cast
-from urllib.parse import parse_qs, urlsplit
+from typing import cast
+from urllib.parse import SplitResult, parse_qs, urlsplit
 
 import h11
 
-from ..judge.ledger import Ledger, EndpointAnnounced
+from ..judge.ledger import EndpointAnnounced, Ledger
+from .backend_list import BackendList, JsonObject, ListedBackend
 from .loopback import Address, own_address
 
-HEARTBEAT = 2.0  # s between empty lines of a watch
-CHANGES_MOST = 512  # that the list remembers; whoever is further behind gets the whole
-RETRY_AFTER = 3600  # s that an error asks its caller to wait
-LINE_PATIENCE = 2.1  # s that a call which is turned away late was kept waiting
-TRICKLE = 0.5  # s between the bytes of an answer that comes to no line
+TARGETS_PATH = "/api/targets"
+HEARTBEAT_S = 2.0  # between empty lines of a watch
+RETRY_AFTER_S = 3600  # that an error asks its caller to wait
+LATE_CLOSE_S = 2.1  # after which a call is closed without an answer
+TRICKLE_S = 0.5  # between the bytes of an answer that comes to no line
+OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503
+_CHUNKED = [("Transfer-Encoding", "chunked")]
 
 
 class AgentFault(enum.Enum):
-    """What becomes of a call while discovery is in trouble."""
+    """What becomes of a call while discovery is faulty."""
 
     RESET = "its connection is reset"
-    ERROR = "it is answered with an error and a long wait"
-    KEPT_WAITING = "it is kept waiting and then closed without an answer"
-    ENDED = "its answer ends at once"
-    SILENT = "nothing comes"
+    ERROR = "it is answered with an error and a long Retry-After"
+    CLOSED_LATE = "it waits and is then closed without an answer"
+    EMPTY_ANSWER = "its answer ends at once"
+    UNRESPONSIVE = "it is not answered"
     TRICKLE = "bytes come that make no line"
 
 
-@dataclass(frozen=True, slots=True)
-class ListedBackend:
-    """One backend as the list has it; `dial` by gateway."""
-
-    host: str
-    dial: tuple[Address, ...]
-    zone: str
-    kind: str
-    cell: int
-    health: str
-    born_ms: int
-    service: str = ""  # the default one, which the list does not name
-
-    def told(self, gateway: int) -> dict[str, Any]:
-        host, port = self.dial[gateway]
-        told = {
-            "host": self.host,
-            "dial": f"{host}:{port}",
-            "site": self.zone,
-            "class": self.kind,
-            "block": self.cell,
-            "health": self.health,
-            "share": 1.0,
-            "born_ms": self.born_ms,
-        }
-        return {**told, "service": self.service} if self.service else told
-
-
-class BackendList:
-    """The one list, by versions."""
-
-    def __init__(self) -> None:
-        self.version = 1
-        self.hosts: dict[str, ListedBackend] = {}
-        self._changes: list[tuple[int, ListedBackend]] = []
-        self.agents: list[DiscoveryAgent] = []
-
-    def put(self, entry: ListedBackend) -> None:
-        """A new entry, or a change of one; `terminated` takes it off the list."""
-        self.version += 1
-        if entry.health == "terminated":
-            self.hosts.pop(entry.host, None)
-        else:
-            self.hosts[entry.host] = entry
-        self._changes = [*self._changes[-CHANGES_MOST + 1 :], (self.version, entry)]
-        for agent in self.agents:
-            agent.news([entry])
-
-    def whole(self, gateway: int) -> dict[str, Any]:
-        hosts = [entry.told(gateway) for entry in self.hosts.values()]
-        return {"seq": self.version, "whole": True, "hosts": hosts}
-
-    def since(self, gateway: int, version: int) -> dict[str, Any]:
-        """What changed after a version, or the whole list where that is not known any more."""
-        known = self._changes[0][0] - 1 if self._changes else self.version
-        if not known <= version <= self.version:
-            return self.whole(gateway)
-        last = {entry.host: entry for number, entry in self._changes if number > version}
-        return {"seq": self.version, "whole": False, "hosts": [e.told(gateway) for e in last.values()]}
-
-
 class DiscoveryAgent:
-    """One gateway's agent. `delay`: s by which news is late; `mute`: it holds everything back."""
+    """One gateway's agent.
+
+    `delay_s`: by which updates are late. `withholds_updates`: open watches get none. `fault`: of the calls
+    that come; `on_fault` is called after each of these. `call_times_ns`: of the monotonic clock.
+    """
 
-    def __init__(self, listed: BackendList, gateway: int, ledger: Ledger) -> None:
-        self.listed = listed
+    def __init__(self, backend_list: BackendList, gateway: int, ledger: Ledger) -> None:
+        self.backend_list = backend_list
         self.gateway = gateway
-        self._ledger = ledger
-        self.delay = 0.0
-        self.mute = False
-        self.trouble: AgentFault | None = None
-        self.calls: list[int] = []  # ns of the monotonic clock at which each came
-        self.troubled: Callable[[], None] = lambda: None  # told of each call that has met with trouble
+        self.delay_s = 0.0
+        self.withholds_updates = False
+        self.fault: AgentFault | None = None
+        self.on_fault: Callable[[], None] = lambda: None
+        self.call_times_ns: list[int] = []
         self.address: Address = (own_address(), 0)
+        self._ledger = ledger
         self._server: asyncio.Server | None = None
-        self._watches: set[_Watch] = set()
-        listed.agents.append(self)
+        self._watches: set[_Call] = set()
+        backend_list.subscribers.append(self._publish)
 
     async def start(self) -> None:
+        """Listens; always at the same address."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Watch(self), *self.address)
+        self._server = await loop.create_server(lambda: _Call(self), *self.address)
         self.address = own_address(), int(self._server.sockets[0].getsockname()[1])
 
-    def news(self, entries: list[ListedBackend]) -> None:
-        if not self.mute:
-            asyncio.get_running_loop().call_later(self.delay, self._write, entries, self.listed.version)
+    def _publish(self, entry: ListedBackend) -> None:
+        if not self.withholds_updates:
+            loop = asyncio.get_running_loop()
+            loop.call_later(self.delay_s, self._send_update, entry, self.backend_list.version)
 
-    def _write(self, entries: list[ListedBackend], version: int) -> None:
-        update = {"seq": version, "whole": False, "hosts": [e.told(self.gateway) for e in entries]}
+    def _send_update(self, entry: ListedBackend, version: int) -> None:
+        update = {"seq": version, "whole": False, "hosts": [entry.as_json(self.gateway)]}
         for watch in self._watches:
-            watch.tell(update)
+            watch.send_update(update)
 
-    def noted(self, update: dict[str, Any]) -> None:
-        now, told = time.monotonic_ns(), {h["host"]: h["health"] == "in_service" for h in update["hosts"]}
-        for host, ready in told.items():
+    def record(self, update: JsonObject) -> None:
+        """Writes an update that was sent to the gateway into the ledger."""
+        now = time.monotonic_ns()
+        readiness = {host["host"]: host["health"] == "in_service" for host in update["hosts"]}
+        for host, ready in readiness.items():
             self._ledger.write(EndpointAnnounced(now, f"n{self.gateway}", host, ready))
 
-    def cut(self) -> None:
-        """Ends every watch; a gateway comes again with the version that it has."""
+    def abort_watches(self) -> None:
+        """Ends every watch; a gateway calls again with the version that it has."""
         for watch in list(self._watches):
             watch.abort()
 
-    def silence(self) -> None:
-        """Open watches bring nothing any more, and stay open; other calls are answered."""
+    def stop_updates(self) -> None:
+        """Open watches get nothing any more, and stay open; other calls are answered."""
         for watch in self._watches:
-            watch.silence()
+            watch.stop_timer()
         self._watches.clear()
 
-    def watched(self, watch: _Watch, on: bool) -> None:
-        (self._watches.add if on else self._watches.discard)(watch)
+    def add_watch(self, watch: _Call) -> None:
+        """A watch is open."""
+        self._watches.add(watch)
 
-    def close(self) -> None:
-        self.refuse()
-        self.cut()
+    def remove_watch(self, watch: _Call) -> None:
+        """A call has ended."""
+        self._watches.discard(watch)
 
-    def refuse(self) -> None:
+    def stop_listening(self) -> None:
         """New connections are refused until it is started again; open watches stay."""
         if self._server is not None:
             self._server.close()
 
+    def close(self) -> None:
+        """Ends the listener and every watch."""
+        self.stop_listening()
+        self.abort_watches()
+
 
-class _Watch(asyncio.Protocol):
-    """One HTTP exchange."""
+class _Call(asyncio.Protocol):
+    """One HTTP call; a watch stays open."""
 
     def __init__(self, agent: DiscoveryAgent) -> None:
         self._agent = agent
         self._http = h11.Connection(h11.SERVER)
         self._transport: asyncio.Transport | None = None
-        self._beat: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -179,68 +134,72 @@
             elif isinstance(event, h11.ConnectionClosed):
                 return
 
-    def _answer(self, target: Any) -> None:
-        agent, asked = self._agent, parse_qs(target.query)
-        agent.calls.append(time.monotonic_ns())
-        if agent.trouble is not None:
-            self._fail(agent.trouble)
-        elif target.path != "/api/targets":
-            self._send(h11.Response(status_code=404, headers=[("Content-Length", "0")]), h11.EndOfMessage())
-        elif "stream" not in asked:
-            body = json.dumps(agent.listed.whole(agent.gateway)).encode()
-            head = h11.Response(status_code=200, headers=[("Content-Length", str(len(body)))])
-            self._send(head, h11.Data(data=body), h11.EndOfMessage())
+    def _answer(self, target: SplitResult) -> None:
+        agent = self._agent
+        parameters = parse_qs(target.query)
+        agent.call_times_ns.append(time.monotonic_ns())
+        if agent.fault is not None:
+            self._fail(agent.fault)
+        elif target.path != TARGETS_PATH:
+            self._send(_response(NOT_FOUND), h11.EndOfMessage())
+        elif "stream" not in parameters:
+            body = json.dumps(agent.backend_list.snapshot(agent.gateway)).encode()
+            self._send(_response(OK, len(body)), h11.Data(data=body), h11.EndOfMessage())
         else:
-            self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
-            agent.watched(self, True)
-            index = int(asked.get("index", ["0"])[0])
-            if not agent.mute:
-                self.tell(
-                    agent.listed.since(agent.gateway, index) if index else agent.listed.whole(agent.gateway)
-                )
-            self._heartbeat()
-
-    def _fail(self, trouble: AgentFault) -> None:
+            self._watch(int(parameters.get("index", ["0"])[0]))
+
+    def _watch(self, version: int) -> None:
+        """Sends what changed after a version, or the complete list for 0, and stays open."""
+        agent = self._agent
+        self._send(h11.Response(status_code=OK, headers=_CHUNKED))
+        agent.add_watch(self)
+        if not agent.withholds_updates:
+            changes = agent.backend_list.changes_since(agent.gateway, version) if version else None
+            self.send_update(changes or agent.backend_list.snapshot(agent.gateway))
+        self._heartbeat()
+
+    def _fail(self, fault: AgentFault) -> None:
         loop = asyncio.get_running_loop()
-        match trouble:
+        match fault:
             case AgentFault.RESET:
                 self.abort()
             case AgentFault.ERROR:
-                headers = [("Content-Length", "0"), ("Retry-After", str(RETRY_AFTER))]
-                self._send(h11.Response(status_code=503, headers=headers), h11.EndOfMessage())
-            case AgentFault.KEPT_WAITING:
-                self._beat = loop.call_later(LINE_PATIENCE, self._turn_away)
+                headers = [("Content-Length", "0"), ("Retry-After", str(RETRY_AFTER_S))]
+                self._send(h11.Response(status_code=UNAVAILABLE, headers=headers), h11.EndOfMessage())
+            case AgentFault.CLOSED_LATE:
+                self._timer = loop.call_later(LATE_CLOSE_S, self._close_late)
                 return
-            case AgentFault.ENDED:
-                head = h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
-                self._send(head, h11.EndOfMessage())
+            case AgentFault.EMPTY_ANSWER:
+                self._send(h11.Response(status_code=OK, headers=_CHUNKED), h11.EndOfMessage())
             case AgentFault.TRICKLE:
-                self._send(h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")]))
+                self._send(h11.Response(status_code=OK, headers=_CHUNKED))
                 self._trickle()
-            case AgentFault.SILENT:
+            case AgentFault.UNRESPONSIVE:
                 pass
-        self._agent.troubled()
+        self._agent.on_fault()
 
-    def _turn_away(self) -> None:
+    def _close_late(self) -> None:
         self.abort()
-        self._agent.troubled()
+        self._agent.on_fault()
 
     def _trickle(self) -> None:
         self._send(h11.Data(data=b" "))
-        self._beat = asyncio.get_running_loop().call_later(TRICKLE, self._trickle)
-
-    def silence(self) -> None:
-        if self._beat is not None:
-            self._beat.cancel()
+        self._timer = asyncio.get_running_loop().call_later(TRICKLE_S, self._trickle)
 
     def _heartbeat(self) -> None:
-        if not self._agent.mute:
+        if not self._agent.withholds_updates:
             self._send(h11.Data(data=b"\n"))
-        self._beat = asyncio.get_running_loop().call_later(HEARTBEAT, self._heartbeat)
+        self._timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
 
-    def tell(self, update: dict[str, Any]) -> None:
+    def stop_timer(self) -> None:
+        """No more heartbeats."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def send_update(self, update: JsonObject) -> None:
+        """Writes an update to the gateway and into the ledger."""
         self._send(h11.Data(data=json.dumps(update).encode() + b"\n"))
-        self._agent.noted(update)
+        self._agent.record(update)
 
     def _send(self, *events: h11.Event) -> None:
         transport = cast(asyncio.Transport, self._transport)
@@ -248,8 +207,13 @@
             transport.write(b"".join(self._http.send(event) or b"" for event in events))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._agent.watched(self, False)
-        self.silence()
+        self._agent.remove_watch(self)
+        self.stop_timer()
 
     def abort(self) -> None:
+        """Ends the connection at once."""
         cast(asyncio.Transport, self._transport).abort()
+
+
+def _response(status: int, length: int = 0) -> h11.Response:
+    return h11.Response(status_code=status, headers=[("Content-Length", str(length))])
--- a/trackspread/testing/standins/fault_schedule.py
+++ b/trackspread/testing/standins/fault_schedule.py
@@ -1,9 +1,9 @@
-"""Faults between processes as data: a schedule drawn from a seed, written down, and played.
+"""Faults between processes as data: a schedule is drawn from a seed, saved, and played.
 
-A schedule says what happens, to whom and when, in seconds from its beginning. What is drawn does not depend
-on the machine, so a file that was kept beside a failing run is played again as it was, on processes or in
-virtual time. Names are those of gateways (n0, n1, ...) and, where relays lie between, nodes. May not know:
-who plays it.
+A schedule says what happens, to whom and when. It does not depend on the machine, so a file that was kept
+beside a failing run can be played again, on processes or in virtual time. Names are those of gateways (n0,
+n1, ...) and, where relays lie between, rating nodes. In files fields and types keep the names that `rename`
+and `tag` give.
 """
 
 from __future__ import annotations
@@ -14,84 +14,108 @@
 
 import msgspec
 
-from .faulty_network import BOTH, Over
+from .network_path import ALL_PROTOCOLS, NetworkProtocol
 
-Pair = tuple[str, str]  # from whom, to whom
-AWAY = 0.3  # s between a loop's kill and its start
+Direction = tuple[str, str]  # from whom, to whom
+CRASH_LOOP_DOWNTIME_S = 0.3  # between a kill and the next start
+MIN_FAULT_S = 0.5
+MIN_START_RANGE_S = 2.0  # of a drawn fault's start before the calm end
 
+_TIMES = {"start_s": "at", "duration_s": "span"}
 
-class _Fault(msgspec.Struct, frozen=True, tag=True):
-    """`at`: when it begins; `span`: for how long."""
 
-    at: float
-    span: float
+class _Fault(msgspec.Struct, frozen=True, tag=True, rename=_TIMES):
+    """What is common to all faults: when one begins, from the schedule's start, and how long it lasts."""
 
+    start_s: float
+    duration_s: float
 
-class Cut(_Fault, frozen=True):
-    """Nothing gets through, in each direction named."""
+    @property
+    def kind(self) -> str:
+        """The fault's name in files and ledgers."""
+        return str(self.__struct_config__.tag)
 
-    pairs: tuple[Pair, ...]
-    over: tuple[Over, ...] = BOTH
 
+class Cut(_Fault, frozen=True, rename={**_TIMES, "directions": "pairs", "protocols": "over"}):
+    """Nothing gets through in the given directions."""
 
-class Rough(_Fault, frozen=True):
-    """Ways that delay, lose, double and throttle (`rate`, bytes a second; 0 for none)."""
+    directions: tuple[Direction, ...]
+    protocols: tuple[NetworkProtocol, ...] = ALL_PROTOCOLS
 
-    pairs: tuple[Pair, ...]
-    over: tuple[Over, ...] = BOTH
-    delay: float = 0.0
-    jitter: float = 0.0
+
+class DegradedNetwork(
+    _Fault,
+    frozen=True,
+    tag="Rough",
+    rename={
+        **_TIMES,
+        "directions": "pairs",
+        "protocols": "over",
+        "delay_s": "delay",
+        "jitter_s": "jitter",
+        "duplication": "twice",
+        "bytes_per_s": "rate",
+    },
+):
+    """Messages are delayed, lost (a chance), duplicated (a chance) and throttled (0: no limit)."""
+
+    directions: tuple[Direction, ...]
+    protocols: tuple[NetworkProtocol, ...] = ALL_PROTOCOLS
+    delay_s: float = 0.0
+    jitter_s: float = 0.0
     loss: float = 0.0
-    twice: float = 0.0
-    rate: float = 0.0
+    duplication: float = 0.0
+    bytes_per_s: float = 0.0
 
 
-class Halt(_Fault, frozen=True):
-    """Processes that stand still (SIGSTOP, then SIGCONT)."""
+class Pause(_Fault, frozen=True, tag="Halt"):
+    """Processes are stopped (SIGSTOP) and go on afterwards (SIGCONT)."""
 
     gateways: tuple[int, ...]
 
 
-class Duty(_Fault, frozen=True):
-    """Slow peers: of each `period` they stand still for `part`."""
+class PauseCycle(
+    _Fault, frozen=True, tag="Duty", rename={**_TIMES, "paused_share": "part", "period_s": "period"}
+):
+    """Slow processes: each is stopped for a share of every period."""
 
     gateways: tuple[int, ...]
-    part: float = 0.3
-    period: float = 0.2
+    paused_share: float = 0.3
+    period_s: float = 0.2
 
 
-class Restart(_Fault, frozen=True):
-    """Gateways that go together and are back, from nothing but the last list, after `span`; `outright`:
-    killed, else by SIGTERM."""
+class Restart(_Fault, frozen=True, rename={**_TIMES, "kill": "outright"}):
+    """Gateways end together and start again after `duration_s`. `kill`: by SIGKILL, else by SIGTERM."""
 
     gateways: tuple[int, ...]
-    outright: bool = True
+    kill: bool = True
 
 
-class Loop(_Fault, frozen=True):
-    """A gateway that is killed and started over and over, each `every` seconds."""
+class CrashLoop(_Fault, frozen=True, tag="Loop", rename={**_TIMES, "interval_s": "every"}):
+    """A gateway is killed again and again, each time `interval_s` after its start."""
 
     gateway: int
-    every: float = 0.3
+    interval_s: float = 0.3
 
 
-class Calm(_Fault, frozen=True):
-    """Nothing, for as long: what a trouble is held against."""
+class NoFault(_Fault, frozen=True, tag="Calm"):
+    """Nothing happens, for comparison."""
 
 
-Fault = Calm | Cut | Rough | Halt | Duty | Restart | Loop
+Fault = NoFault | Cut | DegradedNetwork | Pause | PauseCycle | Restart | CrashLoop
 
 
-class Schedule(msgspec.Struct, frozen=True):
-    """What happens in one run; `seconds`: how long it lasts, calm ends included."""
+class Schedule(msgspec.Struct, frozen=True, rename={"duration_s": "seconds"}):
+    """The faults of one run; `duration_s` includes the calm times before and after them."""
 
     name: str
     seed: int
     gateways: int
-    seconds: float
+    duration_s: float
     faults: tuple[Fault, ...] = ()
 
     def save(self, path: Path) -> None:
+        """Writes the schedule as JSON."""
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self)) + b"\n")
 
 
@@ -103,67 +127,91 @@
 # Shapes of cuts.
 
 
-def parted(some: Sequence[str], others: Sequence[str]) -> tuple[Pair, ...]:
-    """Neither side hears the other."""
-    return tuple(pair for a in some for b in others for pair in ((a, b), (b, a)))
+def partition(side: Sequence[str], other_side: Sequence[str]) -> tuple[Direction, ...]:
+    """Neither side receives anything from the other."""
+    return tuple(pair for a in side for b in other_side for pair in ((a, b), (b, a)))
 
 
-def one_way(sources: Sequence[str], targets: Sequence[str]) -> tuple[Pair, ...]:
-    """The targets do not hear the sources; the sources hear them."""
-    return tuple((a, b) for a in sources for b in targets if a != b)
+def one_way(sources: Sequence[str], targets: Sequence[str]) -> tuple[Direction, ...]:
+    """The targets receive nothing from the sources; the sources still receive from them."""
+    return tuple((source, target) for source in sources for target in targets if source != target)
 
 
-def ring(names: Sequence[str]) -> tuple[Pair, ...]:
+def ring(names: Sequence[str]) -> tuple[Direction, ...]:
     """Each is cut off from the next: everybody reaches a majority, and no two the same one."""
-    nexts = [*names[1:], names[0]]
-    return tuple(pair for a, b in zip(names, nexts, strict=True) for pair in ((a, b), (b, a)))
+    successors = [*names[1:], names[0]]
+    return tuple(pair for a, b in zip(names, successors, strict=True) for pair in ((a, b), (b, a)))
+
+
+def all_directions(names: Sequence[str]) -> tuple[Direction, ...]:
+    """Both directions between any two."""
+    return tuple((source, target) for source in names for target in names if source != target)
+
+
+# Drawn schedules.
 
+_PROCESS_FAULTS = ("halt", "duty", "kill", "end", "loop")
+_KINDS = ("halves", "one_way", "ring", "rough", *_PROCESS_FAULTS)
 
-def among(names: Sequence[str]) -> tuple[Pair, ...]:
-    return tuple((a, b) for a in names for b in names if a != b)
 
+def draw(
+    seed: int, gateways: int, duration_s: float = 12.0, lead_s: float = 2.0, tail_s: float = 5.0
+) -> Schedule:
+    """Two to four faults of mixed kinds, with `lead_s` and `tail_s` without faults around them.
 
-def draw(seed: int, gateways: int, seconds: float = 12.0, lead: float = 2.0, tail: float = 5.0) -> Schedule:
-    """Two to four faults of mixed kinds between calm ends; whoever is killed or halted is so by one fault at
-    a time, as nobody can be killed twice."""
+    Each gateway is killed or stopped by one fault at most.
+    """
     rng = random.Random(f"faults:{seed}:{gateways}")
     names = [f"n{number}" for number in range(gateways)]
     free = rng.sample(range(gateways), gateways)
     faults: list[Fault] = []
     for _ in range(rng.randint(2, 4)):
-        at = rng.uniform(lead, max(lead, seconds - tail - 2.0))
-        span = rng.uniform(0.5, max(0.5, seconds - tail - at))
-        kind = rng.choice(("halves", "one_way", "ring", "rough", "halt", "duty", "kill", "end", "loop"))
-        some = rng.sample(names, rng.randint(1, gateways // 2))
-        others = [name for name in names if name not in some]
-        taken = tuple(free.pop() for _ in range(min(len(free), rng.randint(1, max(1, gateways // 4)))))
-        if not taken and kind in ("halt", "duty", "kill", "end", "loop"):
-            kind = "halves"
-        match kind:
-            case "halves":
-                faults.append(Cut(at, span, parted(some, others)))
-            case "one_way":
-                faults.append(Cut(at, span, one_way(some, others)))
-            case "ring":
-                faults.append(Cut(at, span, ring(names)))
-            case "rough":
-                faults.append(
-                    Rough(
-                        at,
-                        span,
-                        among(names),
-                        delay=rng.uniform(0, 0.05),
-                        jitter=rng.uniform(0, 0.1),
-                        loss=rng.uniform(0, 0.4),
-                        twice=rng.uniform(0, 0.2),
-                    )
-                )
-            case "halt":
-                faults.append(Halt(at, span, taken))
-            case "duty":
-                faults.append(Duty(at, span, taken, rng.uniform(0.2, 0.6), rng.uniform(0.1, 0.5)))
-            case "loop":
-                faults.append(Loop(at, span, taken[0], rng.uniform(0.2, 0.8)))
-            case _:
-                faults.append(Restart(at, span, taken, kind == "kill"))
-    return Schedule(f"mixed-{seed}", seed, gateways, seconds, tuple(sorted(faults, key=lambda f: f.at)))
+        start_s = rng.uniform(lead_s, max(lead_s, duration_s - tail_s - MIN_START_RANGE_S))
+        fault_s = rng.uniform(MIN_FAULT_S, max(MIN_FAULT_S, duration_s - tail_s - start_s))
+        faults.append(_draw_fault(rng, start_s, fault_s, names, free))
+    faults.sort(key=lambda fault: fault.start_s)
+    return Schedule(f"mixed-{seed}", seed, gateways, duration_s, tuple(faults))
+
+
+def _draw_fault(
+    rng: random.Random, start_s: float, duration_s: float, names: Sequence[str], free: list[int]
+) -> Fault:
+    """`free`: the gateways that no process fault has taken; those of this one are removed."""
+    kind = rng.choice(_KINDS)
+    side = rng.sample(names, rng.randint(1, len(names) // 2))
+    other_side = [name for name in names if name not in side]
+    most_taken = max(1, len(names) // 4)
+    taken = tuple(free.pop() for _ in range(min(len(free), rng.randint(1, most_taken))))
+    if not taken and kind in _PROCESS_FAULTS:
+        kind = "halves"
+    match kind:
+        case "halves":
+            return Cut(start_s, duration_s, partition(side, other_side))
+        case "one_way":
+            return Cut(start_s, duration_s, one_way(side, other_side))
+        case "ring":
+            return Cut(start_s, duration_s, ring(names))
+        case "rough":
+            return _draw_degraded_network(rng, start_s, duration_s, names)
+        case "halt":
+            return Pause(start_s, duration_s, taken)
+        case "duty":
+            return PauseCycle(start_s, duration_s, taken, rng.uniform(0.2, 0.6), rng.uniform(0.1, 0.5))
+        case "loop":
+            return CrashLoop(start_s, duration_s, taken[0], rng.uniform(0.2, 0.8))
+        case _:
+            return Restart(start_s, duration_s, taken, kind == "kill")
+
+
+def _draw_degraded_network(
+    rng: random.Random, start_s: float, duration_s: float, names: Sequence[str]
+) -> DegradedNetwork:
+    return DegradedNetwork(
+        start_s,
+        duration_s,
+        all_directions(names),
+        delay_s=rng.uniform(0, 0.05),
+        jitter_s=rng.uniform(0, 0.1),
+        loss=rng.uniform(0, 0.4),
+        duplication=rng.uniform(0, 0.2),
+    )
--- a/trackspread/testing/standins/loopback.py
+++ b/trackspread/testing/standins/loopback.py
@@ -16,6 +16,12 @@
 Address = tuple[str, int]
 
 
+def address_text(address: Address) -> str:
+    """As configurations have it: `host:port`."""
+    host, port = address
+    return f"{host}:{port}"
+
+
 CHANCE, NAMED, HOSTS = 64, 128, 192  # the second byte of the first address of each kind; 64 in each
 HOST_PORT = 1024  # bound for as long as a host is somebody's: whoever finds it taken draws another
 
--- a/trackspread/testing/standins/rating_node.py
+++ b/trackspread/testing/standins/rating_node.py
@@ -1,7 +1,7 @@
-"""A rating node as a model: cores, a queue, a cold start that falls over, keyed memory, load reports.
+"""A rating node as a model: cores, a queue, a slow start, idempotency keys, load reports.
 
-May know: times handed in, work, keys. May not know: sockets, gateways, the protocol. Work is in nanoseconds
-of one core of usual speed; the same request costs the same at every node.
+Without I/O and clock: times are arguments, in ns. Work is in ns of one core of usual speed; the same
+request costs the same at every node.
 """
 
 from __future__ import annotations
@@ -11,24 +11,31 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from math import exp, log, sqrt
+from typing import NamedTuple
 
 SECOND = 1_000_000_000
-REPEAT_COST = SECOND // 1000  # ns that looking up a key takes
-REPORT_EVERY = SECOND // 4  # the load report is as old as this at most
-SPREAD = 0.5  # coefficient of variation of the work of one class's requests
-LOOK_UP = 64  # arrivals after which forgotten keys are dropped
+REPEAT_COST_NS = SECOND // 1000  # of looking up a key
+REPORT_INTERVAL_NS = SECOND // 4  # the load report is at most as old as this
+WORK_VARIATION = 0.5  # coefficient of variation of the work of one class's requests
+EXPIRY_INTERVAL = 64  # results stored between removals of expired ones
+SERVICE_TIME_WEIGHT = 0.2  # of the latest request in the mean service time
 
 
-def work_of(seed: int, request: str, mean: int) -> int:
-    """The request's work, lognormal, the same wherever and whenever it is asked for."""
-    sigma2 = log(1.0 + SPREAD * SPREAD)
+def request_work_ns(seed: int, request: str, mean_ns: int) -> int:
+    """The request's work, drawn from a lognormal distribution; the same whenever it is asked for."""
+    variance = log(1.0 + WORK_VARIATION * WORK_VARIATION)
     draw = random.Random(f"{seed}:{request}").gauss(0.0, 1.0)
-    return max(1, int(mean * exp(sqrt(sigma2) * draw - sigma2 / 2)))
+    return max(1, int(mean_ns * exp(sqrt(variance) * draw - variance / 2)))
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """One node. `start`: part of its capacity just after a cold start, which is whole after `warm` ns."""
+    """One node.
+
+    `speed`: of each core, as a multiple of the usual. `max_in_flight`: requests that it takes at most, in
+    work and queued. `initial_capacity`: part of its capacity at the beginning of a slow start, which lasts
+    `warm_up_ns`.
+    """
 
     name: str
     zone: str = "a"
@@ -36,113 +43,145 @@
     cell: int = 0
     cores: int = 2
     speed: float = 1.0
-    held: int = 64  # requests it holds at most, in work and waiting
-    start: float = 0.25
-    warm: int = 15 * SECOND
+    max_in_flight: int = 64
+    initial_capacity: float = 0.25
+    warm_up_ns: int = 15 * SECOND
+
+
+class CachedResult(NamedTuple):
+    """The result of a request with an idempotency key."""
+
+    expires_at: int
+    value: str
+    done_at: int
 
 
-class Pod:
-    """The keyed memory that the nodes of one cell share: a repeat gets the first one's value."""
+class IdempotencyCache:
+    """The results by idempotency key that the nodes of one cell share: a repeat gets the first result."""
 
     def __init__(self) -> None:
-        self._known: dict[str, tuple[int, str, int]] = {}  # key: forgotten at, value, first one done at
-        self._arrivals = 0
+        self._results: dict[str, CachedResult] = {}
+        self._stored = 0
 
-    def find(self, now: int, key: str) -> tuple[str, int] | None:
-        at, value, done = self._known.get(key, (0, "", 0))
-        return (value, done) if at > now else None
+    def find(self, now: int, key: str) -> CachedResult | None:
+        """The result of a key, if it has not expired."""
+        result = self._results.get(key)
+        return result if result is not None and result.expires_at > now else None
 
-    def keep(self, now: int, key: str, value: str, done: int, window: int) -> None:
-        self._known[key] = now + window, value, done
-        self._arrivals += 1
-        if self._arrivals % LOOK_UP == 0:
-            self._known = {k: known for k, known in self._known.items() if known[0] > now}
+    def store(self, now: int, key: str, value: str, done_at: int, window_ns: int) -> None:
+        """Keeps a result for `window_ns`."""
+        self._results[key] = CachedResult(now + window_ns, value, done_at)
+        self._stored += 1
+        if self._stored % EXPIRY_INTERVAL == 0:
+            self._results = {
+                each: result for each, result in self._results.items() if result.expires_at > now
+            }
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A request that is worked on: when it is done, what it gets, whether its key was known."""
+class AcceptedRequest:
+    """A request that is executed. `is_repeat`: its key was known, so that it has no effect of its own."""
 
-    done: int
+    done_at: int
     value: str
-    repeat: bool
+    is_repeat: bool
+
+
+class LoadReport(NamedTuple):
+    """A node's load; `busy`: part of its cores."""
+
+    busy: float
+    service_time_ms: float
+    in_flight: int
 
 
 @dataclass(slots=True)
 class RatingNode:
-    """`arrive` for each request that has come whole; None: turned away, it never ran."""
+    """One process of a node.
+
+    `slow_start`: it has to warm up. It crashes when it is sent more than `overload_multiple` times what it
+    can do in `overload_window_ns` while it warms up. `slowdown`: by which everything takes longer.
+    """
 
     spec: NodeSpec
-    pod: Pod
-    born: int
-    cold: bool
-    fall_window: int
-    fall_multiple: float
+    cache: IdempotencyCache
+    created_at: int
+    slow_start: bool
+    overload_window_ns: int
+    overload_multiple: float
     draining: bool = False
-    fallen: bool = False
-    slow: float = 1.0  # times that everything takes
-    _free: list[int] = field(default_factory=list)
-    _held: list[int] = field(default_factory=list)  # heap of when each that is held is done
-    _sent: deque[tuple[int, int]] = field(default_factory=deque)
-    _sent_sum: int = 0
-    _count: int = 0
-    _recent: float = 0.0  # ns, mean service time of late
-    _report_at: int = 0
-    _report: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    crashed: bool = False
+    slowdown: float = 1.0
+    _cores_free_at: list[int] = field(default_factory=list)
+    _in_flight: list[int] = field(default_factory=list)  # heap of the times at which they are done
+    _recent_work: deque[tuple[int, int]] = field(default_factory=deque)  # times and ns, within the window
+    _recent_work_ns: int = 0
+    _executed: int = 0
+    _mean_service_ns: float = 0.0
+    _reported_at: int = 0
+    _report: LoadReport = LoadReport(0.0, 0.0, 0)
 
     def __post_init__(self) -> None:
-        self._free = [self.born] * self.spec.cores
-        self._report_at = self.born - REPORT_EVERY
+        self._cores_free_at = [self.created_at] * self.spec.cores
+        self._reported_at = self.created_at - REPORT_INTERVAL_NS
 
-    def part(self, now: int) -> float:
-        """Part of its capacity that it has now."""
-        if not self.cold or now - self.born >= self.spec.warm:
+    def capacity_share(self, now: int) -> float:
+        """The part of its capacity that it has now."""
+        age = now - self.created_at
+        if not self.slow_start or age >= self.spec.warm_up_ns:
             return 1.0
-        return self.spec.start + (1.0 - self.spec.start) * max(0, now - self.born) / self.spec.warm
-
-    def arrive(self, now: int, request: str, work: int, key: str = "", window: int = 0) -> Taken | None:
-        """`window`, ns: how long a key is remembered. Sets `fallen` where a cold one was sent too much."""
-        self._push(now, work)
-        self._settle(now)
-        if self.draining or self.fallen or len(self._held) >= self.spec.held:
+        initial = self.spec.initial_capacity
+        return initial + (1.0 - initial) * max(0, age) / self.spec.warm_up_ns
+
+    def accept(
+        self, now: int, request: str, work_ns: int, key: str = "", window_ns: int = 0
+    ) -> AcceptedRequest | None:
+        """Takes a complete request; None if it is rejected and not executed.
+
+        `key`: the idempotency key, cached for `window_ns`. Sets `crashed` on overload.
+        """
+        self._check_overload(now, work_ns)
+        self._remove_done(now)
+        if self.draining or self.crashed or len(self._in_flight) >= self.spec.max_in_flight:
             return None
-        if key and (known := self.pod.find(now, key)) is not None:
-            value, done = known
-            taken = Taken(max(done, now + REPEAT_COST), value, True)
+        if key and (known := self.cache.find(now, key)) is not None:
+            accepted = AcceptedRequest(max(known.done_at, now + REPEAT_COST_NS), known.value, True)
         else:
-            self._count += 1
-            core = min(range(len(self._free)), key=self._free.__getitem__)
-            span = int(work * self.slow / (self.spec.speed * self.part(now)))
-            done = max(now, self._free[core]) + span
-            self._free[core] = done
-            self._recent += 0.2 * (span - self._recent)
-            taken = Taken(done, f"{self.spec.name}/{request}/{self._count}", False)
+            accepted = self._execute(now, request, work_ns)
             if key:
-                self.pod.keep(now, key, taken.value, done, window)
-        heappush(self._held, taken.done)
-        return taken
-
-    def _push(self, now: int, work: int) -> None:
-        """A cold one falls over when sent more than a multiple of what it can do in a window."""
-        part = self.part(now)
-        if part >= 1.0:
+                self.cache.store(now, key, accepted.value, accepted.done_at, window_ns)
+        heappush(self._in_flight, accepted.done_at)
+        return accepted
+
+    def _execute(self, now: int, request: str, work_ns: int) -> AcceptedRequest:
+        self._executed += 1
+        core = min(range(len(self._cores_free_at)), key=self._cores_free_at.__getitem__)
+        service_ns = int(work_ns * self.slowdown / (self.spec.speed * self.capacity_share(now)))
+        done_at = max(now, self._cores_free_at[core]) + service_ns
+        self._cores_free_at[core] = done_at
+        self._mean_service_ns += SERVICE_TIME_WEIGHT * (service_ns - self._mean_service_ns)
+        return AcceptedRequest(done_at, f"{self.spec.name}/{request}/{self._executed}", False)
+
+    def _check_overload(self, now: int, work_ns: int) -> None:
+        share = self.capacity_share(now)
+        if share >= 1.0:
             return
-        self._sent.append((now, work))
-        self._sent_sum += work
-        while self._sent[0][0] <= now - self.fall_window:
-            self._sent_sum -= self._sent.popleft()[1]
-        able = self.spec.cores * self.spec.speed * part * self.fall_window
-        self.fallen = self.fallen or self._sent_sum > self.fall_multiple * able
-
-    def _settle(self, now: int) -> None:
-        while self._held and self._held[0] <= now:
-            heappop(self._held)
-
-    def report(self, now: int) -> tuple[float, float, float]:
-        """Part of the cores that is busy, recent service time in ms, requests held."""
-        if now - self._report_at >= REPORT_EVERY:
-            self._settle(now)
-            busy = sum(free > now for free in self._free) / len(self._free)
-            self._report = (busy, self._recent / 1e6, float(len(self._held)))
-            self._report_at = now
+        self._recent_work.append((now, work_ns))
+        self._recent_work_ns += work_ns
+        while self._recent_work[0][0] <= now - self.overload_window_ns:
+            self._recent_work_ns -= self._recent_work.popleft()[1]
+        capacity_ns = self.spec.cores * self.spec.speed * share * self.overload_window_ns
+        self.crashed = self.crashed or self._recent_work_ns > self.overload_multiple * capacity_ns
+
+    def _remove_done(self, now: int) -> None:
+        while self._in_flight and self._in_flight[0] <= now:
+            heappop(self._in_flight)
+
+    def load_report(self, now: int) -> LoadReport:
+        """Its load, at most `REPORT_INTERVAL_NS` old."""
+        if now - self._reported_at >= REPORT_INTERVAL_NS:
+            self._remove_done(now)
+            busy = sum(free_at > now for free_at in self._cores_free_at) / len(self._cores_free_at)
+            self._report = LoadReport(busy, self._mean_service_ns / 1e6, len(self._in_flight))
+            self._reported_at = now
         return self._report
--- a/trackspread/testing/standins/scenario.py
+++ b/trackspread/testing/standins/scenario.py
@@ -1,6 +1,6 @@
-"""One fleet to play with: classes, plans, rating nodes, customers. Without I/O.
+"""One fleet to test with: classes, plans, rating nodes, tenants. Without I/O.
 
-It comes as settings for gateways, as figures for the judge, and as models for stand-ins.
+It gives settings for gateways, figures for the judge, and models for stand-ins.
 """
 
 from __future__ import annotations
@@ -11,27 +11,31 @@
 from typing import Any
 
 from ..judge.ledger import ClassRule, Group, PlanRule, Repeat, World
-from .client_population import ClassMix, ClientPopulation, Customer, ClientBehavior, draw_weights
-from .rating_node import SECOND, NodeSpec, Pod, RatingNode
+from .client_population import ClassDemand, ClientBehavior, ClientPopulation, Tenant, draw_weights
+from .rating_node import SECOND, IdempotencyCache, NodeSpec, RatingNode
 from .settings import class_settings, nested_settings, plan_settings
 
 MILLISECOND = SECOND // 1000
 ZONES = ("a", "b", "c")
-_IDEMPOTENCY = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
+NODES_PER_CELL = 3
+CORES_PER_NODE = 2
+OTHER_PLANS_SHARE = 0.3  # of the tenants, that have another plan than the first
+TENANT_BITS = 33  # of a tenant's number
+_IDEMPOTENCY = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}  # in the platform's words
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioClass:
-    """One class of request; times in ns, `work` the mean at one usual core."""
+    """One class of request; `work_ns`: the mean at a core of usual speed; `share`: of all requests."""
 
     name: str
     repeat: Repeat
     group: Group
     share: float
-    work: int
-    aim: int
-    deadline: int
-    points: float
+    work_ns: int
+    latency_objective_ns: int
+    deadline_ns: int
+    priority_weight: float
 
 
 MS = MILLISECOND
@@ -48,131 +52,177 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A fleet of gateways and rating nodes; `load` is what is asked, as part of what the nodes can do.
-
-    `greedy`: part of the customers that ask for several times their quota. `customers`: how many at most.
-    `plans`: each asked for by an even part of the customers but the first, which most have. `allow`: what the
-    settings say otherwise than usual, by section and key. `over_cost`: of a unit beyond a quota, in its
-    worth."""
+    """A fleet of gateways and rating nodes; `load` is what is asked for, as part of what the nodes can do.
+
+    - `max_tenants`: tenants at most; `greedy_share`: the part of them that asks for several times its
+    quota. - `deduplication_window_ns`: for which a cell's nodes remember an idempotency key. -
+    `warm_up_ns`: of a slow start, which begins with the part `initial_capacity` of the capacity. Meanwhile
+    a
+      node crashes when it is sent more than `overload_multiple` times what it can do in `overload_window_ns`.
+    - `drain_grace_ns`: for which a draining node may still get requests. `tolerance_ns`: up to which the
+    judge
+      takes two times as the same.
+    - `max_excess_share`: the part of the units forwarded that may lie beyond quotas.
+    - `plans`: the first is most tenants', the others have even parts of the rest.
+    - `setting_overrides`: settings that differ from the usual, by section and key.
+    - `excess_cost`: of a unit beyond a quota, as a multiple of its priority weight.
+    """
 
     gateways: int = 3
     nodes: int = 9
-    customers: int = 1000
+    max_tenants: int = 1000
     load: float = 0.5
-    greedy: float = 0.1
+    greedy_share: float = 0.1
     seed: int = 1
-    window: int = 5 * SECOND  # ns for which a pod remembers a key
-    warm: int = 6 * SECOND
-    fall_window: int = 3 * SECOND
-    fall_multiple: float = 3.0
-    start: float = 0.25
-    grace: int = SECOND
-    tolerance: int = 50 * MILLISECOND
-    beyond_most: float = 1.0
+    deduplication_window_ns: int = 5 * SECOND
+    warm_up_ns: int = 6 * SECOND
+    overload_window_ns: int = 3 * SECOND
+    overload_multiple: float = 3.0
+    initial_capacity: float = 0.25
+    drain_grace_ns: int = SECOND
+    tolerance_ns: int = 50 * MILLISECOND
+    max_excess_share: float = 1.0
     behavior: ClientBehavior = field(default_factory=ClientBehavior)
     classes: tuple[ScenarioClass, ...] = CLASSES
     plans: Mapping[str, PlanRule] = field(default_factory=lambda: PLANS)
     zones: tuple[str, ...] = ZONES
-    allow: tuple[tuple[str, str, Any], ...] = ()
-    over_cost: float = 1.0
+    setting_overrides: tuple[tuple[str, str, Any], ...] = ()
+    excess_cost: float = 1.0
+
+    def node_specs(self) -> list[NodeSpec]:
+        """The nodes at the beginning."""
+        return [self.node_spec(number) for number in range(self.nodes)]
 
-    def specs(self) -> list[NodeSpec]:
-        return [self.spec(number) for number in range(self.nodes)]
+    def node_spec(self, number: int, generation: int = 0) -> NodeSpec:
+        """The node at a place, or its successor of a generation, which has a name of its own.
 
-    def spec(self, number: int, generation: int = 0) -> NodeSpec:
-        """Pods of three nodes, a zone each. A successor has a name of its own and its forerunner's place."""
+        Cells have three nodes each, and a zone of their own by turns.
+        """
         name = f"s-{number}" + (f"-{generation}" if generation else "")
-        cell = number // 3
+        cell = number // NODES_PER_CELL
         return NodeSpec(
             name,
             self.zones[cell % len(self.zones)] if self.zones else "",
             "m1",
             cell,
-            start=self.start,
-            warm=self.warm,
+            initial_capacity=self.initial_capacity,
+            warm_up_ns=self.warm_up_ns,
         )
 
     def service(self, spec: NodeSpec) -> str:
-        """Which one a node serves; the default one's name is empty."""
+        """The service of a node; "" for the default one."""
         return ""
 
     def successor(self, spec: NodeSpec) -> NodeSpec:
-        """The next generation in the same place."""
+        """The next generation at the same place."""
         number, generation = [*spec.name.split("-")[1:], "0"][:2]
-        return self.spec(int(number), int(generation) + 1)
+        return self.node_spec(int(number), int(generation) + 1)
 
-    def node(self, spec: NodeSpec, pods: dict[int, Pod], now: int, cold: bool) -> RatingNode:
-        pod = pods.setdefault(spec.cell, Pod())
-        return RatingNode(spec, pod, now, cold, self.fall_window, self.fall_multiple)
+    def rating_node(
+        self, spec: NodeSpec, caches: dict[int, IdempotencyCache], now: int, slow_start: bool
+    ) -> RatingNode:
+        """The model of a node that starts at `now`, in ns. `caches`: by cell; missing ones are added."""
+        cache = caches.setdefault(spec.cell, IdempotencyCache())
+        return RatingNode(spec, cache, now, slow_start, self.overload_window_ns, self.overload_multiple)
 
-    def work(self, cls: str) -> int:
-        return next(c.work for c in self.classes if c.name == cls)
+    def mean_work_ns(self, cls: str) -> int:
+        """The mean work of a class's requests."""
+        return next(each.work_ns for each in self.classes if each.name == cls)
 
     def repeat(self, cls: str) -> Repeat:
-        return next(c.repeat for c in self.classes if c.name == cls)
+        """Whether a class's requests may be repeated."""
+        return next(each.repeat for each in self.classes if each.name == cls)
 
     def world(self) -> World:
-        """The judge's figures."""
-        rules = {c.name: ClassRule(c.repeat, c.group, self.window) for c in self.classes}
+        """The figures that the judge needs."""
+        window_ns = self.deduplication_window_ns
+        rules = {each.name: ClassRule(each.repeat, each.group, window_ns) for each in self.classes}
         return World(
             rules,
             dict(self.plans),
-            self.grace,
-            self.fall_window,
-            self.fall_multiple,
-            self.tolerance,
-            beyond_most=self.beyond_most,
+            self.drain_grace_ns,
+            self.overload_window_ns,
+            self.overload_multiple,
+            self.tolerance_ns,
+            beyond_most=self.max_excess_share,
         )
 
     def settings(self, position: int) -> dict[str, Any]:
         """The platform's settings of one gateway, nested."""
-        classes = [
-            class_settings(c.name, _IDEMPOTENCY[c.repeat], c.group, c.aim, c.deadline, self.window, c.points)
-            for c in self.classes
+        settings = nested_settings(
+            self._class_settings(), self._plan_settings(), position, self.gateways, zones=self.zones
+        )
+        settings["zone"] = position % max(1, len(self.zones))
+        settings["rules"].update(
+            drainGrace=self.drain_grace_ns,
+            fall=self.overload_window_ns,
+            fallMultiple=self.overload_multiple,
+            startCapacity=self.initial_capacity,
+            warmUp=self.warm_up_ns,
+        )
+        for section, key, value in self.setting_overrides:
+            settings[section][key] = value
+        return settings
+
+    def _class_settings(self) -> list[dict[str, Any]]:
+        return [
+            class_settings(
+                each.name,
+                _IDEMPOTENCY[each.repeat],
+                each.group,
+                each.latency_objective_ns,
+                each.deadline_ns,
+                self.deduplication_window_ns,
+                each.priority_weight,
+            )
+            for each in self.classes
         ]
-        plans = [
+
+    def _plan_settings(self) -> list[dict[str, Any]]:
+        return [
             plan_settings(
                 name,
-                p.rate,
-                p.burst,
-                (p.ceiling_rate, p.ceiling_burst, p.ceiling_slack),
-                over_cost=self.over_cost,
+                plan.rate,
+                plan.burst,
+                (plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack),
+                over_cost=self.excess_cost,
             )
-            for name, p in self.plans.items()
+            for name, plan in self.plans.items()
         ]
-        made = nested_settings(classes, plans, position, self.gateways, zones=self.zones)
-        made["zone"] = position % max(1, len(self.zones))
-        made["rules"].update(
-            drainGrace=self.grace,
-            fall=self.fall_window,
-            fallMultiple=self.fall_multiple,
-            startCapacity=self.start,
-            warmUp=self.warm,
-        )
-        for section, key, value in self.allow:
-            made[section][key] = value
-        return made
 
     def population(self) -> ClientPopulation:
-        """Customers whose asking adds up to the load; the greedy ask for up to four times their quota."""
+        """Tenants whose requests add up to the load; greedy ones ask for two to four times their quota."""
         rng = random.Random(f"scene:{self.seed}")
-        mean = sum(c.share * c.work for c in self.classes) / SECOND
-        total = self.load * self.nodes * 2 / mean
-        made: list[Customer] = []
-        asked = 0.0
-        while len(made) < self.customers and asked < total:
-            (usual, *others), lot = self.plans, rng.random()
-            plan = others[int(lot / 0.3 * len(others))] if others and lot < 0.3 else usual
-            spread = min(self.gateways, rng.randint(2, 4))
-            use = rng.uniform(2.0, 4.0) if rng.random() < self.greedy else rng.uniform(0.2, 0.9)
-            first = rng.randrange(self.gateways)
-            rate = self.plans[plan].rate * use
-            made.append(Customer(rng.getrandbits(33), plan, rate, spread, first, draw_weights(rng, spread)))
-            asked += made[-1].rate
-        classes = tuple(
-            ClassMix(c.name, c.share, c.repeat == "keyed", c.repeat, c.deadline) for c in self.classes
+        mean_work_s = sum(each.share * each.work_ns for each in self.classes) / SECOND
+        total_per_s = self.load * self.nodes * CORES_PER_NODE / mean_work_s
+        tenants: list[Tenant] = []
+        requests_per_s = 0.0
+        while len(tenants) < self.max_tenants and requests_per_s < total_per_s:
+            tenants.append(self._draw_tenant(rng))
+            requests_per_s += tenants[-1].requests_per_s
+        demands = tuple(
+            ClassDemand(each.name, each.share, each.repeat == "keyed", each.repeat, each.deadline_ns)
+            for each in self.classes
+        )
+        return ClientPopulation(tenants, demands, self.gateways, self.seed, self.behavior)
+
+    def _draw_tenant(self, rng: random.Random) -> Tenant:
+        (usual, *others), lot = self.plans, rng.random()
+        has_other = others and lot < OTHER_PLANS_SHARE
+        plan = others[int(lot / OTHER_PLANS_SHARE * len(others))] if has_other else usual
+        gateway_count = min(self.gateways, rng.randint(2, 4))
+        quota_use = rng.uniform(2.0, 4.0) if rng.random() < self.greedy_share else rng.uniform(0.2, 0.9)
+        first_gateway = rng.randrange(self.gateways)
+        requests_per_s = self.plans[plan].rate * quota_use
+        return Tenant(
+            rng.getrandbits(TENANT_BITS),
+            plan,
+            requests_per_s,
+            gateway_count,
+            first_gateway,
+            draw_weights(rng, gateway_count),
         )
-        return ClientPopulation(made, classes, self.gateways, self.seed, self.behavior)
 
     def changed(self, **changes: Any) -> Scenario:
+        """A copy with other values of some fields."""
         return replace(self, **changes)
--- a/trackspread/testing/virtual/counter/schedules.py
+++ b/trackspread/testing/virtual/counter/schedules.py
@@ -73,7 +73,7 @@
 
         def change(number: int = rng.randrange(world.plant.gateways), side: int = rng.randint(0, 1)) -> None:
             if len(shard.states) > 1:
-                shard.sides[number] = side
+                shard.state_by_gateway[number] = side
 
         world.clock.after(rng.randint(0, 4 * SECOND), change)
     world.clock.after(rng.randint(0, 4 * SECOND), partial(move, world, rng))
@@ -145,7 +145,7 @@
         if rng.random() < 0.5:
             shard.error = text
         else:
-            shard.read_only = rng.choice(
+            shard.write_error = rng.choice(
                 (
                     "OOM command not allowed when used memory > 'maxmemory'.",
                     "READONLY You can't write against a read only replica.",
@@ -155,7 +155,7 @@
     def over() -> None:
         for shard in world.shards:
             shard.error = ""
-            shard.read_only = ""
+            shard.write_error = ""
 
     world.clock.after(_away(rng), over)
 
@@ -319,7 +319,9 @@
         shard.split({victim}, now, rng.randint(0, 1500))
         if fault == "cross":
             other = rng.choice([g for g in range(gateways) if g != victim])
-            world.clock.after(rng.randint(0, 5 * SECOND), partial(shard.sides.__setitem__, other, 1))
+            world.clock.after(
+                rng.randint(0, 5 * SECOND), partial(shard.state_by_gateway.__setitem__, other, 1)
+            )
     elif fault == "others":
         world.cut = set(range(gateways)) - {victim}
     elif fault == "promote":
--- a/trackspread/testing/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -26,7 +26,7 @@
 from ....decide.events import AllocationChanged, AttemptEnded, Event, Outcome, RequestArrived, TimerFired
 from ....decide.report import quota_units
 from ....decide.settings import Plan
-from ...standins.counter import Failure, Shard
+from ...standins.counter import CommandError, Shard
 from ..clock import START, Clock
 from ..plain_settings import plain_settings
 
@@ -251,7 +251,7 @@
         results = []
         for words in commands_for(call, "ts", gateway.number, token):
             result = shard.execute(gateway.number, words, now)
-            results.append(ErrorReply(str(result)) if isinstance(result, Failure) else result)
+            results.append(ErrorReply(str(result)) if isinstance(result, CommandError) else result)
         if silent:
             return
         wait = self.rng.randint(100_000, MILLISECOND) + self.rng.randint(0, self.slow)
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -31,7 +31,7 @@
 from ...lists.seam import backend_id
 from ...simulator.wire import parse_settings
 from ..standins.client_population import ClientRequest
-from ..standins.rating_node import NodeSpec, Pod, RatingNode, work_of
+from ..standins.rating_node import NodeSpec, IdempotencyCache, RatingNode, request_work_ns
 from ..standins.scenario import MILLISECOND, ZONES, Scenario
 from .clock import Clock
 from .host import Attempt, Host, Kind
@@ -81,13 +81,15 @@
         self._settings = [_settings(scenario, position) for position in range(scenario.gateways)]
         self._classes = {c.name: number for number, c in enumerate(scenario.classes)}
         self._plans = {name: number for number, name in enumerate(scenario.world().plans)}
-        self._windows = {c.name: scenario.window for c in scenario.classes if c.repeat == "keyed"}
+        self._windows = {
+            c.name: scenario.deduplication_window_ns for c in scenario.classes if c.repeat == "keyed"
+        }
         self._asked: dict[str, tuple[str, str]] = {}  # each request's class and key
         self.apart: set[frozenset[int]] = set()  # pairs of gateways that don't hear one another
-        self.pods: dict[int, Pod] = {}
+        self.pods: dict[int, IdempotencyCache] = {}
         self.nodes: dict[int, Node] = {}
         self.version = 1
-        for spec in scenario.specs():
+        for spec in scenario.node_specs():
             self.boot(spec, cold=False, tell=False)
         self.hosts: list[Host | None] = [None] * scenario.gateways
         self._known: list[tuple[Backend, ...]] = [()] * scenario.gateways
@@ -101,10 +103,10 @@
         """`span` ns of happenings, and then so long as requests may still be under way."""
         end = self.clock.now + span
         self.clock.at(end, self._stop_asking)
-        self.clock.run(end + max(c.deadline for c in self.scenario.classes) + WITNESS)
+        self.clock.run(end + max(c.deadline_ns for c in self.scenario.classes) + WITNESS)
 
     def _stop_asking(self) -> None:
-        self.population.surge = 0.0
+        self.population.rate_multiple = 0.0
 
     def _delay(self) -> int:
         return self.rng.randint(self.conditions.least, self.conditions.most)
@@ -177,12 +179,12 @@
 
     def boot(self, spec: NodeSpec, cold: bool, tell: bool = True) -> Node:
         now, number = self.clock.now, backend_id(spec.name)
-        model = self.scenario.node(spec, self.pods, now, cold)
+        model = self.scenario.rating_node(spec, self.pods, now, cold)
         entry = Backend(number, ZONES.index(spec.zone), 0, spec.cell, Health.READY, 1.0, now if cold else 0)
         node = self.nodes[number] = Node(spec, model, number, entry)
-        start = spec.start if cold else 1.0
+        start = spec.initial_capacity if cold else 1.0
         cores = spec.cores * spec.speed
-        self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, start, spec.warm))
+        self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, start, spec.warm_up_ns))
         if tell:
             self._change(node, Health.READY)
         return node
@@ -225,8 +227,8 @@
         attempt.written = True
         now = self.clock.now
         cls, key = self._asked[request]
-        work = work_of(self.scenario.seed, request, self.scenario.work(cls))
-        taken = node.model.arrive(now, request, work, key, self._windows.get(cls, 0))
+        work = request_work_ns(self.scenario.seed, request, self.scenario.mean_work_ns(cls))
+        taken = node.model.accept(now, request, work, key, self._windows.get(cls, 0))
         self.ledger.write(
             AttemptReceived(
                 now,
@@ -236,11 +238,11 @@
                 f"n{host.position}",
                 work,
                 taken is None,
-                bool(taken and taken.repeat),
+                bool(taken and taken.is_repeat),
                 taken.value if taken else "",
             )
         )
-        if node.model.fallen:
+        if node.model.crashed:
             self._fall(node)
             host.ended(attempt, Outcome.RESET)
             return
@@ -251,10 +253,10 @@
         if taken is None or node.silent:
             return
         if self.rng.random() < self.conditions.reset:
-            at = self.rng.randint(now, taken.done)
+            at = self.rng.randint(now, taken.done_at)
             self.clock.at(at, partial(self._finish, node, attempt, host, Outcome.RESET))
         else:
-            self.clock.at(taken.done, partial(self._finish, node, attempt, host, Outcome.OK, taken.value))
+            self.clock.at(taken.done_at, partial(self._finish, node, attempt, host, Outcome.OK, taken.value))
 
     def _finish(self, node: Node, attempt: Attempt, host: Host, outcome: Outcome, value: str = "") -> None:
         if node.out.pop(attempt, None) is not None:
@@ -284,18 +286,18 @@
     # Clients.
 
     def _arrive(self) -> None:
-        if self.population.surge:
-            self._try(self.population.want(), CONNECTS)
-            self.clock.after(self.population.pause(), self._arrive)
+        if self.population.rate_multiple:
+            self._try(self.population.next_request(), CONNECTS)
+            self.clock.after(self.population.next_pause_ns(), self._arrive)
 
     def _try(self, want: ClientRequest, connects: int) -> None:
         host = self.hosts[want.gateway]
         if host is None:
             if connects > 1:
-                other = self.population.entry(want.customer, want.gateway)
+                other = self.population.choose_gateway(want.tenant, want.gateway)
                 self._try(replace(want, gateway=other), connects - 1)
             return
-        now, request, customer = self.clock.now, self.population.request_id(want), want.customer
+        now, request, customer = self.clock.now, self.population.request_id(want), want.tenant
         self._asked[request] = want.cls, want.key
         self.ledger.write(
             RequestSent(
@@ -307,24 +309,26 @@
                 customer.plan,
                 customer.number,
                 want.units,
-                want.wait,
+                want.timeout_ns,
             )
         )
         exchange = Exchange(self, want, request, host)
         self._open[want.gateway][request] = exchange.cut
         self.clock.after(self._delay(), exchange.deliver)
-        self.clock.after(want.wait + WITNESS, exchange.leave)
+        self.clock.after(want.timeout_ns + WITNESS, exchange.leave)
 
     def close(self, position: int, request: str) -> None:
         self._open[position].pop(request, None)
 
     def come_again(self, want: ClientRequest, kind: str, advice_ms: int) -> None:
-        if (again := self.population.again(want, kind, advice_ms)) is not None and self.population.surge:
+        if (
+            again := self.population.retry(want, kind, advice_ms)
+        ) is not None and self.population.rate_multiple:
             self.clock.after(again[0], partial(self._try, again[1], CONNECTS))
 
     def arrival(self, want: ClientRequest) -> tuple[int, int]:
         """Class and plan as the settings number them."""
-        return self._classes[want.cls], self._plans[want.customer.plan]
+        return self._classes[want.cls], self._plans[want.tenant.plan]
 
 
 class Exchange:
@@ -343,16 +347,16 @@
         if self.over or not self.host.alive:
             return
         want, (cls, plan) = self.want, self.fleet.arrival(self.want)
-        customer = want.customer
+        customer = want.tenant
         self.number = self.host.take(
             self.request,
             cls,
             plan,
             customer.number,
-            want.wait,
+            want.timeout_ns,
             want.units,
-            customer.spread,
-            customer.first,
+            customer.gateway_count,
+            customer.first_gateway,
             self.answered,
         )
 
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -75,7 +75,7 @@
 
 def play(name: str, seed: int) -> LoadShape:
     """One day of the shape; the same seed gives the same day."""
-    scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy=0.2, seed=seed)
+    scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy_share=0.2, seed=seed)
     fleet = VirtualFleet(scenario, seed)
     fleet.conditions.peer_loss = 0.05
     fleet.conditions.list_delay = LATE
@@ -100,4 +100,6 @@
     for each in sorted(sent, key=lambda e: e.at):
         if each.backend in cold and each.at - first.setdefault(each.backend, each.at) < SECOND:
             work[each.backend] += each.work / SECOND
-    return max((work[b] / (scenario.fall_multiple * e.start * e.cores) for b, e in cold.items()), default=0.0)
+    return max(
+        (work[b] / (scenario.overload_multiple * e.start * e.cores) for b, e in cold.items()), default=0.0
+    )
--- a/trackspread/testing/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -15,15 +15,15 @@
 
 from ....membership.identifiers import MS, SECOND
 from ...standins.fault_schedule import (
-    AWAY,
-    Calm,
+    CRASH_LOOP_DOWNTIME_S,
+    NoFault,
     Cut,
-    Duty,
+    PauseCycle,
     Fault,
-    Halt,
-    Loop,
+    Pause,
+    CrashLoop,
     Restart,
-    Rough,
+    DegradedNetwork,
     Schedule,
     draw,
 )
@@ -49,7 +49,9 @@
     keep: int = KEEP  # ns that a silent member keeps its part for
 
     def __str__(self) -> str:
-        told = ", ".join(f"{type(f).__name__} at {f.at:.2f} s for {f.span:.2f} s" for f in self.faults.faults)
+        told = ", ".join(
+            f"{f.kind} at {f.start_s:.2f} s for {f.duration_s:.2f} s" for f in self.faults.faults
+        )
         return (
             f"seed {self.seed}: {self.faults.gateways} gateways, {self.seeds} seeds, clocks off by "
             f"{self.drift:.1%}, parts kept for {self.keep / SECOND:.0f} s; {told}; "
@@ -74,9 +76,9 @@
 
 def _chosen(fault: Fault) -> tuple[int, ...]:
     match fault:
-        case Halt() | Duty() | Restart():
+        case Pause() | PauseCycle() | Restart():
             return fault.gateways
-        case Loop():
+        case CrashLoop():
             return (fault.gateway,)
     return ()
 
@@ -91,7 +93,7 @@
     def arrange(self) -> None:
         """All of it, at its time."""
         for fault in self._schedule.faults.faults:
-            self._world.at(_ns(fault.at), partial(self._begin, fault))
+            self._world.at(_ns(fault.start_s), partial(self._begin, fault))
         for when, number in self._schedule.joins:
             self._world.at(_ns(when), partial(self._join, number))
         for when, number, orderly in self._schedule.goes:
@@ -107,31 +109,31 @@
         return self._world.processes[f"n{number}"]
 
     def _begin(self, fault: Fault) -> None:
-        world, span = self._world, _ns(fault.span)
+        world, span = self._world, _ns(fault.duration_s)
         match fault:
-            case Calm():
+            case NoFault():
                 pass
             case Cut():
-                for way in fault.pairs:
+                for way in fault.directions:
                     world.cut[way] = world.cut.get(way, 0) + 1
-                world.clock.after(span, partial(world.heal, fault.pairs))
-            case Rough():
+                world.clock.after(span, partial(world.heal, fault.directions))
+            case DegradedNetwork():
                 conditions = world.conditions
                 conditions.loss = fault.loss
-                conditions.twice = fault.twice
-                conditions.jitter = _ns(fault.delay + fault.jitter)
+                conditions.twice = fault.duplication
+                conditions.jitter = _ns(fault.delay_s + fault.jitter_s)
                 world.clock.after(span, self._calm)
-            case Halt():
+            case Pause():
                 for number in fault.gateways:
                     world.halt(self._process(number), span)
-            case Duty():
+            case PauseCycle():
                 self._duty(fault, world.clock.now + span)
             case Restart():
                 for number in fault.gateways:
                     process = self._process(number)
-                    (world.kill if fault.outright else world.leave)(process)
+                    (world.kill if fault.kill else world.leave)(process)
                     world.clock.after(span, partial(world.start, process))
-            case Loop():
+            case CrashLoop():
                 self._loop(fault, world.clock.now + span)
 
     def _calm(self) -> None:
@@ -140,18 +142,18 @@
         conditions.twice = 0.0
         conditions.jitter = 0
 
-    def _duty(self, fault: Duty, end: int) -> None:
+    def _duty(self, fault: PauseCycle, end: int) -> None:
         if self._world.clock.now < end:
             for number in fault.gateways:
-                self._world.halt(self._process(number), _ns(fault.part * fault.period))
-            self._world.clock.after(_ns(fault.period), partial(self._duty, fault, end))
+                self._world.halt(self._process(number), _ns(fault.paused_share * fault.period_s))
+            self._world.clock.after(_ns(fault.period_s), partial(self._duty, fault, end))
 
-    def _loop(self, fault: Loop, end: int) -> None:
+    def _loop(self, fault: CrashLoop, end: int) -> None:
         world, process = self._world, self._process(fault.gateway)
         if world.clock.now < end:
             world.kill(process)
-            world.clock.after(_ns(AWAY), partial(world.start, process))
-            world.clock.after(_ns(AWAY + fault.every), partial(self._loop, fault, end))
+            world.clock.after(_ns(CRASH_LOOP_DOWNTIME_S), partial(world.start, process))
+            world.clock.after(_ns(CRASH_LOOP_DOWNTIME_S + fault.interval_s), partial(self._loop, fault, end))
 
 
 def _ns(seconds: float) -> int:
@@ -170,7 +172,7 @@
     for process in list(world.processes.values()):
         world.at(world.rng.randint(0, 500 * MS), partial(world.start, process))
     Player(world, schedule).arrange()
-    end = _ns(schedule.faults.seconds - TAIL) + _ns(AWAY)
+    end = _ns(schedule.faults.duration_s - TAIL) + _ns(CRASH_LOOP_DOWNTIME_S)
     while world.true < end:
         world.step(world.true + 20 * MS)
         world.rights()
--- a/trackspread/testing/virtual/quota_accuracy.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -104,7 +104,7 @@
     for entry in entries:
         if isinstance(entry, RequestSent):
             tries.setdefault(entry.request, entry)
-    points = {c.name: c.points for c in scenario.classes}
+    points = {c.name: c.priority_weight for c in scenario.classes}
     sums: dict[tuple[str, str], _Sum] = defaultdict(_Sum)
     offered: dict[str, float] = defaultdict(float)
     stores: dict[tuple[str, int], _Store] = {}
@@ -144,8 +144,8 @@
         raise ValueError("no try was asked")
     sides = {
         group: (
-            sums["policy", group].side(worth, scenario.over_cost),
-            sums["late", group].side(worth, scenario.over_cost),
+            sums["policy", group].side(worth, scenario.excess_cost),
+            sums["late", group].side(worth, scenario.excess_cost),
         )
         for group, worth in offered.items()
     }
@@ -179,13 +179,27 @@
 _SMALL = {"small": PlanRule(0.5, 2.0), "big": PlanRule(4.0, 12.0)}
 SCENARIOS = {
     # As ours: word of all to all, or homes where gateways are many.
-    "word": Scenario(gateways=6, nodes=9, load=0.35, greedy=0.2),
-    "homes": Scenario(gateways=24, nodes=18, load=0.35, greedy=0.2),
+    "word": Scenario(gateways=6, nodes=9, load=0.35, greedy_share=0.2),
+    "homes": Scenario(gateways=24, nodes=18, load=0.35, greedy_share=0.2),
     # As others': each unit beyond costs much, quotas are small, messages few, or there are none.
     "dear, few messages": Scenario(
-        gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL, allow=_FEW, over_cost=2.5
+        gateways=12,
+        nodes=9,
+        load=0.3,
+        greedy_share=0.2,
+        plans=_SMALL,
+        setting_overrides=_FEW,
+        excess_cost=2.5,
+    ),
+    "unheard": Scenario(
+        gateways=12,
+        nodes=9,
+        load=0.3,
+        greedy_share=0.2,
+        plans=_SMALL,
+        setting_overrides=_DEAF,
+        excess_cost=1.3,
     ),
-    "unheard": Scenario(gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL, allow=_DEAF, over_cost=1.3),
 }
 
 
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -129,7 +129,7 @@
 
 def node_slow(fleet: VirtualFleet, rng: random.Random) -> None:
     if nodes := _up(fleet):
-        rng.choice(nodes).model.slow = rng.uniform(3.0, 20.0)
+        rng.choice(nodes).model.slowdown = rng.uniform(3.0, 20.0)
 
 
 def resets(fleet: VirtualFleet, rng: random.Random) -> None:
@@ -155,7 +155,7 @@
 
 
 def surge(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.population.surge = rng.uniform(1.5, 3.0)
+    fleet.population.rate_multiple = rng.uniform(1.5, 3.0)
 
 
 def late_list(fleet: VirtualFleet, rng: random.Random) -> None:
@@ -193,13 +193,13 @@
         gateways=3 if calm else rng.randint(2, 4),
         nodes=rng.randint(3, 7),
         load=rng.uniform(0.2, 0.7),
-        greedy=rng.choice((0.1, 0.5)),
+        greedy_share=rng.choice((0.1, 0.5)),
         seed=seed,
-        window=rng.choice((SECOND // 2, 5 * SECOND)),
-        start=rng.choice((0.1, 0.25)),
-        warm=rng.randint(4 * SECOND, 10 * SECOND),
+        deduplication_window_ns=rng.choice((SECOND // 2, 5 * SECOND)),
+        initial_capacity=rng.choice((0.1, 0.25)),
+        warm_up_ns=rng.randint(4 * SECOND, 10 * SECOND),
         behavior=ClientBehavior(rng.randint(0, 2), rng.uniform(0.3, 1.0)),
-        beyond_most=BEYOND_MOST if calm else 1.0,
+        max_excess_share=BEYOND_MOST if calm else 1.0,
     )
     names = [] if calm else rng.choices(list(FAULTS), k=rng.randint(1, 4))
     faults = tuple(sorted((rng.randint(SECOND // 4, SPAN * 3 // 4), name) for name in names))
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -15,7 +15,7 @@
 
 from ..judge.judge import judge
 from ..judge.ledger import AttemptReceived, BackendStarted, Ledger, EndpointAnnounced
-from ..standins.rating_node import SECOND, NodeSpec, Pod, RatingNode
+from ..standins.rating_node import SECOND, NodeSpec, IdempotencyCache, RatingNode
 from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
@@ -45,9 +45,11 @@
 class LastingScenario(Scenario):
     """A scenario whose backends never fall, so that all is counted that gateways send them."""
 
-    def node(self, spec: NodeSpec, pods: dict[int, Pod], now: int, cold: bool) -> RatingNode:
-        node = super().node(spec, pods, now, cold)
-        node.fall_multiple = inf
+    def rating_node(
+        self, spec: NodeSpec, pods: dict[int, IdempotencyCache], now: int, cold: bool
+    ) -> RatingNode:
+        node = super().rating_node(spec, pods, now, cold)
+        node.overload_multiple = inf
         return node
 
 
@@ -58,12 +60,12 @@
         gateways=rng.randint(LEAST_GATEWAYS, MOST_GATEWAYS),
         nodes=NODES,
         load=rng.uniform(0.5, 0.7),
-        greedy=0.2,
+        greedy_share=0.2,
         seed=seed,
-        warm=RAMP,
-        start=rng.uniform(0.15, 0.35),
-        fall_window=rng.choice([SECOND // 2, SECOND, 3 * SECOND]),
-        fall_multiple=rng.choice([2.0, 3.0]),
+        warm_up_ns=RAMP,
+        initial_capacity=rng.uniform(0.15, 0.35),
+        overload_window_ns=rng.choice([SECOND // 2, SECOND, 3 * SECOND]),
+        overload_multiple=rng.choice([2.0, 3.0]),
     )
 
 
@@ -97,7 +99,7 @@
 
 
 def _trouble(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.population.surge = BURST
+    fleet.population.rate_multiple = BURST
     nodes = rng.sample(list(fleet.nodes.values()), REPLACED + RETURNED)
     for node in nodes[:REPLACED]:
         _replace(fleet, node)
@@ -152,7 +154,7 @@
 
 def excess(world: Scenario, ledger: Ledger) -> Iterator[float]:
     """At each request for a cold backend: what came in the window that ends then, over what may come."""
-    mean = sum(c.share * c.work for c in world.classes) / sum(c.share for c in world.classes)
+    mean = sum(c.share * c.work_ns for c in world.classes) / sum(c.share for c in world.classes)
     starts = _cold_starts(ledger)
     recent: dict[str, deque[tuple[int, float]]] = {backend: deque() for backend in starts}
     sent = sorted((e for e in ledger.entries if isinstance(e, AttemptReceived)), key=lambda e: e.at)
@@ -162,10 +164,10 @@
             continue
         window = recent[each.backend]
         window.append((each.at, each.work / mean))
-        while window[0][0] <= each.at - world.fall_window:
+        while window[0][0] <= each.at - world.overload_window_ns:
             window.popleft()
-        able = start.cores * _part(start, each.at) * world.fall_window / mean
-        allowed = world.fall_multiple * able
+        able = start.cores * _part(start, each.at) * world.overload_window_ns / mean
+        allowed = world.overload_multiple * able
         yield sum(work for _, work in window) - (allowed + 2.0 * sqrt(allowed) + 2.0)
 
 
--- a/trackspread/testing/virtual/usage/schedules.py
+++ b/trackspread/testing/virtual/usage/schedules.py
@@ -79,7 +79,7 @@
         backup = world.memory.copy()
 
         def back() -> None:
-            world.memory = world.billing.memory = backup.copy()
+            world.memory = world.billing.store = backup.copy()
 
         world.clock.after(rng.randint(SECOND // 4, SECOND), back)
 
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...standins.billing import Billing, Plain
+from ...standins.billing import Billing, MemoryStore
 from ....storage.calls import Result, perform
 from ....storage.slots import MARK
 from ....usage.batch import Reply, decode
@@ -174,7 +174,7 @@
         self.net = Net()
         self.serial = 0
         self.half: set[int] = set()
-        self.memory = Plain()
+        self.memory = MemoryStore()
         self.billing = Billing(self.memory)
         self.wall = START_MS
         self.lives: list[Life] = []
