--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -16,7 +16,7 @@
 from trackspread.testing.standins.backend_list import BackendList, ListedBackend
 from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.clients import Clients
-from trackspread.testing.standins.loopback import NAMED, Ports, own_address
+from trackspread.testing.standins.loopback import RESERVED_PORTS, Ports, own_address
 from trackspread.testing.standins.rating_node import (
     SECOND,
     NodeSpec,
@@ -146,7 +146,8 @@
 def test_ports_are_given_once_at_an_address_where_nobody_takes_one_by_chance() -> None:
     ports = Ports()
     given = [ports.tcp() for _ in range(50)] + [ports.udp() for _ in range(50)]
-    assert {host for host, _ in given} == {own_address(NAMED)} and own_address(NAMED) != own_address()
+    reserved = own_address(RESERVED_PORTS)
+    assert {host for host, _ in given} == {reserved} and reserved != own_address()
     assert len(set(given[:50])) == 50 == len(set(given[50:]))
 
 
--- a/trackspread/testing/standins/loopback.py
+++ b/trackspread/testing/standins/loopback.py
@@ -1,9 +1,9 @@
-"""Addresses on loopback that no other process here has: no port is taken twice, however many runs go on.
+"""Addresses on loopback that no other process here has, so that no port is taken twice by runs side by side.
 
-Every process gets two addresses of 127.0.0.0/8 of its own, by its number: at one whoever listens takes any
-port that is free, at the other ports are named ahead for others to listen on. At a single address a relay
-could take, by chance, the port of a gateway that was about to start. Outgoing connections come from 127.0.0.1
-and take none of these. Where only 127.0.0.1 can be bound (not on Linux), that serves.
+Every process gets two addresses of 127.0.0.0/8 of its own, by its number: at one it listens on any free
+port, at the other ports are reserved for others to listen on. At a single address a relay could take, by
+chance, the port of a gateway that was about to start. Outgoing connections come from 127.0.0.1 and take
+none of these. Where only 127.0.0.1 can be bound (not on Linux), it serves for all.
 """
 
 from __future__ import annotations
@@ -15,6 +15,11 @@
 
 Address = tuple[str, int]
 
+# The second byte of the first address of each kind; each kind has 64 of them.
+ANY_PORTS, RESERVED_PORTS, HOSTS = 64, 128, 192
+RANDOM_BITS = 22  # of an address, behind its kind
+HOST_LOCK_PORT = 1024  # bound for as long as a host is in use: whoever finds it taken draws another
+
 
 def address_text(address: Address) -> str:
     """As configurations have it: `host:port`."""
@@ -22,60 +27,61 @@
     return f"{host}:{port}"
 
 
-CHANCE, NAMED, HOSTS = 64, 128, 192  # the second byte of the first address of each kind; 64 in each
-HOST_PORT = 1024  # bound for as long as a host is somebody's: whoever finds it taken draws another
+def _host(kind: int, number: int) -> str:
+    """The host of a kind for a number of `RANDOM_BITS`."""
+    return f"127.{kind + (number >> 16 & 63)}.{number >> 8 & 255}.{number & 255}"
 
 
 @cache
-def own_address(kind: int = CHANCE) -> str:
-    """Of 127.`kind`.0.0 and 63 behind it, by this process's number of at most 22 bits."""
-    number = os.getpid()
-    made = f"127.{kind + (number >> 16 & 63)}.{number >> 8 & 255}.{number & 255}"
+def own_address(kind: int = ANY_PORTS) -> str:
+    """This process's host of a kind: `ANY_PORTS` or `RESERVED_PORTS`."""
+    host = _host(kind, os.getpid())
     try:
         with socket.socket() as probe:
-            probe.bind((made, 0))
+            probe.bind((host, 0))
     except OSError:
         return "127.0.0.1"
-    return made
+    return host
 
 
 class Ports:
     """Ports for others to listen on, each given once; they stay the same over their owners' restarts."""
 
     def __init__(self) -> None:
-        self._given: set[tuple[int, int]] = set()
-        self._hosts: list[socket.socket] = []  # held for as long as their hosts are
+        self._reserved: set[tuple[int, int]] = set()
+        self._host_locks: list[socket.socket] = []
 
     def tcp(self) -> Address:
-        return self._one(socket.SOCK_STREAM)
+        """A port for connections."""
+        return self._reserve(socket.SOCK_STREAM)
 
     def udp(self) -> Address:
-        return self._one(socket.SOCK_DGRAM)
+        """A port for datagrams."""
+        return self._reserve(socket.SOCK_DGRAM)
 
     def host(self) -> str:
-        """A host of loopback for one gateway alone, told apart by it from all others of this machine."""
+        """A host that no other process of this machine uses, until `close`."""
         while True:
-            bits = random.SystemRandom().getrandbits(22)  # whose it is, is settled by who binds it
-            host = f"127.{HOSTS + (bits >> 16)}.{bits >> 8 & 255}.{bits & 255}"
-            held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            host = _host(HOSTS, random.SystemRandom().getrandbits(RANDOM_BITS))
+            lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
-                held.bind((host, HOST_PORT))
+                lock.bind((host, HOST_LOCK_PORT))
             except OSError:
-                held.close()
+                lock.close()
                 continue
-            self._hosts.append(held)
+            self._host_locks.append(lock)
             return host
 
     def close(self) -> None:
-        """Hosts may go to others."""
-        for held in self._hosts:
-            held.close()
+        """Others may use the hosts."""
+        for lock in self._host_locks:
+            lock.close()
 
-    def _one(self, kind: int) -> Address:
+    def _reserve(self, kind: int) -> Address:
         while True:
             with socket.socket(socket.AF_INET, kind) as probe:
-                probe.bind((own_address(NAMED), 0))
+                probe.bind((own_address(RESERVED_PORTS), 0))
                 port = int(probe.getsockname()[1])
-            if (kind, port) not in self._given:
-                self._given.add((kind, port))
-                return own_address(NAMED), port
+            if (kind, port) not in self._reserved:
+                self._reserved.add((kind, port))
+                return own_address(RESERVED_PORTS), port
--- a/trackspread/testing/standins/transports.py
+++ b/trackspread/testing/standins/transports.py
@@ -1,4 +1,4 @@
-"""What the standard library's transports lack."""
+"""Operations on connections that the standard library's transports do not have."""
 
 from __future__ import annotations
 
