--- a/benchmarks/version_handover.py
+++ b/benchmarks/version_handover.py
@@ -24,7 +24,7 @@
 from benchmarks.common import say
 from trackspread.testing.harness import fleet as fleets
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.harness.upgradable_gateway import HeldProcess
+from trackspread.testing.harness.upgradable_gateway import UpgradableGateway
 from trackspread.testing.judge.ledger import (
     ReplyReceived,
     RequestSent,
@@ -32,7 +32,7 @@
     ConnectionLost,
     ClientDisconnected,
 )
-from trackspread.testing.standins.client_population import Customer, ClientRequest
+from trackspread.testing.standins.client_population import Tenant, ClientRequest
 from trackspread.testing.standins.rating_node import SECOND
 from trackspread.testing.standins.scenario import MILLISECOND, PLANS, Scenario
 
@@ -56,7 +56,7 @@
 SERVES = "the newer process serves"
 
 
-class Versioned(HeldProcess):
+class Versioned(UpgradableGateway):
     """A gateway that runs in `checkout`; the next process may be of another one."""
 
     checkout = HERE
@@ -78,7 +78,7 @@
 
     def __init__(self, fleet: Fleet, position: int, first_request: int) -> None:
         number = GREEDY_CUSTOMERS + position
-        self.customer = Customer(number, GREEDY_PLAN, 0.0, 1, position, [1.0])
+        self.customer = Tenant(number, GREEDY_PLAN, 0.0, 1, position, [1.0])
         self._fleet, self._position, self._request = fleet, position, first_request
         self.began = time.monotonic_ns()
         self._task = asyncio.get_running_loop().create_task(self._ask())
@@ -87,11 +87,11 @@
         clients = self._fleet.clients
         while True:
             self._request += 1
-            origin = clients.population.name(self._request, 0)
+            origin = clients.population.request_name(self._request, 0)
             want = ClientRequest(
                 origin, self.customer, "rate-lookup", self._position, 1.0, "", GREEDY_WAIT, 9
             )
-            clients._begin(want, 1)
+            clients.send(want, 1)
             await asyncio.sleep(GREEDY_PAUSE_S)
 
     async def over_quota(self) -> float:
@@ -125,10 +125,12 @@
 ) -> dict[str, float]:
     """All gateways go from `old` to `new`, back, and so on: `rounds` times to `new`."""
     scenario = Scenario(load=LOAD, seed=seed)
-    async with Fleet(scenario, held=True, own=lambda name: "[log]\nlevel = 'info'\n") as fleet:
+    async with Fleet(
+        scenario, upgradable=True, operator_file=lambda name: "[log]\nlevel = 'info'\n"
+    ) as fleet:
         held = [each for each in fleet.gateways if isinstance(each, Versioned)]
         assert len(held) == scenario.gateways and all(each.runs() == old for each in held)
-        fleet.ask()
+        fleet.start_clients()
         await asyncio.sleep(span)
         overs, waits, numbers = list[float](), list[float](), GREEDY_REQUESTS
         for turn in range(2 * rounds - 1):
@@ -138,8 +140,8 @@
                 await asyncio.sleep(BEFORE_S)
                 gateway.checkout = (new, old)[turn % 2]
                 if planted:
-                    gateway.common = fleet.folder / f"apart-{turn}-{position}"
-                    gateway.common.mkdir()
+                    gateway.handover_folder = fleet.folder / f"apart-{turn}-{position}"
+                    gateway.handover_folder.mkdir()
                 waits.append(await gateway.upgrade())
                 assert gateway.runs() == gateway.checkout
                 await asyncio.sleep(AFTER_S)
@@ -162,7 +164,7 @@
             "served": verdict.summary.served,
             "lost": lost,
             "answered_twice": twice,
-            "left": fleet.clients.kinds["left"],
+            "left": fleet.clients.outcome_counts["left"],
             "worst_over_quota": round(max(overs), 2),
             "state_missed": sum(over > STRAY_UNITS for over in overs),
             "violations": len(verdict.violations),
@@ -176,7 +178,7 @@
     rounds, span = (1, 1.5) if quick else (2, 4.0)
     for name, old, new in (("to_this", before, HERE), ("from_this", HERE, before)):
         Versioned.checkout = old
-        with patch.object(fleets, "HeldProcess", Versioned):
+        with patch.object(fleets, "UpgradableGateway", Versioned):
             told = await handed_over(old, new, rounds, span, planted, seed)
         say(f"{name}: {told}")
         made |= {f"{name}_{key}": value for key, value in told.items()}
--- a/tests/node/test_descriptors_process.py
+++ b/tests/node/test_descriptors_process.py
@@ -17,9 +17,10 @@
 import uvloop
 
 from trackspread.testing.harness.gateway_process import GatewayProcess
-from trackspread.testing.harness.upgradable_gateway import door
+from trackspread.testing.harness.upgradable_gateway import http_get
 from trackspread.testing.judge.ledger import Ledger
-from trackspread.testing.standins.discovery_agent import DiscoveryAgent, BackendList, ListedBackend
+from trackspread.testing.standins.backend_list import BackendList, ListedBackend
+from trackspread.testing.standins.discovery_agent import DiscoveryAgent
 from trackspread.testing.standins.loopback import Address, Ports
 
 from ..fakes import Backend, Connection, call, listening, raw_config, served, soon
@@ -101,14 +102,14 @@
         config = raw_config(agent.address[1])
         config["discovery"], config["listen"] = "{}:{}".format(*agent.address), "{}:{}".format(*at)
         config["control"], config["limits"] = "{}:{}".format(*control), {"sockets": named}
-        gateway = GatewayProcess("n0", at, config, folder, Ledger(), sockets=SOCKETS)
+        gateway = GatewayProcess("n0", at, config, folder, Ledger(), max_descriptors=SOCKETS)
         made = Filled(gateway, at, control, agent, listed, backend)
         made.tell("in_service")
         await gateway.start()
         tasks = [asyncio.create_task(made.watch())]
         try:
-            agent.refuse()
-            agent.cut()
+            agent.stop_listening()
+            agent.abort_watches()
             await made.fill()
             tasks.append(asyncio.create_task(made.keep_full()))
             yield made
@@ -117,7 +118,7 @@
                 task.cancel()
             for each in made.population:
                 each.close()
-            print(f"descriptors open at once: {made.most} of {SOCKETS}; log: {gateway.tail(3)}")
+            print(f"descriptors open at once: {made.most} of {SOCKETS}; log: {gateway.log_tail(3)}")
             await gateway.kill()
             agent.close()
             ports.close()
@@ -137,7 +138,7 @@
                 assert await client.next() == b"v"
                 connection.abort()  # the next attempt needs a descriptor of its own
                 client.abort()
-                status, _ = await asyncio.wait_for(door(f.door, "/stats"), AT_ONCE)
+                status, _ = await asyncio.wait_for(http_get(f.door, "/stats"), AT_ONCE)
                 assert status == 200
                 await asyncio.sleep(0.1)
             assert f.most < SOCKETS
@@ -152,16 +153,16 @@
     async def test() -> None:
         async with filled(tmp_path, named) as f:
             await asyncio.sleep(2.0)
-            f.agent.calls.clear()
+            f.agent.call_times_ns.clear()
             await f.agent.start()
             f.tell("terminating")
             back = time.monotonic_ns()
-            while not f.agent.calls:
+            while not f.agent.call_times_ns:
                 assert time.monotonic_ns() - back < AT_ONCE * SECOND
                 await asyncio.sleep(0.01)
             acted = asyncio.create_task(f.refused())
             assert await asyncio.wait_for(acted, AT_ONCE), "sent on"
             assert f.most < SOCKETS
-            print(f"discovery was called {(f.agent.calls[0] - back) / SECOND:.2f} s after its return")
+            print(f"discovery was called {(f.agent.call_times_ns[0] - back) / SECOND:.2f} s after its return")
 
     uvloop.run(asyncio.wait_for(test(), 60.0))
--- a/trackspread/testing/harness/run_statistics.py
+++ b/trackspread/testing/harness/run_statistics.py
@@ -1,7 +1,7 @@
-"""What a run shows while it goes on: counts by gateway and second, and why requests were refused.
+"""What `trackspread try` shows of a run: counts by gateway and second, and why requests were rejected.
 
-May know: ledger entries, in the order in which they are written. May not know: the gateways' own reasons;
-what is told as a reason follows from an exact count of each customer's quota. Without I/O or clock.
+From ledger entries alone, in the order in which they are written. The gateways' own reasons are not known: a
+reason follows from an exact count of each tenant's quota.
 """
 
 from __future__ import annotations
@@ -11,84 +11,87 @@
 from dataclasses import dataclass, field
 
 from ..judge.ledger import (
-    ReplyReceived,
-    RequestSent,
     AttemptReceived,
+    ClientDisconnected,
     ConnectionLost,
     Entry,
-    ClientDisconnected,
+    ReplyReceived,
+    RequestSent,
     RuleParameters,
 )
 from ..judge.token_bucket import TokenBucket
 
-KEPT = 60  # s of counts that are kept, for a line of the recent past
-SECOND = 1_000_000_000
+MAX_SECONDS = 60  # whose counts are kept
 
 
 @dataclass(slots=True)
-class Tallies:
-    """Feed it with `take`; `seconds` has a count of each kind for each second, the oldest first."""
+class RunStatistics:
+    """Counts by kind: `asked`, `served`, `refused`, `failed`, `unanswered`; in `total` also `beyond`.
+
+    `by_second` has those of each second, the oldest first. `rejections` counts reasons.
+    """
 
     rules: RuleParameters
     total: Counter[str] = field(default_factory=Counter)
     by_gateway: dict[str, Counter[str]] = field(default_factory=dict)
-    refusals: Counter[str] = field(default_factory=Counter)
-    seconds: deque[Counter[str]] = field(default_factory=lambda: deque(maxlen=KEPT))
-    _asked: dict[str, RequestSent] = field(default_factory=dict)
-    _sent: set[str] = field(default_factory=set)
-    _buckets: dict[int, TokenBucket] = field(default_factory=dict)
+    rejections: Counter[str] = field(default_factory=Counter)
+    by_second: deque[Counter[str]] = field(default_factory=lambda: deque(maxlen=MAX_SECONDS))
+    _open: dict[str, RequestSent] = field(default_factory=dict)
+    _forwarded: set[str] = field(default_factory=set)
+    _buckets: dict[int, TokenBucket] = field(default_factory=dict)  # by tenant
 
-    def take(self, entries: Sequence[Entry]) -> None:
-        """The entries since the last call; they make one more second."""
+    def add_second(self, entries: Sequence[Entry]) -> None:
+        """Takes the entries since the last call; they make one more second."""
         second: Counter[str] = Counter()
         for entry in entries:
             match entry:
                 case RequestSent():
-                    self._asked[entry.request] = entry
+                    self._open[entry.request] = entry
                     second["asked"] += 1
                 case AttemptReceived():
-                    self._attempted(entry)
+                    self._forward(entry)
                 case ReplyReceived():
-                    asked = self._asked.pop(entry.request, None)
-                    if asked is not None:
-                        self._answered(entry, asked, second)
-                    self._sent.discard(entry.request)
+                    request = self._open.pop(entry.request, None)
+                    if request is not None:
+                        self._answer(entry, request, second)
+                    self._forwarded.discard(entry.request)
                 case ConnectionLost() | ClientDisconnected():
-                    if (asked := self._asked.pop(entry.request, None)) is not None:
-                        self._count(asked.gateway, "unanswered", second)
-        self.seconds.append(second)
+                    if (request := self._open.pop(entry.request, None)) is not None:
+                        self._count(request.gateway, "unanswered", second)
+        self.by_second.append(second)
 
-    def _bucket(self, asked: RequestSent, now: int) -> TokenBucket | None:
-        plan = self.rules.plans[asked.plan]
+    def _bucket(self, request: RequestSent, now: int) -> TokenBucket | None:
+        """The tenant's quota at a time in ns; None where it has none."""
+        plan = self.rules.plans[request.plan]
         if not plan.rate_per_s:
             return None
-        full = TokenBucket(plan.rate_per_s, plan.burst_units, now)
-        bucket = self._buckets.setdefault(asked.tenant, full)
+        bucket = self._buckets.setdefault(request.tenant, TokenBucket(plan.rate_per_s, plan.burst_units, now))
         bucket.refill(now)
         return bucket
 
-    def _attempted(self, entry: AttemptReceived) -> None:
-        asked = self._asked.get(entry.request)
-        if asked is None or entry.request in self._sent:
+    def _forward(self, entry: AttemptReceived) -> None:
+        request = self._open.get(entry.request)
+        if request is None or entry.request in self._forwarded:
+            return
+        self._forwarded.add(entry.request)
+        bucket = self._bucket(request, entry.at)
+        if bucket is None:
             return
-        self._sent.add(entry.request)
-        bucket = self._bucket(asked, entry.at)
-        if bucket is None or bucket.tokens >= asked.units:
-            if bucket is not None:
-                bucket.tokens -= asked.units
+        if bucket.tokens >= request.units:
+            bucket.tokens -= request.units
         else:
             self.total["beyond"] += 1
 
-    def _answered(self, entry: ReplyReceived, asked: RequestSent, second: Counter[str]) -> None:
-        self._count(asked.gateway, entry.kind, second)
+    def _answer(self, entry: ReplyReceived, request: RequestSent, second: Counter[str]) -> None:
+        self._count(request.gateway, entry.kind, second)
         if entry.kind == "refused":
-            self.refusals[self._why(entry, asked)] += 1
+            self.rejections[self._reason(entry, request)] += 1
 
-    def _why(self, entry: ReplyReceived, asked: RequestSent) -> str:
-        if entry.request in self._sent:
+    def _reason(self, entry: ReplyReceived, request: RequestSent) -> str:
+        if entry.request in self._forwarded:
             return "tried, and no other try was allowed"
-        bucket = self._bucket(asked, entry.at)
-        if bucket is not None and bucket.tokens < asked.units:
+        bucket = self._bucket(request, entry.at)
+        if bucket is not None and bucket.tokens < request.units:
             return "its customer's quota is used up"
         if bucket is not None and bucket.tokens < bucket.burst_units / 2:
             return "the quota is nearly used up"
--- a/trackspread/testing/virtual/exchange.py
+++ b/trackspread/testing/virtual/exchange.py
@@ -49,17 +49,17 @@
         """The request reaches its gateway."""
         if self.is_over or not self._host.alive:
             return
-        wanted, customer = self._wanted, self._wanted.customer
+        wanted, tenant = self._wanted, self._wanted.tenant
         request_class, plan = self._world.class_and_plan(wanted)
         incoming = IncomingRequest(
             self._request,
             request_class,
             plan,
-            customer.number,
-            wanted.wait,
+            tenant.number,
+            wanted.timeout_ns,
             wanted.units,
-            customer.spread,
-            customer.first,
+            tenant.gateway_count,
+            tenant.first_gateway,
         )
         self._number = self._host.accept(incoming, self._on_reply)
 
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -28,7 +28,7 @@
 from ...lists.seam import backend_id
 from ...simulator.wire import parse_settings
 from ..standins.client_population import ClientRequest
-from ..standins.rating_node import NodeSpec, Pod, RatingNode, Taken, work_of
+from ..standins.rating_node import NodeSpec, IdempotencyCache, RatingNode, AcceptedRequest, request_work_ns
 from ..standins.scenario import MILLISECOND, ZONES, Scenario
 from .clock import Clock
 from .exchange import Exchange
@@ -86,14 +86,14 @@
         self._classes = {c.name: number for number, c in enumerate(scenario.classes)}
         self._plans = {name: number for number, name in enumerate(scenario.world().plans)}
         self._deduplication_windows = {
-            c.name: scenario.window for c in scenario.classes if c.repeat == "keyed"
+            c.name: scenario.deduplication_window_ns for c in scenario.classes if c.repeat == "keyed"
         }
         self._class_and_key: dict[str, tuple[str, str]] = {}  # by request
         self.partitioned: set[frozenset[int]] = set()  # pairs of gateways that get no message of each other
-        self.pods: dict[int, Pod] = {}
+        self.pods: dict[int, IdempotencyCache] = {}
         self.nodes: dict[int, Node] = {}
         self.list_version = 1
-        for spec in scenario.specs():
+        for spec in scenario.node_specs():
             self.start_node(spec, warms_up=False, announce=False)
         self.hosts: list[Host | None] = [None] * scenario.gateways
         self._known_endpoints: list[tuple[Backend, ...]] = [()] * scenario.gateways
@@ -107,10 +107,10 @@
         """Run for `span` ns of load, and then until no request can be outstanding."""
         end = self.clock.now + span
         self.clock.at(end, self._stop_load)
-        self.clock.run(end + max(c.deadline for c in self.scenario.classes) + LINGER_NS)
+        self.clock.run(end + max(c.deadline_ns for c in self.scenario.classes) + LINGER_NS)
 
     def _stop_load(self) -> None:
-        self.population.surge = 0.0
+        self.population.rate_multiple = 0.0
 
     def draw_delay_ns(self) -> int:
         """A random one-way delay."""
@@ -185,14 +185,16 @@
     def start_node(self, spec: NodeSpec, warms_up: bool, announce: bool = True) -> Node:
         """Start a node, at full capacity unless it `warms_up`, and announce it in the endpoint list."""
         now, number = self.clock.now, backend_id(spec.name)
-        model = self.scenario.node(spec, self.pods, now, warms_up)
+        model = self.scenario.rating_node(spec, self.pods, now, warms_up)
         entry = Backend(
             number, ZONES.index(spec.zone), 0, spec.cell, Health.READY, 1.0, now if warms_up else 0
         )
         node = self.nodes[number] = Node(spec, model, number, entry)
-        capacity = spec.start if warms_up else 1.0
+        capacity = spec.initial_capacity if warms_up else 1.0
         cores = spec.cores * spec.speed
-        self.ledger.write(BackendStarted(now, spec.name, spec.zone, spec.cell, cores, capacity, spec.warm))
+        self.ledger.write(
+            BackendStarted(now, spec.name, spec.zone, spec.cell, cores, capacity, spec.warm_up_ns)
+        )
         if announce:
             self.set_health(node, Health.READY)
         return node
@@ -240,9 +242,9 @@
         attempt.written = True
         now = self.clock.now
         request_class, key = self._class_and_key[request]
-        work_ns = work_of(self.scenario.seed, request, self.scenario.work(request_class))
+        work_ns = request_work_ns(self.scenario.seed, request, self.scenario.mean_work_ns(request_class))
         window_ns = self._deduplication_windows.get(request_class, 0)
-        taken = node.model.arrive(now, request, work_ns, key, window_ns)
+        taken = node.model.accept(now, request, work_ns, key, window_ns)
         self.ledger.write(
             AttemptReceived(
                 now,
@@ -252,17 +254,19 @@
                 f"n{host.position}",
                 work_ns,
                 taken is None,
-                bool(taken and taken.repeat),
+                bool(taken and taken.is_repeat),
                 taken.value if taken else "",
             )
         )
-        if node.model.fallen:
+        if node.model.crashed:
             self._crash_by_overload(node)
             host.end_attempt(attempt, Outcome.RESET)
         else:
             self._process_attempt(node, host, attempt, taken)
 
-    def _process_attempt(self, node: Node, host: Host, attempt: Attempt, taken: Taken | None) -> None:
+    def _process_attempt(
+        self, node: Node, host: Host, attempt: Attempt, taken: AcceptedRequest | None
+    ) -> None:
         """What the node does with an attempt, by what its model says; None if the model rejects it."""
         if taken is None and not node.unresponsive:
             self.clock.after(self.draw_delay_ns(), partial(host.end_attempt, attempt, Outcome.REJECTED))
@@ -271,11 +275,11 @@
         if taken is None or node.unresponsive:
             return
         if self.rng.random() < self.conditions.reset_chance:
-            reset_at = self.rng.randint(self.clock.now, taken.done)
+            reset_at = self.rng.randint(self.clock.now, taken.done_at)
             self.clock.at(reset_at, partial(self._finish_attempt, node, attempt, host, Outcome.RESET))
         else:
             finish = partial(self._finish_attempt, node, attempt, host, Outcome.OK, taken.value)
-            self.clock.at(taken.done, finish)
+            self.clock.at(taken.done_at, finish)
 
     def _finish_attempt(
         self, node: Node, attempt: Attempt, host: Host, outcome: Outcome, value: str = ""
@@ -311,18 +315,18 @@
 
     def _send_next_request(self) -> None:
         """Send a request and schedule the next one, until the load stops."""
-        if self.population.surge:
-            self._send_request(self.population.want(), MAX_GATEWAYS_TRIED)
-            self.clock.after(self.population.pause(), self._send_next_request)
+        if self.population.rate_multiple:
+            self._send_request(self.population.next_request(), MAX_GATEWAYS_TRIED)
+            self.clock.after(self.population.next_pause_ns(), self._send_next_request)
 
     def _send_request(self, wanted: ClientRequest, gateways_left: int) -> None:
         host = self.hosts[wanted.gateway]
         if host is None:
             if gateways_left > 1:
-                other = self.population.entry(wanted.customer, wanted.gateway)
+                other = self.population.choose_gateway(wanted.tenant, wanted.gateway)
                 self._send_request(replace(wanted, gateway=other), gateways_left - 1)
             return
-        request, customer = self.population.request_id(wanted), wanted.customer
+        request, tenant = self.population.request_id(wanted), wanted.tenant
         self._class_and_key[request] = wanted.cls, wanted.key
         self.ledger.write(
             RequestSent(
@@ -331,16 +335,16 @@
                 wanted.origin,
                 f"n{wanted.gateway}",
                 wanted.cls,
-                customer.plan,
-                customer.number,
+                tenant.plan,
+                tenant.number,
                 wanted.units,
-                wanted.wait,
+                wanted.timeout_ns,
             )
         )
         exchange = Exchange(self, wanted, request, host)
         self._open_exchanges[wanted.gateway][request] = exchange.cut
         self.clock.after(self.draw_delay_ns(), exchange.deliver)
-        self.clock.after(wanted.wait + LINGER_NS, exchange.disconnect)
+        self.clock.after(wanted.timeout_ns + LINGER_NS, exchange.disconnect)
 
     def close_exchange(self, gateway: int, request: str) -> None:
         """A request at the gateway of this position is no longer outstanding."""
@@ -348,14 +352,14 @@
 
     def schedule_retry(self, wanted: ClientRequest, kind: str, retry_after_ms: int) -> None:
         """The client sends the request again after a while, if its behavior says so."""
-        retry = self.population.again(wanted, kind, retry_after_ms)
-        if retry is not None and self.population.surge:
+        retry = self.population.retry(wanted, kind, retry_after_ms)
+        if retry is not None and self.population.rate_multiple:
             wait_ns, retried = retry
             self.clock.after(wait_ns, partial(self._send_request, retried, MAX_GATEWAYS_TRIED))
 
     def class_and_plan(self, wanted: ClientRequest) -> tuple[int, int]:
         """Class and plan of a request by their indexes in the settings."""
-        return self._classes[wanted.cls], self._plans[wanted.customer.plan]
+        return self._classes[wanted.cls], self._plans[wanted.tenant.plan]
 
 
 def _settings(scenario: Scenario, position: int) -> Settings:
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -86,7 +86,7 @@
 
 def play(name: str, seed: int) -> LoadShape:
     """One run of the shape; the same seed gives the same run."""
-    scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy=0.2, seed=seed)
+    scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy_share=0.2, seed=seed)
     fleet = VirtualFleet(scenario, seed)
     fleet.conditions.peer_loss = 0.05
     fleet.conditions.max_list_delay_ns = MAX_LIST_DELAY_NS
@@ -117,7 +117,7 @@
             work_s[backend] += attempt.work_ns / SECOND
     return max(
         (
-            work_s[backend] / (scenario.fall_multiple * start.start_capacity * start.cores)
+            work_s[backend] / (scenario.overload_multiple * start.start_capacity * start.cores)
             for backend, start in warming_up.items()
         ),
         default=0.0,
--- a/trackspread/testing/virtual/quota_accuracy.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -122,7 +122,7 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
-        self._points = {each.name: each.points for each in scenario.classes}
+        self._points = {each.name: each.priority_weight for each in scenario.classes}
         self._totals: dict[tuple[PolicyName, str], _Totals] = defaultdict(_Totals)
         self._offered: dict[str, float] = defaultdict(float)  # value that perfect state admits, by group
         self._buckets: dict[tuple[PolicyName, int], _TenantBucket] = {}
@@ -160,7 +160,7 @@
         """The comparison so far; raises `ValueError` if there was no request."""
         if not self._offered:
             raise ValueError("no request was sent")
-        over_cost = self._scenario.over_cost
+        over_cost = self._scenario.excess_cost
         groups = {
             group: (
                 self._totals["policy", group].result(offered, over_cost),
@@ -223,14 +223,26 @@
 _SMALL_PLANS = {"small": PlanRule(0.5, 2.0), "big": PlanRule(4.0, 12.0)}
 SCENARIOS = {
     # All gateways send to all others, or, where there are many, to the owners of quotas.
-    "word": Scenario(gateways=6, nodes=9, load=0.35, greedy=0.2),
-    "homes": Scenario(gateways=24, nodes=18, load=0.35, greedy=0.2),
+    "word": Scenario(gateways=6, nodes=9, load=0.35, greedy_share=0.2),
+    "homes": Scenario(gateways=24, nodes=18, load=0.35, greedy_share=0.2),
     # Each unit beyond a quota costs much, quotas are small, and there are few messages or none.
     "dear, few messages": Scenario(
-        gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL_PLANS, allow=_FEW_MESSAGES, over_cost=2.5
+        gateways=12,
+        nodes=9,
+        load=0.3,
+        greedy_share=0.2,
+        plans=_SMALL_PLANS,
+        setting_overrides=_FEW_MESSAGES,
+        excess_cost=2.5,
     ),
     "unheard": Scenario(
-        gateways=12, nodes=9, load=0.3, greedy=0.2, plans=_SMALL_PLANS, allow=_NO_MESSAGES, over_cost=1.3
+        gateways=12,
+        nodes=9,
+        load=0.3,
+        greedy_share=0.2,
+        plans=_SMALL_PLANS,
+        setting_overrides=_NO_MESSAGES,
+        excess_cost=1.3,
     ),
 }
 
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -139,7 +139,7 @@
 def node_slow(fleet: VirtualFleet, rng: random.Random) -> None:
     """A node takes several times as long for each request, to the end."""
     if nodes := _ready_nodes(fleet):
-        rng.choice(nodes).model.slow = rng.uniform(3.0, 20.0)
+        rng.choice(nodes).model.slowdown = rng.uniform(3.0, 20.0)
 
 
 def connection_faults(fleet: VirtualFleet, rng: random.Random) -> None:
@@ -171,7 +171,7 @@
 
 def surge(fleet: VirtualFleet, rng: random.Random) -> None:
     """Clients send more requests, to the end."""
-    fleet.population.surge = rng.uniform(1.5, 3.0)
+    fleet.population.rate_multiple = rng.uniform(1.5, 3.0)
 
 
 def late_endpoint_updates(fleet: VirtualFleet, rng: random.Random) -> None:
@@ -211,13 +211,13 @@
         gateways=3 if is_calm else rng.randint(2, 4),
         nodes=rng.randint(3, 7),
         load=rng.uniform(0.2, 0.7),
-        greedy=rng.choice((0.1, 0.5)),
+        greedy_share=rng.choice((0.1, 0.5)),
         seed=seed,
-        window=rng.choice((SECOND // 2, 5 * SECOND)),
-        start=rng.choice((0.1, 0.25)),
-        warm=rng.randint(4 * SECOND, 10 * SECOND),
+        deduplication_window_ns=rng.choice((SECOND // 2, 5 * SECOND)),
+        initial_capacity=rng.choice((0.1, 0.25)),
+        warm_up_ns=rng.randint(4 * SECOND, 10 * SECOND),
         behavior=ClientBehavior(rng.randint(0, 2), rng.uniform(0.3, 1.0)),
-        beyond_most=MAX_OVER_QUOTA_SHARE if is_calm else 1.0,
+        max_excess_share=MAX_OVER_QUOTA_SHARE if is_calm else 1.0,
     )
     names = [] if is_calm else rng.choices(list(FAULTS), k=rng.randint(1, 4))
     faults = tuple(sorted((rng.randint(SECOND // 4, SPAN * 3 // 4), name) for name in names))
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -16,7 +16,7 @@
 
 from ..judge.judge import judge
 from ..judge.ledger import AttemptReceived, BackendStarted, Ledger, EndpointAnnounced
-from ..standins.rating_node import SECOND, NodeSpec, Pod, RatingNode
+from ..standins.rating_node import SECOND, NodeSpec, IdempotencyCache, RatingNode
 from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
@@ -50,10 +50,12 @@
 class UncrashableScenario(Scenario):
     """A scenario whose backends never crash, so that everything that gateways send them is counted."""
 
-    def node(self, spec: NodeSpec, pods: dict[int, Pod], now: int, cold: bool) -> RatingNode:
+    def rating_node(
+        self, spec: NodeSpec, pods: dict[int, IdempotencyCache], now: int, cold: bool
+    ) -> RatingNode:
         """A rating node without a limit on its load."""
-        node = super().node(spec, pods, now, cold)
-        node.fall_multiple = inf
+        node = super().rating_node(spec, pods, now, cold)
+        node.overload_multiple = inf
         return node
 
 
@@ -64,12 +66,12 @@
         gateways=rng.randint(MIN_GATEWAYS, MAX_GATEWAYS),
         nodes=NODES,
         load=rng.uniform(0.5, 0.7),
-        greedy=0.2,
+        greedy_share=0.2,
         seed=seed,
-        warm=WARMUP_NS,
-        start=rng.uniform(0.15, 0.35),
-        fall_window=rng.choice([SECOND // 2, SECOND, 3 * SECOND]),
-        fall_multiple=rng.choice([2.0, 3.0]),
+        warm_up_ns=WARMUP_NS,
+        initial_capacity=rng.uniform(0.15, 0.35),
+        overload_window_ns=rng.choice([SECOND // 2, SECOND, 3 * SECOND]),
+        overload_multiple=rng.choice([2.0, 3.0]),
     )
 
 
@@ -103,7 +105,7 @@
 
 
 def _replace_and_return(fleet: VirtualFleet, rng: random.Random) -> None:
-    fleet.population.surge = LOAD_FACTOR
+    fleet.population.rate_multiple = LOAD_FACTOR
     nodes = rng.sample(list(fleet.nodes.values()), REPLACED + RETURNED)
     for node in nodes[:REPLACED]:
         _replace(fleet, node)
@@ -169,7 +171,7 @@
     The limit is N + 2 sqrt(N) + 2, which allows for chance, where N is the overload multiple of what the
     backend can do in the window.
     """
-    mean_work = sum(c.share * c.work for c in played.classes) / sum(c.share for c in played.classes)
+    mean_work = sum(c.share * c.work_ns for c in played.classes) / sum(c.share for c in played.classes)
     starts = _slow_starts(ledger)
     recent: dict[str, deque[tuple[int, float]]] = {backend: deque() for backend in starts}
     attempts = [entry for entry in ledger.entries if isinstance(entry, AttemptReceived)]
@@ -179,10 +181,10 @@
             continue
         window = recent[attempt.backend]
         window.append((attempt.at, attempt.work_ns / mean_work))
-        while window[0][0] <= attempt.at - played.fall_window:
+        while window[0][0] <= attempt.at - played.overload_window_ns:
             window.popleft()
-        able = start.cores * _capacity(start, attempt.at) * played.fall_window / mean_work
-        allowed = played.fall_multiple * able
+        able = start.cores * _capacity(start, attempt.at) * played.overload_window_ns / mean_work
+        allowed = played.overload_multiple * able
         yield sum(work for _, work in window) - (allowed + 2.0 * sqrt(allowed) + 2.0)
 
 
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -20,7 +20,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from ...standins.billing import Billing, Plain
+from ...standins.billing import Billing, MemoryStore
 from ....storage.calls import Call, Result, perform
 from ....storage.slots import MARK
 from ....usage.batch import Reply, decode
@@ -218,7 +218,7 @@
         self.network = Network()
         self.serial = 0
         self.interrupted: set[int] = set()
-        self.memory = Plain()
+        self.memory = MemoryStore()
         self.billing = Billing(self.memory)
         self.wall_offset_ms = START_MS
         self.processes: list[GatewayProcess] = []
