--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -261,9 +261,8 @@
         f"left unanswered; {summary.over_quota_share:.1%} of what was sent on lay beyond quotas"
     )
     if verdict.state == "void":
-        print(
-            f"no verdict: this machine was too busy, the stand-ins lagged by {summary.max_lag_ns / 1e6:.0f} ms"
-        )
+        lag_ms = summary.max_lag_ns / 1e6
+        print(f"no verdict: this machine was too busy, the stand-ins lagged by {lag_ms:.0f} ms")
         return
     for violation in verdict.violations[:MAX_VIOLATIONS]:
         print(f"rule broken: {violation.rule}: {violation.text}")
