--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -29,9 +29,9 @@
 from trackspread.plans.registry import SCHEMA, Figures, PlanRegistry, Version
 from trackspread.testing.standins.billing_server import BillingServer
 from trackspread.testing.standins.scenario import Scenario
-from trackspread.storage.calls import Look, perform
+from trackspread.storage.calls import InspectFolder, perform
 from trackspread.storage.directory import Directory
-from trackspread.storage.slots import SLOT
+from trackspread.storage.slots import SLOT_BYTES
 from trackspread.usage.control import AREA_SIZE, AREAS, Names
 from trackspread.usage.host import UseHost, export_all
 from trackspread.usage.ledger import Bounds, State
@@ -172,7 +172,7 @@
 
 
 def _host(folder: Path) -> UseHost:
-    bounds = Bounds((4 << 20) // SLOT, 1024, 200_000_000, 10**9, "fold")
+    bounds = Bounds((4 << 20) // SLOT_BYTES, 1024, 200_000_000, 10**9, "fold")
     return UseHost(folder, bounds, Names("n0", ("a",), ("p",)), time.monotonic_ns, None)
 
 
@@ -220,13 +220,13 @@
                 host.count(Ending.SERVED, 0, 0, 0, 7, 1.0, 1)
             written += host.ledger.recorded - recorded
             await asyncio.sleep(0)
-            while journal.room() < 4_000:
+            while journal.free_slots() < 4_000:
                 await asyncio.sleep(0.001)
         places = journal.next - 1
         await host.abandon()  # as a kill leaves it
         files = Directory(folder)
         began = time.monotonic()
-        perform(files, Look(AREAS, AREA_SIZE))
+        perform(files, InspectFolder(AREAS, AREA_SIZE))
         looked = time.monotonic() - began
         files.close()
         again = _host(folder)
@@ -235,7 +235,7 @@
         took = time.monotonic() - began
         await again.abandon()
         print(f"{places} places: read in {looked:.2f} s, taken up in {took:.2f} s", file=sys.stderr)
-    return took * 1_000_000 / written, places * SLOT / written
+    return took * 1_000_000 / written, places * SLOT_BYTES / written
 
 
 def _reservations(seeds: int) -> float:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -12,32 +12,32 @@
 
 from trackspread.storage.calls import (
     Create,
-    Found,
-    Look,
+    FolderContents,
+    InspectFolder,
     Read,
     Replace,
     Save,
     perform,
     segment_name,
-    segment_of,
+    parse_segment_name,
 )
 from trackspread.storage.directory import Directory
 from trackspread.storage.document import DocumentError, Schema
 from trackspread.storage.journal import MARK_EVERY, Journal
 from trackspread.storage.slots import (
-    HEAD,
-    PAYLOAD,
-    SLOT,
+    HEAD_BYTES,
+    PAYLOAD_BYTES,
+    SLOT_BYTES,
     Head,
     Scan,
     SegmentError,
     pack_head,
     pack_slot,
-    place,
+    slot_offset,
     scan,
-    seed_of,
+    checksum_seed,
     unpack_head,
-    written,
+    count_written_slots,
 )
 from trackspread.testing.virtual.usage.disk import Disk, VirtualFiles
 
@@ -48,7 +48,7 @@
 
 
 def _payload(number: int) -> bytes:
-    return b"\x01" + number.to_bytes(8, "little") + bytes(PAYLOAD - 9)
+    return b"\x01" + number.to_bytes(8, "little") + bytes(PAYLOAD_BYTES - 9)
 
 
 def test_a_document_comes_back_and_a_changed_one_does_not() -> None:
@@ -74,23 +74,25 @@
 
 
 def test_each_slot_stands_for_itself_and_for_its_place_and_stream() -> None:
-    head, seed = Head(1, 0, 8, b"n" * 16), seed_of(b"n" * 16)
-    data = bytearray(8 * SLOT)
+    head, seed = Head(1, 0, 8, b"n" * 16), checksum_seed(b"n" * 16)
+    data = bytearray(8 * SLOT_BYTES)
     for number in (1, 2, 4):
-        data[(number - 1) * SLOT : number * SLOT] = pack_slot(_payload(number), seed, number)
-    data[SLOT + 7] ^= 4  # the second is damaged
-    data[5 * SLOT : 6 * SLOT] = pack_slot(_payload(4), seed, 4)  # the fourth once more, in the sixth place
+        data[(number - 1) * SLOT_BYTES : number * SLOT_BYTES] = pack_slot(_payload(number), seed, number)
+    data[SLOT_BYTES + 7] ^= 4  # the second is damaged
+    data[5 * SLOT_BYTES : 6 * SLOT_BYTES] = pack_slot(
+        _payload(4), seed, 4
+    )  # the fourth once more, in the sixth place
     found = scan(bytes(data), head, 1)
     assert sorted(found.payloads) == [1, 4] and found.bad == [2, 6] and found.last == 6
     other = scan(bytes(data), Head(1, 0, 8, b"m" * 16), 1)
     assert not other.payloads and other.bad == [1, 2, 4, 6]
-    assert written(bytes(data)) == 6 and written(bytes(SLOT)) == 0
+    assert count_written_slots(bytes(data)) == 6 and count_written_slots(bytes(SLOT_BYTES)) == 0
 
 
 def test_a_head_is_refused_if_damaged_or_of_a_newer_layout() -> None:
     head = Head(7, 3, 4, b"x" * 16)
-    data = pack_head(head) + bytes(4 * SLOT)
-    assert unpack_head(data) == head and head.first == 13 and place(head, 13) == HEAD
+    data = pack_head(head) + bytes(4 * SLOT_BYTES)
+    assert unpack_head(data) == head and head.first == 13 and slot_offset(head, 13) == HEAD_BYTES
     with pytest.raises(SegmentError, match="checksum"):
         unpack_head(data[:9] + b"\xff" + data[10:])
     with pytest.raises(SegmentError, match="shorter than its head says"):
@@ -102,7 +104,7 @@
 def _journal(slots: int) -> tuple[Journal, VirtualFiles]:
     files, head = VirtualFiles(Disk(random.Random(1))), Head(1, 0, slots, b"n" * 16)
     area = perform(files, Create(head))
-    assert area is not None and not isinstance(area, Scan | Found)
+    assert area is not None and not isinstance(area, Scan | FolderContents)
     return Journal(head, area), files
 
 
@@ -110,14 +112,14 @@
     journal, files = _journal(4)
     assert [journal.append(_payload(n)) for n in range(6)] == [True] * 4 + [False] * 2
     spare = perform(files, Create(journal.head(1)))
-    assert spare is not None and not isinstance(spare, Scan | Found)
-    assert journal.wants() == journal.head(1)
-    journal.provide(spare)
+    assert spare is not None and not isinstance(spare, Scan | FolderContents)
+    assert journal.needed_segment() == journal.head(1)
+    journal.add_segment(spare)
     assert not journal.append(_payload(9)), "four are not committed yet"
     commit = journal.commit()
     assert commit is not None and commit.upto == 4
     assert journal.synced(commit) == [] and journal.committed == 4 and not journal.pending
-    assert journal.append(_payload(5)) and journal.index == 1 and journal.wants() is None
+    assert journal.append(_payload(5)) and journal.index == 1 and journal.needed_segment() is None
     commit = journal.commit()
     assert commit is not None and len(journal.synced(commit)) == 1, "the full segment can be closed"
 
@@ -142,11 +144,13 @@
     assert caught.value.errno == errno.EWOULDBLOCK
     head = Head(1, 0, 4, os.urandom(16))
     area = perform(files, Create(head))
-    assert area is not None and not isinstance(area, Scan | Found)
-    area.write(place(head, 1), pack_slot(_payload(1), seed_of(head.nonce), 1))
+    assert area is not None and not isinstance(area, Scan | FolderContents)
+    area.write(slot_offset(head, 1), pack_slot(_payload(1), checksum_seed(head.nonce), 1))
     area.sync()
-    found = perform(files, Look(("a", "b"), 4096))
-    assert isinstance(found, Found) and found.segments == {(1, 0): (head, 1)} and len(found.areas) == 2
+    found = perform(files, InspectFolder(("a", "b"), 4096))
+    assert (
+        isinstance(found, FolderContents) and found.segments == {(1, 0): (head, 1)} and len(found.areas) == 2
+    )
     perform(files, Save(found.areas[0], b"one\n"))
     perform(files, Replace("sum", b"two"))
     (tmp_path / "use" / "left.new").write_bytes(b"half")
@@ -161,9 +165,9 @@
 
 
 def test_names_of_segments_are_told_from_others() -> None:
-    assert segment_of(segment_name(12, 3)) == (12, 3)
+    assert parse_segment_name(segment_name(12, 3)) == (12, 3)
     others = "control-a", "use-1.log", "use-x-y.log", "sum-1-2.json"
-    assert [segment_of(name) for name in others] == [None] * 4
+    assert [parse_segment_name(name) for name in others] == [None] * 4
 
 
 def test_a_full_real_disk_says_so_when_the_segment_is_made_not_when_it_is_written(tmp_path: Path) -> None:
--- a/tests/test_use_process.py
+++ b/tests/test_use_process.py
@@ -18,7 +18,7 @@
 from trackspread.testing.standins.billing_server import BillingServer, take_drops
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.directory import Directory
-from trackspread.storage.slots import HEAD, SLOT
+from trackspread.storage.slots import HEAD_BYTES, SLOT_BYTES
 from trackspread.usage.batch import Batch, Reply, digest, encode
 from trackspread.usage.control import Names
 from trackspread.usage.exporter import Post
@@ -246,7 +246,7 @@
     assert "40 records check" in _words(capsys, "verify", str(folder))[1]
     segment = next(folder.glob("use-*.log"))
     data = bytearray(segment.read_bytes())
-    data[HEAD + 3 * SLOT + 9] ^= 1
+    data[HEAD_BYTES + 3 * SLOT_BYTES + 9] ^= 1
     segment.write_bytes(data)
     status, told = _words(capsys, "verify", str(folder))
     assert status == 1 and "epoch 1: 1 records are damaged, the first at place 4" in told
--- a/trackspread/node/usage_part.py
+++ b/trackspread/node/usage_part.py
@@ -12,7 +12,7 @@
 from ..config.addresses import ConfigError
 from ..config.operator import Use
 from ..config.platform import Config
-from ..storage.slots import SLOT
+from ..storage.slots import SLOT_BYTES
 from ..usage.control import Names
 from ..usage.host import UseHost
 from ..usage.ledger import Bounds
@@ -29,7 +29,7 @@
 def ledger_bounds(use: Use) -> Bounds:
     """Sizes and times of the ledger, from the operator's table."""
     return Bounds(
-        max(MIN_SEGMENT_SLOTS, int(use.segment_mb * BYTES_PER_MB) // SLOT),
+        max(MIN_SEGMENT_SLOTS, int(use.segment_mb * BYTES_PER_MB) // SLOT_BYTES),
         max(MIN_SEGMENTS, int(use.disk_mb / use.segment_mb)),
         int(use.commit_ms * NS_PER_MS),
         int(use.batch_s * NS_PER_S),
--- a/trackspread/storage/__init__.py
+++ b/trackspread/storage/__init__.py
@@ -1,1 +1,1 @@
-"""State that outlives a process: files, an append-only journal of fixed slots, and versioned documents."""
+"""Durable state of one process: files, an append-only journal of fixed-size slots, and versioned documents."""
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -1,35 +1,39 @@
-"""Calls to the disk as values: what decides names them, a thread (or a virtual disk) carries them out.
+"""Disk operations as values: decision code creates a call, and a thread (or a simulated disk) performs it.
 
-May know: the seam, the layout of segments. May not know: why a call is made. One call at a time is out, so
-their order is that in which they were named.
+One call is in progress at a time, so calls take effect in the order in which they were made.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .seam import Area, Files
-from .slots import HEAD, Head, Scan, SegmentError, pack_head, scan, unpack_head, written
+from .interfaces import Area, Files
+from .slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, pack_head, scan, unpack_head
+
+SegmentId = tuple[int, int]  # epoch and index
 
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """A new segment with its head; gives its `Area`."""
+    """Creates a segment with its head; the result is its `Area`."""
 
     head: Head
 
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """What was written to these segments is on the disk; gives None."""
+    """Forces these segments to the disk; the result is None."""
 
     areas: tuple[Area, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Save:
-    """One document in place of what its area held, and on the disk; gives None. It needs no room on the disk
-    beyond what the area has, and may be torn: whoever saves so keeps two areas and writes them in turn."""
+    """Overwrites an area with a document and forces it to the disk; the result is None.
+
+    It needs no further disk space but may be torn, so callers alternate between two areas.
+    """
 
     area: Area
     data: bytes
@@ -37,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replace:
-    """A document of its own, whole or not at all; gives None."""
+    """Atomically replaces a file's content; the result is None."""
 
     name: str
     data: bytes
@@ -45,8 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Slots `first` to `last` of one segment, through `area` where it is open; gives a `Scan`, or None where
-    the segment is gone."""
+    """Reads slots `first` to `last` of one segment, through `area` if it is open.
+
+    The result is a `Scan`, or None if the segment no longer exists.
+    """
 
     head: Head
     first: int
@@ -56,65 +62,87 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """Files that nobody needs any more; gives None."""
+    """Deletes files; the result is None."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """The folder as a former life left it; gives a `Found`. `kept`: documents in areas of `size` bytes, which
-    are made where they are missing and stay open."""
+class InspectFolder:
+    """Lists what earlier processes left in the folder; the result is a `FolderContents`.
+
+    `documents` names files of `size_bytes`; they are created if missing and stay open.
+    """
+
+    documents: tuple[str, ...]
+    size_bytes: int
+
+
+class FoundSegment(NamedTuple):
+    """A readable segment and its number of written slots."""
+
+    head: Head
+    written_slots: int
+
 
-    kept: tuple[str, ...]
-    size: int
+class DamagedLength(NamedTuple):
+    """The size of a file that is not readable as a segment."""
+
+    size_bytes: int
+    written_slots: int
 
 
 @dataclass(slots=True)
-class Found:
-    """`areas`: of the documents that are kept, in the order asked for. `segments`: by epoch and index, the
-    head and how many slots were written. `broken`: files that can't be read, and why."""
+class FolderContents:
+    """What `InspectFolder` found.
+
+    `areas` are the documents, in the order asked for. `broken` has the files that can't be read, with the
+    reason, and `lengths` the sizes of those among them whose bytes could be read.
+    """
 
     areas: list[Area] = field(default_factory=list)
     names: list[str] = field(default_factory=list)
-    segments: dict[tuple[int, int], tuple[Head, int]] = field(default_factory=dict)
-    lengths: dict[str, tuple[int, int]] = field(default_factory=dict)  # of those in `broken`: bytes, slots
+    segments: dict[SegmentId, FoundSegment] = field(default_factory=dict)
+    lengths: dict[str, DamagedLength] = field(default_factory=dict)
     broken: dict[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """What a former life wrote and may never have got to the disk is written once more, and is there then;
-    gives None. A sync alone would not do: after one that failed the system takes the rest for written."""
+    """Rewrites and syncs what an earlier process may not have got to the disk; the result is None.
+
+    A sync alone is not enough: after one that failed, the operating system treats the pages as written.
+    """
 
     areas: tuple[Area, ...]
     names: tuple[str, ...]
 
 
-Call = Create | Sync | Save | Replace | Read | Remove | Look | Refresh
-Result = Area | Scan | Found | None
+Call = Create | Sync | Save | Replace | Read | Remove | InspectFolder | Refresh
+Result = Area | Scan | FolderContents | None
 
 
 def segment_name(epoch: int, index: int) -> str:
+    """Returns the file name of a segment."""
     return f"use-{epoch:08d}-{index:06d}.log"
 
 
-def segment_of(name: str) -> tuple[int, int] | None:
-    """Epoch and index, or None for a file that is no segment."""
+def parse_segment_name(name: str) -> SegmentId | None:
+    """Returns epoch and index of a segment, or None for any other file."""
     parts = name.removesuffix(".log").split("-")
-    if not name.endswith(".log") or len(parts) != 3 or not (parts[1].isdecimal() and parts[2].isdecimal()):
+    if not name.endswith(".log") or len(parts) != 3:
+        return None
+    epoch, index = parts[1:]
+    if not (epoch.isdecimal() and index.isdecimal()):
         return None
-    return int(parts[1]), int(parts[2])
+    return int(epoch), int(index)
 
 
 def perform(files: Files, call: Call) -> Result:
-    """Carries one call out; raises `OSError`."""
+    """Performs one call and returns its result; raises `OSError`."""
     match call:
         case Create(head):
-            area = files.create(segment_name(head.epoch, head.index), head.size)
-            area.write(0, pack_head(head))
-            area.sync()
-            return area
+            return _create(files, head)
         case Sync(areas):
             for area in areas:
                 area.sync()
@@ -128,64 +156,81 @@
         case Remove(names):
             for name in names:
                 files.remove(name)
-        case Refresh(areas, names):
-            for area in areas:
-                _again(area)
-            for name in names:
-                own = files.open(name)
-                try:
-                    _again(own)
-                finally:
-                    own.close()
-        case Look(kept, size):
-            return _look(files, kept, size)
+        case Refresh():
+            _refresh(files, call)
+        case InspectFolder():
+            return _inspect(files, call)
     return None
 
 
-def _again(area: Area) -> None:
+def _create(files: Files, head: Head) -> Area:
+    area = files.create(segment_name(head.epoch, head.index), head.size)
+    area.write(0, pack_head(head))
+    area.sync()
+    return area
+
+
+def _refresh(files: Files, call: Refresh) -> None:
+    for area in call.areas:
+        _rewrite(area)
+    for name in call.names:
+        area = files.open(name)
+        try:
+            _rewrite(area)
+        finally:
+            area.close()
+
+
+def _rewrite(area: Area) -> None:
     area.write(0, area.read())
     area.sync()
 
 
 def _read(files: Files, call: Read) -> Scan | None:
-    head, area = call.head, call.area
-    at, size = HEAD + (call.first - head.first) * _slot(head), (call.last - call.first + 1) * _slot(head)
-    if area is not None:
-        return scan(area.read(at, size), head, call.first)
+    head = call.head
+    offset = HEAD_BYTES + (call.first - head.first) * _slot_bytes(head)
+    size = (call.last - call.first + 1) * _slot_bytes(head)
+    if call.area is not None:
+        return scan(call.area.read(offset, size), head, call.first)
     try:
-        own = files.open(segment_name(head.epoch, head.index))
+        area = files.open(segment_name(head.epoch, head.index))
     except FileNotFoundError:
         return None
     try:
-        return scan(own.read(at, size), head, call.first)
+        return scan(area.read(offset, size), head, call.first)
     finally:
-        own.close()
+        area.close()
 
 
-def _slot(head: Head) -> int:
-    return (head.size - HEAD) // head.slots
+def _slot_bytes(head: Head) -> int:
+    return (head.size - HEAD_BYTES) // head.slots
 
 
-def _look(files: Files, kept: tuple[str, ...], size: int) -> Found:
-    found = Found(names=files.names())
-    for name in kept:
-        found.areas.append(files.open(name) if name in found.names else files.create(name, size))
+def _inspect(files: Files, call: InspectFolder) -> FolderContents:
+    found = FolderContents(names=files.names())
+    for name in call.documents:
+        exists = name in found.names
+        found.areas.append(files.open(name) if exists else files.create(name, call.size_bytes))
     for name in found.names:
-        if (at := segment_of(name)) is None:
-            continue
-        try:
-            area = files.open(name)
-        except OSError as error:
-            found.broken[name] = error.strerror or str(error)
-            continue
-        data = area.read()
-        area.close()
-        try:
-            head = unpack_head(data)
-            if (head.epoch, head.index) != at:
-                raise SegmentError(f"its head says epoch {head.epoch}, part {head.index}")
-            found.segments[at] = head, written(data[HEAD:])
-        except SegmentError as error:
-            found.broken[name] = str(error)
-            found.lengths[name] = len(data), written(data[HEAD:])
+        if (segment := parse_segment_name(name)) is not None:
+            _inspect_segment(files, name, segment, found)
     return found
+
+
+def _inspect_segment(files: Files, name: str, segment: SegmentId, found: FolderContents) -> None:
+    try:
+        area = files.open(name)
+    except OSError as error:
+        found.broken[name] = error.strerror or str(error)
+        return
+    data = area.read()
+    area.close()
+    written_slots = count_written_slots(data[HEAD_BYTES:])
+    try:
+        head = unpack_head(data)
+        if (head.epoch, head.index) != segment:
+            raise SegmentError(f"its head says epoch {head.epoch}, part {head.index}")
+        found.segments[segment] = FoundSegment(head, written_slots)
+    except SegmentError as error:
+        found.broken[name] = str(error)
+        found.lengths[name] = DamagedLength(len(data), written_slots)
--- a/trackspread/storage/directory.py
+++ b/trackspread/storage/directory.py
@@ -1,7 +1,4 @@
-"""The real folder: allocated files mapped into memory, atomic replacement, one owner by `flock`.
-
-May know: the operating system's files. May not know: what is in them.
-"""
+"""Storage in a real folder: memory-mapped files, atomic replacement, one owner process by `flock`."""
 
 from __future__ import annotations
 
@@ -12,122 +9,146 @@
 from contextlib import suppress
 from pathlib import Path
 
-LOCK = "owner.lock"  # held for as long as the process lives
-TEMPORARY = ".new"  # ending of what `replace` has not finished
+LOCK_NAME = "owner.lock"  # locked while the process runs
+TEMPORARY_SUFFIX = ".new"  # of files that `replace` has not finished
+OWNER_ONLY_FOLDER = 0o700
+OWNER_ONLY_FILE = 0o600
 
 
-class Mapped:
-    """An allocated file in memory. A write is a copy into the page cache, which outlives the process."""
+class MappedFile:
+    """An allocated file mapped into memory. Writes go to the page cache and survive the process."""
 
     def __init__(self, descriptor: int, size: int) -> None:
         self._descriptor = descriptor
         self._map = mmap.mmap(descriptor, size)
 
     def write(self, at: int, data: bytes) -> None:
+        """Writes `data` from byte `at` on."""
         self._map[at : at + len(data)] = data
 
     def read(self, at: int = 0, size: int | None = None) -> bytes:
+        """Returns `size` bytes from byte `at` on, or all up to the end."""
         return self._map[at:] if size is None else self._map[at : at + size]
 
     def sync(self) -> None:
-        # Also writes back pages that were changed through the map, and lets other threads run meanwhile. The
-        # size does not change after `create`, so the data alone needs to go.
+        """Forces all earlier writes to the disk, without blocking other threads; raises `OSError`."""
+        # Covers pages changed through the map; the size never changes, so metadata need not be synced.
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
+        """Unmaps and closes the file."""
         self._map.close()
         os.close(self._descriptor)
 
 
-class Viewed:
-    """A file that is only read: a folder that may not be written is still told about."""
+class ReadOnlyFile:
+    """The content of a file, read once; for inspecting a folder without write access."""
 
     def __init__(self, path: Path) -> None:
         self._data = path.read_bytes()
 
     def write(self, at: int, data: bytes) -> None:
+        """Always raises `OSError`."""
         raise OSError(errno.EROFS, "only read")
 
     def read(self, at: int = 0, size: int | None = None) -> bytes:
+        """Returns `size` bytes from byte `at` on, or all up to the end."""
         return self._data[at:] if size is None else self._data[at : at + size]
 
-    def sync(self) -> None: ...
+    def sync(self) -> None:
+        """Does nothing."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Does nothing."""
 
 
 class Directory:
-    """`Files` on a real folder. Raises `OSError`: EWOULDBLOCK where another process owns it."""
+    """`Files` on a real folder.
+
+    With `view` nothing is locked, created or written, for inspecting a folder that may be in use. Raises
+    `OSError`, with EWOULDBLOCK if another process owns the folder.
+    """
 
     def __init__(self, path: Path, view: bool = False) -> None:
-        """`view`: nothing is locked, made or written, for looking at a folder that may be in use."""
         self.path = path
         self._view = view
         self._lock = -1
         if not view:
-            path.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self._lock = os.open(path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            try:
-                fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            except OSError:
-                os.close(self._lock)
-                raise
-            for name in self.names():
-                if name.endswith(TEMPORARY):
-                    self.remove(name)
+            self._lock_folder()
+            self._remove_unfinished()
+
+    def _lock_folder(self) -> None:
+        self.path.mkdir(mode=OWNER_ONLY_FOLDER, parents=True, exist_ok=True)
+        self._lock = os.open(self.path / LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY_FILE)
+        try:
+            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError:
+            os.close(self._lock)
+            raise
+
+    def _remove_unfinished(self) -> None:
+        for name in self.names():
+            if name.endswith(TEMPORARY_SUFFIX):
+                self.remove(name)
 
     def names(self) -> list[str]:
-        return sorted(p.name for p in self.path.iterdir() if p.name != LOCK)
+        """Returns the names of all files but the lock, sorted."""
+        return sorted(file.name for file in self.path.iterdir() if file.name != LOCK_NAME)
 
-    def create(self, name: str, size: int) -> Mapped:
+    def create(self, name: str, size: int) -> MappedFile:
+        """Creates a file of `size` zero bytes with its space allocated; leaves none behind on an error."""
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
-        descriptor = os.open(self.path / name, flags, 0o600)
+        descriptor = os.open(self.path / name, flags, OWNER_ONLY_FILE)
         try:
             os.posix_fallocate(descriptor, 0, size)
             os.fsync(descriptor)
-            self._sync_names()
-            return Mapped(descriptor, size)
+            self._sync_folder()
+            return MappedFile(descriptor, size)
         except BaseException:
             os.close(descriptor)
-            with suppress(OSError):  # half of the room of a full disk is given back
+            with suppress(OSError):  # frees what was allocated before the disk was full
                 os.unlink(self.path / name)
             raise
 
-    def open(self, name: str) -> Mapped | Viewed:
+    def open(self, name: str) -> MappedFile | ReadOnlyFile:
+        """Opens an existing file."""
         if self._view:
-            return Viewed(self.path / name)
+            return ReadOnlyFile(self.path / name)
         descriptor = os.open(self.path / name, os.O_RDWR | os.O_CLOEXEC)
         try:
-            return Mapped(descriptor, os.fstat(descriptor).st_size)
+            return MappedFile(descriptor, os.fstat(descriptor).st_size)
         except (OSError, ValueError):  # an empty file can't be mapped
             os.close(descriptor)
             raise OSError(errno.EIO, "cannot be mapped", name) from None
 
     def load(self, name: str) -> bytes | None:
+        """Returns the content of a file, or None if it does not exist."""
         try:
             return (self.path / name).read_bytes()
         except FileNotFoundError:
             return None
 
     def replace(self, name: str, data: bytes) -> None:
-        fresh = self.path / (name + TEMPORARY)
-        descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        """Atomically replaces a file's content and forces it to the disk."""
+        temporary = self.path / (name + TEMPORARY_SUFFIX)
+        descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, OWNER_ONLY_FILE)
         try:
-            with memoryview(data) as rest:
-                at = 0
-                while at < len(rest):
-                    at += os.write(descriptor, rest[at:])
+            with memoryview(data) as view:
+                written = 0
+                while written < len(view):
+                    written += os.write(descriptor, view[written:])
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        os.replace(fresh, self.path / name)
-        self._sync_names()
+        os.replace(temporary, self.path / name)
+        self._sync_folder()
 
     def remove(self, name: str) -> None:
+        """Deletes a file; one that does not exist is ignored."""
         with suppress(FileNotFoundError):
             os.unlink(self.path / name)
 
-    def _sync_names(self) -> None:
+    def _sync_folder(self) -> None:
         descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -135,6 +156,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
+        """Releases the lock on the folder."""
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
--- a/trackspread/storage/document.py
+++ b/trackspread/storage/document.py
@@ -1,6 +1,6 @@
-"""Versioned documents: kind, number of the schema, checksum, body. Older are upgraded, newer refused.
+"""Versioned documents: kind, schema version, checksum and body, as one line of JSON.
 
-May know: bytes. May not know: where they lie. A document is one line of JSON, so that a person can read it.
+Documents of older versions are upgraded when read; those of newer versions are rejected.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 import msgspec
 import xxhash
 
-Kept = TypeVar("Kept")
-Upgrade = Callable[[dict[str, Any]], dict[str, Any]]  # a body of one version to that of the next
+Body = TypeVar("Body")
+Upgrade = Callable[[dict[str, Any]], dict[str, Any]]  # turns a body of one version into one of the next
 
 
 class DocumentError(ValueError):
-    """A document that can't be used; the text says why, and `newer` whether a newer program wrote it."""
+    """A document that can't be used; `newer` is set if a newer version of the program wrote it."""
 
     def __init__(self, text: str, newer: bool = False) -> None:
         super().__init__(text)
@@ -31,7 +31,11 @@
 
 
 class Schema:
-    """How one kind of document is written; `upgrades` takes a version to the one after it."""
+    """The format of one kind of document.
+
+    `upgrades` maps each version below `version` to the function that turns its body into one of the next;
+    raises `ValueError` if one is missing.
+    """
 
     def __init__(self, kind: str, version: int, upgrades: Mapping[int, Upgrade] | None = None) -> None:
         self.kind = kind
@@ -41,13 +45,16 @@
             raise ValueError(f"{kind}: no upgrade from version {missing[0]}")
 
     def pack(self, value: msgspec.Struct) -> bytes:
+        """Encodes a document of the current version, with a line end."""
         body = msgspec.json.encode(value)
         envelope = _Envelope(self.kind, self.version, xxhash.xxh3_64_hexdigest(body), msgspec.Raw(body))
         return msgspec.json.encode(envelope) + b"\n"
 
-    def unpack(self, data: bytes, type: type[Kept]) -> Kept:
-        """Raises `DocumentError`; nothing that was read in part is ever returned. What follows the line, in
-        an area that held a longer one before, is passed over."""
+    def unpack(self, data: bytes, type: type[Body]) -> Body:
+        """Decodes a document and upgrades it to the current version; raises `DocumentError`.
+
+        Only the first line is read: the rest of an area may be left from a longer document.
+        """
         try:
             envelope = msgspec.json.decode(data.partition(b"\n")[0], type=_Envelope)
         except msgspec.DecodeError as error:
@@ -66,9 +73,9 @@
         try:
             if envelope.version == self.version:
                 return msgspec.json.decode(body, type=type, strict=True)
-            plain = msgspec.json.decode(body, type=dict[str, Any])
+            upgraded = msgspec.json.decode(body, type=dict[str, Any])
             for version in range(envelope.version, self.version):
-                plain = self._upgrades[version](plain)
-            return msgspec.convert(plain, type, strict=True)
+                upgraded = self._upgrades[version](upgraded)
+            return msgspec.convert(upgraded, type, strict=True)
         except (msgspec.DecodeError, KeyError, IndexError) as error:
             raise DocumentError(f"{self.kind}: {error}") from None
--- a/trackspread/storage/journal.py
+++ b/trackspread/storage/journal.py
@@ -1,13 +1,11 @@
-"""One stream of a journal while it is written: places in order, segments ahead of need, what is committed.
-
-May know: slots, areas. May not know: threads, when a call is made, what a payload means. Rules:
-
-- A stream is one life of one process and is never written again: a place is given out once, by one life.
-- What was appended is in the page cache when `append` returns: it outlives the process. It outlives the
-  machine from when it is committed, and only what is committed leaves this machine.
-- Whatever is not committed is kept here too: where a sync failed nobody can say what is on the disk, so the
-  stream ends at what was committed and the rest is written anew, into a new one.
-- An append that finds no room says so; it never waits.
+"""The writer of one journal stream: sequence numbers, segments allocated in advance, and group commits.
+
+- Each process writes one new stream and never reopens an older one, so a sequence number is used only once.
+- A record is in the page cache when `append` returns, so it survives the process. It survives the machine
+  once it is committed; only committed records are sent to other machines.
+- Records that are not committed stay in memory too. After a failed sync the content of the disk is unknown:
+  the stream ends at its last committed record, and the caller writes the pending records to a new stream.
+- `append` never waits: it returns False if there is no free slot.
 """
 
 from __future__ import annotations
@@ -16,23 +14,27 @@
 from dataclasses import dataclass
 
 from .calls import Sync
-from .seam import Area
-from .slots import Head, pack_mark, pack_slot, place, seed_of
+from .interfaces import Area
+from .slots import Head, checksum_seed, pack_mark, pack_slot, slot_offset
 
-MARK_EVERY = 256  # slots between marks: 0.4% of the room, and damage is told from a torn end to within that
-AHEAD = 0.5  # part of a segment that may be left when the next one is made
+MARK_EVERY = 256  # slots between marks; behind the last mark, damage can't be told from a torn write
+ALLOCATE_AT_FREE_FRACTION = 0.5  # of the current segment: the next one is allocated from there on
 
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """One group: the call that commits it, and the last place it holds."""
+    """One group of records: the disk call that commits it, and the sequence number of its last slot."""
 
     call: Sync
     upto: int
 
 
 class Journal:
-    """The writer of one stream. `next`: the place of the next slot. `committed`: the last one on the disk."""
+    """The writer of one stream.
+
+    `next` is the sequence number of the next slot, `committed` that of the last slot known to be on the disk,
+    and `pending` holds the payloads behind it, marks included.
+    """
 
     def __init__(self, head: Head, area: Area) -> None:
         self.epoch = head.epoch
@@ -40,96 +42,103 @@
         self.slots = head.slots
         self.next = 1
         self.committed = 0
-        self.pending: deque[bytes] = deque()  # payloads behind `committed`, marks too
-        self._seed = seed_of(head.nonce)
-        self._marked = 0
+        self.pending: deque[bytes] = deque()
+        self._seed = checksum_seed(head.nonce)
+        self._marked = 0  # `committed` as the last mark states it
         self._head = head
         self._area = area
-        self._ended = False
+        self._final_mark_written = False
         self._spare: Area | None = None
-        self._dirty: dict[int, Area] = {0: area}  # by index: what the next commit has to sync
+        self._dirty: dict[int, Area] = {0: area}  # by segment index: what the next commit has to sync
 
     def head(self, index: int) -> Head:
+        """Returns the head of this stream's segment number `index`."""
         return Head(self.epoch, index, self.slots, self.nonce)
 
     @property
     def index(self) -> int:
-        """Of the segment that is written."""
+        """The number of the segment that is being written."""
         return self._head.index
 
-    @property
-    def active(self) -> tuple[int, Area]:
-        return self._head.index, self._area
+    def free_slots(self) -> int:
+        """Returns how many slots can be written now. Pending slots are limited to one segment's number."""
+        allocated = self._free_in_segment() + (self.slots if self._spare is not None else 0)
+        return min(allocated, self.slots - len(self.pending))
 
-    def room(self) -> int:
-        """Slots that can be appended now. What is not committed never fills more than a segment."""
-        here = self._head.last - self.next + 1 + (self.slots if self._spare is not None else 0)
-        return min(here, self.slots - len(self.pending))
+    def needed_segment(self) -> Head | None:
+        """Returns the head of the segment that should be allocated now, or None."""
+        if self._spare is not None or self._free_in_segment() > self.slots * ALLOCATE_AT_FREE_FRACTION:
+            return None
+        return self.head(self.index + 1)
 
-    def wants(self) -> Head | None:
-        """The segment that should be made now."""
-        left = self._head.last - self.next + 1
-        return self.head(self.index + 1) if self._spare is None and left <= self.slots * AHEAD else None
+    def _free_in_segment(self) -> int:
+        return self._head.last - self.next + 1
 
-    def provide(self, area: Area) -> None:
+    def add_segment(self, area: Area) -> None:
+        """Takes the file that was created for `needed_segment`."""
         self._spare = area
 
     def append(self, payload: bytes) -> bool:
-        """False where there is no room: nothing was written then."""
-        mark = self.next - self._marked > MARK_EVERY and self.committed > self._marked
-        if self.room() < 1 + mark:
+        """Writes one record. Returns False, with nothing written, if there is no free slot."""
+        mark_due = self.next - self._marked > MARK_EVERY and self.committed > self._marked
+        if self.free_slots() < 1 + mark_due:
             return False
-        if mark:
-            self._mark()
-        self._put(payload)
+        if mark_due:
+            self._write_mark()
+        self._write_slot(payload)
         return True
 
-    def ended(self) -> bool:
-        """Whether a last mark says that all records are on the disk; the first time one is written that
-        does, if there are records. To be asked when nothing is pending."""
-        if self._ended or not self.committed or self.room() < 1:
+    def write_final_mark(self) -> bool:
+        """Ends the stream with a mark that covers all records; to be called while nothing is pending.
+
+        Returns False if the mark was written just now and has to be committed, True if there is nothing left
+        to do: it was written before, there are no records, or there is no free slot.
+        """
+        if self._final_mark_written or not self.committed or self.free_slots() < 1:
             return True
-        self._ended = True
-        self._mark()
+        self._final_mark_written = True
+        self._write_mark()
         return False
 
-    def _mark(self) -> None:
+    def _write_mark(self) -> None:
         self._marked = self.committed
-        self._put(pack_mark(self.committed))
+        self._write_slot(pack_mark(self.committed))
 
-    def _put(self, payload: bytes) -> None:
+    def _write_slot(self, payload: bytes) -> None:
         if self.next > self._head.last:
             assert self._spare is not None
             self._head = self.head(self.index + 1)
             self._area = self._spare
             self._spare = None
-        self._area.write(place(self._head, self.next), pack_slot(payload, self._seed, self.next))
+        self._area.write(slot_offset(self._head, self.next), pack_slot(payload, self._seed, self.next))
         self._dirty[self.index] = self._area
         self.pending.append(payload)
         self.next += 1
 
     def commit(self) -> Commit | None:
-        """The group that is to be committed next; one at a time."""
+        """Returns the next group to commit, or None if nothing is pending. One group at a time is in work."""
         if not self.pending:
             return None
         return Commit(Sync(tuple(self._dirty.values())), self.next - 1)
 
     def synced(self, commit: Commit) -> list[Area]:
-        """The group is on the disk. Gives the segments that are written to their end, to be closed."""
+        """Records that a group is on the disk. Returns the full segments, which the caller closes."""
         while self.committed < commit.upto:
             self.committed += 1
             self.pending.popleft()
-        past = [index for index in self._dirty if index < self.index]
-        full = [index for index in past if self.committed >= self.head(index).last]
+        earlier = [index for index in self._dirty if index < self.index]
+        full = [index for index in earlier if self.committed >= self.head(index).last]
         return [self._dirty.pop(index) for index in full]
 
     def areas(self) -> list[Area]:
-        """All that are open."""
-        open_here = {**self._dirty, self.index: self._area}
-        return [*open_here.values(), *([self._spare] if self._spare is not None else [])]
+        """Returns all open segment files."""
+        areas = list({**self._dirty, self.index: self._area}.values())
+        if self._spare is not None:
+            areas.append(self._spare)
+        return areas
 
     def area(self, head: Head) -> Area | None:
-        """The open segment that `head` names, if it is one of this stream's."""
+        """Returns the open file of segment `head`, or None if it is not open or of another stream."""
         if head.epoch != self.epoch:
             return None
         return self._area if head.index == self.index else self._dirty.get(head.index)
--- a/trackspread/storage/slots.py
+++ b/trackspread/storage/slots.py
@@ -1,13 +1,11 @@
-"""Layout of a journal's segment: a head, then slots of one size, each with a check of its own.
-
-May know: bytes. May not know: files, what a payload means.
-
-- A slot's check hangs on its stream and its place: nothing that was written elsewhere, or by a former life,
-  can pass for it.
-- A slot that does not check says nothing about those behind it: each stands for itself.
-- Zeros are a slot that was never written; a payload begins with a byte that is not zero.
-- Marks take slots too. A mark says how far the stream was on the disk before the mark was written: a bad slot
-  up to there is damage, one behind the last mark may be torn.
+"""Layout of a journal segment: a head, then slots of one size, each with its own checksum.
+
+- A slot's checksum covers its stream and its sequence number, so a slot of another stream or another place in
+  the file is never accepted.
+- Slots are checked independently: a bad slot says nothing about those behind it.
+- A slot of zeros was never written; the first byte of a payload is never zero.
+- Marks take slots too. A mark states how much of the stream was on the disk before the mark was written: a
+  bad slot up to there is damage, and one behind the last mark may be a torn write.
 """
 
 from __future__ import annotations
@@ -17,19 +15,23 @@
 
 import xxhash
 
-PAYLOAD = 40  # bytes
-SLOT = PAYLOAD + 4
-MARK = 0xFF  # first byte of a mark's payload; those of others are 1 to 254
-MAGIC, LAYOUT = b"TSJL", 1
-_HEAD, _HEAD_CHECK = struct.Struct("<4sHHIIQ16s"), struct.Struct("<Q")
-HEAD = 48  # bytes, `_HEAD` with its check
-_CHECK, _MARK = struct.Struct("<I"), struct.Struct("<B7xQ24x")
-_NOTHING = bytes(SLOT)
-_SPREAD = 0x9E3779B1  # odd: neighbours' seeds differ in many bits
+PAYLOAD_BYTES = 40
+SLOT_BYTES = PAYLOAD_BYTES + 4  # with the checksum
+HEAD_BYTES = 48  # with the checksum
+MARK = 0xFF  # first byte of a mark's payload; other payloads begin with 1 to 254
+MAGIC = b"TSJL"
+LAYOUT = 1
+_HEAD = struct.Struct("<4sHHIIQ16s")
+_HEAD_CHECKSUM = struct.Struct("<Q")
+_SLOT_CHECKSUM = struct.Struct("<I")
+_MARK = struct.Struct("<B7xQ24x")
+_EMPTY_SLOT = bytes(SLOT_BYTES)
+_SEED_MULTIPLIER = 0x9E3779B1  # odd, so that seeds of adjacent slots differ in many bits
+_UINT32 = 0xFFFFFFFF
 
 
 class SegmentError(ValueError):
-    """A head that can't be read; `newer` where a newer program wrote it."""
+    """A head that can't be read; `newer` is set if a newer version of the program wrote it."""
 
     def __init__(self, text: str, newer: bool = False) -> None:
         super().__init__(text)
@@ -38,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Which part of which stream a segment holds: slots `first` to `first + slots - 1`, from 1."""
+    """Identifies a segment: part `index` of stream `epoch`, with a number of `slots`.
+
+    `nonce` is random and the same in all segments of the stream.
+    """
 
     epoch: int
     index: int
@@ -47,67 +52,82 @@
 
     @property
     def first(self) -> int:
+        """The sequence number of the first slot; a stream counts from 1."""
         return self.index * self.slots + 1
 
     @property
     def last(self) -> int:
+        """The sequence number of the last slot."""
         return self.first + self.slots - 1
 
     @property
     def size(self) -> int:
-        return HEAD + self.slots * SLOT
+        """The size of the file in bytes."""
+        return HEAD_BYTES + self.slots * SLOT_BYTES
 
 
 def pack_head(head: Head) -> bytes:
-    body = _HEAD.pack(MAGIC, LAYOUT, SLOT, head.epoch, head.index, head.slots, head.nonce)
-    return body + _HEAD_CHECK.pack(xxhash.xxh3_64_intdigest(body))
+    """Encodes a head with its checksum."""
+    body = _HEAD.pack(MAGIC, LAYOUT, SLOT_BYTES, head.epoch, head.index, head.slots, head.nonce)
+    return body + _HEAD_CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
 
 
 def unpack_head(data: bytes) -> Head:
-    if len(data) < HEAD or data[:4] != MAGIC:
+    """Decodes the head of a complete segment; raises `SegmentError`."""
+    if len(data) < HEAD_BYTES or data[:4] != MAGIC:
         raise SegmentError("not a segment")
     body = data[: _HEAD.size]
     _, layout, slot, epoch, index, slots, nonce = _HEAD.unpack(body)
-    if _HEAD_CHECK.unpack_from(data, _HEAD.size)[0] != xxhash.xxh3_64_intdigest(body):
+    if _HEAD_CHECKSUM.unpack_from(data, _HEAD.size)[0] != xxhash.xxh3_64_intdigest(body):
         raise SegmentError("the head's checksum does not fit")
     if layout > LAYOUT:
-        raise SegmentError(f"found layout {layout}, which a newer program wrote, wanted {LAYOUT}", True)
-    if slot != SLOT or len(data) < HEAD + slots * SLOT:
+        raise SegmentError(f"found layout {layout}, which a newer program wrote, wanted {LAYOUT}", newer=True)
+    if slot != SLOT_BYTES or len(data) < HEAD_BYTES + slots * SLOT_BYTES:
         raise SegmentError("the segment is shorter than its head says")
     return Head(epoch, index, slots, nonce)
 
 
-def seed_of(nonce: bytes) -> int:
+def checksum_seed(nonce: bytes) -> int:
+    """Returns the seed of a stream's slot checksums."""
     return xxhash.xxh32_intdigest(nonce)
 
 
 def pack_slot(payload: bytes, seed: int, sequence: int) -> bytes:
-    return payload + _CHECK.pack(xxhash.xxh32_intdigest(payload, seed ^ (sequence * _SPREAD & 0xFFFFFFFF)))
+    """Encodes one slot: a payload of `PAYLOAD_BYTES` and its checksum at place `sequence` of the stream."""
+    slot_seed = seed ^ (sequence * _SEED_MULTIPLIER & _UINT32)
+    return payload + _SLOT_CHECKSUM.pack(xxhash.xxh32_intdigest(payload, slot_seed))
 
 
 def pack_mark(upto: int) -> bytes:
+    """Encodes the payload of a mark: all slots up to sequence number `upto` are on the disk."""
     return _MARK.pack(MARK, upto)
 
 
 @dataclass(slots=True)
 class Scan:
-    """What a run of slots holds. `bad`: places that were written and don't check; which of them are damage
-    and which merely torn, the marks say."""
+    """What a range of slots holds, by sequence number.
+
+    `payloads` are those of valid slots other than marks. `bad` are written slots whose checksum is wrong; the
+    marks decide which are damaged and which merely torn. `last` is the last written slot, valid or not, and
+    `marked` the highest sequence number that a mark states; both are 0 if there is none.
+    """
 
-    payloads: dict[int, bytes] = field(default_factory=dict)  # by place, marks left out
+    payloads: dict[int, bytes] = field(default_factory=dict)
     bad: list[int] = field(default_factory=list)
-    last: int = 0  # the last place that was written, whether it checks or not; 0 for none
-    marked: int = 0  # by the last mark
+    last: int = 0
+    marked: int = 0
 
 
 def scan(data: bytes, head: Head, first: int) -> Scan:
-    """The slots in `data`, which begins with that of place `first`; every slot by itself."""
-    found, seed = Scan(), seed_of(head.nonce)
-    for at in range(0, len(data) - SLOT + 1, SLOT):
-        slot, sequence = data[at : at + SLOT], first + at // SLOT
-        if slot == _NOTHING:
+    """Decodes the slots in `data`, of which the first has sequence number `first`."""
+    found = Scan()
+    seed = checksum_seed(head.nonce)
+    for offset in range(0, len(data) - SLOT_BYTES + 1, SLOT_BYTES):
+        slot = data[offset : offset + SLOT_BYTES]
+        sequence = first + offset // SLOT_BYTES
+        if slot == _EMPTY_SLOT:
             continue
-        payload = slot[:PAYLOAD]
+        payload = slot[:PAYLOAD_BYTES]
         if pack_slot(payload, seed, sequence) != slot:
             found.bad.append(sequence)
         elif payload[0] == MARK:
@@ -118,11 +138,11 @@
     return found
 
 
-def written(data: bytes) -> int:
-    """How many slots of a segment reach up to the last one that was ever written; `data` without its head."""
-    return -(-len(data.rstrip(b"\0")) // SLOT)
+def count_written_slots(data: bytes) -> int:
+    """Returns the number of slots up to the last written one; `data` is a segment without its head."""
+    return -(-len(data.rstrip(b"\0")) // SLOT_BYTES)
 
 
-def place(head: Head, sequence: int) -> int:
-    """Where in its segment a slot begins, in bytes."""
-    return HEAD + (sequence - head.first) * SLOT
+def slot_offset(head: Head, sequence: int) -> int:
+    """Returns where slot `sequence` begins in its segment, in bytes."""
+    return HEAD_BYTES + (sequence - head.first) * SLOT_BYTES
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -12,7 +12,7 @@
 from ....storage import calls
 from ....storage.calls import Refresh, Result, Sync
 from ....storage.journal import Journal
-from ....storage.seam import Files
+from ....storage.interfaces import Files
 from ....storage.slots import Head, Scan
 from ....usage import exporter, ledger
 from ....usage.batch import Reply
--- a/trackspread/testing/virtual/usage/schedules.py
+++ b/trackspread/testing/virtual/usage/schedules.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from ....storage.slots import HEAD, SLOT
+from ....storage.slots import HEAD_BYTES, SLOT_BYTES
 from ....usage.ledger import Bounds, State
 from ....usage.record import Ending, Kind
 from .disk import Disk
@@ -212,10 +212,10 @@
         if names and self.schedule.bounds.full == "fold" and not self.clean:
             name = self.rng.choice(names)
             data = disk.files[name].cached
-            at = HEAD + self.rng.randrange((len(data) - HEAD) // SLOT) * SLOT
+            at = HEAD_BYTES + self.rng.randrange((len(data) - HEAD_BYTES) // SLOT_BYTES) * SLOT_BYTES
             if data[at] == Kind.USE:
                 self.flipped = True
-                disk.flip(name, at + self.rng.randrange(1, SLOT))
+                disk.flip(name, at + self.rng.randrange(1, SLOT_BYTES))
 
 
 def play(schedule: Schedule) -> tuple[list[str], World]:
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from ..storage.calls import segment_of
+from ..storage.calls import parse_segment_name
 from ..storage.document import DocumentError
-from ..storage.seam import Files
-from ..storage.slots import HEAD, Head, Scan, SegmentError, scan, unpack_head, written
+from ..storage.interfaces import Files
+from ..storage.slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, scan, unpack_head
 from .control import AREAS, Control, Names, Part, Stream, newest
 from .record import unpack
 from .totals import SCHEMA, SegmentTotals, Totals
@@ -60,12 +60,12 @@
     control, _, wrong, newer = newest(copies)
     found = Audit(control, newer, wrong=wrong)
     if control is None:
-        if any(segment_of(name) for name in names):
+        if any(parse_segment_name(name) for name in names):
             found.wrong.append("there are records, and no control that can be read")
         return found
     scans: dict[int, list[tuple[Head, Scan]]] = {}
     for name in names:
-        if (at := segment_of(name)) is None:
+        if (at := parse_segment_name(name)) is None:
             continue
         found.segments += 1
         data = files.load(name) or b""
@@ -78,7 +78,7 @@
             unpack_head(data)
         except SegmentError as error:
             found.wrong.append(f"{name}: {error}")
-        scans.setdefault(at[0], []).append((head, scan(data[HEAD:], head, head.first)))
+        scans.setdefault(at[0], []).append((head, scan(data[HEAD_BYTES:], head, head.first)))
     for epoch, stream in sorted(control.streams.items()):
         found.streams.append(_audit_stream(found, epoch, stream, scans.get(epoch, [])))
     for name in names:
@@ -184,7 +184,7 @@
     says where it is. Raises `DocumentError` where a newer program wrote."""
     control = Control(producer, names=[names])
     for name in files.names():
-        if (at := segment_of(name)) is None:
+        if (at := parse_segment_name(name)) is None:
             continue
         data = files.load(name) or b""
         try:
@@ -198,7 +198,7 @@
         stream = control.streams.setdefault(at[0], fresh)
         if stream.nonce != nonce:
             raise DocumentError(f"{name}: it is of another life than the others of its epoch")
-        stream.length = max(stream.length or 0, head.first - 1 + written(data[HEAD:]))
+        stream.length = max(stream.length or 0, head.first - 1 + count_written_slots(data[HEAD_BYTES:]))
         stream.kept = min(stream.kept, at[1])
         control.epoch = max(control.epoch, at[0])
     control.streams = {epoch: stream for epoch, stream in control.streams.items() if stream.length}
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -15,9 +15,9 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from ..storage.calls import Call, Look, Result, perform
+from ..storage.calls import Call, InspectFolder, Result, perform
 from ..storage.directory import Directory
-from ..storage.seam import Area
+from ..storage.interfaces import Area
 from .control import Names
 from .exporter import Post, Stage
 from .ledger import Bounds, UsageLedger
@@ -95,7 +95,7 @@
         result: Result | OSError
         try:
             if self._files is None:
-                if not isinstance(call, Look):
+                if not isinstance(call, InspectFolder):
                     raise OSError(errno.EBADF, "the folder is closed")
                 self._files = Directory(self._folder)
             result = perform(self._files, call)
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -21,9 +21,9 @@
 from enum import Enum
 from typing import cast
 
-from ..storage.calls import Call, Create, Found, Look, Read, Refresh, Result, Save
+from ..storage.calls import Call, Create, FolderContents, InspectFolder, Read, Refresh, Result, Save
 from ..storage.journal import Commit, Journal
-from ..storage.seam import Area
+from ..storage.interfaces import Area
 from ..storage.slots import MARK, Head, Scan
 from .control import AREA_SIZE, AREAS, STREAMS_MOST, Control, Names, Part, Stream, newest, pack
 from .exporter import Exporter, Post, Stage
@@ -149,7 +149,7 @@
         """Sums go to the journal as far as it has room."""
         assert self.journal is not None
         self._unfolded = now
-        while (use := self.meter.oldest()) is not None and self.journal.room():
+        while (use := self.meter.oldest()) is not None and self.journal.free_slots():
             if not self._append(now, pack_use(*use)):
                 break
             self.meter.written(use)
@@ -165,7 +165,7 @@
             if not self._may("look", now):
                 return None
             self.state = State.LOOKING
-            return self._start(Look(AREAS, AREA_SIZE), self._found, self._not_found)
+            return self._start(InspectFolder(AREAS, AREA_SIZE), self._found, self._not_found)
         if self.state is State.FOUND and self._may("refresh", now):
             names = self.segment_store.unsure(self.control)
             call = Refresh((self._areas[self._good],), names)
@@ -333,17 +333,21 @@
         journal, ending = self.journal, self._ending
         assert journal is not None
         waited = now - self._unfolded >= REFUSALS_MS * 1_000_000
-        room = self._owed and journal.room() > journal.slots // 4
+        room = self._owed and journal.free_slots() > journal.slots // 4
         if self.meter.sums and (ending or waited or room):
             self._unfold(now)
         due = ending or now - self._since >= self.bounds.commit or len(journal.pending) > journal.slots // 2
         if due and (commit := journal.commit()) is not None:
             return self._start(commit.call, lambda now, _: self._committed(now, commit), self._doubted)
         if ending and not journal.pending and not self.meter.sums:
-            if not journal.ended():
+            if not journal.write_final_mark():
                 return self._live(now)
             return self._end(now, journal) if self._may("end", now) else None
-        if (head := journal.wants()) is not None and self.segment_store.room() and self._may("segment", now):
+        if (
+            (head := journal.needed_segment()) is not None
+            and self.segment_store.room()
+            and self._may("segment", now)
+        ):
             return self._start(Create(head), self._provided, self._later("segment"))
         return None
 
@@ -358,7 +362,7 @@
 
     def _provided(self, now: int, area: Result) -> None:
         assert self.journal is not None
-        self.journal.provide(cast(Area, area))
+        self.journal.add_segment(cast(Area, area))
         self.segment_store.add(self.journal.epoch, self.journal.index + 1)
 
     def _committed(self, now: int, commit: Commit) -> None:
@@ -415,7 +419,7 @@
         self._later("look")(now, error)
 
     def _found(self, now: int, found: Result) -> None:
-        assert isinstance(found, Found)
+        assert isinstance(found, FolderContents)
         best, at, wrong, newer = newest([area.read() for area in found.areas])
         self.alarms += [f"use: {text}" for text in wrong]
         strangers = {at for at in found.segments if best is None or at[0] not in best.streams}
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -16,7 +16,16 @@
 from collections.abc import Callable
 from typing import Literal
 
-from ..storage.calls import Call, Found, Read, Remove, Replace, Result, segment_name, segment_of
+from ..storage.calls import (
+    Call,
+    FolderContents,
+    Read,
+    Remove,
+    Replace,
+    Result,
+    parse_segment_name,
+    segment_name,
+)
 from ..storage.journal import Journal
 from ..storage.slots import Head, Scan
 from .control import Control, Stream
@@ -48,12 +57,12 @@
         self._sum: SegmentTotals | None = None
         self._summed = False  # the sum of what is going is on the disk, or finds no room there
 
-    def found(self, control: Control, found: Found, strangers: set[At]) -> None:
+    def found(self, control: Control, found: FolderContents, strangers: set[At]) -> None:
         """What a former life left."""
         broken = {
             at: found.lengths.get(name, (0, 0))[1]
             for name in found.broken
-            if (at := segment_of(name)) is not None and at[0] in control.streams
+            if (at := parse_segment_name(name)) is not None and at[0] in control.streams
         }
         filled = {at: head.first - 1 + n for at, (head, n) in found.segments.items() if n}
         filled |= {at: at[1] * control.streams[at[0]].slots + n for at, n in broken.items() if n}
