--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -14,15 +14,15 @@
 from trackspread.decide.backends import EndpointUpdateKind
 from trackspread.decide.events import PlansChanged
 from trackspread.plans.calendar import (
-    SPAN_MOST_MS,
+    MAX_SPAN_MS,
     Fleet,
     Reservation,
-    admitted,
-    cancelled,
-    capacity,
+    admit_reservation,
+    cancel_reservation,
+    capacity_per_s,
     change_times,
-    reserved,
-    room,
+    reserved_rates,
+    available_per_s,
 )
 from trackspread.plans.notice import NOTICE_MS, PlanError
 from trackspread.plans.registry import SCHEMA, PlanRegistry, VersionFollower
@@ -36,18 +36,18 @@
 
 
 def test_the_model_says_what_the_fleet_gives_within_the_aim() -> None:
-    whole = capacity(FLEET)
+    whole = capacity_per_s(FLEET)
     assert 900 < whole < 1000, "a queue of 1 ms a unit gives 1,000 a second at most"
-    assert capacity(msgspec.structs.replace(FLEET, aim_ms=25.0)) < whole
-    assert capacity(msgspec.structs.replace(FLEET, aim_ms=20.5)) == 0.0, "one alone is later than that"
+    assert capacity_per_s(msgspec.structs.replace(FLEET, aim_ms=25.0)) < whole
+    assert capacity_per_s(msgspec.structs.replace(FLEET, aim_ms=20.5)) == 0.0, "one alone is later than that"
 
 
 def test_what_does_not_fit_is_refused_with_what_would() -> None:
-    fits = room(FLEET, (), NOW, NOW + 1)
-    made = admitted(FLEET, (), 7, fits - 10, NOW + NOTICE_MS, NOW + 60_000, NOW, "")
+    fits = available_per_s(FLEET, (), NOW, NOW + 1)
+    made = admit_reservation(FLEET, (), 7, fits - 10, NOW + NOTICE_MS, NOW + 60_000, NOW, "")
     with pytest.raises(PlanError, match="found 20 units a second, of which 10 would fit over the whole span"):
-        admitted(FLEET, (made,), 8, 20.0, NOW + 30_000, NOW + 90_000, NOW, "")
-    after = admitted(FLEET, (made,), 8, 20.0, NOW + 60_000, NOW + 90_000, NOW, "")
+        admit_reservation(FLEET, (made,), 8, 20.0, NOW + 30_000, NOW + 90_000, NOW, "")
+    after = admit_reservation(FLEET, (made,), 8, 20.0, NOW + 60_000, NOW + 90_000, NOW, "")
     assert after.number == 2 and change_times((made, after)) == [NOW + 5_000, NOW + 60_000, NOW + 90_000]
 
 
@@ -56,14 +56,14 @@
     [
         (1.0, NOW, NOW + 9_000, "from: found a moment 0.0 s from now, wanted at least 5 s"),
         (1.0, NOW + 9_000, NOW + 9_000, "to: found a span of 0 s"),
-        (1.0, NOW + 9_000, NOW + 9_001 + SPAN_MOST_MS, "to: found a span of"),
+        (1.0, NOW + 9_000, NOW + 9_001 + MAX_SPAN_MS, "to: found a span of"),
         (0.0, NOW + 9_000, NOW + 10_000, "rate: found 0, wanted more than 0"),
         (float("nan"), NOW + 9_000, NOW + 10_000, "rate: found nan, wanted more than 0"),
     ],
 )
 def test_a_reservation_that_cannot_be_meant_is_one_line(rate: float, start: int, end: int, line: str) -> None:
     with pytest.raises(PlanError) as caught:
-        admitted(FLEET, (), 7, rate, start, end, NOW, "")
+        admit_reservation(FLEET, (), 7, rate, start, end, NOW, "")
     assert str(caught.value).startswith(line)
 
 
@@ -76,30 +76,30 @@
         start = now + rng.randint(NOTICE_MS, 90_000)
         try:
             if rng.random() < 0.25 and held:
-                held = cancelled(held, rng.choice(held).number, now)
+                held = cancel_reservation(held, rng.choice(held).number, now)
             else:
                 rate, end = rng.uniform(1, 500), start + rng.randint(1, 120_000)
-                held = (*held, admitted(FLEET, held, rng.randrange(5), rate, start, end, now, ""))
+                held = (*held, admit_reservation(FLEET, held, rng.randrange(5), rate, start, end, now, ""))
         except PlanError:
             refused += 1
-        limit = capacity(FLEET) - FLEET.kept
+        limit = capacity_per_s(FLEET) - FLEET.kept
         for moment in change_times(held):
-            assert sum(reserved(held, moment).values()) <= limit * (1 + 1e-9)
+            assert sum(reserved_rates(held, moment).values()) <= limit * (1 + 1e-9)
     assert refused and len(held) > 5
 
 
 def test_a_cancelled_one_gives_its_rate_back_from_then_on() -> None:
-    made = admitted(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
-    early, late = cancelled((made,), 1, NOW + 1), cancelled((made,), 1, NOW + 20_000)
-    assert reserved(early, NOW + 15_000) == {}
-    assert reserved(late, NOW + 15_000) == {7: 100.0} and reserved(late, NOW + 20_000) == {}
+    made = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
+    early, late = cancel_reservation((made,), 1, NOW + 1), cancel_reservation((made,), 1, NOW + 20_000)
+    assert reserved_rates(early, NOW + 15_000) == {}
+    assert reserved_rates(late, NOW + 15_000) == {7: 100.0} and reserved_rates(late, NOW + 20_000) == {}
     for again in (early, (made,)):
         with pytest.raises(PlanError, match="wanted one that stands and is not over"):
-            cancelled(again, 1, NOW + 70_000)
+            cancel_reservation(again, 1, NOW + 70_000)
 
 
 def test_uptake_begins_and_ends_a_reservation_at_its_moments_and_after_a_restart() -> None:
-    made = admitted(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
+    made = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
     follower = VersionFollower()
     follower.read(PlanRegistry(reservations=(made,)))
     assert follower.reservations(NOW) is None and follower.wait(NOW) == 10_000
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -28,11 +28,11 @@
     PlanRegistry,
     Version,
     VersionFollower,
-    applied,
-    differences,
+    add_version,
+    plan_differences,
     in_force,
-    upcoming,
-    withdrawn,
+    next_version,
+    withdraw_version,
 )
 
 from .fakes import run, until, world
@@ -47,7 +47,7 @@
 def _registry(*changes: tuple[dict[str, Figures], int]) -> PlanRegistry:
     registry = PlanRegistry()
     for plans, since in changes:
-        registry = applied(registry, plans, since, NOW, "")
+        registry = add_version(registry, plans, since, NOW, "")
     return registry
 
 
@@ -56,19 +56,19 @@
     assert in_force(registry, NOW) is None
     first, second = in_force(registry, NOW + NOTICE_MS), in_force(registry, NOW + 60_000)
     assert first is not None and second is not None and (first.number, second.number) == (1, 2)
-    assert upcoming(registry, NOW + NOTICE_MS) == second and upcoming(registry, NOW + 60_000) is None
+    assert next_version(registry, NOW + NOTICE_MS) == second and next_version(registry, NOW + 60_000) is None
     assert SCHEMA.unpack(SCHEMA.pack(registry), PlanRegistry) == registry
 
 
 def test_a_version_may_be_withdrawn_until_gateways_rely_on_it() -> None:
-    registry = withdrawn(_registry((FULL, NOW + 20_000), (LESS, NOW + 60_000)), 1, NOW)
+    registry = withdraw_version(_registry((FULL, NOW + 20_000), (LESS, NOW + 60_000)), 1, NOW)
     assert in_force(registry, NOW + 30_000) is None and len(registry.versions) == 2
-    later = applied(registry, FULL, NOW + 90_000, NOW, "again")
+    later = add_version(registry, FULL, NOW + 90_000, NOW, "again")
     assert later.versions[-1].number == 3, "numbers are not used twice"
     with pytest.raises(PlanError, match="found 1, wanted one that stands"):
-        withdrawn(registry, 1, NOW)
+        withdraw_version(registry, 1, NOW)
     with pytest.raises(PlanError, match="in force within 5 s or already"):
-        withdrawn(registry, 2, NOW + 58_000)
+        withdraw_version(registry, 2, NOW + 58_000)
 
 
 @pytest.mark.parametrize(
@@ -85,18 +85,18 @@
 )
 def test_a_change_that_cannot_be_meant_is_one_line(plans: dict[str, Figures], since: int, line: str) -> None:
     with pytest.raises(PlanError) as caught:
-        applied(_registry((LESS, NOW + 60_000)), plans, since, NOW, "", {"basic", "full"})
+        add_version(_registry((LESS, NOW + 60_000)), plans, since, NOW, "", {"basic", "full"})
     assert str(caught.value).startswith(line)
 
 
 def test_differences_are_told_figure_by_figure() -> None:
-    assert differences(FULL, LESS) == [
+    assert plan_differences(FULL, LESS) == [
         "full.rate: 10 -> 5",
         "full.burst: 20 -> 10",
         "full.ceiling_rate: 0 -> 8",
         "full.ceiling_burst: 0 -> 12",
     ]
-    assert differences(FULL, FULL) == [] and differences({}, FULL) == ["full: named"]
+    assert plan_differences(FULL, FULL) == [] and plan_differences({}, FULL) == ["full: named"]
 
 
 @pytest.mark.parametrize("seed", range(100))
@@ -106,8 +106,8 @@
     registry, clocks = PlanRegistry(), [rng.randint(-500, 500) for _ in range(5)]
     followers, taken = [VersionFollower() for _ in clocks], [dict[int, int]() for _ in clocks]
     for now in range(NOW, NOW + 40_000, 50):
-        if rng.random() < 0.01 and upcoming(registry, now) is None:
-            registry = applied(registry, FULL, now + rng.randint(NOTICE_MS, 9_000), now, "")
+        if rng.random() < 0.01 and next_version(registry, now) is None:
+            registry = add_version(registry, FULL, now + rng.randint(NOTICE_MS, 9_000), now, "")
         for number, (follower, clock) in enumerate(zip(followers, clocks, strict=True)):
             if (now + 200 * number) % 1000 == 0 and rng.random() < 0.9:
                 follower.read(registry)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,9 +33,9 @@
 from trackspread.handover import wire
 from trackspread.membership.event_log import EventLog
 from trackspread.node.handover_state import HandoverState, Progress
-from trackspread.plans.calendar import Fleet, Reservation, cancelled
+from trackspread.plans.calendar import Fleet, Reservation, cancel_reservation
 from trackspread.plans.registry import SCHEMA as REGISTRY
-from trackspread.plans.registry import Figures, applied, in_force
+from trackspread.plans.registry import Figures, add_version, in_force
 from trackspread.storage.directory import Directory
 from trackspread.testing.judge.membership_records import Reader
 from trackspread.testing.standins.billing import Billing, Known, Plain
@@ -237,11 +237,11 @@
     path = tmp_path / "plans.json"
     shutil.copy(DATA / "plans.json", path)
     before, now = load_registry(path), MADE + 200_000
-    change_registry(path, lambda registry: applied(registry, {"team": TEAM}, now + 60_000, now, "back"))
+    change_registry(path, lambda registry: add_version(registry, {"team": TEAM}, now + 60_000, now, "back"))
     change_registry(
         path,
         lambda registry: msgspec.structs.replace(
-            registry, reservations=cancelled(registry.reservations, 1, now)
+            registry, reservations=cancel_reservation(registry.reservations, 1, now)
         ),
     )
     after = load_registry(path)
--- a/trackspread/commands/plans.py
+++ b/trackspread/commands/plans.py
@@ -20,7 +20,16 @@
 from ..config import platform
 from ..config.addresses import ConfigError
 from ..plans.notice import PlanError
-from ..plans.registry import SCHEMA, PlanRegistry, Plans, applied, check, differences, in_force, withdrawn
+from ..plans.registry import (
+    SCHEMA,
+    PlanRegistry,
+    Plans,
+    add_version,
+    check_plans,
+    plan_differences,
+    in_force,
+    withdraw_version,
+)
 from ..storage.document import DocumentError
 from ..usage.senders import put
 
@@ -41,12 +50,12 @@
             plans, names = _proposal(given.file, _names(given.config)), _names(given.config)
             since = parse_time(given.since, now)
             registry = change_registry(
-                given.book, lambda registry: applied(registry, plans, since, now, given.note, names)
+                given.book, lambda registry: add_version(registry, plans, since, now, given.note, names)
             )
             print(f"version {registry.versions[-1].number} is in force from {shown(since)} on")
             return 0
         case _:
-            change_registry(given.book, lambda registry: withdrawn(registry, given.number, now))
+            change_registry(given.book, lambda registry: withdraw_version(registry, given.number, now))
             print(f"version {given.number} is withdrawn")
             return 0
 
@@ -89,7 +98,7 @@
 def _proposal(path: Path, names: set[str] | None) -> Plans:
     try:
         plans = msgspec.convert(tomllib.loads(path.read_text()), _Proposal, strict=False).plans
-        check(plans, names)
+        check_plans(plans, names)
         return plans
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
@@ -128,7 +137,7 @@
             else "past"
         )
         print(f"{version.number:>4} from {shown(version.since)} {state:<9} {version.note}".rstrip())
-        for line in differences(before, version.plans):
+        for line in plan_differences(before, version.plans):
             print(f"       {line}")
         before = before if version.withdrawn else version.plans
     return 0
@@ -137,6 +146,6 @@
 def _diff(registry: PlanRegistry, plans: Plans, now: int) -> int:
     """Exit status 1 where something differs, as `diff` has it."""
     current = in_force(registry, now)
-    lines = differences(current.plans if current is not None else {}, plans)
+    lines = plan_differences(current.plans if current is not None else {}, plans)
     print("\n".join(lines) or "nothing would change")
     return 1 if lines else 0
--- a/trackspread/commands/reserve.py
+++ b/trackspread/commands/reserve.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..config.addresses import ConfigError
-from ..plans.calendar import Fleet, admitted, cancelled, capacity, room
+from ..plans.calendar import Fleet, admit_reservation, cancel_reservation, capacity_per_s, available_per_s
 from ..plans.registry import PlanRegistry
 from .plans import change_registry, load_registry, parse_time, shown
 
@@ -29,7 +29,7 @@
             change_registry(
                 given.book,
                 lambda registry: msgspec.structs.replace(
-                    registry, reservations=cancelled(registry.reservations, given.number, now)
+                    registry, reservations=cancel_reservation(registry.reservations, given.number, now)
                 ),
             )
             print(f"reservation {given.number} is given back")
@@ -37,7 +37,7 @@
             fleet = _fleet(given)
             change_registry(given.book, lambda registry: msgspec.structs.replace(registry, fleet=fleet))
             print(
-                f"{capacity(fleet):.6g} units a second within {fleet.aim_ms:g} ms, "
+                f"{capacity_per_s(fleet):.6g} units a second within {fleet.aim_ms:g} ms, "
                 f"{fleet.kept:g} of them kept"
             )
         case _:
@@ -61,7 +61,9 @@
     customer = int(given.member, 16)
 
     def change(registry: PlanRegistry) -> PlanRegistry:
-        made = admitted(registry.fleet, registry.reservations, customer, rate, start, end, now, given.note)
+        made = admit_reservation(
+            registry.fleet, registry.reservations, customer, rate, start, end, now, given.note
+        )
         return msgspec.structs.replace(registry, reservations=(*registry.reservations, made))
 
     made = change_registry(given.book, change).reservations[-1]
@@ -90,5 +92,7 @@
     if registry.fleet is None:
         print("the fleet is not described: nothing can be reserved (`trackspread reserve fleet`)")
         return
-    fits = room(registry.fleet, registry.reservations, now, now + 1)
-    print(f"the fleet gives {capacity(registry.fleet):.6g} units a second; {fits:.6g} can be reserved now")
+    fits = available_per_s(registry.fleet, registry.reservations, now, now + 1)
+    print(
+        f"the fleet gives {capacity_per_s(registry.fleet):.6g} units a second; {fits:.6g} can be reserved now"
+    )
--- a/trackspread/node/plan_registry_part.py
+++ b/trackspread/node/plan_registry_part.py
@@ -16,7 +16,7 @@
 from ..config.platform import Config
 from ..decide.events import PlansChanged
 from ..decide.settings import Plan
-from ..plans.calendar import MEMBERS_BURST_S
+from ..plans.calendar import TENANT_BURST_S
 from ..plans.registry import SCHEMA, PlanRegistry, Version, VersionFollower
 from ..storage.document import DocumentError
 
@@ -72,7 +72,7 @@
 
     def _report_change(self) -> None:
         reservations = tuple(
-            (tenant, rate, MEMBERS_BURST_S * rate) for tenant, rate in sorted(self._follower.reserved.items())
+            (tenant, rate, TENANT_BURST_S * rate) for tenant, rate in sorted(self._follower.reserved.items())
         )
         self._changed(PlansChanged(self._plans, reservations))
 
--- a/trackspread/plans/__init__.py
+++ b/trackspread/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Plans as data with a history: versions of their figures, each with the moment from which it is in force."""
+"""Versioned plan limits, each version with the time from which it is in force, and reservations."""
--- a/trackspread/plans/notice.py
+++ b/trackspread/plans/notice.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-NOTICE_MS = 5_000  # over twice the time between two looks at the registry, and clocks that differ by a second
+# Over twice the interval between two reads of the registry, with a clock difference of up to a second.
+NOTICE_MS = 5_000
 
 
 class PlanError(ValueError):
-    """A change that can't be taken; the text says what was found and what is wanted."""
+    """A rejected change; the text says what was found and what is wanted."""
--- a/trackspread/storage/__init__.py
+++ b/trackspread/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of one process: files, an append-only journal of fixed-size slots, and versioned documents."""
+"""Durable state of one process: files, an append-only journal of slots, and versioned documents."""
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -143,6 +143,16 @@
     match call:
         case Create(head):
             return _create(files, head)
+        case Read():
+            return _read(files, call)
+        case InspectFolder():
+            return _inspect(files, call)
+    _change(files, call)
+    return None
+
+
+def _change(files: Files, call: Sync | Save | Replace | Remove | Refresh) -> None:
+    match call:
         case Sync(areas):
             for area in areas:
                 area.sync()
@@ -151,16 +161,11 @@
             area.sync()
         case Replace(name, data):
             files.replace(name, data)
-        case Read():
-            return _read(files, call)
         case Remove(names):
             for name in names:
                 files.remove(name)
         case Refresh():
             _refresh(files, call)
-        case InspectFolder():
-            return _inspect(files, call)
-    return None
 
 
 def _create(files: Files, head: Head) -> Area:
