--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -7,8 +7,8 @@
 
 from trackspread.backends.attempt import Attempt
 from trackspread.backends.adapter import LoadReport
-from trackspread.control.door import CALLERS_MOST, HEAD_MOST
-from trackspread.control.figures import CLASSES_MOST, Figures
+from trackspread.control.admin_server import MAX_CONNECTIONS, MAX_HEAD_BYTES
+from trackspread.control.counters import MAX_CLASSES, RequestCounters
 from trackspread.decide.events import Outcome
 from trackspread.node.gateway import Gateway
 from trackspread.usage.record import Ending
@@ -149,7 +149,7 @@
             assert node.door is not None
             await soon(node.start())
             port = node.door.port
-            held = [await asyncio.open_connection(LOCAL, port) for _ in range(3 * CALLERS_MOST)]
+            held = [await asyncio.open_connection(LOCAL, port) for _ in range(3 * MAX_CONNECTIONS)]
             for _, writer in held:
                 writer.write(b"GET /stats HT")
             assert (await figures(port))["in_flight"] == 0
@@ -159,7 +159,7 @@
             for words, wanted in (
                 (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", 404),
                 (b"POST /stats HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
-                (b"GET /stats HTTP/1.1\r\nX: " + b"x" * (HEAD_MOST + 1), 431),
+                (b"GET /stats HTTP/1.1\r\nX: " + b"x" * (MAX_HEAD_BYTES + 1), 431),
                 (b"*1\r\n$4\r\nPING\r\n\r\n", 400),
             ):
                 assert await status(port, words) == wanted, words[:40]
@@ -173,12 +173,12 @@
 
 
 def test_lines_of_dropped_classes_stay_while_there_is_room() -> None:
-    made = Figures([b"a", b"b"])
+    made = RequestCounters([b"a", b"b"])
     made.ended(b"a", Ending.SERVED)
     made.configured([b"b", b"c"])
     made.ended(b"a", Ending.LEFT)
     lines = made.lines(1, 2, 3).splitlines()
     assert {"router.served.a=1", "router.refused.c=0", "router.backends_excluded=3"} <= set(lines)
-    for number in range(2 * CLASSES_MOST):
+    for number in range(2 * MAX_CLASSES):
         made.configured([b"n%d" % number])
-    assert sum("served" in line for line in made.lines(0, 0, 0).splitlines()) == CLASSES_MOST
+    assert sum("served" in line for line in made.lines(0, 0, 0).splitlines()) == MAX_CLASSES
--- a/trackspread/control/__init__.py
+++ b/trackspread/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: whether this process is ready, and its figures (`docs/operators-door.md`)."""
+"""The admin server: readiness and counters of this process for operators (`docs/operators-door.md`)."""
--- a/trackspread/node/door_reports.py
+++ b/trackspread/node/door_reports.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..control.door import Answer, Answers
+from ..control.admin_server import Response, Routes
 from ..decide.report import service_reports, unavailable_backends
 from ..decide.services import ServiceBrokers
 from .backend_list import BackendList
@@ -27,26 +27,26 @@
         self._backend_list = backend_list
         self._is_serving = is_serving
 
-    def answers(self) -> Answers:
+    def answers(self) -> Routes:
         """The reports by path."""
-        answers: Answers = {b"/healthcheck": self._health, b"/stats": self._stats}
+        answers: Routes = {b"/healthcheck": self._health, b"/stats": self._stats}
         if isinstance(self._handler.decision_module, ServiceBrokers):
             answers[b"/services"] = self._services
         return answers
 
-    def _health(self) -> Answer:
+    def _health(self) -> Response:
         """OK only while requests are accepted and can be served."""
         if self._is_serving() and self._handler.ready():
             return 200, "ok\n"
         return 503, "not ready\n"
 
-    def _stats(self) -> Answer:
+    def _stats(self) -> Response:
         handler = self._handler
         open_requests = sum(not request.is_closed for request in handler.requests.values())
         excluded_backends = unavailable_backends(handler.decision_module, handler.now())
         return 200, handler.figures.lines(open_requests, len(self._backend_list), excluded_backends)
 
-    def _services(self) -> Answer:
+    def _services(self) -> Response:
         module = self._handler.decision_module
         reports = service_reports(module, self._handler.now()) if isinstance(module, ServiceBrokers) else []
         return 200, msgspec.json.encode(reports).decode() + "\n"
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -18,7 +18,7 @@
 from ..config.operator import DEFAULTS, Operator
 from ..config.operator import needs_restart as tables_need_restart
 from ..config.platform import Config, needs_restart
-from ..control.door import Door
+from ..control.admin_server import AdminServer
 from ..decide.backends import EndpointUpdate, EndpointUpdateKind
 from ..decide.events import PeerMessage, PlansChanged
 from ..fronts.connections import Clients, PassOn
@@ -142,10 +142,10 @@
             config.accept_fd,
         )
 
-    def _make_door(self) -> Door | None:
+    def _make_door(self) -> AdminServer | None:
         if self.config.control is None:
             return None
-        return Door(self.config.control, self.reports.answers() | self.parts.door_answers())
+        return AdminServer(self.config.control, self.reports.answers() | self.parts.door_answers())
 
     def _apply_cached_list(self, carried: CarriedServices) -> int | None:
         """Take up the endpoint list last known; its version, or None where there is none to use."""
--- a/trackspread/node/optional_parts.py
+++ b/trackspread/node/optional_parts.py
@@ -14,7 +14,7 @@
 from ..call import Call
 from ..config.operator import Fleet, Operator
 from ..config.platform import Config
-from ..control.door import Answers
+from ..control.admin_server import Routes
 from ..decide.events import Event, PlansChanged
 from ..decide.report import Module
 from ..usage.record import Ending
@@ -58,9 +58,9 @@
         """The view that this gateway takes part in."""
         return self.membership or self.cell
 
-    def door_answers(self) -> Answers:
+    def door_answers(self) -> Routes:
         """What operators can ask of the parts, by path."""
-        answers: Answers = {}
+        answers: Routes = {}
         if self.fleet_view is not None:
             answers[b"/fleet"] = self.fleet_view.answer
         if self.configuration is not None:
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -21,7 +21,7 @@
 from ..config.operator import Services
 from ..config.platform import Config
 from ..config.roster import Roster
-from ..control.figures import Figures
+from ..control.counters import RequestCounters
 from ..decide.actions import Action, SetTimer
 from ..decide.backends import EndpointUpdate
 from ..decide.broker import Broker
@@ -70,7 +70,7 @@
         self.now = Clock()
         self.decision_module = self._make_decision_module()
         self.roster = Roster.first(config.classes, config.settings.classes)
-        self.figures = Figures(config.classes)
+        self.figures = RequestCounters(config.classes)
         self.requests: dict[int, Request] = {}
         self.open_request_ids: set[bytes] = set()  # of the requests that still owe an answer
         self.answer_by_ns: int | None = None  # once stopping: when every request has to be answered
