--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -19,7 +19,13 @@
         "membership/slot_allocation.py",
         CELLS,
     ),
-    Bound("members that `fleet.most` may be set to", "fleet_most", "gateways", "config/operator.py", CELLS),
+    Bound(
+        "members that `fleet.most` may be set to",
+        "fleet_most",
+        "gateways",
+        "config/fleet_tables.py",
+        CELLS,
+    ),
     Bound(
         "fields that a counter's name may hold, one a gateway",
         "counter_most",
--- a/trackspread/config/__init__.py
+++ b/trackspread/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway is told at its start."""
+"""Configuration of a gateway: the platform's, and the operator's file with what this project adds."""
--- a/trackspread/config/platform.py
+++ b/trackspread/config/platform.py
@@ -1,4 +1,7 @@
-"""Environment and JSON to typed values; the module's settings go through the adapter's own parser."""
+"""The platform's configuration: environment variables and a JSON file as typed values.
+
+The settings of the decision module are parsed as those of the simulator's start message are.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +17,35 @@
 from .addresses import Address, ConfigError, address
 
 
+LIVE = frozenset({"discovery", "seed", "known", "classes"})  # reloaded, or used at the start only
+LIVE_SETTINGS = frozenset({"classes", "max_attempts"})  # reloaded by a running gateway
+REQUIRED_AT_RELOAD = ("name", "listen", "discovery", "limits", "settings")
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 64
+MAX_DESCRIPTOR_DIGITS = 6
+
+
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one gateway is told at its start. Durations are in nanoseconds."""
+    """The platform's configuration of one gateway.
+
+    `sockets` limits the file descriptors and `memory` the bytes. `control` is the address of the admin
+    server, `accept_fd` an inherited listening socket, and `meeting` the folder in which a new process finds
+    an old one, or empty. `known` is an endpoint list from before the start. Time-outs are in nanoseconds.
+    """
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     sockets: int
-    memory: int  # bytes
+    memory: int
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    control: Address | None  # the operators' door
-    accept_fd: int | None  # descriptor of the clients' listening socket, where the platform holds it
-    meeting: str  # folder that an old process and a new one have in common; empty: none
+    control: Address | None
+    accept_fd: int | None
+    meeting: str
     known: dict[str, Any] | None
     settings: Settings
     classes: tuple[bytes, ...]
@@ -41,7 +57,7 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[str]:
-    """Nested settings as the `path=value` lines of the simulator's start message."""
+    """Yields nested settings as the `path=value` lines of the simulator's start message."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -50,29 +66,31 @@
         for number, item in enumerate(value):
             yield from flatten(item, f"{path}.{number}")
     elif isinstance(value, list):
-        yield f"{path}={','.join(_plain(item) for item in value)}"
+        yield f"{path}={','.join(_scalar(item) for item in value)}"
     elif value is not None:
-        yield f"{path}={_plain(value)}"
+        yield f"{path}={_scalar(value)}"
 
 
-def _plain(value: Any) -> str:
+def _scalar(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
-    # Separators inside a value would be read as structure; the start message replaces them likewise.
-    return "_".join(value.replace(",", " ").split(" ")) if isinstance(value, str) else str(value)
+    if isinstance(value, str):
+        # The start message replaces separators within a value in the same way.
+        return "_".join(value.replace(",", " ").split(" "))
+    return str(value)
 
 
-def _part(holder: Any, key: str, kind: type | tuple[type, ...], what: str) -> Any:
-    value = holder.get(key)
+def _required(table: Any, key: str, kind: type | tuple[type, ...], prefix: str) -> Any:
+    value = table.get(key)
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(f"{what}{key}: missing or of the wrong type")
+        raise ConfigError(f"{prefix}{key}: missing or of the wrong type")
     return value
 
 
 def _descriptor(text: str | None) -> int | None:
     if not text:
         return None
-    if not (text.isascii() and text.isdigit() and len(text) < 7):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
         raise ConfigError(f"ROUTER_ACCEPT_FD: {text!r} is no descriptor")
     try:
         os.fstat(int(text))
@@ -82,57 +100,58 @@
 
 
 def _names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    return tuple(str(item) for item in _part(settings, key, list, "settings."))
+    return tuple(str(item) for item in _required(settings, key, list, "settings."))
 
 
 def _name_keys(settings: dict[str, Any], key: str) -> tuple[bytes, ...]:
-    names = tuple(str(item.get("name")).encode() for item in _part(settings, key, list, "settings."))
+    names = tuple(str(item.get("name")).encode() for item in _required(settings, key, list, "settings."))
     if len(set(names)) < len(names):
         raise ConfigError(f"settings.{key}: a name stands twice")
     return names
 
 
-def _numbers(settings: dict[str, Any]) -> None:
-    """What the start message's text can't tell from a number: JSON's own words and texts."""
-    limits = _part(settings, "limits", dict, "settings.")
-    _part(limits, "maxAttempts", (int, float), "settings.limits.")
-    for at, each in enumerate(_part(settings, "classes", list, "settings.")):
-        if not isinstance(each, dict):
-            raise ConfigError(f"settings.classes.{at}: missing or of the wrong type")
-        _part(each, "deadline", (int, float), f"settings.classes.{at}.")
-
-
-LIVE = frozenset({"discovery", "seed", "known", "classes"})  # taken up, or of use at a start alone
-LIVE_SETTINGS = frozenset({"classes", "max_attempts"})  # taken up by a running gateway
-WANTED = ("name", "listen", "discovery", "limits", "settings")  # in a file that is to be taken up
+def _check_numbers(settings: dict[str, Any]) -> None:
+    """Raises `ConfigError` for strings and booleans that the start message would read as numbers."""
+    limits = _required(settings, "limits", dict, "settings.")
+    _required(limits, "maxAttempts", (int, float), "settings.limits.")
+    for number, entry in enumerate(_required(settings, "classes", list, "settings.")):
+        if not isinstance(entry, dict):
+            raise ConfigError(f"settings.classes.{number}: missing or of the wrong type")
+        _required(entry, "deadline", (int, float), f"settings.classes.{number}.")
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
-    """What a new configuration changes that a running gateway does not take up."""
+    """Returns the names of changed values that a running gateway does not reload."""
     changed = [
-        f.name
-        for f in fields(Config)
-        if f.name not in LIVE | {"settings"} and getattr(old, f.name) != getattr(new, f.name)
+        field.name
+        for field in fields(Config)
+        if field.name not in LIVE | {"settings"} and getattr(old, field.name) != getattr(new, field.name)
     ]
     return changed + [
-        f"settings.{f.name}"
-        for f in fields(Settings)
-        if f.name not in LIVE_SETTINGS and getattr(old.settings, f.name) != getattr(new.settings, f.name)
+        f"settings.{field.name}"
+        for field in fields(Settings)
+        if field.name not in LIVE_SETTINGS
+        and getattr(old.settings, field.name) != getattr(new.settings, field.name)
     ]
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The configuration as it is now. The environment is as old as the process: the file's `discovery`,
-    which is what moves under a running gateway, comes before it here."""
+    """Returns the current configuration for a running gateway; raises `ConfigError`.
+
+    The file's `discovery` takes precedence over the environment, which is as old as the process.
+    """
     raw = _read(environment)
-    for key in WANTED:
+    for key in REQUIRED_AT_RELOAD:
         if key not in raw:
             raise ConfigError(f"{key}: missing or of the wrong type")
     return parse(raw, {key: value for key, value in environment.items() if key != "ROUTER_DISCOVERY"})
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration named by the environment, whose own variables come before the file's values."""
+    """Returns the configuration from the file that ROUTER_CONFIG names; raises `ConfigError`.
+
+    Environment variables take precedence over the file's values.
+    """
     return parse(_read(environment), environment)
 
 
@@ -149,32 +168,31 @@
     return raw
 
 
+@dataclass(frozen=True, slots=True)
+class _ProcessLimits:
+    seed: int
+    sockets: int
+    memory: int
+
+
 def parse(raw: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    """Typed values from the JSON object; raises `ConfigError` on what is missing or impossible."""
-    nested = _part(raw, "settings", dict, "")
-    try:
-        settings = parse_settings("\n".join(flatten(nested)))
-    except SettingsError as error:
-        raise ConfigError(f"settings.{error}") from None
-    _numbers(nested)
+    """Returns the configuration of a decoded JSON file; raises `ConfigError`."""
+    nested = _required(raw, "settings", dict, "")
+    settings = _parse_settings(nested)
     limits = nested["limits"]
-    try:
-        seed = int(str(raw.get("seed", "0")), 16)
-        sockets = int(raw.get("limits", {}).get("sockets", 1024))
-        memory = int(raw.get("limits", {}).get("memory_mb", 64)) << 20
-    except (AttributeError, TypeError, ValueError):
-        raise ConfigError("seed or limits: not a number") from None
+    process = _process_limits(raw)
     peers = tuple(address(peer, "peers") for peer in raw.get("peers") or [])
-    peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
+    peer_listen = raw.get("peer_listen")
+    peers_all = raw.get("peers_all")
     control = environment.get("ROUTER_CONTROL") or raw.get("control")
     known = raw.get("known")
     return Config(
         name=environment.get("ROUTER_NAME") or str(raw.get("name", "gateway")),
         listen=address(environment.get("ROUTER_LISTEN") or raw.get("listen"), "listen"),
         discovery=address(environment.get("ROUTER_DISCOVERY") or raw.get("discovery"), "discovery"),
-        seed=seed,
-        sockets=sockets,
-        memory=memory,
+        seed=process.seed,
+        sockets=process.sockets,
+        memory=process.memory,
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
         peers=peers,
         peers_all=address(peers_all, "peers_all") if peers_all else None,
@@ -182,7 +200,7 @@
         meeting=environment.get("TMPDIR", "") if environment.get("ROUTER_ACCEPT_FD") else "",
         control=address(control, "control") if control else None,
         known=known if isinstance(known, dict) else None,
-        # There is no counter on real sockets: without one the module goes by its even slices.
+        # The simulator's counter does not exist on real sockets.
         settings=replace(
             settings, has_shared_counter=False, may_gossip=settings.may_gossip and bool(peer_listen)
         ),
@@ -190,6 +208,26 @@
         plans=_name_keys(nested, "packages"),
         zones=_names(nested, "zones"),
         kinds=_names(nested, "kinds"),
-        connect_timeout=int(_part(limits, "connectTimeout", (int, float), "settings.limits.")),
-        connection_idle=int(_part(limits, "connIdle", (int, float), "settings.limits.")),
+        connect_timeout=int(_required(limits, "connectTimeout", (int, float), "settings.limits.")),
+        connection_idle=int(_required(limits, "connIdle", (int, float), "settings.limits.")),
     )
+
+
+def _parse_settings(nested: dict[str, Any]) -> Settings:
+    try:
+        settings = parse_settings("\n".join(flatten(nested)))
+    except SettingsError as error:
+        raise ConfigError(f"settings.{error}") from None
+    _check_numbers(nested)
+    return settings
+
+
+def _process_limits(raw: dict[str, Any]) -> _ProcessLimits:
+    try:
+        return _ProcessLimits(
+            seed=int(str(raw.get("seed", "0")), 16),
+            sockets=int(raw.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
+            memory=int(raw.get("limits", {}).get("memory_mb", DEFAULT_MEMORY_MB)) << 20,
+        )
+    except (AttributeError, TypeError, ValueError):
+        raise ConfigError("seed or limits: not a number") from None
--- a/trackspread/config/roster.py
+++ b/trackspread/config/roster.py
@@ -1,8 +1,7 @@
-"""Which number each class of request has, over files that add, drop and change classes.
+"""The numbers of request classes over reloads that add, remove and change classes.
 
-May know: classes as the settings have them. May not know: requests, the decision module. A number keeps its
-meaning for as long as a request holds it: what is dropped or changed while requests are open keeps its rules
-for those, and its number goes to another class only once none holds it.
+A number keeps its meaning while a request uses it: a class that is removed or changed keeps its rules for
+open requests, and its number is reused only when no request has it any more.
 """
 
 from __future__ import annotations
@@ -14,9 +13,12 @@
 from ..decide.settings import RequestClass
 
 
+NO_PREDECESSOR = -1
+
+
 @dataclass(frozen=True, slots=True)
 class Roster:
-    """`names` and `rules` by number; `named`: the numbers that clients can name now."""
+    """Names and rules of request classes by number; `named` are the numbers that clients can use now."""
 
     names: tuple[bytes, ...]
     rules: tuple[RequestClass, ...]
@@ -24,42 +26,50 @@
 
     @classmethod
     def first(cls, names: Sequence[bytes], rules: Sequence[RequestClass]) -> Roster:
+        """Returns the roster at the start, with numbers in the order of the configuration."""
         return cls(tuple(names), tuple(rules), frozenset(range(len(rules))))
 
     def numbers(self) -> dict[bytes, int]:
-        """What clients may name, and its number."""
+        """Returns the number of each class that clients can use."""
         return {self.names[number]: number for number in sorted(self.named)}
 
     def follow(
-        self, names: Sequence[bytes], rules: Sequence[RequestClass], held: Set[int]
+        self, names: Sequence[bytes], rules: Sequence[RequestClass], in_use: Set[int]
     ) -> tuple[Roster, tuple[int, ...]]:
-        """The roster under another file, and for each number the one whose past it goes on with, -1 for none.
-        `held`: numbers that requests hold."""
-        numbers, by_name = list(self.names), self.numbers()
-        classes, heirs = list(self.rules), list(range(len(self.rules)))
+        """Returns the roster of another configuration, and the predecessor of each number.
+
+        `in_use` are the numbers of open requests. A predecessor is the number whose statistics a number
+        continues, or `NO_PREDECESSOR`.
+        """
+        all_names = list(self.names)
+        all_rules = list(self.rules)
+        predecessors = list(range(len(self.rules)))
+        old_numbers = self.numbers()
         named: set[int] = set()
-        fresh: list[tuple[bytes, RequestClass, int]] = []
+        changed: list[tuple[bytes, RequestClass, int]] = []
         for name, rule in zip(names, rules, strict=True):
-            old = by_name.get(name, -1)
-            if old >= 0 and classes[old] == rule:
+            old = old_numbers.get(name, NO_PREDECESSOR)
+            if old != NO_PREDECESSOR and all_rules[old] == rule:
                 named.add(old)
             else:
-                fresh.append((name, rule, old))
-        # An heir's own past is copied before its number can go to another: it is free at the next file only.
-        free = [n for n in range(len(classes)) if n not in self.named and n not in held]
-        for name, rule, old in fresh:
+                changed.append((name, rule, old))
+        # A number removed by this reload is free only at the next one: its statistics are copied first.
+        free = [n for n in range(len(all_rules)) if n not in self.named and n not in in_use]
+        for name, rule, old in changed:
             if free:
                 number = free.pop(0)
-                numbers[number], classes[number], heirs[number] = name, rule, old
+                all_names[number] = name
+                all_rules[number] = rule
+                predecessors[number] = old
             else:
-                number = len(classes)
-                numbers.append(name)
-                classes.append(rule)
-                heirs.append(old)
+                number = len(all_rules)
+                all_names.append(name)
+                all_rules.append(rule)
+                predecessors.append(old)
             named.add(number)
-        return Roster(tuple(numbers), tuple(classes), frozenset(named)), tuple(heirs)
+        return Roster(tuple(all_names), tuple(all_rules), frozenset(named)), tuple(predecessors)
 
 
-def change(roster: Roster, heirs: tuple[int, ...], max_attempts: int) -> ClassesChanged:
-    """The roster as the decision module is told of it."""
-    return ClassesChanged(roster.rules, roster.named, heirs, max_attempts)
+def change(roster: Roster, predecessors: tuple[int, ...], max_attempts: int) -> ClassesChanged:
+    """Returns the event that gives a roster to the decision module."""
+    return ClassesChanged(roster.rules, roster.named, predecessors, max_attempts)
