--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -84,6 +84,8 @@
 DONE = (
     "backends",
     "cells",
+    "cli.py",
+    "commands",
     "config",
     "control",
     "counter",
@@ -92,6 +94,7 @@
     "fronts",
     "handover",
     "lists",
+    "logs.py",
     "membership",
     "node",
     "peers",
--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -1,7 +1,8 @@
 """The command line: `run` (also without arguments), `check`, `use`, `plans`, `reserve`, `quota`, `fleet`,
 `control`, `configuration`, `try`.
 
-An operator's error ends with exit status 2 and one plain line on standard error.
+An error of the operator ends with exit status 2 and one line on standard error. Modules that only
+one command needs are imported when it runs, to save memory in a running gateway.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import argparse
 import os
 import sys
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 from .commands import arguments
@@ -31,23 +32,45 @@
 """
 
 
+Commands = arguments.Commands[argparse.ArgumentParser]
+
+
 def _parser() -> argparse.ArgumentParser:
-    shape = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(
-        prog="trackspread", description=DESCRIPTION, epilog=ENVIRONMENT, formatter_class=shape
+        prog="trackspread",
+        description=DESCRIPTION,
+        epilog=ENVIRONMENT,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     commands = parser.add_subparsers(dest="command", metavar="COMMAND", title="commands")
+    _add_run(commands)
+    _add_check(commands)
+    _add_try(commands)
+    arguments.add_use(commands)
+    arguments.add_plans(commands)
+    arguments.add_reserve(commands)
+    arguments.add_quota(commands)
+    arguments.add_fleet(commands)
+    arguments.add_control(commands)
+    arguments.add_configuration(commands)
+    return parser
+
+
+def _add_run(commands: Commands) -> None:
     runs = commands.add_parser(
         "run",
         help="run one gateway in the foreground (the same as no command at all)",
         epilog=ENVIRONMENT,
-        formatter_class=shape,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     runs.add_argument(
         "--file",
         metavar="FILE",
         help=f"the operator's own file (left out: {serve.OWN_FILE}, if it is there, else defaults)",
     )
+
+
+def _add_check(commands: Commands) -> None:
     checks = commands.add_parser("check", help="check configuration files without starting anything")
     checks.add_argument("file", metavar="FILE", nargs="?", help="the operator's own file")
     checks.add_argument(
@@ -55,6 +78,9 @@
         metavar="JSON",
         help="the platform's configuration (left out: ROUTER_CONFIG, if it is set)",
     )
+
+
+def _add_try(commands: Commands) -> None:
     tries = commands.add_parser(
         "try",
         help="bring up gateways, rating nodes and clients on loopback, and watch them",
@@ -71,25 +97,17 @@
         "than one may be given",
     )
     tries.add_argument("--seed", type=int, default=1, help="of clients and nodes (1)")
-    arguments.add_use(commands)
-    arguments.add_plans(commands)
-    arguments.add_reserve(commands)
-    arguments.add_quota(commands)
-    arguments.add_fleet(commands)
-    arguments.add_control(commands)
-    arguments.add_configuration(commands)
-    return parser
 
 
 def _check(file: str | None, config: str | None) -> None:
     environment = {**os.environ, **({"ROUTER_CONFIG": config} if config else {})}
     own = operator.load(Path(file)) if file else None
-    told = platform.load(environment) if environment.get("ROUTER_CONFIG") else None
-    if own is None and told is None:
+    given = platform.load(environment) if environment.get("ROUTER_CONFIG") else None
+    if own is None and given is None:
         raise ConfigError("nothing to check: name a FILE, --config JSON or ROUTER_CONFIG")
-    if own is not None and told is not None and told.listen in own.addresses():
+    if own is not None and given is not None and given.listen in own.addresses():
         raise ConfigError(
-            f"{file}: listeners: found {told.listen[0]}:{told.listen[1]}, which the platform's "
+            f"{file}: listeners: found {given.listen[0]}:{given.listen[1]}, which the platform's "
             "configuration gives already, wanted another address"
         )
     if own is not None:
@@ -97,60 +115,73 @@
             f"{file}: ok: role {own.role}, list from {own.list.source}, "
             f"{len(own.listeners)} listener(s) besides the platform's"
         )
-    if told is not None:
+    if given is not None:
         print(
-            f"{environment['ROUTER_CONFIG']}: ok: {told.name}, {len(told.classes)} classes, "
-            f"{len(told.plans)} plans, {told.settings.gateway_count} gateways"
+            f"{environment['ROUTER_CONFIG']}: ok: {given.name}, {len(given.classes)} classes, "
+            f"{len(given.plans)} plans, {given.settings.gateway_count} gateways"
         )
 
 
-def main(arguments: Sequence[str]) -> int:
-    """Exit status: 0, or 2 on an operator's error."""
-    given = _parser().parse_args(arguments)
+def _operators_command(name: str) -> Callable[[argparse.Namespace], int] | None:
+    """Returns the function of a command in `commands/`, or None for other commands."""
+    match name:
+        case "plans":
+            from .commands import plans
+
+            return plans.run
+        case "reserve":
+            from .commands import reserve
+
+            return reserve.run
+        case "quota":
+            from .commands import quota
+
+            return quota.run
+        case "fleet":
+            from .commands import fleet
+
+            return fleet.run
+        case "configuration":
+            from .commands import configuration
+
+            return configuration.run
+        case "use":
+            from .commands import use
+
+            return use.run
+        case _:
+            return None
+
+
+def _run_command(options: argparse.Namespace) -> int:
+    if (command := _operators_command(options.command)) is not None:
+        return command(options)
+    match options.command:
+        case "check":
+            _check(options.file, options.config)
+        case "control":
+            from .node import control_machine
+
+            return control_machine.run(options.name, Path(options.file))
+        case "try":
+            from .testing.harness import trial
+
+            return trial.run(options.seconds, options.kill, options.seed)
+        case _:
+            serve.run(getattr(options, "file", None))
+    return 0
+
+
+def main(words: Sequence[str]) -> int:
+    """Runs the command line `words` and returns the exit status, 2 for an error of the operator."""
+    options = _parser().parse_args(words)
     try:
-        match given.command:
-            case "check":
-                _check(given.file, given.config)
-            case "plans":
-                from .commands import plans
-
-                return plans.run(given)
-            case "reserve":
-                from .commands import reserve
-
-                return reserve.run(given)
-            case "quota":
-                from .commands import quota
-
-                return quota.run(given)
-            case "fleet":
-                from .commands import fleet
-
-                return fleet.run(given)
-            case "control":
-                from .node import control_machine
-
-                return control_machine.run(given.name, Path(given.file))
-            case "configuration":
-                from .commands import configuration
-
-                return configuration.run(given)
-            case "use":
-                from .commands import use
-
-                return use.run(given)
-            case "try":
-                from .testing.harness import trial  # not needed in service: it takes memory there
-
-                return trial.run(given.seconds, given.kill, given.seed)
-            case _:
-                serve.run(getattr(given, "file", None))
+        return _run_command(options)
     except ConfigError as error:
         print(f"trackspread: {error}", file=sys.stderr)
         return 2
-    return 0
 
 
 def script() -> int:
-    """What the installed command calls."""
+    """Runs the command line of the process; the entry point of the installed command."""
     return main(sys.argv[1:])
--- a/trackspread/commands/__init__.py
+++ b/trackspread/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What the command line does, a group of sub-commands each."""
+"""The sub-commands of the command line, one module for each group."""
--- /dev/null
+++ b/trackspread/commands/admin_client.py
@@ -0,0 +1,50 @@
+"""Requests to the admin servers of gateways (`control` in their configuration)."""
+
+from __future__ import annotations
+
+import http.client
+from http import HTTPStatus
+from typing import TypeVar
+
+import msgspec
+
+from ..config.addresses import ConfigError, address
+
+TIMEOUT_S = 3.0
+
+Report = TypeVar("Report")
+
+
+def fetch(admin_address: str, path: str, key: str) -> bytes:
+    """Returns the body of a gateway's response; raises `ConfigError`.
+
+    `key` is what the operator's file of a gateway that serves `path` contains.
+    """
+    host, port = address(admin_address, "HOST:PORT")
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
+    try:
+        connection.request("GET", path)
+        response = connection.getresponse()
+        body = response.read()
+    except (OSError, http.client.HTTPException) as error:
+        raise ConfigError(
+            f"{admin_address}: {error}; wanted the door (control) of a gateway that runs"
+        ) from None
+    finally:
+        connection.close()
+    if response.status == HTTPStatus.NOT_FOUND:
+        what = "view" if path == "/fleet" else path.removeprefix("/")
+        raise ConfigError(
+            f"{admin_address}: keeps no {what}, wanted a gateway with {key} in its operator's file"
+        )
+    if response.status != HTTPStatus.OK:
+        raise ConfigError(f"{admin_address}: {body.decode(errors='replace').strip()}")
+    return body
+
+
+def decode(admin_address: str, body: bytes, report_type: type[Report]) -> Report:
+    """Decodes a report in JSON; raises `ConfigError`."""
+    try:
+        return msgspec.json.decode(body, type=report_type)
+    except msgspec.DecodeError as error:
+        raise ConfigError(f"{admin_address}: not a gateway's answer: {error}") from None
--- a/trackspread/commands/arguments.py
+++ b/trackspread/commands/arguments.py
@@ -1,11 +1,14 @@
-"""The words of the sub-commands' groups. Nothing else is imported here: `run` must not pay for the others."""
+"""The arguments of the sub-commands.
+
+Nothing of the commands is imported here, so that `run` does not load what only other commands need.
+"""
 
 from __future__ import annotations
 
 import argparse
 from pathlib import Path
 
-Commands = argparse._SubParsersAction  # what `add_subparsers` gives
+Commands = argparse._SubParsersAction  # the result of `add_subparsers`
 
 
 def add_plans(commands: Commands[argparse.ArgumentParser]) -> None:
@@ -71,6 +74,12 @@
     """`trackspread fleet` and its actions."""
     own = commands.add_parser("fleet", help="the gateways' view of their own fleet")
     group = own.add_subparsers(dest="fleet", metavar="ACTION", title="actions", required=True)
+    _add_fleet_view(group)
+    _add_fleet_cells(group)
+    _add_fleet_forget(group)
+
+
+def _add_fleet_view(group: Commands[argparse.ArgumentParser]) -> None:
     views = group.add_parser(
         "view",
         help="who is in the fleet, as one gateway or several know it",
@@ -86,6 +95,9 @@
         metavar="S",
         help="ask again for up to S seconds until the exit status is 0",
     )
+
+
+def _add_fleet_cells(group: Commands[argparse.ArgumentParser]) -> None:
     cells = group.add_parser(
         "cells",
         help="which cells there are and how many gateways each has, as their leader knows it",
@@ -97,15 +109,18 @@
         required=True,
         help="the operator's file of any process of the fleet: its control machines and its key are used",
     )
-    goes = group.add_parser(
+
+
+def _add_fleet_forget(group: Commands[argparse.ArgumentParser]) -> None:
+    forgets = group.add_parser(
         "forget",
         help="a gateway is gone for good: what it kept of all that is shared is free at once",
         description="Say so only of one that is surely down: a gateway that is merely cut off would act on "
         "the same slots as those that have them next. Exit status: 0 where it is forgotten, 1 where it is in "
         "the fleet, 2 where no coordinator answers.",
     )
-    goes.add_argument("name", metavar="NAME", help="the gateway's, as `fleet view` shows it")
-    goes.add_argument(
+    forgets.add_argument("name", metavar="NAME", help="the gateway's, as `fleet view` shows it")
+    forgets.add_argument(
         "--file",
         metavar="FILE",
         required=True,
--- a/trackspread/commands/configuration.py
+++ b/trackspread/commands/configuration.py
@@ -1,6 +1,6 @@
-"""`trackspread configuration`: changes of what replicas hand down, and what replicas and gateways hold.
+"""`trackspread configuration`: changes and shows the configuration that control replicas distribute.
 
-May know: the operator's file, replicas, doors. Every operator's error is one plain line (`ConfigError`).
+An error of the operator is one line (`ConfigError`).
 """
 
 from __future__ import annotations
@@ -9,30 +9,28 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-import msgspec
-
 from ..config import operator
 from ..config.addresses import ConfigError
 from ..distribution.client import KeyLimitReached, LeaderUnavailable, ReplicaClient
-from ..distribution.report import SubscriptionReport
 from ..distribution.messages import Inspected
+from ..distribution.report import SubscriptionReport
 from ..distribution.versions import MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, Version
-from ..membership.identifiers import Epoch
 from ..distribution.wire import Wire
+from ..membership.identifiers import Epoch
 from ..node.fleet_keys import read_keys
-from .fleet import ask
+from . import admin_client
 
 
-def run(given: argparse.Namespace) -> int:
-    """Exit status; raises `ConfigError`."""
-    path = Path(given.file)
-    made = operator.load(path)
-    replicas = made.configuration.addresses()
+def run(options: argparse.Namespace) -> int:
+    """Runs one action and returns the exit status; raises `ConfigError`."""
+    path = Path(options.file)
+    loaded = operator.load(path)
+    replicas = loaded.configuration.addresses()
     if not replicas:
         raise ConfigError(f"{path}: configuration.replicas: found nothing, wanted the replicas' addresses")
-    client = ReplicaClient(Wire(made.fleet.name, read_keys(made.fleet)), replicas)
+    client = ReplicaClient(Wire(loaded.fleet.name, read_keys(loaded.fleet)), replicas)
     try:
-        return _act(given, client, made.configuration.replicas)
+        return _act(options, client, loaded.configuration.replicas)
     except KeyLimitReached as error:
         raise ConfigError(f"KEY: {error}") from None
     except LeaderUnavailable as error:
@@ -42,79 +40,90 @@
         ) from None
 
 
-def _act(given: argparse.Namespace, client: ReplicaClient, replicas: Sequence[str]) -> int:
-    match given.configuration:
+def _act(options: argparse.Namespace, client: ReplicaClient, replicas: Sequence[str]) -> int:
+    match options.configuration:
         case "put":
-            value = given.value.encode()
+            value = options.value.encode()
             if len(value) > MAX_VALUE_BYTES:
                 raise ConfigError(f"VALUE: found {len(value)} bytes, wanted {MAX_VALUE_BYTES} at most")
-            print(f"version {plain(client.put(*_names(given.service, given.key), value))}")
+            _check_names(options.service, options.key)
+            print(f"version {format_version(client.put(options.service, options.key, value))}")
         case "delete":
-            print(f"version {plain(client.put(*_names(given.service, given.key), None))}")
+            _check_names(options.service, options.key)
+            print(f"version {format_version(client.put(options.service, options.key, None))}")
         case "begin":
             print(f"history {client.begin().history}")
-        case _ if given.door:
-            return gateways(given.door)
+        case _ if options.door:
+            return show_gateways(options.door)
         case _:
-            return held(client, replicas, given.key)
+            return show_replicas(client, replicas, options.key)
     return 0
 
 
-def _names(service: str, key: str) -> tuple[str, str]:
-    for what, name in (("SERVICE", service), ("KEY", key)):
+def _check_names(service: str, key: str) -> None:
+    for option, name in (("SERVICE", service), ("KEY", key)):
         if not 0 < len(name) <= MAX_NAME_CHARACTERS or "\0" in name:
-            raise ConfigError(f"{what}: found {len(name)} characters, wanted 1 to {MAX_NAME_CHARACTERS}")
-    return service, key
+            raise ConfigError(f"{option}: found {len(name)} characters, wanted 1 to {MAX_NAME_CHARACTERS}")
 
 
-def plain(version: Version) -> str:
-    """For a person."""
-    return _dotted(version.history, version.epoch, version.sequence)
+def format_version(version: Version) -> str:
+    """Returns a version as operators read it."""
+    return _format_version(version.history, version.epoch, version.sequence)
 
 
-def _dotted(history: int, epoch: Epoch, sequence: int) -> str:
+def _format_version(history: int, epoch: Epoch, sequence: int) -> str:
     return f"{history}.{epoch[0]}.{epoch[1]}.{sequence}"
 
 
-def held(client: ReplicaClient, replicas: Sequence[str], named: str) -> int:
-    """What each replica holds; exit status 0 where those that answer have committed the same."""
-    service, _, key = named.partition("/")
-    if named:
-        _names(service, key)
+def show_replicas(client: ReplicaClient, replicas: Sequence[str], entry_name: str) -> int:
+    """Prints each replica's state; raises `ConfigError` if none of them answers.
+
+    `entry_name` is SERVICE/KEY of a value to print too, or empty. The exit status is 0 if all replicas
+    answer, have committed the same version and one of them is the leader.
+    """
+    service, _, key = entry_name.partition("/")
+    if entry_name:
+        _check_names(service, key)
     answers = [client.show(number, service, key) for number in range(len(replicas))]
     if not any(answers):
         raise ConfigError("configuration.replicas: none of them answers, wanted one that runs")
     for address, answer in zip(replicas, answers, strict=True):
-        print(f"{address:<24} {_line(answer) if answer is not None else 'does not answer'}")
-    if named:
-        entries = {each.entry for each in answers if each is not None and each.entry is not None}
-        for entry in sorted(entries, key=lambda each: each.version):
-            value = (entry.value or b"").decode(errors="replace")
-            print(f"{named} = {value!r}, since version {plain(entry.version)}")
-        if not entries:
-            print(f"{named} has no value")
-    leading = sum(each is not None and each.role == "leader" for each in answers)
-    same = len({each.committed for each in answers if each is not None}) == 1
-    return 0 if same and leading == 1 and None not in answers else 1
+        print(f"{address:<24} {_replica_line(answer) if answer is not None else 'does not answer'}")
+    states = [answer for answer in answers if answer is not None]
+    if entry_name:
+        _print_entry(entry_name, states)
+    leaders = sum(state.role == "leader" for state in states)
+    committed = {state.committed for state in states}
+    return 0 if len(committed) == 1 and leaders == 1 and None not in answers else 1
+
+
+def _print_entry(entry_name: str, states: Sequence[Inspected]) -> None:
+    entries = {state.entry for state in states if state.entry is not None}
+    for entry in sorted(entries, key=lambda each: each.version):
+        value = (entry.value or b"").decode(errors="replace")
+        print(f"{entry_name} = {value!r}, since version {format_version(entry.version)}")
+    if not entries:
+        print(f"{entry_name} has no value")
 
 
-def _line(shown: Inspected) -> str:
-    return f"{shown.role:<12} version {plain(shown.committed)}, {shown.keys} keys, last {plain(shown.last)}"
+def _replica_line(state: Inspected) -> str:
+    committed = format_version(state.committed)
+    return f"{state.role:<12} version {committed}, {state.keys} keys, last {format_version(state.last)}"
 
 
-def gateways(doors: Sequence[str]) -> int:
-    """What each gateway holds; exit status 0 where all hold one version."""
+def show_gateways(admin_addresses: Sequence[str]) -> int:
+    """Prints each gateway's version; the exit status is 0 if all have the same. Raises `ConfigError`."""
     reports = []
-    for door in doors:
-        answer = ask(door, "/configuration", "configuration.listen")
-        try:
-            reports.append(msgspec.json.decode(answer, type=SubscriptionReport))
-        except msgspec.DecodeError as error:
-            raise ConfigError(f"{door}: not a gateway's answer: {error}") from None
-    for each in reports:
-        age = f"{each.age_s:.1f} s ago" if each.age_s is not None else "never"
+    for each in admin_addresses:
+        body = admin_client.fetch(each, "/configuration", "configuration.listen")
+        reports.append(admin_client.decode(each, body, SubscriptionReport))
+    for report in reports:
+        age = f"{report.age_s:.1f} s ago" if report.age_s is not None else "never"
+        version = _format_version(report.history, report.epoch, report.sequence)
         print(
-            f"{each.name:<20} version {_dotted(each.history, each.epoch, each.sequence)}, {each.keys} keys "
-            f"of {each.services} services ({each.values}), surely the newest {age}, asks {each.replica}"
+            f"{report.name:<20} version {version}, {report.keys} keys "
+            f"of {report.services} services ({report.values}), surely the newest {age}, "
+            f"asks {report.replica}"
         )
-    return 0 if len({(each.history, each.epoch, each.sequence) for each in reports}) == 1 else 1
+    versions = {(report.history, report.epoch, report.sequence) for report in reports}
+    return 0 if len(versions) == 1 else 1
--- a/trackspread/commands/plans.py
+++ b/trackspread/commands/plans.py
@@ -1,7 +1,7 @@
-"""`trackspread plans`: the plan registry's history, what a file would change, and changes from a moment on.
+"""`trackspread plans`: shows the plan registry's history, compares a file with it, and changes it.
 
-May know: files, the registry's rules. Every operator's error is one plain line (`ConfigError`). The registry
-is replaced whole, under a lock of its own: two who apply at once follow one another.
+The registry's file is replaced atomically under a lock, so that concurrent changes follow one another.
+An error of the operator is one line (`ConfigError`).
 """
 
 from __future__ import annotations
@@ -24,6 +24,7 @@
     SCHEMA,
     PlanRegistry,
     Plans,
+    Version,
     add_version,
     check_plans,
     plan_differences,
@@ -34,34 +35,46 @@
 from ..usage.senders import put
 
 
-class _Proposal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+LOCK_MODE = 0o600
+MS_PER_S = 1000
+NS_PER_MS = 1_000_000
+
+
+class _PlansFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     plans: Plans
 
 
-def run(given: argparse.Namespace) -> int:
-    """Exit status; raises `ConfigError`."""
-    now = time.time_ns() // 1_000_000
-    match given.plans:
+def run(options: argparse.Namespace) -> int:
+    """Runs one action and returns the exit status; raises `ConfigError`."""
+    now_ms = time.time_ns() // NS_PER_MS
+    match options.plans:
         case "history":
-            return _history(load_registry(given.book), now)
+            return _history(load_registry(options.book), now_ms)
         case "diff":
-            return _diff(load_registry(given.book), _proposal(given.file, _names(given.config)), now)
+            registry = load_registry(options.book)
+            return _diff(registry, _load_plans(options.file, _known_plans(options.config)), now_ms)
         case "apply":
-            plans, names = _proposal(given.file, _names(given.config)), _names(given.config)
-            since = parse_time(given.since, now)
-            registry = change_registry(
-                given.book, lambda registry: add_version(registry, plans, since, now, given.note, names)
-            )
-            print(f"version {registry.versions[-1].number} is in force from {shown(since)} on")
-            return 0
+            return _apply(options, now_ms)
         case _:
-            change_registry(given.book, lambda registry: withdraw_version(registry, given.number, now))
-            print(f"version {given.number} is withdrawn")
+            change_registry(options.book, lambda registry: withdraw_version(registry, options.number, now_ms))
+            print(f"version {options.number} is withdrawn")
             return 0
 
 
+def _apply(options: argparse.Namespace, now_ms: int) -> int:
+    known_plans = _known_plans(options.config)
+    plans = _load_plans(options.file, known_plans)
+    since_ms = parse_time(options.since, now_ms)
+    registry = change_registry(
+        options.book,
+        lambda registry: add_version(registry, plans, since_ms, now_ms, options.note, known_plans),
+    )
+    print(f"version {registry.versions[-1].number} is in force from {format_time(since_ms)} on")
+    return 0
+
+
 def load_registry(path: Path) -> PlanRegistry:
-    """An empty registry where there is none yet."""
+    """Returns the registry in a file, or an empty one if there is no file; raises `ConfigError`."""
     try:
         return SCHEMA.unpack(path.read_bytes(), PlanRegistry)
     except FileNotFoundError:
@@ -71,10 +84,10 @@
 
 
 def change_registry(path: Path, change: Callable[[PlanRegistry], PlanRegistry]) -> PlanRegistry:
-    """The registry as it is afterwards, on the disk; raises `ConfigError`."""
+    """Applies `change` to the registry in a file and returns the result; raises `ConfigError`."""
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
+        lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, LOCK_MODE)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX)
             registry = change(load_registry(path))
@@ -88,17 +101,18 @@
         raise ConfigError(f"{path}: {error.strerror}") from None
 
 
-def _names(config: str | None) -> set[str] | None:
+def _known_plans(config: str | None) -> set[str] | None:
+    """Returns the names of the platform's plans, or None if no configuration was named."""
     if not config:
         return None
-    told = platform.load({**os.environ, "ROUTER_CONFIG": config})
-    return {name.decode() for name in told.plans}
+    platform_config = platform.load({**os.environ, "ROUTER_CONFIG": config})
+    return {name.decode() for name in platform_config.plans}
 
 
-def _proposal(path: Path, names: set[str] | None) -> Plans:
+def _load_plans(path: Path, known_plans: set[str] | None) -> Plans:
     try:
-        plans = msgspec.convert(tomllib.loads(path.read_text()), _Proposal, strict=False).plans
-        check_plans(plans, names)
+        plans = msgspec.convert(tomllib.loads(path.read_text()), _PlansFile, strict=False).plans
+        check_plans(plans, known_plans)
         return plans
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
@@ -106,46 +120,50 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def parse_time(text: str, now: int, what: str = "--from") -> int:
-    """Unix ms; a moment without a zone is UTC. Raises `ConfigError`."""
+def parse_time(text: str, now_ms: int, option: str = "--from") -> int:
+    """Returns a time in Unix ms, in UTC if `text` names no zone; raises `ConfigError`."""
     try:
         if text.startswith("+"):
-            return now + int(float(text[1:]) * 1000)
-        found = datetime.fromisoformat(text)
+            return now_ms + int(float(text[1:]) * MS_PER_S)
+        parsed = datetime.fromisoformat(text)
     except ValueError:
-        raise ConfigError(f"{what}: found {text!r}, wanted +SECONDS or 2026-12-05T00:00:00Z") from None
-    return int((found if found.tzinfo else found.replace(tzinfo=UTC)).timestamp() * 1000)
+        raise ConfigError(f"{option}: found {text!r}, wanted +SECONDS or 2026-12-05T00:00:00Z") from None
+    if not parsed.tzinfo:
+        parsed = parsed.replace(tzinfo=UTC)
+    return int(parsed.timestamp() * MS_PER_S)
 
 
-def shown(ms: int) -> str:
-    return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
+def format_time(time_ms: int) -> str:
+    """Returns a time in Unix ms in ISO 8601, in UTC."""
+    text = datetime.fromtimestamp(time_ms / MS_PER_S, UTC).isoformat(timespec="milliseconds")
+    return text.replace("+00:00", "Z")
 
 
-def _history(registry: PlanRegistry, now: int) -> int:
-    current = in_force(registry, now)
+def _history(registry: PlanRegistry, now_ms: int) -> int:
+    current = in_force(registry, now_ms)
     before: Plans = {}
     if not registry.versions:
         print("no versions: the platform's figures hold")
     for version in registry.versions:
-        state = (
-            "withdrawn"
-            if version.withdrawn
-            else "in force"
-            if version is current
-            else "to come"
-            if version.since > now
-            else "past"
-        )
-        print(f"{version.number:>4} from {shown(version.since)} {state:<9} {version.note}".rstrip())
+        state = _state(version, current, now_ms)
+        print(f"{version.number:>4} from {format_time(version.since)} {state:<9} {version.note}".rstrip())
         for line in plan_differences(before, version.plans):
             print(f"       {line}")
         before = before if version.withdrawn else version.plans
     return 0
 
 
-def _diff(registry: PlanRegistry, plans: Plans, now: int) -> int:
-    """Exit status 1 where something differs, as `diff` has it."""
-    current = in_force(registry, now)
+def _state(version: Version, current: Version | None, now_ms: int) -> str:
+    if version.withdrawn:
+        return "withdrawn"
+    if version is current:
+        return "in force"
+    return "to come" if version.since > now_ms else "past"
+
+
+def _diff(registry: PlanRegistry, plans: Plans, now_ms: int) -> int:
+    """Prints what `plans` would change; the exit status is 1 if there is anything, as that of `diff`."""
+    current = in_force(registry, now_ms)
     lines = plan_differences(current.plans if current is not None else {}, plans)
     print("\n".join(lines) or "nothing would change")
     return 1 if lines else 0
--- a/trackspread/commands/quota.py
+++ b/trackspread/commands/quota.py
@@ -1,6 +1,6 @@
-"""`trackspread quota`: what one gateway holds of a member's limits, asked of the gateway itself.
+"""`trackspread quota`: what one gateway has of a tenant's limits, from the gateway's status socket.
 
-May know: the gateway's status socket. Every operator's error is one plain line (`ConfigError`).
+An error of the operator is one line (`ConfigError`).
 """
 
 from __future__ import annotations
@@ -13,77 +13,79 @@
 from ..config.addresses import ConfigError
 from ..counter.report import TenantReport
 
-PATIENCE = 3.0  # s for the answer
-ANSWER_MOST = 1 << 20  # bytes: a claim of each of some thousand gateways
+TIMEOUT_S = 3.0
+MAX_ANSWER_BYTES = 1 << 20  # claims of some thousand gateways
+RECEIVE_BYTES = 65_536
+TENANT_MASK = (1 << 64) - 1
 
 
-def run(given: argparse.Namespace) -> int:
-    """Exit status; raises `ConfigError`."""
+def run(options: argparse.Namespace) -> int:
+    """Prints the gateway's report and returns the exit status; raises `ConfigError`."""
     try:
-        member = int(given.member, 16)
+        tenant = int(options.member, 16)
     except ValueError:
-        raise ConfigError(f"MEMBER: found {given.member!r}, wanted 16 hexadecimal digits") from None
-    data = ask(given.socket, member)
-    if given.json:
-        print(data.decode().rstrip())
+        raise ConfigError(f"MEMBER: found {options.member!r}, wanted 16 hexadecimal digits") from None
+    answer = ask(options.socket, tenant)
+    if options.json:
+        print(answer.decode().rstrip())
         return 0
     try:
-        told = msgspec.json.decode(data, type=TenantReport)
+        report = msgspec.json.decode(answer, type=TenantReport)
     except msgspec.DecodeError as error:
-        raise ConfigError(f"{given.socket}: not a gateway's answer: {error}") from None
-    print("\n".join(lines(told)))
+        raise ConfigError(f"{options.socket}: not a gateway's answer: {error}") from None
+    print("\n".join(lines(report)))
     return 0
 
 
-def ask(path: str, member: int) -> bytes:
-    """The gateway's answer, one line of JSON."""
-    data = b""
+def ask(path: str, tenant: int) -> bytes:
+    """Returns the gateway's report on a tenant, a line of JSON; raises `ConfigError`."""
+    answer = b""
     try:
-        with socket.socket(socket.AF_UNIX) as line:
-            line.settimeout(PATIENCE)
-            line.connect(path)
-            line.sendall(b"%x\n" % (member & (1 << 64) - 1))
-            while len(data) < ANSWER_MOST and (part := line.recv(65_536)):
-                data += part
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.settimeout(TIMEOUT_S)
+            connection.connect(path)
+            connection.sendall(b"%x\n" % (tenant & TENANT_MASK))
+            while len(answer) < MAX_ANSWER_BYTES and (data := connection.recv(RECEIVE_BYTES)):
+                answer += data
     except OSError as error:
         raise ConfigError(
             f"{path}: {error.strerror or error}; wanted the socket that counter.status names, "
             "of a gateway that runs"
         ) from None
-    return data
+    return answer
 
 
-def lines(told: TenantReport) -> list[str]:
-    """For a person."""
-    replaced = f"; found replaced {told.replaced} time(s)" if told.replaced else ""
-    made = [
-        f"member {told.member}, partition {told.partition}",
-        f"  source of truth   {told.source} (state: {told.state}{replaced})",
+def lines(report: TenantReport) -> list[str]:
+    """Returns a report as lines for operators."""
+    replaced = f"; found replaced {report.replaced} time(s)" if report.replaced else ""
+    text = [
+        f"member {report.member}, partition {report.partition}",
+        f"  source of truth   {report.source} (state: {report.state}{replaced})",
     ]
-    if not told.plan:
-        return [*made, "  no request of this member came here of late: nothing is held"]
-    made += [
-        f"  plan              {told.plan}",
-        f"  quota here        {told.level:.2f} of {told.burst:.2f} units, {told.rate:.2f} a second "
-        f"({told.soft:.1%} of the whole)",
+    if not report.plan:
+        return [*text, "  no request of this member came here of late: nothing is held"]
+    text += [
+        f"  plan              {report.plan}",
+        f"  quota here        {report.level:.2f} of {report.burst:.2f} units, {report.rate:.2f} a second "
+        f"({report.soft:.1%} of the whole)",
     ]
-    if told.ceiling_burst:
-        made.append(
-            f"  ceiling here      {told.ceiling:.2f} of {told.ceiling_burst:.2f} units "
-            f"({told.hard:.1%} of the whole)"
+    if report.ceiling_burst:
+        text.append(
+            f"  ceiling here      {report.ceiling:.2f} of {report.ceiling_burst:.2f} units "
+            f"({report.hard:.1%} of the whole)"
         )
-    if told.open_most:
-        made.append(f"  open attempts     {told.open} of {told.open_most}")
-    made += [
-        f"  in flight         {told.open}, of a cap of {told.cap}",
-        f"  claimed, proven   {told.claimed:.1%}, {told.proven:.1%}; its even slice is {told.even:.1%}",
-        f"  asked for here    {told.want:.2f} units a second",
-        f"  last refused for  {told.refused_for or 'none was refused'}",
+    if report.open_most:
+        text.append(f"  open attempts     {report.open} of {report.open_most}")
+    text += [
+        f"  in flight         {report.open}, of a cap of {report.cap}",
+        f"  claimed, proven   {report.claimed:.1%}, {report.proven:.1%}; its even slice is {report.even:.1%}",
+        f"  asked for here    {report.want:.2f} units a second",
+        f"  last refused for  {report.refused_for or 'none was refused'}",
     ]
-    for other in told.others:
+    for other in report.others:
         seen = f"seen alive {other.seen_s:.1f} s ago" if other.seen_s >= 0 else "never seen alive"
-        made.append(
+        text.append(
             f"  gateway {other.gateway:<9} claims {other.share:.1%}, asked for {other.want:.2f} a "
             f"second, {seen}"
         )
-    return made
+    return text
--- a/trackspread/commands/reserve.py
+++ b/trackspread/commands/reserve.py
@@ -1,6 +1,6 @@
-"""`trackspread reserve`: allowance ahead, in the plan registry's calendar.
+"""`trackspread reserve`: adds, cancels and lists reservations in the plan registry's calendar.
 
-May know: the registry, the calendar's rules. Every operator's error is one plain line (`ConfigError`).
+An error of the operator is one line (`ConfigError`).
 """
 
 from __future__ import annotations
@@ -12,87 +12,100 @@
 import msgspec
 
 from ..config.addresses import ConfigError
-from ..plans.calendar import Fleet, admit_reservation, cancel_reservation, capacity_per_s, available_per_s
+from ..plans.calendar import (
+    Fleet,
+    Reservation,
+    admit_reservation,
+    available_per_s,
+    cancel_reservation,
+    capacity_per_s,
+)
 from ..plans.registry import PlanRegistry
-from .plans import change_registry, load_registry, parse_time, shown
+from .plans import MS_PER_S, NS_PER_MS, change_registry, format_time, load_registry, parse_time
 
-_MEMBER = re.compile(r"[0-9a-fA-F]{16}")
+_TENANT = re.compile(r"[0-9a-fA-F]{16}")
 
 
-def run(given: argparse.Namespace) -> int:
-    """Exit status; raises `ConfigError`."""
-    now = time.time_ns() // 1_000_000
-    match given.reserve:
+def run(options: argparse.Namespace) -> int:
+    """Runs one action and returns the exit status; raises `ConfigError`."""
+    now_ms = time.time_ns() // NS_PER_MS
+    match options.reserve:
         case "add":
-            return _add(given, now)
+            _add(options, now_ms)
         case "cancel":
-            change_registry(
-                given.book,
-                lambda registry: msgspec.structs.replace(
-                    registry, reservations=cancel_reservation(registry.reservations, given.number, now)
-                ),
-            )
-            print(f"reservation {given.number} is given back")
+            _cancel(options, now_ms)
         case "fleet":
-            fleet = _fleet(given)
-            change_registry(given.book, lambda registry: msgspec.structs.replace(registry, fleet=fleet))
-            print(
-                f"{capacity_per_s(fleet):.6g} units a second within {fleet.aim_ms:g} ms, "
-                f"{fleet.kept:g} of them kept"
-            )
+            _describe_fleet(options)
         case _:
-            _list(load_registry(given.book), now)
+            _list(load_registry(options.book), now_ms)
     return 0
 
 
-def _fleet(given: argparse.Namespace) -> Fleet:
-    raw = {name: getattr(given, name) for name in ("delay_ms", "demand_ms", "aim_ms", "kept")}
+def _cancel(options: argparse.Namespace, now_ms: int) -> None:
+    def change(registry: PlanRegistry) -> PlanRegistry:
+        reservations = cancel_reservation(registry.reservations, options.number, now_ms)
+        return msgspec.structs.replace(registry, reservations=reservations)
+
+    change_registry(options.book, change)
+    print(f"reservation {options.number} is given back")
+
+
+def _describe_fleet(options: argparse.Namespace) -> None:
+    fleet = _fleet(options)
+    change_registry(options.book, lambda registry: msgspec.structs.replace(registry, fleet=fleet))
+    print(
+        f"{capacity_per_s(fleet):.6g} units a second within {fleet.aim_ms:g} ms, {fleet.kept:g} of them kept"
+    )
+
+
+def _fleet(options: argparse.Namespace) -> Fleet:
+    raw = {name: getattr(options, name) for name in Fleet.__struct_fields__}
     try:
         return msgspec.convert(raw, Fleet)
     except msgspec.ValidationError as error:
         raise ConfigError(f"reserve fleet: {error}") from None
 
 
-def _add(given: argparse.Namespace, now: int) -> int:
-    if not _MEMBER.fullmatch(given.member):
-        raise ConfigError(f"reserve add: found member {given.member!r}, wanted 16 hexadecimal digits")
-    start, end = parse_time(given.since, now), parse_time(given.until, now, "--to")
-    rate = given.rate if given.rate is not None else given.units * 1000 / max(1, end - start)
-    customer = int(given.member, 16)
+def _add(options: argparse.Namespace, now_ms: int) -> None:
+    if not _TENANT.fullmatch(options.member):
+        raise ConfigError(f"reserve add: found member {options.member!r}, wanted 16 hexadecimal digits")
+    start_ms = parse_time(options.since, now_ms)
+    end_ms = parse_time(options.until, now_ms, "--to")
+    rate = options.rate
+    if rate is None:
+        rate = options.units * MS_PER_S / max(1, end_ms - start_ms)
+    tenant = int(options.member, 16)
 
     def change(registry: PlanRegistry) -> PlanRegistry:
-        made = admit_reservation(
-            registry.fleet, registry.reservations, customer, rate, start, end, now, given.note
+        reservation = admit_reservation(
+            registry.fleet, registry.reservations, tenant, rate, start_ms, end_ms, now_ms, options.note
         )
-        return msgspec.structs.replace(registry, reservations=(*registry.reservations, made))
+        return msgspec.structs.replace(registry, reservations=(*registry.reservations, reservation))
 
-    made = change_registry(given.book, change).reservations[-1]
+    added = change_registry(options.book, change).reservations[-1]
     print(
-        f"reservation {made.number}: {made.rate:.6g} units a second for {made.customer:016x} from "
-        f"{shown(start)} to {shown(end)}"
+        f"reservation {added.number}: {added.rate:.6g} units a second for {added.customer:016x} from "
+        f"{format_time(start_ms)} to {format_time(end_ms)}"
     )
-    return 0
 
 
-def _list(registry: PlanRegistry, now: int) -> None:
+def _list(registry: PlanRegistry, now_ms: int) -> None:
     for each in registry.reservations:
-        state = (
-            "given back"
-            if each.cancelled
-            else "over"
-            if each.end <= now
-            else "in force"
-            if each.start <= now
-            else "to come"
-        )
         print(
-            f"{each.number:>4} {each.customer:016x} {each.rate:.6g}/s {shown(each.start)} to "
-            f"{shown(each.end)} {state} {each.note}".rstrip()
+            f"{each.number:>4} {each.customer:016x} {each.rate:.6g}/s {format_time(each.start)} to "
+            f"{format_time(each.end)} {_state(each, now_ms)} {each.note}".rstrip()
         )
     if registry.fleet is None:
         print("the fleet is not described: nothing can be reserved (`trackspread reserve fleet`)")
         return
-    fits = available_per_s(registry.fleet, registry.reservations, now, now + 1)
-    print(
-        f"the fleet gives {capacity_per_s(registry.fleet):.6g} units a second; {fits:.6g} can be reserved now"
-    )
+    available = available_per_s(registry.fleet, registry.reservations, now_ms, now_ms + 1)
+    capacity = capacity_per_s(registry.fleet)
+    print(f"the fleet gives {capacity:.6g} units a second; {available:.6g} can be reserved now")
+
+
+def _state(reservation: Reservation, now_ms: int) -> str:
+    if reservation.cancelled:
+        return "given back"
+    if reservation.end <= now_ms:
+        return "over"
+    return "in force" if reservation.start <= now_ms else "to come"
--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -1,6 +1,6 @@
-"""`trackspread use`: what was counted, what billing has, and what to do when they differ.
+"""`trackspread use`: shows, verifies, exports, compares and repairs folders of usage records.
 
-May know: folders, audits, the export. Every operator's error is one plain line (`ConfigError`).
+An error of the operator is one line (`ConfigError`).
 """
 
 from __future__ import annotations
@@ -21,33 +21,39 @@
 from ..storage.directory import Directory
 from ..storage.document import DocumentError
 from ..usage import senders
-from ..usage.audit import Audit, Received, audit, rebuild_control, reconcile
-from ..usage.control import AREA_SIZE, AREAS, Names, pack
+from ..usage.audit import Audit, Difference, Received, audit, rebuild_control, reconcile
+from ..usage.control import AREA_SIZE, AREAS, Control, Names, pack
 from ..usage.host import export_all
 from ..usage.ledger import UsageLedger
 from ..usage.record import NANO, Ending
 
-SHOWN = 40  # differences; the rest is counted
-FETCH_MOST = 30.0  # s for billing's totals
+MAX_DIFFERENCES = 40  # that are printed; the rest is counted
+FETCH_TIMEOUT_S = 30.0  # of billing's totals
+BYTES_PER_MB = 1 << 20
+SECONDS_PER_DAY = 86_400
 
 
-def run(given: argparse.Namespace) -> int:
-    """Exit status; raises `ConfigError`."""
+def run(options: argparse.Namespace) -> int:
+    """Runs one action and returns the exit status; raises `ConfigError`."""
     try:
-        match given.use:
-            case "show":
-                return _show(_audit(given.folder))
-            case "verify":
-                return _verify(_audit(given.folder))
-            case "export":
-                return _export(given)
-            case "reconcile":
-                return _reconcile([_audit(folder) for folder in given.folder], _received(given.received))
-            case _:
-                return _repair(given.folder, given.config)
+        return _act(options)
     except (OSError, DocumentError) as error:
-        where = given.folder if isinstance(given.folder, Path) else given.folder[0]
-        raise ConfigError(f"{where}: {getattr(error, 'strerror', None) or error}") from None
+        folder = options.folder if isinstance(options.folder, Path) else options.folder[0]
+        raise ConfigError(f"{folder}: {getattr(error, 'strerror', None) or error}") from None
+
+
+def _act(options: argparse.Namespace) -> int:
+    match options.use:
+        case "show":
+            return _show(_audit(options.folder))
+        case "verify":
+            return _verify(_audit(options.folder))
+        case "export":
+            return _export(options)
+        case "reconcile":
+            return _reconcile([_audit(folder) for folder in options.folder], _received(options.received))
+        case _:
+            return _repair(options.folder, options.config)
 
 
 def _audit(folder: Path) -> Audit:
@@ -59,8 +65,8 @@
     return found
 
 
-def _units(units: int) -> str:
-    return f"{units / NANO:.3f}"
+def _format_units(nano_units: int) -> str:
+    return f"{nano_units / NANO:.3f}"
 
 
 def _show(found: Audit) -> int:
@@ -68,7 +74,22 @@
     if control is None:
         print("; ".join(found.wrong) or "nothing was recorded here yet")
         return 1 if found.wrong else 0
-    print(f"producer {control.producer}: {found.segments} segments, {found.bytes / (1 << 20):.1f} MB")
+    print(f"producer {control.producer}: {found.segments} segments, {found.bytes / BYTES_PER_MB:.1f} MB")
+    _print_streams(found, control)
+    for ending in Ending:
+        sums = [total for (_, _, row_ending), total in found.journal.rows.items() if row_ending == ending]
+        if sums:
+            requests = sum(count for count, _ in sums)
+            units = sum(nano_units for _, nano_units in sums)
+            print(f"{ending.name.lower()}: {requests} requests, {_format_units(units)} units")
+    for reason, number in control.lost.items():
+        print(f"lost, {reason}: {number} records")
+    for text in found.wrong:
+        print(f"look at: {text}")
+    return 0
+
+
+def _print_streams(found: Audit, control: Control) -> None:
     print(
         f"{'life':>6} {'gateway':<16} {'state':<8} {'places':>10} {'records':>10} {'billing has':>12} "
         f"{'to go':>10}"
@@ -80,101 +101,102 @@
             f"{each.epoch:>6} {control.names[stream.names].gateway:<16} {state:<8} {each.length:>10} "
             f"{each.records:>10} {stream.acked:>12} {each.length - stream.acked:>10}"
         )
-    for ending in Ending:
-        rows = [held for (_, _, own), held in found.journal.rows.items() if own == ending]
-        if rows:
-            print(
-                f"{ending.name.lower()}: {sum(n for n, _ in rows)} requests, "
-                f"{_units(sum(u for _, u in rows))} units"
-            )
-    for reason, number in control.lost.items():
-        print(f"lost, {reason}: {number} records")
-    for text in found.wrong:
-        print(f"look at: {text}")
-    return 0
 
 
 def _verify(found: Audit) -> int:
     records = sum(each.records for each in found.streams)
+    damaged = sum(len(each.damaged) for each in found.streams)
+    missing = sum(each.missing for each in found.streams)
     torn = sum(len(each.torn) for each in found.streams)
     for text in found.wrong:
         print(text)
     print(
-        f"{records} records check, {sum(len(each.damaged) for each in found.streams)} are damaged, "
-        f"{sum(each.missing for each in found.streams)} are missing; {torn} were torn by a loss of power"
+        f"{records} records check, {damaged} are damaged, "
+        f"{missing} are missing; {torn} were torn by a loss of power"
     )
     return 1 if found.wrong else 0
 
 
-def _export(given: argparse.Namespace) -> int:
-    use = operator.load(Path(given.file)).use if given.file else operator.Use()
-    url = given.to or use.billing
+def _export(options: argparse.Namespace) -> int:
+    use = operator.load(Path(options.file)).use if options.file else operator.Use()
+    url = options.to or use.billing
     if not url:
         raise ConfigError("use export: found nowhere to send to, wanted --to URL or --file with use.billing")
-    if not given.folder.is_dir():
-        raise ConfigError(f"{given.folder}: found no folder, wanted a gateway's use.folder")
+    if not options.folder.is_dir():
+        raise ConfigError(f"{options.folder}: found no folder, wanted a gateway's use.folder")
     try:
-        way = senders.configured_sender(url, use.secret, use.ca)
+        sender = senders.configured_sender(url, use.secret, use.ca)
     except ValueError as error:
         raise ConfigError(f"--to: found {url!r}, {error}") from None
-
-    def told(ledger: UsageLedger) -> None:
-        streams = ledger.control.streams.values()
-        left = sum((stream.length or 0) - stream.acked for stream in streams)
-        why = ledger.exporter.trouble or ledger.trouble
-        print(f"{left} places to go{f', waiting: {why}' if why else ''}", file=sys.stderr, flush=True)
-
-    ledger = asyncio.run(export_all(given.folder, way, given.seconds, told))
+    ledger = asyncio.run(export_all(options.folder, sender, options.seconds, _print_progress))
     if not ledger.exported:
-        print(f"not all is exported: {ledger.exporter.trouble or ledger.trouble or 'out of time'}")
+        print(f"not all is exported: {_fault(ledger) or 'out of time'}")
         return 1
     print("billing has everything that is in the folder")
     return 0
 
 
-def _received(where: str) -> list[Received]:
+def _print_progress(ledger: UsageLedger) -> None:
+    streams = ledger.control.streams.values()
+    left = sum((stream.length or 0) - stream.acked for stream in streams)
+    fault = _fault(ledger)
+    print(f"{left} places to go{f', waiting: {fault}' if fault else ''}", file=sys.stderr, flush=True)
+
+
+def _fault(ledger: UsageLedger) -> str:
+    return ledger.exporter.trouble or ledger.trouble
+
+
+def _received(source: str) -> list[Received]:
     try:
-        if where.startswith(("http://", "https://")):
-            with urllib.request.urlopen(where, timeout=FETCH_MOST) as answer:
-                data = answer.read()
+        if source.startswith(("http://", "https://")):
+            with urllib.request.urlopen(source, timeout=FETCH_TIMEOUT_S) as response:
+                data = response.read()
         else:
-            data = Path(where).read_bytes()
+            data = Path(source).read_bytes()
         return msgspec.json.decode(data, type=list[Received], strict=True)
     except (OSError, msgspec.DecodeError) as error:
-        raise ConfigError(f"--received {where}: {getattr(error, 'strerror', None) or error}") from None
+        raise ConfigError(f"--received {source}: {getattr(error, 'strerror', None) or error}") from None
 
 
 def _reconcile(audits: list[Audit], received: list[Received]) -> int:
     differences = reconcile(audits, received)
-    for each in differences[:SHOWN]:
-        day = datetime.fromtimestamp(each.day * 86_400, UTC).date()
-        print(
-            f"{each.customer:016x} {day} {Ending(each.ending).name.lower():<8} "
-            f"journal {each.journal[0]} / {_units(each.journal[1])}, "
-            f"exported {each.exported[0]} / {_units(each.exported[1])}, "
-            f"received {each.received[0]} / {_units(each.received[1])}: {each.kind}"
-        )
-    if len(differences) > SHOWN:
-        print(f"and {len(differences) - SHOWN} more")
-    gateways: dict[str, int] = {}
-    for found in audits:
-        control = found.control
-        if control is None:
-            continue
-        for name in {control.names[each.stream.names].gateway for each in found.streams}:
-            gateways[name] = gateways.get(name, 0) + 1
-    for name in sorted(name for name, folders in gateways.items() if folders > 1):
-        print(f"{gateways[name]} folders are of gateways called {name}: wanted a name of its own for each")
-    requests, units = _total(audits)
+    for difference in differences[:MAX_DIFFERENCES]:
+        print(_difference_line(difference))
+    if len(differences) > MAX_DIFFERENCES:
+        print(f"and {len(differences) - MAX_DIFFERENCES} more")
+    folders = _folders_by_gateway(audits)
+    for name in sorted(name for name, number in folders.items() if number > 1):
+        print(f"{folders[name]} folders are of gateways called {name}: wanted a name of its own for each")
+    totals = [found.journal.total() for found in audits]
+    requests = sum(count for count, _ in totals)
+    units = sum(nano_units for _, nano_units in totals)
     print(
-        f"{requests} requests, {_units(units)} units in the journals: {len(differences) or 'no'} differences"
+        f"{requests} requests, {_format_units(units)} units in the journals: "
+        f"{len(differences) or 'no'} differences"
     )
     return 1 if differences else 0
 
 
-def _total(audits: list[Audit]) -> tuple[int, int]:
-    totals = [found.journal.total() for found in audits]
-    return sum(n for n, _ in totals), sum(u for _, u in totals)
+def _difference_line(difference: Difference) -> str:
+    day = datetime.fromtimestamp(difference.day * SECONDS_PER_DAY, UTC).date()
+    return (
+        f"{difference.customer:016x} {day} {Ending(difference.ending).name.lower():<8} "
+        f"journal {difference.journal[0]} / {_format_units(difference.journal[1])}, "
+        f"exported {difference.exported[0]} / {_format_units(difference.exported[1])}, "
+        f"received {difference.received[0]} / {_format_units(difference.received[1])}: {difference.kind}"
+    )
+
+
+def _folders_by_gateway(audits: list[Audit]) -> dict[str, int]:
+    folders: dict[str, int] = {}
+    for found in audits:
+        control = found.control
+        if control is None:
+            continue
+        for name in {control.names[each.stream.names].gateway for each in found.streams}:
+            folders[name] = folders.get(name, 0) + 1
+    return folders
 
 
 def _repair(folder: Path, config: str | None) -> int:
@@ -193,9 +215,9 @@
             files.replace(name, data.ljust(AREA_SIZE, b"\0"))
     finally:
         files.close()
-    places = sum(stream.length or 0 for stream in control.streams.values())
+    slots = sum(stream.length or 0 for stream in control.streams.values())
     print(
-        f"{len(control.streams)} lives are known again, {places} places; billing is offered all "
+        f"{len(control.streams)} lives are known again, {slots} places; billing is offered all "
         "of them, and takes what it has not"
     )
     return 0
