--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from trackspread.logs import Sparing
+from trackspread.logs import RateLimitFilter
 
 
 @pytest.fixture(autouse=True)
@@ -16,6 +16,6 @@
     for logger in logging.Logger.manager.loggerDict.values():
         if isinstance(logger, logging.Logger):
             for each in logger.filters:
-                if isinstance(each, Sparing):
-                    each.begin()
+                if isinstance(each, RateLimitFilter):
+                    each.reset()
     yield
--- a/tests/test_net_logs.py
+++ b/tests/test_net_logs.py
@@ -9,7 +9,7 @@
 from trackspread.backends.connection import log as connections_log
 from trackspread.backends.pools import log as pools_log
 from trackspread.fronts.client import log as clients_log
-from trackspread.logs import LINES_MOST, SPAN, Sparing
+from trackspread.logs import INTERVAL_S, MAX_LINES, RateLimitFilter
 
 
 def test_a_flood_of_lines_is_cut_and_counted(
@@ -18,15 +18,15 @@
     clock = [1000.0]
     monkeypatch.setattr("trackspread.logs.time.monotonic", lambda: clock[0])
     log = logging.getLogger("test.flood")
-    log.addFilter(Sparing())
+    log.addFilter(RateLimitFilter())
     for number in range(500):
         log.warning("spoilt %d", number)
-    assert len(caplog.messages) == LINES_MOST
-    clock[0] += SPAN
+    assert len(caplog.messages) == MAX_LINES
+    clock[0] += INTERVAL_S
     log.warning("spoilt %s", "again")
-    assert caplog.messages[LINES_MOST:] == [f"spoilt again ({500 - LINES_MOST} lines like it left out)"]
+    assert caplog.messages[MAX_LINES:] == [f"spoilt again ({500 - MAX_LINES} lines like it left out)"]
 
 
 def test_logs_of_clients_and_backends_are_bounded() -> None:
     for log in (connections_log, pools_log, clients_log):
-        assert any(isinstance(one, Sparing) for one in log.filters)
+        assert any(isinstance(one, RateLimitFilter) for one in log.filters)
--- a/trackspread/backends/connection.py
+++ b/trackspread/backends/connection.py
@@ -16,13 +16,13 @@
 from ..config.addresses import Address
 from ..decide.events import Outcome
 from ..lag import LagTolerantTimer
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from .adapter import Answer, InvalidAnswer
 from .attempt import Attempt
 from .pool_context import PoolContext
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 NS_PER_S = 1_000_000_000
 STALL_TIMEOUT_S = 0.5  # without a byte of an answer that has begun: several round trips
--- a/trackspread/backends/pools.py
+++ b/trackspread/backends/pools.py
@@ -13,7 +13,7 @@
 
 from ..config.addresses import Address
 from ..lag import LagTolerantTimer
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from .adapter import Adapter
 from .attempt import Attempt, AttemptEndings, AttemptObserver
 from .connection_pool import ConnectionPool
@@ -21,7 +21,7 @@
 from .pool_context import PoolContext
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 # The receive buffer that is set for one connection; the kernel keeps, and so delivers at once, twice that at
 # most. Under the minimum, small pieces come slowly, as the kernel counts each with its own overhead.
--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from ..membership.actions import Action, ExchangeTables, PeerDataReceived, SendMessage, StatusEvent
 from ..membership.core_host import CHANGE_KINDS, LOGGED_KINDS, CoreHost, DataCallback
 from ..membership.host import describe
@@ -23,7 +23,7 @@
 from .wire import CellsWire
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 # So that the many events of members do not suppress these.
 important_log = logging.getLogger(f"{__name__}.note")
 
--- a/trackspread/control/admin_server.py
+++ b/trackspread/control/admin_server.py
@@ -14,10 +14,10 @@
 import h11
 
 from ..config.addresses import Address
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 MAX_CONNECTIONS = 24  # with the gateway's own files, within the descriptors that are reserved
 CALL_TIMEOUT_S = 5.0  # from connecting until the connection is closed
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from ..membership.event_log import EventLog
 from .log import fingerprint
 from .replica import Replica
@@ -27,7 +27,7 @@
 from .wire import Wire
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 LOG_TEXTS = {  # by kind of event of a replica, for those that are logged
     "leads": "leads and takes changes:",
--- a/trackspread/fronts/client.py
+++ b/trackspread/fronts/client.py
@@ -19,14 +19,14 @@
 
 from ..call import Call
 from ..call import InvalidCall, PausableSource
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from .seam import Broken, Front, Item, Ping
 
 if TYPE_CHECKING:
     from .connections import Clients
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 IDLE_CROWDED = 2.0  # s at rest that every connection is granted where few are left
 CARRY_MOST = 32 << 10  # bytes of what a client has said that go with its connection to another process
--- a/trackspread/lists/agent.py
+++ b/trackspread/lists/agent.py
@@ -15,13 +15,13 @@
 from ..config.addresses import Address, ConfigError, address
 from ..decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from ..lag import LagTolerantTimer
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from .seam import ListError, Update, backend_id
 from .services import ALL_ALIKE, DEFAULT, CarriedServices
 from .turns import PATIENCE, Turns
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 # A change counts as told 6 s after a watch fell silent, or after discovery could be reached if the call that
 # was out then stays without an answer: either is over early enough for another call.
--- a/trackspread/membership/host.py
+++ b/trackspread/membership/host.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import cast
 
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from .actions import Action, ExchangeTables, PeerDataReceived, SendMessage, StatusEvent
 from .core_host import CHANGE_KINDS, LOGGED_KINDS, CoreHost, DataCallback
 from .identifiers import Address, MemberId
@@ -18,7 +18,7 @@
 from .wire import Wire
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 important_log = logging.getLogger(f"{__name__}.note")  # the many events of members must not suppress these
 
 
--- a/trackspread/membership/transport.py
+++ b/trackspread/membership/transport.py
@@ -12,14 +12,14 @@
 from collections import Counter
 from collections.abc import Callable
 
-from ..logs import Sparing
+from ..logs import RateLimitFilter
 from .identifiers import SECOND, Address
 from .messages import TableSnapshot
 from .timing import TICK_NS
 from .wire import TABLE_LENGTH_BYTES, Wire
 
 log = logging.getLogger(__name__)
-log.addFilter(Sparing())
+log.addFilter(RateLimitFilter())
 
 EXCHANGE_TIMEOUT_S = 2.0  # for one exchange of tables
 MAX_OWN_EXCHANGES = 4  # in progress that were begun here
