--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -18,11 +18,11 @@
     Fleet,
     Reservation,
     admit_reservation,
+    available_per_s,
     cancel_reservation,
     capacity_per_s,
     change_times,
     reserved_rates,
-    available_per_s,
 )
 from trackspread.plans.notice import NOTICE_MS, PlanError
 from trackspread.plans.registry import SCHEMA, PlanRegistry, VersionFollower
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -29,9 +29,9 @@
     Version,
     VersionFollower,
     add_version,
-    plan_differences,
     in_force,
     next_version,
+    plan_differences,
     withdraw_version,
 )
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -17,9 +17,9 @@
     Read,
     Replace,
     Save,
+    parse_segment_name,
     perform,
     segment_name,
-    parse_segment_name,
 )
 from trackspread.storage.directory import Directory
 from trackspread.storage.document import DocumentError, Schema
@@ -31,13 +31,13 @@
     Head,
     Scan,
     SegmentError,
+    checksum_seed,
+    count_written_slots,
     pack_head,
     pack_slot,
-    slot_offset,
     scan,
-    checksum_seed,
+    slot_offset,
     unpack_head,
-    count_written_slots,
 )
 from trackspread.testing.virtual.usage.disk import Disk, VirtualFiles
 
--- a/trackspread/commands/plans.py
+++ b/trackspread/commands/plans.py
@@ -27,8 +27,8 @@
     Version,
     add_version,
     check_plans,
-    plan_differences,
     in_force,
+    plan_differences,
     withdraw_version,
 )
 from ..storage.document import DocumentError
