--- a/trackspread/config/service_tables.py
+++ b/trackspread/config/service_tables.py
@@ -28,9 +28,7 @@
 class ClientBounds(Table, frozen=True):
     """Limits on one client connection."""
 
-    pipeline: Annotated[int, msgspec.Meta(ge=1, le=1024)] = (
-        32  # unanswered requests; further ones stay unread
-    )
+    pipeline: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 32  # unanswered requests; more stay unread
     idle_s: Seconds = 25.0  # without a request after the last answer; under the usual 30 s of other proxies
     mute_s: Seconds = 2.6  # until a request is complete, from its first byte or from connecting
     unread_s: Seconds = 2.0  # in which the client reads nothing of what is queued for it
@@ -50,9 +48,7 @@
     gateway carries it.
     """
 
-    classes: dict[str, tuple[str, ...]] = msgspec.field(
-        default_factory=dict
-    )  # names of request classes, by service
+    classes: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)  # request classes by service
     carries: tuple[str, ...] = ()  # services that this gateway accepts requests for; empty: all
 
     def carried(self) -> tuple[str, ...]:
