--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -32,9 +32,6 @@
 """
 
 
-Commands = arguments.Commands[argparse.ArgumentParser]
-
-
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="trackspread",
@@ -56,7 +53,7 @@
     return parser
 
 
-def _add_run(commands: Commands) -> None:
+def _add_run(commands: arguments.Commands[argparse.ArgumentParser]) -> None:
     runs = commands.add_parser(
         "run",
         help="run one gateway in the foreground (the same as no command at all)",
@@ -70,7 +67,7 @@
     )
 
 
-def _add_check(commands: Commands) -> None:
+def _add_check(commands: arguments.Commands[argparse.ArgumentParser]) -> None:
     checks = commands.add_parser("check", help="check configuration files without starting anything")
     checks.add_argument("file", metavar="FILE", nargs="?", help="the operator's own file")
     checks.add_argument(
@@ -80,7 +77,7 @@
     )
 
 
-def _add_try(commands: Commands) -> None:
+def _add_try(commands: arguments.Commands[argparse.ArgumentParser]) -> None:
     tries = commands.add_parser(
         "try",
         help="bring up gateways, rating nodes and clients on loopback, and watch them",
--- a/trackspread/config/fleet_tables.py
+++ b/trackspread/config/fleet_tables.py
@@ -44,9 +44,7 @@
     previous: str = ""  # file with the previous key, which is still accepted
     period_ms: Annotated[float, msgspec.Meta(ge=50.0, le=10_000.0)] = 300.0  # between pings of members
     most: Annotated[int, msgspec.Meta(ge=2, le=4096)] = 64  # limit on members
-    keep_s: Annotated[float, msgspec.Meta(ge=2.0, le=3600.0)] = (
-        30.0  # that an unresponsive member keeps slots
-    )
+    keep_s: Annotated[float, msgspec.Meta(ge=2.0, le=3600.0)] = 30.0  # until a dead member's slots are freed
     record: str = ""  # file to which events are appended; empty: none
 
     def seed_addresses(self) -> tuple[Address, ...]:
