--- a/trackspread/testing/virtual/usage/disk.py
+++ b/trackspread/testing/virtual/usage/disk.py
@@ -87,7 +87,7 @@
 
 
 class _Area:
-    """An open file; the methods are those of `storage.seam.Area`."""
+    """An open file; the methods are those of `storage.interfaces.Area`."""
 
     def __init__(self, disk: Disk, file: _File) -> None:
         self._disk = disk
@@ -118,7 +118,7 @@
 
 
 class VirtualFiles:
-    """The files of a `Disk`, as `storage.seam.Files`."""
+    """The files of a `Disk`, as `storage.interfaces.Files`."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -13,7 +13,7 @@
 from ....storage import calls
 from ....storage.calls import Refresh, Result, Sync
 from ....storage.journal import Journal
-from ....storage.seam import Files
+from ....storage.interfaces import Files
 from ....storage.slots import Head, Scan
 from ....usage import exporter, stream_writer
 from ....usage.batch import Reply
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from ..storage.calls import segment_of
+from ..storage.calls import parse_segment_name
 from ..storage.document import DocumentError
-from ..storage.seam import Files
-from ..storage.slots import HEAD, Head, Scan, SegmentError, scan, unpack_head, written
+from ..storage.interfaces import Files
+from ..storage.slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, scan, unpack_head
 from .control import AREAS, Control, Names, Part, Stream, newest
 from .record import unpack
 from .totals import NOTHING, SCHEMA, Amount, SegmentTotals, Totals
@@ -77,12 +77,12 @@
     result = Audit(checkpoint.control, checkpoint.newer, wrong=checkpoint.errors)
     control = checkpoint.control
     if control is None:
-        if any(segment_of(name) for name in names):
+        if any(parse_segment_name(name) for name in names):
             result.wrong.append("there are records, and no control that can be read")
         return result
     scans: dict[int, list[SegmentScan]] = {}
     for name in names:
-        if (location := segment_of(name)) is not None:
+        if (location := parse_segment_name(name)) is not None:
             segment = _scan_segment(result, files, control, name, location)
             if segment is not None:
                 scans.setdefault(segment.head.epoch, []).append(segment)
@@ -110,7 +110,7 @@
     except SegmentError as error:
         result.wrong.append(f"{name}: {error}")
     head = Head(epoch, index, stream.slots, bytes.fromhex(stream.nonce))
-    return SegmentScan(head, scan(data[HEAD:], head, head.first))
+    return SegmentScan(head, scan(data[HEAD_BYTES:], head, head.first))
 
 
 def _audit_stream(result: Audit, epoch: int, stream: Stream, segments: list[SegmentScan]) -> StreamAudit:
@@ -224,7 +224,7 @@
     segments do not belong together."""
     control = Control(producer, names=[names])
     for name in files.names():
-        if (location := segment_of(name)) is None:
+        if (location := parse_segment_name(name)) is None:
             continue
         epoch, index = location
         data = files.load(name) or b""
@@ -239,7 +239,7 @@
         stream = control.streams.setdefault(epoch, new)
         if stream.nonce != nonce:
             raise DocumentError(f"{name}: it is of another life than the others of its epoch")
-        stream.length = max(stream.length or 0, head.first - 1 + written(data[HEAD:]))
+        stream.length = max(stream.length or 0, head.first - 1 + count_written_slots(data[HEAD_BYTES:]))
         stream.first_segment = min(stream.first_segment, index)
         control.epoch = max(control.epoch, epoch)
     control.streams = {epoch: stream for epoch, stream in control.streams.items() if stream.length}
--- a/trackspread/usage/checkpoint.py
+++ b/trackspread/usage/checkpoint.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ..storage.calls import Call, Result, Save
-from ..storage.seam import Area
+from ..storage.interfaces import Area
 from .control import AREA_SIZE, Control, pack
 from .disk_calls import DiskCalls, OnFailure, OnSuccess
 
--- a/trackspread/usage/context.py
+++ b/trackspread/usage/context.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from ..storage.calls import Call
-from ..storage.seam import Area
+from ..storage.interfaces import Area
 from .checkpoint import CheckpointStore
 from .control import Names
 from .disk_calls import DiskCalls, OnFailure, OnSuccess
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -11,7 +11,7 @@
 
 from ..storage.calls import Call, Result
 from ..storage.journal import Journal
-from ..storage.seam import Area
+from ..storage.interfaces import Area
 from .checkpoint import CheckpointStore
 from .context import OPENED, Bounds, LedgerContext, State
 from .control import Control, Names
--- a/trackspread/usage/recorder.py
+++ b/trackspread/usage/recorder.py
@@ -68,7 +68,7 @@
         if not context.meter.sums:
             return
         has_waited = now - self._flushed_at_ns >= REJECTED_FLUSH_MS * NS_PER_MS
-        has_capacity = self._has_deferred and journal.room() > journal.slots // MIN_FREE_DIVISOR
+        has_capacity = self._has_deferred and journal.free_slots() > journal.slots // MIN_FREE_DIVISOR
         if context.closing or has_waited or has_capacity:
             self._flush(now)
 
@@ -107,7 +107,7 @@
         assert self.journal is not None
         meter = self._context.meter
         self._flushed_at_ns = now
-        while (record := meter.oldest()) is not None and self.journal.room():
+        while (record := meter.oldest()) is not None and self.journal.free_slots():
             if not self._append(now, pack(*record)):
                 break
             meter.written(record)
--- a/trackspread/usage/recovery.py
+++ b/trackspread/usage/recovery.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ..storage.calls import Call, Found, Look, Refresh, Result
+from ..storage.calls import Call, FolderContents, InspectFolder, Refresh, Result
 from .context import LedgerContext, State
 from .control import AREA_SIZE, AREAS, NewestCopy, newest
 from .disk_calls import Purpose
@@ -33,14 +33,14 @@
         if not context.calls.may_start(Purpose.SCAN, now):
             return None
         context.state = State.SCANNING
-        return context.calls.start(Look(AREAS, AREA_SIZE), self._scanned, self._scan_failed)
+        return context.calls.start(InspectFolder(AREAS, AREA_SIZE), self._scanned, self._scan_failed)
 
     def _scan_failed(self, now: int, error: OSError) -> None:
         self._context.state = State.NEW
         self._context.calls.retry_later(Purpose.SCAN)(now, error)
 
     def _scanned(self, now: int, found: Result) -> None:
-        assert isinstance(found, Found)
+        assert isinstance(found, FolderContents)
         context, checkpoint = self._context, self._context.checkpoint
         copy = newest([area.read() for area in found.areas])
         context.alarms += [f"use: {text}" for text in copy.errors]
@@ -78,7 +78,7 @@
         self._context.state = State.NO_STREAM
 
 
-def _why_stuck(copy: NewestCopy, found: Found, undeclared: set[SegmentId]) -> str:
+def _why_stuck(copy: NewestCopy, found: FolderContents, undeclared: set[SegmentId]) -> str:
     """Why the folder must not be changed, empty if it may be."""
     if copy.newer:
         return "a newer program wrote here"
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -15,7 +15,16 @@
 from dataclasses import dataclass
 from typing import Literal, NamedTuple
 
-from ..storage.calls import Call, Found, Read, Remove, Replace, Result, segment_name, segment_of
+from ..storage.calls import (
+    Call,
+    FolderContents,
+    Read,
+    Remove,
+    Replace,
+    Result,
+    parse_segment_name,
+    segment_name,
+)
 from ..storage.journal import Journal
 from ..storage.slots import Head, Scan
 from .control import Control, Stream
@@ -69,12 +78,12 @@
         self._last_written: dict[int, int] = {}  # slot, by epoch: what earlier incarnations wrote
         self._removal: Removal | None = None
 
-    def load(self, control: Control, found: Found, undeclared: set[SegmentId]) -> None:
+    def load(self, control: Control, found: FolderContents, undeclared: set[SegmentId]) -> None:
         """Take up the folder as earlier incarnations left it. `undeclared`: segments without a stream."""
         broken = {
             SegmentId(*location): found.lengths.get(name, (0, 0))[1]
             for name in found.broken
-            if (location := segment_of(name)) is not None and location[0] in control.streams
+            if (location := parse_segment_name(name)) is not None and location[0] in control.streams
         }
         last_slots = {
             SegmentId(*location): head.first - 1 + written
--- a/trackspread/usage/stream_writer.py
+++ b/trackspread/usage/stream_writer.py
@@ -12,7 +12,7 @@
 
 from ..storage.calls import Call, Create, Result
 from ..storage.journal import Commit, Journal
-from ..storage.seam import Area
+from ..storage.interfaces import Area
 from ..storage.slots import MARK, Head
 from .context import ALARM_INTERVAL_NS, LedgerContext, State
 from .control import MAX_STREAMS, Part, Stream
@@ -137,7 +137,7 @@
                 commit.call, lambda now, _: self._committed(now, commit), self._commit_failed
             )
         if context.closing and not journal.pending and not context.meter.sums:
-            if not journal.ended():
+            if not journal.write_final_mark():
                 return self._write_live(now)  # commits the last mark
             return self._end(now, journal) if context.calls.may_start(Purpose.END, now) else None
         return self._extend(now, journal)
@@ -163,13 +163,13 @@
     def _extend(self, now: int, journal: Journal) -> Call | None:
         """Create the next segment if the stream wants one and there is room."""
         context = self._context
-        if (head := journal.wants()) is None or not context.segment_store.may_create():
+        if (head := journal.needed_segment()) is None or not context.segment_store.may_create():
             return None
         if not context.calls.may_start(Purpose.SEGMENT, now):
             return None
 
         def created(now: int, area: Result) -> None:
-            journal.provide(cast(Area, area))
+            journal.add_segment(cast(Area, area))
             context.segment_store.add(journal.epoch, journal.index + 1)
 
         return context.calls.start(Create(head), created, context.calls.retry_later(Purpose.SEGMENT))
