--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -51,7 +51,7 @@
         await fleet.settle()
         verdict = fleet.verdict()
         ceiling, quota = quota_use.excess(fleet)
-        inside = quota_use.allowed_use(fleet, mark)
+        inside = quota_use.share_of_allowed_use(fleet, mark)
     return {
         "ceiling": ceiling,
         "quota": quota,
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -36,7 +36,7 @@
 from trackspread.usage.host import UseHost, export_all
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import Ending
-from trackspread.usage.senders import Target, put, sender
+from trackspread.usage.senders import Target, put, make_sender
 from trackspread.testing.virtual import reservations
 from trackspread.testing.virtual.usage.mutants import MUTANTS, convict
 from trackspread.testing.virtual.usage.schedules import make, play
@@ -122,8 +122,8 @@
             await fleet.settle()
             server.answer_loss = server.unavailable_share = 0.0
             for name in ("n0", "n1"):
-                ledger = await export_all(folder / name, sender(Target(server.url)), DRAIN_MOST)
-                if not ledger.exported:
+                ledger = await export_all(folder / name, make_sender(Target(server.url)), DRAIN_MOST)
+                if not ledger.is_all_exported:
                     raise RuntimeError(f"{name} is not exported: {ledger.exporter.trouble}")
             told = compare(fleet.ledger.entries, server.database.totals())
         server.close()
--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -14,12 +14,12 @@
 from trackspread.decide import broker
 from trackspread.decide.quota import Quota, hard_limit
 from trackspread.testing.virtual.patches import applied
-from trackspread.testing.virtual.large_fleets import SHAPES, LoadShape, play
+from trackspread.testing.virtual.large_fleets import SHAPES, LargeFleetRun, play
 
 QUICK, FULL = 1, 5  # seeds of each shape
 
 
-def _before(name: str, seed: int) -> LoadShape:
+def _before(name: str, seed: int) -> LargeFleetRun:
     former = (
         patch.object(broker, "CHANCE", 0.0),
         patch.object(hard_limit, "unspent_units", lambda *words: 0.0),
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -174,11 +174,11 @@
 
 def test_lines_of_dropped_classes_stay_while_there_is_room() -> None:
     made = RequestCounters([b"a", b"b"])
-    made.ended(b"a", Ending.SERVED)
-    made.configured([b"b", b"c"])
-    made.ended(b"a", Ending.LEFT)
+    made.count_ended(b"a", Ending.SERVED)
+    made.set_classes([b"b", b"c"])
+    made.count_ended(b"a", Ending.LEFT)
     lines = made.lines(1, 2, 3).splitlines()
     assert {"router.served.a=1", "router.refused.c=0", "router.backends_excluded=3"} <= set(lines)
     for number in range(2 * MAX_CLASSES):
-        made.configured([b"n%d" % number])
+        made.set_classes([b"n%d" % number])
     assert sum("served" in line for line in made.lines(0, 0, 0).splitlines()) == MAX_CLASSES
--- a/tests/plans/test_calendar.py
+++ b/tests/plans/test_calendar.py
@@ -101,13 +101,19 @@
 def test_uptake_begins_and_ends_a_reservation_at_its_moments_and_after_a_restart() -> None:
     made = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
     follower = VersionFollower()
-    follower.read(PlanRegistry(reservations=(made,)))
-    assert follower.reservations(NOW) is None and follower.wait(NOW) == 10_000
-    assert follower.reservations(NOW + 10_000) == {7: 100.0} and follower.wait(NOW + 10_000) == 50_000
-    assert follower.reservations(NOW + 11_000) is None and follower.reservations(NOW + 60_000) == {}
+    follower.set_registry(PlanRegistry(reservations=(made,)))
+    assert follower.take_changed_reservations(NOW) is None and follower.ms_until_next_change(NOW) == 10_000
+    assert (
+        follower.take_changed_reservations(NOW + 10_000) == {7: 100.0}
+        and follower.ms_until_next_change(NOW + 10_000) == 50_000
+    )
+    assert (
+        follower.take_changed_reservations(NOW + 11_000) is None
+        and follower.take_changed_reservations(NOW + 60_000) == {}
+    )
     fresh = VersionFollower()
-    fresh.read(PlanRegistry(reservations=(made,)))
-    assert fresh.reservations(NOW + 30_000) == {7: 100.0}
+    fresh.set_registry(PlanRegistry(reservations=(made,)))
+    assert fresh.take_changed_reservations(NOW + 30_000) == {7: 100.0}
 
 
 def test_a_registry_of_the_first_schema_is_upgraded() -> None:
--- a/tests/plans/test_plans.py
+++ b/tests/plans/test_plans.py
@@ -110,8 +110,8 @@
             registry = add_version(registry, FULL, now + rng.randint(NOTICE_MS, 9_000), now, "")
         for number, (follower, clock) in enumerate(zip(followers, clocks, strict=True)):
             if (now + 200 * number) % 1000 == 0 and rng.random() < 0.9:
-                follower.read(registry)
-            if (due := follower.due(now + clock)) is not None and due[0] is not None:
+                follower.set_registry(registry)
+            if (due := follower.take_due(now + clock)) is not None and due[0] is not None:
                 taken[number][due[0].number] = now
     assert registry.versions
     for version in registry.versions:
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -116,21 +116,21 @@
     assert journal.needed_segment() == journal.head(1)
     journal.add_segment(spare)
     assert not journal.append(_payload(9)), "four are not committed yet"
-    commit = journal.commit()
-    assert commit is not None and commit.upto == 4
-    assert journal.synced(commit) == [] and journal.committed == 4 and not journal.pending
+    commit = journal.next_commit()
+    assert commit is not None and commit.last_slot == 4
+    assert journal.commit_done(commit) == [] and journal.committed == 4 and not journal.pending
     assert journal.append(_payload(5)) and journal.index == 1 and journal.needed_segment() is None
-    commit = journal.commit()
-    assert commit is not None and len(journal.synced(commit)) == 1, "the full segment can be closed"
+    commit = journal.next_commit()
+    assert commit is not None and len(journal.commit_done(commit)) == 1, "the full segment can be closed"
 
 
 def test_marks_tell_how_far_the_stream_was_on_the_disk() -> None:
     journal, files = _journal(4 * MARK_EVERY)
     for number in range(2 * MARK_EVERY):
         assert journal.append(_payload(number))
-        commit = journal.commit()
+        commit = journal.next_commit()
         assert commit is not None
-        journal.synced(commit)
+        journal.commit_done(commit)
     found = perform(files, Read(journal.head(0), 1, 4 * MARK_EVERY))
     assert isinstance(found, Scan)
     assert len(found.payloads) == 2 * MARK_EVERY and found.last == journal.next - 1 > 2 * MARK_EVERY
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -121,7 +121,7 @@
         for number in range(100):
             host.count(Ending.SERVED, number % 2, 0, 4, 6 + number % 2, 1.5, 1)
         await host.stop()
-        assert (await export_all(use, sender, MOST)).exported
+        assert (await export_all(use, sender, MOST)).is_all_exported
 
     uvloop.run(asyncio.wait_for(body(), MOST))
     found = audit(Directory(use, view=True))
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -83,11 +83,11 @@
     for customer in (1, 2, 3, 3, 1):
         meter.fold(USE._replace(tenant=customer))
     made = []
-    while (use := meter.oldest()) is not None:
+    while (use := meter.oldest_sum()) is not None:
         made.append((use.kind, use.tenant, use.requests, use.nano_units))
-        meter.written(use)
+        meter.subtract_written(use)
     one = USE.nano_units
-    assert made == [(Kind.SUM, 1, 2, 2 * one), (Kind.SUM, 2, 1, one), (Kind.LOST, 0, 2, 2 * one)]
+    assert made == [(Kind.SUM, 1, 2, 2 * one), (Kind.SUM, 2, 1, one), (Kind.UNATTRIBUTED, 0, 2, 2 * one)]
     assert meter.unattributed == 2 and not meter.sums
 
 
@@ -96,9 +96,9 @@
     for _ in range(3):
         meter.fold(USE._replace(nano_units=0xFFFFFFFFFFFFFFFF))
     total, parts = 0, 0
-    while (use := meter.oldest()) is not None:
+    while (use := meter.oldest_sum()) is not None:
         total, parts = total + use.nano_units, parts + 1
-        meter.written(use)
+        meter.subtract_written(use)
     assert total == 3 * 0xFFFFFFFFFFFFFFFF and parts == 3
 
 
@@ -264,7 +264,7 @@
     assert sum("clock was set back" in text for text in process.alarms) == 1
     assert sum("nobody's" in text for text in process.alarms) == 1
     kinds = [(row.kind, row.requests) for row in world.memory.rows]
-    assert sum(n for _, n in kinds) == 4 and {kind for kind, _ in kinds} == {Kind.SUM, Kind.LOST}
+    assert sum(n for _, n in kinds) == 4 and {kind for kind, _ in kinds} == {Kind.SUM, Kind.UNATTRIBUTED}
     assert len({row.time for row in world.memory.rows}) == 2 and min(
         row.time for row in world.memory.rows
     ) >= month_start(world.wall_ms() + 60_000)
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -25,7 +25,7 @@
 from trackspread.usage.host import UseHost, export_all
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import DAY_MS, NANO, Ending
-from trackspread.usage.senders import FileSender, SendError, Target, sender
+from trackspread.usage.senders import FileSender, SendError, Target, make_sender
 
 pytestmark = pytest.mark.processes
 
@@ -60,8 +60,8 @@
         await fleet.settle()
         server.answer_loss = server.unavailable_share = 0.0
         for name in ("n0", "n1"):
-            ledger = await export_all(folder / name, sender(Target(server.url, SECRET)), MOST)
-            assert ledger.exported, ledger.exporter.trouble
+            ledger = await export_all(folder / name, make_sender(Target(server.url, SECRET)), MOST)
+            assert ledger.is_all_exported, ledger.exporter.trouble
         told = compare(fleet.ledger.entries, server.database.totals())
     assert server.billing.reply_counts["again"] > 0 and server.billing.reply_counts["conflict"] == 0
     assert told.served > 0 and (told.lost, told.doubled) == (0, 0)
@@ -146,14 +146,14 @@
         server = BillingServer(tmp_path / "b.db", SECRET)
         await server.start()
         with pytest.raises(SendError, match="403") as caught:
-            await sender(Target(server.url, b"another")).send(_post(1))
+            await make_sender(Target(server.url, b"another")).send(_post(1))
         assert caught.value.final
         server.unavailable_share = 1.0
         with pytest.raises(SendError, match="503") as caught:
-            await sender(Target(server.url, SECRET)).send(_post(1))
+            await make_sender(Target(server.url, SECRET)).send(_post(1))
         assert caught.value.retry_after_ns == 1_000_000_000 and not caught.value.final
         server.unavailable_share = 0.0
-        assert await sender(Target(server.url, SECRET)).send(_post(1)) == Reply(1)
+        assert await make_sender(Target(server.url, SECRET)).send(_post(1)) == Reply(1)
         server.close()
 
     uvloop.run(asyncio.wait_for(body(), MOST))
@@ -162,13 +162,13 @@
 @pytest.mark.parametrize("url", ["ftp://x/y", "http:///use", "billing"])
 def test_a_way_to_billing_that_is_none_is_said_so(url: str) -> None:
     with pytest.raises(ValueError, match="wanted http://HOST:PORT/PATH"):
-        sender(Target(url))
+        make_sender(Target(url))
 
 
 def test_the_lock_is_free_again_after_an_export(tmp_path: Path) -> None:
     async def body() -> None:
         ledger = await export_all(tmp_path, FileSender(tmp_path / "drop"), 1.0)
-        assert ledger.exported and msgspec.to_builtins(ledger.control)["streams"] == {}
+        assert ledger.is_all_exported and msgspec.to_builtins(ledger.control)["streams"] == {}
         Directory(tmp_path).close()
 
     uvloop.run(asyncio.wait_for(body(), MOST))
@@ -209,7 +209,7 @@
         while not sending.done():
             take_dropped_files(tmp_path / "drop", billing)
             await asyncio.sleep(0.01)
-        assert (await sending).exported
+        assert (await sending).is_all_exported
 
     uvloop.run(exported())
     rows = billing.store.rows  # type: ignore[attr-defined]
--- a/trackspread/commands/admin_client.py
+++ b/trackspread/commands/admin_client.py
@@ -18,7 +18,7 @@
 def fetch(admin_address: str, path: str, key: str) -> bytes:
     """Returns the body of a gateway's response; raises `ConfigError`.
 
-    `key` is what the operator's file of a gateway that serves `path` contains.
+    `key` is the operator's key without which a gateway does not serve `path`; the error names it.
     """
     host, port = address(admin_address, "HOST:PORT")
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -125,11 +125,11 @@
     if not options.folder.is_dir():
         raise ConfigError(f"{options.folder}: found no folder, wanted a gateway's use.folder")
     try:
-        sender = senders.configured_sender(url, use.secret, use.ca)
+        sender = senders.make_configured_sender(url, use.secret, use.ca)
     except ValueError as error:
         raise ConfigError(f"--to: found {url!r}, {error}") from None
     ledger = asyncio.run(export_all(options.folder, sender, options.seconds, _print_progress))
-    if not ledger.exported:
+    if not ledger.is_all_exported:
         print(f"not all is exported: {_fault(ledger) or 'out of time'}")
         return 1
     print("billing has everything that is in the folder")
--- a/trackspread/config/service_tables.py
+++ b/trackspread/config/service_tables.py
@@ -44,15 +44,16 @@
 class Services(Table, frozen=True):
     """Several services behind one gateway, each with its own backends; disabled without `classes`.
 
-    A class of request that belongs to none of them is of the default service. Its name is empty, and every
-    gateway carries it.
+    Request classes that no service lists belong to the default service, whose name is empty and which every
+    gateway carries.
     """
 
     classes: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)  # request classes by service
     carries: tuple[str, ...] = ()  # services that this gateway accepts requests for; empty: all
 
     def carried(self) -> tuple[str, ...]:
-        """Returns the default service and then the others, in the order of the file."""
+        """Returns the default service and then the others, in the order of the file; empty while several
+        services are disabled."""
         return ("", *(self.carries or self.classes)) if self.classes else ()
 
     def service_of(self, cls: str) -> str:
--- a/trackspread/control/counters.py
+++ b/trackspread/control/counters.py
@@ -18,9 +18,9 @@
         self.reloads_ok = 0
         self.reloads_failed = 0
         self._ended: dict[bytes, dict[Ending, int]] = {}
-        self.configured(classes)
+        self.set_classes(classes)
 
-    def configured(self, classes: Iterable[bytes]) -> None:
+    def set_classes(self, classes: Iterable[bytes]) -> None:
         """Adds counters for these request classes; removed ones keep theirs, up to `MAX_CLASSES` in all."""
         configured = list(dict.fromkeys(classes))
         for name in configured:
@@ -30,7 +30,7 @@
         for name in removed[:excess]:
             del self._ended[name]
 
-    def ended(self, name: bytes, ending: Ending) -> None:
+    def count_ended(self, name: bytes, ending: Ending) -> None:
         """Counts the final answer of a request of class `name`; other endings are not counted."""
         counts = self._ended.get(name)
         if counts is not None and ending in counts:
--- a/trackspread/node/plan_registry_part.py
+++ b/trackspread/node/plan_registry_part.py
@@ -56,15 +56,15 @@
         """Run once a second, and at the time at which the next version is due."""
         self._read()
         now_ms = _now_ms()
-        due = self._follower.due(now_ms)
-        reserved_rates = self._follower.reservations(now_ms)
+        due = self._follower.take_due(now_ms)
+        reserved_rates = self._follower.take_changed_reservations(now_ms)
         if due is not None:
             self._put_in_force(*due)
         if reserved_rates is not None:
             log.warning("plans: reservations of %d tenants are in force", len(reserved_rates))
         if due is not None or reserved_rates is not None:
             self._report_change()
-        wait_ms = self._follower.wait(_now_ms())
+        wait_ms = self._follower.ms_until_next_change(_now_ms())
         delay_s = POLL_INTERVAL_S
         if wait_ms is not None:
             delay_s = min(POLL_INTERVAL_S, max(0.0, wait_ms / MS_PER_S))
@@ -72,7 +72,8 @@
 
     def _report_change(self) -> None:
         reservations = tuple(
-            (tenant, rate, TENANT_BURST_S * rate) for tenant, rate in sorted(self._follower.reserved.items())
+            (tenant, rate, TENANT_BURST_S * rate)
+            for tenant, rate in sorted(self._follower.reserved_per_s.items())
         )
         self._changed(PlansChanged(self._plans, reservations))
 
@@ -91,7 +92,7 @@
             return
         self._last_read = identity
         self._logged_fault = ""
-        self._follower.read(registry)
+        self._follower.set_registry(registry)
 
     def _put_in_force(self, version: Version | None, late_ms: int) -> None:
         named = zip(self._platform_plans, self._names, strict=True)
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -214,7 +214,7 @@
         """The final answer is given, or its client has left: no other follows."""
         if not request.is_closed:
             request.is_closed = True
-            self.figures.ended(self.roster.names[request.call.request_class], ending)
+            self.figures.count_ended(self.roster.names[request.call.request_class], ending)
             self.parts.record_usage(request.call, ending, request.attempt_count)
             self.open_request_ids.discard(request.call.request_id)
             if self.handover_exporter is not None:
--- a/trackspread/node/usage_part.py
+++ b/trackspread/node/usage_part.py
@@ -17,7 +17,7 @@
 from ..usage.host import UseHost
 from ..usage.ledger import Bounds
 from ..usage.record import Ending
-from ..usage.senders import Sender, configured_sender
+from ..usage.senders import Sender, make_configured_sender
 
 BYTES_PER_MB = 1 << 20
 NS_PER_MS = 1_000_000
@@ -42,7 +42,7 @@
     if not use.billing:
         return None
     try:
-        return configured_sender(use.billing, use.secret, use.ca)
+        return make_configured_sender(use.billing, use.secret, use.ca)
     except (OSError, ValueError) as error:
         raise ConfigError(f"use.secret, use.ca or use.billing: {error}") from None
 
--- a/trackspread/planning/lease_holder.py
+++ b/trackspread/planning/lease_holder.py
@@ -6,7 +6,7 @@
   with, and only under an epoch no older than the newest seen. Late, duplicate, reordered and stale ones do
   nothing.
 - The static share starts empty and needs no planner: no request is rejected for want of one.
-- A soft limit's lease that has expired is refilled at its rate for `SOFT_EXTENSION_NS` more, without a new grant.
+- A soft limit's lease that has expired is refilled for `SOFT_EXTENSION_NS` more, without a new grant.
 
 Knows its own clock and grants in any order; knows nothing of other forwarders, nor of which planner granted.
 """
--- a/trackspread/plans/registry.py
+++ b/trackspread/plans/registry.py
@@ -182,31 +182,32 @@
 
     def __init__(self) -> None:
         self.registry = PlanRegistry()
-        self.number = 0
-        self.reserved: dict[int, float] = {}  # units per second, by tenant
+        self.version_number = 0
+        self.reserved_per_s: dict[int, float] = {}  # units, by tenant
 
-    def read(self, registry: PlanRegistry) -> None:
+    def set_registry(self, registry: PlanRegistry) -> None:
         """Takes the registry as it was just read."""
         self.registry = registry
 
-    def due(self, now_ms: int) -> DueVersion | None:
-        """Returns the version that is to be put in force now, or None if nothing changes."""
+    def take_due(self, now_ms: int) -> DueVersion | None:
+        """Puts the version that is due in force and returns it; None if nothing changes."""
         version = in_force(self.registry, now_ms)
         number = version.number if version is not None else 0
-        if number == self.number:
+        if number == self.version_number:
             return None
-        self.number = number
+        self.version_number = number
         return DueVersion(version, max(0, now_ms - version.since) if version is not None else 0)
 
-    def reservations(self, now_ms: int) -> dict[int, float] | None:
-        """Returns the reserved rate in units per second of each tenant, or None if nothing changes."""
+    def take_changed_reservations(self, now_ms: int) -> dict[int, float] | None:
+        """Puts the rates reserved now in force and returns them, in units per second by tenant; None if
+        nothing changes."""
         rates = reserved_rates(self.registry.reservations, now_ms)
-        if rates == self.reserved:
+        if rates == self.reserved_per_s:
             return None
-        self.reserved = rates
+        self.reserved_per_s = rates
         return rates
 
-    def wait(self, now_ms: int) -> int | None:
+    def ms_until_next_change(self, now_ms: int) -> int | None:
         """Returns the ms until the next version or reservation begins or ends, or None."""
         times_ms = [time_ms for time_ms in change_times(self.registry.reservations) if time_ms > now_ms]
         version = next_version(self.registry, now_ms)
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -11,7 +11,12 @@
 from .interfaces import Area, Files
 from .slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, pack_head, scan, unpack_head
 
-SegmentId = tuple[int, int]  # epoch and index
+
+class SegmentId(NamedTuple):
+    """A segment, by the epoch of its stream and its number in it, from 0."""
+
+    epoch: int
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,14 +133,14 @@
 
 
 def parse_segment_name(name: str) -> SegmentId | None:
-    """Returns epoch and index of a segment, or None for any other file."""
+    """Returns the segment that a file holds, or None for any other file."""
     parts = name.removesuffix(".log").split("-")
     if not name.endswith(".log") or len(parts) != 3:
         return None
     epoch, index = parts[1:]
     if not (epoch.isdecimal() and index.isdecimal()):
         return None
-    return int(epoch), int(index)
+    return SegmentId(int(epoch), int(index))
 
 
 def perform(files: Files, call: Call) -> Result:
--- a/trackspread/storage/interfaces.py
+++ b/trackspread/storage/interfaces.py
@@ -1,8 +1,8 @@
 """Interfaces to the disk: files of a fixed size and the folder that holds them.
 
-`directory.py` implements them on a real folder; `testing/virtual/usage/disk.py` simulates a disk that loses,
-tears and fills up. Every call except `Area.write` may block, so it must not run on the event loop, and may
-raise `OSError`.
+`directory.py` implements them on a real folder; `testing/virtual/usage/disk.py` simulates a disk that loses
+and tears writes and that fills up. Every call except `Area.write` may block, so it must not run on the event
+loop, and may raise `OSError`.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     """One folder, owned by one process."""
 
     def names(self) -> list[str]:
-        """Returns the names of all files."""
+        """Returns the names of all files but the lock, sorted."""
 
     def create(self, name: str, size: int) -> Area:
         """Creates a file of `size` zero bytes, with its space allocated and its name on the disk."""
--- a/trackspread/storage/journal.py
+++ b/trackspread/storage/journal.py
@@ -26,7 +26,7 @@
     """One group of records: the disk call that commits it, and the sequence number of its last slot."""
 
     call: Sync
-    upto: int
+    last_slot: int
 
 
 class Journal:
@@ -115,15 +115,15 @@
         self.pending.append(payload)
         self.next += 1
 
-    def commit(self) -> Commit | None:
+    def next_commit(self) -> Commit | None:
         """Returns the next group to commit, or None if nothing is pending. One group at a time is in work."""
         if not self.pending:
             return None
         return Commit(Sync(tuple(self._dirty.values())), self.next - 1)
 
-    def synced(self, commit: Commit) -> list[Area]:
+    def commit_done(self, commit: Commit) -> list[Area]:
         """Records that a group is on the disk. Returns the full segments, which the caller closes."""
-        while self.committed < commit.upto:
+        while self.committed < commit.last_slot:
             self.committed += 1
             self.pending.popleft()
         earlier = [index for index in self._dirty if index < self.index]
--- a/trackspread/testing/harness/cell_fleet.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -163,7 +163,6 @@
         for cell in sorted({str(record.about["fleet"]) for record in records if "fleet" in record.about}):
             cell_records = self.records_of_cell(cell)
             found += find_view_conflicts(cell_records) + find_grant_overlaps(cell_records, process_ends)[0]
-        records = self.records()
         found += older_placements(records) + double_memberships(records) + unreturned_slots(records)
         return sorted(found + retired_with_members(records, process_ends))
 
--- a/trackspread/testing/harness/quota_use.py
+++ b/trackspread/testing/harness/quota_use.py
@@ -51,8 +51,8 @@
     )
 
 
-def allowed_use(fleet: Fleet, since: int) -> float:
-    """Units forwarded from the ledger's entry `since` on, as a part of what exact quotas would have allowed.
+def share_of_allowed_use(fleet: Fleet, first_entry: int) -> float:
+    """Units forwarded from the ledger's entry with this index on, as a share of what exact quotas allow.
 
     Allowed is what one token bucket for each quota would have admitted at the requests' first attempt. The
     result is at most 1.
@@ -60,7 +60,7 @@
     rules = fleet.scenario.world()
     entries = fleet.ledger.entries
     history = RunHistory(rules, entries)
-    start = entries[since].at
+    start = entries[first_entry].at
     buckets: dict[int, TokenBucket] = {}
     allowed_units = 0.0
     origins: set[str] = set()
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -1,6 +1,7 @@
 """`trackspread try`: three gateways, nine rating nodes and clients on loopback, live, with kills.
 
-Ends with what happened and the judge's verdict: exit status 0 if the rules were kept, 1 if one was broken.
+Ends with what happened and the judge's verdict; exit status 1 if a rule was broken, else 0 (also without a
+verdict, when the machine was too busy).
 """
 
 from __future__ import annotations
@@ -240,7 +241,7 @@
 
 
 def run(seconds: float, kill: list[str], seed: int) -> int:
-    """Runs a trial; returns the exit status: 0 for rules kept, 1 for broken.
+    """Runs a trial; returns the exit status: 1 if a rule was broken, else 0 (also without a verdict).
 
     `kill`: the words of `--kill`. Raises `ConfigError` on a word or a time that can't be used.
     """
--- a/trackspread/testing/judge/judge.py
+++ b/trackspread/testing/judge/judge.py
@@ -27,20 +27,21 @@
 from .verdict import RunSummary, State, Verdict, Violation
 
 EXPECTED_STATUSES = (0, -9)  # clean shutdown, and SIGKILL
-RULES = (check_replies, check_effects, check_drains, check_slow_start, check_hard_limits)
+# From the history alone; gateway exits and quotas are checked beside these.
+RULE_CHECKS = (check_replies, check_effects, check_drains, check_slow_start, check_hard_limits)
 
 
 def check_gateway_exits(history: RunHistory) -> Iterator[Violation]:
     """A gateway exits only when it was told to, and then with status 0 unless it was killed."""
-    stopping: set[str] = set()
+    told_to_end: set[str] = set()
     for entry in history.entries:
         match entry:
             case GatewayStopping(gateway=gateway) | GatewayKilled(gateway=gateway):
-                stopping.add(gateway)
+                told_to_end.add(gateway)
             case GatewayStarted(gateway=gateway):
-                stopping.discard(gateway)
+                told_to_end.discard(gateway)
             case GatewayExited(gateway=gateway, status=status):
-                if gateway not in stopping:
+                if gateway not in told_to_end:
                     yield Violation(entry.at, "crash", f"{gateway} ended by itself, status {status}")
                 elif status not in EXPECTED_STATUSES:
                     yield Violation(entry.at, "crash", f"{gateway} ended with status {status}")
@@ -76,7 +77,7 @@
     """The verdict on one run; entries may come in any order."""
     history = RunHistory(rules, entries)
     summary = summarize(history)
-    violations = [violation for check in RULES for violation in check(history)]
+    violations = [violation for check in RULE_CHECKS for violation in check(history)]
     violations += check_gateway_exits(history)
     violations += check_quotas(history, summary)
     is_certain = any(not violation.time_dependent for violation in violations)
--- a/trackspread/testing/judge/ledger.py
+++ b/trackspread/testing/judge/ledger.py
@@ -137,13 +137,13 @@
 
 
 class GatewayStopping(_Entry, frozen=True):
-    """A gateway was asked to shut down (SIGTERM)."""
+    """A gateway is about to be asked to shut down (SIGTERM)."""
 
     gateway: str
 
 
 class GatewayKilled(_Entry, frozen=True):
-    """A gateway was killed (SIGKILL)."""
+    """A gateway is about to be killed (SIGKILL)."""
 
     gateway: str
 
--- a/trackspread/testing/judge/membership_records.py
+++ b/trackspread/testing/judge/membership_records.py
@@ -18,13 +18,22 @@
 import msgspec
 
 SLOTS = 1024  # of the shared quotas; grants are sets of slots
-ENDS_GRANTS = ("left", "fenced", "renamed", "made way")  # kinds of records after which a process owns nothing
+KINDS_ENDING_GRANTS = (
+    "left",
+    "fenced",
+    "renamed",
+    "made way",
+)  # kinds of records after which a process owns nothing
 ViewNumber = tuple[int, int, int]
 ProcessId = tuple[str, int]
 
 
 class MembershipRecord(msgspec.Struct, frozen=True):
-    """One line of a record; `born` tells processes of the same name apart, `about` depends on the kind."""
+    """One line of a record; `born` tells processes of the same name apart.
+
+    `about` holds the details of the kind: "view" and "issued" have `number`, `parent`, `members`; "part" (a
+    grant) has `part` (slots) and `lasts` (ns). Kinds in `KINDS_ENDING_GRANTS` end the grant.
+    """
 
     at: int  # ns
     name: str
@@ -172,7 +181,7 @@
     granted: dict[ProcessId, list[_Grant]] = {}
     for record in records:
         grants = granted.get(record.process_id, [])
-        if grants and (record.kind in ENDS_GRANTS or record.kind == "part"):
+        if grants and (record.kind in KINDS_ENDING_GRANTS or record.kind == "part"):
             grants[-1] = grants[-1]._replace(until=min(grants[-1].until, record.at))
         if record.kind != "part":
             continue
--- a/trackspread/testing/standins/billing.py
+++ b/trackspread/testing/standins/billing.py
@@ -2,9 +2,9 @@
 
 Written from what the export promises to a receiver, not from its code; without HTTP.
 
-- A stream's places are taken in order, without a gap, each at most once. - The first batch that tells a
-stream's length seals it. A sealed stream takes nothing behind its seal: whoever
-  writes there was replaced. Up to the seal the same places hold the same records, whoever sends them.
+- A stream's places are taken in order, without a gap, each at most once.
+- The first batch that states a stream's length seals it. A sealed stream takes nothing beyond its seal:
+  whoever writes there was replaced. Up to the seal the same places hold the same records, whoever sends them.
 - Taking a batch and advancing the stream's `taken` are one step: both are on the disk, or neither.
 """
 
--- a/trackspread/testing/standins/client_population.py
+++ b/trackspread/testing/standins/client_population.py
@@ -85,7 +85,10 @@
 
 @dataclass(slots=True)
 class ClientPopulation:
-    """All tenants; the same seed and calls give the same requests. `rate_multiple`: of the usual rate."""
+    """All tenants; the same seed and calls give the same requests.
+
+    `rate_multiple`: the request rate now, as a multiple of the usual one; 0 stops the load in virtual time.
+    """
 
     tenants: list[Tenant]
     classes: tuple[ClassDemand, ...]
--- a/trackspread/testing/standins/scenario.py
+++ b/trackspread/testing/standins/scenario.py
@@ -54,14 +54,13 @@
 class Scenario:
     """A fleet of gateways and rating nodes; `load` is what is asked for, as part of what the nodes can do.
 
-    - `max_tenants`: tenants at most; `greedy_share`: the part of them that asks for several times its
-    quota. - `deduplication_window_ns`: for which a cell's nodes remember an idempotency key. -
-    `warm_up_ns`: of a slow start, which begins with the part `initial_capacity` of the capacity. Meanwhile
-    a
-      node crashes when it is sent more than `overload_multiple` times what it can do in `overload_window_ns`.
-    - `drain_grace_ns`: for which a draining node may still get requests. `tolerance_ns`: up to which the
-    judge
-      takes two times as the same.
+    - `max_tenants`: the most tenants; `greedy_share`: the share that requests several times its quota.
+    - `deduplication_window_ns`: how long a cell's nodes remember an idempotency key.
+    - `warm_up_ns`: the length of a slow start, which begins with `initial_capacity`, a share of the capacity.
+      Meanwhile a node crashes if it is sent more than `overload_multiple` times what it can do in
+      `overload_window_ns`.
+    - `drain_grace_ns`: how long a draining node may still get requests.
+    - `tolerance_ns`: how far apart two times may be for the judge to take them as the same.
     - `max_excess_share`: the part of the units forwarded that may lie beyond quotas.
     - `plans`: the first is most tenants', the others have even parts of the rest.
     - `setting_overrides`: settings that differ from the usual, by section and key.
--- a/trackspread/testing/virtual/host.py
+++ b/trackspread/testing/virtual/host.py
@@ -71,7 +71,7 @@
 class Attempt:
     """One attempt of one request at one backend.
 
-    `not_after_ns`: when it may no longer be written, as the backends' deduplication window ends; 0 for never.
+    `not_after_ns`: from when on it may not be written, as the deduplication window ends; 0 for no limit.
     `ended`: its outcome is known.
     """
 
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -28,7 +28,7 @@
 FAILED_ZONE = "b"
 
 
-class LoadShape(msgspec.Struct, frozen=True):
+class LargeFleetRun(msgspec.Struct, frozen=True):
     """The result of one run.
 
     `served_share`: of all requests but those rejected while the quota was used up. `rejected_share`: rejected
@@ -84,7 +84,7 @@
 }
 
 
-def play(name: str, seed: int) -> LoadShape:
+def play(name: str, seed: int) -> LargeFleetRun:
     """One run of the shape; the same seed gives the same run."""
     scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy_share=0.2, seed=seed)
     fleet = VirtualFleet(scenario, seed)
@@ -97,7 +97,7 @@
     attempts = [entry for entry in fleet.ledger.entries if isinstance(entry, AttemptReceived)]
     forwarded = {attempt.request for attempt in attempts}
     servable = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
-    return LoadShape(
+    return LargeFleetRun(
         summary.served / max(1, servable),
         summary.rejected_with_quota_left / max(1, summary.requests),
         len(attempts) / max(1, len(forwarded)) - 1.0,
--- a/trackspread/testing/virtual/quota_accuracy.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -122,7 +122,7 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
-        self._points = {each.name: each.priority_weight for each in scenario.classes}
+        self._priority_weights = {each.name: each.priority_weight for each in scenario.classes}
         self._totals: dict[tuple[PolicyName, str], _Totals] = defaultdict(_Totals)
         self._offered: dict[str, float] = defaultdict(float)  # value that perfect state admits, by group
         self._buckets: dict[tuple[PolicyName, int], _TenantBucket] = {}
@@ -144,7 +144,7 @@
         return self._buckets.setdefault((policy, sent.tenant), _TenantBucket(rule, rule.burst_units))
 
     def _value(self, sent: RequestSent) -> float:
-        return self._points[sent.request_class] * sent.units
+        return self._priority_weights[sent.request_class] * sent.units
 
     def _count(self, policy: PolicyName, at: int, sent: RequestSent, admitted: bool) -> None:
         bucket, value = self._bucket(policy, sent), self._value(sent)
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -137,13 +137,13 @@
 
 def _sum_written_twice() -> list[Any]:
     """Only every other sum that was written is removed from memory."""
-    real, calls_before = Meter.written, count()
+    real, calls_before = Meter.subtract_written, count()
 
     def mutant(self: Meter, record: UsageRecord) -> None:
         if next(calls_before) % 2:
             real(self, record)
 
-    return [patch.object(Meter, "written", mutant)]
+    return [patch.object(Meter, "subtract_written", mutant)]
 
 
 def _sum_dropped() -> list[Any]:
@@ -151,8 +151,8 @@
 
     def mutant(self: Recorder, now: int) -> None:
         meter = self._context.meter
-        while (record := meter.oldest()) is not None:
-            meter.written(record)
+        while (record := meter.oldest_sum()) is not None:
+            meter.subtract_written(record)
             self._append(now, pack(*record))
 
     return [patch.object(Recorder, "_flush", mutant)]
@@ -265,12 +265,12 @@
 
 def _unsynced_is_committed() -> list[Any]:
     """All that was written counts as committed, not only what the sync was for."""
-    real = Journal.synced
+    real = Journal.commit_done
 
     def mutant(self: Journal, commit: Any) -> Any:
         return real(self, type(commit)(commit.call, self.next - 1))
 
-    return [patch.object(Journal, "synced", mutant)]
+    return [patch.object(Journal, "commit_done", mutant)]
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -176,7 +176,7 @@
         return self._post
 
     def send_failed(self, now: int, why: str, retry_after_ns: int = 0, final: bool = False) -> None:
-        """There was no reply, or none that concerns the batch.
+        """The attempt failed: billing was not reached, did not answer, or answered with an error.
 
         `retry_after_ns` is the receiver's Retry-After; `final`: a retry can't resolve it.
         """
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -199,7 +199,7 @@
     host.start()
     deadline, next_report = time.monotonic() + timeout_s, 0.0
     ledger = host.ledger
-    while not ledger.exported and not ledger.is_stopped and time.monotonic() < deadline:
+    while not ledger.is_all_exported and not ledger.is_stopped and time.monotonic() < deadline:
         await asyncio.sleep(MIN_POLL_S)
         if time.monotonic() >= next_report:
             next_report = time.monotonic() + PROGRESS_S
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -90,7 +90,7 @@
         return self._recorder.folded
 
     @property
-    def exported(self) -> bool:
+    def is_all_exported(self) -> bool:
         """Whether billing has acknowledged all that earlier incarnations left, and the disk has that."""
         is_saved = not (self.exporter.dirty or self.segment_store.dirty)
         is_idle = self.exporter.stage is Stage.IDLE and is_saved and not self._calls.in_progress
--- a/trackspread/usage/meter.py
+++ b/trackspread/usage/meter.py
@@ -70,7 +70,8 @@
         return time_ms
 
     def fold(self, record: UsageRecord) -> None:
-        """Add a record to its sum. Past `MAX_SUMS` only its class, plan and ending are kept."""
+        """Add a record to its sum. Past `MAX_SUMS` a record without a sum of its own keeps only its class,
+        plan, ending and day."""
         day = record.time_ms // DAY_MS
         key = SumKey(
             record.ending, record.request_class, record.plan, record.plan_version, record.tenant, day
@@ -83,13 +84,13 @@
         total.nano_units += record.nano_units
         total.attempts += record.attempts
 
-    def oldest(self) -> UsageRecord | None:
+    def oldest_sum(self) -> UsageRecord | None:
         """The oldest sum, or as much of it as one record holds; None if there is none."""
         if not self.sums:
             return None
         key, total = next(iter(self.sums.items()))
         return UsageRecord(
-            Kind.SUM if key.tenant >= 0 else Kind.LOST,
+            Kind.SUM if key.tenant >= 0 else Kind.UNATTRIBUTED,
             key.ending,
             key.request_class,
             key.plan,
@@ -101,8 +102,9 @@
             min(total.nano_units, MAX_NANO_UNITS),
         )
 
-    def written(self, record: UsageRecord) -> None:
-        """The record that `oldest` returned is in the journal: subtract it from its sum."""
+    def subtract_written(self, record: UsageRecord) -> None:
+        """Subtract a record that `oldest_sum` returned from its sum: it is in the journal. Attempts beyond
+        `MAX_ATTEMPTS` are not recorded."""
         key = next(iter(self.sums))
         total = self.sums[key]
         total.requests -= record.requests
--- a/trackspread/usage/record.py
+++ b/trackspread/usage/record.py
@@ -22,7 +22,7 @@
 
     USE = 1  # one request
     SUM = 2  # several requests: rejected ones, or ones that found no room in the journal
-    LOST = 3  # several requests whose tenants are not known
+    UNATTRIBUTED = 3  # several requests whose tenants are not known
 
 
 class Ending(IntEnum):
@@ -65,5 +65,5 @@
 def unpack(payload: bytes) -> UsageRecord | None:
     """The record in a slot's payload, None if its kind or ending is unknown to this version."""
     record = UsageRecord._make(_PAYLOAD.unpack(payload))
-    known = Kind.USE <= record.kind <= Kind.LOST and Ending.SERVED <= record.ending <= Ending.LEFT
+    known = Kind.USE <= record.kind <= Kind.UNATTRIBUTED and Ending.SERVED <= record.ending <= Ending.LEFT
     return record if known else None
--- a/trackspread/usage/recorder.py
+++ b/trackspread/usage/recorder.py
@@ -107,8 +107,8 @@
         assert self.journal is not None
         meter = self._context.meter
         self._flushed_at_ns = now
-        while (record := meter.oldest()) is not None and self.journal.free_slots():
+        while (record := meter.oldest_sum()) is not None and self.journal.free_slots():
             if not self._append(now, pack(*record)):
                 break
-            meter.written(record)
+            meter.subtract_written(record)
         self._has_deferred = bool(meter.sums)
--- a/trackspread/usage/recovery.py
+++ b/trackspread/usage/recovery.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-from ..storage.calls import Call, FolderContents, InspectFolder, Refresh, Result
+from ..storage.calls import Call, FolderContents, InspectFolder, Refresh, Result, SegmentId
 from .context import LedgerContext, State
 from .control import AREA_SIZE, AREAS, NewestCopy, newest
 from .disk_calls import Purpose
-from .segments import SegmentId
 
 
 class FolderRecovery:
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -22,6 +22,7 @@
     Remove,
     Replace,
     Result,
+    SegmentId,
     parse_segment_name,
     segment_name,
 )
@@ -35,13 +36,6 @@
 Full = Literal["fold", "drop"]
 
 
-class SegmentId(NamedTuple):
-    """A segment, by the epoch of its stream and its number in it, from 0."""
-
-    epoch: int
-    number: int
-
-
 class Step(NamedTuple):
     """A call to the disk, and what to do with its result."""
 
@@ -81,12 +75,12 @@
     def load(self, control: Control, found: FolderContents, undeclared: set[SegmentId]) -> None:
         """Take up the folder as earlier incarnations left it. `undeclared`: segments without a stream."""
         broken = {
-            SegmentId(*location): found.lengths.get(name, (0, 0))[1]
+            location: found.lengths.get(name, (0, 0))[1]
             for name in found.broken
             if (location := parse_segment_name(name)) is not None and location[0] in control.streams
         }
         last_slots = {
-            SegmentId(*location): head.first - 1 + written
+            location: head.first - 1 + written
             for location, (head, written) in found.segments.items()
             if written
         }
@@ -94,7 +88,7 @@
             if written:
                 last_slots[segment] = segment.number * control.streams[segment.epoch].slots + written
         # Built from dictionaries, as the order of the set decides in which order files are removed.
-        present = dict.fromkeys(SegmentId(*location) for location in found.segments)
+        present = dict.fromkeys(location for location in found.segments)
         self._segments = (set(present) - undeclared) | set(broken)
         self._leftover_files = [segment_name(*segment) for segment in sorted(undeclared)]
         self._sum_files = [name for name in found.names if name.startswith("sum-")]
@@ -121,9 +115,11 @@
                 self._leftover_files += [segment_name(*segment) for segment in self._of(epoch)]
                 self._segments -= set(self._of(epoch))
                 continue
-            # Each incarnation checks once whether billing still has all; of several parts, from the first.
+            # Each incarnation checks once whether billing still has all records; a stream of several parts is
+            # checked from its first slot.
             stream.sealed = False
-            stream.acked *= len(stream.parts) == 1
+            if len(stream.parts) > 1:
+                stream.acked = 0
             numbers = [segment.number for segment in self._of(epoch)]
             stream.first_segment = min(numbers, default=-(-stream.length // stream.slots))
         self.saved_watermarks = {epoch: stream.acked for epoch, stream in control.streams.items()}
@@ -219,7 +215,7 @@
                 self.dirty = True
 
     def _is_complete(self, segment: SegmentId, journal: Journal | None) -> bool:
-        """Whether all slots of the segment are written and committed."""
+        """Whether nothing more will be written to the segment, and all that was written is committed."""
         if journal is None or segment.epoch != journal.epoch:
             return journal is None or segment.epoch < journal.epoch
         return segment.number < min(journal.committed // journal.slots, journal.index)
--- a/trackspread/usage/senders.py
+++ b/trackspread/usage/senders.py
@@ -60,7 +60,7 @@
     ca: str = ""
 
 
-def sender(target: Target) -> Sender:
+def make_sender(target: Target) -> Sender:
     """The sender for a target's URL; raises `ValueError` that says which URLs are accepted."""
     parts = urlsplit(target.url)
     if parts.scheme == "file":
@@ -70,10 +70,10 @@
     return HttpSender(target)
 
 
-def configured_sender(url: str, secret: str, ca: str) -> Sender:
+def make_configured_sender(url: str, secret: str, ca: str) -> Sender:
     """The sender for the operator's settings; `secret` and `ca` are paths, or empty. Raises `OSError` and
     `ValueError`."""
-    return sender(Target(url, Path(secret).read_bytes().strip() if secret else b"", ca))
+    return make_sender(Target(url, Path(secret).read_bytes().strip() if secret else b"", ca))
 
 
 class HttpSender:
--- a/trackspread/usage/stream_writer.py
+++ b/trackspread/usage/stream_writer.py
@@ -87,11 +87,11 @@
         """Commit what the new stream has taken over from the former one."""
         journal = self._new_journal
         assert journal is not None
-        if (commit := journal.commit()) is None:
+        if (commit := journal.next_commit()) is None:
             return self._declare(now)
 
         def copied(now: int, _: Result) -> None:
-            self._context.released_areas += journal.synced(commit)
+            self._context.released_areas += journal.commit_done(commit)
             self._context.state = State.DECLARING
 
         return self._context.calls.start(commit.call, copied, self._abandon_new_stream)
@@ -132,7 +132,7 @@
         context, recorder, journal = self._context, self._recorder, self._recorder.journal
         assert journal is not None
         recorder.flush_if_due(now, journal)
-        if self._commit_is_due(now, journal) and (commit := journal.commit()) is not None:
+        if self._commit_is_due(now, journal) and (commit := journal.next_commit()) is not None:
             return context.calls.start(
                 commit.call, lambda now, _: self._committed(now, commit), self._commit_failed
             )
@@ -150,7 +150,7 @@
     def _committed(self, now: int, commit: Commit) -> None:
         journal = self._recorder.journal
         assert journal is not None
-        self._context.released_areas += journal.synced(commit)
+        self._context.released_areas += journal.commit_done(commit)
         self._recorder.uncommitted_since_ns = now
 
     def _commit_failed(self, now: int, error: OSError) -> None:
