--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -30,13 +30,13 @@
 from trackspread.testing.standins.billing_server import BillingServer
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.calls import InspectFolder, perform
-from trackspread.storage.directory import Directory
+from trackspread.storage.directory import Directory, write_atomically
 from trackspread.storage.slots import SLOT_BYTES
 from trackspread.usage.control import AREA_SIZE, AREAS, Names
 from trackspread.usage.host import UseHost, export_all
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import Ending
-from trackspread.usage.senders import Target, put, make_sender
+from trackspread.usage.senders import Target, make_sender
 from trackspread.testing.virtual import reservations
 from trackspread.testing.virtual.usage.mutants import MUTANTS, convict
 from trackspread.testing.virtual.usage.schedules import make, play
@@ -253,7 +253,7 @@
             fleet.start_clients()
             now = time.time_ns() // 1_000_000
             version = Version(1, now + AHEAD_MS, now, "", {plan: Figures(10.0, 20.0)})
-            put(path.parent, path.name, SCHEMA.pack(PlanRegistry((version,))))
+            write_atomically(path.parent, path.name, SCHEMA.pack(PlanRegistry((version,))))
             await asyncio.sleep(AHEAD_MS / 1000 + 0.5)
             taken = []
             for gateway in fleet.gateways:
--- a/tests/cells/test_cells_process.py
+++ b/tests/cells/test_cells_process.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import signal
-import sys
 import tempfile
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -17,6 +16,8 @@
 from trackspread.testing.harness.cell_fleet import CONTROL_COMMAND, CelledFleet, unsettled_cells
 from trackspread.testing.standins.scenario import Scenario
 
+from ..fakes import command
+
 pytestmark = pytest.mark.processes
 
 GATEWAYS, CONTROL = 6, 4
@@ -87,20 +88,6 @@
             fleet.network.path(a, b, "udp").blackhole = fleet.network.path(a, b, "tcp").blackhole = hole
 
 
-async def command(*words: str) -> tuple[int | None, str]:
-    """Exit status and what it prints."""
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "trackspread",
-        *words,
-        stdout=asyncio.subprocess.PIPE,
-        stderr=asyncio.subprocess.DEVNULL,
-    )
-    out, _ = await process.communicate()
-    return process.returncode, out.decode()
-
-
 def direct(fleet: CelledFleet, name: str) -> Path:
     """A control machine's file with the addresses themselves: the wire knows no stranger's questions."""
     text = fleet.fleet_table(name)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import socket
+import sys
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterator
 from contextlib import asynccontextmanager, contextmanager
 from typing import Any, TypeVar
@@ -266,3 +267,17 @@
 def served(value: bytes, report: bytes | None = b"load_share=0.5,concurrent=3") -> bytes:
     """A backend's good answer."""
     return b"*3\r\n" + bulk(value) + b"$-1\r\n" + (b"$-1\r\n" if report is None else bulk(report))
+
+
+async def command(*words: str) -> tuple[int | None, str]:
+    """Exit status and output of one of the program's commands, in a process of its own."""
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "trackspread",
+        *words,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
+    out, _ = await process.communicate()
+    return process.returncode, out.decode()
--- a/tests/membership/test_limits_follow_membership_process.py
+++ b/tests/membership/test_limits_follow_membership_process.py
@@ -16,7 +16,8 @@
 from trackspread.testing.standins import fault_schedule
 from trackspread.testing.standins.fault_schedule import Cut, Pause, Schedule
 
-from .test_membership_process import HEAL, MANY, MOST, TRIES, Work, command, faulty
+from ..fakes import command
+from .test_membership_process import HEAL, MANY, MOST, TRIES, Work, faulty
 from .test_membership_process import play as play_viewed
 
 pytestmark = pytest.mark.processes
--- a/tests/membership/test_membership_process.py
+++ b/tests/membership/test_membership_process.py
@@ -41,7 +41,7 @@
 )
 from trackspread.testing.standins.scenario import Scenario
 
-from ..fakes import LOCAL, raw_config
+from ..fakes import LOCAL, command, raw_config
 from .test_membership import message
 
 pytestmark = pytest.mark.processes
@@ -100,20 +100,6 @@
     await FaultPlayer(fleet, Schedule("test", 1, len(fleet.gateways), seconds, made)).play()
 
 
-async def command(*words: str) -> tuple[int | None, str]:
-    """Exit status and what it prints."""
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "trackspread",
-        *words,
-        stdout=asyncio.subprocess.PIPE,
-        stderr=asyncio.subprocess.DEVNULL,
-    )
-    out, _ = await process.communicate()
-    return process.returncode, out.decode()
-
-
 def test_crashes_joins_an_orderly_end_and_power_loss() -> None:
     async def work(fleet: Fleet) -> None:
         doors = ["{}:{}".format(*fleet.control_addresses[name]) for name in NAMES]
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from trackspread.cli import main
-from trackspread.commands.plans import change_registry, load_registry
+from trackspread.commands.registry_file import change_registry, load_registry
 from trackspread.decide import snapshot, snapshot_restore
 from trackspread.decide.actions import LogMessage, SetTimer, StartAttempt
 from trackspread.decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
--- a/trackspread/commands/plans.py
+++ b/trackspread/commands/plans.py
@@ -1,18 +1,14 @@
 """`trackspread plans`: shows the plan registry's history, compares a file with it, and changes it.
 
-The registry's file is replaced atomically under a lock, so that concurrent changes follow one another.
 An error of the operator is one line (`ConfigError`).
 """
 
 from __future__ import annotations
 
 import argparse
-import fcntl
 import os
 import time
 import tomllib
-from collections.abc import Callable
-from datetime import UTC, datetime
 from pathlib import Path
 
 import msgspec
@@ -21,7 +17,6 @@
 from ..config.addresses import ConfigError
 from ..plans.notice import PlanError
 from ..plans.registry import (
-    SCHEMA,
     PlanRegistry,
     Plans,
     Version,
@@ -31,13 +26,7 @@
     plan_differences,
     withdraw_version,
 )
-from ..storage.document import DocumentError
-from ..usage.senders import put
-
-
-LOCK_MODE = 0o600
-MS_PER_S = 1000
-NS_PER_MS = 1_000_000
+from .registry_file import NS_PER_MS, change_registry, format_time, load_registry, parse_time
 
 
 class _PlansFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -73,34 +62,6 @@
     return 0
 
 
-def load_registry(path: Path) -> PlanRegistry:
-    """Returns the registry in a file, or an empty one if there is no file; raises `ConfigError`."""
-    try:
-        return SCHEMA.unpack(path.read_bytes(), PlanRegistry)
-    except FileNotFoundError:
-        return PlanRegistry()
-    except (OSError, DocumentError) as error:
-        raise ConfigError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
-
-
-def change_registry(path: Path, change: Callable[[PlanRegistry], PlanRegistry]) -> PlanRegistry:
-    """Applies `change` to the registry in a file and returns the result; raises `ConfigError`."""
-    try:
-        path.parent.mkdir(parents=True, exist_ok=True)
-        lock = os.open(path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT, LOCK_MODE)
-        try:
-            fcntl.flock(lock, fcntl.LOCK_EX)
-            registry = change(load_registry(path))
-            put(path.parent, path.name, SCHEMA.pack(registry))
-            return registry
-        finally:
-            os.close(lock)
-    except PlanError as error:
-        raise ConfigError(f"{path}: {error}") from None
-    except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from None
-
-
 def _known_plans(config: str | None) -> set[str] | None:
     """Returns the names of the platform's plans, or None if no configuration was named."""
     if not config:
@@ -120,25 +81,6 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def parse_time(text: str, now_ms: int, option: str = "--from") -> int:
-    """Returns a time in Unix ms, in UTC if `text` names no zone; raises `ConfigError`."""
-    try:
-        if text.startswith("+"):
-            return now_ms + int(float(text[1:]) * MS_PER_S)
-        parsed = datetime.fromisoformat(text)
-    except ValueError:
-        raise ConfigError(f"{option}: found {text!r}, wanted +SECONDS or 2026-12-05T00:00:00Z") from None
-    if not parsed.tzinfo:
-        parsed = parsed.replace(tzinfo=UTC)
-    return int(parsed.timestamp() * MS_PER_S)
-
-
-def format_time(time_ms: int) -> str:
-    """Returns a time in Unix ms in ISO 8601, in UTC."""
-    text = datetime.fromtimestamp(time_ms / MS_PER_S, UTC).isoformat(timespec="milliseconds")
-    return text.replace("+00:00", "Z")
-
-
 def _history(registry: PlanRegistry, now_ms: int) -> int:
     current = in_force(registry, now_ms)
     before: Plans = {}
--- a/trackspread/commands/reserve.py
+++ b/trackspread/commands/reserve.py
@@ -21,7 +21,7 @@
     capacity_per_s,
 )
 from ..plans.registry import PlanRegistry
-from .plans import MS_PER_S, NS_PER_MS, change_registry, format_time, load_registry, parse_time
+from .registry_file import MS_PER_S, NS_PER_MS, change_registry, format_time, load_registry, parse_time
 
 _TENANT = re.compile(r"[0-9a-fA-F]{16}")
 
--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -26,6 +26,7 @@
 from ..usage.host import export_all
 from ..usage.ledger import UsageLedger
 from ..usage.record import NANO, Ending
+from ..usage.totals import Amount
 
 MAX_DIFFERENCES = 40  # that are printed; the rest is counted
 FETCH_TIMEOUT_S = 30.0  # of billing's totals
@@ -69,6 +70,10 @@
     return f"{nano_units / NANO:.3f}"
 
 
+def _format_amount(amount: Amount) -> str:
+    return f"{amount.requests} / {_format_units(amount.nano_units)}"
+
+
 def _show(found: Audit) -> int:
     control = found.control
     if control is None:
@@ -182,9 +187,9 @@
     day = datetime.fromtimestamp(difference.day * SECONDS_PER_DAY, UTC).date()
     return (
         f"{difference.customer:016x} {day} {Ending(difference.ending).name.lower():<8} "
-        f"journal {difference.journal[0]} / {_format_units(difference.journal[1])}, "
-        f"exported {difference.exported[0]} / {_format_units(difference.exported[1])}, "
-        f"received {difference.received[0]} / {_format_units(difference.received[1])}: {difference.kind}"
+        f"journal {_format_amount(difference.journal)}, "
+        f"exported {_format_amount(difference.exported)}, "
+        f"received {_format_amount(difference.received)}: {difference.kind}"
     )
 
 
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -9,7 +9,18 @@
 from typing import NamedTuple
 
 from .interfaces import Area, Files
-from .slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, pack_head, scan, unpack_head
+from .slots import (
+    HEAD_BYTES,
+    SLOT_BYTES,
+    Head,
+    Scan,
+    SegmentError,
+    count_written_slots,
+    pack_head,
+    scan,
+    slot_offset,
+    unpack_head,
+)
 
 
 class SegmentId(NamedTuple):
@@ -90,25 +101,18 @@
     written_slots: int
 
 
-class DamagedLength(NamedTuple):
-    """The size of a file that is not readable as a segment."""
-
-    size_bytes: int
-    written_slots: int
-
-
 @dataclass(slots=True)
 class FolderContents:
     """What `InspectFolder` found.
 
     `areas` are the documents, in the order asked for. `broken` has the files that can't be read, with the
-    reason, and `lengths` the sizes of those among them whose bytes could be read.
+    reason, and `written_in_broken` the number of written slots of those whose bytes could be read.
     """
 
     areas: list[Area] = field(default_factory=list)
     names: list[str] = field(default_factory=list)
     segments: dict[SegmentId, FoundSegment] = field(default_factory=dict)
-    lengths: dict[str, DamagedLength] = field(default_factory=dict)
+    written_in_broken: dict[str, int] = field(default_factory=dict)
     broken: dict[str, str] = field(default_factory=dict)
 
 
@@ -198,8 +202,8 @@
 
 def _read(files: Files, call: Read) -> Scan | None:
     head = call.head
-    offset = HEAD_BYTES + (call.first - head.first) * _slot_bytes(head)
-    size = (call.last - call.first + 1) * _slot_bytes(head)
+    offset = slot_offset(head, call.first)
+    size = (call.last - call.first + 1) * SLOT_BYTES
     if call.area is not None:
         return scan(call.area.read(offset, size), head, call.first)
     try:
@@ -212,10 +216,6 @@
         area.close()
 
 
-def _slot_bytes(head: Head) -> int:
-    return (head.size - HEAD_BYTES) // head.slots
-
-
 def _inspect(files: Files, call: InspectFolder) -> FolderContents:
     found = FolderContents(names=files.names())
     for name in call.documents:
@@ -243,4 +243,4 @@
         found.segments[segment] = FoundSegment(head, written_slots)
     except SegmentError as error:
         found.broken[name] = str(error)
-        found.lengths[name] = DamagedLength(len(data), written_slots)
+        found.written_in_broken[name] = written_slots
--- a/trackspread/storage/directory.py
+++ b/trackspread/storage/directory.py
@@ -6,6 +6,7 @@
 import fcntl
 import mmap
 import os
+import tempfile
 from contextlib import suppress
 from pathlib import Path
 
@@ -160,3 +161,18 @@
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
+
+
+def write_atomically(folder: Path, name: str, data: bytes) -> None:
+    """Write a file atomically and sync it; a file of this name is replaced. Raises `OSError`."""
+    folder.mkdir(parents=True, exist_ok=True)
+    descriptor, temporary = tempfile.mkstemp(prefix=".", dir=folder)
+    try:
+        with os.fdopen(descriptor, "wb") as file:
+            file.write(data)
+            file.flush()
+            os.fsync(descriptor)
+        os.replace(temporary, folder / name)
+    except BaseException:
+        os.unlink(temporary)
+        raise
--- a/trackspread/testing/harness/cell_fleet.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -9,7 +9,6 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ..judge.ledger import GatewayExited, GatewayKilled
 from ..judge.membership_records import (
     Inconsistency,
     MembershipRecord,
@@ -153,11 +152,7 @@
 
     def inconsistencies(self) -> list[Inconsistency]:
         """What does not fit together in the records of every view, the control machines' own included."""
-        process_ends = [
-            (entry.at, entry.gateway)
-            for entry in self.ledger.entries
-            if isinstance(entry, GatewayKilled | GatewayExited)
-        ]
+        process_ends = self.process_ends()
         records = self.records()
         found: list[Inconsistency] = []
         for cell in sorted({str(record.about["fleet"]) for record in records if "fleet" in record.about}):
--- a/trackspread/testing/harness/fault_run.py
+++ b/trackspread/testing/harness/fault_run.py
@@ -17,16 +17,13 @@
 from ..judge.run_history import RunHistory
 from ..standins.fault_schedule import Schedule
 from ..standins.rating_node import SECOND
-from ..standins.scenario import Scenario
 from .fault_player import FaultPlayer
+from .fault_scenarios import USUAL_SCENARIO
 from .fleet import Fleet
 from .gateway_process import RUN_COMMAND
 from .membership_fleet import until_settled
 
 NODES_PER_GATEWAY = 3
-LOAD = 0.35  # of the nodes' capacity
-GREEDY_SHARE = 0.2  # of the tenants, that ask for more than their quota
-WARM_UP_NS = 6 * SECOND
 MIN_TENANT_UNITS = 10.0  # forwarded, from which a tenant's own excess share is meaningful
 WINDOW_S = 1  # of the windows by which recovery is judged
 RECOVERED_FACTOR, RECOVERED_MARGIN = 1.5, 0.03  # of the refusals without faults that still count as recovered
@@ -87,14 +84,7 @@
     `save_folder`: for runs that break a rule. `view_settings`: see `Fleet`.
     """
     count = schedule.gateways
-    scenario = Scenario(
-        gateways=count,
-        nodes=NODES_PER_GATEWAY * count,
-        load=LOAD,
-        greedy_share=GREEDY_SHARE,
-        warm_up_ns=WARM_UP_NS,
-        seed=schedule.seed,
-    )
+    scenario = USUAL_SCENARIO.changed(gateways=count, nodes=NODES_PER_GATEWAY * count, seed=schedule.seed)
     seeds = 0, count // 3, 2 * count // 3  # spread, so that no likely cut has all on one side
     async with Fleet(scenario, command, view_settings=view_settings, seeds=seeds) as fleet:
         if view_settings is not None:
--- a/trackspread/testing/harness/fault_scenarios.py
+++ b/trackspread/testing/harness/fault_scenarios.py
@@ -11,16 +11,14 @@
 from dataclasses import dataclass
 
 from ..judge.verdict import Verdict
-from ..standins.rating_node import SECOND
 from ..standins.scenario import Scenario
 from .fleet import Fleet
 from .gateway_process import RUN_COMMAND
 
 Play = Callable[[Fleet, random.Random], Awaitable[None]]
 MAX_EXCESS_CALM = 0.05  # of the units forwarded that may lie beyond quotas without faults
-LOAD = 0.35  # of the nodes' capacity; some 90 requests a second on nine nodes of two cores
-GREEDY_SHARE = 0.2  # of the tenants, that ask for more than their quota
-WARM_UP_NS = 6 * SECOND
+# The load is some 90 requests a second on nine nodes of two cores.
+USUAL_SCENARIO = Scenario(load=0.35, greedy_share=0.2)
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,27 +133,30 @@
     return [f"n{number}" for number in range(fleet.scenario.gateways)]
 
 
-_SCENARIO = Scenario(load=LOAD, greedy_share=GREEDY_SHARE, warm_up_ns=WARM_UP_NS)
 SCENARIOS: dict[str, FaultScenario] = {
     each.name: each
     for each in (
-        FaultScenario("calm", "a calm minute", calm, _SCENARIO.changed(max_excess_share=MAX_EXCESS_CALM)),
         FaultScenario(
-            "half-killed", "half the gateways killed at once", half_killed, _SCENARIO.changed(gateways=4)
+            "calm", "a calm minute", calm, USUAL_SCENARIO.changed(max_excess_share=MAX_EXCESS_CALM)
+        ),
+        FaultScenario(
+            "half-killed", "half the gateways killed at once", half_killed, USUAL_SCENARIO.changed(gateways=4)
+        ),
+        FaultScenario("rolling-restart", "a rolling restart by SIGTERM", rolling_restart, USUAL_SCENARIO),
+        FaultScenario("rolling-deploy", "a rolling deploy of cold nodes", rolling_deploy, USUAL_SCENARIO),
+        FaultScenario("moved", "traffic moved between gateways at one stroke", traffic_moved, USUAL_SCENARIO),
+        FaultScenario("partitioned", "peers partitioned for 5 s", partitioned, USUAL_SCENARIO),
+        FaultScenario(
+            "half-lost", "half of the datagrams lost", half_lost, USUAL_SCENARIO.changed(gateways=4)
         ),
-        FaultScenario("rolling-restart", "a rolling restart by SIGTERM", rolling_restart, _SCENARIO),
-        FaultScenario("rolling-deploy", "a rolling deploy of cold nodes", rolling_deploy, _SCENARIO),
-        FaultScenario("moved", "traffic moved between gateways at one stroke", traffic_moved, _SCENARIO),
-        FaultScenario("partitioned", "peers partitioned for 5 s", partitioned, _SCENARIO),
-        FaultScenario("half-lost", "half of the datagrams lost", half_lost, _SCENARIO.changed(gateways=4)),
         FaultScenario(
             "rough-wire",
             "connections to nodes slow, cut and silent",
             faulty_node_network,
-            _SCENARIO,
+            USUAL_SCENARIO,
             relay_nodes=True,
         ),
-        FaultScenario("rude-nodes", "spoilt, reset and missing answers", faulty_nodes, _SCENARIO),
+        FaultScenario("rude-nodes", "spoilt, reset and missing answers", faulty_nodes, USUAL_SCENARIO),
     )
 }
 
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -17,7 +17,7 @@
 from types import TracebackType
 
 from ..judge.judge import judge
-from ..judge.ledger import HarnessLagged, Ledger
+from ..judge.ledger import GatewayExited, GatewayKilled, HarnessLagged, Ledger
 from ..judge.membership_records import MembershipRecord, RecordReader
 from ..judge.verdict import Verdict
 from ..standins.backend_list import BackendList, ListedBackend
@@ -195,6 +195,14 @@
         """All that the members have recorded so far, in order of time."""
         return self._reader.all()
 
+    def process_ends(self) -> list[tuple[int, str]]:
+        """When each gateway's process was killed or ended, in ns, and the gateway's name."""
+        return [
+            (entry.at, entry.gateway)
+            for entry in self.ledger.entries
+            if isinstance(entry, GatewayKilled | GatewayExited)
+        ]
+
     def record_path(self, name: str) -> Path:
         """The file to which a member writes its records."""
         return self.folder / f"{name}.view"
--- a/trackspread/testing/harness/membership_fleet.py
+++ b/trackspread/testing/harness/membership_fleet.py
@@ -8,7 +8,6 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ..judge.ledger import GatewayExited, GatewayKilled
 from ..judge.membership_records import (
     Inconsistency,
     MembershipRecord,
@@ -66,12 +65,7 @@
 def check_records(fleet: Fleet) -> RecordCheck:
     """Checks whether all records fit together."""
     records = fleet.records()
-    process_ends = [
-        (entry.at, entry.gateway)
-        for entry in fleet.ledger.entries
-        if isinstance(entry, GatewayKilled | GatewayExited)
-    ]
-    slot_inconsistencies, peak_slot_share = find_grant_overlaps(records, process_ends)
+    slot_inconsistencies, peak_slot_share = find_grant_overlaps(records, fleet.process_ends())
     return RecordCheck(sorted(find_view_conflicts(records) + slot_inconsistencies), peak_slot_share)
 
 
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -40,7 +40,8 @@
     return [patch.object(Slot, "refused", mutant)]
 
 
-def _answers_lost() -> list[Any]:
+def _answers_lost(instead: Callable[[Slot], None] = lambda slot: None) -> list[Any]:
+    """Every `FAULT_INTERVAL`th answer is not written; `instead` is called for it."""
     real = Slot.served
     calls = 0
 
@@ -49,23 +50,14 @@
         calls += 1
         if calls % FAULT_INTERVAL:
             real(self, call, value)
+        else:
+            instead(self)
 
     return [patch.object(Slot, "served", mutant)]
 
 
 def _connection_ended() -> list[Any]:
-    real = Slot.served
-    calls = 0
-
-    def mutant(self: Slot, call: Any, value: bytes) -> None:
-        nonlocal calls
-        calls += 1
-        if calls % FAULT_INTERVAL:
-            real(self, call, value)
-        else:
-            self.client.abort()
-
-    return [patch.object(Slot, "served", mutant)]
+    return _answers_lost(lambda slot: slot.client.abort())
 
 
 def _written_late() -> list[Any]:
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -24,16 +24,13 @@
 from ...config.addresses import ConfigError
 from ..judge.verdict import Verdict
 from ..standins.node_server import NodeServer
-from ..standins.rating_node import SECOND
 from ..standins.scenario import Scenario
+from .fault_scenarios import USUAL_SCENARIO
 from .fleet import Fleet
 from .run_statistics import RunStatistics
 from .screen import GatewayRow, NodeRow, Snapshot, draw, one_line
 
 DOWNTIME_S = 2.0  # until a killed gateway or node is back
-LOAD = 0.35  # of the nodes' capacity
-GREEDY_SHARE = 0.2  # of the tenants, that ask for more than their quota
-WARM_UP_NS = 6 * SECOND
 REDRAW_S = 1.0
 MIN_STEP_S = 0.01
 MIN_DURATION_S, MAX_DURATION_S = 3.0, 3600
@@ -237,7 +234,7 @@
 
 
 def _scenario(seed: int) -> Scenario:
-    return Scenario(load=LOAD, greedy_share=GREEDY_SHARE, warm_up_ns=WARM_UP_NS, seed=seed)
+    return USUAL_SCENARIO.changed(seed=seed)
 
 
 def run(seconds: float, kill: list[str], seed: int) -> int:
--- a/trackspread/testing/judge/verdict.py
+++ b/trackspread/testing/judge/verdict.py
@@ -41,6 +41,12 @@
         """Share of the forwarded units that was beyond quotas, from 0 to 1."""
         return self.over_quota_units / self.forwarded_units if self.forwarded_units else 0.0
 
+    @property
+    def served_share(self) -> float:
+        """Share of the requests that was served, without those rejected while the quota was used up."""
+        servable = self.served + self.rejected_with_quota_left + self.failed + self.unanswered
+        return self.served / max(1, servable)
+
 
 class Verdict(msgspec.Struct, frozen=True):
     """The judge's decision on one run.
--- a/trackspread/testing/standins/billing_server.py
+++ b/trackspread/testing/standins/billing_server.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ...usage.batch import signed
-from ...usage.senders import put
+from ...storage.directory import write_atomically
 from .billing import Billing
 from .billing_database import BillingDatabase
 
@@ -145,7 +145,7 @@
     taken = 0
     for path in sorted((folder / "in").glob("[!.]*.json")):
         reply = billing.post(path.read_bytes())
-        put(folder / "out", path.name, msgspec.json.encode(reply))
+        write_atomically(folder / "out", path.name, msgspec.json.encode(reply))
         path.unlink()
         taken += 1
     return taken
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -96,9 +96,8 @@
     summary = verdict.summary
     attempts = [entry for entry in fleet.ledger.entries if isinstance(entry, AttemptReceived)]
     forwarded = {attempt.request for attempt in attempts}
-    servable = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
     return LargeFleetRun(
-        summary.served / max(1, servable),
+        summary.served_share,
         summary.rejected_with_quota_left / max(1, summary.requests),
         len(attempts) / max(1, len(forwarded)) - 1.0,
         _first_second_peak(scenario, fleet, attempts),
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -94,12 +94,11 @@
     fleet.run(SPAN)
     verdict = judge(played.world(), fleet.ledger.entries)
     summary = verdict.summary
-    servable = summary.served + summary.rejected_with_quota_left + summary.failed + summary.unanswered
     return SlowStartRun(
         played.gateways,
         max(overload_excess(played, fleet.ledger), default=-inf),
         _relative_load(fleet.ledger, faults_at),
-        summary.served / max(1, servable),
+        summary.served_share,
         frozenset(verdict.broken_rules() - {"cold"}),
     )
 
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -192,8 +192,8 @@
 ) -> UsageLedger:
     """Export what a gateway left in its folder, while the gateway does not run.
 
-    Calls `on_progress` once a second. Returns the ledger as it is at the end; its `exported` says whether all
-    records were sent.
+    Calls `on_progress` once a second. Returns the ledger as it is at the end; its `is_all_exported` says
+    whether all records were sent.
     """
     host = UseHost(folder, EXPORT_BOUNDS, Names("", (), ()), time.monotonic_ns, sender, write=False)
     host.start()
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -19,7 +19,6 @@
 from .exporter import Exporter, Post, Stage
 from .maintenance import Maintenance
 from .meter import Meter
-from .record import Ending
 from .recorder import Recorder
 from .recovery import FolderRecovery
 from .segments import SegmentStore
@@ -34,7 +33,7 @@
     """One process's ledger on one folder.
 
     `alarms` are lines for operators; the host takes them. `trouble` is the last error of the disk, empty once
-    a call has succeeded while records are written.
+    a call has succeeded while records are written. `count` records a request: see `Recorder.count`.
     """
 
     def __init__(self, bounds: Bounds, names: Names, rng: random.Random, write: bool = True) -> None:
@@ -60,6 +59,7 @@
             self.alarms,
         )
         self._recorder = Recorder(self._context)
+        self.count = self._recorder.count
         self._recovery = FolderRecovery(self._context)
         self._writer = StreamWriter(self._context, self._recorder, write)
         self._maintenance = Maintenance(self._context)
@@ -107,23 +107,6 @@
         """Whether nothing is left to be written, or nothing can be."""
         return self.state in (State.CLOSED, State.STUCK)
 
-    def count(
-        self,
-        now: int,
-        time_ms: int,
-        ending: Ending,
-        request_class: int,
-        plan: int,
-        plan_version: int,
-        tenant: int,
-        nano_units: int,
-        attempts: int,
-    ) -> None:
-        """Record one request's final answer. `now`: the host's clock, ns; `time_ms`: Unix time."""
-        self._recorder.count(
-            now, time_ms, ending, request_class, plan, plan_version, tenant, nano_units, attempts
-        )
-
     def close(self) -> None:
         """Count no more, and commit all that was counted; the next incarnation exports what is left."""
         self._context.closing = True
--- a/trackspread/usage/recovery.py
+++ b/trackspread/usage/recovery.py
@@ -81,7 +81,7 @@
     """Why the folder must not be changed, empty if it may be."""
     if copy.newer:
         return "a newer program wrote here"
-    has_records = any(found.segments[segment][1] for segment in undeclared)
+    has_records = any(found.segments[segment].written_slots for segment in undeclared)
     if copy.control is None and has_records:
         return "there are records, and no control that can be read (`trackspread use repair` makes one)"
     return ""
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -75,21 +75,19 @@
     def load(self, control: Control, found: FolderContents, undeclared: set[SegmentId]) -> None:
         """Take up the folder as earlier incarnations left it. `undeclared`: segments without a stream."""
         broken = {
-            location: found.lengths.get(name, (0, 0))[1]
+            segment: found.written_in_broken.get(name, 0)
             for name in found.broken
-            if (location := parse_segment_name(name)) is not None and location[0] in control.streams
+            if (segment := parse_segment_name(name)) is not None and segment.epoch in control.streams
         }
         last_slots = {
-            location: head.first - 1 + written
-            for location, (head, written) in found.segments.items()
+            segment: head.first - 1 + written
+            for segment, (head, written) in found.segments.items()
             if written
         }
         for segment, written in broken.items():
             if written:
                 last_slots[segment] = segment.number * control.streams[segment.epoch].slots + written
-        # Built from dictionaries, as the order of the set decides in which order files are removed.
-        present = dict.fromkeys(location for location in found.segments)
-        self._segments = (set(present) - undeclared) | set(broken)
+        self._segments = (set(found.segments) - undeclared) | set(broken)
         self._leftover_files = [segment_name(*segment) for segment in sorted(undeclared)]
         self._sum_files = [name for name in found.names if name.startswith("sum-")]
         self._last_written = {
--- a/trackspread/usage/senders.py
+++ b/trackspread/usage/senders.py
@@ -6,9 +6,7 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import ssl
-import tempfile
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Protocol
@@ -17,6 +15,7 @@
 import h11
 import msgspec
 
+from ..storage.directory import write_atomically
 from .batch import Reply, signature
 from .exporter import Post
 
@@ -170,7 +169,7 @@
     async def send(self, post: Post) -> Reply:
         """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
         name = post.key.replace(":", "_") + ".json"
-        await asyncio.to_thread(put, self._in, name, post.body)
+        await asyncio.to_thread(write_atomically, self._in, name, post.body)
         async with asyncio.timeout(SEND_TIMEOUT_S):
             while True:
                 body = await asyncio.to_thread(_read_and_remove, self._out / name)
@@ -179,21 +178,6 @@
                 await asyncio.sleep(REPLY_POLL_S)
 
 
-def put(folder: Path, name: str, data: bytes) -> None:
-    """Write a file atomically and sync it; a file of this name is replaced. Raises `OSError`."""
-    folder.mkdir(parents=True, exist_ok=True)
-    descriptor, temporary = tempfile.mkstemp(prefix=".", dir=folder)
-    try:
-        with os.fdopen(descriptor, "wb") as file:
-            file.write(data)
-            file.flush()
-            os.fsync(descriptor)
-        os.replace(temporary, folder / name)
-    except BaseException:
-        os.unlink(temporary)
-        raise
-
-
 def _read_and_remove(path: Path) -> bytes | None:
     try:
         data = path.read_bytes()
