--- a/tests/decide/test_concurrency_limits.py
+++ b/tests/decide/test_concurrency_limits.py
@@ -47,7 +47,7 @@
             )
             self.gateways.append(made)
             self.give(0, number, full_list(*[backend(i) for i in range(1, 9)]))
-        assert made.quota.gossips is (gateways == FEW) and made.quota.has_owners is (gateways == MANY)
+        assert made.quota.uses_gossip is (gateways == FEW) and made.quota.has_owners is (gateways == MANY)
 
     def give(self, now: int, gateway: int, event: Event) -> None:
         self.play(gateway, self.gateways[gateway].handle(now, event))
--- a/tests/decide/test_late_use_reports.py
+++ b/tests/decide/test_late_use_reports.py
@@ -30,7 +30,7 @@
         self.now = 100 * SECOND
         settings = plain_settings(PLAN, gateway_count=2, may_gossip=True, peer_messages_per_s=40.0)
         self.quota = Quota(settings, 1, self.now, random.Random(1))
-        assert self.quota.gossips
+        assert self.quota.uses_gossip
         self.account: TenantAccount = self.quota.account(self.now, 7, 0, 2, 0)
         self.told = 0.0
 
--- a/tests/decide/test_limits_follow_membership.py
+++ b/tests/decide/test_limits_follow_membership.py
@@ -18,7 +18,7 @@
     pack_usage_totals,
     unpack_quota_message,
 )
-from trackspread.decide.quota import RETURN_NS, UNRESPONSIVE_NS, Quota
+from trackspread.decide.quota import RETURN_WINDOW_NS, UNRESPONSIVE_NS, Quota
 from trackspread.decide.rendezvous_hashing import owner_among
 from trackspread.decide.time_units import SECOND
 from trackspread.membership.slot_allocation import ALL_SLOTS, slots_of
@@ -109,7 +109,7 @@
 def test_a_gateway_that_joins_or_goes_moves_few_homes_and_a_slow_one_has_none() -> None:
     made = quota(12, 10.0)
     made.change_fleet(START, view(12))
-    assert made.has_owners and not made.gossips
+    assert made.has_owners and not made.uses_gossip
     accounts = [made.account(START, n, 0, 12, 0) for n in range(600)]
     before = [made.owner_of(a) for a in accounts]
     assert set(before) == set(range(10, 22))
@@ -131,7 +131,7 @@
     made.change_fleet(START, view(12, gone=tuple(range(6, 12))))
     assert made.has_owners, "else both halves would tell otherwise than they hear, once healed"
     made.change_fleet(START, view(12, gone=tuple(range(3, 12))))
-    assert made.gossips
+    assert made.uses_gossip
     made.change_fleet(START, view(12))
     assert made.has_owners
 
@@ -205,7 +205,7 @@
             made.spend(account, 1.0, False)
     assert account.unresponsive_units > 6.0
     words(made, now, 11)  # it is back, and has used nothing
-    for at in range(now, now + RETURN_NS + 1, SECOND // 2):
+    for at in range(now, now + RETURN_WINDOW_NS + 1, SECOND // 2):
         words(made, at, 11)
         made.refill(at, account)
     assert account.unresponsive_units == 0.0 and account.tokens > 9.0
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -147,7 +147,7 @@
 
     def _gossip(self, now: int) -> list[Action]:
         quota = self.quota
-        if not quota.gossips or self._is_retired:
+        if not quota.uses_gossip or self._is_retired:
             return []
         if now - quota.gossiped_at_ns < max(1, quota.gossip_interval_ns - TICK // 2):
             return []
@@ -250,7 +250,7 @@
             actions = self._retry_or_finish(now, request)
         if not (request.attempts_in_flight or request.reached_backend or event.request in open_requests):
             # No attempt came to a backend, and none will.
-            request.account.give_back(request.balances_taken)
+            request.account.refund(request.balances_taken)
         return actions + self.admission.release(now, request)
 
     def _retry_or_finish(self, now: int, request: OpenRequest) -> list[Action]:
--- a/trackspread/decide/quota/__init__.py
+++ b/trackspread/decide/quota/__init__.py
@@ -13,6 +13,6 @@
 from .facade import Quota
 from .freshness import FRESH_NS, UNRESPONSIVE_NS
 from .overdraft import OVERAGE_PRICE
-from .state import RETURN_NS
+from .state import RETURN_WINDOW_NS
 
-__all__ = ["FRESH_NS", "OVERAGE_PRICE", "RETURN_NS", "UNITS_PER_ATTEMPT", "UNRESPONSIVE_NS", "Quota"]
+__all__ = ["FRESH_NS", "OVERAGE_PRICE", "RETURN_WINDOW_NS", "UNITS_PER_ATTEMPT", "UNRESPONSIVE_NS", "Quota"]
--- a/trackspread/decide/quota/fleet_changes.py
+++ b/trackspread/decide/quota/fleet_changes.py
@@ -34,11 +34,11 @@
     of the longest one."""
     may_gossip = state.settings.may_gossip
     interval_ns = gossip_interval_ns(state.settings)
-    state.gossips = may_gossip and interval_ns <= bound * MAX_GOSSIP_INTERVAL_NS
-    state.has_owners = may_gossip and not state.gossips
+    state.uses_gossip = may_gossip and interval_ns <= bound * MAX_GOSSIP_INTERVAL_NS
+    state.has_owners = may_gossip and not state.uses_gossip
     if state.has_leases:
         return LeaseSharing(state)
-    if state.gossips:
+    if state.uses_gossip:
         return GossipSharing(state)
     if state.has_owners:
         return OwnerSharing(state)
@@ -99,4 +99,4 @@
         state.settings, gateway_count=1 + len(view.peers), gateway_index=view.own_number, may_gossip=True
     )
     # Halves of a fleet that is cut in two go on as before, and so agree with each other once it is healed.
-    return choose_sharing(state, 1.0 if state.gossips or old is None else START_GOSSIP_PART)
+    return choose_sharing(state, 1.0 if state.uses_gossip or old is None else START_GOSSIP_PART)
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -17,7 +17,7 @@
 from ..time_units import SECOND
 from .static_shares import EvenShares, SlotShares, StaticShares
 
-RETURN_NS = 2 * SECOND  # after an outage, until a peer has reported all of its tenants: 22 in a message
+RETURN_WINDOW_NS = 2 * SECOND  # after an outage, until a peer has reported all of its tenants: 22 in a message
 REPORTED_TOKENS_NS = 5 * SECOND  # for which an owner's report of its bucket is good for the next owner
 QUERY_MASK = 0xFFFFFFFF  # numbers of queries have 32 bits on the wire
 
@@ -71,7 +71,7 @@
 
         self.peers: dict[int, PeerReport] = {}
         self.returned_peers: dict[int, PeerReturn] = {}
-        self.last_return_ns = now - RETURN_NS  # of any peer
+        self.last_return_ns = now - RETURN_WINDOW_NS  # of any peer
         self.gossiped_at_ns = now  # when peers were last sent usage totals
         self.has_restarted = False  # known from a peer that is older than this gateway
 
@@ -89,7 +89,7 @@
         may_call_counter = not settings.may_gossip and not self.has_leases and settings.gateway_count > 1
         self.uses_counter = settings.has_shared_counter and may_call_counter
         # Set together with the sharing, in `choose_sharing`.
-        self.gossips = False
+        self.uses_gossip = False
         self.has_owners = False
 
     @property
--- a/trackspread/decide/quota/token_bucket.py
+++ b/trackspread/decide/quota/token_bucket.py
@@ -6,7 +6,7 @@
 from ..time_units import SECOND
 from . import hard_limit
 from .sharing import QuotaSharing
-from .state import RETURN_NS
+from .state import RETURN_WINDOW_NS
 
 ANNOUNCEMENTS = 3  # messages of totals that report a change: one may be lost, and another late
 
@@ -51,7 +51,7 @@
             + max(0.0, before - limit)
         )
         account.unresponsive_units = min(plan.burst_units - account.tokens, unresponsive_units)
-    elif account.unresponsive_units and now - sharing.state.last_return_ns >= RETURN_NS:
+    elif account.unresponsive_units and now - sharing.state.last_return_ns >= RETURN_WINDOW_NS:
         account.tokens = min(limit, account.tokens + account.unresponsive_units)
         account.unresponsive_units = 0.0
 
--- a/trackspread/decide/quota/usage_totals.py
+++ b/trackspread/decide/quota/usage_totals.py
@@ -16,7 +16,7 @@
 from . import token_bucket
 from .freshness import FRESH_NS
 from .sharing import QuotaSharing
-from .state import RETURN_NS, PeerReport, PeerReturn, QuotaState
+from .state import RETURN_WINDOW_NS, PeerReport, PeerReturn, QuotaState
 
 MAX_REORDERING_TENTHS_S = 50  # by which a message may be overtaken by a later one on its way
 MAX_PEERS = 512  # whose last report is kept; beyond them the one that reported longest ago is dropped
@@ -67,7 +67,7 @@
         state.returned_peers[event.sender] = PeerReturn(now, now - last.received_at_ns)
         state.last_return_ns = now
     returned = state.returned_peers.get(event.sender, NOT_RETURNED)
-    unresponsive_ns = returned.unresponsive_ns if now - returned.returned_at_ns < RETURN_NS else 0
+    unresponsive_ns = returned.unresponsive_ns if now - returned.returned_at_ns < RETURN_WINDOW_NS else 0
     _note_report(state, now, event.sender, message)
     if not is_same_incarnation:
         _forget_totals(state, event.sender)
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -128,7 +128,7 @@
         account = request.account
         attempt = self._requests.start_attempt(now, request)
         if attempt is None:
-            account.give_back(account.taken_since(request.balances_before))
+            account.refund(account.taken_since(request.balances_before))
             return [rejection(arrival, self.settings)]
         self._requests.open_requests[arrival.request] = request
         self._retry_policy.count_request()
--- a/trackspread/decide/quota_events.py
+++ b/trackspread/decide/quota_events.py
@@ -25,7 +25,7 @@
                 for admission in admissions
                 for action in admission.allocation_changed(now, event.tenant)
             ]
-        case PeerMessage() if quota.gossips and not is_quota_message(event.data):
+        case PeerMessage() if quota.uses_gossip and not is_quota_message(event.data):
             quota.receive_usage_totals(now, event)
             return []
         case PeerMessage():
--- a/trackspread/decide/tenant_account.py
+++ b/trackspread/decide/tenant_account.py
@@ -167,7 +167,7 @@
             before.unreported_quarter_units - self.refunded_quarter_units + self.forwarded_quarter_units,
         )
 
-    def give_back(self, taken: Balances) -> None:
+    def refund(self, taken: Balances) -> None:
         """Refund what was taken. The buckets are not overfilled for long, as each refill is bounded."""
         refilled = min(self.plan.burst_units, self.tokens + taken.tokens)
         self.tokens = max(self.tokens, refilled)
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -164,7 +164,7 @@
         request = self.requests.attempts.get((event.request, event.attempt))
         actions = real(self, now, event)
         if request is not None and not request.attempts_in_flight:
-            request.account.give_back(request.balances_taken)
+            request.account.refund(request.balances_taken)
         return actions
 
     return [patch.object(Broker, "_on_attempt_ended", mutant)]
