--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -1,11 +1,10 @@
-"""Every decision of a gateway: which tenants' requests are forwarded, to which backend, and which rejected.
+"""Makes every decision of one gateway for one service: which requests are admitted, and to which backend.
 
-Read `settings.py`, `events.py` and `actions.py` first. The mechanism is a QoS broker's: a table of
-commitments, a closed queuing model and its seven cases that grant each tenant a cap on requests in flight,
-beside the tenants' quotas and the choice among backends. Each rule has a module of its own, which is named
-where `Broker` asks it; here is the order in which they are asked. `docs/design/decisions.md` says what was
-kept of the paper, what was changed and when each exception acts.
-"""
+Read `settings.py`, `events.py` and `actions.py` first. The design follows a QoS broker: a table of
+commitments and a closed queuing model, whose seven cases grant each tenant a cap on its requests in flight.
+Tenants' quotas and the choice of a backend come in addition. Each rule has a module of its own; `Broker`
+calls these modules in the order in which the rules apply. `docs/design/decisions.md` says what was kept of
+the paper, what was changed and when each exception applies."""
 
 from __future__ import annotations
 
@@ -45,16 +44,19 @@
 from .settings import Settings
 from .time_units import SECOND, TICK
 
-# Timer tokens.
+# Tokens that tell the broker's own timers apart.
 TICK_TIMER = 1
 ENDPOINTS_TIMER = 2
 
-ENDPOINTS_RETRY_NS = SECOND  # after discovery could not be reached
+ENDPOINTS_RETRY_NS = SECOND  # delay before discovery is tried again after it could not be reached
 
 
 class Broker:
-    """One gateway's decisions for one service: give it every event in order and carry out the actions that it
-    returns. `quota`: where several brokers, each for a service of its own, share the tenants' quotas."""
+    """Decides for one gateway and one service.
+
+    The caller passes every event to `handle` in order and carries out the actions that it returns. `quota` is
+    given where several brokers, one for each service, share the tenants' quotas; otherwise the broker creates
+    its own."""
 
     def __init__(self, settings: Settings, seed: int, now: int, quota: Quota | None = None) -> None:
         rng = random.Random(seed)
@@ -75,7 +77,7 @@
         self._is_retired = False
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take in one event; the actions take effect at `now`."""
+        """Processes one event and returns the actions that take effect at `now`."""
         if self._is_started:
             return self._handle(now, event)
         self._is_started = True
@@ -119,11 +121,9 @@
                 self.quota.change_fleet(now, event)
                 self.fleet_changed(event)
             case HealthChecked():
-                pass  # no rule uses it yet
+                pass  # no rule uses health checks yet
         return []
 
-    # Time and settings.
-
     def _on_timer(self, now: int, event: TimerFired) -> list[Action]:
         if event.token != TICK_TIMER:
             return [WatchEndpoints(True)]
@@ -146,6 +146,7 @@
         return actions
 
     def _gossip(self, now: int) -> list[Action]:
+        """Returns the next message of usage totals to all peers, if one is due."""
         quota = self.quota
         if not quota.uses_gossip or self._is_retired:
             return []
@@ -155,22 +156,22 @@
         return [SendToPeers(None, quota.usage_message(now))]
 
     def fleet_changed(self, event: FleetChanged) -> None:
-        """The gateway's fleet has another size; the quota knows already."""
+        """Applies a fleet of another size to this service's rules; the quota is updated separately."""
         self._use_settings(replace(self.settings, gateway_count=1 + len(event.peers)))
         self.load_balancer.change_settings(self.settings)
 
     def evaluate_commitments(self, now: int) -> LogMessage:
-        """Evaluate all commitments by other plans, and say how many now have less than they ask for."""
+        """Evaluates all commitments under the current plans and returns a log line with the outcome."""
         count = len(self.commitments.active)
         less = self.commitments.evaluate_all(now)
         return LogMessage(f"plans changed: of {count} commitments {less} now have less than they ask")
 
     def _on_classes_changed(self, event: ClassesChanged) -> LogMessage:
-        """What arrives from now on has other classes; open requests keep theirs."""
+        """Applies other request classes to new requests; open requests keep their own classes."""
         self._use_settings(replace(self.settings, classes=event.classes, max_attempts=event.max_attempts))
         self.model.change_classes(event)
-        # The load balancer keeps its former settings until the fleet changes, and with them the length of
-        # turns at backends.
+        # The load balancer keeps its former settings until the fleet changes, and with them the length of a
+        # gateway's turn at a backend that warms up.
         self.load_balancer.change_classes(event)
         self.load_shedding.change_classes(event)
         return LogMessage(f"classes changed: {len(event.active)} now, {event.max_attempts} attempts at most")
@@ -182,19 +183,19 @@
         self.admission.settings = settings
 
     def retire(self, now: int) -> list[Action]:
-        """Another process decides from now on: nothing is admitted here any more, nor announced to peers.
-        Attempts in flight end here; queued requests, whose answers go elsewhere now, are rejected."""
+        """Stops this broker, as another process of the gateway takes over.
+
+        From now on this broker admits no request and sends nothing to peers. Attempts in flight finish here.
+        Queued requests are rejected, because the answers to their queries go to the other process."""
         self._is_retired = True
         self.load_balancer.slow_start.is_suspended = True
         return self.admission.reject_queued()
 
     def resume(self) -> None:
-        """The other process is gone: this one decides again."""
+        """Resumes deciding after the process that took over has ended."""
         self._is_retired = False
         self.load_balancer.slow_start.is_suspended = False
 
-    # The life of a request.
-
     def _on_request_arrived(self, now: int, arrival: RequestArrived) -> list[Action]:
         if self._is_retired:
             return [rejection(arrival, self.settings)]
@@ -225,8 +226,10 @@
         return self.admission.decide(now, OpenRequest(arrival, commitment, self.settings.max_attempts))
 
     def _on_response_started(self, event: ResponseStarted) -> None:
-        """A long value is being passed on: no other attempt may follow, and its latency was that of its first
-        byte; how long the rest takes is up to whoever reads it."""
+        """Records that a long value is being streamed to the client.
+
+        No other attempt may follow. The latency of the attempt is the time to its first byte, because the
+        reader of the value determines how long the rest takes."""
         request = self.requests.attempts.get((event.request, event.attempt))
         if request is None:
             return
@@ -249,12 +252,12 @@
         if not request.attempts_in_flight and event.request in open_requests:
             actions = self._retry_or_finish(now, request)
         if not (request.attempts_in_flight or request.reached_backend or event.request in open_requests):
-            # No attempt came to a backend, and none will.
+            # No attempt reached a backend, and no further attempt will be made.
             request.account.refund(request.balances_taken)
         return actions + self.admission.release(now, request)
 
     def _retry_or_finish(self, now: int, request: OpenRequest) -> list[Action]:
-        """Another attempt where the class, the time left and the retry budget allow one; else the end."""
+        """Starts another attempt if class, deadline and retry budget allow it; else gives the final answer."""
         if self.retry_policy.may_retry(request):
             attempt = self.requests.start_attempt(now, request)
             if attempt is not None:
--- a/trackspread/decide/commitments.py
+++ b/trackspread/decide/commitments.py
@@ -1,8 +1,8 @@
-"""The commitment table: what each tenant's commitment asks for, and the cap that it is granted.
+"""Keeps the commitment table: what each tenant's commitment requests, and the cap that it is granted.
 
-A commitment begins with a tenant's first request and ends once none came for a while. Without congestion it
-is granted what it asks for; else the model and the seven cases say how much fits beside the others.
-"""
+A commitment begins with a tenant's first request and ends when no request has arrived for
+`IDLE_COMMITMENT_NS`. Without congestion it is granted what it requests. Under congestion the queue model and
+the seven cases determine how much is possible in addition to the other commitments."""
 
 from __future__ import annotations
 
@@ -20,32 +20,36 @@
 from .tenant_account import TenantAccount
 from .time_units import SECOND
 
-EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
-IDLE_COMMITMENT_NS = 10 * SECOND  # without requests, after which it ends; outlasts a steady tenant's lulls
-MIN_REQUESTED = 2  # requests in flight that each commitment asks for at least
-PRIORITY_GAIN = 0.2  # weight of a request's priority in its commitment's
-MAX_WAIT_GROWTH = 1.01  # by each request: a class that has not come for long must not bound the wait
+# Long enough for the model to be fitted, and short compared with a burst of requests.
+EVALUATION_INTERVAL_NS = 2 * SECOND
+# A commitment ends after this time without requests; it is longer than the gaps of a steady tenant.
+IDLE_COMMITMENT_NS = 10 * SECOND
+MIN_REQUESTED = 2  # the fewest requests in flight that a commitment requests
+PRIORITY_GAIN = 0.2  # weight of one request's priority in the moving average of its commitment
+# Growth of the tolerated wait with each request, so that a class that has not been used for long stops
+# bounding it.
+MAX_WAIT_GROWTH = 1.01
 
 
 class RequestedCapacity(NamedTuple):
-    """What a commitment asks for: requests in flight, and requests a second."""
+    """Holds what a commitment requests: requests in flight and requests per second."""
 
     concurrency: int
     min_throughput_per_s: float
 
 
 class CommitmentTable:
-    """All commitments of one service at this gateway."""
+    """Holds all commitments to one service at this gateway."""
 
     def __init__(self, model: QueueModel, quota: Quota) -> None:
         self._model = model
         self._quota = quota
-        self.by_tenant: dict[int, Commitment] = {}  # each for as long as its account
-        self.active: dict[int, Commitment] = {}  # by tenant, those that have a cap
-        self._competing = CompetingCommitments()  # under congestion, as of the last tick
+        self.by_tenant: dict[int, Commitment] = {}  # an entry exists as long as the tenant's account
+        self.active: dict[int, Commitment] = {}  # commitments that have a cap, by tenant
+        self._competing = CompetingCommitments()  # filled at each tick, under congestion only
 
     def of_account(self, now: int, account: TenantAccount) -> Commitment:
-        """The tenant's commitment; a new one, without a cap yet, where there is none."""
+        """Returns the tenant's commitment; creates one without a cap if there is none."""
         found = self.by_tenant.get(account.tenant)
         if found is None or found.account is not account:
             found = Commitment(
@@ -62,7 +66,7 @@
         priority: float,
         max_wait_ns: float,
     ) -> None:
-        """A request of the commitment's has arrived; `priority`: in priority weight per ns of service."""
+        """Counts a request of the commitment. `priority` is its priority weight per ns of service time."""
         commitment.priority += PRIORITY_GAIN * (priority - commitment.priority)
         if commitment.max_wait_ns:
             commitment.max_wait_ns = min(commitment.max_wait_ns, max_wait_ns) * MAX_WAIT_GROWTH
@@ -75,7 +79,7 @@
             self.evaluate(now, commitment)
 
     def evaluate_due(self, now: int) -> None:
-        """End idle commitments, and evaluate those whose last evaluation is `EVALUATION_INTERVAL_NS` ago."""
+        """Ends idle commitments and evaluates those that were last evaluated `EVALUATION_INTERVAL_NS` ago."""
         for commitment in list(self.active.values()):
             commitment.mean_in_flight.add(now, commitment.in_flight)
             if now - commitment.last_request_ns > IDLE_COMMITMENT_NS and not commitment.in_flight:
@@ -87,20 +91,22 @@
         )
 
     def evaluate_all(self, now: int) -> int:
-        """Evaluate all commitments; returns how many were granted less than they ask for."""
+        """Evaluates all commitments and returns how many were granted less than they request."""
         evaluated = self._evaluate_each(now, self.active.values())
         return sum(each.cap < self.requested(now, each).concurrency for each in evaluated)
 
     def _evaluate_each(self, now: int, commitments: Iterable[Commitment]) -> list[Commitment]:
-        """Evaluate these, the least priority first, so that cuts fall on it."""
+        """Evaluates these commitments in ascending order of priority, so that the lowest are cut first."""
         in_order = sorted(commitments, key=lambda each: (each.priority, each.account.tenant))
         for commitment in in_order:
             self.evaluate(now, commitment)
         return in_order
 
     def requested(self, now: int, commitment: Commitment) -> RequestedCapacity:
-        """What the commitment asks for: by its rate, this gateway's share of the quota over a latency
-        objective and of the burst; where the plan has no rate, its concurrency limit."""
+        """Returns what the commitment requests.
+
+        Its concurrency is this gateway's share of the plan's rate over one latency objective plus the same
+        share of the burst. If the plan has no rate, it is at least the plan's concurrency limit."""
         account = commitment.account
         demand = commitment.demand
         requests_per_unit = self._quota.local_share(now, account) / (demand.value or 1.0)
@@ -112,7 +118,7 @@
         return RequestedCapacity(max(MIN_REQUESTED, concurrency), min(rate_per_s, demand.rate_per_s(now)))
 
     def evaluate(self, now: int, commitment: Commitment) -> None:
-        """Grant the commitment a cap."""
+        """Evaluates the commitment and grants it a cap."""
         commitment.evaluated_at_ns = now
         self.active[commitment.account.tenant] = commitment
         requested = self.requested(now, commitment)
@@ -125,7 +131,7 @@
         self._competing.update(commitment)
 
     def _offered(self, commitment: Commitment, requested: int) -> int:
-        """What the seven cases offer under congestion."""
+        """Returns the concurrency that the seven cases offer under congestion."""
         model = self._model
         others = self._competing.without(commitment)
         others_max_wait_ns = others.max_wait_ns if others.max_wait_ns != inf else commitment.max_wait_ns
@@ -140,15 +146,15 @@
             response_time_ns = model.delay_ns + wait_ns(in_flight)
             return in_flight * SECOND >= commitment.min_throughput_per_s * response_time_ns
 
-        def spares_others(in_flight: int) -> bool:
+        def preserves_others(in_flight: int) -> bool:
             wait = wait_ns(in_flight)
             return wait <= others_max_wait_ns and model.delay_ns + wait <= others.max_response_time_ns
 
         levels = len(model.response_times_ns)
-        return seven_cases(requested, levels, is_fast, is_throughput_met, spares_others)
+        return seven_cases(requested, levels, is_fast, is_throughput_met, preserves_others)
 
     def forget_all_but(self, accounts: dict[int, TenantAccount]) -> None:
-        """Forget the commitments of accounts that are gone."""
+        """Removes the commitments whose accounts are gone."""
         self.by_tenant = {
             tenant: each for tenant, each in self.by_tenant.items() if accounts.get(tenant) is each.account
         }
--- a/trackspread/decide/load_shedding.py
+++ b/trackspread/decide/load_shedding.py
@@ -1,7 +1,7 @@
-"""Load shedding: under congestion the model's concurrency limit holds for all requests in flight together.
+"""Sheds requests under congestion, when the number in flight approaches the model's concurrency limit.
 
-Requests of the least priority meet it first: they may fill a part of it only.
-"""
+The limit holds for all requests in flight together. Requests of the lowest priority may use only a part of it
+and are therefore shed first."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 from .events import ClassesChanged
 from .settings import Settings
 
-LOWEST_PRIORITY_LIMIT = 0.7  # part of the limit that requests of the least priority may fill
-FEW_GATEWAYS = 4  # up to which what one has in flight tells what all have
-VARIATION = 2.0  # standard deviations by which the number in flight may pass its mean by chance
-MIN_RATE_PER_S = 1e-9  # of arrivals: where none came of late all parts are 0
+LOWEST_PRIORITY_LIMIT = 0.7  # part of the limit that requests of the lowest priority may fill
+# With at most this many gateways, one gateway's number in flight is a good estimate of the whole fleet's.
+SMALL_FLEET = 4
+DEVIATIONS = 2.0  # standard deviations by which the number in flight may exceed its mean by chance
+MIN_ARRIVAL_RATE_PER_S = 1e-9  # arrivals; keeps the division defined when no request has arrived recently
 LOG_INTERVAL_NS = LONG_TERM
 
 
 class LoadShedding:
-    """Says which requests meet the limit, by the rates and priorities of those that arrive."""
+    """Decides which requests exceed the limit, from the rates and priorities of recent arrivals."""
 
     def __init__(self, settings: Settings, model: QueueModel, now: int) -> None:
         self.settings = settings
         self._model = model
-        # By class and plan: the priorities of requests that arrived of late.
+        # Mean priority and rate of recent arrivals, by class and plan.
         self._arrival_priorities: dict[ClassAndPlan, DecayingMean] = {}
         self._logged_at_ns = now - LOG_INTERVAL_NS
 
     def change_classes(self, event: ClassesChanged) -> None:
-        """Keep what was learned of classes that stay the same."""
+        """Keeps the statistics of classes that stay the same and drops the others."""
         before = self._arrival_priorities
         self._arrival_priorities = {}
         for number, predecessor in enumerate(event.predecessors):
@@ -42,18 +43,19 @@
             }
 
     def count_arrival(self, now: int, class_and_plan: ClassAndPlan, priority: float) -> None:
-        """A request has arrived; `priority`: in priority weight per ns of service."""
+        """Counts an arrived request. `priority` is its priority weight per ns of service time."""
         mean = self._arrival_priorities.setdefault(class_and_plan, DecayingMean(SHORT_TERM))
         mean.add(now, priority)
 
     def exceeds_limit(self, now: int, in_flight: int, priority: float) -> bool:
-        """Whether a request of this priority is to be shed with so many in flight."""
+        """Returns whether a request of this priority must be shed with this many requests in flight."""
         limit = self._model.concurrency_limit
         if limit is None:
             return False
-        # What one of many gateways has in flight varies by its root from one moment to the next, and what all
-        # of them have far less: without allowance, chance would shed what all together have capacity for.
-        allowance = max(0.0, 1.0 - FEW_GATEWAYS / self.settings.gateway_count) * VARIATION * sqrt(limit)
+        # With many gateways, the number in flight at one of them varies at random by about its square root,
+        # while the fleet's total varies far less. Without this allowance, random variation would shed
+        # requests for which the service as a whole has capacity.
+        allowance = max(0.0, 1.0 - SMALL_FLEET / self.settings.gateway_count) * DEVIATIONS * sqrt(limit)
         counted = float(in_flight) - allowance
         if counted < LOWEST_PRIORITY_LIMIT * limit:
             return False
@@ -61,11 +63,12 @@
         below_per_s = sum(
             mean.rate_per_s(now) for mean in self._arrival_priorities.values() if mean.value < priority
         )
-        part = (1.0 - LOWEST_PRIORITY_LIMIT) * below_per_s / max(total_per_s, MIN_RATE_PER_S)
+        part = (1.0 - LOWEST_PRIORITY_LIMIT) * below_per_s / max(total_per_s, MIN_ARRIVAL_RATE_PER_S)
         return counted >= limit * (LOWEST_PRIORITY_LIMIT + part)
 
     def log_line(self, now: int, in_flight: int) -> str | None:
-        """A line for the operators where requests may be shed, at most one in `LOG_INTERVAL_NS`."""
+        """Returns a log line while requests may be shed, at most once per `LOG_INTERVAL_NS`; otherwise None.
+        """
         limit = self._model.concurrency_limit
         if limit is None or in_flight < LOWEST_PRIORITY_LIMIT * limit:
             return None
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -1,5 +1,7 @@
-"""Admission within the quota: a request is admitted or rejected by what is known here of its tenant's quota,
-or queued for an answer of whoever knows it: the quota's owner, the shared counter, or the host."""
+"""Admits or rejects requests by their tenants' quotas.
+
+A request is decided at once where this gateway knows enough of the tenant's quota. Otherwise it is queued
+until the quota owner, the shared counter or the host has answered."""
 
 from __future__ import annotations
 
@@ -19,11 +21,12 @@
 from .tenant_account import TenantAccount
 from .time_units import TICK
 
-ANSWER_TIMEOUT_NS = TICK // 2  # over a round trip between gateways, far below a latency objective
-MIN_TIME_FOR_ANSWER_NS = 4 * TICK  # that a request must have left to be queued
-FRESH_ENOUGH_NS = FRESH_NS // 4  # age up to which a balance known from the counter is acted upon at once
-# Counter correction that stands for an attempt counted though none is in flight.
-MISCOUNTED_UNITS = -UNITS_PER_ATTEMPT / 2
+ANSWER_TIMEOUT_NS = TICK // 2  # longer than a round trip between gateways, far below a latency objective
+# A request is queued only if at least this much time remains before its deadline.
+MIN_TIME_FOR_ANSWER_NS = 4 * TICK
+FRESH_BALANCE_NS = FRESH_NS // 4  # age up to which a counter balance decides requests at once
+# A correction of the counter at or below this value means that an attempt is counted though it has ended.
+MISCOUNT_UNITS = -UNITS_PER_ATTEMPT / 2
 
 
 class QuotaAdmission:
@@ -44,30 +47,30 @@
         self._requests = requests
         self._retry_policy = retry_policy
         self._rng = rng
-        self.queued: dict[int, OpenRequest] = {}  # by the number of the query that they wait for
+        self.queued: dict[int, OpenRequest] = {}  # by the number of the query whose answer they wait for
 
     def decide(self, now: int, request: OpenRequest) -> list[Action]:
-        """Admit or reject a request, or queue it for an answer."""
+        """Admits or rejects a request, or queues it until an answer arrives."""
         quota = self._quota
         account = request.account
         plan = account.plan
         pays_overage = plan.overage_weight > plan.overage_cost and not self._model.is_congested
-        # So fresh a balance is acted upon at once, and the use announced afterwards.
-        is_balance_fresh = quota.uses_counter and now - account.tokens_known_at_ns < FRESH_ENOUGH_NS
+        # A request is decided by a fresh balance at once, and its use is reported afterwards.
+        is_balance_fresh = quota.uses_counter and now - account.tokens_known_at_ns < FRESH_BALANCE_NS
         request.balances_before = account.balances()
         if is_balance_fresh or quota.is_local(account):
             return self._decide_locally(now, request, pays_overage, is_balance_fresh)
         return self._decide_by_query(now, request, pays_overage)
 
     def _decide_locally(
-        self, now: int, request: OpenRequest, pays_overage: bool, announces: bool
+        self, now: int, request: OpenRequest, pays_overage: bool, reports_use: bool
     ) -> list[Action]:
         quota = self._quota
         account = request.account
         arrival = request.arrival
         has_capacity = pays_overage or quota.has_capacity(now, account, arrival.units)
         if has_capacity and quota.spend(account, arrival.units, pays_overage):
-            return self.admit(now, request, announces) + quota.request_transfer(now, account)
+            return self.admit(now, request, reports_use) + quota.request_transfer(now, account)
         if (
             account.lease.more_expected
             and not request.queued_at_ns
@@ -79,7 +82,7 @@
         return [rejection(arrival, self.settings), *quota.request_transfer(now, account)]
 
     def _decide_by_query(self, now: int, request: OpenRequest, pays_overage: bool) -> list[Action]:
-        """Ask the owner of the quota or the counter, and queue the request until it answers."""
+        """Asks the quota owner or the counter, and queues the request until the answer arrives."""
         quota = self._quota
         account = request.account
         plan = account.plan
@@ -91,7 +94,7 @@
             return self.admit(now, request, quota.counter_call_rate >= 1.0)
         has_time = self._has_time_for_answer(now, request)
         if not has_time and plan.concurrency_limit and quota.has_owner(account):
-            # The owner would count an attempt in flight that nobody starts.
+            # The owner would grant the request and count an attempt in flight that is never started.
             return self._decide_without_answer(now, request)
         number, query = quota.query(now, account, request.arrival.units, QuotaMessageKind.REQUEST)
         if not has_time:
@@ -120,9 +123,10 @@
             return self.admit(now, request, False)
         return [rejection(request.arrival, self.settings)]
 
-    def admit(self, now: int, request: OpenRequest, announces: bool) -> list[Action]:
-        """Start the first attempt of a request within its quota. `announces`: tell the owner or counter of
-        the units used."""
+    def admit(self, now: int, request: OpenRequest, reports_use: bool) -> list[Action]:
+        """Starts the first attempt of a request that is within its quota.
+
+        `reports_use` says whether the units used are reported to the owner or the counter."""
         quota = self._quota
         arrival = request.arrival
         account = request.account
@@ -132,18 +136,20 @@
             return [rejection(arrival, self.settings)]
         self._requests.open_requests[arrival.request] = request
         self._retry_policy.count_request()
-        if announces or quota.has_owner(account):
+        if reports_use or quota.has_owner(account):
             request.counted_remotely = True
         if quota.has_owners and not quota.is_local(account):
             account.count_forwarded(arrival.units)
         request.balances_taken = account.taken_since(request.balances_before)
-        if not announces:
+        if not reports_use:
             return [attempt]
         return [attempt, quota.query(now, account, arrival.units, QuotaMessageKind.SPENT)[1]]
 
     def answered(self, now: int, query: int, granted: bool | None, preceding: list[Action]) -> list[Action]:
-        """The query was answered: admit or reject the request that waits for it. `granted`: None where no
-        answer came; then this gateway decides alone. `preceding`: actions that come first."""
+        """Admits or rejects the request that waits for this query.
+
+        `granted` is None if no answer arrived; this gateway then decides alone. `preceding` holds actions
+        that are returned before those of the request."""
         request = self.queued.pop(query, None)
         if request is None:
             return preceding
@@ -163,7 +169,7 @@
         return actions + self.release(now, request)
 
     def allocation_changed(self, now: int, tenant: int) -> list[Action]:
-        """Decide the tenant's queued requests by this gateway's allocation now."""
+        """Decides the tenant's queued requests under this gateway's new allocation."""
         numbers = [number for number, request in self.queued.items() if request.account.tenant == tenant]
         waiting = [self.queued.pop(number) for number in numbers]
         open_requests = self._requests.open_requests
@@ -171,7 +177,7 @@
         return [action for request in still_open for action in self.decide(now, request)]
 
     def reject_queued(self) -> list[Action]:
-        """Reject all queued requests: their answers go to another process from now on."""
+        """Rejects all queued requests, because the answers to their queries now go to another process."""
         waiting = list(self.queued.values())
         self.queued.clear()
         for request in waiting:
@@ -184,17 +190,19 @@
         ]
 
     def resolve_overdue(self, now: int) -> list[Action]:
-        """Decide queued requests whose answer did not come in time."""
+        """Decides queued requests whose answer did not arrive within `ANSWER_TIMEOUT_NS`."""
         overdue = [
             query for query, request in self.queued.items() if now - request.queued_at_ns >= ANSWER_TIMEOUT_NS
         ]
         return [action for query in overdue for action in self.answered(now, query, None, [])]
 
     def correct_counter(self, now: int, commitments: Iterable[Commitment]) -> list[Action]:
-        """Tell the counter again of attempts that it counts though they ended: it would lock tenants out."""
+        """Corrects counters that still count attempts which have ended.
+
+        Such attempts would fill the tenant's concurrency limit for good."""
         quota = self._quota
         miscounted = [
-            each.account for each in commitments if each.account.counter.correction_units <= MISCOUNTED_UNITS
+            each.account for each in commitments if each.account.counter.correction_units <= MISCOUNT_UNITS
         ]
         return [
             quota.call_counter(now, account, 0.0)
@@ -203,7 +211,7 @@
         ]
 
     def release(self, now: int, request: OpenRequest) -> list[Action]:
-        """Tell the owner or the counter where no attempt of the request is in flight any more."""
+        """Reports to the owner or the counter that the request has no attempt in flight any more."""
         if request.attempts_in_flight or not request.counted_remotely:
             return []
         request.counted_remotely = False
