--- a/trackspread/decide/__init__.py
+++ b/trackspread/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: every choice of a gateway, without input or output."""
+"""Contains the decision module: every choice that a gateway makes, without input or output."""
--- a/trackspread/decide/actions.py
+++ b/trackspread/decide/actions.py
@@ -1,9 +1,8 @@
-"""Actions: what a decision module (`broker.py`) wants its gateway program to do.
+"""Defines the actions that a decision module (`broker.py`) returns for its gateway program to carry out.
 
 `CancelAttempt`, `CheckHealth`, `CloseIdleConnections` and `FetchEndpoints` are part of the simulator's
-interface; no rule asks for them yet. Durations are integer nanoseconds. Everything is immutable; nothing here
-decides anything.
-"""
+interface; no rule uses them yet. Durations are integer nanoseconds. All types are immutable and contain no
+decisions."""
 
 from __future__ import annotations
 
@@ -12,8 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt. `timeout_ns`: after which it ends; 0: only when the client gives up. `not_after_ns`:
-    what has not been sent completely by then may not be sent any more (rule 2); 0: no such bound."""
+    """Starts an attempt at a backend.
+
+    The attempt ends after `timeout_ns`; at 0 it ends only when the client's deadline passes. What has not
+    been sent completely by `not_after_ns` must not be sent any more (rule 2); 0 means that there is no such
+    bound."""
 
     request: int
     backend: int
@@ -23,7 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected; another try is harmless, after `retry_after_ns` (0: not said)."""
+    """Answers a request finally as rejected; the client may safely try again.
+
+    `retry_after_ns` is the time after which it should do so; 0 means that none is given."""
 
     request: int
     retry_after_ns: int
@@ -31,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; the request may have been executed."""
+    """Answers a request finally as failed; it may have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt, by its number within the request."""
+    """Stops waiting for one attempt, which is named by its number within the request."""
 
     request: int
     attempt: int
@@ -46,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` with this token after `after_ns`."""
+    """Requests a `TimerFired` with this token after `after_ns`."""
 
     after_ns: int
     token: int
@@ -54,21 +58,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask a backend for its health and load; a `HealthChecked` follows."""
+    """Asks a backend for its health and load; a `HealthChecked` follows."""
 
     backend: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to a backend."""
+    """Closes the idle connections to a backend."""
 
     backend: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeers:
-    """Send up to 256 bytes to one peer, by its number, or to all (`recipient` is None)."""
+    """Sends up to 256 bytes to the peer numbered `recipient`, or to all peers if that is None."""
 
     recipient: int | None
     data: bytes
@@ -76,9 +80,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add `amount` to a counter that all gateways share, and get its total by a `CounterAnswered`.
+    """Adds `amount` to a counter that all gateways share; a `CounterAnswered` returns its total.
 
-    A counter begins at 0 and lives for `lifetime_ns`."""
+    A counter starts at 0 and expires after `lifetime_ns`."""
 
     key: int
     lifetime_ns: int
@@ -87,26 +91,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAllocation:
-    """The tenant's allocation here does not cover a request; one `AllocationChanged` follows soon."""
+    """Reports that the tenant's allocation at this gateway does not cover a request.
+
+    One `AllocationChanged` follows soon."""
 
     tenant: int
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to the endpoint list, or unsubscribe."""
+    """Subscribes to the endpoint list, or unsubscribes from it."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask for the complete endpoint list once."""
+    """Requests the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for the operators."""
+    """Writes a line to the operators' log."""
 
     text: str
 
--- a/trackspread/decide/attempt_results.py
+++ b/trackspread/decide/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says: of its backend, of the model's latencies, of the tenant's quota."""
+"""Applies the results of ended attempts to backend states, the model's latencies and tenants' quotas."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 from .open_request import OpenRequest
 from .settings import Settings
 
-# Width of the range of use, as part of the quota and centred on all used, in which the probability of
-# capacity falls from 1 to 0.
-METERED_SPAN = 0.5
-METERED_ALL_USED = 1.01  # a report of 0 means none, so that it counts from 1 percent
+# Width of the range of metered use in which the probability of remaining capacity falls from 1 to 0. It is a
+# part of the quota, and the range is centred on a fully used quota.
+METERED_RANGE = 0.5
+METERED_ALL_USED = 1.01  # a fully used quota; reports count from 1 percent, as 0 means that there is none
 
 _NEVER_SENT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 def grant_probability(quota_usage: int) -> float:
-    """How likely the tenant's quota has capacity left, by the meter's report: 1 + percent used."""
-    return min(1.0, max(0.0, 0.5 + (METERED_ALL_USED - quota_usage / 100) / METERED_SPAN))
+    """Returns the probability that the tenant's quota has capacity left.
+
+    `quota_usage` is the meter's report: 1 plus the percentage used."""
+    return min(1.0, max(0.0, 0.5 + (METERED_ALL_USED - quota_usage / 100) / METERED_RANGE))
 
 
 class AttemptResults:
-    """Passes on what an ended attempt says to whom it concerns."""
+    """Passes the results of ended attempts on to the parts of the decision module that use them."""
 
     def __init__(self, settings: Settings, model: QueueModel, load_balancer: LoadBalancer) -> None:
         self._are_units_settled_later = settings.units_settled_later
         self._model = model
         self._load_balancer = load_balancer
 
-    def learn(self, now: int, request: OpenRequest, event: AttemptEnded) -> None:
-        """Learn from an ended attempt of the request."""
+    def record(self, now: int, request: OpenRequest, event: AttemptEnded) -> None:
+        """Records the result of an ended attempt of the request."""
         account = request.account
         if event.quota_usage:
             account.grant_ratio.add(now, grant_probability(event.quota_usage))
--- a/trackspread/decide/backends.py
+++ b/trackspread/decide/backends.py
@@ -1,7 +1,6 @@
-"""The endpoint list as service discovery gives it: entries, their health, and what one update holds.
+"""Defines the endpoint list as service discovery provides it: entries, their health and updates.
 
-Everything is immutable; nothing here decides anything.
-"""
+All types are immutable and contain no decisions."""
 
 from __future__ import annotations
 
@@ -10,8 +9,10 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """What an update of the endpoint list holds: changes, a complete list, one from the cache, or nothing as
-    discovery could not be reached."""
+    """Tells what an update of the endpoint list holds.
+
+    It holds changes, a complete list, a complete list from the cache, or nothing because discovery could not
+    be reached."""
 
     DELTA = 0
     FULL = 1
@@ -20,7 +21,7 @@
 
 
 class Health(IntEnum):
-    """A backend's state in the endpoint list."""
+    """Tells a backend's state in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -29,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One entry of the endpoint list.
+    """Holds one entry of the endpoint list.
 
-    `weight`: as discovery gives it. `started_at_ns`: 0 for a long time ago. `service`: an index into
-    those that the gateway carries."""
+    `weight` is the one that discovery gives. `started_at_ns` is 0 if the backend started long ago. `service`
+    is an index into the services that the gateway carries."""
 
     id: int
     zone: int
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """What service discovery says of backends; `version`: of the list, with this update."""
+    """Holds an update of the endpoint list; `version` is the list's version after the update."""
 
     kind: EndpointUpdateKind
     version: int
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -244,7 +244,7 @@
             return []
         request.attempts_in_flight -= 1
         self.requests.count_attempts(request, -1)
-        self._attempt_results.learn(now, request, event)
+        self._attempt_results.record(now, request, event)
         open_requests = self.requests.open_requests
         if event.request_finished:
             open_requests.pop(event.request, None)
@@ -257,7 +257,8 @@
         return actions + self.admission.release(now, request)
 
     def _retry_or_finish(self, now: int, request: OpenRequest) -> list[Action]:
-        """Starts another attempt if class, deadline and retry budget allow it; else gives the final answer."""
+        """Starts another attempt if class, deadline and retry budget allow it; else gives the final answer.
+        """
         if self.retry_policy.may_retry(request):
             attempt = self.requests.start_attempt(now, request)
             if attempt is not None:
--- a/trackspread/decide/commitment.py
+++ b/trackspread/decide/commitment.py
@@ -1,4 +1,4 @@
-"""One tenant's commitment: its requests to one service, and the cap on those in flight."""
+"""Holds one tenant's commitment: its requests to one service and the cap on those in flight."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class Commitment:
-    """One tenant's requests to one service: how many are in flight, and the cap on that."""
+    """Holds the state of one tenant's requests to one service, and the cap on those in flight."""
 
     account: TenantAccount
-    last_request_ns: int  # when a request last arrived
+    last_request_ns: int  # arrival of the last request
     evaluated_at_ns: int
     mean_in_flight: DecayingMean  # requests
-    demand: DecayingMean  # units that each request asked for
-    cap: int = 0  # requests in flight; 0: it has ended, or has not begun
+    demand: DecayingMean  # units requested by each request
+    cap: int = 0  # requests in flight; 0 before the commitment begins and after it has ended
     in_flight: int = 0  # attempts
-    streaming: int = 0  # of them: values that are being passed on, at their reader's pace
-    priority: float = 0.0  # recent priority weight per ns of service
-    max_wait_ns: float = 0.0  # the longest mean wait that its requests tolerate; 0.0: none has arrived
-    latency_objective_ns: int = 0  # the longest of its requests' classes
-    min_throughput_per_s: float = 0.0  # requests that it is to be granted, as of its last evaluation
+    streaming: int = 0  # attempts in flight that are streaming a value at the speed of its reader
+    priority: float = 0.0  # moving average of priority weight per ns of service time
+    max_wait_ns: float = 0.0  # longest mean wait that its requests tolerate; 0.0 before the first request
+    latency_objective_ns: int = 0  # longest objective among the classes of its requests
+    min_throughput_per_s: float = 0.0  # requests to be granted, as of the last evaluation
--- a/trackspread/decide/competing_commitments.py
+++ b/trackspread/decide/competing_commitments.py
@@ -1,8 +1,7 @@
-"""What a commitment competes with: all others with requests in flight, as sums that are kept up to date.
+"""Keeps running sums of the load of all commitments, to evaluate each one against the others.
 
-Looking at every other commitment for each one that is evaluated costs the square of their number. Here each
-evaluation costs the logarithm. Bookkeeping; nothing here decides.
-"""
+Adding up all other commitments for each evaluation would take quadratic time. With these sums an evaluation
+takes logarithmic time. This module contains no decisions."""
 
 from __future__ import annotations
 
@@ -14,15 +13,16 @@
 from .commitment import Commitment
 from .time_units import SECOND
 
-MIN_IN_FLIGHT = 0.05  # on average, from which a commitment counts
-MIN_THROUGHPUT_PER_S = 1e-3  # taken of a commitment that asks for none
+MIN_IN_FLIGHT = 0.05  # mean number in flight above which a commitment is counted
+MIN_THROUGHPUT_PER_S = 1e-3  # assumed for a commitment that requests no throughput
 
 
 class CompetingLoad(NamedTuple):
-    """What all commitments but one put up together.
+    """Holds the combined load of all commitments except one.
 
-    `in_flight`: requests; `max_wait_ns`: the longest wait that all of them bear, infinite where there are
-    none; `max_response_time_ns`: the longest response time at which all keep their throughput."""
+    `in_flight` is in requests. `max_wait_ns` is the longest wait that all of them tolerate, and infinite if
+    there are none. `max_response_time_ns` is the longest response time at which all of them keep their
+    throughput."""
 
     in_flight: float
     max_wait_ns: float
@@ -30,18 +30,22 @@
 
 
 class _MinimumByKey:
-    """The least value of all keys but one; superseded values are dropped as they come up."""
+    """Finds the least value over all keys except one.
+
+    Outdated heap entries are dropped when they reach the top."""
 
     def __init__(self) -> None:
         self._values: dict[int, float] = {}
         self._heap: list[tuple[float, int]] = []
 
     def update(self, key: int, value: float) -> None:
+        """Sets the value of a key."""
         if self._values.get(key) != value:
             self._values[key] = value
             heapq.heappush(self._heap, (value, key))
 
     def without(self, key: int) -> float:
+        """Returns the least value over all keys but this one, or infinity if there is none."""
         own: tuple[float, int] | None = None
         while self._heap:
             value, found = self._heap[0]
@@ -57,7 +61,7 @@
 
 
 class CompetingCommitments:
-    """All commitments that are busy at one instant."""
+    """Holds the sums over all busy commitments at one point in time."""
 
     def __init__(self, commitments: Iterable[Commitment] = ()) -> None:
         self._in_flight_by_tenant: dict[int, float] = {}
@@ -68,7 +72,7 @@
             self.update(commitment)
 
     def update(self, commitment: Commitment) -> None:
-        """Add the commitment, or take in its other cap or throughput."""
+        """Adds the commitment, or replaces its former cap and throughput."""
         in_flight = commitment.mean_in_flight.value
         if in_flight <= MIN_IN_FLIGHT:
             return
@@ -87,7 +91,7 @@
         self._max_response_times.update(tenant, max_response_time_ns)
 
     def without(self, commitment: Commitment) -> CompetingLoad:
-        """The load of all but this one."""
+        """Returns the load of all commitments except this one."""
         tenant = commitment.account.tenant
         in_flight = self._in_flight - self._in_flight_by_tenant.get(tenant, 0.0)
         return CompetingLoad(
--- a/trackspread/decide/concurrency_model.py
+++ b/trackspread/decide/concurrency_model.py
@@ -1,7 +1,7 @@
-"""The closed queuing model of a service: how response times depend on the number of requests in flight.
+"""Models a service as a closed queuing network: response times by the number of requests in flight.
 
-May know: latencies and numbers in flight that the broker hands in. May not know: tenants, quotas, backends.
-"""
+The broker passes in latencies and numbers in flight. The model does not depend on tenants, quotas or
+backends."""
 
 from __future__ import annotations
 
@@ -13,26 +13,33 @@
 from .settings import Settings
 from .time_units import SECOND, TICK
 
-LATENCY_SAMPLES = 8.0  # that a class's recent latency rests on; where few come, its time constant is longer
-MIN_RATE_PER_S = 1e-3  # of responses
-MIN_SAMPLES = 0.5  # weight from which a class counts at all
-MIN_SAMPLES_FOR_SHORTEST = 4.0  # weight from which a recent latency may become the shortest
-SHORTEST_LATENCY_GROWTH_PER_S = 0.01  # part by which the shortest latency grows, as backends may get slower
-CONGESTION_WAIT = 0.15  # part of the time between delay and objective; a mean wait below it is noise
-TARGET_WAIT = 0.4  # part of that time which the mean wait may take: latencies vary round their mean
+# Number of samples that the recent latency of a class is averaged over; rare classes get a longer time
+# constant.
+LATENCY_SAMPLES = 8.0
+MIN_RATE_PER_S = 1e-3  # responses; bounds the time constant of a class
+MIN_SAMPLES = 0.5  # weight of samples from which a class is included in the model
+MIN_SAMPLES_FOR_SHORTEST = 4.0  # weight of samples from which a recent latency may become the shortest
+# The shortest latency grows by this part, because backends may become slower.
+SHORTEST_LATENCY_GROWTH_PER_S = 0.01
+# A mean wait is noise up to this part of the time between delay and latency objective.
+CONGESTION_WAIT = 0.15
+# Part of the same time that the mean wait may take; the rest is left to the variation of latencies.
+TARGET_WAIT = 0.4
 MIN_HEADROOM = 0.25  # least time for waiting, as a part of the latency objective
 DEMAND_BISECTIONS = 20
-LEVELS_PER_IN_FLIGHT = 4  # levels modelled, for each request in flight ...
-EXTRA_LEVELS = 20  # ... and beyond these
+LEVELS_PER_IN_FLIGHT = 4  # concurrency levels modelled for each request in flight
+EXTRA_LEVELS = 20  # levels modelled in addition to these
 
 
 class QueueModel:
-    """One delay and one shared queue, whose demand is fitted to the recent latency at the recent number of
-    requests in flight. Times are ns."""
+    """Models a service as one delay and one shared queue.
+
+    The service demand at the queue is fitted to the recent latency at the recent number of requests in
+    flight. All times are in ns."""
 
     def __init__(self, settings: Settings) -> None:
         self.latency_objectives_ns = [float(each.latency_objective_ns) for each in settings.classes]
-        self.active_classes = frozenset(range(len(settings.classes)))  # classes that may arrive
+        self.active_classes = frozenset(range(len(settings.classes)))  # classes of which requests may arrive
         self.latency = [DecayingMean(SHORT_TERM) for _ in settings.classes]
         self.shortest_ns = [0.0] * len(settings.classes)
         self.mean_in_flight = DecayingMean(SHORT_TERM)
@@ -40,18 +47,20 @@
         self.delay_ns = 0.0
         self.is_congested = False
         self.response_times_ns = [0.0]  # by number of requests in flight
-        self.concurrency_limit: int | None = None  # None where there is no congestion
+        self.concurrency_limit: int | None = None  # None without congestion
 
     def change_classes(self, event: ClassesChanged) -> None:
-        """Other classes are in force; what was learned goes with those that inherit it."""
+        """Applies other request classes; the statistics of each class go to its successor."""
         self.latency_objectives_ns = [float(each.latency_objective_ns) for each in event.classes]
         self.active_classes = event.active
         self.latency = inherited(self.latency, event.predecessors, lambda: DecayingMean(SHORT_TERM))
         self.shortest_ns = inherited(self.shortest_ns, event.predecessors, float)
 
     def fit(self, now: int, in_flight: int, outstanding: list[tuple[int, int]]) -> None:
-        """Fit the model anew. `outstanding`: class and age in ns of each attempt without a response; those
-        older than the mean latency count as responses that late, so that a jam shows in time."""
+        """Fits the model to recent latencies.
+
+        `outstanding` holds class and age in ns of each attempt without a response. Attempts older than the
+        mean latency count as responses with that latency, so that congestion is detected before they end."""
         total_latency = total_delay = total_headroom = total_time_constant = 0.0
         weight = 0.0
         for number, latency in enumerate(self.latency):
@@ -67,8 +76,9 @@
             total_delay = total_delay + (self.shortest_ns[number] or mean) * class_weight
             total_headroom += class_weight * self.headroom_ns(number)
             total_time_constant += class_weight * latency.time_constant_ns
-        # The number in flight must be averaged over the same time as the latencies: else, once traffic falls,
-        # old latencies would meet a small new number, and the fitted demand would be too high.
+        # The number in flight must be averaged over the same time as the latencies. Otherwise, when traffic
+        # falls, old latencies would be combined with a small recent number in flight, and the fitted demand
+        # would be too high.
         self.mean_in_flight.time_constant_ns = int(total_time_constant / weight) if weight else SHORT_TERM
         self.mean_in_flight.add(now, in_flight)
         self.is_congested = False
@@ -95,7 +105,7 @@
         self.shortest_ns[request_class] = min(grown, latency.value) if grown else latency.value
 
     def _fit_demand(self, in_flight: int) -> None:
-        """Find by bisection the demand that gives the mean latency, and the limit that follows from it."""
+        """Finds by bisection the demand that explains the mean latency, and derives the concurrency limit."""
         low, high = 0.0, self.mean_latency_ns
         for _ in range(DEMAND_BISECTIONS):
             demand = (low + high) / 2
@@ -110,11 +120,12 @@
         self.concurrency_limit = max(2, within - 1)  # level 0 is counted, too
 
     def headroom_ns(self, request_class: int) -> float:
-        """Time that a request of the class may wait: its objective beyond the shortest latency."""
+        """Returns how long a request of the class may wait: its latency objective less the shortest latency.
+        """
         objective_ns = self.latency_objectives_ns[request_class]
         return max(objective_ns - self.shortest_ns[request_class], objective_ns * MIN_HEADROOM)
 
     def response_time_ns(self, in_flight: float) -> float:
-        """The modelled response time with so many requests in flight."""
+        """Returns the modelled response time at this number of requests in flight."""
         last = len(self.response_times_ns) - 1
         return self.response_times_ns[min(max(0, round(in_flight)), last)]
--- a/trackspread/decide/decaying_mean.py
+++ b/trackspread/decide/decaying_mean.py
@@ -1,4 +1,4 @@
-"""Means in which samples lose weight with age. Pure arithmetic; nothing here decides."""
+"""Implements means in which samples lose weight with age. This module contains no decisions."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
 
 
 def decayed(age_ns: int, time_constant_ns: int) -> float:
-    """Weight that is left of something of this age."""
+    """Returns the weight that remains of a sample of this age."""
     return exp(-age_ns / time_constant_ns)
 
 
-def inherited(old: list[T], predecessors: tuple[int, ...], fresh: Callable[[], T]) -> list[T]:
-    """What was learned by number, under other numbers: each goes on with what its predecessor learned, or
-    begins anew where that is negative."""
-    learned = []
+def inherited(old: list[T], predecessors: tuple[int, ...], new: Callable[[], T]) -> list[T]:
+    """Returns per-class statistics after class numbers have changed.
+
+    Each number takes over the statistics of its predecessor, or starts with new ones if that is negative."""
+    statistics = []
     for number, predecessor in enumerate(predecessors):
         if predecessor < 0:
-            learned.append(fresh())
+            statistics.append(new())
         elif predecessor == number:
-            learned.append(old[number])
+            statistics.append(old[number])
         else:
-            learned.append(deepcopy(old[predecessor]))
-    return learned
+            statistics.append(deepcopy(old[predecessor]))
+    return statistics
 
 
 class DecayingMean:
-    """A recent mean: samples lose weight with age, by the time constant."""
+    """Holds a recent mean in which samples lose weight with age, by an exponential time constant."""
 
     __slots__ = ("time_constant_ns", "total", "updated_at_ns", "weight")
 
@@ -47,23 +48,25 @@
         self.weight = 0.0
 
     def add(self, now: int, value: float, weight: float = 1.0) -> None:
-        """Add a sample."""
+        """Adds a sample."""
         left = decayed(now - self.updated_at_ns, self.time_constant_ns)
         self.total = self.total * left + value * weight
         self.weight = self.weight * left + weight
         self.updated_at_ns = now
 
     def rate_per_s(self, now: int) -> float:
-        """Samples a second."""
+        """Returns the recent number of samples per second."""
         left = decayed(now - self.updated_at_ns, self.time_constant_ns)
         return self.weight * left * SECOND / self.time_constant_ns
 
     def blend(self, now: int, prior: float, prior_weight: float) -> float:
-        """The mean with so many samples of the prior mixed in; as samples age it goes back to the prior."""
+        """Returns the mean combined with a prior that has the weight of `prior_weight` samples.
+
+        As samples age, the result returns to the prior."""
         left = decayed(now - self.updated_at_ns, self.time_constant_ns)
         return (self.total * left + prior * prior_weight) / (self.weight * left + prior_weight)
 
     @property
     def value(self) -> float:
-        """The mean; 0 where there are no samples."""
+        """Returns the mean, or 0 if there are no samples."""
         return self.total / self.weight if self.weight > 1e-9 else 0.0
--- a/trackspread/decide/endpoint_list.py
+++ b/trackspread/decide/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this gateway applies it: which backends are listed, usable, draining or gone."""
+"""Applies updates of the endpoint list: which backends are listed, usable, draining or removed."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class EndpointList:
-    """State of all backends that are listed, or still have attempts of this gateway in flight."""
+    """Holds the state of all backends that are listed or still have attempts of this gateway in flight."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.backends: dict[int, BackendState] = {}
 
     def update(self, now: int, event: EndpointUpdate) -> None:
-        """Apply an update; a complete list removes the backends that it does not hold."""
+        """Applies an update; a complete list removes the backends that it does not contain."""
         if event.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
             self._remove_all_but({entry.id for entry in event.backends})
         for entry in event.backends:
@@ -36,12 +36,15 @@
                 state.is_listed = False
 
     def _started(self, now: int, entry: Backend, predecessor: BackendState | None) -> BackendState:
-        """The state of a backend that is new or has restarted; attempts to its predecessor still count."""
+        """Returns the state of a backend that is new or has restarted.
+
+        Attempts in flight at its predecessor are still counted."""
         state = BackendState(
             entry,
             DecayingMean(SHORT_TERM),
             FIRST_EJECTION_NS,
-            # A random part of a token: with many gateways, each seldom has a complete one to spend.
+            # The budget starts with a random part of a token. With many gateways, each rarely has a complete
+            # token to spend.
             slow_start_tokens=self._rng.random(),
             tokens_refilled_at_ns=now,
         )
@@ -51,11 +54,13 @@
         return state
 
     def forget_removed(self) -> None:
-        """Forget backends off the list without attempts in flight: backends come and go under ever new ids,
-        and memory and the work of each choice would grow with all that ever were."""
+        """Removes the state of unlisted backends that have no attempts in flight.
+
+        Backends are replaced under new ids all the time. Without this, memory and the cost of each choice
+        would grow with every backend ever seen."""
         for gone in [number for number, s in self.backends.items() if not s.is_listed and not s.in_flight]:
             del self.backends[gone]
 
     def usable(self) -> list[BackendState]:
-        """Backends that may get new attempts, ejected ones among them."""
+        """Returns the backends that may get new attempts, including ejected ones."""
         return [state for state in self.backends.values() if state.is_usable]
--- a/trackspread/decide/events.py
+++ b/trackspread/decide/events.py
@@ -1,8 +1,7 @@
-"""Events: what a gateway program reports to its decision module (`broker.py`).
+"""Defines the events that a gateway program reports to its decision module (`broker.py`).
 
-Times are integer nanoseconds, on any clock that never goes backwards. Everything is immutable; nothing here
-decides anything.
-"""
+Times are integer nanoseconds on any clock that never goes backwards. All types are immutable and contain no
+decisions."""
 
 from __future__ import annotations
 
@@ -14,29 +13,32 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt, a health check or a counter call ended."""
+    """Tells how an attempt, a health check or a counter call ended."""
 
-    ERROR = 0  # the backend says that it failed: may have been executed
+    ERROR = 0  # The backend reports a failure; the request may have been executed.
     OK = 1
-    REJECTED = 2  # the backend declined: not executed
-    TIMEOUT = 3  # no answer in time: may have been executed
-    CONNECT_FAILED = 4  # no connection, or the request never went out completely: not executed
-    RESET = 5  # connection lost or answer invalid after the request was written: may have been executed
-    CANCELLED = 6  # the answer was not wanted any more
-    NOT_SENT = 7  # withdrawn before it was sent; says nothing about the backend
+    REJECTED = 2  # The backend declined the request; it was not executed.
+    TIMEOUT = 3  # No answer arrived in time; the request may have been executed.
+    # There was no connection, or the request was not sent completely; it was not executed.
+    CONNECT_FAILED = 4
+    # The connection was lost or the answer was invalid after the request was sent; it may have been executed.
+    RESET = 5
+    CANCELLED = 6  # The answer was no longer needed.
+    NOT_SENT = 7  # The attempt was withdrawn before it was sent; this says nothing about the backend.
 
 
-# The backend has certainly not executed the request.
+# Outcomes after which the backend has certainly not executed the request.
 NOT_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; exactly one final answer is owed before `expires_at_ns`.
+    """Reports a client's request; exactly one final answer must be given before `expires_at_ns`.
 
-    `request`: a number, unique in the process. `request_class`, `plan`: indexes into the settings'. `units`:
-    of the tenant's quota that it takes. `gateway_span`, `first_gateway`: so many gateways of the settings'
-    list, from that one on, get the tenant's requests; 0 where unknown. `options`: flags of the platform."""
+    `request` is a number that is unique in the process. `request_class` and `plan` are indexes into the
+    settings. `units` is what the request takes of the tenant's quota. The tenant's requests come through
+    `gateway_span` consecutive gateways of the settings' list, starting at `first_gateway`; the span is 0 if
+    this is unknown. `options` holds flags of the platform."""
 
     request: int
     request_class: int
@@ -51,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The first byte of a long value has come; the rest follows at its reader's pace.
+    """Reports the first byte of a long value, which is then streamed at the speed of its reader.
 
-    `elapsed_ns`: since the attempt's start."""
+    `elapsed_ns` is the time since the attempt's start."""
 
     request: int
     elapsed_ns: int
@@ -63,11 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended.
+    """Reports how one attempt ended.
 
-    `request_finished`: no final answer is owed any more. `actual_units`: that the request took,
-    where units are settled later, else 0. `quota_usage`: 1 + percent of the tenant's quota in use, or 0 where
-    no meter reported it. `elapsed_ns`: since the attempt's start. `load_report`: by `load_report_names`."""
+    `request_finished` says that no final answer is needed any more. `actual_units` is what the request used
+    where units are settled later, else 0. `quota_usage` is 1 plus the percentage of the tenant's quota in
+    use, or 0 if no meter reported it. `elapsed_ns` is the time since the attempt's start. The values of
+    `load_report` are in the order of `load_report_names`."""
 
     request: int
     request_finished: bool
@@ -82,21 +85,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client is gone; no answer is owed any more."""
+    """Reports that the client has disconnected; no answer is needed any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer asked for with `SetTimer`."""
+    """Reports that a timer set with `SetTimer` has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """What one `CheckHealth` found; `elapsed_ns`: since it was asked for."""
+    """Reports the result of a `CheckHealth`; `elapsed_ns` is the time since it was requested."""
 
     outcome: Outcome
     backend: int
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another gateway, by its number."""
+    """Holds a message from the gateway numbered `sender`."""
 
     sender: int
     data: bytes
@@ -114,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    """The answer to one `AddToCounter`; `total`: of the counter `key`, with all that was added to it."""
+    """Holds the answer to one `AddToCounter`; `total` is the total of the counter `key`."""
 
     elapsed_ns: int
     outcome: Outcome
@@ -124,9 +127,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlansChanged:
-    """Other limits are in force from now on, for each plan by its index; there are as many plans as before.
+    """Reports new limits for each plan, by its index; the number of plans stays the same.
 
-    `reserved`: tenant, units a second on top of the plan's rate, and units on top of its burst."""
+    Each entry of `reserved` holds a tenant, units per second in addition to the plan's rate, and units in
+    addition to its burst."""
 
     plans: tuple[Plan, ...]
     reserved: tuple[tuple[int, float, float], ...] = ()
@@ -134,10 +138,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassesChanged:
-    """Other classes are in force for what arrives from now on; open requests keep theirs, by its number.
+    """Reports new request classes for requests that arrive from now on; open requests keep theirs.
 
-    `active`: numbers that may arrive from now on. `predecessors`: for each number, the one whose state it
-    goes on with: its own where it stays the same class, -1 where there is none."""
+    `active` holds the numbers of classes that may arrive from now on. `predecessors` gives, for each number,
+    the class whose state it continues: its own number if the class stays the same, -1 if there is none."""
 
     classes: tuple[RequestClass, ...]
     active: frozenset[int]
@@ -147,12 +151,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocationChanged:
-    """Parts of the tenant's limits that are allocated to this gateway from now on, each from 0 to 1:
-    `quota_share`, `hard_limit_share` and `concurrency_share`.
+    """Reports the parts of a tenant's limits that are now allocated to this gateway.
 
-    `used_elsewhere_units`: that other gateways used of the quota, deducted once. `tokens`: of the quota, in
-    place of those known here; None: these stand. `more_expected`: a larger allocation is coming, so that it
-    pays to wait."""
+    `quota_share`, `hard_limit_share` and `concurrency_share` are from 0 to 1. `used_elsewhere_units` is what
+    other gateways used of the quota; it is deducted once. `tokens` replaces the tokens known here; None
+    leaves them unchanged. `more_expected` says that a larger allocation will follow, so that waiting is
+    worthwhile."""
 
     tenant: int
     plan: int
@@ -166,14 +170,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetChanged:
-    """The fleet of gateways as its members see it, in place of what the settings say of it.
+    """Reports the fleet of gateways as its members see it; it replaces what the settings say of it.
 
-    `own_number`, `peers`: this gateway and the others, by the numbers that messages between them carry.
-    `quota_owners`: all that may own a tenant's quota, in the same order wherever they are seen.
+    `own_number` and `peers` identify this gateway and the others by the numbers used in messages between
+    them. `quota_owners` holds all gateways that may own a tenant's quota, in the same order at every gateway.
 
-    Every limit is divided into slots; a set of slots is the bits of a number. `gateway_slots`: of each
-    gateway of the settings' list. `own_slots`: that this one may act on before `valid_until_ns`; from
-    `reassigned_at_ns` on others may have them. `peer_slots`: of `peers`, as they say."""
+    Every limit is divided into slots, and a set of slots is the bits of a number. `gateway_slots` holds the
+    slots of each gateway in the settings' list. This gateway may act on `own_slots` until `valid_until_ns`;
+    from `reassigned_at_ns` on, others may hold them. `peer_slots` holds the slots that `peers` report as
+    theirs."""
 
     own_number: int
     peers: tuple[int, ...]
--- a/trackspread/decide/load_balancer.py
+++ b/trackspread/decide/load_balancer.py
@@ -1,8 +1,7 @@
-"""The choice of a backend for each attempt: the least expected wait among those that are available.
+"""Chooses a backend for each attempt: the available one with the least expected cost.
 
-`endpoint_list.py` says which backends there are, `slow_start.py` what those that warm up may get, and
-`outlier_ejection.py` which have faults.
-"""
+`endpoint_list.py` knows which backends there are, `slow_start.py` limits those that are warming up, and
+`outlier_ejection.py` detects faults."""
 
 from __future__ import annotations
 
@@ -19,17 +18,20 @@
 
 BackendFilter = Callable[[Backend], bool]
 
-WARMING_UP_FACTOR = 0.7  # on the expected wait at a backend that warms up and whose budget covers an attempt
-FAULT_COST = 3.0  # a backend that surely fails the request costs 1 + this times as much
-OWN_ATTEMPTS_PRIOR = 2.0  # the more, the less this gateway's own attempts tell of others' at a backend
-MIN_SLOWNESS = 0.5  # of a backend, in usual latencies
+# Reduces the expected wait at a backend that is warming up and whose budget covers an attempt.
+WARMING_UP_FACTOR = 0.7
+FAULT_COST = 3.0  # a backend that is certain to fail the request costs 1 + this times as much
+# The higher, the less this gateway's own attempts at a backend indicate those of other gateways.
+OWN_ATTEMPTS_PRIOR = 2.0
+MIN_SLOWNESS = 0.5  # of a backend, relative to usual latencies
 MAX_SLOWNESS = 4.0
-SLOWNESS_PRIOR_WEIGHT = 3.0  # usual latencies that a backend's own blend with
-COST_JITTER = 0.1  # part of the cost, random: gateways with the same view must not all choose alike
+SLOWNESS_PRIOR_WEIGHT = 3.0  # weight of the usual latency in a backend's slowness, in attempts
+# Random part of the cost, so that gateways with the same view do not all choose the same backend.
+COST_JITTER = 0.1
 
 
 class LoadBalancer:
-    """The backends of one service as this gateway sees them, and the choice among them."""
+    """Holds the backends of one service as this gateway sees them, and chooses among them."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._settings = settings
@@ -37,48 +39,51 @@
         self.endpoints = EndpointList(rng)
         self.slow_start = SlowStart(settings)
         self.outliers = OutlierDetector(settings)
-        self._mean_in_flight = 0.0  # attempts of this gateway at each usable backend
+        self._mean_in_flight = 0.0  # mean of this gateway's attempts in flight over usable backends
 
     @property
     def backends(self) -> dict[int, BackendState]:
-        """State of each backend, by its id."""
+        """Returns the state of each backend, by its id."""
         return self.endpoints.backends
 
     def change_settings(self, settings: Settings) -> None:
-        """Other settings are in force from now on."""
+        """Applies other settings."""
         self._settings = settings
         self.slow_start.settings = settings
 
     def change_classes(self, event: ClassesChanged) -> None:
-        """What was learned of a class goes with the one that inherits it, or is forgotten."""
+        """Transfers the state of each class to its successor and drops that of classes without one."""
         self.outliers.change_classes(event)
         for state in self.backends.values():
             state.change_classes(event.predecessors)
 
     def update_endpoints(self, now: int, event: EndpointUpdate) -> None:
-        """Apply an update of the endpoint list."""
+        """Applies an update of the endpoint list."""
         self.endpoints.update(now, event)
         self.refresh(now)
 
     def refresh(self, now: int) -> None:
-        """Forget backends that are gone, and count the others."""
+        """Removes backends that are gone and recounts the others."""
         self.endpoints.forget_removed()
         usable = self.endpoints.usable()
         self.slow_start.count_warm(now, usable)
         self._mean_in_flight = sum(state.in_flight for state in usable) / max(1, len(usable))
 
     def is_available(self, now: int, state: BackendState) -> bool:
-        """Whether a backend may get an attempt now: neither draining nor ejected, and within its budget.
-        Refills that first."""
+        """Returns whether a backend may get an attempt now.
+
+        It may if it is neither draining nor ejected and is within its slow start budget, which is refilled
+        first."""
         if not state.is_usable or now < state.ejected_until_ns:
             return False
         return self.slow_start.allows_attempt(now, state)
 
     def expected_wait(self, now: int, state: BackendState) -> float:
-        """Expected time at a backend, in a request's usual latencies.
+        """Returns the expected time at a backend, relative to a request's usual latency.
 
-        Other gateways' attempts there are guessed from this gateway's own, the less the fewer these are.
-        Slowness ages, or a backend once slow would never be tried again."""
+        Other gateways' attempts are estimated from this gateway's own; the fewer these are, the less weight
+        they have. A backend's slowness decays with time, or else a slow backend would never be tried again.
+        """
         settings = self._settings
         slowness = min(MAX_SLOWNESS, max(MIN_SLOWNESS, state.slowness.blend(now, 1.0, SLOWNESS_PRIOR_WEIGHT)))
         mean_in_flight = self._mean_in_flight
@@ -98,8 +103,9 @@
     def choose(
         self, now: int, class_and_plan: ClassAndPlan, excluded: set[int], is_allowed: BackendFilter
     ) -> BackendState | None:
-        """The available backend of least cost for a request of this class and plan; None where none is.
-        `excluded`: ids that must not be chosen."""
+        """Returns the available backend with the least cost for this class and plan, if there is any.
+
+        Backends whose ids are in `excluded` are not chosen. The result is None if no backend is available."""
         candidates = [
             state
             for state in self.backends.values()
@@ -117,14 +123,15 @@
         return min(candidates, key=cost, default=None)
 
     def attempt_started(self, now: int, state: BackendState) -> None:
-        """An attempt goes to the backend."""
+        """Counts an attempt that is sent to the backend."""
         state.in_flight += 1
         self.slow_start.count_attempt(now, state)
 
     def attempt_ended(
         self, now: int, event: AttemptEnded, class_and_plan: ClassAndPlan, relative_latency: float
     ) -> None:
-        """An attempt has ended. `relative_latency`: its latency divided by the class's mean."""
+        """Records the end of an attempt; `relative_latency` is its latency divided by the mean of its class.
+        """
         state = self.backends.get(event.backend)
         if state is None:
             return
--- a/trackspread/decide/mean_value_analysis.py
+++ b/trackspread/decide/mean_value_analysis.py
@@ -1,12 +1,13 @@
-"""Exact mean value analysis of a small closed queuing network. Pure arithmetic; nothing here decides."""
+"""Implements exact mean value analysis of a small closed queuing network, without any decisions."""
 
 from __future__ import annotations
 
 
 def mean_values(demand: float, delay: float, max_in_flight: int) -> list[float]:
-    """Response times of one delay and one queue, for 0 to `max_in_flight` requests in flight.
+    """Returns the response times of one delay and one queue, for 0 to `max_in_flight` requests in flight.
 
-    `demand`: service time at the queue; `delay`: time elsewhere, without queuing. All in the same unit."""
+    `demand` is the service time at the queue and `delay` the time elsewhere, without queuing. All times have
+    the same unit."""
     response_times = [delay + demand]
     queue_length = 0.0
     for in_flight in range(1, max_in_flight + 1):
