--- a/trackspread/decide/open_request.py
+++ b/trackspread/decide/open_request.py
@@ -1,4 +1,4 @@
-"""A request that still owes its final answer, with the attempts made for it."""
+"""Holds a request without a final answer, and the attempts made for it."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that still owes its final answer."""
+    """Holds a request without a final answer."""
 
     arrival: RequestArrived
     commitment: Commitment
-    max_attempts: int  # as the settings had it when the request arrived
+    max_attempts: int  # the limit in the settings when the request arrived
     attempts_started: int = 0
     attempts_in_flight: int = 0
     tried_backends: set[int] = field(default_factory=set)  # ids
     may_have_executed: bool = False
     deduplicated_from_ns: int = 0  # start of the first attempt that may have executed
-    deduplicated_by: Backend | None = None  # where that one went: its zone or cell remembers the key
+    deduplicated_by: Backend | None = None  # backend of that attempt, whose zone or cell remembers the key
     last_attempt_at_ns: int = 0
-    first_byte_after_ns: int = 0  # from an attempt's start to the first byte of its long value; 0: none
-    queued_at_ns: int = 0  # for an answer; 0: never
-    counted_remotely: bool = False  # counted as in flight at the quota's owner or on the counter
-    balances_before: Balances = NO_BALANCES  # of the account, before the request took of them ...
-    balances_taken: Balances = NO_BALANCES  # ... and what it took
-    reached_backend: bool = False  # an attempt may have come to a backend: then the units are used
+    # Time from an attempt's start to the first byte of a long value; 0 if none has arrived.
+    first_byte_after_ns: int = 0
+    queued_at_ns: int = 0  # 0 if the request was never queued
+    counted_remotely: bool = False  # whether the quota owner or the counter counts it as in flight
+    balances_before: Balances = NO_BALANCES  # the account's balances before the request took from them
+    balances_taken: Balances = NO_BALANCES  # what the request took from the account
+    reached_backend: bool = False  # whether an attempt may have reached a backend; then the units are used
 
     @property
     def account(self) -> TenantAccount:
-        """The quota state of the request's tenant."""
+        """Returns the quota state of the request's tenant."""
         return self.commitment.account
--- a/trackspread/decide/outlier_ejection.py
+++ b/trackspread/decide/outlier_ejection.py
@@ -1,8 +1,8 @@
-"""Outlier ejection: what ended attempts say of a backend, and for how long it then gets none.
+"""Implements outlier ejection: detects faults from ended attempts and excludes backends for a time.
 
-A backend may reject one plan or leave one class unanswered, and serve the rest: such faults are remembered by
-class and plan, and make it the last choice for the like, while failures eject it for all.
-"""
+A backend may reject the requests of one plan or leave one class unanswered, and serve all others. Such faults
+are recorded by class and plan and make the backend the last choice for similar requests. Failures eject it
+for all requests."""
 
 from __future__ import annotations
 
@@ -14,28 +14,31 @@
 
 FIRST_EJECTION_NS = SECOND // 2  # doubles with each further ejection, up to the longest
 LONGEST_EJECTION_NS = 8 * SECOND
-FAILURES_TO_EJECT = 2  # consecutive ones: one may be chance; a failed connection ejects at once
-RESPONSE_MEMORY_NS = 3 * LONG_TERM  # for which a backend's last response to a class counts
-MAX_RELATIVE_LATENCY = 8.0  # counted of one attempt, in usual latencies: one outlier must not hide the rest
-PRIOR_WEIGHT = 3.0  # answered attempts that the timeout rate begins with
+# Consecutive failures: a single one may be chance, but a failed connection ejects at once.
+FAILURES_TO_EJECT = 2
+RESPONSE_MEMORY_NS = 3 * LONG_TERM  # how long a backend's last response to a class counts
+# Bounds one attempt's part in a backend's slowness, in usual latencies, so that one outlier does not hide the
+# rest.
+MAX_RELATIVE_LATENCY = 8.0
+PRIOR_WEIGHT = 3.0  # answered attempts that are assumed in addition to those seen
 
 _NO_FAULT = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.REJECTED)
 
 
 class OutlierDetector:
-    """Failures, timeouts and rejections of late."""
+    """Records recent failures, timeouts and rejections."""
 
     def __init__(self, settings: Settings) -> None:
         # Part of the attempts that got no response, by class.
         self.timeout_rate = [DecayingMean(LONG_TERM) for _ in settings.classes]
-        self.newest_answered_ns = 0  # start of the newest attempt that was answered
+        self.newest_answered_ns = 0  # start of the most recently started attempt that was answered
 
     def change_classes(self, event: ClassesChanged) -> None:
-        """Rates go with the class that inherits them, or are forgotten."""
+        """Transfers the timeout rate of each class to its successor and drops that of classes without one."""
         self.timeout_rate = inherited(self.timeout_rate, event.predecessors, lambda: DecayingMean(LONG_TERM))
 
     def recent_timeout_rate(self, now: int, request_class: int) -> float:
-        """Part of the class's recent attempts that got no response, at any backend."""
+        """Returns the part of the class's recent attempts that got no response, over all backends."""
         return self.timeout_rate[request_class].blend(now, 0.0, PRIOR_WEIGHT)
 
     def attempt_ended(
@@ -46,7 +49,8 @@
         class_and_plan: ClassAndPlan,
         relative_latency: float,
     ) -> None:
-        """Learn from how an attempt ended. `relative_latency`: its latency divided by the class's mean."""
+        """Records how an attempt ended; `relative_latency` is its latency divided by the mean of its class.
+        """
         outcome = event.outcome
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
             unanswered = 1.0 if outcome is Outcome.TIMEOUT else 0.0
@@ -73,8 +77,10 @@
 def fault_probability(
     now: int, state: BackendState, class_and_plan: ClassAndPlan, recent_timeout_rate: float
 ) -> float:
-    """How likely the backend rejects a request of this class and plan, or leaves it unanswered: its own last
-    response where that is recent, else the rate over all backends."""
+    """Returns the probability that the backend rejects a request of this class and plan, or does not answer.
+
+    It follows the backend's last response to the class if that is recent, otherwise the rate over all
+    backends."""
     if now < state.rejecting_until_ns.get(class_and_plan, 0):
         return 1.0
     last = state.last_response.get(class_and_plan[0])
--- a/trackspread/decide/overdraft_chance.py
+++ b/trackspread/decide/overdraft_chance.py
@@ -1,20 +1,20 @@
-"""The chance that a gateway without peer information may give a request. Pure arithmetic, no decision."""
+"""Computes the probability of admitting a request without information from peers; decides nothing itself."""
 
 from __future__ import annotations
 
 from functools import lru_cache
 from math import exp
 
-BISECTION_STEPS = 20  # to a millionth
+BISECTION_STEPS = 20  # gives a precision of about a millionth
 
 
 @lru_cache(maxsize=64)
 def overdraft_chance(cost: float, price: float) -> float:
-    """The probability with which a request of a tenant of whom nothing is known is admitted, so that units
-    beyond quotas cost `price` of what is asked for inside them.
+    """Returns the probability of admitting a request of a tenant about which nothing is known.
 
-    It holds where tenants ask for their quotas on average, some for little and a few for much more
-    (exponentially). `cost`: of a unit beyond the quota, as a part of its weight."""
+    It is chosen so that units beyond quotas cost `price` of what is requested within them. This holds if
+    tenants request their quotas on average, with an exponential distribution: many request little and a few
+    much more. `cost` is the cost of a unit beyond the quota, as a part of its priority weight."""
     low = 0.0
     high = 1.0
     for _ in range(BISECTION_STEPS):
--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -1,4 +1,4 @@
-"""Layout of the messages between gateways: bytes to plain values and back. Nothing here decides anything."""
+"""Encodes and decodes the messages between gateways. This module contains no decisions."""
 
 from __future__ import annotations
 
@@ -9,41 +9,44 @@
 
 from .tenant_account import QUARTERS_PER_UNIT
 
-MAX_MESSAGE_BYTES = 256  # that a peer message may have
+MAX_MESSAGE_BYTES = 256  # size limit of a message to a peer
 _TOTALS_HEADER = struct.Struct("<HH")  # incarnation, age
 _TOTAL = struct.Struct("<QHB")  # tenant, quarter units forwarded, attempts in flight
 _QUOTA = struct.Struct("<BQBHIHH")  # kind and attempts, tenant, plan, quarter units, query, age, forwarded
-_VIEW = struct.Struct("<HHHI")  # after it with a fleet view: first gateway, span, quarter tokens, owner
-MAX_TOTALS = (MAX_MESSAGE_BYTES - _TOTALS_HEADER.size) // _TOTAL.size  # tenants in one message of totals
-KIND_BITS = 3  # of a quota message's first byte; the others say how many attempts are in flight
+_VIEW = struct.Struct("<HHHI")  # Follows with a fleet view: first gateway, span, quarter tokens, owner.
+MAX_TOTALS = (MAX_MESSAGE_BYTES - _TOTALS_HEADER.size) // _TOTAL.size  # tenants in one message
+KIND_BITS = 3  # of a quota message's first byte; the other bits hold the attempts in flight
 MAX_IN_FLIGHT = 31
 MAX_TOTAL_IN_FLIGHT = 255
 MAX_U16 = 0xFFFF
-HALF_OF_TOTALS = 0x8000
+MAX_TOTAL_GROWTH = 0x8000
 
 
 class QuotaMessageKind(IntEnum):
-    """What a quota message says: between a gateway and a tenant's owner, or of hard limits between peers."""
+    """Tells the kind of a quota message, between a gateway and a tenant's owner or between peers."""
 
-    REQUEST = 1  # may these units be spent?
-    SPENT = 2  # they were spent; no answer is wanted
-    GRANT = 3  # yes; the units say what the bucket has
-    DENY = 4  # no; likewise
-    TRANSFER_REQUEST = 5  # so many units are wanted of the recipient's part of the hard limit
-    TRANSFER = 6  # these are taken off the sender's part
-    RELEASED = 7  # an attempt of the tenant's is over
+    REQUEST = 1  # asks whether these units may be spent
+    SPENT = 2  # reports units that were spent; no answer follows
+    GRANT = 3  # grants a request; the units are those in the bucket
+    DENY = 4  # denies a request; the units are those in the bucket
+    TRANSFER_REQUEST = 5  # asks for units of the recipient's part of the hard limit
+    TRANSFER = 6  # transfers units, which are deducted from the sender's part
+    RELEASED = 7  # reports that an attempt of the tenant has ended
 
 
 class QuotaMessage(NamedTuple):
-    """One message on a tenant's quota.
+    """Holds one message about a tenant's quota.
 
-    `units`: as its kind says. `query`: number that the answer repeats; 0 for none. `age_tenths_s`: since
-    the sender's start. `forwarded_quarter_units`: that the sender has forwarded for the tenant since its
-    start, modulo 2^16: a running total, so that a lost message costs nothing once the next one comes.
-    `first_gateway`, `gateway_span`: the tenant's requests come through so many gateways in a row from the
-    first one on; a span of 0: not known. `tokens`: units in the bucket, by the last answer of owner
-    `tokens_reported_by`; 0 there: none of late. `in_flight`: attempts of the tenant's that are in flight at
-    the sender or requested before this; 31 and more count as 31."""
+    The meaning of `units` depends on the kind. `query` is a number that the answer repeats, or 0 if there is
+    no answer. `age_tenths_s` is the time since the sender's start. `forwarded_quarter_units` is what the
+    sender has forwarded for the tenant since its start, modulo 2^16. As it is a running total, a lost message
+    has no effect once the next one arrives.
+
+    The tenant's requests come through `gateway_span` consecutive gateways, starting at `first_gateway`; a
+    span of 0 means that this is unknown. `tokens` is the balance of the bucket in the last answer of the
+    owner `tokens_reported_by`, which is 0 if there is no recent answer. `in_flight` is the number of the
+    tenant's attempts that are in flight at the sender or were requested before this message; at most 31 are
+    counted."""
 
     kind: int
     tenant: int
@@ -60,15 +63,15 @@
 
 
 class UsageTotal(NamedTuple):
-    """What a gateway reports of one tenant."""
+    """Holds what a gateway reports about one tenant."""
 
     tenant: int
-    forwarded_quarter_units: int  # since its start, modulo 2^16
-    in_flight: int  # attempts; 255 and more count as 255
+    forwarded_quarter_units: int  # since the gateway's start, modulo 2^16
+    in_flight: int  # attempts; at most 255 are counted
 
 
 class UsageTotals(NamedTuple):
-    """What a gateway reports to all peers."""
+    """Holds what a gateway reports to all peers."""
 
     incarnation: int
     age_tenths_s: int  # since its start
@@ -80,7 +83,9 @@
 
 
 def pack_quota_message(message: QuotaMessage) -> bytes:
-    """Units are sent in quarters; values that are out of their field's range as its bound."""
+    """Encodes a quota message.
+
+    Units are sent in quarters. Values outside their field's range are sent as its bound."""
     in_flight = min(MAX_IN_FLIGHT, message.in_flight)
     packed = _QUOTA.pack(
         message.kind | in_flight << KIND_BITS,
@@ -102,12 +107,12 @@
 
 
 def is_quota_message(data: bytes) -> bool:
-    """Whether these bytes are no message of totals: those have other lengths."""
+    """Returns whether these bytes have the length of a quota message; usage totals have other lengths."""
     return len(data) in (_QUOTA.size, _QUOTA.size + _VIEW.size)
 
 
 def unpack_quota_message(data: bytes) -> QuotaMessage | None:
-    """None for anything that is no such message."""
+    """Decodes a quota message; returns None for anything else."""
     if not is_quota_message(data):
         return None
     first_byte, tenant, plan, quarter_units, query, age_tenths_s, forwarded = _QUOTA.unpack_from(data)
@@ -134,14 +139,16 @@
 
 
 def total_growth(total: int, last_total: int) -> int | None:
-    """Quarter units by which a running total of 16 bits grew; None where it went back, as its gateway began
-    anew."""
+    """Returns the quarter units by which a running total of 16 bits grew.
+
+    The result is None if the total decreased, because its gateway restarted."""
     grown = (total - last_total) & MAX_U16
-    return grown if grown < HALF_OF_TOTALS else None
+    return grown if grown < MAX_TOTAL_GROWTH else None
 
 
 def pack_usage_totals(incarnation: int, age_tenths_s: int, totals: Iterable[tuple[int, int, int]]) -> bytes:
-    """Tenant, running total in quarter units and attempts in flight, for at most `MAX_TOTALS` tenants."""
+    """Encodes tenant, running total in quarter units and attempts in flight of at most `MAX_TOTALS` tenants.
+    """
     header = _TOTALS_HEADER.pack(incarnation, _u16(age_tenths_s))
     return header + b"".join(
         _TOTAL.pack(tenant, forwarded & MAX_U16, min(MAX_TOTAL_IN_FLIGHT, in_flight))
@@ -150,7 +157,7 @@
 
 
 def unpack_usage_totals(data: bytes) -> UsageTotals | None:
-    """None for anything that is no such message."""
+    """Decodes usage totals; returns None for anything else."""
     if len(data) < _TOTALS_HEADER.size or (len(data) - _TOTALS_HEADER.size) % _TOTAL.size:
         return None
     incarnation, age_tenths_s = _TOTALS_HEADER.unpack_from(data)
--- a/trackspread/decide/quota_events.py
+++ b/trackspread/decide/quota_events.py
@@ -1,4 +1,4 @@
-"""Events on quotas, which concern all services of a gateway: taken in once, then decided by whoever waits."""
+"""Processes quota events, which concern all services of a gateway, once for all of them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 def handle_quota_event(
     now: int, event: QuotaEvent, quota: Quota, admissions: Sequence[QuotaAdmission]
 ) -> list[Action]:
-    """Take in one event. `admissions`: of all services, which share the quota."""
+    """Applies one event to the quota and decides the requests that wait for it.
+
+    `admissions` holds those of all services that share the quota."""
     match event:
         case AllocationChanged():
             quota.change_allocation(now, event)
--- a/trackspread/decide/rejection.py
+++ b/trackspread/decide/rejection.py
@@ -1,4 +1,4 @@
-"""The final answer to a request that is not forwarded, and when its client may try again."""
+"""Builds the final answer to a request that is rejected, with the time after which its client may retry."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 from .settings import Settings
 from .time_units import SECOND
 
-RETRY_AFTER_NS = SECOND // 5  # a longer one leaves capacity unused, and floods do not heed it
+# A longer time leaves capacity unused, and clients that flood the gateway ignore it.
+RETRY_AFTER_NS = SECOND // 5
 
 
 def rejection(arrival: RequestArrived, settings: Settings) -> Reject:
-    """Reject a request none of whose attempts may have executed, or that may be repeated without harm."""
+    """Returns the rejection of a request that the client may safely repeat.
+
+    Either none of its attempts can have been executed, or it may be executed again without harm."""
     if not settings.may_send_retry_after:
         return Reject(arrival.request, 0)
     return Reject(arrival.request, min(RETRY_AFTER_NS, settings.max_retry_after_ns))
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -1,4 +1,4 @@
-"""What operators and the shared counter see of the decision module. Reads its state; nothing here decides."""
+"""Reports the state of the decision module to operators and the shared counter, without changing it."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
 
 
 class ServiceReport(msgspec.Struct, frozen=True):
-    """One service at one gateway. `backends`: listed; `warm`, `excluded`: of them; `in_flight`: attempts;
-    `limit`: on these, under congestion alone; `commitments`: tenants with requests of late."""
+    """Reports one service at one gateway.
+
+    `backends` counts those listed, `warm` and `excluded` some of them. `in_flight` counts attempts, and
+    `limit` is their limit, which exists under congestion only. `commitments` counts tenants with recent
+    requests."""
 
     service: str
     backends: int
@@ -28,7 +31,7 @@
 
 
 def brokers(module: Module) -> Sequence[Broker]:
-    """One, or one for each service."""
+    """Returns the brokers of the module: one, or one for each service."""
     return module.brokers if isinstance(module, ServiceBrokers) else (module,)
 
 
@@ -40,18 +43,20 @@
 
 
 def unavailable_backends(module: Module, now: int) -> int:
-    """Listed backends that get no attempts now: draining or ejected."""
+    """Returns the number of listed backends that get no attempts now, because they are draining or ejected.
+    """
     return sum(_unavailable(broker, now) for broker in brokers(module))
 
 
 def concurrency_cap(module: Module, tenant: int) -> int:
-    """On the tenant's requests in flight, to all services together; 0 where it has no commitment."""
+    """Returns the cap on the tenant's requests in flight to all services, or 0 without a commitment."""
     commitments = (broker.commitments.by_tenant.get(tenant) for broker in brokers(module))
     return sum(commitment.cap for commitment in commitments if commitment is not None)
 
 
 def quota_units(quota: Quota, tenant: int) -> tuple[float, float]:
-    """Units of the tenant's quota used here so far, and its tokens here: for the shared counter."""
+    """Returns the units of the tenant's quota used here so far and its tokens here, for the shared counter.
+    """
     account = quota.accounts.get(tenant)
     if account is None:
         return 0.0, 0.0
@@ -59,7 +64,7 @@
 
 
 def service_reports(module: ServiceBrokers, now: int) -> list[ServiceReport]:
-    """All that this gateway carries, in their order."""
+    """Returns the reports of all services that this gateway carries, in their order."""
     return [
         ServiceReport(
             service=name,
--- a/trackspread/decide/request_table.py
+++ b/trackspread/decide/request_table.py
@@ -1,4 +1,4 @@
-"""Requests that still owe their final answer, and their attempts in flight."""
+"""Keeps the requests without a final answer, and their attempts in flight."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from .quota import Quota
 from .retry_policy import RetryPolicy
 
-LOST_AFTER_LATENCIES = 4.0  # by which later attempts were answered first, before one counts as lost
+# A response counts as lost if attempts that started this many latencies later were answered first.
+LOST_AFTER_LATENCIES = 4.0
 
 
 class RequestTable:
-    """The open requests of one service at this gateway."""
+    """Holds the open requests of one service at this gateway."""
 
     def __init__(
         self, quota: Quota, model: QueueModel, load_balancer: LoadBalancer, retry_policy: RetryPolicy
@@ -22,14 +23,15 @@
         self._model = model
         self._load_balancer = load_balancer
         self._retry_policy = retry_policy
-        self.open_requests: dict[int, OpenRequest] = {}  # by request number, queued ones among them
+        self.open_requests: dict[int, OpenRequest] = {}  # by request number, including queued ones
         self.attempts: dict[tuple[int, int], OpenRequest] = {}  # by request and attempt number
         self.in_flight = 0  # attempts
-        self.presumed_lost = 0  # of them: attempts whose response will not come, as of the last tick
+        self.presumed_lost = 0  # attempts in flight whose response is presumed lost, as of the last tick
 
     def start_attempt(self, now: int, request: OpenRequest) -> StartAttempt | None:
-        """Start an attempt of the request; None where its time or attempts are used up, or no backend may
-        get it. A backend that was not tried yet comes first."""
+        """Starts an attempt of the request, preferably at a backend that was not tried yet.
+
+        The result is None if the deadline has passed, the attempts are used up or no backend may get one."""
         arrival = request.arrival
         if now >= arrival.expires_at_ns or request.attempts_started >= request.max_attempts:
             return None
@@ -58,15 +60,17 @@
         )
 
     def count_attempts(self, request: OpenRequest, change: int) -> None:
-        """So many attempts of the request more are in flight."""
+        """Changes the number of the request's attempts in flight."""
         self.in_flight += change
         request.commitment.in_flight += change
         self._quota.count_attempts(request.account, change)
 
     def outstanding(self, now: int, queued: int) -> list[tuple[int, int]]:
-        """Class and age in ns of the requests that wait for a response. Where later attempts were answered
-        long since, the response was lost: no request waits in a shared queue then, and there is no overload.
-        Counts those lost; `queued`: requests without an attempt."""
+        """Returns class and age in ns of the requests that wait for a response.
+
+        If attempts that started much later have been answered, a response is presumed lost. Its request does
+        not wait in a shared queue and is no sign of overload. Such requests are counted in `presumed_lost`
+        instead. `queued` is the number of requests without an attempt."""
         lost_after_ns = [LOST_AFTER_LATENCIES * latency.value for latency in self._model.latency]
         newest_answered_ns = self._load_balancer.outliers.newest_answered_ns
 
@@ -83,5 +87,5 @@
         return outstanding
 
     def responses_expected(self) -> int:
-        """Attempts in flight whose response is not presumed lost."""
+        """Returns the number of attempts in flight whose response is not presumed lost."""
         return self.in_flight - self.presumed_lost
--- a/trackspread/decide/retry_policy.py
+++ b/trackspread/decide/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: whether a request may be attempted again, where (rule 2), and how long an attempt may take."""
+"""Decides whether a request may be retried, at which backends (rule 2), and the timeout of its attempts."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 from .outlier_ejection import OutlierDetector
 from .settings import DeduplicationScope, Idempotency, Settings
 
-RETRIES_PER_REQUEST = 0.1  # that the budget grows by: keeps a failing service from getting twice its load
+# Growth of the budget with each request; keeps retries from doubling the load of a failing service.
+RETRIES_PER_REQUEST = 0.1
 MAX_RETRY_TOKENS = 10.0  # retries that may be saved up
-TIMEOUT_RATE_FOR_TIMEOUTS = 0.05  # part of recent attempts without a response from which attempts time out
-TIMEOUT_OBJECTIVE_DIVISOR = 2  # of the latency objective: the shortest timeout, leaves time for a retry
-TIMEOUT_LATENCIES = 3  # recent latencies that an attempt may take at least
+# Attempts get a timeout if at least this part of recent attempts had no response.
+TIMEOUT_RATE_FOR_TIMEOUTS = 0.05
+# Part of the latency objective that the shortest timeout takes, as a divisor; it leaves time for a retry.
+TIMEOUT_OBJECTIVE_DIVISOR = 2
+TIMEOUT_LATENCIES = 3  # an attempt may take at least this many recent latencies
 
 
 def _any_backend(backend: Backend) -> bool:
@@ -25,7 +28,7 @@
 
 
 class RetryPolicy:
-    """The retry budget, and what a request's class allows once an attempt may have executed."""
+    """Holds the retry budget, and what a request's class allows once an attempt may have been executed."""
 
     def __init__(self, settings: Settings, model: QueueModel, outliers: OutlierDetector) -> None:
         self.settings = settings
@@ -34,21 +37,21 @@
         self.tokens = MAX_RETRY_TOKENS  # retries that the budget covers
 
     def count_request(self) -> None:
-        """A request has had its first attempt."""
+        """Counts the first attempt of a request."""
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRIES_PER_REQUEST)
 
     def count_retry(self) -> None:
-        """A request has had another attempt."""
+        """Counts a further attempt of a request."""
         self.tokens -= 1.0
 
     def may_retry(self, request: OpenRequest) -> bool:
-        """Whether the class and the budget allow another attempt."""
+        """Returns whether the class and the budget allow another attempt."""
         if self.tokens < 1.0:
             return False
         return not request.may_have_executed or self._idempotency(request) is not Idempotency.NOT_IDEMPOTENT
 
     def may_reject(self, request: OpenRequest) -> bool:
-        """Whether the client may repeat the request without harm, to any backend."""
+        """Returns whether the client may safely repeat the request, to any backend."""
         if not request.may_have_executed:
             return True
         request_class = self.settings.classes[request.arrival.request_class]
@@ -57,8 +60,10 @@
         return request_class.idempotency is Idempotency.IDEMPOTENT
 
     def allowed_backends(self, now: int, request: OpenRequest) -> BackendFilter:
-        """Rule 2: where a request with an idempotency key that may have executed may be attempted again: at
-        backends that still remember the key."""
+        """Returns a filter for the backends that may get the next attempt (rule 2).
+
+        A request with an idempotency key that may have been executed may be retried only at backends that
+        still remember the key."""
         request_class = self.settings.classes[request.arrival.request_class]
         first = request.deduplicated_by
         if not request.may_have_executed or first is None:
@@ -76,16 +81,20 @@
                 return lambda backend: backend.cell == first.cell
 
     def not_after_ns(self, request: OpenRequest) -> int:
-        """Until when an attempt may be sent: the end of the window in which backends remember the idempotency
-        key of a request that may have executed; 0 where there is no such bound."""
+        """Returns the time until which an attempt may be sent, or 0 if there is no bound.
+
+        The bound is the end of the window in which backends remember the idempotency key of a request that
+        may have been executed."""
         if not request.may_have_executed or self._idempotency(request) is not Idempotency.WITH_KEY:
             return 0
         request_class = self.settings.classes[request.arrival.request_class]
         return request.deduplicated_from_ns + request_class.deduplication_window_ns
 
     def attempt_timeout_ns(self, now: int, request: OpenRequest) -> int:
-        """Timeout of an attempt; 0 for none. It guards against responses that were lost and backends that
-        hang, where some did of late and a retry is allowed; it would do harm where all are slow."""
+        """Returns the timeout of an attempt, or 0 for none.
+
+        It protects against lost responses and unresponsive backends, if some occurred recently and a retry is
+        allowed. It would do harm when all backends are slow."""
         number = request.arrival.request_class
         request_class = self.settings.classes[number]
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
--- a/trackspread/decide/services.py
+++ b/trackspread/decide/services.py
@@ -1,11 +1,10 @@
-"""Several services behind one gateway: a broker for each, and one set of quotas for all of them.
+"""Runs several services behind one gateway: a broker for each, and one set of quotas for all of them.
 
-The operator says which class of request is of which service, and discovery of which a backend is; nothing is
-decided here. A broker knows the classes, backends, commitments and requests of its service alone: what a
-request costs grows with its service's backends, and a service whose backends are slow or gone rejects no
-other service's requests. Quotas, hard limits and concurrency limits are a tenant's, whatever service it asks
-for: the brokers share one `Quota`.
-"""
+The operator assigns request classes to services, and discovery assigns backends; this module contains no
+decisions. A broker knows only the classes, backends, commitments and requests of its own service. The cost of
+a request therefore grows only with the backends of its service, and a service whose backends are slow or
+unreachable does not cause rejections at other services. Quotas, hard limits and concurrency limits belong to
+a tenant, whatever services it uses, so the brokers share one `Quota`."""
 
 from __future__ import annotations
 
@@ -35,26 +34,27 @@
 
 ServiceOf = Callable[[RequestClass], str]
 
-NOT_CARRIED = -1  # the broker of a class whose service this gateway does not carry
+NOT_CARRIED = -1  # broker index of a class whose service this gateway does not carry
 NO_PREDECESSOR = -1
 _NO_CHANGE = EndpointUpdate(EndpointUpdateKind.DELTA, 0, ())
 
 
 class ClassTable:
-    """Which broker each class of the settings belongs to, and its number there.
+    """Maps each class of the settings to its broker and to its number there.
 
-    A broker's numbers keep their meaning as long as the settings' do: open requests hold them. The number of
-    a class that went to another service is free, and is given to the next that comes."""
+    A number at a broker keeps its meaning as long as the settings' number does, because open requests refer
+    to it. When a class moves to another service, its number becomes free and is given to the next class that
+    is added."""
 
     def __init__(
         self, classes: Sequence[RequestClass], carried: Sequence[str], service_of: ServiceOf
     ) -> None:
         self._broker_index_by_service = {name: index for index, name in enumerate(carried)}
         self._service_of = service_of
-        self.broker_indexes: list[int] = []  # by the settings' number, its broker
-        self.numbers: list[int] = []  # by the settings' number, the one at its broker
-        self.classes: list[list[RequestClass]] = [[] for _ in carried]  # by broker and number there
-        self._free_numbers: list[list[int]] = [[] for _ in carried]  # by broker, numbers that no class has
+        self.broker_indexes: list[int] = []  # broker of each class, by the settings' number
+        self.numbers: list[int] = []  # number at the broker, by the settings' number
+        self.classes: list[list[RequestClass]] = [[] for _ in carried]  # by broker, and by number there
+        self._free_numbers: list[list[int]] = [[] for _ in carried]  # unused numbers, by broker
         for number, request_class in enumerate(classes):
             self._assign(number, request_class)
 
@@ -62,7 +62,7 @@
         return self._broker_index_by_service.get(self._service_of(request_class), NOT_CARRIED)
 
     def _assign(self, number: int, request_class: RequestClass) -> None:
-        """Assign a class that is new under this number of the settings."""
+        """Assigns a class that is new under this number of the settings."""
         broker_index = self._broker_index_of(request_class)
         own_number = NOT_CARRIED
         if broker_index != NOT_CARRIED:
@@ -70,13 +70,14 @@
             free_numbers = self._free_numbers[broker_index]
             own_number = free_numbers.pop() if free_numbers else len(classes)
             classes[own_number : own_number + 1] = [request_class]
-        # Replaces the entry of this number, or appends it where it is the next.
+        # Replaces the entry of this number, or appends it if it is the next one.
         self.broker_indexes[number : number + 1] = [broker_index]
         self.numbers[number : number + 1] = [own_number]
 
     def change(self, event: ClassesChanged) -> list[ClassesChanged]:
-        """Take in the event; returns it for each broker, by the numbers there. A class that comes from
-        another service begins anew."""
+        """Applies the event and returns it for each broker, with the class numbers used there.
+
+        A class that comes from another service starts with new state."""
         old_broker_indexes = list(self.broker_indexes)
         old_numbers = list(self.numbers)
         self._reassign(event.classes, old_broker_indexes, old_numbers)
@@ -103,7 +104,7 @@
     def _reassign(
         self, classes: Sequence[RequestClass], old_broker_indexes: Sequence[int], old_numbers: Sequence[int]
     ) -> None:
-        """Other classes are in force: those of another service than before go to its broker."""
+        """Applies other classes; classes whose service has changed move to the broker of the new service."""
         moved = []
         for number, request_class in enumerate(classes):
             broker_index = self._broker_index_of(request_class)
@@ -119,10 +120,10 @@
 
 
 class ServiceBrokers:
-    """The brokers of the services that this gateway carries; takes events and gives actions as one broker.
+    """Holds the brokers of the services that this gateway carries, behind the interface of one broker.
 
-    A backend's `service` is an index into `carried`. A request of a class whose service is not carried is
-    rejected: another gateway carries it."""
+    A backend's `service` is an index into `carried`. Requests of classes whose service is not carried here
+    are rejected, because another gateway carries it."""
 
     def __init__(
         self, settings: Settings, seed: int, now: int, carried: Sequence[str], service_of: ServiceOf
@@ -137,14 +138,15 @@
             for index in range(1, len(self.carried))
         ]
         self.brokers = [first, *others]
-        self._service_of_backend: dict[int, int] = {}  # as discovery last said, of each listed backend
+        # Service of each listed backend, as discovery last reported it.
+        self._service_of_backend: dict[int, int] = {}
         self._is_started = False
 
     def _settings_of(self, broker: int) -> Settings:
         return replace(self.settings, classes=tuple(self._class_table.classes[broker]))
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take in one event; the actions take effect at `now`."""
+        """Processes one event and returns the actions that take effect at `now`."""
         actions: list[Action] = []
         if not self._is_started:
             self._is_started = True
@@ -177,8 +179,6 @@
     def _handle_by_all(self, now: int, event: Event) -> list[Action]:
         return [action for broker in self.brokers for action in broker.handle(now, event)]
 
-    # Requests.
-
     def _on_request_arrived(self, now: int, event: RequestArrived) -> Iterable[Action]:
         broker = self._class_table.broker_indexes[event.request_class]
         if broker == NOT_CARRIED:
@@ -187,7 +187,9 @@
         return self.brokers[broker].handle(now, replace(event, request_class=own_number))
 
     def _on_attempt_event(self, now: int, event: AttemptEnded | ResponseStarted) -> Iterable[Action]:
-        """Attempts are numbered over all services: just one broker has it, or none any more."""
+        """Passes the event to the broker that has the attempt, if there still is one.
+
+        Attempts are numbered over all services, so at most one broker has it."""
         key = event.request, event.attempt
         return [
             action
@@ -204,11 +206,10 @@
             for action in broker.handle(now, event)
         ]
 
-    # Backends, classes, plans and the fleet.
-
     def _on_endpoint_update(self, now: int, event: EndpointUpdate) -> Iterable[Action]:
-        """Each broker gets the entries of its own backends; one whose backend moves to another service gets
-        its removal."""
+        """Passes to each broker the entries of its own backends.
+
+        If a backend moves to another service, the broker of the former one gets its removal."""
         is_complete = event.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
         entries: list[list[Backend]] = [[] for _ in self.brokers]
         before = self._service_of_backend
@@ -251,27 +252,25 @@
         return []
 
     def _with_service(self, index: int, actions: Iterable[Action]) -> Iterator[Action]:
-        """The actions, with log lines that begin with the service."""
+        """Returns the actions with the service's name in front of log lines."""
         for action in actions:
             if isinstance(action, LogMessage):
                 yield LogMessage(f"{self.carried[index] or 'default'}: {action.text}")
             else:
                 yield action
 
-    # Another process that takes over.
-
     def retire(self, now: int) -> list[Action]:
-        """Another process decides from now on."""
+        """Stops all brokers, as another process of the gateway takes over."""
         return [action for broker in self.brokers for action in broker.retire(now)]
 
     def resume(self) -> None:
-        """The other process is gone: this one decides again."""
+        """Resumes deciding after the process that took over has ended."""
         for broker in self.brokers:
             broker.resume()
 
 
 def _without_duplicates(actions: Iterable[Action]) -> Iterator[Action]:
-    """Without timers and watches that several brokers ask for alike: one serves all of them."""
+    """Drops repeated timers and watches, as one serves all brokers that request the same."""
     tokens: set[int] = set()
     is_watched = False
     for action in actions:
--- a/trackspread/decide/settings.py
+++ b/trackspread/decide/settings.py
@@ -1,7 +1,6 @@
-"""What a decision module is given at its start: request classes, plans, limits of the platform.
+"""Defines what a decision module is given at its start: request classes, plans and limits of the platform.
 
-Times are integer nanoseconds, rates are per second. Everything is immutable; nothing here decides anything.
-"""
+Times are integer nanoseconds and rates are per second. All types are immutable and contain no decisions."""
 
 from __future__ import annotations
 
@@ -10,8 +9,9 @@
 
 
 class Idempotency(Enum):
-    """What a class allows once an attempt may have executed: any repetition, one with its idempotency key, or
-    none."""
+    """Tells how a request may be repeated once an attempt may have been executed.
+
+    It may be repeated freely, with its idempotency key only, or not at all."""
 
     IDEMPOTENT = "free"
     WITH_KEY = "guarded"
@@ -19,7 +19,8 @@
 
 
 class DeduplicationScope(Enum):
-    """Which backends recognize a request's idempotency key: all, those of a zone, or of a cell."""
+    """Tells which backends recognize a request's idempotency key: all, those of a zone, or those of a cell.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -28,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request.
+    """Holds the properties of one class of request.
 
-    `latency_objective_ns`: from arrival to answer; a later answer, until `deadline_ns`, counts
-    `late_priority_weight` in place of `priority_weight`. `deduplication_window_ns`: how long the backends of
-    `deduplication_scope` remember an idempotency key."""
+    `latency_objective_ns` is the time from arrival to answer. A later answer, until `deadline_ns`, counts
+    `late_priority_weight` instead of `priority_weight`. The backends of `deduplication_scope` remember an
+    idempotency key for `deduplication_window_ns`."""
 
     name: str
     latency_objective_ns: int
@@ -46,12 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Limits of one plan, for each of its tenants over all gateways together; 0 means no such limit.
+    """Holds the limits of one plan, for each of its tenants over all gateways; 0 means no limit.
 
-    `rate_per_s`, `burst_units`: the quota's token bucket. `concurrency_limit`: attempts in flight.
-    `priority_factor`: on the priority weight of its requests. `overage_weight`, `overage_cost`: what a unit
-    beyond the quota earns and costs, as a part of its weight. `hard_limit_per_s`, `hard_limit_burst_units`:
-    the token bucket that is never overdrawn by more than `hard_limit_slack_units`."""
+    `rate_per_s` and `burst_units` define the quota's token bucket. `concurrency_limit` bounds the attempts in
+    flight. `priority_factor` multiplies the priority weight of requests. `overage_weight` and `overage_cost`
+    are what a unit beyond the quota earns and costs, as parts of its weight. `hard_limit_per_s` and
+    `hard_limit_burst_units` define a token bucket that is never overdrawn by more than
+    `hard_limit_slack_units`."""
 
     name: str
     rate_per_s: float = 0.0
@@ -67,44 +69,44 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """What a decision module is given at its start; what is left out is off, or describes a lone gateway."""
+    """Holds what a decision module is given at its start.
+
+    By default a feature is off, or the value describes a single gateway."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
 
-    # The place of this gateway.
     zone: int = 0
-    gateway_index: int = 0  # in the settings' list of gateways
+    gateway_index: int = 0  # position in the settings' list of gateways
     gateway_count: int = 1
 
-    # What the platform lets a gateway do.
-    max_attempts: int = 3  # of one request
+    max_attempts: int = 3  # limit for one request
     may_hedge: bool = False  # no rule uses it yet
     may_cancel: bool = False  # no rule uses it yet
     may_check_health: bool = False
     may_gossip: bool = False
-    peer_messages_per_s: float = 0.0  # that one gateway takes in
+    peer_messages_per_s: float = 0.0  # messages that one gateway accepts
     may_send_retry_after: bool = True
     max_retry_after_ns: int = 1_000_000_000
     has_shared_counter: bool = False
-    has_leased_quotas: bool = False  # the host says how much of each quota this gateway has; then no gossip
+    # The host leases parts of each quota to this gateway, which then sends no gossip.
+    has_leased_quotas: bool = False
 
-    # What is reported of use and load.
     load_report_names: tuple[str, ...] = ()
-    metering_period_ns: int = 0  # 0: no meter reports the use of quotas
+    metering_period_ns: int = 0  # 0 if no meter reports the use of quotas
     largest_request_units: float = 1.0
-    units_settled_later: bool = False  # a request's units are an estimate until its answer
+    units_settled_later: bool = False  # whether a request's units are an estimate until its answer
 
-    # Service discovery and draining.
     polls_discovery: bool = False
     poll_within_ns: int = 0  # no rule uses it yet
-    # After a drain is known, for writing attempts decided before (for the host).
+    # Time after a drain becomes known in which attempts decided earlier may still be sent (used by the host).
     drain_grace_ns: int = 1_000_000_000
 
-    # Backends that are warming up.
-    slow_start_capacity: float = 0.2  # part of its capacity that a backend surely has at its start
+    slow_start_capacity: float = 0.2  # part of its capacity that a backend certainly has when it starts
     slow_start_ns: int = 20_000_000_000
-    overload_multiple: float = 3.0  # of its present capacity, sent over ...
-    overload_window_ns: int = 1_000_000_000  # ... this long, that takes such a backend down
+    # A backend that is warming up fails when it gets this multiple of its present capacity for
+    # `overload_window_ns`.
+    overload_multiple: float = 3.0
+    overload_window_ns: int = 1_000_000_000
 
-    cross_zone_cost: float = 0.0  # of an attempt in another zone, in usual latencies
+    cross_zone_cost: float = 0.0  # cost of an attempt in another zone, in usual latencies
--- a/trackspread/decide/seven_cases.py
+++ b/trackspread/decide/seven_cases.py
@@ -1,5 +1,6 @@
-"""The seven cases by which a commitment is granted a concurrency (section 5 of the paper in
-`docs/design/decisions.md`)."""
+"""Implements the seven cases by which a commitment is granted a concurrency.
+
+They are those in section 5 of the paper; see `docs/design/decisions.md`."""
 
 from __future__ import annotations
 
@@ -13,45 +14,49 @@
     model_levels: int,
     meets_response_time: Goal,
     meets_throughput: Goal,
-    spares_competitors: Goal,
+    preserves_competitors: Goal,
 ) -> int:
-    """The concurrency offered to a commitment that asks for `requested`; 0 to reject it.
+    """Returns the concurrency offered to a commitment that requests `requested`, or 0 to reject it.
 
-    Each goal says whether it holds at a concurrency: the response time, the throughput, and what the
-    commitments beside it were granted. From `model_levels` on `meets_response_time` and `spares_competitors`
-    no longer change: where one of them fails at `requested` it fails down to there, so that a quota of any
-    size costs no more evaluations than the model has levels."""
+    Each goal returns whether it is met at a concurrency: the response time, the throughput, and what the
+    other commitments were granted. From `model_levels` on, `meets_response_time` and `preserves_competitors`
+    no longer change. If one of them fails at `requested`, it therefore fails at all levels down to
+    `model_levels`. Skipping these bounds the number of evaluations by the levels of the model, whatever the
+    size of the quota."""
     fewer = range(min(requested - 1, model_levels), 0, -1)
     fewest = range(1, requested)
     more = range(requested + 1, 2 * requested + 1)
     is_fast = meets_response_time(requested)
     is_throughput_met = meets_throughput(requested)
-    if not spares_competitors(requested):
+    if not preserves_competitors(requested):
         if not is_throughput_met:
-            return _first(fewer, spares_competitors)
-        return _most_sparing_competitors(fewer, meets_response_time, meets_throughput, spares_competitors)
-    if is_fast and is_throughput_met:  # case 1
+            return _first(fewer, preserves_competitors)
+        return _cases_5_to_7(fewer, meets_response_time, meets_throughput, preserves_competitors)
+    if is_fast and is_throughput_met:  # case 1: all goals are met
         return requested
-    if is_throughput_met:  # case 2, too slow: fewer, or else the fewest that keep the throughput
+    # Case 2, too slow: fewer requests in flight, or else the fewest that keep the throughput.
+    if is_throughput_met:
         found = _first(fewer, meets_response_time, meets_throughput) or _first(fewest, meets_throughput)
-    elif is_fast:  # case 3, too little meets_throughput: more, or else as many as stay fast enough
-        found = _first(more, meets_response_time, meets_throughput, spares_competitors)
-        found = found or _first(more[::-1], meets_response_time, spares_competitors)
-    else:  # case 4, both
-        found = _first(fewer, meets_response_time) or _first(more, meets_throughput, spares_competitors)
+    # Case 3, too little throughput: more requests in flight, or else as many as stay fast enough.
+    elif is_fast:
+        found = _first(more, meets_response_time, meets_throughput, preserves_competitors)
+        found = found or _first(more[::-1], meets_response_time, preserves_competitors)
+    else:  # case 4: too slow and too little throughput
+        found = _first(fewer, meets_response_time) or _first(more, meets_throughput, preserves_competitors)
     return found or requested
 
 
-def _most_sparing_competitors(
-    fewer: range, meets_response_time: Goal, meets_throughput: Goal, spares_competitors: Goal
+def _cases_5_to_7(
+    fewer: range, meets_response_time: Goal, meets_throughput: Goal, preserves_competitors: Goal
 ) -> int:
-    """Cases 5 to 7: the most that leaves the others what they were granted, with as many of the commitment's
-    own goals as possible."""
-    found = _first(fewer, meets_response_time, meets_throughput, spares_competitors)
-    found = found or _first(fewer, spares_competitors, meets_throughput)
-    return found or _first(fewer, spares_competitors)
+    """Returns the highest concurrency that preserves what the competitors were granted (cases 5 to 7).
+
+    As many of the commitment's own goals as possible are met."""
+    found = _first(fewer, meets_response_time, meets_throughput, preserves_competitors)
+    found = found or _first(fewer, preserves_competitors, meets_throughput)
+    return found or _first(fewer, preserves_competitors)
 
 
 def _first(levels: range, *goals: Goal) -> int:
-    """The first level at which all goals hold; 0 where there is none."""
+    """Returns the first level at which all goals are met, or 0 if there is none."""
     return next((level for level in levels if all(goal(level) for goal in goals)), 0)
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -1,9 +1,7 @@
-"""The state of the decision module as plain values, for another process that takes over.
+"""Exports the state of the decision module as plain values, for another process that takes over.
 
-Nothing here decides; `snapshot_restore.py` takes the state up there.
-
-Both processes read one clock. Classes and plans go by their names, as either side numbers them its own way.
-"""
+`snapshot_restore.py` restores the state there. Both processes use the same clock. Classes and plans are
+identified by name, because each process numbers them on its own. This module contains no decisions."""
 
 from __future__ import annotations
 
@@ -20,8 +18,9 @@
     from .broker import Broker
 
 Plain = dict[str, Any]
-VERSION = 7  # raised with every change of what the state holds: the other process's program may differ
-# Keys of the snapshot and the attributes that they stand for: the keys stay as earlier versions wrote them.
+# Has to be raised with every change of the contents, because the other process may run another version.
+VERSION = 7
+# Keys of the snapshot and the attributes that they stand for; the keys stay as earlier versions wrote them.
 _ACCOUNT_KEYS = {
     "customer": "tenant",
     "level": "tokens",
@@ -69,7 +68,7 @@
     "aim": "latency_objective_ns",
     "least": "min_throughput_per_s",
 }
-# What service discovery tells of a backend is not part of it.
+# What service discovery reports about a backend is not part of the snapshot.
 _BACKEND_KEYS = {
     "slow": "slowness",
     "pause": "ejection_ns",
@@ -82,7 +81,8 @@
 
 
 class AttemptElsewhere(NamedTuple):
-    """An attempt that another process of this gateway has in flight, with the names of class and plan."""
+    """Describes an attempt that another process of this gateway has in flight, with names of class and plan.
+    """
 
     request: int
     attempt: int
@@ -106,8 +106,10 @@
 def export_state(
     broker: Broker, class_names: tuple[str, ...], attempts: Mapping[tuple[int, int], int]
 ) -> Plain:
-    """All that outlives the process. `class_names`: by the classes' numbers; `attempts`: the backend of each
-    attempt in flight, by request and attempt number."""
+    """Returns all state that has to outlive the process.
+
+    `class_names` is indexed by the classes' numbers. `attempts` maps request and attempt number of each
+    attempt in flight to its backend."""
     quota = broker.quota
     balancer = broker.load_balancer
     plan_names = [plan.name for plan in broker.settings.plans]
@@ -149,7 +151,7 @@
 
 
 def _export_commitment(broker: Broker, account: TenantAccount) -> Plain | None:
-    """The tenant's commitment; None where it has none here."""
+    """Returns the tenant's commitment, or None if there is none here."""
     commitment: Commitment | None = broker.commitments.by_tenant.get(account.tenant)
     if commitment is None or commitment.account is not account:
         return None
--- a/trackspread/decide/snapshot_restore.py
+++ b/trackspread/decide/snapshot_restore.py
@@ -1,4 +1,6 @@
-"""What another process knew (`snapshot.py`), taken up in this one. Nothing here decides."""
+"""Restores in this process the state that another process exported with `snapshot.py`.
+
+This module contains no decisions."""
 
 from __future__ import annotations
 
@@ -39,10 +41,12 @@
 
 
 def restore_state(broker: Broker, state: Plain, class_names: tuple[str, ...]) -> None:
-    """Take up what another process knew; what this one's settings do not have is passed over. Raises
-    `ValueError` on a state of another version, before anything is changed."""
+    """Restores the state of another process.
+
+    Classes, plans and backends that this process does not have are ignored. Raises `ValueError` for a state
+    of another version, before anything is changed."""
     if state.get("version") != VERSION:
-        raise ValueError(f"state of version {state.get('version')}, this is {VERSION}")
+        raise ValueError(f"state: version must be {VERSION}, got {state.get('version')}")
     classes = _active_classes(broker, class_names)
     plans = {plan.name: number for number, plan in enumerate(broker.settings.plans)}
     _restore_quota(broker, state, plans)
@@ -107,7 +111,7 @@
         int(peer): PeerAttempts(int(count), int(at_ns)) for peer, (count, at_ns) in values["out"]
     }
     values["peers"] = tuple(values["peers"])
-    values["open"] = 0  # attempts in flight are counted one by one
+    values["open"] = 0  # attempts in flight are added one by one later
     parts: dict[str, dict[str, Any]] = {}
     for key, value in values.items():
         part, _, name = _ACCOUNT_KEYS[key].rpartition(".")
@@ -154,7 +158,9 @@
 
 
 def count_attempt_elsewhere(broker: Broker, class_names: tuple[str, ...], attempt: AttemptElsewhere) -> None:
-    """Count an attempt that another process has in flight until its end is reported; it answers nobody."""
+    """Counts an attempt that another process has in flight, until its end is reported.
+
+    The attempt produces no answer here."""
     plan_names = [plan.name for plan in broker.settings.plans]
     classes = _active_classes(broker, class_names)
     if attempt.plan not in plan_names or attempt.request_class not in classes:
@@ -170,7 +176,7 @@
         first_gateway=0,
         options=0,
     )
-    # No time is given here: that of the last gossip, which the state brought, stands in for it.
+    # The caller passes no time, so the time of the last gossip, which is part of the state, is used instead.
     now = broker.quota.gossiped_at_ns
     account = broker.quota.account(now, attempt.tenant, arrival.plan)
     request = OpenRequest(
@@ -179,7 +185,8 @@
         max_attempts=1,
         attempts_started=1,
         attempts_in_flight=1,
-        # The owner gets a message at its end, as from the process that started it.
+        # At the attempt's end the owner gets a message, as it would from the process that started the
+        # attempt.
         counted_remotely=broker.quota.has_owner(account),
     )
     broker.requests.attempts[attempt.request, attempt.attempt] = request
--- a/trackspread/decide/tenant_account.py
+++ b/trackspread/decide/tenant_account.py
@@ -1,4 +1,4 @@
-"""One tenant's quota state at one gateway: token buckets, shares of limits, and what others reported."""
+"""Holds one tenant's quota state at one gateway: token buckets, shares of limits and reports of others."""
 
 from __future__ import annotations
 
@@ -12,33 +12,35 @@
 
 
 class Balances(NamedTuple):
-    """What is in an account's buckets, or was taken out of them."""
+    """Holds the balances of an account's buckets, or the amounts taken out of them."""
 
     tokens: float
     static_tokens: float
     hard_limit_tokens: float
-    unreported_quarter_units: int  # counted as not forwarded: falls with each unit that is
+    unreported_quarter_units: int  # counted as not forwarded; falls with each unit that is forwarded
 
 
 NO_BALANCES = Balances(0.0, 0.0, 0.0, 0)
 
 
 def rescaled_tokens(tokens: float, old_burst: float, new_burst: float) -> float:
-    """Units of a bucket under another burst. One that had no burst, and so was not counted, begins empty."""
+    """Returns the tokens of a bucket whose burst has changed.
+
+    A bucket that had no burst was not in use and starts empty."""
     if tokens <= 0.0 or old_burst <= 0.0:
         return min(tokens, 0.0)
     return tokens * min(1.0, new_burst / old_burst)
 
 
 class UnsettledGrant(NamedTuple):
-    """Units that an owner granted to a gateway, which has not reported yet that it used them."""
+    """Holds units that an owner granted to a gateway which has not reported their use yet."""
 
     units: float
     granted_at_ns: int
 
 
 class PeerAttempts(NamedTuple):
-    """Attempts of a tenant's that were in flight at a peer, as it reported."""
+    """Holds the number of a tenant's attempts that a peer reported as in flight."""
 
     attempts: int
     reported_at_ns: int
@@ -46,22 +48,25 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantGateways:
-    """Those that a tenant's requests come through: `span` in a row of the settings' list from `first` on."""
+    """Holds the gateways that a tenant's requests come through.
+
+    They are `span` consecutive gateways of the settings' list, starting at `first`."""
 
     first: int = 0
-    span: int = 0  # 0: not known yet
-    share_count: int = 0  # even shares of the tenant's limits; 0 while no request of it came here
-    peers: tuple[int, ...] = ()  # those whose gossip reports its use here
+    span: int = 0  # 0 if not known yet
+    # Number of even shares of the tenant's limits; 0 until a request of the tenant arrives here.
+    share_count: int = 0
+    peers: tuple[int, ...] = ()  # gateways whose gossip reports the tenant's use
 
 
 @dataclass(frozen=True, slots=True)
 class LeasedShares:
-    """Parts of a tenant's limits that the host leases to this gateway."""
+    """Holds the parts of a tenant's limits that the host leases to this gateway."""
 
     quota_share: float = 0.0
     hard_limit_share: float = 0.0
     concurrency_share: float = 0.0
-    more_expected: bool = False  # whether it may pay to ask the host for more
+    more_expected: bool = False  # whether the host may lease more if it is asked
 
 
 UNKNOWN_GATEWAYS = TenantGateways()
@@ -70,87 +75,92 @@
 
 @dataclass(slots=True)
 class CounterRecord:
-    """What is known of a tenant's number on the shared counter."""
+    """Holds what is known of a tenant's number on the shared counter."""
 
-    in_flight_known_at_ns: int  # when the counter last answered
-    in_flight_elsewhere: int = 0  # attempts at other gateways, by that answer
-    correction_units: float = 0.0  # to be added with the next call
+    in_flight_known_at_ns: int  # last answer of the counter
+    in_flight_elsewhere: int = 0  # attempts at other gateways, according to that answer
+    correction_units: float = 0.0  # added to the next call
 
 
 @dataclass(slots=True)
 class OwnerRecord:
-    """What a gateway keeps as the owner of a tenant's quota; others by their numbers."""
+    """Holds what the owner of a tenant's quota records about other gateways, by their numbers."""
 
-    is_owner: bool = False  # by the view in which the owner was last looked up
-    is_taking_over: bool = False  # it became so, and nobody has reported yet what the former owner had
-    queried_at_ns: dict[int, int] = field(default_factory=dict)  # when each gateway last asked
+    is_owner: bool = False  # as of the fleet view in which the owner was last looked up
+    # It has become the owner, and no gateway has reported the former owner's balance yet.
+    is_taking_over: bool = False
+    queried_at_ns: dict[int, int] = field(default_factory=dict)  # last query of each gateway
     unsettled_grants: dict[int, UnsettledGrant] = field(default_factory=dict)
-    taken_over_at_ns: dict[int, int] = field(default_factory=dict)  # former owners whose buckets came here
+    # Former owners whose balances were added to the bucket here, and when.
+    taken_over_at_ns: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class TenantAccount:
-    """What this gateway knows of one tenant, whatever services it asks for."""
+    """Holds what this gateway knows of one tenant, whatever services it uses."""
 
     tenant: int
     plan: Plan
     plan_index: int
-    quota_owner: int  # the gateway that owns the quota where quotas have owners
+    quota_owner: int  # the gateway that owns the quota, where quotas have owners
 
-    # The token bucket. With an owner or a counter: as it last answered.
+    # Balance of the token bucket; with an owner or a counter, the balance in its last answer.
     tokens: float
     refilled_at_ns: int
     last_request_ns: int
-    tokens_known_at_ns: int  # when owner or counter last answered
+    tokens_known_at_ns: int  # last answer of the owner or the counter
 
-    # Demand and answers.
-    demand: DecayingMean  # its value: units a request; its rate: requests a second, over `SHORT_TERM`
-    grant_ratio: DecayingMean  # 1 for a request that was granted, 0 for one that was denied
-    long_term_demand: DecayingMean  # the same over a longer time
+    demand: DecayingMean  # its value is units per request, its rate is requests per second over `SHORT_TERM`
+    grant_ratio: DecayingMean  # samples are 1 for a granted request and 0 for a denied one
+    long_term_demand: DecayingMean  # the same as `demand` over a longer time
 
     counter: CounterRecord
     gateways: TenantGateways = UNKNOWN_GATEWAYS
     lease: LeasedShares = NOTHING_LEASED
     owner_record: OwnerRecord = field(default_factory=OwnerRecord)
 
-    # Other buckets.
     static_tokens: float = 0.0  # this gateway's static share of the token bucket
     hard_limit_tokens: float = 0.0
-    transfer_request: int = 0  # the last query for some of a peer's part of the hard limit, until answered
-    # Refill that never was in the bucket here: it was full, or not this gateway's.
+    # Number of the query that asks a peer for a part of its hard limit; 0 once it is answered.
+    transfer_request: int = 0
+    # Refill that was not added to the bucket here, because it was full or the refill was not this gateway's.
     overflow_units: float = 0.0
-    unresponsive_units: float = 0.0  # in the shares of unresponsive peers, if they have used nothing
+    # Units in the shares of unresponsive peers, provided that these have used nothing.
+    unresponsive_units: float = 0.0
 
-    # What is reported to others, and by them.
-    in_flight: int = 0  # attempts of this gateway's
-    forwarded_quarter_units: int = 0  # inside the quota, since this gateway's start
-    # Counted as forwarded, never came to a backend: later ones count for them.
+    in_flight: int = 0  # attempts of this gateway only
+    forwarded_quarter_units: int = 0  # within the quota, since this gateway's start
+    # Units counted as forwarded that never reached a backend; units that are forwarded later are set against
+    # them.
     refunded_quarter_units: int = 0
-    announcements_due: int = 0  # messages of totals that are to report it
-    peer_totals: dict[int, int] = field(default_factory=dict)  # quarter units that each last reported
+    announcements_due: int = 0  # messages of usage totals that still have to report the account
+    peer_totals: dict[int, int] = field(default_factory=dict)  # quarter units in each peer's last report
     peers_in_flight: dict[int, PeerAttempts] = field(default_factory=dict)
     pending_queries: int = 0  # requests that wait for the owner's answer
-    tokens_reported_by: int = 0  # the owner that last answered
-    owner_of_view: int = -1  # version of the fleet in which the owner was looked up
-    rejection_reason: str = ""  # the last limit known here that rejected a request; not an owner's denial
+    tokens_reported_by: int = 0  # the owner that answered last
+    owner_of_view: int = -1  # version of the fleet in which the owner was last looked up
+    # The last limit known here that rejected a request; an owner's denial is not recorded.
+    rejection_reason: str = ""
 
     def forget_owned_state(self) -> None:
-        """What this gateway knew as the tenant's owner is of an earlier time, and holds no longer."""
+        """Drops what this gateway recorded as an earlier owner of the quota, because it is out of date."""
         self.overflow_units = 0.0
         self.unresponsive_units = 0.0
         self.peer_totals = {}
         self.owner_record = OwnerRecord(self.owner_record.is_owner, self.owner_record.is_taking_over)
 
     def count_forwarded(self, units: float) -> None:
-        """Count units as forwarded inside the quota. The total that others see may only grow, so what was
-        refunded counts first."""
+        """Counts units as forwarded within the quota.
+
+        The total that is reported to others must never decrease, so units that were refunded are used up
+        first."""
         quarters = round(QUARTERS_PER_UNIT * units)
         covered = min(quarters, self.refunded_quarter_units)
         self.refunded_quarter_units -= covered
         self.forwarded_quarter_units += quarters - covered
 
     def balances(self) -> Balances:
-        """What is in the buckets now."""
+        """Returns the present balances of the buckets."""
         return Balances(
             self.tokens,
             self.static_tokens,
@@ -159,7 +169,7 @@
         )
 
     def taken_since(self, before: Balances) -> Balances:
-        """What was taken out of the buckets since they had these balances."""
+        """Returns what was taken out of the buckets since they had these balances."""
         return Balances(
             before.tokens - self.tokens,
             before.static_tokens - self.static_tokens,
@@ -168,7 +178,9 @@
         )
 
     def refund(self, taken: Balances) -> None:
-        """Refund what was taken. The buckets are not overfilled for long, as each refill is bounded."""
+        """Adds back what was taken out of the buckets.
+
+        A bucket may exceed its limit only until its next refill, which is bounded."""
         refilled = min(self.plan.burst_units, self.tokens + taken.tokens)
         self.tokens = max(self.tokens, refilled)
         self.static_tokens += taken.static_tokens
