--- a/trackspread/decide/quota/__init__.py
+++ b/trackspread/decide/quota/__init__.py
@@ -1,11 +1,12 @@
-"""Quotas over all gateways: which requests are within a tenant's token bucket and limits.
+"""Applies tenants' quotas over all gateways: which requests are within the token bucket and the limits.
 
-`facade.py` is what a broker calls. How a quota is shared between gateways is a strategy behind the
-interface in `sharing.py`, one module each: `gossip_sharing.py`, `owner_sharing.py`, `counter_sharing.py`,
-`lease_sharing.py`, `static_sharing.py`. What the limits themselves are is beside them: `token_bucket.py`,
-`hard_limit.py`, `concurrency_limit.py`, `overdraft.py`. May know: settings, accounts, messages of peers,
-the counter, the fleet as the host sees it. May not know: backends, the queue model.
-"""
+A broker uses `facade.py`. The ways of sharing a quota between gateways are strategies behind the interface in
+`sharing.py`, one module each: `gossip_sharing.py`, `owner_sharing.py`, `counter_sharing.py`,
+`lease_sharing.py` and `static_sharing.py`. The limits themselves are defined in `token_bucket.py`,
+`hard_limit.py`, `concurrency_limit.py` and `overdraft.py`.
+
+This package may depend on settings, accounts, messages of peers, the counter, and the fleet as the host
+reports it. It must not depend on backends or the queue model."""
 
 from __future__ import annotations
 
--- a/trackspread/decide/quota/accounts.py
+++ b/trackspread/decide/quota/accounts.py
@@ -1,4 +1,4 @@
-"""Accounts of tenants: how they begin, and how they go over to other plans, figures and leases."""
+"""Creates accounts of tenants and applies changes of plans, limits and leases to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .sharing import QuotaSharing
 from .state import QuotaState
 
-GRANT_RATIO_NS = 3 * LONG_TERM  # what was granted counts for longer than what was asked for
+GRANT_RATIO_NS = 3 * LONG_TERM  # Time constant of grant ratios, which are kept for longer than demand.
 
 
 def account_of(
@@ -25,9 +25,11 @@
     gateway_span: int = 0,
     first_gateway: int = 0,
 ) -> TenantAccount:
-    """The tenant's account; made where there is none. Takes up another plan, and the static share with the
-    first request that says which gateways are the tenant's: `gateway_span` gateways in a row from
-    `first_gateway` on; the span is 0 when a peer asks and no request came here."""
+    """Returns the tenant's account; creates it if there is none.
+
+    Applies the plan if it has changed. Assigns the static share with the first request that names the
+    tenant's gateways: `gateway_span` consecutive gateways, starting at `first_gateway`. The span is 0 if a
+    peer asks and no request has arrived here."""
     state = sharing.state
     account = state.accounts.get(tenant)
     if account is None:
@@ -67,13 +69,15 @@
 def assign_static_share(
     sharing: QuotaSharing, now: int, account: TenantAccount, gateway_span: int, first_gateway: int
 ) -> None:
-    """Start this gateway's static share so that all together have no more than the limits, on average. A hard
-    limit's starts with its part of the slack alone: a restarted gateway cannot know that it is one."""
+    """Assigns this gateway's static share, so that all shares together stay within the limits on average.
+
+    The share of a hard limit starts with its part of the slack only, because a restarted gateway cannot know
+    that it has restarted."""
     state = sharing.state
     settings = state.settings
     share_count = gateway_span
     if (settings.gateway_index - first_gateway) % settings.gateway_count >= gateway_span:
-        share_count += 1  # a request came here all the same
+        share_count += 1  # a request arrived here although this gateway is not among the tenant's
     peers = sharing.reporting_peers(gateway_span, first_gateway)
     account.gateways = TenantGateways(first_gateway, gateway_span, share_count, peers)
     share = state.static_shares.share(now, account)
@@ -85,7 +89,10 @@
 
 
 def _initial_static_tokens(state: QuotaState, even_units: float) -> float:
-    """The even share of a burst; where it is less than a request, a request's units with that chance."""
+    """Returns the even share of a burst.
+
+    If that is less than a request, the result is a request's units with the probability that keeps the same
+    mean."""
     largest_units = state.settings.largest_request_units
     chance = even_units / max(largest_units, 1e-9)
     if chance >= 1.0:
@@ -94,8 +101,9 @@
 
 
 def account_of_message(sharing: QuotaSharing, now: int, message: QuotaMessage) -> TenantAccount:
-    """The account of the tenant that a peer's message is on; by a view it says which gateways are the
-    tenant's."""
+    """Returns the account of the tenant that a peer's message concerns.
+
+    With a fleet view, the message says which gateways are the tenant's."""
     account = account_of(sharing, now, message.tenant, message.plan)
     view = sharing.state.view
     if message.gateway_span and not account.gateways.span and view is not None:
@@ -109,8 +117,9 @@
 
 
 def plan_of(state: QuotaState, tenant: int, plan_index: int) -> Plan:
-    """The plan's figures with what the tenant has reserved on top. A hard limit rises with its quota; a limit
-    that the plan does not have stays off."""
+    """Returns the plan's limits with the tenant's reservations added.
+
+    A hard limit rises together with the quota. A limit that the plan does not have stays off."""
     plan = state.settings.plans[plan_index]
     rate_per_s, burst_units = state.reservations.get(tenant, (0.0, 0.0))
     if not rate_per_s:
@@ -131,8 +140,10 @@
 
 
 def change_plan(sharing: QuotaSharing, now: int, account: TenantAccount, plan_index: int) -> None:
-    """The tenant's buckets go over to the figures of another plan, filled by the old ones until now. Units
-    are kept as a part of a burst that falls, as a number where it rises: never a gift."""
+    """Changes the limits of the tenant's buckets, after filling them by the old ones up to now.
+
+    If a burst decreases, the tokens are scaled with it; if it increases, their number is kept. A change of
+    plan therefore never adds tokens."""
     token_bucket.refill(sharing, now, account)
     old = account.plan
     new = plan_of(sharing.state, account.tenant, plan_index)
@@ -146,7 +157,7 @@
 
 
 def change_plans(sharing: QuotaSharing, now: int, event: PlansChanged) -> None:
-    """Other figures of plans and reservations hold from now on, in all buckets here."""
+    """Applies other limits of plans and other reservations to all buckets of this gateway."""
     state = sharing.state
     state.settings = replace(state.settings, plans=event.plans)
     state.reservations = {tenant: (rate, burst) for tenant, rate, burst in event.reserved}
@@ -155,9 +166,10 @@
 
 
 def change_allocation(sharing: QuotaSharing, now: int, event: AllocationChanged) -> None:
-    """The host leases other parts of a tenant's limits to this gateway; the old ones filled the buckets until
-    now. A bucket that is new here has filled since this gateway's start: whatever a former one spent, its
-    lease went with it."""
+    """Applies the parts of a tenant's limits that the host now leases to this gateway.
+
+    The old parts fill the buckets up to now. A bucket that is new here is filled since this gateway's start:
+    whatever an earlier bucket of the tenant spent, its lease ended together with it."""
     state = sharing.state
     is_new = event.tenant not in state.accounts
     account = account_of(sharing, now, event.tenant, event.plan)
@@ -173,8 +185,10 @@
 
 
 def _set_leased_tokens(account: TenantAccount, event: AllocationChanged) -> None:
-    """What others used came out of what found the bucket full here: then it was not full for all of the
-    time."""
+    """Sets the tokens and deducts what other gateways used.
+
+    Their use is set first against the refill that found the bucket here full, because with that use deducted
+    in time, the bucket would not have been full."""
     plan = account.plan
     tokens = account.tokens if event.tokens is None else event.tokens
     used_units = max(0.0, event.used_elsewhere_units - account.overflow_units)
--- a/trackspread/decide/quota/capacity.py
+++ b/trackspread/decide/quota/capacity.py
@@ -1,4 +1,4 @@
-"""Whether concurrency limit and hard limit admit a request here; the quota itself is in `token_bucket.py`."""
+"""Checks a request against concurrency limit and hard limit; `token_bucket.py` checks the quota itself."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 
 
 def has_capacity(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> bool:
-    """Whether concurrency limit and hard limit allow a request of so many units. A gateway that is cut off
-    from its fleet has no capacity for a plan with any limit."""
+    """Returns whether concurrency limit and hard limit allow a request of this many units.
+
+    A gateway that is isolated from its fleet has no capacity for plans with any limit."""
     plan = account.plan
     if plan.concurrency_limit and not sharing.has_free_attempt(now, account):
         return False
     if plan.hard_limit_per_s and account.hard_limit_tokens < units:
         return False
     is_limited = plan.rate_per_s or plan.concurrency_limit or plan.hard_limit_per_s
-    return not (is_limited and sharing.state.static_shares.is_cut_off(now))
+    return not (is_limited and sharing.state.static_shares.is_isolated(now))
 
 
 def exceeded_limit(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> str:
-    """Which limit rejects a request of so many units, in the words of the interface for operators."""
-    if sharing.state.static_shares.is_cut_off(now):
+    """Returns the limit that rejects a request of this many units, as named in the interface for operators.
+    """
+    if sharing.state.static_shares.is_isolated(now):
         return "fleet"
     if account.plan.hard_limit_per_s and account.hard_limit_tokens < units:
         return "ceiling"
--- a/trackspread/decide/quota/concurrency_limit.py
+++ b/trackspread/decide/quota/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""A plan's limit on attempts in flight, over all gateways together."""
+"""Applies a plan's limit on attempts in flight, over all gateways together."""
 
 from __future__ import annotations
 
@@ -9,33 +9,36 @@
 from .sharing import QuotaSharing
 from .state import QuotaState
 
-COUNTER_REPORT_NS = FRESH_NS // 4  # for which the counter's number of attempts elsewhere holds
-UNINFORMED_CHANCE = 0.4  # that an attempt is free where static shares of a limit are under one
-ROUNDING = 1e-9  # attempts: a product of floats may be over a whole number by this ...
-LEASE_ROUNDING = 1e-6  # ... and a sum of leased parts under it by that
+COUNTER_REPORT_NS = FRESH_NS // 4  # how long the counter's number of attempts elsewhere is valid
+UNINFORMED_CHANCE = 0.4  # probability that an attempt is free when static shares of a limit are below one
+FLOAT_TOLERANCE = 1e-9  # Attempts by which a product of floats may exceed a whole number.
+LEASE_TOLERANCE = 1e-6  # Attempts by which a sum of leased parts may fall below a whole number.
 
 
 def attempts_elsewhere(now: int, account: TenantAccount) -> int | None:
-    """As the shared counter last said; None where that is too old to hold."""
+    """Returns the attempts at other gateways in the counter's last answer, or None if that is too old."""
     if now - account.counter.in_flight_known_at_ns < COUNTER_REPORT_NS:
         return account.counter.in_flight_elsewhere
     return None
 
 
 def has_free_static_attempt(state: QuotaState, now: int, account: TenantAccount) -> bool:
-    """Whether one more attempt is inside the limit: all of it while the counter's number of attempts
-    elsewhere holds, else this gateway's static share, rounded up."""
+    """Returns whether one more attempt is within the limit.
+
+    While the counter's number of attempts elsewhere is valid, the whole limit applies; otherwise this
+    gateway's static share of it, rounded up."""
     limit = float(account.plan.concurrency_limit)
     elsewhere = attempts_elsewhere(now, account)
     if elsewhere is not None:
-        return account.in_flight + elsewhere < ceil(limit - ROUNDING)
+        return account.in_flight + elsewhere < ceil(limit - FLOAT_TOLERANCE)
     share = state.static_shares.share_or_all(now, account)
-    return account.in_flight < ceil(limit * share - ROUNDING)
+    return account.in_flight < ceil(limit * share - FLOAT_TOLERANCE)
 
 
 def has_free_shared_attempt(sharing: QuotaSharing, now: int, account: TenantAccount) -> bool:
-    """Whether one more attempt is inside the limit, with those that peers reported; a peer that is
-    unresponsive is left its share."""
+    """Returns whether one more attempt is within the limit, together with those that peers reported.
+
+    The share of an unresponsive peer is reserved for it."""
     reports = account.peers_in_flight.values()
     elsewhere = sum(each.attempts for each in reports if now - each.reported_at_ns < UNRESPONSIVE_NS)
     limit = account.plan.concurrency_limit * sharing.local_share(now, account)
@@ -43,6 +46,7 @@
 
 
 def has_free_leased_attempt(now: int, account: TenantAccount) -> bool:
-    """Whether one more attempt is inside the part of the limit that the host leases to this gateway."""
-    limit = int(account.plan.concurrency_limit * account.lease.concurrency_share + LEASE_ROUNDING)
+    """Returns whether one more attempt is within the part of the limit that the host leases to this gateway.
+    """
+    limit = int(account.plan.concurrency_limit * account.lease.concurrency_share + LEASE_TOLERANCE)
     return account.in_flight + (attempts_elsewhere(now, account) or 0) < limit
--- a/trackspread/decide/quota/counter_calls.py
+++ b/trackspread/decide/quota/counter_calls.py
@@ -1,7 +1,8 @@
-"""Calls to a shared counter, and what its answers mean.
+"""Makes calls to a shared counter and interprets its answers.
 
-A number for each tenant stands for the bucket: units taken since its name began, and UNITS_PER_ATTEMPT for
-each attempt in flight. Names change with time, so that an error does not last."""
+For each tenant, one number on the counter represents the bucket. It is the sum of the units taken since its
+name came into use and UNITS_PER_ATTEMPT for each attempt in flight. Names change with time, so that an error
+does not persist."""
 
 from __future__ import annotations
 
@@ -16,25 +17,27 @@
 from .sharing import QuotaSharing
 from .state import NO_QUERY, CounterCall, QuotaAnswer, QuotaState
 
-NAME_LIFETIME_NS = 60 * SECOND  # the longest that a name may live by the platform's rules
-TIME_BITS = 16  # of a name; the tenant is in those above
+NAME_LIFETIME_NS = 60 * SECOND  # longest lifetime of a name under the platform's rules
+TIME_BITS = 16  # lowest bits of a name; the tenant is in the bits above
 TIME_MASK = (1 << TIME_BITS) - 1
-UNITS_PER_ATTEMPT = 10_000.0  # above all units that can be taken while a name lives
+UNITS_PER_ATTEMPT = 10_000.0  # more than all units that can be taken in a name's lifetime
 CORRECTED_LAG = 0.125  # part of a burst by which the number may lag behind a full bucket
-RATE_STEP_UP = 0.01  # of the chance of a call, for an answer ...
-RATE_FACTOR_DOWN = 0.7  # ... and for none: an overloaded counter answers nobody
+RATE_STEP_UP = 0.01  # increase of the probability of a call after an answer
+# Factor on that probability after a missing answer, because an overloaded counter does not answer.
+RATE_FACTOR_DOWN = 0.7
 MIN_CALL_RATE = 0.05
 
 
 class _Bucket(NamedTuple):
-    """The counter's number, read as a bucket as it was before the call that it answers."""
+    """Holds the counter's number, read as a bucket, from before the call that it answers."""
 
     attempts: float  # in flight at all gateways, an integer
-    surplus_units: float  # refill since the name began, less units taken; above 0 the bucket was full
+    # Refill since the name came into use less the units taken; the bucket was full if it is above 0.
+    surplus_units: float
 
 
 def units_of_attempt(state: QuotaState, account: TenantAccount) -> float:
-    """What an attempt in flight adds to the counter where the plan limits their number, else 0.0."""
+    """Returns what an attempt in flight adds to the counter; 0.0 if the plan has no concurrency limit."""
     if state.uses_counter and account.plan.concurrency_limit > 0:
         return UNITS_PER_ATTEMPT
     return 0.0
@@ -48,7 +51,7 @@
     query: int = NO_QUERY,
     is_correction: bool = False,
 ) -> Action:
-    """Add units, which may be below 0, and what earlier calls left to correct."""
+    """Returns the call that adds units, which may be negative, and the corrections left by earlier calls."""
     name = account.tenant << TIME_BITS | (now // NAME_LIFETIME_NS) & TIME_MASK
     correction_units = account.counter.correction_units
     account.counter.correction_units = 0.0
@@ -58,8 +61,7 @@
 
 
 def receive_counter_answer(sharing: QuotaSharing, now: int, event: CounterAnswered) -> QuotaAnswer:
-    """Take in an answer: whether the bucket has what was asked for, and what to send to put the number
-    right."""
+    """Processes an answer: decides a waiting request, and returns calls that correct the number."""
     state = sharing.state
     calls = state.counter_calls.get(event.key)
     account = state.accounts.get(event.key >> TIME_BITS)
@@ -68,7 +70,7 @@
     call = calls.popleft()
     if event.outcome is not Outcome.OK:
         state.counter_call_rate = max(MIN_CALL_RATE, state.counter_call_rate * RATE_FACTOR_DOWN)
-        _note_failed_call(state, account, call, event.outcome)
+        _record_failure(state, account, call, event.outcome)
         return QuotaAnswer(call.query, None, [])
     state.counter_call_rate = min(1.0, state.counter_call_rate + RATE_STEP_UP)
     bucket = _bucket_before(state, now, account, call, event)
@@ -78,14 +80,14 @@
     return _decide(state, now, account, call, bucket)
 
 
-def _note_failed_call(state: QuotaState, account: TenantAccount, call: CounterCall, outcome: Outcome) -> None:
-    """What is to be corrected after a call without an answer."""
+def _record_failure(state: QuotaState, account: TenantAccount, call: CounterCall, outcome: Outcome) -> None:
+    """Records what has to be corrected after a call without an answer."""
     if outcome is Outcome.TIMEOUT:
-        # It surely was added, late, and no attempt came of it.
+        # The call was added late, and no attempt followed from it.
         if call.query:
             account.counter.correction_units -= units_of_attempt(state, account)
         return
-    # It surely was not added.
+    # The call was certainly not added.
     missing_units = call.correction_units
     if not call.query and not call.is_correction:
         missing_units += call.units
@@ -95,7 +97,7 @@
 def _bucket_before(
     state: QuotaState, now: int, account: TenantAccount, call: CounterCall, event: CounterAnswered
 ) -> _Bucket:
-    """The number without the call itself, as of when the call was made."""
+    """Returns the bucket without the call itself, as of the time when the call was made."""
     number = event.total - call.units
     attempts = 0.0
     if units_of_attempt(state, account):
@@ -108,7 +110,7 @@
 def _undo_second_correction(
     state: QuotaState, now: int, account: TenantAccount, call: CounterCall, bucket: _Bucket
 ) -> list[Action]:
-    """Take a correction back where another gateway made it first."""
+    """Reverts a correction that another gateway had already made."""
     if call.is_correction and bucket.surplus_units < call.units / 2:
         return [call_counter(state, now, account, -call.units)]
     return []
@@ -117,8 +119,10 @@
 def _decide(
     state: QuotaState, now: int, account: TenantAccount, call: CounterCall, bucket: _Bucket
 ) -> QuotaAnswer:
-    """Whether the request that was counted is within quota and concurrency limit. Else it is taken off the
-    number again; a number that lags behind a full bucket is put right."""
+    """Decides whether the counted request is within quota and concurrency limit.
+
+    If it is not, it is subtracted from the number again. A number that lags behind a full bucket is
+    corrected."""
     plan = account.plan
     units = call.units - units_of_attempt(state, account)
     tokens = min(plan.burst_units, plan.burst_units + bucket.surplus_units)
--- a/trackspread/decide/quota/counter_sharing.py
+++ b/trackspread/decide/quota/counter_sharing.py
@@ -1,4 +1,6 @@
-"""A shared counter: a number for each tenant that all gateways add to stands for the bucket."""
+"""Shares quotas through a counter, where one number for each tenant represents its bucket.
+
+All gateways add to this number."""
 
 from __future__ import annotations
 
@@ -8,8 +10,8 @@
 
 
 class CounterSharing(StaticSharing):
-    """As with static shares, but the counter is asked, and static shares count where it does not answer."""
+    """Asks the counter, and uses static shares where it does not answer."""
 
     def spend_without_answer(self, now: int, account: TenantAccount, units: float) -> bool:
-        """By what the counter lately answered."""
+        """Spends according to the counter's recent answers."""
         return spend_by_grant_ratio(self, now, account, units)
--- a/trackspread/decide/quota/facade.py
+++ b/trackspread/decide/quota/facade.py
@@ -1,4 +1,4 @@
-"""Quotas as a broker sees them: over all gateways together, however they are shared."""
+"""Provides quotas to a broker: limits over all gateways, however the gateways share them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from .fleet_changes import change_fleet, choose_sharing, gossip_interval_ns
 from .state import NO_QUERY, QuotaAnswer, QuotaState
 
-INCARNATION_MASK = 0xFFFF  # incarnations have 16 bits on the wire
+INCARNATION_MASK = 0xFFFF  # incarnations have 16 bits in messages
 
 
 class Quota(QuotaState):
-    """Token buckets, hard limits and concurrency limits of all tenants. All instants are of one clock, in
-    ns."""
+    """Holds the token buckets, hard limits and concurrency limits of all tenants.
+
+    All times are of one clock, in ns."""
 
     def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
         super().__init__(settings, seed & INCARNATION_MASK, now, rng)
@@ -26,98 +27,97 @@
 
     @property
     def gossip_interval_ns(self) -> float:
-        """Between two of this gateway's reports to all others, where it gossips."""
+        """Returns the interval of this gateway's reports to all others."""
         return gossip_interval_ns(self.settings)
 
-    # Accounts, and what changes their figures.
-
     def account(
         self, now: int, tenant: int, plan_index: int, gateway_span: int = 0, first_gateway: int = 0
     ) -> TenantAccount:
-        """The tenant's account; made where there is none. Takes up another plan, and the static share with
-        the first request that says which gateways are the tenant's; the span is 0 when no request came
-        here."""
+        """Returns the tenant's account; creates it if there is none.
+
+        Applies the plan if it has changed, and assigns the static share with the first request that names the
+        tenant's gateways. The span is 0 if no request has arrived here."""
         return accounts.account_of(self.sharing, now, tenant, plan_index, gateway_span, first_gateway)
 
     def plan_of(self, tenant: int, plan_index: int) -> Plan:
-        """The plan's figures with what the tenant has reserved on top."""
+        """Returns the plan's limits with the tenant's reservations added."""
         return accounts.plan_of(self, tenant, plan_index)
 
     def change_plan(self, now: int, account: TenantAccount, plan_index: int) -> None:
-        """The tenant has another plan, or the same with other figures."""
+        """Applies another plan, or other limits of the same plan, to the tenant's account."""
         accounts.change_plan(self.sharing, now, account, plan_index)
 
     def change_plans(self, now: int, event: PlansChanged) -> None:
-        """Plans and reservations have other figures."""
+        """Applies other limits of plans and other reservations."""
         accounts.change_plans(self.sharing, now, event)
 
     def change_allocation(self, now: int, event: AllocationChanged) -> None:
-        """The host leases other parts of a tenant's limits to this gateway."""
+        """Applies the parts of a tenant's limits that the host now leases to this gateway."""
         accounts.change_allocation(self.sharing, now, event)
 
     def change_fleet(self, now: int, event: FleetChanged) -> None:
-        """The host sees another fleet."""
+        """Applies the fleet as the host now sees it."""
         self.sharing = change_fleet(self.sharing, now, event)
 
-    # Who decides.
-
     def has_owner(self, account: TenantAccount) -> bool:
-        """Whether one gateway grants the tenant's requests for all."""
+        """Returns whether one gateway grants the tenant's requests for all gateways."""
         return self.sharing.has_owner(account)
 
     def is_local(self, account: TenantAccount) -> bool:
-        """Whether this gateway decides on the tenant's requests alone."""
+        """Returns whether this gateway decides on the tenant's requests alone."""
         return self.sharing.is_local(account)
 
     def local_share(self, now: int, account: TenantAccount) -> float:
-        """Part of the tenant's quota that the bucket here stands for now: this gateway's own, and that of
-        others as far as their use is known here."""
+        """Returns the part of the tenant's quota that the bucket here represents now.
+
+        It consists of this gateway's own part, and of those of others as far as their use is known here."""
         return self.sharing.local_share(now, account)
 
     def is_known_spent(self, account: TenantAccount, units: float) -> bool:
-        """Whether by the owner's last answer, and the refill since, its bucket has less than these units:
-        others can only have used more. Not to ask spares an owner whose tenant asks for more than it can
-        answer."""
+        """Returns whether the owner's bucket certainly has less than these units.
+
+        This follows from the owner's last answer and the refill since, because other gateways can only have
+        used more. Skipping the query protects an owner whose tenant requests more than the owner can answer.
+        """
         is_known = self.sharing.has_owned_buckets and account.plan.rate_per_s > 0.0
         if not is_known or account.tokens_known_at_ns <= self.started_at_ns:
             return False
         return account.tokens + hard_limit.UNIT_STEP / 2 < units
 
-    # Decisions on requests.
-
     def refill(self, now: int, account: TenantAccount) -> None:
-        """Bring all buckets of the account up to now."""
+        """Refills all buckets of the account up to `now`."""
         token_bucket.refill(self.sharing, now, account)
 
     def has_capacity(self, now: int, account: TenantAccount, units: float) -> bool:
-        """Whether concurrency limit and hard limit allow so many units more here."""
+        """Returns whether concurrency limit and hard limit allow this many more units here."""
         return capacity.has_capacity(self.sharing, now, account, units)
 
     def exceeded_limit(self, now: int, account: TenantAccount, units: float) -> str:
-        """Which limit rejects so many units here, for operators."""
+        """Returns the limit that rejects this many units here, for operators."""
         return capacity.exceeded_limit(self.sharing, now, account, units)
 
     def spend(self, account: TenantAccount, units: float, pays_overage: bool) -> bool:
-        """Take units out of the buckets here; False where they are not there. `pays_overage`: beyond the
-        quota, too."""
+        """Takes units out of the buckets here; returns False if they do not have them.
+
+        `pays_overage` allows units beyond the quota."""
         return token_bucket.spend(account, units, pays_overage)
 
     def spend_without_answer(self, now: int, account: TenantAccount, units: float) -> bool:
-        """Spend units where nobody answered; False if denied."""
+        """Spends units although no answer arrived; returns False if denied."""
         return self.sharing.spend_without_answer(now, account, units)
 
     def count_attempts(self, account: TenantAccount, more: int) -> None:
-        """So many attempts more of the tenant's are in flight; below 0 some are over."""
+        """Changes the number of the tenant's attempts in flight."""
         account.in_flight += more
         if account.plan.concurrency_limit:
             account.announcements_due = token_bucket.ANNOUNCEMENTS
 
-    # Owners, the shared counter and peers.
-
     def query(
         self, now: int, account: TenantAccount, units: float, kind: QuotaMessageKind
     ) -> tuple[int, Action]:
-        """Ask owner or counter for units, or report them as spent: the query's number, and what to send."""
+        """Asks the owner or the counter for units, or reports them as spent.
+
+        Returns the query's number and the action that sends it."""
         query = self.next_query()
         is_request = kind == QuotaMessageKind.REQUEST
         if self.sharing.has_owner(account):
@@ -125,12 +125,12 @@
             if is_request:
                 account.pending_queries += 1
             return query, action
-        # While not all requests are counted, each that is stands for those that are not.
+        # While only some requests are counted, each of them also counts for those that are not.
         counted_units = units / self.counter_call_rate + self.counter_weight(account)
         return query, self.call_counter(now, account, counted_units, query if is_request else NO_QUERY)
 
     def release(self, now: int, account: TenantAccount) -> list[Action]:
-        """What to send when no attempt is left of a request that owner or counter counts as in flight."""
+        """Returns the actions that report the end of a request's last attempt to the owner or the counter."""
         if attempt_units := self.counter_weight(account):
             return [self.call_counter(now, account, -attempt_units)]
         if not account.plan.concurrency_limit or not self.has_owner(account) or self.is_local(account):
@@ -139,29 +139,29 @@
         return [self.message_to(now, owner, account, QuotaMessageKind.RELEASED, 0.0, NO_QUERY)]
 
     def call_counter(self, now: int, account: TenantAccount, amount: float, query: int = NO_QUERY) -> Action:
-        """Add an amount to the tenant's number on the counter."""
+        """Adds an amount to the tenant's number on the counter."""
         return counter_calls.call_counter(self, now, account, amount, query)
 
     def counter_weight(self, account: TenantAccount) -> float:
-        """What an attempt in flight adds to the tenant's number on the counter."""
+        """Returns what an attempt in flight adds to the tenant's number on the counter."""
         return counter_calls.units_of_attempt(self, account)
 
     def receive_counter_answer(self, now: int, event: CounterAnswered) -> QuotaAnswer:
-        """The counter answered."""
+        """Processes an answer of the counter."""
         return counter_calls.receive_counter_answer(self.sharing, now, event)
 
     def receive_quota_message(self, now: int, event: PeerMessage) -> QuotaAnswer:
-        """A peer's message on one tenant's quota."""
+        """Processes a peer's message about one tenant's quota."""
         return quota_messages.receive_quota_message(self.sharing, now, event)
 
     def request_transfer(self, now: int, account: TenantAccount) -> list[Action]:
-        """Ask a peer for some of its part of a hard limit that runs short here."""
+        """Asks a peer for a part of its hard limit if the one here runs low."""
         return hard_limit.request_transfer(self, now, account) if self.sharing.has_transfers else []
 
     def usage_message(self, now: int) -> bytes:
-        """The next report to all peers; what is in it counts as announced once more."""
+        """Returns the next report to all peers, and counts its contents as announced once more."""
         return usage_totals.usage_message(self, now)
 
     def receive_usage_totals(self, now: int, event: PeerMessage) -> None:
-        """A peer's report."""
+        """Processes a peer's usage totals."""
         usage_totals.receive_usage_totals(self.sharing, now, event)
--- a/trackspread/decide/quota/fleet_changes.py
+++ b/trackspread/decide/quota/fleet_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the fleet view: static shares, owners, and whether gossip is in time with so many gateways."""
+"""Applies changes of the fleet view to static shares, owners and the choice between gossip and owners."""
 
 from __future__ import annotations
 
@@ -17,21 +17,25 @@
 from ..settings import Settings
 from ..time_units import SECOND
 
-MAX_GOSSIP_INTERVAL_NS = FRESH_NS // 4  # beyond it reports are not fresh: quotas have owners
-# Of the longest interval: a fleet that did not gossip starts below it, or it would flap.
+# With a longer interval reports would not be fresh, so quotas have owners instead.
+MAX_GOSSIP_INTERVAL_NS = FRESH_NS // 4
+# A fleet with owners changes to gossip only below this part of the longest interval, so that it does not
+# switch back and forth.
 START_GOSSIP_PART = 0.25
 
 
 def gossip_interval_ns(settings: Settings) -> float:
-    """Between two reports of a gateway to all others, if each peer's take half of the messages it takes
-    in."""
+    """Returns the interval of a gateway's reports to all others.
+
+    It is such that the reports take half of the messages that a peer accepts."""
     messages = 2 * (settings.gateway_count - 1)
     return messages * SECOND / max(1.0, settings.peer_messages_per_s)
 
 
 def choose_sharing(state: QuotaState, bound: float = 1.0) -> QuotaSharing:
-    """The way to share quotas, by settings and number of gateways. `bound`: of the gossip interval, as a part
-    of the longest one."""
+    """Returns the way of sharing quotas for these settings and this number of gateways.
+
+    `bound` limits the gossip interval, as a part of the longest one."""
     may_gossip = state.settings.may_gossip
     interval_ns = gossip_interval_ns(state.settings)
     state.uses_gossip = may_gossip and interval_ns <= bound * MAX_GOSSIP_INTERVAL_NS
@@ -48,8 +52,10 @@
 
 
 def change_fleet(sharing: QuotaSharing, now: int, view: FleetChanged) -> QuotaSharing:
-    """Take in a view, and return the way to share quotas from now on. With leases nothing changes: those say
-    already which part of each tenant's limits is here."""
+    """Applies a view and returns the way of sharing quotas from now on.
+
+    With leases nothing changes, because these already determine the parts of tenants' limits at this gateway.
+    """
     state = sharing.state
     if not sharing.has_static_shares:
         return sharing
@@ -73,7 +79,10 @@
 
 
 def _receive_slots(state: QuotaState, received: int) -> None:
-    """Slots that are new here: nobody reports what those used that had them, so less of it comes back."""
+    """Applies slots that are new at this gateway.
+
+    Nobody reports what their former holders used, so at most these slots' part of the burst is returned to
+    the bucket."""
     shares = state.slot_shares()
     if not received or shares is None:
         return
@@ -83,7 +92,7 @@
 
 
 def _empty_reassigned(state: QuotaState) -> None:
-    """The old view ended so long ago that others have had this gateway's slots meanwhile."""
+    """Empties shares of slots that others may have held, because the old view expired long ago."""
     for account in state.accounts.values():
         account.hard_limit_tokens = min(0.0, account.hard_limit_tokens)
         account.static_tokens = min(0.0, account.static_tokens)
@@ -98,5 +107,6 @@
     state.settings = replace(
         state.settings, gateway_count=1 + len(view.peers), gateway_index=view.own_number, may_gossip=True
     )
-    # Halves of a fleet that is cut in two go on as before, and so agree with each other once it is healed.
+    # The halves of a partitioned fleet keep their way of sharing, so that they agree with each other after
+    # the partition has healed.
     return choose_sharing(state, 1.0 if state.uses_gossip or old is None else START_GOSSIP_PART)
--- a/trackspread/decide/quota/hard_limit.py
+++ b/trackspread/decide/quota/hard_limit.py
@@ -1,4 +1,4 @@
-"""A plan's hard limit: its bucket at this gateway, and transfers between peers that have parts of it."""
+"""Applies a plan's hard limit: its bucket at this gateway, and transfers between peers with parts of it."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 from ..time_units import SECOND
 from .state import QuotaState
 
-OWNER_PART = 0.75  # of a hard limit, handed out by an owner; the rest is static, for when it is unresponsive
-SHORT_NS = SECOND // 2  # a part that lasts for less of the demand is short: two rounds of gossip
-RESERVED_NS = SECOND  # of its own demand, that a gateway keeps when others ask
-TRANSFER_PART = 0.75  # of what is left beyond that, for one peer: others may ask too
-TRANSFER_PART_OF_MESSAGES = 0.25  # of the messages that a gateway takes in, for transfers and their requests
-UNIT_STEP = 0.25  # units in which messages count
+# Part of a hard limit that the owner grants; the rest is static, for times when the owner is unresponsive.
+OWNER_PART = 0.75
+# A part runs low if it covers the demand for less than this time, which is two rounds of gossip.
+SHORT_NS = SECOND // 2
+RESERVED_NS = SECOND  # how much of its own demand a gateway keeps when others ask
+TRANSFER_PART = 0.75  # Part of the remaining units that goes to one peer, because others may ask too.
+# Transfers and their requests may take this part of the messages that a gateway accepts.
+TRANSFER_PART_OF_MESSAGES = 0.25
+UNIT_STEP = 0.25  # resolution of units in messages
 
 
 def refill(account: TenantAccount, share: float, elapsed_s: float) -> None:
-    """Fill the bucket by this share of the hard limit."""
+    """Refills the bucket with this share of the hard limit."""
     plan = account.plan
     account.hard_limit_tokens = min(
         plan.hard_limit_burst_units * share,
@@ -27,9 +30,10 @@
 
 
 def unspent_units(plan: Plan) -> float:
-    """Of an owner's part of a hard limit, what a predecessor that ran until just now surely left: as all that
-    it granted was inside the quota, it passed on a burst and then the quota's rate at most. 0.0 where that
-    does not hold."""
+    """Returns the units of an owner's part of a hard limit that its predecessor certainly left unspent.
+
+    The predecessor is assumed to have run until now. Everything that it granted was within the quota, so it
+    granted at most a burst and then the quota's rate. The result is 0.0 if that does not hold."""
     owner_per_s = plan.hard_limit_per_s * OWNER_PART
     pays_overage = plan.overage_weight > plan.overage_cost
     if pays_overage or not plan.rate_per_s > 0.0 or owner_per_s < plan.rate_per_s:
@@ -38,8 +42,10 @@
 
 
 def request_transfer(state: QuotaState, now: int, account: TenantAccount) -> list[Action]:
-    """Ask a peer for some of its part of a hard limit that runs short here. Parts are even while demand is
-    not: a tenant that comes through one gateway would get that one's part alone."""
+    """Asks a peer for units of its part of a hard limit if the part here runs low.
+
+    The parts are even while the demand is not. Without transfers, a tenant whose requests come through one
+    gateway would get only that gateway's part."""
     plan = account.plan
     if not plan.hard_limit_per_s or now < state.next_transfer_request_ns:
         return []
@@ -50,7 +56,7 @@
     demand_units_per_s = account.demand.rate_per_s(now) * account.demand.value
     if account.hard_limit_tokens >= min(full_units / 2, demand_units_per_s * SHORT_NS / SECOND):
         return []
-    # Each request is one message to a peer, and brings one at most.
+    # Each request is one message to a peer and causes at most one answer.
     messages_per_s = max(1.0, TRANSFER_PART_OF_MESSAGES * state.settings.peer_messages_per_s)
     state.next_transfer_request_ns = now + int(2 * SECOND / messages_per_s)
     query = state.next_query()
@@ -62,8 +68,10 @@
 
 
 def receive_transfer(state: QuotaState, now: int, account: TenantAccount, message: QuotaMessage) -> None:
-    """A peer gave units of its part. Only the first copy of an answer counts, and no part ever holds more
-    than its static one: together the parts never hold more than the hard limit."""
+    """Adds units that a peer transferred.
+
+    Only the first copy of an answer counts, and no part ever exceeds its static share. Together the parts
+    therefore never exceed the hard limit."""
     if message.query != account.transfer_request:
         return
     account.transfer_request = 0
@@ -74,8 +82,10 @@
 def grant_transfer(
     state: QuotaState, now: int, sender: int, account: TenantAccount, message: QuotaMessage
 ) -> list[Action]:
-    """A peer asks for units of the part here. They are deducted before they are sent: a lost message loses
-    units, it never doubles them."""
+    """Transfers units to a peer that asks for them.
+
+    The units are deducted before they are sent, so that a lost message loses units but never duplicates them.
+    """
     demand_units_per_s = account.demand.rate_per_s(now) * account.demand.value
     reserved_units = max(state.settings.largest_request_units, demand_units_per_s * RESERVED_NS / SECOND)
     spare_units = TRANSFER_PART * (account.hard_limit_tokens - reserved_units)
--- a/trackspread/decide/quota/overdraft.py
+++ b/trackspread/decide/quota/overdraft.py
@@ -1,4 +1,4 @@
-"""Decisions without an answer, by static share and else by chance: what may be spent beyond it."""
+"""Decides requests without an answer: by the static share and, beyond it, at random."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from .concurrency_limit import UNINFORMED_CHANCE
 from .sharing import QuotaSharing
 
-OVERAGE_PRICE = 0.05  # part of the priority weight of all requests that overage by chance may cost
-PRIOR_GRANT_SAMPLES = 0.1  # weight of "denied" beside what a plan's tenants were granted
-PRIOR_PLAN_SAMPLES = 0.5  # weight of the plan's ratio beside the tenant's own
+OVERAGE_PRICE = 0.05  # Part of the priority weight of all requests that random overdrafts may cost.
+PRIOR_GRANT_SAMPLES = 0.1  # weight of an assumed denial, in addition to the samples of a plan's tenants
+PRIOR_PLAN_SAMPLES = 0.5  # weight of the plan's ratio, in addition to the tenant's own samples
 
 
 def _granted_part(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> float:
-    """Part of the tenant's demand here that its static share would pay for; at most 1. One request of its own
-    says nothing of how busy a tenant is, and is left out."""
+    """Returns the part of the tenant's demand here that its static share covers; at most 1.
+
+    One request is left out of the demand, because a single request says nothing about how active a tenant is.
+    """
     plan = account.plan
     demand = account.long_term_demand
     demand_units_per_s = demand.rate_per_s(now) * demand.value
@@ -28,9 +30,11 @@
 
 
 def spend_by_grant_ratio(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> bool:
-    """Spend of the static share, else by the chance that owner, counter or meter would have granted it: by
-    what they lately answered for this tenant, or else for its plan. That ages, until static shares alone are
-    left. False if denied."""
+    """Spends from the static share, or else at random; returns False if denied.
+
+    The probability is that with which the owner, counter or meter would have granted the request. It is
+    estimated from their recent answers for this tenant, or else for its plan. As these answers age, it falls
+    until only static shares are spent."""
     state = sharing.state
     is_within = account.static_tokens >= units
     if not is_within:
@@ -47,16 +51,17 @@
         account.static_tokens -= units
     account.hard_limit_tokens -= units
     if state.view is not None:
-        # The next owner is to learn of it by what this gateway reports of the bucket.
+        # The next owner learns of this use from the balance that this gateway reports.
         account.tokens = max(0.0, account.tokens - units)
     return True
 
 
 def spend_uninformed(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> bool:
-    """Spend where nothing of others is ever known: of the static share, which one request may overdraw by
-    chance. What goes beyond the quota is thus one request for each gateway at most, and is refilled. The more
-    requests the share pays for, the higher the chance: the less is left to shares elsewhere that go unused.
-    False if denied."""
+    """Spends without any information about other gateways; returns False if denied.
+
+    The units come out of the static share, which one request may overdraw at random. The overdraft is thus at
+    most one request for each gateway, and later refill makes up for it. The more requests the share covers,
+    the higher the probability, because less is then left unused in shares of other gateways."""
     state = sharing.state
     plan = account.plan
     is_limited = plan.rate_per_s or plan.concurrency_limit or plan.hard_limit_per_s
@@ -78,7 +83,7 @@
 def _uninformed_chance(
     sharing: QuotaSharing, now: int, account: TenantAccount, largest_units: float
 ) -> float:
-    """The probability with which a request of up to `largest_units` may overdraw the static share."""
+    """Returns the probability that a request of up to `largest_units` may overdraw the static share."""
     state = sharing.state
     plan = account.plan
     chance = 1.0
--- a/trackspread/decide/quota/owner_grants.py
+++ b/trackspread/decide/quota/owner_grants.py
@@ -1,4 +1,4 @@
-"""What a tenant's owner keeps of the gateways that ask it: grants that are not settled, and former owners."""
+"""Keeps what a tenant's owner records about gateways that query it: unsettled grants and former owners."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 def take_over(
     sharing: QuotaSharing, now: int, account: TenantAccount, sender: int, message: QuotaMessage
 ) -> None:
-    """The sender comes from another owner, whose bucket goes into the one here, once: each owner kept what
-    was its side's, and what its askers used was taken off there."""
+    """Adds the bucket of a former owner, which the sender reports, to the bucket here.
+
+    Each former owner is added only once. It kept the bucket for its part of the fleet, and the use by the
+    gateways that queried it was already deducted there."""
     account.peer_totals.pop(sender, None)
     account.owner_record.queried_at_ns.pop(sender, None)
     account.owner_record.unsettled_grants.pop(sender, None)
@@ -28,8 +30,8 @@
     account.owner_record.taken_over_at_ns[former_owner] = now
 
 
-def note_grant(account: TenantAccount, now: int, sender: int, units: float) -> None:
-    """These units were granted to the sender, which has not reported yet that it used them."""
+def record_grant(account: TenantAccount, now: int, sender: int, units: float) -> None:
+    """Records units that were granted to the sender, which has not reported their use yet."""
     unsettled = account.owner_record.unsettled_grants.get(sender)
     if unsettled is not None:
         units = unsettled.units + units
@@ -37,11 +39,11 @@
 
 
 def settle_grants(account: TenantAccount, now: int, sender: int, forwarded_quarter_units: int) -> None:
-    """Set what the sender reports as forwarded so far against what it was granted.
+    """Settles the sender's grants by the total that it reports as forwarded so far.
 
-    A grant whose answer was lost counts once the sender reports units beyond it: what it used beyond all
-    grants, without an answer, is taken off the bucket. A grant that was not used for long goes back into
-    the bucket."""
+    If an answer was lost, its grant is settled when the sender reports more units. Units used beyond all
+    grants, without an answer, are deducted from the bucket. A grant that has not been used for `FRESH_NS` is
+    returned to the bucket."""
     unsettled = account.owner_record.unsettled_grants.get(sender, UnsettledGrant(0.0, now))
     last_total = account.peer_totals.get(sender, forwarded_quarter_units)
     grown = total_growth(forwarded_quarter_units, last_total)
@@ -54,7 +56,7 @@
         unused_units = 0.0
     unresponsive_ns = now - account.owner_record.queried_at_ns.get(sender, now)
     if unresponsive_ns <= UNRESPONSIVE_NS:
-        unresponsive_ns = 0  # a short time may be chance where messages get lost
+        unresponsive_ns = 0  # A short time may be chance if messages get lost.
     deduct_use_elsewhere(account, max(0.0, used_units - unsettled.units), unresponsive_ns)
     account.owner_record.queried_at_ns[sender] = now
     account.peer_totals[sender] = forwarded_quarter_units
--- a/trackspread/decide/quota/owner_sharing.py
+++ b/trackspread/decide/quota/owner_sharing.py
@@ -1,4 +1,4 @@
-"""One owner for each tenant, by rendezvous hashing: it keeps the bucket and grants what others ask for."""
+"""Shares quotas by owners: rendezvous hashing assigns each tenant one gateway, which keeps its bucket."""
 
 from __future__ import annotations
 
@@ -10,26 +10,31 @@
 from .overdraft import spend_by_grant_ratio
 from .sharing import QuotaSharing
 
-UNKNOWN_TOKENS_PART = 0.5  # of a burst, where an owner does not know its bucket: errs as little either way
+# Part of a burst assumed in an unknown bucket, so that the error is bounded alike in both directions.
+UNKNOWN_TOKENS_PART = 0.5
 
 
 class OwnerSharing(QuotaSharing):
-    """Gateways are too many for gossip in time: all ask the tenant's owner."""
+    """Shares quotas among gateways that are too many to gossip in time; all of them ask the tenant's owner.
+    """
 
     has_owned_buckets = True
     static_part_of_hard_limit = 1.0 - hard_limit.OWNER_PART
 
     def has_owner(self, account: TenantAccount) -> bool:
-        """Every tenant has one."""
+        """Returns True, because every tenant has an owner."""
         return True
 
     def is_local(self, account: TenantAccount) -> bool:
-        """At the owner alone."""
+        """Returns True at the owner only."""
         return self.state.is_own(account)
 
     def local_share(self, now: int, account: TenantAccount) -> float:
-        """All at the owner, by a view as far as gateways hold slots; elsewhere the static share, and
-        the rest as far as the owner's last answer is fresh."""
+        """Returns the part of the quota that the bucket here represents.
+
+        At the owner this is all of it; with a fleet view, only slots that gateways hold are counted. At other
+        gateways it is the static share, and the rest is weighted by the freshness of the owner's last answer.
+        """
         slots = self.state.slot_shares()
         if slots is not None:
             own_share = slots.share(now, account)
@@ -41,13 +46,13 @@
         return self.share_by_reports(now, account)
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
-        """At the owner that which counts as here; elsewhere all, as the bucket is the owner's."""
+        """Returns the local share at the owner, and 1.0 at others, whose bucket is a copy of the owner's."""
         if self.is_local(account) and self.state.view is not None:
             return self.local_share(now, account)
         return 1.0
 
     def hard_limit_share(self, account: TenantAccount, refill_share: float, static_share: float) -> float:
-        """The owner's part at the owner, and of the rest the static share everywhere."""
+        """Returns the owner's part at the owner, plus the static share of the rest at every gateway."""
         share = self.static_part_of_hard_limit * static_share
         if self.is_local(account):
             share += hard_limit.OWNER_PART * refill_share
@@ -56,16 +61,21 @@
     def count_overflow(
         self, account: TenantAccount, share: float, elapsed_s: float, before: float, limit: float
     ) -> None:
-        """Counted at every refill: gateways that cannot reach the owner use what they have."""
+        """Counts lost refill at every refill.
+
+        Gateways that cannot reach the owner spend from their own buckets, so this refill may have been used.
+        """
         account.overflow_units += account.plan.rate_per_s * elapsed_s - (account.tokens - before)
 
     def initial_tokens(self, plan: Plan) -> float:
-        """A burst, or half of it where another owner or an earlier start may have granted of it."""
+        """Returns a burst, or half of it if another owner or an earlier process may have granted from it."""
         is_unknown = self.state.has_restarted or self.state.owners_moved
         return plan.burst_units * (UNKNOWN_TOKENS_PART if is_unknown else 1.0)
 
     def initial_hard_limit_tokens(self, now: int, account: TenantAccount) -> float:
-        """At the owner its part of the slack, and what a predecessor surely left of its part."""
+        """Returns the owner's part of the slack plus what a predecessor certainly left of its part.
+
+        Other gateways get 0.0."""
         if not self.is_local(account):
             return 0.0
         plan = account.plan
@@ -73,15 +83,17 @@
         return units * self.local_share(now, account)
 
     def share_after_restart(self, now: int, account: TenantAccount) -> float:
-        """Half of a burst: nothing is known of the bucket."""
+        """Returns half of a burst, because nothing is known of the bucket."""
         return UNKNOWN_TOKENS_PART
 
     def has_free_attempt(self, now: int, account: TenantAccount) -> bool:
-        """By what others reported at the owner; elsewhere by the static share."""
+        """Returns whether one more attempt is free.
+
+        The owner decides this by the reports of other gateways, and these decide by their static shares."""
         if self.is_local(account):
             return has_free_shared_attempt(self, now, account)
         return has_free_static_attempt(self.state, now, account)
 
     def spend_without_answer(self, now: int, account: TenantAccount, units: float) -> bool:
-        """By what the owner lately answered."""
+        """Spends according to the owner's recent answers."""
         return spend_by_grant_ratio(self, now, account, units)
--- a/trackspread/decide/quota/quota_messages.py
+++ b/trackspread/decide/quota/quota_messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways on one tenant's quota: requests to its owner, their answers, and transfers."""
+"""Processes messages between gateways about one tenant's quota: requests, answers and transfers."""
 
 from __future__ import annotations
 
@@ -11,35 +11,40 @@
 from .hard_limit import grant_transfer, receive_transfer
 from .sharing import QuotaSharing
 from .state import NO_QUERY, QuotaAnswer
-from .usage_totals import note_age_of_peer
+from .usage_totals import detect_restart
 
 TRANSFERS = (QuotaMessageKind.TRANSFER_REQUEST, QuotaMessageKind.TRANSFER)
 ANSWERS = (QuotaMessageKind.GRANT, QuotaMessageKind.DENY)
 
 
 def receive_quota_message(sharing: QuotaSharing, now: int, event: PeerMessage) -> QuotaAnswer:
-    """Take in a peer's message. What cannot be read, or is on a plan that is not known here, is ignored."""
+    """Processes a peer's message.
+
+    Messages that cannot be decoded, or that concern an unknown plan, are ignored."""
     message = unpack_quota_message(event.data)
     state = sharing.state
     if message is None or message.plan >= len(state.settings.plans):
         return QuotaAnswer(NO_QUERY, None, [])
     if message.kind in TRANSFERS:
         return _receive_transfer(sharing, now, event.sender, message)
-    note_age_of_peer(sharing, now, message.age_tenths_s)
+    detect_restart(sharing, now, message.age_tenths_s)
     if message.kind in ANSWERS:
         return _receive_answer(sharing, now, event.sender, message)
     return _receive_request(sharing, now, event.sender, message)
 
 
 def _receive_transfer(sharing: QuotaSharing, now: int, sender: int, message: QuotaMessage) -> QuotaAnswer:
-    """Of hard limits, between gateways that gossip; others are no business of this gateway."""
+    """Processes a transfer of a hard limit, or a request for one, between gateways that gossip.
+
+    All others are ignored."""
     state = sharing.state
     nothing = QuotaAnswer(NO_QUERY, None, [])
     if not sharing.has_transfers:
         return nothing
     account = state.accounts.get(message.tenant)
     if account is None and state.view is not None:
-        account = account_of_message(sharing, now, message)  # by the view it may have slots here
+        # By the view, this gateway may hold slots of a tenant before any of its requests arrives.
+        account = account_of_message(sharing, now, message)
     if account is None or account.plan_index != message.plan:
         return nothing
     if sender not in state.static_shares.peers_of(account):
@@ -52,7 +57,7 @@
 
 
 def _receive_answer(sharing: QuotaSharing, now: int, sender: int, message: QuotaMessage) -> QuotaAnswer:
-    """An owner granted or denied what was asked for here."""
+    """Records that an owner granted or denied a request of this gateway."""
     granted = message.kind == QuotaMessageKind.GRANT
     account = sharing.state.accounts.get(message.tenant)
     if account is not None and sharing.has_owned_buckets:
@@ -63,8 +68,9 @@
 
 
 def _receive_request(sharing: QuotaSharing, now: int, sender: int, message: QuotaMessage) -> QuotaAnswer:
-    """A gateway asks the owner for units, or reports that it spent some or that an attempt is over. Where
-    this gateway is not the owner the message is ignored: the sender's view is another one."""
+    """Processes a request for units, or a report of spent units or of an ended attempt, as the owner.
+
+    If this gateway is not the owner, the sender has a different view, and the message is ignored."""
     state = sharing.state
     account = account_of_message(sharing, now, message)
     if not sharing.is_local(account):
@@ -84,7 +90,7 @@
     granted = _grant(sharing, now, account, message.units, pays_overage)
     if granted:
         account.peers_in_flight[sender] = PeerAttempts(message.in_flight + 1, now)
-        owner_grants.note_grant(account, now, sender, message.units)
+        owner_grants.record_grant(account, now, sender, message.units)
     if not is_request:
         return QuotaAnswer(NO_QUERY, None, [])
     kind = QuotaMessageKind.GRANT if granted else QuotaMessageKind.DENY
@@ -93,7 +99,7 @@
 
 
 def _grant(sharing: QuotaSharing, now: int, account: TenantAccount, units: float, pays_overage: bool) -> bool:
-    """Whether the owner spends these units for another gateway."""
+    """Returns whether the owner spends these units for another gateway."""
     if account.plan.concurrency_limit and not pays_overage and not has_capacity(sharing, now, account, units):
         return False
     return token_bucket.spend(account, units, pays_overage)
--- a/trackspread/decide/quota/token_bucket.py
+++ b/trackspread/decide/quota/token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket of a tenant's quota as it stands at this gateway: refill, spending, and use elsewhere."""
+"""Implements the token bucket of a tenant's quota at this gateway: refill, spending and use elsewhere."""
 
 from __future__ import annotations
 
@@ -8,17 +8,20 @@
 from .sharing import QuotaSharing
 from .state import RETURN_WINDOW_NS
 
-ANNOUNCEMENTS = 3  # messages of totals that report a change: one may be lost, and another late
+# Messages of usage totals that report a change, because one may be lost and another delayed.
+ANNOUNCEMENTS = 3
 
 
 def refill(sharing: QuotaSharing, now: int, account: TenantAccount) -> None:
-    """Bring all buckets of the account up to `now`. While this gateway is cut off from its fleet they stay as
-    they are, and what the time would have brought may be used by others."""
+    """Refills all buckets of the account up to `now`.
+
+    While this gateway is isolated from its fleet the buckets stay unchanged, because other gateways may use
+    what would have been added."""
     state = sharing.state
     elapsed_s = (now - account.refilled_at_ns) / SECOND
     account.refilled_at_ns = now
     plan = account.plan
-    if state.static_shares.is_cut_off(now):
+    if state.static_shares.is_isolated(now):
         missing_units = plan.burst_units - account.tokens
         unresponsive_units = account.unresponsive_units + plan.rate_per_s * elapsed_s
         account.unresponsive_units = min(missing_units, unresponsive_units)
@@ -37,8 +40,10 @@
 def _refill_tokens(
     sharing: QuotaSharing, now: int, account: TenantAccount, share: float, elapsed_s: float
 ) -> None:
-    """Fill the bucket by this share of the quota. The rest belongs to unresponsive peers; it comes back
-    here when they respond again and have reported what they used."""
+    """Refills the bucket with this share of the quota.
+
+    The rest belongs to unresponsive peers. What they did not use is added here after they have become
+    responsive and have reported their use."""
     plan = account.plan
     before = account.tokens
     limit = sharing.token_limit(account, share)
@@ -57,8 +62,9 @@
 
 
 def spend(account: TenantAccount, units: float, pays_overage: bool) -> bool:
-    """Take units out of the buckets; False, and nothing taken, where the quota is spent (unless units beyond
-    it are paid for) or the hard limit is."""
+    """Takes units out of the buckets; returns False, without any change, if they do not suffice.
+
+    The quota must cover the units unless `pays_overage` is set; the hard limit must always cover them."""
     plan = account.plan
     is_within = not plan.rate_per_s or account.tokens >= units
     if not (is_within or pays_overage):
@@ -74,11 +80,11 @@
 
 
 def deduct_use_elsewhere(account: TenantAccount, units: float, unresponsive_ns: int) -> None:
-    """Take what others used off the bucket here, also below 0, or two gateways would spend the same refill.
+    """Deducts what other gateways used from the bucket here, even below 0.
 
-    `unresponsive_ns`: how long the reporter could not report; 0 where it could. What was used in such a time
-    is set first against the refill that never came into the bucket here (`overflow_units`), and the bucket
-    does not fall below 0 by the rest."""
+    Otherwise two gateways would spend the same refill. `unresponsive_ns` is the time in which the reporter
+    could not report, or 0. Use in such a time is set first against refill that was not added to the bucket
+    here (`overflow_units`), and the rest does not bring the bucket below 0."""
     least_tokens = -account.plan.burst_units
     if unresponsive_ns:
         refilled_units = account.plan.rate_per_s * unresponsive_ns / SECOND
--- a/trackspread/decide/quota/usage_totals.py
+++ b/trackspread/decide/quota/usage_totals.py
@@ -1,4 +1,4 @@
-"""Gossip of usage totals: what this gateway reports of its tenants, and what peers report of theirs."""
+"""Implements gossip of usage totals: this gateway's reports of its tenants, and those of peers."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 from .sharing import QuotaSharing
 from .state import RETURN_WINDOW_NS, PeerReport, PeerReturn, QuotaState
 
-MAX_REORDERING_TENTHS_S = 50  # by which a message may be overtaken by a later one on its way
-MAX_PEERS = 512  # whose last report is kept; beyond them the one that reported longest ago is dropped
+MAX_REORDERING_TENTHS_S = 50  # A message can be overtaken by another that was sent at most this much later.
+# Number of peers whose last report is kept; beyond it, the one that reported longest ago is dropped.
+MAX_PEERS = 512
 NEVER_REPORTED = PeerReport(-1, 0, 0)
 NOT_RETURNED = PeerReturn(0, 0)
 
 
 def usage_message(state: QuotaState, now: int) -> bytes:
-    """Running totals of the tenants that were reported least, so that a lost message costs nothing once the
-    next one comes."""
+    """Returns a message with the running totals of the tenants that were reported least often.
+
+    As the totals are cumulative, a lost message has no effect once the next one arrives."""
     due = [
         account
         for account in state.accounts.values()
@@ -40,9 +42,10 @@
     return pack_usage_totals(state.incarnation, state.age_tenths_s(now), totals)
 
 
-def note_age_of_peer(sharing: QuotaSharing, now: int, age_tenths_s: int) -> bool:
-    """Learn from a peer's age whether this gateway has restarted: an older peer means that it has, and that
-    its buckets must not begin full; they are cut once. Returns whether the peer is older."""
+def detect_restart(sharing: QuotaSharing, now: int, age_tenths_s: int) -> bool:
+    """Detects from a peer's age that this gateway has restarted; returns whether the peer is older.
+
+    After a restart the buckets must not start full, so they are cut once."""
     state = sharing.state
     is_older = age_tenths_s * SECOND // 10 > now - state.started_at_ns + SECOND
     if is_older and not state.has_restarted:
@@ -54,7 +57,9 @@
 
 
 def receive_usage_totals(sharing: QuotaSharing, now: int, event: PeerMessage) -> None:
-    """Take in a peer's totals. What is no such message, or was overtaken by a later one, is ignored."""
+    """Processes a peer's usage totals.
+
+    Messages that cannot be decoded, or were overtaken by a later one, are ignored."""
     state = sharing.state
     message = unpack_usage_totals(event.data)
     if message is None:
@@ -68,15 +73,15 @@
         state.last_return_ns = now
     returned = state.returned_peers.get(event.sender, NOT_RETURNED)
     unresponsive_ns = returned.unresponsive_ns if now - returned.returned_at_ns < RETURN_WINDOW_NS else 0
-    _note_report(state, now, event.sender, message)
+    _record_report(state, now, event.sender, message)
     if not is_same_incarnation:
         _forget_totals(state, event.sender)
-    is_older = note_age_of_peer(sharing, now, message.age_tenths_s)
+    is_older = detect_restart(sharing, now, message.age_tenths_s)
     for total in message.totals:
         account = state.accounts.get(total.tenant)
         if account is None:
             continue
-        _note_attempts(sharing, now, account, event.sender, total.in_flight)
+        _record_attempts(sharing, now, account, event.sender, total.in_flight)
         token_bucket.refill(sharing, now, account)
         last_total = account.peer_totals.get(event.sender) if is_same_incarnation else None
         units = _used_units(account, total.forwarded_quarter_units, last_total, is_older)
@@ -84,7 +89,7 @@
         account.peer_totals[event.sender] = total.forwarded_quarter_units
 
 
-def _note_report(state: QuotaState, now: int, sender: int, message: UsageTotals) -> None:
+def _record_report(state: QuotaState, now: int, sender: int, message: UsageTotals) -> None:
     state.peers[sender] = PeerReport(message.incarnation, now, message.age_tenths_s)
     if len(state.peers) > MAX_PEERS:
         oldest = min(state.peers, key=lambda peer: state.peers[peer].received_at_ns)
@@ -93,16 +98,19 @@
 
 
 def _forget_totals(state: QuotaState, sender: int) -> None:
-    """The peer restarted: it counts from nothing, for each tenant whenever it first reports it."""
+    """Drops a restarted peer's totals, which start at 0 again whenever it first reports a tenant."""
     for account in state.accounts.values():
         account.peer_totals.pop(sender, None)
         account.peers_in_flight.pop(sender, None)
 
 
-def _note_attempts(
+def _record_attempts(
     sharing: QuotaSharing, now: int, account: TenantAccount, sender: int, in_flight: int
 ) -> None:
-    """An owner learns by requests what it granted; totals alone report what went out without its answer."""
+    """Records the attempts in flight that a peer reports.
+
+    An owner knows from requests what it granted; only totals report attempts that were started without its
+    answer."""
     known = account.peers_in_flight.get(sender)
     known_attempts = 0 if known is None else known.attempts
     if not sharing.is_local(account) or in_flight > known_attempts:
@@ -110,8 +118,10 @@
 
 
 def _used_units(account: TenantAccount, total: int, last_total: int | None, is_older: bool) -> float:
-    """Units that a peer used since its last report. Of a total that is new here, a burst at most can be of
-    late; nothing where the peer is older than this gateway, which then began with less."""
+    """Returns the units that a peer used since its last report.
+
+    If its total is new here, at most a burst of it can be recent. If the peer is also older than this
+    gateway, the result is 0.0, because the bucket here then started with less."""
     grown = None if last_total is None else total_growth(total, last_total)
     if grown is not None:
         return grown / QUARTERS_PER_UNIT
