--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -85,7 +85,7 @@
             client.send(call("submit", 1, body=b"b"))
             held, _ = await p.backend.command()
             raw["settings"]["classes"] = [added, classes[0]]  # charge is dropped, submit has other rules
-            await reread(p, raw, b"classes changed: 2 now")
+            await reread(p, raw, b"classes changed: 2 active")
             other.send(call("charge", 2, body=b"b"))
             assert b"unknown class" in str(await other.next()).encode()
             other.send(call("submit", 3, body=b"b"))
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -163,8 +163,10 @@
     def evaluate_commitments(self, now: int) -> LogMessage:
         """Evaluates all commitments under the current plans and returns a log line with the outcome."""
         count = len(self.commitments.active)
-        less = self.commitments.evaluate_all(now)
-        return LogMessage(f"plans changed: of {count} commitments {less} now have less than they ask")
+        below_request = self.commitments.evaluate_all(now)
+        return LogMessage(
+            f"plans changed: {below_request} of {count} commitments now have a lower cap than they request"
+        )
 
     def _on_classes_changed(self, event: ClassesChanged) -> LogMessage:
         """Applies other request classes to new requests; open requests keep their own classes."""
@@ -174,7 +176,9 @@
         # gateway's turn at a backend that warms up.
         self.load_balancer.change_classes(event)
         self.load_shedding.change_classes(event)
-        return LogMessage(f"classes changed: {len(event.active)} now, {event.max_attempts} attempts at most")
+        return LogMessage(
+            f"classes changed: {len(event.active)} active, at most {event.max_attempts} attempts per request"
+        )
 
     def _use_settings(self, settings: Settings) -> None:
         self.settings = settings
--- a/trackspread/decide/endpoint_list.py
+++ b/trackspread/decide/endpoint_list.py
@@ -24,7 +24,7 @@
         for entry in event.backends:
             state = self.backends.get(entry.id)
             if state is None or state.backend.started_at_ns != entry.started_at_ns:
-                state = self._started(now, entry, state)
+                state = self._new_state(now, entry, state)
             state.backend = entry
             state.is_usable = entry.health is Health.READY
             state.is_listed = entry.health is not Health.REMOVED
@@ -35,7 +35,7 @@
                 state.is_usable = False
                 state.is_listed = False
 
-    def _started(self, now: int, entry: Backend, predecessor: BackendState | None) -> BackendState:
+    def _new_state(self, now: int, entry: Backend, predecessor: BackendState | None) -> BackendState:
         """Returns the state of a backend that is new or has restarted.
 
         Attempts in flight at its predecessor are still counted."""
--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -19,7 +19,7 @@
 MAX_IN_FLIGHT = 31
 MAX_TOTAL_IN_FLIGHT = 255
 MAX_U16 = 0xFFFF
-MAX_TOTAL_GROWTH = 0x8000
+TOTAL_GROWTH_BOUND = 0x8000
 
 
 class QuotaMessageKind(IntEnum):
@@ -143,7 +143,7 @@
 
     The result is None if the total decreased, because its gateway restarted."""
     grown = (total - last_total) & MAX_U16
-    return grown if grown < MAX_TOTAL_GROWTH else None
+    return grown if grown < TOTAL_GROWTH_BOUND else None
 
 
 def pack_usage_totals(incarnation: int, age_tenths_s: int, totals: Iterable[tuple[int, int, int]]) -> bytes:
--- a/trackspread/decide/quota/counter_calls.py
+++ b/trackspread/decide/quota/counter_calls.py
@@ -137,5 +137,5 @@
         calls.append(call_counter(state, now, account, -call.units))
     elif bucket.surplus_units * state.counter_call_rate > plan.burst_units * CORRECTED_LAG:
         calls.append(call_counter(state, now, account, bucket.surplus_units, is_correction=True))
-    state.learn_tokens(now, account, tokens - units if granted else tokens, granted)
+    state.record_answer(now, account, tokens - units if granted else tokens, granted)
     return QuotaAnswer(call.query, granted, calls)
--- a/trackspread/decide/quota/quota_messages.py
+++ b/trackspread/decide/quota/quota_messages.py
@@ -62,7 +62,7 @@
     account = sharing.state.accounts.get(message.tenant)
     if account is not None and sharing.has_owned_buckets:
         token_bucket.refill(sharing, now, account)
-        sharing.state.learn_tokens(now, account, message.units, granted)
+        sharing.state.record_answer(now, account, message.units, granted)
         account.tokens_reported_by = sender
     return QuotaAnswer(message.query, granted, [])
 
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -184,7 +184,7 @@
             )
         return SendToPeers(recipient, pack_quota_message(message))
 
-    def learn_tokens(self, now: int, account: TenantAccount, tokens: float, granted: bool) -> None:
+    def record_answer(self, now: int, account: TenantAccount, tokens: float, granted: bool) -> None:
         """Records an answer of the owner or the counter: the balance of the bucket and whether it granted."""
         account.tokens = tokens
         account.tokens_known_at_ns = now
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -145,7 +145,7 @@
             return [attempt]
         return [attempt, quota.query(now, account, arrival.units, QuotaMessageKind.SPENT)[1]]
 
-    def answered(self, now: int, query: int, granted: bool | None, preceding: list[Action]) -> list[Action]:
+    def handle_answer(self, now: int, query: int, granted: bool | None, preceding: list[Action]) -> list[Action]:
         """Admits or rejects the request that waits for this query.
 
         `granted` is None if no answer arrived; this gateway then decides alone. `preceding` holds actions
@@ -194,7 +194,7 @@
         overdue = [
             query for query, request in self.queued.items() if now - request.queued_at_ns >= ANSWER_TIMEOUT_NS
         ]
-        return [action for query in overdue for action in self.answered(now, query, None, [])]
+        return [action for query in overdue for action in self.handle_answer(now, query, None, [])]
 
     def correct_counter(self, now: int, commitments: Iterable[Commitment]) -> list[Action]:
         """Corrects counters that still count attempts which have ended.
--- a/trackspread/decide/quota_events.py
+++ b/trackspread/decide/quota_events.py
@@ -35,4 +35,4 @@
         case CounterAnswered():
             query, granted, preceding = quota.receive_counter_answer(now, event)
     waiting = next((each for each in admissions if query in each.queued), admissions[0])
-    return waiting.answered(now, query, granted, preceding)
+    return waiting.handle_answer(now, query, granted, preceding)
