--- a/tests/decide/__init__.py
+++ b/tests/decide/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `decide`."""
+"""Tests of the decision module."""
--- a/tests/decide/test_extreme_settings.py
+++ b/tests/decide/test_extreme_settings.py
@@ -1,7 +1,7 @@
-"""The decision module under settings at the ends of what may be given.
+"""Tests the decision module under extreme but valid settings.
 
-No fault, one final answer for each request, and no event that takes long, whatever a customer's figures are.
-"""
+There must be no fault, one final answer for each request, and no event that takes long, whatever the limits
+of a tenant are."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 from ..helpers import MS, PLAN, SECOND, arrival, backend, ended, full_list, settings
 
-SLOWEST = 0.5  # s of one event, on a machine that is loaded: the search that this found took seconds
+MAX_EVENT_S = 0.5  # on a loaded machine; the search that this test revealed took seconds for one event
 FIGURES = (0.0, 1e-6, 0.3, 1.0, 40.0, 1e6, 1e12)
 
 
-def drawn(rng: random.Random) -> Settings:
-    """Any of the figures beside any other."""
+def random_settings(rng: random.Random) -> Settings:
+    """Returns settings in which any of the figures is combined with any other."""
 
     def plan(name: str) -> Any:
         return replace(
@@ -77,34 +77,34 @@
     )
 
 
-class Played:
-    """One gateway; whatever it sends is answered, late, or never."""
+class SimulatedGateway:
+    """Simulates one gateway whose messages and attempts are answered in time, late or never."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.s = drawn(self.rng)
-        self.gateway, self.now = Broker(self.s, seed, 0), 0
-        self.open: set[int] = set()
-        self.out: list[tuple[int, int, int]] = []
-        self.sends: dict[int, int] = {}
-        self.slowest = 0.0
-        listed = [backend(n, booted=self.rng.choice((0, 1))) for n in range(1, 5)]
-        self.give(full_list(*listed, backend(9, Health.DRAINING)))
-
-    def give(self, event: Event) -> None:
-        began = time.perf_counter()
+        self.settings = random_settings(self.rng)
+        self.gateway, self.now = Broker(self.settings, seed, 0), 0
+        self.open_requests: set[int] = set()
+        self.in_flight: list[tuple[int, int, int]] = []
+        self.attempts_started: dict[int, int] = {}
+        self.longest_event_s = 0.0
+        listed_backends = [backend(n, booted=self.rng.choice((0, 1))) for n in range(1, 5)]
+        self.handle_event(full_list(*listed_backends, backend(9, Health.DRAINING)))
+
+    def handle_event(self, event: Event) -> None:
+        started_at = time.perf_counter()
         actions = self.gateway.handle(self.now, event)
-        self.slowest = max(self.slowest, time.perf_counter() - began)
+        self.longest_event_s = max(self.longest_event_s, time.perf_counter() - started_at)
         for action in actions:
             if isinstance(action, StartAttempt):
-                index = self.sends.get(action.request, 0)
-                self.sends[action.request] = index + 1
-                self.out.append((action.request, index, action.backend))
+                index = self.attempts_started.get(action.request, 0)
+                self.attempts_started[action.request] = index + 1
+                self.in_flight.append((action.request, index, action.backend))
             elif isinstance(action, Reject | Fail):
-                assert action.request in self.open, "a second final answer"
-                self.open.discard(action.request)
+                assert action.request in self.open_requests, "a second final answer"
+                self.open_requests.discard(action.request)
             elif isinstance(action, SendToPeers) and action.recipient is not None and self.rng.random() < 0.5:
-                word = QuotaMessage(
+                message = QuotaMessage(
                     self.rng.choice((QuotaMessageKind.GRANT, QuotaMessageKind.DENY)),
                     1,
                     0,
@@ -112,45 +112,45 @@
                     self.gateway.quota.last_query,
                     0,
                 )
-                self.give(PeerMessage(action.recipient, pack_quota_message(word)))
+                self.handle_event(PeerMessage(action.recipient, pack_quota_message(message)))
 
-    def end_one(self) -> None:
-        request, index, to = self.out.pop(self.rng.randrange(len(self.out)))
+    def end_random_attempt(self) -> None:
+        request, index, backend_id = self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
         outcome = self.rng.choice(list(Outcome))
-        over = outcome is Outcome.OK or request not in self.open
+        finished = outcome is Outcome.OK or request not in self.open_requests
         if outcome is Outcome.OK:
-            self.open.discard(request)
-        self.give(ended(request, to, outcome, index, self.rng.choice((1, 100 * MS, 5 * SECOND)), over))
+            self.open_requests.discard(request)
+        self.handle_event(ended(request, backend_id, outcome, index, self.rng.choice((1, 100 * MS, 5 * SECOND)), finished))
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         for number in range(steps):
             self.now += self.rng.choice((0, MS, 100 * MS, 3 * SECOND))
             step = self.rng.random()
             if step < 0.5:
-                self.open.add(number)
-                cls, plan = self.rng.randrange(len(self.s.classes)), self.rng.randrange(len(self.s.plans))
-                spread = self.rng.choice((1, self.s.gateway_count))
-                self.give(
+                self.open_requests.add(number)
+                cls, plan = self.rng.randrange(len(self.settings.classes)), self.rng.randrange(len(self.settings.plans))
+                gateway_span = self.rng.choice((1, self.settings.gateway_count))
+                self.handle_event(
                     arrival(
                         number,
                         self.now,
                         cls,
                         self.rng.randrange(4),
                         plan=plan,
-                        gateway_span=spread,
-                        units=self.rng.choice((0.25, 1.0, max(1.0, self.s.largest_request_units))),
+                        gateway_span=gateway_span,
+                        units=self.rng.choice((0.25, 1.0, max(1.0, self.settings.largest_request_units))),
                     )
                 )
-            elif step < 0.8 and self.out:
-                self.end_one()
-            elif step < 0.85 and self.open:
-                left = self.rng.choice(sorted(self.open))
-                self.open.discard(left)
-                self.give(ClientDisconnected(left))
+            elif step < 0.8 and self.in_flight:
+                self.end_random_attempt()
+            elif step < 0.85 and self.open_requests:
+                disconnected = self.rng.choice(sorted(self.open_requests))
+                self.open_requests.discard(disconnected)
+                self.handle_event(ClientDisconnected(disconnected))
             else:
-                self.give(TimerFired(TICK_TIMER))
+                self.handle_event(TimerFired(TICK_TIMER))
             if self.rng.random() < 0.02:
-                # As under pressure, with a range of its own.
+                # Simulates congestion, with a random number of levels in the model.
                 model = self.gateway.model
                 model.is_congested, model.concurrency_limit = True, self.rng.choice((2, 50))
                 model.delay_ns, model.response_times_ns = (
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("seed", range(120))
-def test_no_settings_bring_about_a_fault_a_second_answer_or_a_long_event(seed: int) -> None:
-    played = Played(seed)
-    played.play(300)
-    assert played.slowest < SLOWEST
+def test_extreme_settings_keep_single_answers_and_fast_events(seed: int) -> None:
+    simulated = SimulatedGateway(seed)
+    simulated.run(300)
+    assert simulated.longest_event_s < MAX_EVENT_S
--- a/tests/decide/test_hard_limits.py
+++ b/tests/decide/test_hard_limits.py
@@ -1,4 +1,4 @@
-"""Parts of a ceiling that follow demand between equals: asked for, given, never made."""
+"""Tests transfers of a hard limit between peers: units are requested and moved, but never created."""
 
 from __future__ import annotations
 
@@ -15,135 +15,138 @@
 
 from ..helpers import MS, SECOND, arrival, backend, full_list, plan, settings
 
-CEILING = plan(
+HARD_LIMITED = plan(
     rate_per_s=8.0,
     burst_units=40.0,
     hard_limit_per_s=10.0,
     hard_limit_burst_units=12.0,
     hard_limit_slack_units=1.2,
 )
-STEP, N = 20 * MS, 3
+STEP_NS, GATEWAYS = 20 * MS, 3
 
 
-class Tier:
-    """Three gateways, their mail, and the ceiling's own store beside them. `minted` plants a donor that
-    keeps what it gives; `lend` off drops all word on ceilings."""
+class SimulatedFleet:
+    """Simulates three gateways, their messages, and an exact bucket of the hard limit for comparison.
+
+    With `duplicates`, a gateway keeps the units that it transfers. Without `transfers`, messages about hard
+    limits are dropped."""
 
     def __init__(
-        self, seed: int, figures: Plan, lend: bool = True, minted: bool = False, lost: float = 0.0
+        self, seed: int, limits: Plan, transfers: bool = True, duplicates: bool = False, loss: float = 0.0
     ) -> None:
-        self.rng, self.figures = random.Random(seed), figures
-        self.lend, self.minted, self.lost = lend, minted, lost
-        self.made = [
+        self.rng, self.limits = random.Random(seed), limits
+        self.transfers, self.duplicates, self.loss = transfers, duplicates, loss
+        self.brokers = [
             Broker(
-                settings(plans=(figures,), gateway_count=N, gateway_index=p, peer_messages_per_s=120.0), p, 0
+                settings(plans=(limits,), gateway_count=GATEWAYS, gateway_index=p, peer_messages_per_s=120.0), p, 0
             )
-            for p in range(N)
+            for p in range(GATEWAYS)
         ]
-        for module in self.made:
+        for module in self.brokers:
             module.handle(0, full_list(*(backend(b) for b in range(6))))
-        self.mail: list[tuple[int, int, PeerMessage]] = []
+        self.undelivered: list[tuple[int, int, PeerMessage]] = []
         self.now = self.number = self.sent = 0
-        self.store, self.over = figures.hard_limit_burst_units, 0.0
+        self.exact_tokens, self.max_overdraft = limits.hard_limit_burst_units, 0.0
 
     def step(self) -> None:
-        self.now += STEP
-        figures = self.figures
-        self.store = min(
-            figures.hard_limit_burst_units, self.store + figures.hard_limit_per_s * STEP / SECOND
+        self.now += STEP_NS
+        limits = self.limits
+        self.exact_tokens = min(
+            limits.hard_limit_burst_units, self.exact_tokens + limits.hard_limit_per_s * STEP_NS / SECOND
         )
-        due = [each for each in self.mail if each[0] <= self.now]
-        self.mail = [each for each in self.mail if each[0] > self.now]
-        for _, to, message in due:
-            self.handle(to, message)
+        due = [each for each in self.undelivered if each[0] <= self.now]
+        self.undelivered = [each for each in self.undelivered if each[0] > self.now]
+        for _, recipient, message in due:
+            self.handle(recipient, message)
         if self.now % (100 * MS) == 0:
-            for me in range(N):
-                self.handle(me, TimerFired(1))
+            for gateway_index in range(GATEWAYS):
+                self.handle(gateway_index, TimerFired(1))
 
-    def ask(self, me: int) -> None:
+    def send_request(self, gateway_index: int) -> None:
         self.number += 1
-        self.handle(me, arrival(self.number, self.now, gateway_span=N))
+        self.handle(gateway_index, arrival(self.number, self.now, gateway_span=GATEWAYS))
 
-    def handle(self, me: int, event: Event) -> None:
-        for action in self.made[me].handle(self.now, event):
-            self._act(me, action)
+    def handle(self, gateway_index: int, event: Event) -> None:
+        for action in self.brokers[gateway_index].handle(self.now, event):
+            self._apply(gateway_index, action)
 
-    def _act(self, me: int, action: Action) -> None:
+    def _apply(self, gateway_index: int, action: Action) -> None:
         if isinstance(action, StartAttempt):
-            self.sent, self.store = self.sent + 1, self.store - 1.0
-            self.over = max(self.over, -self.store)
-            self.handle(me, AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MS, 0, ()))
-        elif isinstance(action, SendToPeers) and (self.lend or not is_quota_message(action.data)):
-            draw = unpack_quota_message(action.data)
-            if self.minted and draw is not None and draw.kind == QuotaMessageKind.TRANSFER:
-                self.made[me].quota.accounts[1].hard_limit_tokens += draw.units
-            for to in range(N) if action.recipient is None else [action.recipient]:
-                if to != me and self.rng.random() >= self.lost:
-                    late = self.now + self.rng.randrange(1, 3) * STEP
-                    self.mail.append((late, to, PeerMessage(me, action.data)))
-
-
-def through_one(seed: int, lend: bool = True, lost: float = 0.0) -> Tier:
-    """A customer that asks 8 a second for half a minute, through one gateway but for two requests."""
-    tier, due = Tier(seed, CEILING, lend, lost=lost), SECOND
-    while tier.now < 30 * SECOND:
-        tier.step()
-        if tier.now == SECOND:  # the others know it, and have parts for it
-            tier.ask(1)
-            tier.ask(2)
-        while due <= tier.now:
+            self.sent, self.exact_tokens = self.sent + 1, self.exact_tokens - 1.0
+            self.max_overdraft = max(self.max_overdraft, -self.exact_tokens)
+            self.handle(gateway_index, AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MS, 0, ()))
+        elif isinstance(action, SendToPeers) and (self.transfers or not is_quota_message(action.data)):
+            message = unpack_quota_message(action.data)
+            if self.duplicates and message is not None and message.kind == QuotaMessageKind.TRANSFER:
+                self.brokers[gateway_index].quota.accounts[1].hard_limit_tokens += message.units
+            for recipient in range(GATEWAYS) if action.recipient is None else [action.recipient]:
+                if recipient != gateway_index and self.rng.random() >= self.loss:
+                    arrives_at = self.now + self.rng.randrange(1, 3) * STEP_NS
+                    self.undelivered.append((arrives_at, recipient, PeerMessage(gateway_index, action.data)))
+
+
+def mostly_through_one_gateway(seed: int, transfers: bool = True, loss: float = 0.0) -> SimulatedFleet:
+    """Simulates a tenant with 8 requests a second for half a minute, all but two through one gateway."""
+    fleet, due = SimulatedFleet(seed, HARD_LIMITED, transfers, loss=loss), SECOND
+    while fleet.now < 30 * SECOND:
+        fleet.step()
+        if fleet.now == SECOND:  # the other gateways get accounts and parts of the limit
+            fleet.send_request(1)
+            fleet.send_request(2)
+        while due <= fleet.now:
             due += SECOND // 8
-            tier.ask(0)
-    return tier
+            fleet.send_request(0)
+    return fleet
 
 
-def flooded(seed: int, minted: bool) -> Tier:
-    """Far more is asked than the ceiling allows, most of it at one gateway after the other."""
-    tier = Tier(seed, replace(CEILING, rate_per_s=60.0, burst_units=200.0), minted=minted)
-    while tier.now < 30 * SECOND:
-        tier.step()
-        for me in range(N):
-            if me == tier.now // (3 * SECOND) % N or tier.rng.random() < 0.05:
-                tier.ask(me)
-    return tier
+def flooded_fleet(seed: int, duplicates: bool) -> SimulatedFleet:
+    """Simulates far more requests than the hard limit allows, most of them at one gateway at a time."""
+    fleet = SimulatedFleet(seed, replace(HARD_LIMITED, rate_per_s=60.0, burst_units=200.0), duplicates=duplicates)
+    while fleet.now < 30 * SECOND:
+        fleet.step()
+        for gateway_index in range(GATEWAYS):
+            if gateway_index == fleet.now // (3 * SECOND) % GATEWAYS or fleet.rng.random() < 0.05:
+                fleet.send_request(gateway_index)
+    return fleet
 
 
-def test_a_customer_that_comes_through_one_gateway_gets_what_its_ceiling_allows() -> None:
-    assert through_one(1, lend=False).sent < 0.55 * 8 * 30  # a third of the ceiling, and what was there
-    together = through_one(1)
-    assert together.sent > 0.9 * 8 * 29 and together.over <= CEILING.hard_limit_slack_units
+def test_tenant_at_one_gateway_gets_full_hard_limit() -> None:
+    # Without transfers the gateway has a third of the hard limit, plus its initial units.
+    assert mostly_through_one_gateway(1, transfers=False).sent < 0.55 * 8 * 30
+    with_transfers = mostly_through_one_gateway(1)
+    assert with_transfers.sent > 0.9 * 8 * 29 and with_transfers.max_overdraft <= HARD_LIMITED.hard_limit_slack_units
 
 
-@pytest.mark.parametrize("lost", [0.07, 0.5])
+@pytest.mark.parametrize("loss", [0.07, 0.5])
 @pytest.mark.parametrize("seed", range(3))
-def test_what_is_lent_is_never_more_than_there_is(seed: int, lost: float) -> None:
-    assert through_one(seed, lost=lost).over <= CEILING.hard_limit_slack_units
+def test_transfers_never_exceed_hard_limit(seed: int, loss: float) -> None:
+    assert mostly_through_one_gateway(seed, loss=loss).max_overdraft <= HARD_LIMITED.hard_limit_slack_units
 
 
-def test_planted_a_donor_that_keeps_what_it_gives_is_convicted() -> None:
-    assert max(flooded(seed, minted=False).over for seed in range(3)) <= CEILING.hard_limit_slack_units
-    assert flooded(0, minted=True).over > CEILING.hard_limit_slack_units
+def test_mutant_that_duplicates_transferred_units_is_detected() -> None:
+    assert max(flooded_fleet(seed, duplicates=False).max_overdraft for seed in range(3)) <= HARD_LIMITED.hard_limit_slack_units
+    assert flooded_fleet(0, duplicates=True).max_overdraft > HARD_LIMITED.hard_limit_slack_units
 
 
-def test_a_second_copy_of_what_was_given_and_word_of_strangers_are_nothing() -> None:
-    tier = Tier(1, CEILING)
-    for me in range(N):
-        tier.ask(me)
+def test_duplicated_and_foreign_transfers_are_ignored() -> None:
+    fleet = SimulatedFleet(1, HARD_LIMITED)
+    for gateway_index in range(GATEWAYS):
+        fleet.send_request(gateway_index)
     while not any(
-        (draw := unpack_quota_message(m.data)) and draw.kind == QuotaMessageKind.TRANSFER
-        for _, _, m in tier.mail
+        (message := unpack_quota_message(m.data)) and message.kind == QuotaMessageKind.TRANSFER
+        for _, _, m in fleet.undelivered
     ):
-        tier.step()
-        tier.ask(0)
-    given = next(
-        m for m in tier.mail if (d := unpack_quota_message(m[2].data)) and d.kind == QuotaMessageKind.TRANSFER
+        fleet.step()
+        fleet.send_request(0)
+    transfer = next(
+        m for m in fleet.undelivered if (d := unpack_quota_message(m[2].data)) and d.kind == QuotaMessageKind.TRANSFER
     )
-    account = tier.made[0].quota.accounts[1]
+    account = fleet.brokers[0].quota.accounts[1]
     account.hard_limit_tokens = 0.0
-    tier.handle(0, PeerMessage(7, given[2].data))
+    fleet.handle(0, PeerMessage(7, transfer[2].data))
     assert account.hard_limit_tokens == 0.0
-    tier.handle(0, given[2])
-    once = account.hard_limit_tokens
-    assert once > 0.0
-    tier.handle(0, given[2])
-    assert account.hard_limit_tokens == once
+    fleet.handle(0, transfer[2])
+    tokens_after_first = account.hard_limit_tokens
+    assert tokens_after_first > 0.0
+    fleet.handle(0, transfer[2])
+    assert account.hard_limit_tokens == tokens_after_first
--- a/tests/decide/test_late_use_reports.py
+++ b/tests/decide/test_late_use_reports.py
@@ -1,4 +1,6 @@
-"""Use that is told after a silence: it was spent out of what was left for it, and no debt is saved up."""
+"""Tests usage that a peer reports after it was unresponsive.
+
+Such use was covered by the refill reserved for the peer, so it leaves no debt."""
 
 from __future__ import annotations
 
@@ -19,12 +21,12 @@
 from trackspread.decide.time_units import SECOND
 from trackspread.testing.virtual.plain_settings import plain_settings
 
-PLAN = Plan("team", 1.0, 6.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)  # a unit a second, six at once
-BEAT = SECOND // 4
+PLAN = Plan("team", 1.0, 6.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)  # 1 unit a second with a burst of 6
+REPORT_INTERVAL_NS = SECOND // 4
 
 
-class Pair:
-    """This gateway's quota, and word of the one other."""
+class GatewayWithPeer:
+    """Holds this gateway's quota and simulates the usage reports of its only peer."""
 
     def __init__(self) -> None:
         self.now = 100 * SECOND
@@ -32,20 +34,20 @@
         self.quota = Quota(settings, 1, self.now, random.Random(1))
         assert self.quota.uses_gossip
         self.account: TenantAccount = self.quota.account(self.now, 7, 0, 2, 0)
-        self.told = 0.0
-
-    def pass_by(self, seconds: float, heard: bool, used: float = 0.0) -> None:
-        """So long, with the other's words or without; it uses so many units evenly."""
-        beats = int(seconds * 4)
-        for _ in range(beats):
-            self.now += BEAT
-            self.told += used / beats
-            if heard:
-                self.word()
+        self.used_by_peer = 0.0
+
+    def advance(self, seconds: float, reports: bool, used: float = 0.0) -> None:
+        """Advances the clock, with or without reports of the peer, which uses the units evenly."""
+        intervals = int(seconds * 4)
+        for _ in range(intervals):
+            self.now += REPORT_INTERVAL_NS
+            self.used_by_peer += used / intervals
+            if reports:
+                self.receive_report()
             self.quota.refill(self.now, self.account)
 
-    def word(self) -> None:
-        totals = [(7, round(4 * self.told), 0)]
+    def receive_report(self) -> None:
+        totals = [(7, round(4 * self.used_by_peer), 0)]
         age = (self.now - 100 * SECOND) * 10 // SECOND
         self.quota.receive_usage_totals(self.now, PeerMessage(1, pack_usage_totals(9, age, totals)))
 
@@ -54,56 +56,56 @@
 
 
 @pytest.fixture
-def pair() -> Pair:
-    made = Pair()
-    made.pass_by(1.0, True)
-    made.spend(6.0)
-    return made
+def gateway() -> GatewayWithPeer:
+    gateway = GatewayWithPeer()
+    gateway.advance(1.0, True)
+    gateway.spend(6.0)
+    return gateway
 
 
-def test_use_of_a_silence_comes_off_the_refill_that_was_left_for_it(pair: Pair) -> None:
-    pair.pass_by(10.0, False, 6.0)
-    before = pair.account.tokens
-    assert before == pytest.approx(3.0, abs=0.1), "an even slice of what came in"
-    pair.word()
-    assert pair.account.tokens == before
+def test_use_while_unresponsive_is_covered_by_reserved_refill(gateway: GatewayWithPeer) -> None:
+    gateway.advance(10.0, False, 6.0)
+    before = gateway.account.tokens
+    assert before == pytest.approx(3.0, abs=0.1), "an even share of the refill"
+    gateway.receive_report()
+    assert gateway.account.tokens == before
 
 
-def test_beyond_that_it_empties_the_store_and_saves_up_no_debt(pair: Pair) -> None:
-    pair.pass_by(10.0, False, 20.0)
-    pair.word()
-    assert pair.account.tokens == 0.0
-    pair.pass_by(2.0, True)
-    assert pair.account.tokens == pytest.approx(2.0, abs=0.3)
+def test_excess_use_empties_bucket_without_debt(gateway: GatewayWithPeer) -> None:
+    gateway.advance(10.0, False, 20.0)
+    gateway.receive_report()
+    assert gateway.account.tokens == 0.0
+    gateway.advance(2.0, True)
+    assert gateway.account.tokens == pytest.approx(2.0, abs=0.3)
 
 
-def test_word_that_is_fresh_is_taken_off_in_full_also_below_nothing(pair: Pair) -> None:
-    pair.pass_by(4.0, True, 4.0)
-    assert pair.account.tokens == pytest.approx(0.0, abs=0.3), "all that came in was used there"
-    pair.pass_by(1.0, True, 4.0)
-    assert pair.account.tokens == pytest.approx(-3.0, abs=0.3)
+def test_fresh_reports_are_deducted_even_below_zero(gateway: GatewayWithPeer) -> None:
+    gateway.advance(4.0, True, 4.0)
+    assert gateway.account.tokens == pytest.approx(0.0, abs=0.3), "the peer used all of the refill"
+    gateway.advance(1.0, True, 4.0)
+    assert gateway.account.tokens == pytest.approx(-3.0, abs=0.3)
 
 
-def test_what_was_left_for_a_silence_is_gone_some_seconds_after_it(pair: Pair) -> None:
-    pair.pass_by(10.0, False)
-    pair.pass_by(3.0, True)
-    before = pair.account.tokens
-    pair.told += 3.0
-    pair.word()
-    assert pair.account.tokens == pytest.approx(before - 3.0, abs=0.01)
+def test_reserved_refill_expires_after_the_peers_return(gateway: GatewayWithPeer) -> None:
+    gateway.advance(10.0, False)
+    gateway.advance(3.0, True)
+    before = gateway.account.tokens
+    gateway.used_by_peer += 3.0
+    gateway.receive_report()
+    assert gateway.account.tokens == pytest.approx(before - 3.0, abs=0.01)
 
 
-def test_refill_left_over_from_one_silence_pays_for_no_use_in_another(pair: Pair) -> None:
-    pair.pass_by(20.0, False)
-    pair.pass_by(6.0, True)
-    pair.pass_by(2.0, False, 6.0)
-    before = pair.account.tokens
-    pair.word()
-    assert pair.account.tokens <= before - 3.5, "two seconds' refill is two units"
+def test_reserved_refill_covers_no_later_outage(gateway: GatewayWithPeer) -> None:
+    gateway.advance(20.0, False)
+    gateway.advance(6.0, True)
+    gateway.advance(2.0, False, 6.0)
+    before = gateway.account.tokens
+    gateway.receive_report()
+    assert gateway.account.tokens <= before - 3.5, "two seconds' refill is two units"
 
 
-class Home:
-    """A home of a customer where gateways are many, and one that asks it."""
+class OwnerWithGateway:
+    """Simulates the owner of a tenant's quota among many gateways, and one gateway that queries it."""
 
     def __init__(self) -> None:
         self.now = 100 * SECOND
@@ -111,29 +113,29 @@
         self.quota = Quota(settings, 1, self.now, random.Random(1))
         assert self.quota.has_owners
         self.account: TenantAccount = self.quota.account(self.now, 12, 0, 2, 0)
-        self.alone = 0.0  # units that the other sent on, its asks unanswered, or by grant
+        self.forwarded = 0.0  # units that the other gateway forwarded, without an answer or with a grant
 
-    def ask(self, after: float, alone: float = 0.0) -> float:
-        """The other asks for one unit so long after it did last; the level before that unit is taken."""
+    def request_unit(self, after: float, forwarded: float = 0.0) -> float:
+        """Makes the other gateway request a unit `after` seconds later; returns the tokens before the grant."""
         self.now += int(after * SECOND)
-        self.alone += alone
+        self.forwarded += forwarded
         age = (self.now - 100 * SECOND) * 10 // SECOND
-        draw = QuotaMessage(QuotaMessageKind.REQUEST, 12, 0, 1.0, 5, age, round(4 * self.alone))
-        _, _, word = self.quota.receive_quota_message(self.now, PeerMessage(1, pack_quota_message(draw)))
-        assert len(word) == 1
+        request = QuotaMessage(QuotaMessageKind.REQUEST, 12, 0, 1.0, 5, age, round(4 * self.forwarded))
+        _, _, answers = self.quota.receive_quota_message(self.now, PeerMessage(1, pack_quota_message(request)))
+        assert len(answers) == 1
         granted = self.account.owner_record.unsettled_grants[1][1] == self.now
-        self.alone += granted
+        self.forwarded += granted
         return self.account.tokens + granted
 
 
-def test_a_home_takes_what_was_used_in_a_silence_off_the_refill_of_that_time() -> None:
-    home = Home()
-    assert home.ask(1.0) == 6.0
-    assert home.ask(10.0, alone=9.0) == 6.0, "it was full for most of the ten seconds"
-    assert home.ask(5.0, alone=20.0) == pytest.approx(0.0, abs=0.01), "spent on both sides, and no debt"
+def test_owner_covers_late_use_by_refill_of_outage() -> None:
+    owner = OwnerWithGateway()
+    assert owner.request_unit(1.0) == 6.0
+    assert owner.request_unit(10.0, forwarded=9.0) == 6.0, "the bucket was full for most of the ten seconds"
+    assert owner.request_unit(5.0, forwarded=20.0) == pytest.approx(0.0, abs=0.01), "both gateways spent it, without debt"
 
 
-def test_a_home_takes_off_in_full_what_one_used_beyond_its_grants_that_it_hears_all_along() -> None:
-    home = Home()
-    home.ask(1.0)
-    assert home.ask(0.5, alone=8.0) < -2.0
+def test_owner_deducts_ungranted_use_of_responsive_gateway() -> None:
+    owner = OwnerWithGateway()
+    owner.request_unit(1.0)
+    assert owner.request_unit(0.5, forwarded=8.0) < -2.0
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -145,7 +145,9 @@
             return [attempt]
         return [attempt, quota.query(now, account, arrival.units, QuotaMessageKind.SPENT)[1]]
 
-    def handle_answer(self, now: int, query: int, granted: bool | None, preceding: list[Action]) -> list[Action]:
+    def handle_answer(
+        self, now: int, query: int, granted: bool | None, preceding: list[Action]
+    ) -> list[Action]:
         """Admits or rejects the request that waits for this query.
 
         `granted` is None if no answer arrived; this gateway then decides alone. `preceding` holds actions
