--- a/tests/decide/test_broker.py
+++ b/tests/decide/test_broker.py
@@ -126,15 +126,15 @@
 def test_slow_start_limits_attempts_at_new_backend() -> None:
     broker = Broker(settings(plans=(plan(rate_per_s=1000.0, burst_units=1000.0),)), 7, 0)
     broker.handle(0, full_list(*(backend(i) for i in range(1, 4)), backend(9, booted=1)))
-    cold = total = 0
+    at_new_backend = total = 0
     for i in range(200):
         now = i * 10 * MS
         for attempt in started_attempts(broker.handle(now, arrival(i, now))):
             total += 1
-            cold += attempt.backend == 9
+            at_new_backend += attempt.backend == 9
             broker.handle(now + 5 * MS, ended(i, attempt.backend))
     assert total > 150
-    assert cold <= 0.3 * total / 4
+    assert at_new_backend <= 0.3 * total / 4
 
 
 def test_static_shares_stay_within_hard_limit() -> None:
--- a/trackspread/decide/backends.py
+++ b/trackspread/decide/backends.py
@@ -9,10 +9,10 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """Tells what an update of the endpoint list holds.
+    """Enumerates what an update of the endpoint list can hold.
 
-    It holds changes, a complete list, a complete list from the cache, or nothing because discovery could not
-    be reached."""
+    An update holds changes, a complete list, a complete list from the cache, or nothing because discovery
+    could not be reached."""
 
     DELTA = 0
     FULL = 1
@@ -21,7 +21,7 @@
 
 
 class Health(IntEnum):
-    """Tells a backend's state in the endpoint list."""
+    """Enumerates the states of a backend in the endpoint list."""
 
     REMOVED = 0
     READY = 1
--- a/trackspread/decide/decaying_mean.py
+++ b/trackspread/decide/decaying_mean.py
@@ -11,7 +11,7 @@
 
 T = TypeVar("T")
 
-# Time constants, ns.
+# Time constants in ns.
 SHORT_TERM = 1 * SECOND
 LONG_TERM = 10 * SECOND
 
--- a/trackspread/decide/events.py
+++ b/trackspread/decide/events.py
@@ -13,7 +13,7 @@
 
 
 class Outcome(IntEnum):
-    """Tells how an attempt, a health check or a counter call ended."""
+    """Enumerates the ways in which an attempt, a health check or a counter call ends."""
 
     ERROR = 0  # The backend reports a failure; the request may have been executed.
     OK = 1
--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -23,7 +23,7 @@
 
 
 class QuotaMessageKind(IntEnum):
-    """Tells the kind of a quota message, between a gateway and a tenant's owner or between peers."""
+    """Enumerates the kinds of quota messages, between a gateway and a tenant's owner or between peers."""
 
     REQUEST = 1  # asks whether these units may be spent
     SPENT = 2  # reports units that were spent; no answer follows
--- a/trackspread/decide/quota/fleet_changes.py
+++ b/trackspread/decide/quota/fleet_changes.py
@@ -81,8 +81,8 @@
 def _receive_slots(state: QuotaState, received: int) -> None:
     """Applies slots that are new at this gateway.
 
-    Nobody reports what their former holders used, so at most these slots' part of the burst is returned to
-    the bucket."""
+    No gateway reports what their former holders used, so at most these slots' part of the burst is returned
+    to the bucket."""
     shares = state.slot_shares()
     if not received or shares is None:
         return
--- a/trackspread/decide/quota/token_bucket.py
+++ b/trackspread/decide/quota/token_bucket.py
@@ -8,7 +8,7 @@
 from .sharing import QuotaSharing
 from .state import RETURN_WINDOW_NS
 
-# Messages of usage totals that report a change, because one may be lost and another delayed.
+# Number of messages of usage totals that report a change, because one may be lost and another delayed.
 ANNOUNCEMENTS = 3
 
 
--- a/trackspread/decide/settings.py
+++ b/trackspread/decide/settings.py
@@ -9,7 +9,7 @@
 
 
 class Idempotency(Enum):
-    """Tells how a request may be repeated once an attempt may have been executed.
+    """Defines how a request may be repeated once an attempt may have been executed.
 
     It may be repeated freely, with its idempotency key only, or not at all."""
 
@@ -19,8 +19,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Tells which backends recognize a request's idempotency key: all, those of a zone, or those of a cell.
-    """
+    """Defines which backends recognize a request's idempotency key: all, or those of a zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -18,7 +18,7 @@
     from .broker import Broker
 
 Plain = dict[str, Any]
-# Has to be raised with every change of the contents, because the other process may run another version.
+# The version is raised with every change of the contents, as the other process may run another program.
 VERSION = 7
 # Keys of the snapshot and the attributes that they stand for; the keys stay as earlier versions wrote them.
 _ACCOUNT_KEYS = {
