--- a/trackspread/decide/quota_events.py
+++ b/trackspread/decide/quota_events.py
@@ -1,4 +1,4 @@
-"""Events on quotas, which concern all services of a gateway: taken in once, then decided by whoever waits."""
+"""Processes quota events, which concern all services of a gateway, once for all of them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 def handle_quota_event(
     now: int, event: QuotaEvent, quota: Quota, admissions: Sequence[QuotaAdmission]
 ) -> list[Action]:
-    """Take in one event. `admissions`: of all services, which share the quota."""
+    """Applies one event to the quota and decides the requests that wait for it.
+
+    `admissions` holds those of all services that share the quota."""
     match event:
         case AllocationChanged():
             quota.change_allocation(now, event)
@@ -25,7 +27,7 @@
                 for admission in admissions
                 for action in admission.allocation_changed(now, event.tenant)
             ]
-        case PeerMessage() if quota.gossips and not is_quota_message(event.data):
+        case PeerMessage() if quota.uses_gossip and not is_quota_message(event.data):
             quota.receive_usage_totals(now, event)
             return []
         case PeerMessage():
@@ -33,4 +35,4 @@
         case CounterAnswered():
             query, granted, preceding = quota.receive_counter_answer(now, event)
     waiting = next((each for each in admissions if query in each.queued), admissions[0])
-    return waiting.answered(now, query, granted, preceding)
+    return waiting.handle_answer(now, query, granted, preceding)
