--- a/tests/cells/test_cells_file.py
+++ b/tests/cells/test_cells_file.py
@@ -74,11 +74,16 @@
 
 
 def test_names_that_contradict_the_file_are_one_line() -> None:
-    with pytest.raises(ConfigError, match=r"NAME: found 'c9', wanted a control machine's: c1, c2$"):
+    with pytest.raises(
+        ConfigError, match=r"NAME: must be a control machine in fleet.control \(c1, c2\), got 'c9'$"
+    ):
         make_host("c9", fleet(PLACED + seat(1) + seat(2)))
-    with pytest.raises(ConfigError, match=r"name: found 'c1', which fleet.control has too"):
+    with pytest.raises(ConfigError, match=r"name: must differ from every name in fleet.control, got 'c1'"):
         CellPart("c1", fleet(PLACED + seat(1)), lambda: 0)
-    with pytest.raises(ConfigError, match=r"fleet.region: found nothing, wanted this gateway's"):
+    with pytest.raises(
+        ConfigError,
+        match=r"fleet.region: must be this gateway's region when fleet.control is set, got nothing",
+    ):
         CellPart("g", fleet(GATEWAY + seat(1)), lambda: 0)
 
 
@@ -86,7 +91,7 @@
     file = tmp_path / "own.toml"
     file.write_text(PLACED + seat(9))
     assert main(["control", "c1", "--file", str(file)]) == 2
-    assert "NAME: found 'c1', wanted a control machine's: c9" in capsys.readouterr().err
+    assert "NAME: must be a control machine in fleet.control (c9), got 'c1'" in capsys.readouterr().err
     assert main(["fleet", "cells", "--file", str(file)]) == 2
     assert "fleet.control: no leader answered" in capsys.readouterr().err
     assert main(["fleet", "forget", "g", "--file", str(file)]) == 2
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -64,9 +64,9 @@
         async with listening(agent), listening(backend):
             agent.first = listing(1)
             node = gateway(agent)
-            assert node.door is not None
+            assert node.admin_server is not None
             await soon(node.start())
-            port = node.door.port
+            port = node.admin_server.port
             assert await status(port, CHECK) == 503
             agent.tell(listing(2, host("s-1", backend.port)))
             while await status(port, CHECK) != 200:
@@ -90,9 +90,9 @@
         async with listening(agent), listening(backend):
             agent.first = listing(1, host("s-1", backend.port), host("s-2", 1, "terminating"))
             node = gateway(agent)
-            assert node.door is not None
+            assert node.admin_server is not None
             await soon(node.start())
-            port = node.door.port
+            port = node.admin_server.port
             before = await figures(port)
             assert set(before.values()) == {0, 2, 1} and before["served.look up"] == 0
             assert (before["backends_known"], before["backends_excluded"]) == (2, 1)
@@ -120,7 +120,7 @@
         async with listening(agent), listening(backend):
             agent.first = listing(1, host("s-1", backend.port))
             node = gateway(agent)
-            assert node.door is not None
+            assert node.admin_server is not None
             ended = node.attempt_ended
 
             def twice(attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport) -> None:
@@ -134,7 +134,7 @@
             connection, _ = await backend.command()
             connection.send(served(b"v"))
             assert await client.next() == b"v"
-            assert (await figures(node.door.port))["attempts"] != 1
+            assert (await figures(node.admin_server.port))["attempts"] != 1
             await soon(node.stop())
 
     run(test)
@@ -146,9 +146,9 @@
         async with listening(agent):
             agent.first = listing(1)
             node = gateway(agent)
-            assert node.door is not None
+            assert node.admin_server is not None
             await soon(node.start())
-            port = node.door.port
+            port = node.admin_server.port
             held = [await asyncio.open_connection(LOCAL, port) for _ in range(3 * MAX_CONNECTIONS)]
             for _, writer in held:
                 writer.write(b"GET /stats HT")
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -336,7 +336,7 @@
             assert str(await client.next()) == "BUSY"
             await until(lambda: any(event.token == 7 for event in s.of(TimerFired)))
             assert [event.token for event in s.of(TimerFired)].count(7) == 1
-            assert "fault in carrying out SendToPeers" in caplog.text
+            assert "action SendToPeers failed with an exception" in caplog.text
 
     run(test)
 
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -77,7 +77,7 @@
             await asyncio.sleep(0.8)  # over the client's time, and over what a short answer may take
             connection.send(VALUE[10:100_000] + TAIL)
             assert await exactly(client, 99_992) == VALUE[10:100_000] + b"\r\n"
-            assert w.node.figures.lines(0, 0, 0).startswith("router.served.look up=1\n")
+            assert w.node.counters.lines(0, 0, 0).startswith("router.served.look up=1\n")
             client.close()
 
     run(test)
@@ -174,7 +174,7 @@
                 pass
             assert len(rest) <= 50_000  # short of its last two bytes: the client can tell
             assert w.backend.commands.empty() and not w.node.requests
-            assert "router.failed.look up=1\n" in w.node.figures.lines(0, 0, 0)
+            assert "router.failed.look up=1\n" in w.node.counters.lines(0, 0, 0)
             client.close()
 
     run(test)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -397,7 +397,7 @@
     short.write_bytes(b"secret\n")
     with pytest.raises(ConfigError, match=r"fleet.key: .*none: No such file"):
         read_keys(Fleet(key=str(tmp_path / "none")))
-    with pytest.raises(ConfigError, match=r"fleet.key: .*short: found 6 bytes, wanted 16 or more"):
+    with pytest.raises(ConfigError, match=r"fleet.key: .*short: must hold at least 16 bytes, got 6"):
         read_keys(Fleet(key=str(short)))
 
 
--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -219,7 +219,7 @@
             for bad in (whole[:-9], json.dumps({"discovery": f"{LOCAL}:{agent.port}"})):
                 p.path.write_text(bad)
                 p.process.send_signal(signal.SIGHUP)
-                await p.logged(b"configuration not taken")
+                await p.logged(b"configuration: reload rejected")
             assert agent.asked.empty()
             p.path.write_text(whole)
             for _ in range(3):
--- a/tests/node/test_services.py
+++ b/tests/node/test_services.py
@@ -373,7 +373,7 @@
 
 
 def told(w: World) -> list[ServiceReport]:
-    status, text = w.node.reports.answers()[b"/services"]()
+    status, text = w.node.reports.routes()[b"/services"]()
     assert status == 200
     return msgspec.json.decode(text, type=list[ServiceReport])
 
--- a/trackspread/node/door_reports.py
+++ b/trackspread/node/admin_reports.py
@@ -16,7 +16,7 @@
 from .request_handler import RequestHandler
 
 
-class DoorReports:
+class AdminReports:
     """One gateway's reports."""
 
     def __init__(
@@ -27,12 +27,12 @@
         self._backend_list = backend_list
         self._is_serving = is_serving
 
-    def answers(self) -> Routes:
+    def routes(self) -> Routes:
         """The reports by path."""
-        answers: Routes = {b"/healthcheck": self._health, b"/stats": self._stats}
+        routes: Routes = {b"/healthcheck": self._health, b"/stats": self._stats}
         if isinstance(self._handler.decision_module, ServiceBrokers):
-            answers[b"/services"] = self._services
-        return answers
+            routes[b"/services"] = self._services
+        return routes
 
     def _health(self) -> Response:
         """OK only while requests are accepted and can be served."""
@@ -44,7 +44,7 @@
         handler = self._handler
         open_requests = sum(not request.is_closed for request in handler.requests.values())
         excluded_backends = unavailable_backends(handler.decision_module, handler.now())
-        return 200, handler.figures.lines(open_requests, len(self._backend_list), excluded_backends)
+        return 200, handler.counters.lines(open_requests, len(self._backend_list), excluded_backends)
 
     def _services(self) -> Response:
         module = self._handler.decision_module
--- a/trackspread/node/cell_part.py
+++ b/trackspread/node/cell_part.py
@@ -46,9 +46,9 @@
     def _check_settings(self) -> None:
         super()._check_settings()
         if not self._fleet.region:
-            raise ConfigError("fleet.region: found nothing, wanted this gateway's: fleet.control is set")
+            raise ConfigError("fleet.region: must be this gateway's region when fleet.control is set, got nothing")
         if any(machine.name == self._name for machine in self._fleet.control):
-            raise ConfigError(f"name: found {self._name!r}, which fleet.control has too, wanted another")
+            raise ConfigError(f"name: must differ from every name in fleet.control, got {self._name!r}")
 
     async def _start(self) -> None:
         fleet = self._fleet
--- a/trackspread/node/class_reload.py
+++ b/trackspread/node/class_reload.py
@@ -25,4 +25,4 @@
     handler.config = replace(handler.config, classes=fresh.classes, settings=settings)
     handler.handle(change(roster, predecessors, max_attempts))
     front.configure(roster)
-    handler.figures.set_classes(fresh.classes)
+    handler.counters.set_classes(fresh.classes)
--- a/trackspread/node/control_machine.py
+++ b/trackspread/node/control_machine.py
@@ -43,7 +43,7 @@
     own = next((machine for machine in machines if machine.name == name), None)
     if own is None:
         names = ", ".join(machine.name for machine in machines) or "none, as fleet.control is empty"
-        raise ConfigError(f"NAME: found {name!r}, wanted a control machine's: {names}")
+        raise ConfigError(f"NAME: must be a control machine in fleet.control ({names}), got {name!r}")
     settings = ControlSettings(
         fleet.name,
         name,
--- a/trackspread/node/fleet_keys.py
+++ b/trackspread/node/fleet_keys.py
@@ -23,9 +23,9 @@
     try:
         key = Path(path).read_bytes().strip()
     except OSError as error:
-        raise ConfigError(f"fleet.{setting}: {path}: {error.strerror}; wanted a file with a key") from None
+        raise ConfigError(f"fleet.{setting}: {path}: {error.strerror}; must be a readable file with a key") from None
     if len(key) < MIN_KEY_BYTES:
-        raise ConfigError(f"fleet.{setting}: {path}: found {len(key)} bytes, wanted {MIN_KEY_BYTES} or more")
+        raise ConfigError(f"fleet.{setting}: {path}: must hold at least {MIN_KEY_BYTES} bytes, got {len(key)}")
     return key
 
 
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -30,7 +30,7 @@
 from ..peers.datagrams import Peers
 from .backend_list import BackendList
 from .class_reload import reload_classes
-from .door_reports import DoorReports
+from .admin_reports import AdminReports
 from .handover_state import StateExporter
 from .optional_parts import OptionalParts, PartContext
 from .request import NS_PER_S
@@ -86,8 +86,8 @@
         self.peers = Peers(
             config.peers, config.peers_all, config.settings.gateway_index, self.peer_message_received
         )
-        self.reports = DoorReports(self, self.backend_list, lambda: self._serving)
-        self.door = self._make_door()
+        self.reports = AdminReports(self, self.backend_list, lambda: self._serving)
+        self.admin_server = self._make_admin_server()
         carried = CarriedServices(operator.services.carried(), self.backend_list.__contains__)
         cached_version = self._apply_cached_list(carried)
         if cached_version is None:
@@ -142,10 +142,10 @@
             config.accept_fd,
         )
 
-    def _make_door(self) -> AdminServer | None:
+    def _make_admin_server(self) -> AdminServer | None:
         if self.config.control is None:
             return None
-        return AdminServer(self.config.control, self.reports.answers() | self.parts.door_answers())
+        return AdminServer(self.config.control, self.reports.routes() | self.parts.admin_routes())
 
     def _apply_cached_list(self, carried: CarriedServices) -> int | None:
         """Take up the endpoint list last known; its version, or None where there is none to use."""
@@ -177,8 +177,8 @@
 
     async def start(self) -> None:
         """Open the sockets; the clients' come last, when requests can be served. Raises `OSError`."""
-        if self.door is not None:
-            await self.door.start()
+        if self.admin_server is not None:
+            await self.admin_server.start()
         rendezvous = self._make_rendezvous()
         successor = Successor(self, rendezvous) if rendezvous is not None else None
         if successor is not None:
@@ -313,8 +313,8 @@
         self.peers.close()
         if self.predecessor is not None:
             self.predecessor.close()
-        if self.door is not None:
-            self.door.close()
+        if self.admin_server is not None:
+            self.admin_server.close()
         await self.parts.stop_records()
 
     def _gossips(self) -> bool:
@@ -365,7 +365,7 @@
             reload_classes(self, self._front, fresh)
         elif (fresh.classes, fresh.settings.classes) != (self.config.classes, self.config.settings.classes):
             log.warning("configuration: a restart is needed for classes while usage is recorded")
-        self.figures.reloads_ok += 1
+        self.counters.reloads_ok += 1
 
     def _plans_changed(self, event: PlansChanged) -> None:
         if self.parts.quota_counter is not None:
--- a/trackspread/node/optional_parts.py
+++ b/trackspread/node/optional_parts.py
@@ -58,7 +58,7 @@
         """The view that this gateway takes part in."""
         return self.membership or self.cell
 
-    def door_answers(self) -> Routes:
+    def admin_routes(self) -> Routes:
         """What operators can ask of the parts, by path."""
         answers: Routes = {}
         if self.fleet_view is not None:
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -70,7 +70,7 @@
         self.now = Clock()
         self.decision_module = self._make_decision_module()
         self.roster = Roster.first(config.classes, config.settings.classes)
-        self.figures = RequestCounters(config.classes)
+        self.counters = RequestCounters(config.classes)
         self.requests: dict[int, Request] = {}
         self.open_request_ids: set[bytes] = set()  # of the requests that still owe an answer
         self.answer_by_ns: int | None = None  # once stopping: when every request has to be answered
@@ -214,7 +214,7 @@
         """The final answer is given, or its client has left: no other follows."""
         if not request.is_closed:
             request.is_closed = True
-            self.figures.count_ended(self.roster.names[request.call.request_class], ending)
+            self.counters.count_ended(self.roster.names[request.call.request_class], ending)
             self.parts.record_usage(request.call, ending, request.attempt_count)
             self.open_request_ids.discard(request.call.request_id)
             if self.handover_exporter is not None:
@@ -241,7 +241,7 @@
 
     def attempt_written(self) -> None:
         """A request's last byte has gone out to a backend."""
-        self.figures.attempts += 1
+        self.counters.attempts += 1
 
     def value_begins(self, attempt: Attempt, length: int, source: PausableSource) -> bool:
         """A long value is the answer from its first byte on: no deadline cuts it off, none follows."""
@@ -318,7 +318,7 @@
         try:
             actions = self.decision_module.handle(self.now(), event)
         except Exception:
-            log.exception("fault in handling %s", type(event).__name__)
+            log.exception("event %s failed with an exception in the decision module", type(event).__name__)
             self._fault(number)
             if isinstance(event, TimerFired):
                 self.execute(SetTimer(TIMER_RETRY_NS, event.token))
@@ -331,7 +331,7 @@
             try:
                 self.execute(action)
             except Exception:
-                log.exception("fault in carrying out %s", type(action).__name__)
+                log.exception("action %s failed with an exception", type(action).__name__)
                 self._fault(getattr(action, "request", 0))
 
     def execute(self, action: Action) -> None:
--- a/trackspread/node/serve.py
+++ b/trackspread/node/serve.py
@@ -61,8 +61,8 @@
             fresh = limit_descriptors(platform.reload(os.environ))
             fresh_operator = load_operator_file(operator_path)
         except ConfigError as error:
-            log.error("configuration not taken, the present one stays in force: %s", error)
-            gateway.figures.reloads_failed += 1
+            log.error("configuration: reload rejected, the present configuration stays in force: %s", error)
+            gateway.counters.reloads_failed += 1
         else:
             gateway.reconfigure(fresh, fresh_operator)
 
