--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -148,7 +148,7 @@
     for packet in bad:
         with pytest.raises(WireError):
             wire.unpack(packet)
-    with pytest.raises(WireError, match="protocol 9, this is 1"):
+    with pytest.raises(WireError, match="protocol must be 1, got 9"):
         wire.unpack(bad[3])
 
 
--- a/trackspread/handover/__init__.py
+++ b/trackspread/handover/__init__.py
@@ -1,1 +1,4 @@
-"""A new version takes over from the old one under load (`docs/upgrade.md`, `docs/design/operations.md`)."""
+"""Lets a new version take over from an old one under load (see `docs/upgrade.md`).
+
+The design is in `docs/design/operations.md`.
+"""
--- a/trackspread/handover/link.py
+++ b/trackspread/handover/link.py
@@ -1,7 +1,7 @@
-"""The connection between the old process and the new one, and the name in `$TMPDIR` where they meet.
+"""Connects the old process and the new one through a socket whose name is in `$TMPDIR`.
 
-May know: sockets, descriptors, the loop. May not know: steps, what packets mean. Descriptors travel with
-packets.
+This module may depend on sockets, descriptors and the event loop, not on the steps of a handover or the
+meaning of packets. A packet can carry a descriptor.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 from .wire import MAX_PACKET_BYTES
 
-BACKLOG = 4  # new processes that wait until the one before them is served
-SEND_RETRY_INTERVAL_S = 0.005  # for a packet that the kernel had no room for
+BACKLOG = 4  # new processes that wait until the handover to an earlier one has ended
+SEND_RETRY_INTERVAL_S = 0.005  # for a packet for which the kernel's buffers were full
 RETRIED_ERRORS = (errno.EAGAIN, errno.ETOOMANYREFS, errno.ENOBUFS)
 DESCRIPTOR_BYTES = array.array("i").itemsize
 
@@ -27,11 +27,13 @@
 
 
 class Link:
-    """One connection; packets go out in order, each with a descriptor or without."""
+    """Sends packets in order over one connection, each with or without a descriptor, and receives them."""
 
     def __init__(self, connected: socket.socket, on_packet: Received, on_lost: Callable[[], None]) -> None:
-        """`on_packet` takes each packet and its descriptor, `on_lost` is called once the other side has
-        ended."""
+        """Starts to read from the socket `connected`.
+
+        `on_packet` takes each packet and its descriptor, `on_lost` is called once the connection has ended.
+        """
         self._loop = asyncio.get_running_loop()
         self._socket = connected
         self._on_packet = on_packet
@@ -43,7 +45,7 @@
         self._loop.add_reader(connected.fileno(), self._read)
 
     def send(self, packet: bytes, descriptor: int | None = None) -> bool:
-        """Send a packet; False where the connection has ended. The descriptor is closed once sent."""
+        """Sends a packet; returns False if the connection has ended. The descriptor is closed once sent."""
         if self._is_closed:
             _close(descriptor)
             return False
@@ -85,10 +87,10 @@
             self._on_packet(b"" if flags & socket.MSG_TRUNC else data, descriptor)
 
     def end_reading(self) -> None:
-        """Read what the other side has written by now, and nothing more.
+        """Reads what the other side has written so far, and nothing after it.
 
-        From here on the other side's writes fail: each of its messages is either known here or known there to
-        be lost.
+        From here on the other side's writes fail. So each of its messages has either been read here, or the
+        other side knows that it was lost.
         """
         if not self._is_closed:
             self._socket.shutdown(socket.SHUT_RD)
@@ -100,7 +102,7 @@
             self._on_lost()
 
     def close(self) -> None:
-        """End the connection; descriptors that were not sent are closed."""
+        """Closes the connection and the descriptors that were not sent."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -113,7 +115,7 @@
 
 
 def _received_descriptor(ancillary: list[tuple[int, int, bytes]]) -> int | None:
-    """The first descriptor that came along; others are closed."""
+    """Returns the first descriptor of a packet's ancillary data, or None, and closes any others."""
     found = array.array("i")
     for level, kind, data in ancillary:
         if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
@@ -128,10 +130,10 @@
         os.close(descriptor)
 
 
-class Rendezvous:
-    """The name in the common folder where the process that serves listens.
+class HandoverSocket:
+    """Holds the socket in the common folder on which the serving process listens for newer processes.
 
-    The folder's path may be longer than a socket's name can be, so it is reached through its descriptor.
+    The folder's path may be too long for a socket's name, so the folder is accessed through its descriptor.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -142,19 +144,19 @@
     def _path(self, name: str) -> str:
         return f"/proc/self/fd/{self._folder}/{name}"
 
-    def seek(self) -> socket.socket | None:
-        """A connection to the process that serves; None where there is none."""
+    def connect(self) -> socket.socket | None:
+        """Returns a connection to the serving process, or None if there is no such process."""
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         connection.setblocking(False)
         try:
             connection.connect(self._path(self._name))
-        except OSError:  # also where a dead process left the name
+        except OSError:  # also if only the name of a process that has died is left
             connection.close()
             return None
         return connection
 
     def listen(self, on_connection: Callable[[], None]) -> None:
-        """Take the name over, in one step, from the process that had it; raises `OSError`.
+        """Listens under the name, which is taken from its former process atomically; raises `OSError`.
 
         `on_connection` is called when a new process connects.
         """
@@ -167,7 +169,7 @@
         asyncio.get_running_loop().add_reader(self._server.fileno(), on_connection)
 
     def accept(self) -> socket.socket | None:
-        """The connection of the next new process that waits."""
+        """Returns the connection of the next waiting process, or None if there is none."""
         if self._server is None:
             return None
         try:
@@ -176,7 +178,10 @@
             return None
 
     def close(self) -> None:
-        """Listen no more. The name stays: by then it is the successor's, or no process answers there."""
+        """Stops listening.
+
+        The name is not removed: it is the successor's by then, or connecting to it fails.
+        """
         if self._server is not None:
             asyncio.get_running_loop().remove_reader(self._server.fileno())
             self._server.close()
--- a/trackspread/handover/states.py
+++ b/trackspread/handover/states.py
@@ -1,9 +1,9 @@
-"""What the old process and the new one do at each step of a handover, whatever happens to the other.
+"""Decides what the old process and the new one do at each step of a handover, also if the other side fails.
 
-May know: steps, waits in seconds. May not know: sockets, clocks, what is handed over. Events in, actions
-out: the same code runs on sockets and in virtual time. The right to serve passes from the old process
-to the new one with the single message TAKEN: before it is written the old one serves on, from then
-on the new one alone.
+This module may depend on steps and waits in seconds, not on sockets, clocks or the state that is handed over.
+It takes events and returns actions, so the same code runs on sockets and in virtual time. The right to serve
+passes from the old process to the new one with the single message TAKEN. Before TAKEN is written only the old
+process may serve; from then on only the new one may.
 """
 
 from __future__ import annotations
@@ -11,44 +11,44 @@
 from enum import Enum, StrEnum, auto
 from typing import NamedTuple
 
-PROTOCOL = 1  # of the messages between both; with a process that speaks another one a start is cold
-HELLO_TIMEOUT_S = 2.5  # until the old process answers; it may be busy with another new process first
-# That the platform gives a new process; one that has sent no request by then never will.
+PROTOCOL = 1  # version of the messages; if the other process has another version, the new process starts cold
+HELLO_TIMEOUT_S = 2.5  # for the old process's HELLO; it may be handing over to another new process first
+# The platform gives a new process this time to become ready; later it will not request the state any more.
 READY_TIMEOUT_S = 6.0
-STATE_TIMEOUT_S = 1.0  # from the state's first byte until TAKEN: no request is served meanwhile
-REQUEST_TIMEOUT_S = 2.0  # from the request on: over the state's, so that the old process decides first
-MAX_ROUNDS = 2  # of a new process before it starts cold
+STATE_TIMEOUT_S = 1.0  # from the state's first byte until TAKEN; no request is served in this time
+REQUEST_TIMEOUT_S = 2.0  # for the state; longer than `STATE_TIMEOUT_S`, so that the old process decides first
+MAX_ROUNDS = 2  # connections that a new process tries before it starts cold
 
 
 class Event(Enum):
-    """What happens to either side."""
+    """Names what can happen to either side."""
 
-    HELLO_RECEIVED = auto()  # the other side said hello, in this protocol
-    INVALID_MESSAGE = auto()  # of another protocol, or one that cannot be read
-    READY = auto()  # new: this process has its endpoint list and could serve
-    STATE_REQUESTED = auto()  # old: the new one can serve and wants to take over
-    STATE_RECEIVED = auto()  # new: the complete state has arrived, and its checksum is right
-    TAKEN_OVER = auto()  # old: the new one serves
-    CONNECTION_LOST = auto()  # to the other side
-    TIMED_OUT = auto()  # the wait of the last action is over
+    HELLO_RECEIVED = auto()  # either side: the other side sent HELLO in the same protocol version
+    INVALID_MESSAGE = auto()  # either side: the message has another protocol version or cannot be read
+    READY = auto()  # new process: it has its endpoint list and could serve
+    STATE_REQUESTED = auto()  # old process: the new process can serve and requests the state
+    STATE_RECEIVED = auto()  # new process: the complete state has arrived, and its checksum is right
+    TAKEN_OVER = auto()  # old process: the new process serves
+    CONNECTION_LOST = auto()  # either side: the connection to the other side has ended
+    TIMED_OUT = auto()  # either side: the wait of the last action has ended
 
 
 class Action(Enum):
-    """What a side does then."""
+    """Names what a side does in response."""
 
-    SEND_HELLO = auto()
-    REQUEST_STATE = auto()  # new
-    TAKE_OVER = auto()  # new: restore the state, write TAKEN, serve
-    START_COLD = auto()  # new: serve without any state of the old process
-    RECONNECT = auto()  # new: look for the old process once more
-    SEND_STATE = auto()  # old: stop serving and send the complete state
-    PASS_CLIENTS = auto()  # old: pass the clients' connections on, end the requests that are open
-    RESUME = auto()  # old: serve on as if nothing had been
-    DISCONNECT = auto()  # from the other side
+    SEND_HELLO = auto()  # either side
+    REQUEST_STATE = auto()  # new process
+    TAKE_OVER = auto()  # new process: restore the state, write TAKEN, serve
+    START_COLD = auto()  # new process: serve without any state of the old process
+    RECONNECT = auto()  # new process: connect to the serving process once more
+    SEND_STATE = auto()  # old process: stop serving and send the complete state
+    PASS_CLIENTS = auto()  # old process: pass the clients' connections on, and finish the open requests
+    RESUME = auto()  # old process: serve again, as before the handover
+    DISCONNECT = auto()  # either side: close the connection to the other side
 
 
 class TimedAction(NamedTuple):
-    """An action, and the wait that begins with it; 0 for none."""
+    """Holds an action and the wait in seconds that starts with it; 0 means no wait."""
 
     action: Action
     wait_s: float
@@ -58,34 +58,34 @@
 
 
 class PredecessorStep(StrEnum):
-    """Where the old process is."""
+    """Names the steps of the old process."""
 
-    SERVING = "serving"
-    MET = "met"
-    SENDING = "sending"
-    HANDED_OVER = "handed over"
+    SERVING = "serving"  # it serves, and no new process has sent HELLO
+    MET = "met"  # it serves, and has exchanged HELLO with a new process
+    SENDING = "sending"  # it has stopped serving, sends the state and waits for TAKEN
+    HANDED_OVER = "handed over"  # the new process serves; this one finishes its open requests
 
 
 class SuccessorStep(StrEnum):
-    """Where the new process is."""
+    """Names the steps of the new process."""
 
-    SEEKING = "seeking"
-    GREETING = "greeting"
-    MET = "met"
-    REQUESTING = "requesting"
-    TAKING = "taking"
-    SERVING = "serving"
-    COLD = "cold"
+    SEEKING = "seeking"  # it connects to the old process
+    GREETING = "greeting"  # it has sent HELLO and waits for the old process's
+    MET = "met"  # it has exchanged HELLO, and cannot serve yet
+    REQUESTING = "requesting"  # it has requested the state and waits for it
+    TAKING = "taking"  # it has the state and restores it
+    SERVING = "serving"  # it serves with the old process's state
+    COLD = "cold"  # it serves without the old process's state
 
 
 class PredecessorSteps:
-    """The old process, towards one new process at a time."""
+    """Decides the actions of the old process towards one new process at a time."""
 
     def __init__(self) -> None:
         self.step = PredecessorStep.SERVING
 
     def handle(self, event: Event) -> Actions:
-        """What is to be done after the event, and the next step taken."""
+        """Returns the actions after an event, and moves on to the next step."""
         match self.step, event:
             case PredecessorStep.SERVING, Event.HELLO_RECEIVED:
                 self.step = PredecessorStep.MET
@@ -97,7 +97,7 @@
                 self.step = PredecessorStep.HANDED_OVER
                 return [TimedAction(Action.PASS_CLIENTS, 0.0)]
             case ((PredecessorStep.SENDING | PredecessorStep.HANDED_OVER), Event.CONNECTION_LOST):
-                # It ended after TAKEN, or before it: only this process can serve.
+                # The new process ended, before or after TAKEN, so only this process can serve.
                 return self._resume()
             case PredecessorStep.SENDING, (Event.TIMED_OUT | Event.INVALID_MESSAGE):
                 return self._resume()
@@ -106,7 +106,7 @@
             case _, (Event.TIMED_OUT | Event.CONNECTION_LOST | Event.INVALID_MESSAGE):
                 self.step = PredecessorStep.SERVING
                 return [TimedAction(Action.DISCONNECT, 0.0)]
-        return []  # out of turn: a repeat
+        return []  # the event is a duplicate or not valid at this step
 
     def _resume(self) -> Actions:
         self.step = PredecessorStep.SERVING
@@ -114,7 +114,7 @@
 
 
 class SuccessorSteps:
-    """The new process."""
+    """Decides the actions of the new process."""
 
     def __init__(self) -> None:
         self.step = SuccessorStep.SEEKING
@@ -122,7 +122,7 @@
         self._rounds = 0
 
     def found(self, is_there: bool) -> Actions:
-        """Whether a process listens where an old one would."""
+        """Returns the actions after the attempt to connect; `is_there`: whether an old process listens."""
         if self.step is not SuccessorStep.SEEKING:
             return []
         if not is_there:
@@ -135,7 +135,7 @@
         return [TimedAction(Action.DISCONNECT, 0.0), TimedAction(Action.START_COLD, 0.0)]
 
     def handle(self, event: Event) -> Actions:
-        """What is to be done after the event, and the next step taken."""
+        """Returns the actions after an event, and moves on to the next step."""
         if event is Event.READY:
             self._is_ready = True
         match self.step, event:
@@ -165,7 +165,7 @@
         return []
 
     def _reconnect(self) -> Actions:
-        # It may have handed over to another new process meanwhile: that one is there now.
+        # The old process may have handed over to another new process, which listens there now.
         self._rounds += 1
         if self._rounds >= MAX_ROUNDS:
             return self._start_cold()
@@ -179,7 +179,10 @@
         return [TimedAction(Action.REQUEST_STATE, REQUEST_TIMEOUT_S)]
 
     def taken_over(self, is_written: bool) -> Actions:
-        """Whether TAKEN could be written: if not, the old process had stopped waiting for this one."""
+        """Returns the actions after the attempt to write TAKEN.
+
+        If TAKEN could not be written, the old process had stopped waiting for this one.
+        """
         if self.step is not SuccessorStep.TAKING:
             return []
         if not is_written:
--- a/trackspread/node/__init__.py
+++ b/trackspread/node/__init__.py
@@ -1,5 +1,6 @@
-"""The running gateway.
+"""Holds the running gateway and the running control machine.
 
-`serve.py` runs it, `gateway.py` is its start and end, `request_handler.py` the requests, `action_executor.py`
-the decision module's actions. A `*_part.py` is a part that an operator's file turns on.
+`serve.py` runs a gateway as a process, `gateway.py` starts and stops it, `request_handler.py` handles its
+requests, and `action_executor.py` carries out the decision module's actions. Each `*_part.py` is an optional
+part that the operator's file turns on.
 """
--- a/trackspread/node/action_executor.py
+++ b/trackspread/node/action_executor.py
@@ -1,7 +1,7 @@
 """Carries out the decision module's actions.
 
-May know: actions, requests, the connection pools. May not know: what becomes of an answer, how events are
-made. Decides nothing.
+This module may depend on actions, requests and the connection pools, not on how answers are handled or events
+are created. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class ActionHost(Protocol):
-    """What actions are carried out on; a gateway is one."""
+    """Describes what actions are carried out on; `RequestHandler` implements it."""
 
     config: Config
     now: Clock
@@ -44,39 +44,39 @@
 
     @property
     def requests(self) -> Mapping[int, Request]:
-        """All that were accepted and are not over, by number."""
+        """The accepted requests that have not ended, by number."""
 
     def handle(self, event: Event, number: int = 0) -> None:
-        """One event for the decision module."""
+        """Passes an event to the decision module."""
 
     def reject(self, number: int, retry_after_ns: int) -> None:
-        """Answer a request that it is rejected."""
+        """Answers that a request is rejected."""
 
     def fail(self, number: int, reason: str) -> None:
-        """Answer a request that it failed."""
+        """Answers that a request failed."""
 
     def left(self, number: int) -> None:
-        """The request's client has left."""
+        """Ends a request whose client has disconnected."""
 
     def attempt_starts(self, attempt: Attempt) -> None:
-        """An attempt is about to start."""
+        """Records that an attempt is about to start."""
 
     def send_to_peers(self, recipient: int | None, data: bytes) -> None:
-        """Send a message to one other gateway, or to all."""
+        """Sends a message to one other gateway, or to all if `recipient` is None."""
 
     def request_allocation(self, tenant: int) -> bool:
-        """Ask the shared counter for more of a tenant's quota; False where there is no counter."""
+        """Asks the shared counter for more of a tenant's quota; returns False if there is no counter."""
 
 
 class ActionExecutor:
-    """Carries out actions on a gateway."""
+    """Carries out actions on its host."""
 
     def __init__(self, host: ActionHost) -> None:
         self._host = host
         self._loop = asyncio.get_running_loop()
 
     def execute(self, action: Action) -> None:
-        """Carry out one action."""
+        """Carries out one action."""
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -105,7 +105,7 @@
             case CheckHealth(backend) if self._host.config.settings.may_check_health:
                 self._check_health(backend)
             case WatchEndpoints():
-                pass  # the watch is open from the start
+                pass  # the watch is opened when the gateway starts
             case _:
                 _log_unsupported(action)
 
@@ -119,8 +119,8 @@
         request = self._host.requests.get(action.request)
         now_ns = self._host.now()
         if request is None:
-            # The module counts it as in flight all the same, until it is notified that it is not.
-            log.error("request %d has already ended: the attempt decided for it is not sent", action.request)
+            # The module counts the attempt as in flight until it is notified that the attempt was not sent.
+            log.error("request %d: attempt not sent, because the request has already ended", action.request)
             self._report_not_sent(action, 0, is_request_finished=True)
             return
         index = request.attempt_count
@@ -129,7 +129,7 @@
             self._report_not_sent(action, index, request.is_closed)
             return
         if request.slot.client.ended():
-            # The loop has not come to that yet; nothing is forwarded for a client that has left.
+            # The event loop has not reported the disconnect yet; nothing is sent for a client that has left.
             self._loop.call_soon(self._host.left, action.request)
             self._report_not_sent(action, index, is_request_finished=True)
             return
@@ -160,7 +160,10 @@
             self.cancel_soon(attempt)
 
     def cancel_soon(self, attempt: Attempt) -> None:
-        """Cancel an attempt, not within the module's own turn: its outcome is an event of its own."""
+        """Cancels an attempt in a later turn of the loop, as its outcome is an event of its own.
+
+        The module must not receive that event while it handles another one.
+        """
         self._loop.call_soon(self._cancel, attempt)
 
     def _cancel(self, attempt: Attempt) -> None:
@@ -170,4 +173,4 @@
 
 
 def _log_unsupported(action: Action) -> None:
-    log.error("action %s: this gateway cannot carry it out", type(action).__name__)
+    log.error("action %s ignored: this gateway does not support it", type(action).__name__)
--- a/trackspread/node/admin_reports.py
+++ b/trackspread/node/admin_reports.py
@@ -1,6 +1,6 @@
-"""What operators read of a gateway at its door: health, figures, services.
+"""Answers operators' queries at the admin server: health, counters and services.
 
-May know: requests, backends, the decision module's reports. Decides nothing.
+This module may depend on requests, backends and the decision module's reports. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -17,25 +17,28 @@
 
 
 class AdminReports:
-    """One gateway's reports."""
+    """Creates the admin server's reports on one gateway."""
 
     def __init__(
         self, handler: RequestHandler, backend_list: BackendList, is_serving: Callable[[], bool]
     ) -> None:
-        """`is_serving`: whether the gateway accepts requests and is not about to stop."""
+        """Creates the reports.
+
+        `is_serving` returns whether the gateway accepts requests and is not stopping.
+        """
         self._handler = handler
         self._backend_list = backend_list
         self._is_serving = is_serving
 
     def routes(self) -> Routes:
-        """The reports by path."""
+        """Returns the functions that answer, by path."""
         routes: Routes = {b"/healthcheck": self._health, b"/stats": self._stats}
         if isinstance(self._handler.decision_module, ServiceBrokers):
             routes[b"/services"] = self._services
         return routes
 
     def _health(self) -> Response:
-        """OK only while requests are accepted and can be served."""
+        """Returns status 200 only while requests are accepted and can be served."""
         if self._is_serving() and self._handler.ready():
             return 200, "ok\n"
         return 503, "not ready\n"
--- a/trackspread/node/backend_list.py
+++ b/trackspread/node/backend_list.py
@@ -1,6 +1,6 @@
-"""The backends that service discovery lists: their addresses to the pools, the update to the decision module.
+"""Passes endpoint updates of service discovery to the connection pools and the decision module.
 
-May know: endpoint updates, the connection pools. Decides nothing.
+This module may depend on endpoint updates and the connection pools. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class BackendList:
-    """The backends that are listed now."""
+    """Holds the ids of the backends that are listed now."""
 
     def __init__(self, pools: ConnectionPools, handle: Callable[[EndpointUpdate], None]) -> None:
-        """`handle` takes each update for the decision module, and may raise `ListError`."""
+        """Creates an empty list; `handle` passes updates to the decision module and may raise `ListError`."""
         self._pools = pools
         self._handle = handle
         self._listed: set[int] = set()
@@ -28,7 +28,7 @@
         return backend in self._listed
 
     def apply(self, update: Update) -> None:
-        """Take up one update; raises `ListError` where the decision module could not."""
+        """Applies one update; raises `ListError` if the decision module failed on it."""
         if update.topology.kind is not EndpointUpdateKind.DELTA:
             self._drop_unlisted(update)
         for entry in update.topology.backends:
@@ -41,8 +41,8 @@
         self._handle(update.topology)
 
     def _drop_unlisted(self, update: Update) -> None:
-        """A complete list no longer names some of those that were listed."""
-        named = {entry.id for entry in update.topology.backends}
-        for backend in self._listed - named:
+        """Removes the backends that a complete list no longer names."""
+        new_ids = {entry.id for entry in update.topology.backends}
+        for backend in self._listed - new_ids:
             self._pools.update_backend(backend, None, update.old)
         self._listed.clear()
--- a/trackspread/node/bind_retry.py
+++ b/trackspread/node/bind_retry.py
@@ -1,6 +1,6 @@
-"""Binding an address that the process which is replaced may still hold for a short time.
+"""Retries to bind an address that the predecessor process may still hold for a short time.
 
-May know: time. May not know: what is bound. Decides nothing.
+This module may depend on time, not on what is bound. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 RETRY_INTERVAL_S = 0.05
 
 
-async def bind_within(patience_s: float, bind: Callable[[], Awaitable[None]]) -> None:
-    """Call `bind` until it succeeds, for `patience_s`; raises the last attempt's `OSError`."""
+async def bind_within(timeout_s: float, bind: Callable[[], Awaitable[None]]) -> None:
+    """Calls `bind` until it succeeds; after `timeout_s` raises the last attempt's `OSError`."""
     loop = asyncio.get_running_loop()
-    give_up_at_s = loop.time() + patience_s
+    deadline_s = loop.time() + timeout_s
     while True:
         try:
             return await bind()
         except OSError:
-            if loop.time() >= give_up_at_s:
+            if loop.time() >= deadline_s:
                 raise
             await asyncio.sleep(RETRY_INTERVAL_S)
--- a/trackspread/node/cell_part.py
+++ b/trackspread/node/cell_part.py
@@ -1,7 +1,7 @@
-"""The gateway's part in its cell: the operator's table to a host, and what operators ask of it.
+"""Makes the gateway a member of its cell, by the operator's `fleet` table, and reports the cell's view.
 
-It takes part in its cell's view and reports who is in it. Limits are not shared by it: they go on as without
-a view, by the platform's list of gateways. May know: configuration, cells. Decides nothing.
+The cell's view has no effect on limits: these are shared by the platform's list of gateways, as without a
+view. This module may depend on configuration and cells. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def control_machines(fleet: Fleet) -> tuple[ControlMachine, ...]:
-    """The control machines, as the operator's file lists them."""
+    """Returns the control machines that the operator's file lists."""
     return tuple(
         ControlMachine(machine.name, machine.region, machine.zone, address(machine.address, "fleet.control"))
         for machine in fleet.control
@@ -34,19 +34,21 @@
 
 
 class CellPart(FleetViewPart[Host]):
-    """The gateway's part in the view of its cell."""
+    """Runs the gateway's membership of its cell."""
 
     unavailable = "is in no cell yet: no control machine has said which\n"
 
     def __init__(self, name: str, fleet: Fleet, now: Callable[[], int]) -> None:
-        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        """Checks the settings; `now` is the gateway's clock, in ns. Raises `ConfigError`."""
         super().__init__(name, fleet, now)
         self._core: Gateway | None = None
 
     def _check_settings(self) -> None:
         super()._check_settings()
         if not self._fleet.region:
-            raise ConfigError("fleet.region: must be this gateway's region when fleet.control is set, got nothing")
+            raise ConfigError(
+                "fleet.region: must be this gateway's region when fleet.control is set, got nothing"
+            )
         if any(machine.name == self._name for machine in self._fleet.control):
             raise ConfigError(f"name: must differ from every name in fleet.control, got {self._name!r}")
 
@@ -83,14 +85,14 @@
         )
 
     def close(self, leave: bool = True) -> None:
-        """Take part no more; `leave` False: another process goes on under this name."""
+        """Ends the membership; with `leave` False another process continues it under this name."""
         if self.host is not None:
             self.host.close(leave)
             self.host = None
             self._core = None
 
     def report(self) -> FleetReport | None:
-        """The cell's view as it is now; None while this gateway takes no part, or is in no cell yet."""
+        """Returns the cell's present view, or None while this gateway is not a member of a cell."""
         host, core = self.host, self._core
         if host is None or core is None or core.member is None or core.placement is None:
             return None
--- a/trackspread/node/class_reload.py
+++ b/trackspread/node/class_reload.py
@@ -1,6 +1,6 @@
-"""Other classes of request, from a configuration that is read again, for what arrives from now on.
+"""Applies the request classes of a reloaded configuration to the requests that arrive from now on.
 
-May know: the roster of classes, requests. May not know: files, sockets.
+This module may depend on the roster of classes and on requests, not on files or sockets.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 from .request_handler import RequestHandler
 
 
-def reload_classes(handler: RequestHandler, front: RespFront, fresh: Config) -> None:
-    """Put the classes and the number of attempts of `fresh` in force; open requests keep theirs."""
+def reload_classes(handler: RequestHandler, front: RespFront, new_config: Config) -> None:
+    """Applies the classes and the number of attempts of `new_config`; open requests keep theirs."""
     in_use = {request.call.request_class for request in handler.requests.values()}
-    roster, predecessors = handler.roster.follow(fresh.classes, fresh.settings.classes, in_use)
-    max_attempts = fresh.settings.max_attempts
+    roster, predecessors = handler.roster.follow(new_config.classes, new_config.settings.classes, in_use)
+    max_attempts = new_config.settings.max_attempts
     if roster == handler.roster and max_attempts == handler.config.settings.max_attempts:
         return
     handler.roster = roster
-    settings = replace(handler.config.settings, classes=fresh.settings.classes, max_attempts=max_attempts)
-    handler.config = replace(handler.config, classes=fresh.classes, settings=settings)
+    settings = replace(
+        handler.config.settings, classes=new_config.settings.classes, max_attempts=max_attempts
+    )
+    handler.config = replace(handler.config, classes=new_config.classes, settings=settings)
     handler.handle(change(roster, predecessors, max_attempts))
     front.configure(roster)
-    handler.counters.set_classes(fresh.classes)
+    handler.counters.set_classes(new_config.classes)
--- a/trackspread/node/configuration_part.py
+++ b/trackspread/node/configuration_part.py
@@ -1,7 +1,7 @@
-"""The gateway's subscription to configuration that replicas distribute: the operator's table to a host.
+"""Subscribes the gateway to the configuration that replicas distribute, by the operator's table.
 
-What it has is shown to operators; no setting of the gateway is taken from it yet. May know: configuration,
-the subscription. Decides nothing.
+Operators can query the received configuration; the gateway takes no setting from it yet. This module may
+depend on configuration and the subscription. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 
 
 class ConfigurationPart:
-    """The gateway's subscription; a new host each time that it takes part."""
+    """Runs the gateway's subscription, with a new host after each start."""
 
     def __init__(self, name: str, operator: Operator, now: Callable[[], int]) -> None:
-        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        """Reads the fleet's keys; `now` is the gateway's clock, in ns. Raises `ConfigError`."""
         self._name = name
         self._operator = operator
         self._now = now
         self._wire = Wire(operator.fleet.name, read_keys(operator.fleet))
         self.host: SubscriberHost | None = None
 
-    async def start(self, patience_s: float = 0.0) -> None:
-        """Subscribe. `patience_s`: how long a process that ends may still hold the address.
+    async def start(self, bind_timeout_s: float = 0.0) -> None:
+        """Subscribes; raises `OSError` if the address cannot be bound within `bind_timeout_s`.
 
-        Raises `OSError` where the address cannot be bound.
+        An ending process may still hold the address for a short time.
         """
-        await bind_within(patience_s, self._start)
+        await bind_within(bind_timeout_s, self._start)
 
     async def _start(self) -> None:
         host = self._make_host()
@@ -71,23 +71,23 @@
         )
 
     def _in_own_region(self, replicas: tuple[Address, ...]) -> tuple[Address, ...]:
-        """Those on control machines of this gateway's region; all where none is known to be."""
+        """Returns the replicas on control machines of this gateway's region, or all if there are none."""
         fleet = self._operator.fleet
         placed = zip(replicas, fleet.control, strict=False)
         return tuple(each for each, machine in placed if machine.region == fleet.region) or replicas
 
     def replace_keys(self, fleet: Fleet) -> None:
-        """Read the keys again; raises `ConfigError`, and the present ones stay in force."""
+        """Reads the keys again; if it raises `ConfigError`, the present ones stay in force."""
         self._wire.keys = read_keys(fleet)
 
     def close(self) -> None:
-        """End the subscription."""
+        """Ends the subscription."""
         if self.host is not None:
             self.host.close()
             self.host = None
 
     def answer(self) -> tuple[int, str]:
-        """Status and text for the operators' door."""
+        """Returns status and body for the admin server."""
         if self.host is None:
             return 503, "takes no configuration at this moment\n"
         return 200, msgspec.json.encode(subscription_report(self._now(), self.host)).decode() + "\n"
--- a/trackspread/node/configuration_replica.py
+++ b/trackspread/node/configuration_replica.py
@@ -1,7 +1,8 @@
-"""A control machine's replica of the configuration that is distributed; its leader is the machines' leader.
+"""Creates a control machine's replica of the distributed configuration.
 
-The n-th of `configuration.replicas` is on the n-th of `fleet.control`. No election is held here: the lease of
-the control machines' own view says who leads, and is checked at each use. Decides nothing.
+The n-th address of `configuration.replicas` is on the n-th machine of `fleet.control`. The replicas hold no
+election of their own: the control machines' leader leads them, and its lease is checked at each use. This
+module makes no decisions.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 
 
 def make_replica(operator: Operator, core: Controller) -> ReplicaHost | None:
-    """The replica of this control machine, not yet started; None where no configuration is distributed.
+    """Returns this control machine's replica, not started, or None if no configuration is distributed.
 
-    Raises `ConfigError`, and `OSError` where its record cannot be written.
+    Raises `ConfigError`, and `OSError` if its record cannot be written.
     """
     table = operator.configuration
     if not table.replicas:
@@ -38,7 +39,7 @@
         return member.coordinator.epoch
 
     def superseded(epoch: Epoch) -> None:
-        # The lease is given up, and the next ballot is beyond it.
+        # Recording the newer round gives up the lease, and makes the next ballot higher than that round.
         core.control_member.coordination.acceptor.record_round(epoch[0])
 
     now = time.monotonic_ns
--- a/trackspread/node/control_machine.py
+++ b/trackspread/node/control_machine.py
@@ -1,6 +1,6 @@
-"""One control machine from its start to its end: signals, keys read again.
+"""Runs one control machine from its start to its end, and handles signals.
 
-May know: configuration, cells. Decides nothing.
+This module may depend on configuration and cells. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 def make_host(
     name: str, fleet: Fleet, leadership_changed: Callable[[Epoch | None], None] = lambda epoch: None
 ) -> Host:
-    """The control machine of this name, not yet started.
+    """Returns the host of the control machine `name`, not started.
 
-    `leadership_changed` is called with the epoch under which it leads, or None once it no longer does.
-    Raises `ConfigError`, and `OSError` where its record cannot be written.
+    `leadership_changed` is called with the epoch in which the machine leads, or None once it no longer leads.
+    Raises `ConfigError`, and `OSError` if its record cannot be written.
     """
     machines = control_machines(fleet)
     own = next((machine for machine in machines if machine.name == name), None)
@@ -57,13 +57,13 @@
     core = Controller(settings, time.monotonic_ns(), random_seed())
     wire = CellsWire(fleet.name, read_keys(fleet), max(MAX_CELL_MEMBERS, 2 * len(machines)))
     record = Path(fleet.record) if fleet.record else None
-    # With `fleet.region` the file is a gateway's, too, and `fleet.listen` is that gateway's address.
+    # A file with `fleet.region` also belongs to a gateway, and `fleet.listen` is that gateway's address.
     listen = address(fleet.listen, "fleet.listen") if fleet.listen and not fleet.region else own.address
     return Host(core, listen, wire, time.monotonic_ns, record, on_leadership=leadership_changed)
 
 
 async def serve(name: str, file: Path) -> None:
-    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP has the keys read again.
+    """Runs until SIGTERM or SIGINT, then shuts down gracefully; SIGHUP reloads the keys.
 
     Raises `ConfigError`.
     """
@@ -71,12 +71,12 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    given = operator.load(file)
+    settings_file = operator.load(file)
     try:
-        host = make_host(name, given.fleet)
-        replica = make_replica(given, host.core) if isinstance(host.core, Controller) else None
+        host = make_host(name, settings_file.fleet)
+        replica = make_replica(settings_file, host.core) if isinstance(host.core, Controller) else None
     except OSError as error:
-        raise ConfigError(f"{file}: record: {error.strerror}; wanted a file to write") from None
+        raise ConfigError(f"{file}: record: must be a writable file: {error.strerror}") from None
 
     def reload_keys() -> None:
         try:
@@ -85,7 +85,7 @@
                 replica.wire.keys = host.wire.keys
         except ConfigError as error:
             log.error(
-                "configuration: the fleet's keys could not be read, the present ones stay in force: %s", error
+                "configuration: the fleet's keys cannot be read, the present ones stay in force: %s", error
             )
 
     loop.add_signal_handler(signal.SIGHUP, reload_keys)
@@ -103,7 +103,7 @@
 
 
 def run(name: str, file: Path) -> int:
-    """Run the control machine in the foreground; raises `ConfigError`."""
+    """Runs the control machine in the foreground; raises `ConfigError`."""
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(name)s %(levelname)s %(message)s")
     log.setLevel(operator.load(file).log.level.upper())
     uvloop.run(serve(name, file))
--- a/trackspread/node/fleet_keys.py
+++ b/trackspread/node/fleet_keys.py
@@ -1,4 +1,4 @@
-"""What a process shows the others of its fleet: keys from the operator's files, and the program's version."""
+"""Reads the fleet's keys from the operator's key files, and the program's version."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from ..config.operator import Fleet
 from ..membership.wire import Keys
 
-MIN_KEY_BYTES = 16  # of a key file: fewer can be guessed
+MIN_KEY_BYTES = 16  # in a key file; shorter keys can be guessed
 
 
 def read_keys(fleet: Fleet) -> Keys:
-    """The fleet's present and previous key, read from their files; raises `ConfigError`."""
+    """Returns the fleet's present and previous key from their files; raises `ConfigError`."""
     return Keys(_read_key("key", fleet.key), _read_key("previous", fleet.previous))
 
 
@@ -23,14 +23,18 @@
     try:
         key = Path(path).read_bytes().strip()
     except OSError as error:
-        raise ConfigError(f"fleet.{setting}: {path}: {error.strerror}; must be a readable file with a key") from None
+        raise ConfigError(
+            f"fleet.{setting}: {path}: {error.strerror}; must be a readable file with a key"
+        ) from None
     if len(key) < MIN_KEY_BYTES:
-        raise ConfigError(f"fleet.{setting}: {path}: must hold at least {MIN_KEY_BYTES} bytes, got {len(key)}")
+        raise ConfigError(
+            f"fleet.{setting}: {path}: must hold at least {MIN_KEY_BYTES} bytes, got {len(key)}"
+        )
     return key
 
 
 def program_version() -> str:
-    """The version of this program, as the others of the fleet are shown it."""
+    """Returns the installed version of this program, which the fleet's members send each other."""
     try:
         return version("trackspread")
     except PackageNotFoundError:
--- a/trackspread/node/fleet_view_part.py
+++ b/trackspread/node/fleet_view_part.py
@@ -1,6 +1,6 @@
-"""What a gateway's part in a fleet's view and in a cell's have in common: start, keys, end, report.
+"""Implements what membership of a fleet and membership of a cell share: start, keys, end and report.
 
-May know: configuration, the binding of addresses. Decides nothing.
+This module may depend on configuration and the binding of addresses. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -22,28 +22,32 @@
 
 
 class ViewHost(Protocol):
-    """A member that runs; it holds a socket."""
+    """Describes a running member that holds a socket."""
 
     wire: Wire
 
     def close(self, leave: bool = True) -> None:
-        """End it; `leave` False: another process goes on under this name."""
+        """Ends the member; with `leave` False another process continues under its name."""
 
 
 HostT = TypeVar("HostT", bound=ViewHost)
 
 
 class FleetViewPart(ABC, Generic[HostT]):
-    """A gateway's part in a view; a new host each time that it takes part.
+    """Runs a gateway's membership in a view, with a new host after each start.
 
-    `descriptors`: how many the host may hold. `unavailable`: what operators read while there is no report.
+    `descriptors` is the number of descriptors that the host may hold, `unavailable` the HTTP body while there
+    is no report.
     """
 
     descriptors = DESCRIPTORS
     unavailable: str
 
     def __init__(self, name: str, fleet: Fleet, now: Callable[[], int]) -> None:
-        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        """Checks the settings and reads the keys; raises `ConfigError`.
+
+        `now` is the gateway's clock, in ns.
+        """
         self._name = name
         self._fleet = fleet
         self._now = now
@@ -52,49 +56,52 @@
         self.host: HostT | None = None
 
     def _check_settings(self) -> None:
-        """Raises `ConfigError`."""
+        """Checks the settings that a view needs; raises `ConfigError`."""
         if len(self._name) > MAX_NAME_LENGTH:
             raise ConfigError(
-                f"name: found {len(self._name)} characters, wanted {MAX_NAME_LENGTH} at most: "
-                "fleet.name is set"
+                f"name: must have at most {MAX_NAME_LENGTH} characters when fleet.name is set, "
+                f"got {len(self._name)}"
             )
 
     def _listen_address(self) -> Address:
         return address(self._fleet.listen, "fleet.listen")
 
     def _advertised_address(self) -> Address:
-        """Where the others of the fleet reach this gateway."""
+        """Returns the address at which the fleet's other members reach this gateway."""
         if self._fleet.advertise:
             return address(self._fleet.advertise, "fleet.advertise")
         return self._listen_address()
 
-    async def start(self, patience_s: float = 0.0) -> None:
-        """Take part. `patience_s`: how long a process that ends may still hold the address.
+    async def start(self, bind_timeout_s: float = 0.0) -> None:
+        """Joins the view; raises `OSError` if the address cannot be bound within `bind_timeout_s`.
 
-        Raises `OSError` where the address cannot be bound.
+        An ending process may still hold the address for a short time.
         """
-        await bind_within(patience_s, self._start)
+        await bind_within(bind_timeout_s, self._start)
 
     @abstractmethod
     async def _start(self) -> None:
-        """Start a host and keep it; raises `OSError`."""
+        """Starts a host and keeps it; raises `OSError`."""
 
     def replace_keys(self, fleet: Fleet) -> None:
-        """Read the keys again; raises `ConfigError`, and the present ones stay in force."""
+        """Reads the keys again; if it raises `ConfigError`, the present ones stay in force."""
         self._keys = read_keys(fleet)
         if self.host is not None:
             self.host.wire.keys = self._keys
 
     @abstractmethod
     def close(self, leave: bool = True) -> None:
-        """Take part no more; `leave` False: another process goes on under this name, nobody is notified."""
+        """Ends the membership.
+
+        With `leave` False the members are not notified, because another process continues under this name.
+        """
 
     @abstractmethod
     def report(self) -> FleetReport | None:
-        """The view as it is now; None while this gateway takes no part."""
+        """Returns the present view, or None while this gateway is not a member."""
 
     def answer(self) -> tuple[int, str]:
-        """Status and text for the operators' door."""
+        """Returns status and body for the admin server."""
         report = self.report()
         if report is None:
             return 503, self.unavailable
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -1,6 +1,6 @@
-"""One gateway: its sockets, its start, its end, and what another process takes over from it.
+"""Starts, reconfigures and stops one gateway, and hands its sockets over to another process.
 
-What happens to requests is `request_handler.py`'s.
+`request_handler.py` handles the requests.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ..decide.events import PeerMessage, PlansChanged
 from ..fronts.connections import Clients, PassOn
 from ..fronts.resp import RespFront
-from ..handover.link import Rendezvous
+from ..handover.link import HandoverSocket
 from ..lists.agent import Discovery, parse_update
 from ..lists.seam import ListError, Update
 from ..lists.services import CarriedServices
@@ -40,41 +40,42 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_LIST_TIMEOUT_S = 0.5  # at the start, until the cached endpoint list serves
-# After the longest deadline, by which a stopping gateway has answered everything; SIGKILL comes 0.7 s after
-# it.
+FIRST_LIST_TIMEOUT_S = 0.5  # for the first endpoint list at the start; then the cached list is used
+# A stopping gateway answers everything within this time after the longest deadline; SIGKILL comes 0.7 s after
+# that deadline.
 ANSWER_MARGIN_S = 0.5
 MAX_STOP_DEADLINE_NS = 3 * NS_PER_S  # the longest deadline that SIGKILL waits for
-CLOSE_MARGIN_S = 0.1  # more, in which the last answers leave and their connections close
-PEER_MESSAGES_MARGIN_S = 0.4  # after the longest deadline, until which a stopping gateway sends to its peers
-HANDOVER_BIND_PATIENCE_S = 2.0  # a process that hands over may still hold the address in the fleet
-RESERVED_DESCRIPTORS = 64  # neither a client's nor a backend's: listener, peers, discovery, files
+CLOSE_MARGIN_S = 0.1  # after `ANSWER_MARGIN_S`, for writing the last answers and closing the connections
+PEER_MESSAGES_MARGIN_S = 0.4  # after the longest deadline, during which a stopping gateway sends to its peers
+HANDOVER_BIND_TIMEOUT_S = 2.0  # for an address in the fleet that the predecessor may still hold
+RESERVED_DESCRIPTORS = 64  # for the listener, peers, discovery and files, not for clients or backends
 MIN_DESCRIPTORS = 16  # for clients and backends together
 
 
 class Gateway(RequestHandler):
-    """One running gateway, from its start to its end."""
+    """Runs one gateway from its start to its end."""
 
     def __init__(
-        self, config: Config, operator: Operator = DEFAULTS, vacated: Callable[[], None] = lambda: None
+        self, config: Config, operator: Operator = DEFAULTS, on_drained: Callable[[], None] = lambda: None
     ) -> None:
-        """`vacated` is called once another process has taken over and no request is open here.
+        """Builds the gateway without opening its sockets.
 
-        Raises `ConfigError`.
+        `on_drained` is called once another process has taken over and no request is open here. Raises
+        `ConfigError`.
         """
         if operator.counter.servers:
-            # No gossip between gateways beside it: two sources would each grant the complete quota.
+            # Gossip is off with a shared counter: two sources would each grant the complete quota.
             settings = replace(config.settings, has_leased_quotas=True, may_gossip=False)
             config = replace(config, settings=settings)
         super().__init__(config, operator.services)
         self.operator = operator
-        self._vacated = vacated
+        self._on_drained = on_drained
         self.predecessor: Predecessor | None = None
         self._list_received = asyncio.Event()
         self._created_at_s = self._loop.time()
         self._summary_timer: asyncio.TimerHandle | None = None
-        self._serving = False  # whether the clients' sockets are open, and stay so
-        self._peer_descriptor: int | None = None  # of the peers' socket, kept in case a handover fails
+        self._serving = False  # whether the clients' sockets are open and not about to close
+        self._peer_descriptor: int | None = None  # descriptor of the peers' socket, for a handover that fails
         self.parts = OptionalParts(self._part_context())
         descriptors = self._available_descriptors()
         self._backend_descriptors = int(descriptors * operator.backends.descriptor_part)
@@ -94,7 +95,7 @@
             self.handle(EndpointUpdate(EndpointUpdateKind.CACHED, 0, ()))
         self.discovery = self._make_discovery(cached_version, carried)
         if self.parts.membership is not None:
-            self.parts.membership.begin()
+            self.parts.membership.report_empty_fleet()
 
     def _part_context(self) -> PartContext:
         return PartContext(
@@ -108,17 +109,17 @@
         )
 
     def _available_descriptors(self) -> int:
-        """Those for clients and backends together."""
+        """Returns the number of descriptors for clients and backends together."""
         reserved = RESERVED_DESCRIPTORS
         if self.config.accept_fd is not None:
-            reserved *= 2  # another process may hold as many while it takes over
+            reserved *= 2  # another process may hold the same number while it takes over
         if self.parts.fleet_view is not None:
             reserved += self.parts.fleet_view.descriptors
         return max(MIN_DESCRIPTORS, self.config.sockets - reserved)
 
     def _make_pools(self) -> ConnectionPools:
         config = self.config
-        # Only a part of the grace time that the platform gives a drain: a loop may lag.
+        # Only a part of the platform's grace time for draining is used, because the event loop may lag.
         grace_s = config.settings.drain_grace_ns / NS_PER_S * self.operator.backends.grace_part
         return ConnectionPools(
             self._backend_descriptors,
@@ -148,7 +149,7 @@
         return AdminServer(self.config.control, self.reports.routes() | self.parts.admin_routes())
 
     def _apply_cached_list(self, carried: CarriedServices) -> int | None:
-        """Take up the endpoint list last known; its version, or None where there is none to use."""
+        """Applies the cached endpoint list; returns its version, or None if no list can be used."""
         config = self.config
         if config.known is None:
             return None
@@ -173,33 +174,32 @@
             carried,
         )
 
-    # Start.
-
     async def start(self) -> None:
-        """Open the sockets; the clients' come last, when requests can be served. Raises `OSError`."""
+        """Opens the sockets, those for clients last, when requests can be served. Raises `OSError`."""
         if self.admin_server is not None:
             await self.admin_server.start()
-        rendezvous = self._make_rendezvous()
-        successor = Successor(self, rendezvous) if rendezvous is not None else None
+        handover_socket = self._make_handover_socket()
+        successor = Successor(self, handover_socket) if handover_socket is not None else None
         if successor is not None:
-            successor.seek()
+            successor.connect()
         else:
             await self._open_peers()
         self.discovery.start()
         await self.parts.start_records()
         self._summary_timer = self._loop.call_later(self.operator.log.tally_s, self._log_summary)
         await self._wait_for_list()
-        if successor is not None and rendezvous is not None:
+        if successor is not None and handover_socket is not None:
             await successor.decided()
             await self._open_peers(successor.peer_descriptor)
-            self.predecessor = Predecessor(self, rendezvous, self._vacated)
+            self.predecessor = Predecessor(self, handover_socket, self._on_drained)
             self.predecessor.listen()
         took_over = successor is not None and successor.took_over
         if took_over:
-            # The old process accepts nothing any more: clients that connect now cannot wait for the fleet.
+            # The predecessor accepts nothing any more, so the clients that connect now cannot wait until this
+            # process has joined the fleet.
             await self.clients.start()
-        patience_s = HANDOVER_BIND_PATIENCE_S if rendezvous is not None else 0.0
-        await self.parts.start_fleet(patience_s, wait_until_ready=True)
+        bind_timeout_s = HANDOVER_BIND_TIMEOUT_S if handover_socket is not None else 0.0
+        await self.parts.start_fleet(bind_timeout_s, wait_until_ready=True)
         if not took_over:
             await self.clients.start()
         self._serving = True
@@ -207,32 +207,36 @@
 
     async def _wait_for_list(self) -> None:
         try:
-            # An old list breaks no rule, but the agent on this machine sends the new one within milliseconds.
+            # Serving by an old list breaks no rule, but the agent on this machine sends the new one within
+            # milliseconds.
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await self._list_received.wait()
         except TimeoutError:
             log.warning(
-                "discovery: no endpoint list after %.1f s, starting with the one last known",
+                "discovery: no endpoint list received within %.1f s, starting with the cached one",
                 FIRST_LIST_TIMEOUT_S,
             )
 
-    def _make_rendezvous(self) -> Rendezvous | None:
-        """Where an old process and a new one meet; none where the platform holds no socket for clients."""
+    def _make_handover_socket(self) -> HandoverSocket | None:
+        """Returns the socket on which two processes hand over, or None if no handover is possible.
+
+        A handover needs a folder and a listening socket that the platform keeps for all processes.
+        """
         if not self.config.meeting:
             return None
         if self.parts.usage is not None or self.parts.quota_counter is not None or self.services.classes:
             log.warning(
-                "handover: not possible with use.folder, counter.servers or services set: starting cold"
+                "handover: not possible when use.folder, counter.servers or services is set, starting cold"
             )
             return None
         try:
-            return Rendezvous(Path(self.config.meeting), self.config.name)
+            return HandoverSocket(Path(self.config.meeting), self.config.name)
         except OSError as error:
-            log.warning("handover: TMPDIR cannot be used: %s, starting cold", error.strerror)
+            log.warning("handover: the folder in TMPDIR cannot be used: %s, starting cold", error.strerror)
             return None
 
     async def _open_peers(self, descriptor: int | None = None) -> None:
-        """`descriptor`: of the peers' socket, where another process handed it over."""
+        """Opens the peers' socket, by its descriptor if another process handed it over."""
         is_used = self.config.settings.may_gossip and self.parts.membership is None
         listen = self.config.peer_listen if is_used else None
         if listen is not None:
@@ -240,57 +244,53 @@
         elif descriptor is not None:
             os.close(descriptor)
 
-    # For another process that takes over.
-
     def class_names(self) -> tuple[str, ...]:
-        """The names of the classes by number."""
+        """Returns the names of the classes by number."""
         return tuple(name.decode() for name in self.roster.names)
 
     def share_descriptors(self, clients: int, backends: int) -> None:
-        """Descriptors that another process holds of those that both have together."""
+        """Lowers the limits by the descriptors that another process holds; both share one total."""
         self.clients.bound = max(1, self._client_descriptors - clients)
         self.backends.limit_connections(max(1, self._backend_descriptors - backends))
 
-    def freeze(self) -> int | None:
-        """Accept nothing more; returns a descriptor of the peers' socket, for the other process."""
+    def stop_serving(self) -> int | None:
+        """Stops accepting; returns a descriptor of the peers' socket for the other process, or None."""
         self._serving = False
         self.clients.hand()
         self._peer_descriptor = self.peers.leave()
-        self.parts.close_fleet(leave=False)  # the process that takes over is the same gateway to the fleet
+        self.parts.close_fleet(leave=False)  # the successor is the same gateway in the fleet
         return os.dup(self._peer_descriptor) if self._peer_descriptor is not None else None
 
     def retire(self, exporter: StateExporter) -> None:
-        """Grant nothing more, and notify the other process of what is still in flight."""
+        """Stops granting, and from now on notifies the other process about what is still in flight."""
         self.handover_exporter = exporter
         for action in self.decision_module.retire(self.now()):
             self.execute(action)
 
     def pass_on(self, pass_on: PassOn) -> None:
-        """Give the clients' connections to the other process."""
+        """Passes the clients' connections to the other process."""
         self.clients.pass_on(pass_on)
         self.backends.close_all_idle()
 
-    def is_vacant(self) -> bool:
-        """Whether no request is open here and no client connected; idle connections leave meanwhile."""
+    def is_drained(self) -> bool:
+        """Passes idle connections on; returns whether no request is open and no client is connected."""
         self.clients.leave_all()
         return not self.requests and not self.clients.count()
 
-    async def unfreeze(self) -> None:
-        """Serve on: the other process is gone, or never came to serve."""
+    async def resume_serving(self) -> None:
+        """Serves again after the other process ended, or failed to take over."""
         self.handover_exporter = None
         self.decision_module.resume()
         descriptor = self._peer_descriptor
         self._peer_descriptor = None
         await self._open_peers(descriptor)
-        await self.parts.start_fleet(HANDOVER_BIND_PATIENCE_S, wait_until_ready=False)
+        await self.parts.start_fleet(HANDOVER_BIND_TIMEOUT_S, wait_until_ready=False)
         await self.clients.unhand()
         self._serving = not self.clients.closing
 
-    # Stop.
-
     async def stop(self) -> None:
-        """Shut down gracefully: all that was accepted is answered first."""
-        began_s = self._loop.time()
+        """Shuts down gracefully; everything that was accepted is answered first."""
+        started_at_s = self._loop.time()
         longest_ns = self._longest_deadline_ns()
         longest_s = longest_ns / NS_PER_S
         answer_within_ns = min(MAX_STOP_DEADLINE_NS, longest_ns) + int(ANSWER_MARGIN_S * NS_PER_S)
@@ -298,7 +298,7 @@
         self._serving = False
         if self.parts.plan_registry is not None:
             self.parts.plan_registry.stop()
-        await self.clients.drain(began_s + longest_s + ANSWER_MARGIN_S + CLOSE_MARGIN_S)
+        await self.clients.drain(started_at_s + longest_s + ANSWER_MARGIN_S + CLOSE_MARGIN_S)
         handed_over = self.predecessor is not None and self.predecessor.has_handed_over
         if self._summary_timer is not None:
             self._summary_timer.cancel()
@@ -306,9 +306,9 @@
         self.backends.close()
         self.parts.close_fleet(leave=not handed_over)
         if not handed_over and self._gossips():
-            # The module goes on reporting that nothing is used here. Its peers, which the tenants now use,
-            # would reserve this gateway's share of the quotas for one that became unresponsive.
-            stop_at_s = began_s + longest_s + PEER_MESSAGES_MARGIN_S
+            # The module continues to report that it uses nothing. Otherwise its peers, which the tenants now
+            # use, would treat it as unresponsive and keep its share of the quotas reserved.
+            stop_at_s = started_at_s + longest_s + PEER_MESSAGES_MARGIN_S
             await asyncio.sleep(max(0.0, stop_at_s - self._loop.time()))
         self.peers.close()
         if self.predecessor is not None:
@@ -318,21 +318,19 @@
         await self.parts.stop_records()
 
     def _gossips(self) -> bool:
-        """Whether it reports its usage to peers by datagrams of its own."""
+        """Returns whether the gateway reports its usage to its peers in its own datagrams."""
         settings = self.config.settings
         return settings.may_gossip and settings.gateway_count > 1 and self.parts.membership is None
 
     def _longest_deadline_ns(self) -> int:
-        """The longest time that a request which arrives now or is open may take."""
+        """Returns the longest deadline of all classes, those of open requests included."""
         return max(rule.deadline_ns for rule in self.roster.rules)
 
-    # While it runs.
-
     def _log_summary(self) -> None:
-        """One line for the operators, which shows faults that no single attempt does."""
+        """Logs one line of totals, which shows faults that no single attempt shows."""
         outcomes = ", ".join(f"{outcome.name} {count}" for outcome, count in sorted(self._outcomes.items()))
         log.info(
-            "attempts: %s; requests %d, connections of clients %d, to backends %d, of these idle %d",
+            "attempts: %s; requests %d, client connections %d, backend connections %d, %d of them idle",
             outcomes or "none",
             len(self.requests),
             self.clients.count(),
@@ -342,28 +340,31 @@
         self._outcomes.clear()
         self._summary_timer = self._loop.call_later(self.operator.log.tally_s, self._log_summary)
 
-    def reconfigure(self, fresh: Config, operator: Operator) -> None:
-        """Put another configuration in force, as far as that is possible without a restart.
+    def reconfigure(self, new_config: Config, operator: Operator) -> None:
+        """Applies the parts of another configuration that need no restart.
 
-        That is: the classes and the number of attempts, where discovery is, the operator's bounds, log level
-        and keys. Endpoint list, requests and connections stay as they are.
+        These are the classes, the number of attempts, discovery's address, and the operator's bounds, log
+        level and keys. The endpoint list, requests and connections are not affected.
         """
-        changed = needs_restart(self.config, fresh) + tables_need_restart(self.operator, operator)
+        changed = needs_restart(self.config, new_config) + tables_need_restart(self.operator, operator)
         if changed:
             log.warning("configuration: a restart is needed for %s", ", ".join(changed))
         self.operator = operator
         self.clients.bounds = operator.clients
         logging.getLogger("trackspread").setLevel(operator.log.level.upper())
-        self.discovery.move(fresh.discovery)
+        self.discovery.move(new_config.discovery)
         try:
             self.parts.replace_keys(operator.fleet)
         except ConfigError as error:
             log.error(
-                "configuration: the fleet's keys could not be read, the present ones stay in force: %s", error
+                "configuration: the fleet's keys cannot be read, the present ones stay in force: %s", error
             )
         if self.parts.usage is None:
-            reload_classes(self, self._front, fresh)
-        elif (fresh.classes, fresh.settings.classes) != (self.config.classes, self.config.settings.classes):
+            reload_classes(self, self._front, new_config)
+        elif (new_config.classes, new_config.settings.classes) != (
+            self.config.classes,
+            self.config.settings.classes,
+        ):
             log.warning("configuration: a restart is needed for classes while usage is recorded")
         self.counters.reloads_ok += 1
 
@@ -380,12 +381,12 @@
             log.info("discovery: first endpoint list %.2f s after the start", elapsed_s)
 
     def send_to_peers(self, recipient: int | None, data: bytes) -> None:
-        """Send a message to one gateway, or to all; by the addresses of the view, where there is one."""
+        """Sends a message to one gateway, or to all, at the addresses of the fleet's view if there is one."""
         if self.parts.membership is not None:
             self.parts.membership.send(recipient, data)
         else:
             super().send_to_peers(recipient, data)
 
     def peer_message_received(self, sender: int, data: bytes) -> None:
-        """A message from another gateway, for the decision module."""
+        """Passes a message from another gateway to the decision module."""
         self.handle(PeerMessage(sender, data))
--- a/trackspread/node/handover_side.py
+++ b/trackspread/node/handover_side.py
@@ -1,6 +1,7 @@
-"""What both sides of a handover have in common at a gateway: one link, one timer, actions in order.
+"""Implements what both sides of a handover share: one link, one timer, and actions carried out in order.
 
-May know: the gateway, the link. Decides nothing: the steps (`handover/states.py`) do.
+This module may depend on the gateway and the link. It makes no decisions; the steps (`handover/states.py`)
+do.
 """
 
 from __future__ import annotations
@@ -21,31 +22,31 @@
 log = logging.getLogger(__name__)
 
 
-class Serving(HandoverGateway, Protocol):
-    """A process that can stop serving for another, and resume; a gateway is one."""
+class ServingGateway(HandoverGateway, Protocol):
+    """Describes a gateway that can stop serving in favor of another process, and resume."""
 
     clients: Clients
 
-    def freeze(self) -> int | None:
-        """Accept nothing more; returns a descriptor of the peers' socket, for the other process."""
+    def stop_serving(self) -> int | None:
+        """Stops accepting; returns a descriptor of the peers' socket for the other process, or None."""
 
     def retire(self, exporter: StateExporter) -> None:
-        """Grant nothing more, and notify the other process of what is still in flight."""
+        """Stops granting, and from now on notifies the other process about what is still in flight."""
 
     def pass_on(self, pass_on: PassOn) -> None:
-        """Give the clients' connections to the other process."""
+        """Passes the clients' connections to the other process."""
 
-    def is_vacant(self) -> bool:
-        """Whether no request is open here and no client connected."""
+    def is_drained(self) -> bool:
+        """Returns whether no request is open here and no client is connected."""
 
-    async def unfreeze(self) -> None:
-        """Serve on: the other process is gone, or never came to serve."""
+    async def resume_serving(self) -> None:
+        """Serves again after the other process ended, or failed to take over."""
 
 
 class HandoverSide:
-    """What both sides have: one link, one timer, packets read, actions carried out in order."""
+    """Holds the link and the timer of one side, reads packets, and carries out actions in order."""
 
-    def __init__(self, gateway: Serving) -> None:
+    def __init__(self, gateway: ServingGateway) -> None:
         self._gateway = gateway
         self._loop = asyncio.get_running_loop()
         self._link: Link | None = None
@@ -58,7 +59,7 @@
         raise NotImplementedError
 
     def _packet_received(self, packet: wire.Packet, descriptor: int | None) -> None:
-        """Owns the descriptor. Raises `WireError`."""
+        """Handles one packet and owns its descriptor. Raises `WireError`."""
         raise NotImplementedError
 
     def _execute_all(self, actions: Actions) -> None:
@@ -66,7 +67,7 @@
             self._start_timer(wait_s)
             self._execute(action)
 
-    def _connect(self, link_socket: socket.socket) -> None:
+    def _open_link(self, link_socket: socket.socket) -> None:
         self._link = Link(link_socket, self._received, lambda: self._handle(Event.CONNECTION_LOST))
 
     def _received(self, data: bytes, descriptor: int | None) -> None:
@@ -79,7 +80,7 @@
             self._handle(Event.INVALID_MESSAGE)
 
     def _start_timer(self, wait_s: float) -> None:
-        """Stop the timer, and start it anew unless `wait_s` is 0."""
+        """Stops the timer, and starts it again unless `wait_s` is 0."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -87,7 +88,7 @@
             self._timer = self._loop.call_later(wait_s, self._handle, Event.TIMED_OUT)
 
     def _send(self, kind: Kind, body: bytes = b"", descriptor: int | None = None) -> bool:
-        """Send a packet; False where there is no connection. Owns the descriptor."""
+        """Sends a packet and owns the descriptor; returns False if there is no connection."""
         if self._link is None:
             if descriptor is not None:
                 os.close(descriptor)
@@ -97,7 +98,7 @@
     def _send_hello(self) -> None:
         self._send(Kind.HELLO, self._gateway.config.name.encode())
 
-    def _disconnect(self) -> None:
+    def _close_link(self) -> None:
         link = self._link
         self._link = None
         if link is not None:
--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -1,6 +1,8 @@
-"""The state that an old process hands over to a new one, and its messages on what ends afterwards.
+"""Exports the state that an old process hands over, and restores it in the new process.
 
-May know: the gateway, the decision module's snapshot, the handover's layout. May not know: sockets, steps.
+After the export, messages report each attempt and request of the old process that starts or ends. This module
+may depend on the gateway, the decision module's snapshot and the layout of the handover's messages, not on
+sockets or the steps of a handover.
 """
 
 from __future__ import annotations
@@ -20,27 +22,27 @@
 from ..decide.events import AttemptEnded, Event, Outcome
 from ..handover import wire
 
-NUMBER_OFFSET = 1 << 32  # of the new process's requests: no number stands for one of each process
+NUMBER_OFFSET = 1 << 32  # added to the new process's request numbers, so that none is used by both processes
 
 
 class AcceptedRequest(Protocol):
-    """A request that was accepted and may still owe an answer."""
+    """Describes an accepted request that is kept until its last attempt has ended."""
 
     @property
     def call(self) -> Call:
-        """What was asked for."""
+        """The client's call."""
 
     @property
     def is_closed(self) -> bool:
-        """Whether its final answer was given."""
+        """Whether the request has its final answer."""
 
     @property
     def attempts_in_flight(self) -> Mapping[int, Attempt]:
-        """Its attempts at backends, by index."""
+        """The request's attempts in flight, by index."""
 
 
 class HandoverGateway(Protocol):
-    """What the state of a handover is read from and restored to; a gateway is one."""
+    """Describes what a handover's state is read from and restored to; `Gateway` implements it."""
 
     config: Config
     now: Clock
@@ -53,29 +55,29 @@
 
     @property
     def requests(self) -> Mapping[int, AcceptedRequest]:
-        """By number."""
+        """The accepted requests by number."""
 
     def class_names(self) -> tuple[str, ...]:
-        """By number."""
+        """Returns the names of the classes by number."""
 
     def next_number(self) -> int:
-        """The number of the next request; it is used up."""
+        """Returns the number of the next request and consumes it."""
 
     def continue_numbers(self, numbers: Iterator[int]) -> None:
-        """Where the next requests' numbers come from."""
+        """Takes the numbers of the next requests from this iterator."""
 
     def share_descriptors(self, clients: int, backends: int) -> None:
-        """Descriptors that the other process holds."""
+        """Lowers the limits by the descriptors that the other process holds."""
 
     def handle(self, event: Event, number: int = 0) -> None:
-        """One event for the decision module."""
+        """Passes an event to the decision module."""
 
 
 class HandoverState(msgspec.Struct, frozen=True):
-    """The complete state; its fields go over the wire under the names given.
+    """Holds the complete state; on the wire its fields have the names given with `name`.
 
-    `clock_base_ns` is the base of the clock that all times are by; `open_request_ids` are by number;
-    `client_descriptors` and `backend_descriptors` are those that the old process still holds.
+    `clock_base_ns` is the base of the clock of all times in the state, `open_request_ids` are pairs of number
+    and id, `client_descriptors` and `backend_descriptors` count those that the old process still holds.
     """
 
     decision_state: snapshot.Plain = msgspec.field(name="module")
@@ -87,9 +89,9 @@
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """What became of a request or attempt that the old process had accepted.
+    """Reports that an attempt of the old process was sent or has ended, or that a request was closed.
 
-    Its fields go over the wire under the names given.
+    On the wire its fields have the names given with `name`.
     """
 
     kind: Literal["sent", "ended", "closed"] = msgspec.field(name="what")
@@ -106,32 +108,32 @@
 
 
 class StateExporter:
-    """The old process's side."""
+    """Encodes the old process's state, and reports what happens after the export."""
 
-    def __init__(self, table: HandoverGateway, send: Callable[[bytes], object]) -> None:
-        """`send` takes packets for the new process."""
-        self._table = table
+    def __init__(self, gateway: HandoverGateway, send: Callable[[bytes], object]) -> None:
+        """Creates an exporter; `send` takes the packets for the new process."""
+        self._gateway = gateway
         self._send_packet = send
 
     def export(self) -> bytes:
-        """The complete state at this time, encoded."""
-        table = self._table
+        """Returns the complete present state, encoded."""
+        gateway = self._gateway
         in_flight = {
             (number, index): attempt.backend
-            for number, request in table.requests.items()
+            for number, request in gateway.requests.items()
             for index, attempt in request.attempts_in_flight.items()
         }
         open_request_ids = [
             (number, request.call.request_id)
-            for number, request in table.requests.items()
+            for number, request in gateway.requests.items()
             if not request.is_closed
         ]
         return wire.encode(
             HandoverState(
-                snapshot.export_state(table.broker, table.class_names(), in_flight),
-                table.now.base_ns,
+                snapshot.export_state(gateway.broker, gateway.class_names(), in_flight),
+                gateway.now.base_ns,
                 open_request_ids,
-                table.next_number(),
+                gateway.next_number(),
                 len(open_request_ids),
                 len(in_flight),
             )
@@ -141,7 +143,7 @@
         self._send_packet(wire.pack(wire.Kind.PROGRESS, wire.encode(progress)))
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """An attempt starts here after the state was exported."""
+        """Reports an attempt that starts here after the export; health checks are not reported."""
         call = attempt.call
         if call is None:
             return
@@ -151,15 +153,15 @@
                 attempt.request,
                 attempt.index,
                 attempt.backend,
-                request_class=self._table.class_names()[call.request_class],
-                plan=self._table.broker.settings.plans[call.plan].name,
+                request_class=self._gateway.class_names()[call.request_class],
+                plan=self._gateway.broker.settings.plans[call.plan].name,
                 tenant=call.tenant,
                 units=call.units,
             )
         )
 
     def ended(self, event: AttemptEnded) -> None:
-        """An attempt that was still in flight has ended."""
+        """Reports that an attempt which was in flight has ended."""
         self._send(
             Progress(
                 "ended",
@@ -173,35 +175,35 @@
         )
 
     def closed(self, number: int) -> None:
-        """A request that was open has its final answer."""
+        """Reports that an open request has its final answer."""
         self._send(Progress("closed", number))
 
 
 class StateImporter:
-    """The new process's side."""
+    """Restores the old process's state in the new process, and applies the reports that follow."""
 
-    def __init__(self, table: HandoverGateway) -> None:
-        self._table = table
-        self._request_ids: dict[int, bytes] = {}  # of the old process's open requests, by number
-        # The old process's attempts in flight, by request's number and index, with the backend of each.
+    def __init__(self, gateway: HandoverGateway) -> None:
+        self._gateway = gateway
+        self._request_ids: dict[int, bytes] = {}  # ids of the old process's open requests, by number
+        # This maps the request's number and the index of each attempt in flight there to its backend.
         self._in_flight: dict[tuple[int, int], int] = {}
 
     def restore(self, encoded: bytes) -> None:
-        """Take up the complete state; raises `WireError` or `ValueError` before anything is changed."""
+        """Restores the complete state; raises `WireError` or `ValueError` before anything is changed."""
         state: HandoverState = wire.decode(encoded, HandoverState)
-        table = self._table
-        snapshot_restore.restore_state(table.broker, state.decision_state, table.class_names())
-        table.now.base_ns = state.clock_base_ns
+        gateway = self._gateway
+        snapshot_restore.restore_state(gateway.broker, state.decision_state, gateway.class_names())
+        gateway.now.base_ns = state.clock_base_ns
         self._in_flight = {
             (number, index): backend for number, index, backend, *_ in state.decision_state["out"]
         }
         self._request_ids = dict(state.open_request_ids)
-        table.open_request_ids.update(self._request_ids.values())
-        table.continue_numbers(count(state.next_number + NUMBER_OFFSET))
-        table.share_descriptors(state.client_descriptors, state.backend_descriptors)
+        gateway.open_request_ids.update(self._request_ids.values())
+        gateway.continue_numbers(count(state.next_number + NUMBER_OFFSET))
+        gateway.share_descriptors(state.client_descriptors, state.backend_descriptors)
 
     def progressed(self, body: bytes) -> None:
-        """Take up one message of the old process; raises `WireError`."""
+        """Applies one report of the old process; raises `WireError`."""
         progress: Progress = wire.decode(body, Progress)
         key = progress.request, progress.attempt
         match progress.kind:
@@ -213,10 +215,10 @@
             case "closed":
                 request_id = self._request_ids.pop(progress.request, None)
                 if request_id is not None:
-                    self._table.open_request_ids.discard(request_id)
+                    self._gateway.open_request_ids.discard(request_id)
 
     def _mirror(self, progress: Progress) -> None:
-        """Have the decision module count an attempt of the old process."""
+        """Has the decision module count an attempt of the old process as in flight."""
         attempt = snapshot.AttemptElsewhere(
             progress.request,
             progress.attempt,
@@ -226,12 +228,12 @@
             progress.tenant,
             progress.units,
         )
-        snapshot_restore.count_attempt_elsewhere(self._table.broker, self._table.class_names(), attempt)
+        snapshot_restore.count_attempt_elsewhere(self._gateway.broker, self._gateway.class_names(), attempt)
 
     def _attempt_ended(self, progress: Progress) -> None:
         is_known = progress.outcome in Outcome.__members__.values()
         outcome = Outcome(progress.outcome) if is_known else Outcome.ERROR
-        names = self._table.config.settings.load_report_names
+        names = self._gateway.config.settings.load_report_names
         report = progress.load_report if len(progress.load_report) == len(names) else ()
         key = progress.request, progress.attempt
         self._end(key, progress.backend, outcome, progress.elapsed_ns, report)
@@ -241,13 +243,13 @@
     ) -> None:
         number, index = key
         event = AttemptEnded(number, True, 0, backend, 0, outcome, elapsed_ns, index, report)
-        self._table.handle(event)
+        self._gateway.handle(event)
 
     def predecessor_gone(self) -> None:
-        """The old process is gone, and its attempts in flight and open requests with it."""
+        """Ends the attempts and closes the requests of the old process, which has ended."""
         while self._in_flight:
             key, backend = self._in_flight.popitem()
             self._end(key, backend, Outcome.CANCELLED, 0, ())
         while self._request_ids:
-            self._table.open_request_ids.discard(self._request_ids.popitem()[1])
-        self._table.share_descriptors(0, 0)
+            self._gateway.open_request_ids.discard(self._request_ids.popitem()[1])
+        self._gateway.share_descriptors(0, 0)
--- a/trackspread/node/membership_part.py
+++ b/trackspread/node/membership_part.py
@@ -1,6 +1,6 @@
-"""The gateway's part in the fleet's view: the operator's table to a host, and what operators ask of it.
+"""Makes the gateway a member of the fleet, by the operator's `fleet` table, and reports the fleet's view.
 
-May know: configuration, the view. Decides nothing.
+This module may depend on configuration and the view. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -25,17 +25,19 @@
 from .fleet_view_part import FleetViewPart
 from .random_seed import random_seed
 
-READY_TIMEOUT_S = 5.0  # of a start's wait for an allocation: over an election; what needs none is served then
+# A start waits this long for slots, which is longer than an election takes. Afterwards requests that need no
+# slots are served.
+READY_TIMEOUT_S = 5.0
 READY_POLL_S = 0.02
 
 
 def gateway_number(name: str) -> int:
-    """The number by which the decision module knows a gateway: the same everywhere, 32 bits."""
+    """Returns the 32-bit number of a gateway in the decision module, which is the same at all gateways."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 class MembershipPart(FleetViewPart[Host]):
-    """The gateway's part in the view of the fleet."""
+    """Runs the gateway's membership of the fleet, and reports changes of the fleet."""
 
     unavailable = "takes no part in the fleet at this moment\n"
 
@@ -44,41 +46,42 @@
         name: str,
         fleet: Fleet,
         now: Callable[[], int],
-        place: ListPosition = (0, 1),
+        list_position: ListPosition = (0, 1),
         changed: Callable[[FleetChanged], None] = lambda event: None,
         message_received: Callable[[int, bytes], None] = lambda sender, data: None,
     ) -> None:
-        """`place`: in the platform's list of gateways, and how many that has.
+        """Checks the settings; raises `ConfigError`.
 
-        `changed` is called with the fleet whenever it differs, `message_received` with another gateway's
-        number and message. Raises `ConfigError`.
+        `list_position` is the gateway's index in the platform's list of gateways and the length of that list.
+        `changed` is called whenever the fleet changes, `message_received` with another gateway's number and
+        message.
         """
         super().__init__(name, fleet, now)
         self._number = gateway_number(name)
-        self._place = place
+        self._list_position = list_position
         self._changed = changed
         self._message_received = message_received
-        self._names: dict[int, str] = {}  # of the other gateways, by number
-        self._peer_slots: dict[int, int] = {}  # slots that each says it holds, by number
-        count = place[1]
-        self._place_slots = tuple(slots_of((index, count)) for index in range(count))
-        self._last = FleetChanged(self._number, (), (self._number,), self._place_slots, 0, (), 0, 0)
-
-    def begin(self) -> None:
-        """Report an empty fleet: no shared quota is used before slots are granted."""
+        self._names: dict[int, str] = {}  # names of the other gateways, by number
+        self._peer_slots: dict[int, int] = {}  # slots that the other gateways report to hold, by number
+        count = list_position[1]
+        self._position_slots = tuple(slots_of((index, count)) for index in range(count))
+        self._last = FleetChanged(self._number, (), (self._number,), self._position_slots, 0, (), 0, 0)
+
+    def report_empty_fleet(self) -> None:
+        """Reports an empty fleet, so that no shared quota is used before slots are granted."""
         self._changed(self._last)
 
     async def wait_until_ready(self) -> None:
-        """Return once slots are granted, or after `READY_TIMEOUT_S`."""
+        """Returns once slots are granted, or after `READY_TIMEOUT_S`."""
         loop = asyncio.get_running_loop()
-        give_up_at_s = loop.time() + READY_TIMEOUT_S
+        deadline_s = loop.time() + READY_TIMEOUT_S
         while self.host is not None and not self.host.core.usable_slots(self._now()):
-            if loop.time() >= give_up_at_s:
+            if loop.time() >= deadline_s:
                 return
             await asyncio.sleep(READY_POLL_S)
 
     def send(self, to: int | None, data: bytes) -> None:
-        """Send a message to one gateway by its number, or to all."""
+        """Sends a message to the gateway with number `to`, or to all if it is None."""
         if self.host is None:
             return
         if to is None:
@@ -95,12 +98,13 @@
             self._message_received(sender, data)
 
     def _report_changes(self) -> None:
-        """Report the fleet as it is now, unless it is as last reported."""
+        """Reports the present fleet, if it differs from the last one reported."""
         if self.host is None:
             return
         members = self.host.core.member_table
         peers = {gateway_number(peer.update.name): peer.update for peer in members.present()}
-        peers.pop(self._number, None)  # of two names with one number, one gets no messages: that is safe
+        # If two names have the same number, one of the gateways gets no messages, which is safe.
+        peers.pop(self._number, None)
         slow = {number for number, update in peers.items() if update.slow}
         if members.own_update.slow:
             slow.add(self._number)
@@ -114,14 +118,14 @@
     def _fleet_event(self, host: Host, others: tuple[int, ...], slow: set[int]) -> FleetChanged:
         lease = host.core.lease
         slots, until_ns = (0, 0) if host.core.has_left else (lease.granted_slots, lease.valid_until_ns)
-        everybody = tuple(sorted((self._number, *others)))
-        owners = tuple(number for number in everybody if number not in slow) or everybody
+        all_gateways = tuple(sorted((self._number, *others)))
+        owners = tuple(number for number in all_gateways if number not in slow) or all_gateways
         peer_slots = tuple(self._peer_slots.get(number, 0) for number in others)
         return FleetChanged(
             self._number,
             others,
             owners,
-            self._place_slots,
+            self._position_slots,
             slots,
             peer_slots,
             until_ns,
@@ -159,19 +163,19 @@
             program_version(),
             int(fleet.period_ms * MS),
             fleet.most,
-            self._place,
+            self._list_position,
             int(fleet.keep_s * SECOND),
         )
 
     def close(self, leave: bool = True) -> None:
-        """Take part no more; `leave` False: another process goes on under this name."""
+        """Ends the membership; with `leave` False another process continues under this name."""
         if self.host is not None:
             self.host.close(leave)
             self._report_changes()
             self.host = None
 
     def report(self) -> FleetReport | None:
-        """The fleet's view as it is now; None while this gateway takes no part."""
+        """Returns the fleet's present view, or None while this gateway is not a member."""
         if self.host is None:
             return None
         return fleet_report(self._now(), self.host.core, self.host.counts, self.host.wire.dropped)
--- a/trackspread/node/optional_parts.py
+++ b/trackspread/node/optional_parts.py
@@ -1,7 +1,7 @@
-"""The parts of a gateway that an operator's file turns on.
+"""Creates the parts of a gateway that the operator's file turns on.
 
-Each is imported only where it is turned on: it would take memory otherwise. May know: the parts and their
-settings. Decides nothing.
+A part is imported only if it is turned on, because its modules take memory. This module may depend on the
+parts and their settings. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartContext:
-    """What the parts are given of their gateway."""
+    """Holds what the parts need of their gateway."""
 
     config: Config
     operator: Operator
@@ -42,10 +42,10 @@
 
 
 class OptionalParts:
-    """The parts that are turned on, None for each that is not."""
+    """Holds the parts that are turned on, and None for each that is not."""
 
     def __init__(self, context: PartContext) -> None:
-        """Raises `ConfigError`."""
+        """Creates the parts; raises `ConfigError`."""
         self.membership = _make_membership(context)
         self.cell = _make_cell(context)
         self.configuration = _make_configuration(context)
@@ -55,20 +55,20 @@
 
     @property
     def fleet_view(self) -> MembershipPart | CellPart | None:
-        """The view that this gateway takes part in."""
+        """The part for the view of the fleet or of a cell, or None."""
         return self.membership or self.cell
 
     def admin_routes(self) -> Routes:
-        """What operators can ask of the parts, by path."""
-        answers: Routes = {}
+        """Returns the parts' functions that answer at the admin server, by path."""
+        routes: Routes = {}
         if self.fleet_view is not None:
-            answers[b"/fleet"] = self.fleet_view.answer
+            routes[b"/fleet"] = self.fleet_view.answer
         if self.configuration is not None:
-            answers[b"/configuration"] = self.configuration.answer
-        return answers
+            routes[b"/configuration"] = self.configuration.answer
+        return routes
 
     async def start_records(self) -> None:
-        """Start what requests need from the first on: usage records, plans, the quota counter."""
+        """Starts the parts that the first request needs: usage records, plans and the quota counter."""
         if self.usage is not None:
             self.usage.start()
         if self.plan_registry is not None:
@@ -76,23 +76,23 @@
         if self.quota_counter is not None:
             await self.quota_counter.start()
 
-    async def start_fleet(self, patience_s: float, wait_until_ready: bool) -> None:
-        """Take part in the fleet.
+    async def start_fleet(self, bind_timeout_s: float, wait_until_ready: bool) -> None:
+        """Joins the fleet, its cell and the distribution of configuration; raises `OSError`.
 
-        `patience_s`: how long a process that hands over may still hold the addresses. `wait_until_ready`: for
-        the slots of shared quotas. Raises `OSError`.
+        A process that hands over may still hold the addresses, so binding is retried for `bind_timeout_s`.
+        With `wait_until_ready` this waits for the slots of shared quotas.
         """
         if self.membership is not None:
-            await self.membership.start(patience_s)
+            await self.membership.start(bind_timeout_s)
             if wait_until_ready:
                 await self.membership.wait_until_ready()
         if self.cell is not None:
-            await self.cell.start(patience_s)
+            await self.cell.start(bind_timeout_s)
         if self.configuration is not None:
-            await self.configuration.start(patience_s)
+            await self.configuration.start(bind_timeout_s)
 
     def close_fleet(self, leave: bool) -> None:
-        """Take part in the fleet no more; `leave` False: another process goes on under this name."""
+        """Ends these memberships; with `leave` False another process continues under this name."""
         if self.membership is not None:
             self.membership.close(leave=leave)
         if self.cell is not None:
@@ -101,14 +101,14 @@
             self.configuration.close()
 
     async def stop_records(self) -> None:
-        """Stop the quota counter and the usage records, once no request is open."""
+        """Stops the quota counter and the usage records; no request may be open any more."""
         if self.quota_counter is not None:
             await self.quota_counter.close()
         if self.usage is not None:
             await self.usage.stop()
 
     def replace_keys(self, fleet: Fleet) -> None:
-        """Read the fleet's keys again; raises `ConfigError`, and the present ones stay in force."""
+        """Reads the fleet's keys again; if it raises `ConfigError`, the present ones stay in force."""
         if self.fleet_view is None:
             return
         self.fleet_view.replace_keys(fleet)
@@ -116,7 +116,7 @@
             self.configuration.replace_keys(fleet)
 
     def record_usage(self, call: Call, ending: Ending, attempts: int) -> None:
-        """One request's final answer, where usage is recorded."""
+        """Records a request's final answer, if usage is recorded."""
         if self.usage is not None:
             plan_version = self.plan_registry.version if self.plan_registry is not None else 0
             self.usage.record(call, ending, attempts, plan_version)
--- a/trackspread/node/plan_registry_part.py
+++ b/trackspread/node/plan_registry_part.py
@@ -1,7 +1,7 @@
-"""The gateway's side of the plan registry: reads the file and puts each version in force when it is due.
+"""Reads the plan registry's file, and applies each version of the plans' limits when it is due.
 
-May know: the registry, configuration, the loop. Decides nothing. A registry that cannot be read changes
-nothing and is logged once; the limits in force stay.
+A registry that cannot be read is logged once, and the limits in force stay. This module may depend on the
+registry, configuration and the event loop. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_S = 1.0  # of the file: under a fifth of the notice that a version has
+POLL_INTERVAL_S = 1.0  # between reads of the file; under a fifth of the notice with which a version is added
 NS_PER_MS = 1_000_000
 MS_PER_S = 1000
 
 
 class PlanRegistryPart:
-    """Follows the registry's file; `version` is that of the limits in force, 0 for the platform's."""
+    """Follows the registry's file; `version` is the version in force, 0 for the platform's limits."""
 
     def __init__(self, path: Path, config: Config, changed: Callable[[PlansChanged], None]) -> None:
-        """`changed` is called with the plans, by index, whenever other limits come into force."""
+        """Creates the part; `changed` is called with the plans whenever other limits come into force."""
         self.version = 0
         self._path = path
         self._changed = changed
@@ -39,21 +39,21 @@
         self._platform_plans = config.settings.plans
         self._plans = config.settings.plans
         self._follower = VersionFollower()
-        self._last_read: tuple[int, int, int] | None = None  # the file's mtime, size and inode
+        self._last_read: tuple[int, int, int] | None = None  # mtime, size and inode of the file
         self._logged_fault = ""
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Read the file now, and from now on."""
+        """Reads the file, and starts to poll it."""
         self._poll()
 
     def stop(self) -> None:
-        """Follow the file no more."""
+        """Stops polling the file."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _poll(self) -> None:
-        """Run once a second, and at the time at which the next version is due."""
+        """Reads the file and applies what is due; runs every second and when the next version is due."""
         self._read()
         now_ms = _now_ms()
         due = self._follower.take_due(now_ms)
@@ -87,7 +87,7 @@
         except (OSError, DocumentError) as error:
             reason = (error.strerror if isinstance(error, OSError) else None) or str(error)
             if reason != self._logged_fault:
-                log.warning("plans: %s: %s; the limits in force stay", self._path, reason)
+                log.warning("plans: %s cannot be read: %s; the limits in force stay", self._path, reason)
             self._logged_fault = reason
             return
         self._last_read = identity
@@ -95,8 +95,8 @@
         self._follower.set_registry(registry)
 
     def _put_in_force(self, version: Version | None, late_ms: int) -> None:
-        named = zip(self._platform_plans, self._names, strict=True)
-        self._plans = tuple(_limits_of(plan, version, name) for plan, name in named)
+        plans_and_names = zip(self._platform_plans, self._names, strict=True)
+        self._plans = tuple(_with_limits(plan, version, name) for plan, name in plans_and_names)
         self.version = version.number if version is not None else 0
         log.warning("plans: version %d is in force, %d ms after it was due", self.version, late_ms)
 
@@ -105,17 +105,17 @@
     return time.time_ns() // NS_PER_MS
 
 
-def _limits_of(plan: Plan, version: Version | None, name: str) -> Plan:
-    """The plan with the version's limits, where that has some for it."""
-    figures = version.plans.get(name) if version is not None else None
-    if figures is None:
+def _with_limits(plan: Plan, version: Version | None, name: str) -> Plan:
+    """Returns the plan with the version's limits, or the plan itself if the version has none for it."""
+    limits = version.plans.get(name) if version is not None else None
+    if limits is None:
         return plan
     return replace(
         plan,
-        rate_per_s=figures.rate,
-        burst_units=figures.burst,
-        concurrency_limit=figures.open_limit,
-        hard_limit_per_s=figures.ceiling_rate,
-        hard_limit_burst_units=figures.ceiling_burst,
-        hard_limit_slack_units=figures.ceiling_slack,
+        rate_per_s=limits.rate,
+        burst_units=limits.burst,
+        concurrency_limit=limits.open_limit,
+        hard_limit_per_s=limits.ceiling_rate,
+        hard_limit_burst_units=limits.ceiling_burst,
+        hard_limit_slack_units=limits.ceiling_slack,
     )
--- a/trackspread/node/predecessor.py
+++ b/trackspread/node/predecessor.py
@@ -1,6 +1,7 @@
-"""The old process's side of a handover: what each step does at its gateway.
+"""Carries out the old process's side of a handover at its gateway.
 
-May know: the gateway, the steps (`handover/states.py`), the link. Decides nothing: the steps do.
+This module may depend on the gateway, the steps (`handover/states.py`) and the link. It makes no decisions;
+the steps do.
 """
 
 from __future__ import annotations
@@ -11,46 +12,48 @@
 from collections.abc import Callable
 
 from ..handover import wire
-from ..handover.link import Rendezvous
+from ..handover.link import HandoverSocket
 from ..handover.states import Action, Event, PredecessorStep, PredecessorSteps
 from ..handover.wire import Kind, WireError
-from .handover_side import HandoverSide, Serving
+from .handover_side import HandoverSide, ServingGateway
 from .handover_state import StateExporter
 
 log = logging.getLogger(__name__)
 
-VACANT_POLL_S = 0.02  # between checks whether all requests that the old process accepted are over
+DRAIN_POLL_INTERVAL_S = 0.02  # between checks whether the old process has no request and no client left
 
 
 class Predecessor(HandoverSide):
-    """The process that serves, towards any that comes to take over."""
+    """Runs the serving process's side, towards any new process that connects to take over."""
 
-    def __init__(self, gateway: Serving, rendezvous: Rendezvous, vacated: Callable[[], None]) -> None:
-        """`vacated` is called once another process serves and no request is open here."""
+    def __init__(
+        self, gateway: ServingGateway, handover_socket: HandoverSocket, on_drained: Callable[[], None]
+    ) -> None:
+        """Creates the side; `on_drained` is called once a new process serves and no request is open here."""
         super().__init__(gateway)
-        self._rendezvous = rendezvous
-        self._vacated = vacated
+        self._handover_socket = handover_socket
+        self._on_drained = on_drained
         self._steps = PredecessorSteps()
         self._exporter = StateExporter(gateway, self._send_packet)
-        self._vacant_poll: asyncio.TimerHandle | None = None
+        self._drain_poll: asyncio.TimerHandle | None = None
         self._resuming: asyncio.Task[None] | None = None
 
     def listen(self) -> None:
-        """Let newer processes connect; where that is not possible, serve on without them."""
+        """Lets newer processes connect; if that is not possible, logs it and serves without handovers."""
         try:
-            self._rendezvous.listen(self._accept)
+            self._handover_socket.listen(self._accept)
         except OSError as error:
-            log.error("handover: no newer process can take over: %s", error)
+            log.error("handover: no newer process can take over, as the socket cannot be opened: %s", error)
 
     @property
     def has_handed_over(self) -> bool:
-        """Whether a newer process serves."""
+        """Whether a newer process serves in place of this one."""
         return self._steps.step is PredecessorStep.HANDED_OVER
 
     def _accept(self) -> None:
-        """Take one new process at a time: the others wait in the socket's backlog."""
-        if self._link is None and (accepted := self._rendezvous.accept()) is not None:
-            self._connect(accepted)
+        """Accepts one new process at a time; the others wait in the socket's backlog."""
+        if self._link is None and (accepted := self._handover_socket.accept()) is not None:
+            self._open_link(accepted)
 
     def _send_packet(self, packet: bytes) -> None:
         if self._link is not None:
@@ -67,14 +70,14 @@
             case Kind.TAKEN:
                 self._handle(Event.TAKEN_OVER)
             case _:
-                raise WireError(f"{packet.kind.name} out of turn")
+                raise WireError(f"{packet.kind.name} is not a valid packet for the old process")
 
     def _is_sending(self) -> bool:
         return self._steps.step is PredecessorStep.SENDING
 
     def _handle(self, event: Event) -> None:
         if event is Event.TIMED_OUT and self._is_sending() and self._link is not None:
-            # A TAKEN that is written from here on fails; one that was written before is read first.
+            # From here on the new process cannot write TAKEN; a TAKEN that it wrote before is read first.
             self._link.end_reading()
             if not self._is_sending():
                 return
@@ -90,16 +93,16 @@
             case Action.PASS_CLIENTS:
                 log.info("handover: the newer process serves")
                 self._gateway.pass_on(lambda descriptor, rest: self._send(Kind.CLIENT, rest, descriptor))
-                self._poll_vacant()
+                self._poll_drained()
             case Action.RESUME:
-                log.warning("handover: the newer process did not take over, this one serves on")
+                log.warning("handover: the newer process did not take over, this process continues to serve")
                 self._resume()
             case Action.DISCONNECT:
-                self._disconnect()
+                self._close_link()
                 self._loop.call_soon(self._accept)
 
     def _send_state(self) -> None:
-        descriptor = self._gateway.freeze()
+        descriptor = self._gateway.stop_serving()
         state = self._exporter.export()
         for packet in wire.state_packets(state):
             self._send_packet(packet)
@@ -109,23 +112,23 @@
 
     def _resume(self) -> None:
         self._cancel_poll()
-        self._resuming = self._loop.create_task(self._gateway.unfreeze())
+        self._resuming = self._loop.create_task(self._gateway.resume_serving())
 
-    def _poll_vacant(self) -> None:
-        if self._gateway.is_vacant():
-            log.info("handover: no request is open here any more")
-            self._vacated()
+    def _poll_drained(self) -> None:
+        if self._gateway.is_drained():
+            log.info("handover: the last request and client connection of this process have ended")
+            self._on_drained()
             return
-        self._vacant_poll = self._loop.call_later(VACANT_POLL_S, self._poll_vacant)
+        self._drain_poll = self._loop.call_later(DRAIN_POLL_INTERVAL_S, self._poll_drained)
 
     def _cancel_poll(self) -> None:
-        if self._vacant_poll is not None:
-            self._vacant_poll.cancel()
-            self._vacant_poll = None
+        if self._drain_poll is not None:
+            self._drain_poll.cancel()
+            self._drain_poll = None
 
     def close(self) -> None:
-        """End the connection and the listening for newer processes."""
+        """Closes the connection and stops listening for newer processes."""
         self._cancel_poll()
         self._start_timer(0.0)
-        self._disconnect()
-        self._rendezvous.close()
+        self._close_link()
+        self._handover_socket.close()
--- a/trackspread/node/quota_counter_part.py
+++ b/trackspread/node/quota_counter_part.py
@@ -1,7 +1,7 @@
-"""The gateway's side of a shared quota counter: settings to a host, requests to the quota client.
+"""Connects the gateway to a shared quota counter, and answers operators' queries about a tenant.
 
-It also answers operators' queries about a tenant. May know: calls, configuration, the decision module's
-accounts to show them. Decides nothing.
+This module may depend on calls, configuration and, for the queries, the decision module's accounts. It makes
+no decisions.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 log = logging.getLogger(__name__)
 
 MAX_QUERY_BYTES = 256
-QUERY_TIMEOUT_S = 5.0  # until a query is read and its answer is taken
+QUERY_TIMEOUT_S = 5.0  # for reading a query and writing its answer
 NS_PER_MS = 1_000_000
 
 
 def counter_access(counter: Counter) -> Credentials:
-    """What the servers ask for: TLS, user and password; raises `ConfigError`."""
+    """Returns the credentials for the counter's servers: TLS, user and password; raises `ConfigError`."""
     context = None
     try:
         if counter.tls:
@@ -56,17 +56,17 @@
 
 
 def _remove_stale_socket(path: str) -> None:
-    """Remove a socket that an earlier process left; raises `ConfigError` where something else is there."""
+    """Removes a socket that an earlier process left; raises `ConfigError` if the path is something else."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
-            raise ConfigError(f"counter.status: found {path!r}, which is no socket, wanted a path of its own")
+            raise ConfigError(f"counter.status: must be a socket or an unused path, got {path!r}")
         os.unlink(path)
     except FileNotFoundError:
         pass
 
 
 class QuotaCounterPart:
-    """The gateway's part in a counter that several gateways share."""
+    """Runs the gateway's client of the shared quota counter, and the socket for operators' queries."""
 
     def __init__(
         self,
@@ -76,12 +76,12 @@
         module: Module,
         handle: Callable[[Event], None],
     ) -> None:
-        """`handle` takes the events for the decision module. Raises `ConfigError`."""
+        """Creates the client; `handle` passes events to the decision module. Raises `ConfigError`."""
         self._counter = counter
         self._now = now
         self._module = module
         self._server: asyncio.Server | None = None
-        seed = config.seed ^ random_seed()  # a name may start twice from one configuration
+        seed = config.seed ^ random_seed()  # two processes may start from the same configuration
         self.client = QuotaClient(
             config.settings,
             counter.partitions,
@@ -102,7 +102,7 @@
         )
 
     async def start(self) -> None:
-        """Connect to the servers and open the socket for queries."""
+        """Connects to the servers and opens the socket for queries."""
         self.host.start()
         if path := self._counter.status:
             _remove_stale_socket(path)
@@ -110,7 +110,7 @@
             os.chmod(path, 0o600)
 
     async def close(self) -> None:
-        """Close the socket for queries and the connections to the servers."""
+        """Closes the socket for queries and the connections to the servers."""
         if self._server is not None:
             self._server.close()
             with suppress(FileNotFoundError):
@@ -118,9 +118,9 @@
         await self.host.close()
 
     def request_arrived(self, call: Call) -> None:
-        """Prepare the tenant's lease before the request is decided.
+        """Prepares the tenant's lease before the decision on the request.
 
-        A fault here must not cost the request: it is decided by what is cached.
+        An exception here must not fail the request, which is then decided by the cached lease.
         """
         try:
             self.host.carry_out(
@@ -129,20 +129,18 @@
                 )
             )
         except Exception:
-            log.exception("quota counter: fault before a request of tenant %016x", call.tenant)
+            log.exception("quota counter: preparing the lease of tenant %016x failed", call.tenant)
 
     def update_plans(self, plans: tuple[Plan, ...]) -> None:
-        """Other limits of the plans, from each tenant's next request on."""
+        """Applies other limits of the plans, from each tenant's next request on."""
         self.client.change_plans(plans)
 
     def request_allocation(self, tenant: int) -> None:
-        """The decision module wants more of the tenant's quota."""
+        """Asks for more of the tenant's quota, which the decision module needs."""
         self.host.carry_out(self.client.on_shortage(self._now(), tenant))
 
-    # For operators.
-
     def report(self, tenant: int) -> TenantReport:
-        """The tenant's lease and account as they are now."""
+        """Returns the present state of the tenant's lease and account."""
         now = self._now()
         account = self._module.quota.accounts.get(tenant)
         if account is not None:
@@ -150,7 +148,7 @@
         return tenant_report(now, self.client.manager, tenant, account, concurrency_cap(self._module, tenant))
 
     async def _answer_query(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read one line with a tenant in hexadecimal digits, write one line of JSON."""
+        """Reads one line with a tenant in hexadecimal digits, and writes one line of JSON."""
         try:
             async with asyncio.timeout(QUERY_TIMEOUT_S):
                 line = (await reader.readline()).strip()
@@ -161,6 +159,6 @@
                 writer.write(answer + b"\n")
                 await writer.drain()
         except (OSError, TimeoutError, ValueError):
-            log.info("quota query: closed before it was read and answered")
+            log.info("quota query: connection closed or timed out before the answer was written")
         finally:
             writer.close()
--- a/trackspread/node/random_seed.py
+++ b/trackspread/node/random_seed.py
@@ -1,4 +1,4 @@
-"""Seeds of the random numbers of cores without I/O."""
+"""Creates seeds for the random numbers of the cores, which do no I/O themselves."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def random_seed() -> int:
-    """A new seed of 64 bits."""
+    """Returns a new random seed of 64 bits."""
     return int.from_bytes(os.urandom(SEED_BYTES))
--- a/trackspread/node/request.py
+++ b/trackspread/node/request.py
@@ -1,4 +1,4 @@
-"""A request that was accepted, and the units of time that it is handled in."""
+"""Defines an accepted request, and the units of time used in handling it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Request:
-    """A request that was accepted, until its final answer and its last attempt's end."""
+    """Holds the state of an accepted request until its final answer and the end of its last attempt."""
 
     __slots__ = (
         "attempt_count",
@@ -26,12 +26,15 @@
     )
 
     def __init__(self, call: Call, slot: Slot, expires_at_ns: int) -> None:
-        """`slot`: where its client waits for the answer; `expires_at_ns`: by the gateway's clock."""
+        """Creates an open request.
+
+        `slot` is the place among its client's answers, `expires_at_ns` the deadline by the gateway's clock.
+        """
         self.call = call
         self.slot = slot
         self.expires_at_ns = expires_at_ns
         self.is_closed = False
         self.attempt_count = 0
-        self.attempts_in_flight: dict[int, Attempt] = {}  # by index
+        self.attempts_in_flight: dict[int, Attempt] = {}  # attempts by index
         self.timer: LagTolerantTimer | None = None
-        self.forwarded_attempt: Attempt | None = None  # whose long value is being forwarded
+        self.forwarded_attempt: Attempt | None = None  # the attempt whose long value is forwarded
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -1,7 +1,7 @@
-"""Requests from their arrival to their end: what happens to them becomes the decision module's events.
+"""Handles requests from their arrival to their end, and reports what happens to them as events.
 
-May know: calls, attempts, deadlines, timers, the module. May not know: where endpoint lists, peers and files
-come from, what a process does at its start and end (`gateway.py`).
+This module may depend on calls, attempts, deadlines, timers and the decision module. It must not depend on
+where endpoint lists, peers and files come from, nor on how a process starts and stops (`gateway.py`).
 """
 
 from __future__ import annotations
@@ -49,15 +49,16 @@
 
 log = logging.getLogger(__name__)
 
-# Before a client's time ends: the way here and back, and a loop that lags.
+# A request ends this long before its client's deadline, because the network round trip and a lagging event
+# loop take time as well.
 DEADLINE_MARGIN_NS = 10 * NS_PER_MS
-# Until a timer whose event met a fault fires again: the module's tick goes on.
+# A timer whose event failed with an exception fires again after this time, so that the module's tick goes on.
 TIMER_RETRY_NS = NS_PER_S // 10
 NO_SERVICES = Services()
 
 
 class RequestHandler:
-    """The requests, and the module that decides on them; a gateway is one with sockets around it."""
+    """Holds the open requests and the decision module; `Gateway` adds the sockets."""
 
     backends: ConnectionPools
     peers: Peers
@@ -72,16 +73,16 @@
         self.roster = Roster.first(config.classes, config.settings.classes)
         self.counters = RequestCounters(config.classes)
         self.requests: dict[int, Request] = {}
-        self.open_request_ids: set[bytes] = set()  # of the requests that still owe an answer
-        self.answer_by_ns: int | None = None  # once stopping: when every request has to be answered
-        # While another process serves in this one's place.
+        self.open_request_ids: set[bytes] = set()  # requests without their final answer
+        self.answer_by_ns: int | None = None  # set by `stop`: every request is answered by then
+        # It is set while another process serves in place of this one.
         self.handover_exporter: StateExporter | None = None
         self._executor = ActionExecutor(self)
-        self._numbers: Iterator[int] = count(1)
-        self._outcomes: Counter[Outcome] = Counter()  # of attempts since the last line on them
+        self._request_numbers: Iterator[int] = count(1)
+        self._outcomes: Counter[Outcome] = Counter()  # attempts' outcomes since the last summary line
 
     def _make_decision_module(self) -> Module:
-        """One broker, or one for each service."""
+        """Returns one broker, or one for each service that the operator's file names."""
         config = self.config
         carried = self.services.carried()
         if not carried:
@@ -92,34 +93,38 @@
 
     @property
     def broker(self) -> Broker:
-        """The only one: where there are several, no other process takes over."""
+        """The only broker.
+
+        A gateway with several services has several brokers, and no handover is possible there.
+        """
         assert isinstance(self.decision_module, Broker), "there is a broker for each service"
         return self.decision_module
 
     def next_number(self) -> int:
-        """The number of the next request; it is used up."""
-        return next(self._numbers)
+        """Returns the number of the next request and consumes it."""
+        return next(self._request_numbers)
 
     def continue_numbers(self, numbers: Iterator[int]) -> None:
-        """Take the next requests' numbers from there."""
-        self._numbers = numbers
+        """Takes the numbers of the next requests from this iterator."""
+        self._request_numbers = numbers
 
     def send_to_peers(self, recipient: int | None, data: bytes) -> None:
-        """Send a message to one other gateway, or to all."""
+        """Sends a message to one other gateway, or to all if `recipient` is None."""
         self.peers.tell(recipient, data)
 
-    # From the clients.
-
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Returns whether requests can be served."""
         return self.backends.has_available_backend()
 
     def take(self, call: Call, slot: Slot, waited: float) -> None:
-        """Accept a request that waited so many seconds here already. Raises `InvalidCall`."""
+        """Accepts a request that has already waited `waited` seconds in this process.
+
+        Raises `InvalidCall` if a request with the same id is open.
+        """
         if call.request_id in self.open_request_ids:
             raise InvalidCall("a request with this id is open")
         now_ns = self.now()
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         expires_at_ns = self._expires_at_ns(call, now_ns, waited)
         request = Request(call, slot, expires_at_ns)
         self.open_request_ids.add(call.request_id)
@@ -147,7 +152,8 @@
         time_ns = min(call.wait_ms * NS_PER_MS, class_deadline_ns)
         expires_at_ns = now_ns + max(0, time_ns - int(waited_s * NS_PER_S) - DEADLINE_MARGIN_NS)
         if self.answer_by_ns is not None:
-            # A backend may hang for all of a late request's time, and this process is killed before its end.
+            # A backend may hang for the whole time of a late request, and this process is killed before that
+            # time ends.
             expires_at_ns = min(expires_at_ns, max(now_ns, self.answer_by_ns))
         return expires_at_ns
 
@@ -156,7 +162,7 @@
         request.timer = LagTolerantTimer(self._loop, delay_s, partial(self.deadline_reached, number))
 
     def left(self, number: int) -> None:
-        """The request's client has left."""
+        """Ends a request whose client has disconnected."""
         request = self.requests.get(number)
         if request is None or request.is_closed:
             return
@@ -165,44 +171,43 @@
         if request.forwarded_attempt is not None:
             self._executor.cancel_soon(request.forwarded_attempt)
         for attempt in list(request.attempts_in_flight.values()):
-            # Whether settings allow to cancel does not matter for what was never written.
+            # An attempt that was never written can be withdrawn even if the settings forbid cancellation.
             self.backends.withdraw(attempt)
 
     def deadline_reached(self, number: int) -> None:
-        """The client's time is up: attempts in flight end, and the request gets an answer in any case."""
+        """Ends a request at its deadline: attempts in flight expire, and an open request is answered."""
         request = self.requests.get(number)
         if request is None:
             return
-        if request.expires_at_ns > self.now():  # timers count in milliseconds and may come early
+        if request.expires_at_ns > self.now():  # timers have a resolution of 1 ms and may fire early
             self._start_deadline_timer(number, request)
             return
         for attempt in list(request.attempts_in_flight.values()):
             self.backends.expire(attempt)
         if not request.is_closed:
-            # The module left it open, perhaps after a fault: a failure promises nothing.
+            # The module left the request open, perhaps after an exception. The answer "failed" is always
+            # safe, because it does not say whether a backend has processed the request.
             self._fail(number, request, "out of time")
             self.handle(ClientDisconnected(number))
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether a client still waits for what this attempt is to bring."""
+        """Returns whether a client still waits for the answer of this attempt."""
         request = self.requests.get(attempt.request)
         return request is not None and not request.is_closed and not request.slot.client.ended()
 
-    # Answers.
-
     def _open_request(self, number: int) -> Request | None:
         request = self.requests.get(number)
         return None if request is None or request.is_closed else request
 
     def reject(self, number: int, retry_after_ns: int) -> None:
-        """Answer that the request is rejected, unless it has its answer."""
+        """Answers that the request is rejected, unless it has been answered."""
         if (request := self._open_request(number)) is not None:
             retry_after_ms = -(-retry_after_ns // NS_PER_MS)
             self._close(number, request, Ending.REFUSED)
             request.slot.refused(request.call, retry_after_ms)
 
     def fail(self, number: int, reason: str) -> None:
-        """Answer that the request failed, unless it has its answer."""
+        """Answers that the request failed, unless it has been answered."""
         if (request := self._open_request(number)) is not None:
             self._fail(number, request, reason)
 
@@ -211,7 +216,7 @@
         request.slot.failed(request.call, reason)
 
     def _close(self, number: int, request: Request, ending: Ending) -> None:
-        """The final answer is given, or its client has left: no other follows."""
+        """Closes a request that has its final answer or whose client has left; no other answer follows."""
         if not request.is_closed:
             request.is_closed = True
             self.counters.count_ended(self.roster.names[request.call.request_class], ending)
@@ -222,29 +227,31 @@
         self._forget_finished(number, request)
 
     def _forget_finished(self, number: int, request: Request) -> None:
-        """Forget a closed request once its last attempt has ended.
+        """Forgets a closed request once its last attempt has ended.
 
-        Until then the timer stays: an unresponsive backend would hold the connection of an attempt whose
-        answer is not waited for, and its place in the module's count, for good.
+        The timer runs until then. Without it, an unresponsive backend would keep the connection of an attempt
+        whose answer nobody waits for, and the module would count the attempt as in flight forever.
         """
         if request.is_closed and not request.attempts_in_flight:
             if request.timer is not None:
                 request.timer.cancel()
             self.requests.pop(number, None)
 
-    # From the backends.
-
     def attempt_starts(self, attempt: Attempt) -> None:
-        """An attempt is about to start."""
+        """Records that an attempt is about to start."""
         if self.handover_exporter is not None:
             self.handover_exporter.attempt_started(attempt)
 
     def attempt_written(self) -> None:
-        """A request's last byte has gone out to a backend."""
+        """Counts an attempt whose last byte was written to a backend."""
         self.counters.attempts += 1
 
     def value_begins(self, attempt: Attempt, length: int, source: PausableSource) -> bool:
-        """A long value is the answer from its first byte on: no deadline cuts it off, none follows."""
+        """Starts to forward a long value to the client.
+
+        From its first byte on the value is the answer: the deadline does not cut it off, and no other answer
+        follows. Returns False if the request is closed or another attempt's value is being forwarded.
+        """
         number = attempt.request
         request = self._open_request(number)
         if request is None or request.forwarded_attempt is not None:
@@ -261,12 +268,12 @@
         return True
 
     def value_piece(self, attempt: Attempt, data: bytes) -> None:
-        """The next bytes of a long value."""
+        """Forwards the next bytes of a long value."""
         if (request := self._open_request(attempt.request)) is not None:
             request.slot.piece(data)
 
     def _forwarding_ended(self, number: int, request: Request, outcome: Outcome) -> None:
-        """The long value is complete, or never will be: then the client has to be able to see that."""
+        """Ends a forwarded value; if it is incomplete, the client's connection shows that."""
         if outcome is Outcome.OK:
             self._close(number, request, Ending.SERVED)
             request.slot.whole(request.call)
@@ -277,7 +284,7 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
     ) -> None:
-        """An attempt or a health check has ended."""
+        """Handles the end of an attempt or of a health check."""
         elapsed_ns = max(0, self.now() - attempt.started_at_ns)
         load = self._load_values(report)
         if attempt.call is None:
@@ -301,52 +308,51 @@
         self._forget_finished(number, request)
 
     def _load_values(self, report: LoadReport) -> tuple[float, ...]:
-        """The load report's values in the order of the settings; none unless all are there."""
+        """Returns the load report's values in the order of the settings, or none if one is missing."""
         names = self.config.settings.load_report_names
         if report and report.keys() >= set(names):
             return tuple(report[name] for name in names)
         return ()
 
-    # The decision module.
-
     def handle(self, event: Event, number: int = 0) -> None:
-        """One event in, its actions out; a fault costs one request a failure, never the process.
+        """Passes an event to the decision module and carries out the actions that it returns.
 
-        `number`: of the request that the event is about, 0 for none. Raises `ListError` where an endpoint
-        update met a fault.
+        An exception fails one request and never ends the process. `number` is the request that the event is
+        about, or 0. Raises `ListError` if the module fails on an endpoint update.
         """
         try:
             actions = self.decision_module.handle(self.now(), event)
         except Exception:
             log.exception("event %s failed with an exception in the decision module", type(event).__name__)
-            self._fault(number)
+            self._fail_after_exception(number)
             if isinstance(event, TimerFired):
                 self.execute(SetTimer(TIMER_RETRY_NS, event.token))
             if isinstance(event, EndpointUpdate):
-                # A lost notice of a drain would break rule 3: the watch is resumed from before it.
-                raise ListError("not taken in by the module") from None
+                # Rule 3 would be broken if the start of a drain were lost, so the watch resumes from before
+                # this update.
+                raise ListError("the decision module failed on the update") from None
             return
         for action in actions:
-            # Each by itself: one that cannot be carried out must not take the module's next tick with it.
+            # Each action is tried on its own: a failed one must not prevent the module's next tick.
             try:
                 self.execute(action)
             except Exception:
                 log.exception("action %s failed with an exception", type(action).__name__)
-                self._fault(getattr(action, "request", 0))
+                self._fail_after_exception(getattr(action, "request", 0))
 
     def execute(self, action: Action) -> None:
-        """Carry out one action."""
+        """Carries out one action."""
         self._executor.execute(action)
 
     def request_allocation(self, tenant: int) -> bool:
-        """Ask the shared counter for more of a tenant's quota; False where there is no counter."""
+        """Asks the shared counter for more of a tenant's quota; returns False if there is no counter."""
         if self.parts.quota_counter is None:
             return False
         self.parts.quota_counter.request_allocation(tenant)
         return True
 
-    def _fault(self, number: int) -> None:
-        """The request that a fault hit still gets its one answer, and the module need not keep it."""
+    def _fail_after_exception(self, number: int) -> None:
+        """Answers the request that an exception affected, and has the module forget it."""
         if (request := self._open_request(number)) is not None:
             self._fail(number, request, "internal fault")
             self.handle(ClientDisconnected(number))
--- a/trackspread/node/serve.py
+++ b/trackspread/node/serve.py
@@ -1,4 +1,4 @@
-"""One gateway from its start to its end: signals, and the configuration read again."""
+"""Runs one gateway as a process, and handles signals and reloads of the configuration."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from ..config.addresses import ConfigError
 from .gateway import Gateway
 
-OWN_FILE = Path("deploy/gateway.toml")  # read where it is there, below the folder that `run` starts in
-HANGUP = {signal.SIGHUP}  # blocked wherever no handler is in place: its default would end the process
+OWN_FILE = Path("deploy/gateway.toml")  # read if it exists, relative to the working directory
+HANGUP = {signal.SIGHUP}  # blocked while no handler is installed, because its default action ends the process
 log = logging.getLogger("trackspread")
 
 
 def load_operator_file(path: str | None) -> operator_settings.Operator:
-    """The operator's file as it is now; `path` None: the usual one. Raises `ConfigError`."""
+    """Returns the operator's file as it is now, by default `OWN_FILE`; raises `ConfigError`."""
     if path:
         return operator_settings.load(Path(path))
     return operator_settings.load(OWN_FILE) if OWN_FILE.exists() else operator_settings.DEFAULTS
 
 
 def limit_descriptors(config: platform.Config) -> platform.Config:
-    """The configuration with no more descriptors than the system grants the process.
+    """Returns the configuration with at most as many descriptors as the system allows the process.
 
-    Where the settings name more, idle clients would take those that discovery's call, attempts and the
-    operators' door need.
+    With a higher limit in the settings, idle clients would use up the descriptors that the connection to
+    discovery, attempts and the admin server need.
     """
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit == resource.RLIM_INFINITY or limit >= config.sockets:
@@ -45,9 +45,9 @@
 async def serve(
     config: platform.Config, operator: operator_settings.Operator, operator_path: str | None
 ) -> None:
-    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP has the configuration read again.
+    """Runs until SIGTERM or SIGINT, then shuts down gracefully; SIGHUP reloads the configuration.
 
-    Raises `ConfigError` where an address cannot be bound.
+    Raises `ConfigError` if an address cannot be bound.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -56,34 +56,37 @@
     gateway = Gateway(config, operator, stop.set)
 
     def reload() -> None:
-        """A file that cannot be used changes nothing: who had written half of it sends the signal again."""
+        """Reloads both files; if one cannot be used, nothing changes.
+
+        An operator whose file was incomplete sends the signal again.
+        """
         try:
-            fresh = limit_descriptors(platform.reload(os.environ))
-            fresh_operator = load_operator_file(operator_path)
+            new_config = limit_descriptors(platform.reload(os.environ))
+            new_operator = load_operator_file(operator_path)
         except ConfigError as error:
             log.error("configuration: reload rejected, the present configuration stays in force: %s", error)
             gateway.counters.reloads_failed += 1
         else:
-            gateway.reconfigure(fresh, fresh_operator)
+            gateway.reconfigure(new_config, new_operator)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANGUP)
     try:
         await gateway.start()
     except OSError as error:
-        # An address that is taken, or not this machine's, is as much a wrong setting as one left out.
+        # An address that is in use or is not this machine's is an error in the settings, like a missing one.
         raise ConfigError(f"cannot listen: {error}") from None
-    # What was made so far lives as long as the process: full collections need not look at it again.
+    # The objects created so far are kept until the process ends, so full collections need not visit them.
     gc.freeze()
     await stop.wait()
     log.info("%s stopping", config.name)
     await gateway.stop()
-    # The loop takes its handlers along when it closes.
+    # Closing the event loop removes its signal handlers.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANGUP)
 
 
 def run(operator_path: str | None) -> None:
-    """Run the gateway in the foreground; raises `ConfigError` on settings that it cannot start with."""
+    """Runs the gateway in the foreground; raises `ConfigError` if it cannot start with its settings."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANGUP)
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(name)s %(levelname)s %(message)s")
     platform_config = platform.load(os.environ)
@@ -92,7 +95,7 @@
     config = limit_descriptors(platform_config)
     if config.sockets < platform_config.sockets:
         log.warning(
-            "limits.sockets: %d, but the system grants %d descriptors: these bound the connections",
+            "limits.sockets is %d, but the system allows %d descriptors, which limits the connections",
             platform_config.sockets,
             config.sockets,
         )
--- a/trackspread/node/successor.py
+++ b/trackspread/node/successor.py
@@ -1,6 +1,7 @@
-"""The new process's side of a handover: what each step does at its gateway.
+"""Carries out the new process's side of a handover at its gateway.
 
-May know: the gateway, the steps (`handover/states.py`), the link. Decides nothing: the steps do.
+This module may depend on the gateway, the steps (`handover/states.py`) and the link. It makes no decisions;
+the steps do.
 """
 
 from __future__ import annotations
@@ -10,40 +11,40 @@
 import os
 
 from ..handover import wire
-from ..handover.link import Rendezvous
+from ..handover.link import HandoverSocket
 from ..handover.states import Action, Event, SuccessorStep, SuccessorSteps
 from ..handover.wire import Kind, Reassembly, WireError
-from .handover_side import HandoverSide, Serving
+from .handover_side import HandoverSide, ServingGateway
 from .handover_state import StateImporter
 
 log = logging.getLogger(__name__)
 
 
 class Successor(HandoverSide):
-    """The new process, until the old one is gone."""
+    """Runs the new process's side until the old process has ended."""
 
-    def __init__(self, gateway: Serving, rendezvous: Rendezvous) -> None:
+    def __init__(self, gateway: ServingGateway, handover_socket: HandoverSocket) -> None:
         super().__init__(gateway)
-        self._rendezvous = rendezvous
+        self._handover_socket = handover_socket
         self._steps = SuccessorSteps()
         self._reassembly = Reassembly()
-        self._state = b""  # complete, until it is restored
+        self._state = b""  # the complete state, from its arrival until it is restored
         self._importer = StateImporter(gateway)
         self._decided = asyncio.Event()
-        self._adoptions: set[asyncio.Task[None]] = set()  # of clients' connections, while they are under way
-        self.peer_descriptor: int | None = None  # of the socket for peers, where one was handed over
+        self._adoptions: set[asyncio.Task[None]] = set()  # adoptions of clients' connections in progress
+        self.peer_descriptor: int | None = None  # descriptor of the peers' socket, if handed over
         self.took_over = False
 
-    def seek(self) -> None:
-        """Look for an old process, once more after one that was lost."""
+    def connect(self) -> None:
+        """Connects to the old process, if there is one; also called again after a lost connection."""
         self._reassembly = Reassembly()
-        found = self._rendezvous.seek()
-        if found is not None:
-            self._connect(found)
-        self._execute_all(self._steps.found(found is not None))
+        connection = self._handover_socket.connect()
+        if connection is not None:
+            self._open_link(connection)
+        self._execute_all(self._steps.found(connection is not None))
 
     async def decided(self) -> None:
-        """This process could serve now; returns once it is to, after a handover or cold."""
+        """Reports that this process can serve, and returns once it has to, after a handover or cold."""
         self._handle(Event.READY)
         await self._decided.wait()
 
@@ -51,8 +52,8 @@
         if self._steps.step is not SuccessorStep.SERVING:
             self._execute_all(self._steps.handle(event))
         elif event is Event.CONNECTION_LOST:
-            log.info("handover: the old process is gone")
-            self._disconnect()
+            log.info("handover: the old process has ended")
+            self._close_link()
             self._importer.predecessor_gone()
 
     def _execute(self, action: Action) -> None:
@@ -64,9 +65,9 @@
             case Action.TAKE_OVER:
                 self._take_over()
             case Action.DISCONNECT:
-                self._disconnect()
+                self._close_link()
             case Action.RECONNECT:
-                self.seek()
+                self.connect()
             case Action.START_COLD:
                 log.info("handover: no state was handed over, starting cold")
                 self._decided.set()
@@ -74,7 +75,7 @@
     def _take_over(self) -> None:
         try:
             self._importer.restore(self._state)
-        except ValueError as error:  # `WireError` among them
+        except ValueError as error:  # also `WireError`
             log.error("handover: the state cannot be restored: %s", error)
             self._handle(Event.CONNECTION_LOST)
             return
@@ -101,14 +102,20 @@
             case Kind.PROGRESS:
                 self._importer.progressed(packet.body)
             case _:
-                raise WireError(f"{packet.kind.name} out of turn")
+                raise WireError(f"{packet.kind.name} is not a valid packet for the new process at this step")
         if descriptor is not None:
             os.close(descriptor)
 
     def _adopt_client(self, descriptor: int, rest: bytes) -> None:
-        """`rest`: what the old process had read, and is no complete command. Raises `WireError`."""
+        """Adopts a client's connection; `rest` is the incomplete command that the old process had read.
+
+        Raises `WireError` if `rest` is too long.
+        """
         if len(rest) > wire.MAX_CLIENT_REST_BYTES:
-            raise WireError(f"a client's connection with {len(rest)} bytes that were read")
+            raise WireError(
+                f"a client's incomplete command must have at most {wire.MAX_CLIENT_REST_BYTES} bytes, "
+                f"got {len(rest)}"
+            )
         task = self._loop.create_task(self._gateway.clients.adopt(descriptor, rest))
         self._adoptions.add(task)
         task.add_done_callback(self._adoptions.discard)
--- a/trackspread/node/usage_part.py
+++ b/trackspread/node/usage_part.py
@@ -1,6 +1,6 @@
-"""The gateway's usage records: its names and settings to a host, its final answers to records.
+"""Records the gateway's usage: one record for each final answer.
 
-May know: calls, configuration, the host. Decides nothing.
+This module may depend on calls, configuration and the host of the ledger. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def ledger_bounds(use: Use) -> Bounds:
-    """Sizes and times of the ledger, from the operator's table."""
+    """Returns the ledger's sizes and intervals from the operator's `use` table."""
     return Bounds(
         max(MIN_SEGMENT_SLOTS, int(use.segment_mb * BYTES_PER_MB) // SLOT_BYTES),
         max(MIN_SEGMENTS, int(use.disk_mb / use.segment_mb)),
@@ -38,7 +38,7 @@
 
 
 def billing_sender(use: Use) -> Sender | None:
-    """What sends batches to billing, None where they are only kept; raises `ConfigError`."""
+    """Returns the sender of batches to billing, or None if they are only stored; raises `ConfigError`."""
     if not use.billing:
         return None
     try:
@@ -48,31 +48,31 @@
 
 
 def record_names(config: Config) -> Names:
-    """The names by which records are shown."""
+    """Returns the names of the gateway, the classes and the plans, by which records are shown."""
     classes = tuple(name.decode() for name in config.classes)
     plans = tuple(name.decode() for name in config.plans)
     return Names(config.name, classes, plans)
 
 
 class UsagePart:
-    """The gateway's part in recording usage."""
+    """Runs the host that writes usage records and sends them to billing."""
 
     def __init__(self, config: Config, use: Use, now: Callable[[], int]) -> None:
-        """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
+        """Creates the host; `now` is the gateway's clock, in ns. Raises `ConfigError`."""
         self.host = UseHost(
             Path(use.folder), ledger_bounds(use), record_names(config), now, billing_sender(use)
         )
 
     def start(self) -> None:
-        """Open the ledger and begin to write and send."""
+        """Opens the ledger and starts to write and send records."""
         self.host.start()
 
     async def stop(self) -> None:
-        """Write what is still in memory, and close."""
+        """Writes the records that are still in memory, and closes the ledger."""
         await self.host.stop()
 
     def record(self, call: Call, ending: Ending, attempts: int, plan_version: int) -> None:
-        """One request's final answer, after so many attempts."""
+        """Records a request's final answer, and the number of its attempts."""
         self.host.count(
             ending, call.request_class, call.plan, plan_version, call.tenant, call.units, attempts
         )
