--- a/tests/handover/__init__.py
+++ b/tests/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `handover`."""
+"""Tests the handover from one process to another."""
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -1,4 +1,4 @@
-"""A new version under load: the steps in virtual time, packets, what is carried over, and real processes."""
+"""Tests handovers: the steps in virtual time, the packets, and the restored state; starts real processes."""
 
 from __future__ import annotations
 
@@ -45,10 +45,11 @@
 
 pytestmark = pytest.mark.processes
 
-# Steps.
+# The steps in virtual time.
 
 
-def test_the_right_to_serve_passes_once_and_nobody_waits_long() -> None:
+def test_right_to_serve_passes_exactly_once() -> None:
+    """Guards against two processes that serve at once, and against a long time without any."""
     for seed in range(200):
         world = World(seed)
         world.run()
@@ -58,10 +59,11 @@
 
 @pytest.mark.parametrize("what", ["killed", "silent"])
 @pytest.mark.parametrize("who", ["old", "new"])
-def test_whatever_befalls_one_side_the_other_serves_and_never_both_at_once(who: str, what: str) -> None:
+def test_one_side_serves_when_the_other_one_fails(who: str, what: str) -> None:
+    """Guards against two serving processes, or none, when one is killed or hangs during a handover."""
     for seed in range(1500):
         world = World(seed)
-        # Most of it happens in a few ms: as many moments there as elsewhere.
+        # Most of a handover takes a few ms, so half of the failures are drawn from these.
         at = random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02)
         world.befall(at, who, what)
         world.run()
@@ -69,53 +71,55 @@
             assert world.old_grants and world.both == 0.0, seed
         elif who == "old" and what == "killed":
             assert world.new_grants, seed
-        elif who == "new":  # silent: the old one serves on, unless it had handed over already
+        elif who == "new":  # it hangs: the old process serves again, unless it had already handed over
             assert world.old_grants or world.successor.step in ("serving", "cold"), seed
             assert world.both == 0.0, seed
-        else:  # the old one is silent: it serves, if it had not handed over, and the platform ends it
+        else:  # the old process hangs: it serves if it had not handed over, and the platform ends it
             assert world.new_grants, seed
         assert world.none < 3.0, seed
 
 
-def test_planted_an_old_process_that_never_serves_again_is_convicted() -> None:
-    class Stubborn(PredecessorSteps):
+def test_planted_predecessor_that_never_resumes_is_detected() -> None:
+    class NeverResumes(PredecessorSteps):
         def handle(self, what: Event) -> Actions:
             return [each for each in super().handle(what) if each[0] is not Action.RESUME]
 
     stuck = 0
     for seed in range(300):
-        world = World(seed, predecessor=Stubborn())
+        world = World(seed, predecessor=NeverResumes())
         world.befall(random.Random(seed).uniform(0, 0.7), "new", "killed")
         world.run()
         stuck += not world.old_grants
     assert stuck
 
 
-def test_planted_a_new_process_that_does_not_look_whether_taken_was_written_is_convicted() -> None:
-    class Rash(SuccessorSteps):
+def test_planted_successor_that_ignores_an_unwritten_taken_is_detected() -> None:
+    """Proves that the virtual world detects two serving processes."""
+
+    class IgnoresFailedWrite(SuccessorSteps):
         def taken_over(self, is_written: bool) -> Actions:
             return super().taken_over(True)
 
-    def both(successor: SuccessorSteps) -> float:
+    def both_serve(successor: SuccessorSteps) -> float:
         world = World(1, successor=successor)
-        deaf = world._to_new  # what is given comes after the old process has given up waiting
+        to_new = world._to_new  # the state is delayed until the old process no longer waits for TAKEN
 
         def late(what: Event) -> None:
             if what is Event.STATE_RECEIVED:
                 world.later(1.5, lambda: world._new(what))
             else:
-                deaf(what)
+                to_new(what)
 
         world._to_new = late  # type: ignore[method-assign]
-        if isinstance(successor, Rash):
+        if isinstance(successor, IgnoresFailedWrite):
             world._break = lambda other: setattr(world, "link", False)  # type: ignore[method-assign]
         world.run()
         return float(world.successor.step == "serving" and world.old_grants)
 
-    assert both(Rash()) and not both(SuccessorSteps())
+    assert both_serve(IgnoresFailedWrite()) and not both_serve(SuccessorSteps())
 
 
-def test_a_stranger_or_a_repeat_changes_nothing() -> None:
+def test_invalid_or_repeated_messages_change_nothing() -> None:
     predecessor = PredecessorSteps()
     assert predecessor.handle(Event.STATE_REQUESTED) == [] == predecessor.handle(Event.TAKEN_OVER)
     assert (
@@ -133,43 +137,43 @@
 # Packets.
 
 
-def test_packets_that_are_none_are_turned_down() -> None:
-    good = wire.pack(Kind.HELLO, b"n0")
-    assert wire.unpack(good) == (Kind.HELLO, b"n0")
-    bad = [
+def test_invalid_packets_are_rejected() -> None:
+    valid = wire.pack(Kind.HELLO, b"n0")
+    assert wire.unpack(valid) == (Kind.HELLO, b"n0")
+    invalid = [
         b"",
-        good[:8],
-        b"x" + good[1:],
-        good[:4] + b"\x09" + good[5:],
-        good[:5] + b"\x63" + good[6:],
-        good[:-1] + b"1",
+        valid[:8],
+        b"x" + valid[1:],
+        valid[:4] + b"\x09" + valid[5:],
+        valid[:5] + b"\x63" + valid[6:],
+        valid[:-1] + b"1",
         bytes(wire.MAX_PACKET_BYTES + 1),
     ]
-    for packet in bad:
+    for packet in invalid:
         with pytest.raises(WireError):
             wire.unpack(packet)
     with pytest.raises(WireError, match="protocol must be 1, got 9"):
-        wire.unpack(bad[3])
+        wire.unpack(invalid[3])
 
 
-def test_what_is_carried_over_is_taken_only_whole() -> None:
-    whole = random.Random(1).randbytes(3 * wire.PIECE_BYTES + 5)
-    packets = [wire.unpack(packet) for packet in wire.state_packets(whole)]
-    end = wire.unpack(wire.state_end_packet(whole)).body
-    gathered = Reassembly()
+def test_incomplete_or_reordered_state_is_rejected() -> None:
+    state = random.Random(1).randbytes(3 * wire.PIECE_BYTES + 5)
+    packets = [wire.unpack(packet) for packet in wire.state_packets(state)]
+    end = wire.unpack(wire.state_end_packet(state)).body
+    reassembly = Reassembly()
     for packet in packets:
-        gathered.add(packet.body)
-    assert gathered.complete(end) == whole
+        reassembly.add(packet.body)
+    assert reassembly.complete(end) == state
     for wrong in (packets[1:], packets[::-1], [*packets, packets[0]]):
-        gathered = Reassembly()
+        reassembly = Reassembly()
         for packet in wrong:
-            gathered.add(packet.body)
+            reassembly.add(packet.body)
         with pytest.raises(WireError):
-            gathered.complete(end)
+            reassembly.complete(end)
 
 
-def test_messages_have_the_bytes_that_older_processes_write_and_read() -> None:
-    """Bytes of version 0.1.0: a process of another version is at the other end of the connection."""
+def test_packets_keep_the_bytes_of_older_versions() -> None:
+    """Guards against packets that a process of another version cannot read; the bytes are version 0.1.0's."""
     assert [kind.value for kind in Kind] == [1, 2, 3, 4, 5, 6, 7]
     assert Kind(7) is Kind.PROGRESS
     progress = Progress("ended", 5, 1, 2, 3, 4, (0.5,), "charge", "full", 7, 2.0)
@@ -187,15 +191,18 @@
     )
 
 
-# The module.
+# The decision module's state.
 
 NAMES = ("read", "submit", "charge")
 
 
-def spent(carry: bool) -> tuple[Broker, list[int]]:
-    """A module whose customer has used all of its burst, and one that takes over from it, or starts cold."""
-    figures_ = plan(rate_per_s=1.0, burst_units=4.0)
-    made = [Broker(settings(plans=(figures_,), gateway_count=1), seed, 0) for seed in (1, 2)]
+def forwarded_after_burst(with_state: bool) -> tuple[Broker, list[int]]:
+    """Returns a module whose customer has used its whole burst, and the requests that its successor forwards.
+
+    The successor restores the module's state if `with_state`, and starts cold otherwise.
+    """
+    limits = plan(rate_per_s=1.0, burst_units=4.0)
+    made = [Broker(settings(plans=(limits,), gateway_count=1), seed, 0) for seed in (1, 2)]
     now = SECOND
     for module in made:
         module.handle(now, full_list(*(backend(n) for n in range(4))))
@@ -205,9 +212,9 @@
             if isinstance(action, StartAttempt):
                 end = AttemptEnded(number, True, 0, action.backend, 0, Outcome.OK, MS, 0, ())
                 old.handle(now + MS, end)
-    if carry:
-        told = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {})), dict)
-        snapshot_restore.restore_state(new, told, NAMES)
+    if with_state:
+        state = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {})), dict)
+        snapshot_restore.restore_state(new, state, NAMES)
     old.retire(now)
     sent = [
         n
@@ -220,17 +227,18 @@
     return old, sent
 
 
-def test_rights_are_granted_by_the_new_process_alone_and_go_on_where_they_were() -> None:
-    old, sent = spent(carry=True)
+def test_new_process_continues_quotas_and_old_one_grants_nothing() -> None:
+    """Guards against a burst that is granted twice, which a planted cold start proves to be detected."""
+    old, sent = forwarded_after_burst(with_state=True)
     assert not sent
-    refused = old.handle(2 * SECOND, arrival(50, 2 * SECOND, gateway_span=1))
-    assert [type(action) for action in refused] == [Reject]
-    _, twice = spent(carry=False)  # planted: a new process that takes nothing over grants the burst once more
-    assert twice
+    rejected = old.handle(2 * SECOND, arrival(50, 2 * SECOND, gateway_span=1))
+    assert [type(action) for action in rejected] == [Reject]
+    _, sent_cold = forwarded_after_burst(with_state=False)
+    assert sent_cold
 
 
 def plain_fields(part: Any, prefix: str = "") -> Iterator[tuple[str, tuple[type, Any]]]:
-    """Type and value of each field of an account, and of its parts in turn."""
+    """Yields the type and value of each field of an account, and recursively of its parts."""
     for each in fields(part):
         name, value = prefix + each.name, getattr(part, each.name)
         if is_dataclass(value):
@@ -241,8 +249,12 @@
             yield name, (type(value), value)
 
 
-def test_all_that_is_known_of_a_customer_comes_over_as_it_was() -> None:
-    """Seen in review: what peers have out came over as a list, and every word of theirs was a fault then."""
+def test_handover_restores_every_field_of_an_account() -> None:
+    """Guards against a restored field of another type.
+
+    The peers' attempts in flight were once restored as a list, and then every message of a peer raised an
+    exception.
+    """
     made = settings(gateway_count=4, plans=(plan(concurrency_limit=3),))
     old, new = Broker(made, 1, 0), Broker(made, 2, 0)
     account = old.quota.account(SECOND, 2, 0, 4, 0)
@@ -253,37 +265,38 @@
     )
     account.peers_in_flight = {1: PeerAttempts(2, 9), 3: PeerAttempts(1, 8)}
     account.gateways = replace(account.gateways, peers=(1, 2, 3))
-    told = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {})), dict)
-    snapshot_restore.restore_state(new, told, NAMES)
-    fresh = new.quota.accounts[2]
+    state = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {})), dict)
+    snapshot_restore.restore_state(new, state, NAMES)
+    restored = new.quota.accounts[2]
     names, values = zip(*plain_fields(account), strict=True)
     assert len(names) == len(set(names)) > 40
-    assert dict(plain_fields(fresh)) == dict(zip(names, values, strict=True))
+    assert dict(plain_fields(restored)) == dict(zip(names, values, strict=True))
     totals = pack_usage_totals(1, 10, [(2, 0, 1)])
     new.handle(SECOND, PeerMessage(1, totals))
     assert new.handle(SECOND, arrival(9, SECOND, customer=2, gateway_span=4))
 
 
-def test_a_state_of_another_version_changes_nothing() -> None:
+def test_state_of_another_version_is_rejected() -> None:
     module = Broker(settings(gateway_count=1), 1, 0)
-    told = snapshot.export_state(Broker(settings(gateway_count=1), 2, 0), NAMES, {}) | {
+    state = snapshot.export_state(Broker(settings(gateway_count=1), 2, 0), NAMES, {}) | {
         "version": 1,
         "me": 77,
     }
     before = module.quota.incarnation
     with pytest.raises(ValueError, match="version 1, this is 7"):
-        snapshot_restore.restore_state(module, told, NAMES)
+        snapshot_restore.restore_state(module, state, NAMES)
     assert module.quota.incarnation == before
 
 
-def test_attempts_that_the_old_process_has_out_count_until_their_end_is_told() -> None:
+def test_attempts_of_the_old_process_count_until_reported_ended() -> None:
+    """Guards against a concurrency limit that is exceeded, or used up forever, after a handover."""
     old, new = (Broker(settings(gateway_count=1), seed, 0) for seed in (1, 2))
     now = SECOND
     for module in (old, new):
         module.handle(now, full_list(*(backend(n) for n in range(2))))
     (sent,) = [a for a in old.handle(now, arrival(7, now, gateway_span=1)) if isinstance(a, StartAttempt)]
-    told = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {(7, 0): sent.backend})), dict)
-    snapshot_restore.restore_state(new, told, NAMES)
+    state = wire.decode(wire.encode(snapshot.export_state(old, NAMES, {(7, 0): sent.backend})), dict)
+    snapshot_restore.restore_state(new, state, NAMES)
     account = new.quota.accounts[1]
     assert (
         account.in_flight,
@@ -305,12 +318,11 @@
     ) == (0, 0, 0)
 
 
-# Processes.
+# Real processes.
 
 
-class Home:
-    """A platform's clients' socket, common folder and configuration; processes start in it one after
-    another."""
+class Platform:
+    """Holds the clients' socket, the common folder and the configuration, and starts processes with them."""
 
     def __init__(self, folder: Path, agent: Agent, backend: Backend) -> None:
         self.backend, self.agent = backend, agent
@@ -320,37 +332,37 @@
         self.port = int(self.socket.getsockname()[1])
         self.folder = folder / "common"
         self.folder.mkdir()
-        self.path, self.own = folder / "config.json", folder / "own.toml"
-        self.own.touch()
+        self.path, self.operator_file = folder / "config.json", folder / "own.toml"
+        self.operator_file.touch()
         self.path.write_text(json.dumps(raw_config(agent.port)))
-        self.made: list[asyncio.subprocess.Process] = []
+        self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> tuple[asyncio.subprocess.Process, int]:
-        """A process and its door's port, once it says yes."""
+        """Starts a process; returns it and its admin server's port once it is healthy."""
         with socket.socket() as free:
             free.bind((LOCAL, 0))
-            door = int(free.getsockname()[1])
+            admin_port = int(free.getsockname()[1])
         process = await asyncio.create_subprocess_exec(
             *COMMAND,
             "run",
             "--file",
-            str(self.own),
+            str(self.operator_file),
             stderr=asyncio.subprocess.PIPE,
             pass_fds=[self.socket.fileno()],
             env={
                 **os.environ,
                 "ROUTER_CONFIG": str(self.path),
-                "ROUTER_CONTROL": f"{LOCAL}:{door}",
+                "ROUTER_CONTROL": f"{LOCAL}:{admin_port}",
                 "ROUTER_ACCEPT_FD": str(self.socket.fileno()),
                 "TMPDIR": str(self.folder),
             },
         )
-        self.made.append(process)
+        self.processes.append(process)
         async with asyncio.timeout(20):
             while True:
                 try:
-                    if await status(door, CHECK) == 200:
-                        return process, door
+                    if await status(admin_port, CHECK) == 200:
+                        return process, admin_port
                 except OSError:
                     pass
                 assert process.returncode is None, (await process.communicate())[1]
@@ -361,16 +373,16 @@
 
 
 @asynccontextmanager
-async def home(folder: Path) -> AsyncIterator[Home]:
+async def platform(folder: Path) -> AsyncIterator[Platform]:
     agent, backend = Agent(), Backend()
     async with listening(agent), listening(backend):
         agent.first = listing(1, host("s-1", backend.port))
-        made = Home(folder, agent, backend)
+        started = Platform(folder, agent, backend)
         try:
-            yield made
+            yield started
         finally:
-            for process in made.made:
+            for process in started.processes:
                 if process.returncode is None:
                     process.kill()
                 await process.wait()
-            made.socket.close()
+            started.socket.close()
--- a/tests/node/__init__.py
+++ b/tests/node/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `node`."""
+"""Tests the gateway's process, its reloads and its services."""
--- a/tests/node/test_descriptors_process.py
+++ b/tests/node/test_descriptors_process.py
@@ -1,5 +1,7 @@
-"""Idle clients fill a process's descriptors while discovery is down: what the process itself needs is kept
-free."""
+"""Tests that a gateway keeps the descriptors it needs while idle clients use up the others.
+
+Discovery is down in the meantime, so the gateway also needs a descriptor to connect to it again.
+"""
 
 from __future__ import annotations
 
@@ -27,58 +29,61 @@
 
 pytestmark = pytest.mark.processes
 
-SOCKETS = 160  # descriptors that the system grants the process
-NAMED = {"as granted": SOCKETS, "more than granted": 1024}  # those that the configuration names
-CROWD = 600  # idle connections, several times as many as there are descriptors
-AT_ONCE = 1.0  # s in which a call comes that finds its descriptor: a process that starts beside others lags
+SOCKETS = 160  # descriptors that the system allows the process
+CONFIGURED = {"as granted": SOCKETS, "more than granted": 1024}  # descriptors in the configuration
+IDLE_CLIENTS = 600  # idle connections, several times the number of descriptors
+AT_ONCE = 1.0  # s for a connection that gets a descriptor; processes that start at the same time lag
 SECOND = 1_000_000_000
 
 
 @dataclass
 class Filled:
-    """A gateway whose descriptors idle clients fill, and what it is seen to do."""
+    """Holds a gateway whose descriptors idle clients use up, with its stand-ins."""
 
     gateway: GatewayProcess
     at: Address
-    door: Address
+    admin_address: Address
     agent: DiscoveryAgent
     listed: BackendList
     backend: Backend
-    population: list[socket.socket] = field(default_factory=list)
-    most: int = 0  # descriptors that were open at once
+    idle_clients: list[socket.socket] = field(default_factory=list)
+    max_open: int = 0  # highest number of open descriptors that was seen
 
-    def tell(self, health: str) -> None:
+    def list_backend(self, health: str) -> None:
         self.listed.put(ListedBackend("s-1", (("127.0.0.1", self.backend.port),), "a", "m1", 0, health, 0))
 
-    def knock(self, count: int, words: bytes = b"") -> None:
-        """So many more idle connections, at once; most may be shut unread."""
+    def open_idle(self, count: int, words: bytes = b"") -> None:
+        """Opens `count` more idle connections at once; the gateway may close most of them unread."""
         for _ in range(count):
             made = socket.socket()
             made.setblocking(False)
             made.connect_ex(self.at)
-            self.population.append(made)
+            self.idle_clients.append(made)
         if words:
-            for made in self.population[-count:]:
+            for made in self.idle_clients[-count:]:
                 with suppress(OSError):
                     made.send(words)
 
     async def fill(self) -> None:
-        """What waits is taken in one turn of a process that stood still, and then more comes all the time."""
+        """Has a stopped process accept all waiting connections in one turn of its loop."""
         self.gateway.signal(signal.SIGSTOP)
-        self.knock(CROWD)
+        self.open_idle(IDLE_CLIENTS)
         await asyncio.sleep(0.2)
         self.gateway.signal(signal.SIGCONT)
 
     async def keep_full(self) -> None:
         while True:
-            self.knock(10, b"*1\r\n$4\r\nPING\r\n" if len(self.population) % 20 else b"")
+            self.open_idle(10, b"*1\r\n$4\r\nPING\r\n" if len(self.idle_clients) % 20 else b"")
             await asyncio.sleep(0.02)
-            for made in self.population[:-CROWD]:
+            for made in self.idle_clients[:-IDLE_CLIENTS]:
                 made.close()
-            del self.population[:-CROWD]
+            del self.idle_clients[:-IDLE_CLIENTS]
+
+    async def is_rejected(self) -> bool:
+        """Returns whether a request is rejected because no backend accepts one.
 
-    async def refused(self) -> bool:
-        """Whether a request is refused, as no backend takes any. Its connection may make room for another."""
+        The gateway may close the request's connection in favor of another, so the request is repeated.
+        """
         answer = None
         while answer is None:
             client = Connection(*await asyncio.open_connection(*self.at))
@@ -86,14 +91,14 @@
             answer = await client.next()
         return str(answer).startswith("BUSY")
 
-    async def watch(self) -> None:
+    async def watch_descriptors(self) -> None:
         while True:
-            self.most = max(self.most, len(os.listdir(f"/proc/{self.gateway.pid}/fd")))
+            self.max_open = max(self.max_open, len(os.listdir(f"/proc/{self.gateway.pid}/fd")))
             await asyncio.sleep(0.002)
 
 
 @asynccontextmanager
-async def filled(folder: Path, named: int) -> AsyncIterator[Filled]:
+async def filled(folder: Path, configured: int) -> AsyncIterator[Filled]:
     listed, ports, backend = BackendList(), Ports(), Backend()
     agent = DiscoveryAgent(listed, 0, Ledger())
     await agent.start()
@@ -101,12 +106,12 @@
         at, control = ports.tcp(), ports.tcp()
         config = raw_config(agent.address[1])
         config["discovery"], config["listen"] = "{}:{}".format(*agent.address), "{}:{}".format(*at)
-        config["control"], config["limits"] = "{}:{}".format(*control), {"sockets": named}
+        config["control"], config["limits"] = "{}:{}".format(*control), {"sockets": configured}
         gateway = GatewayProcess("n0", at, config, folder, Ledger(), max_descriptors=SOCKETS)
         made = Filled(gateway, at, control, agent, listed, backend)
-        made.tell("in_service")
+        made.list_backend("in_service")
         await gateway.start()
-        tasks = [asyncio.create_task(made.watch())]
+        tasks = [asyncio.create_task(made.watch_descriptors())]
         try:
             agent.stop_listening()
             agent.abort_watches()
@@ -116,20 +121,22 @@
         finally:
             for task in tasks:
                 task.cancel()
-            for each in made.population:
+            for each in made.idle_clients:
                 each.close()
-            print(f"descriptors open at once: {made.most} of {SOCKETS}; log: {gateway.log_tail(3)}")
+            print(f"descriptors open at once: {made.max_open} of {SOCKETS}; log: {gateway.log_tail(3)}")
             await gateway.kill()
             agent.close()
             ports.close()
 
 
-@pytest.mark.parametrize("named", NAMED.values(), ids=NAMED)
-def test_the_operators_door_and_attempts_find_descriptors_while_idle_clients_fill_the_rest(
-    tmp_path: Path, named: int
+@pytest.mark.parametrize("configured", CONFIGURED.values(), ids=CONFIGURED)
+def test_admin_server_and_attempts_get_descriptors_despite_idle_clients(
+    tmp_path: Path, configured: int
 ) -> None:
+    """Guards against attempts and admin requests that get no descriptor while clients use up the rest."""
+
     async def test() -> None:
-        async with filled(tmp_path, named) as f:
+        async with filled(tmp_path, configured) as f:
             for number in range(20):
                 client = Connection(*await soon(asyncio.open_connection(*f.at)))
                 client.send(call(number=number))
@@ -138,31 +145,34 @@
                 assert await client.next() == b"v"
                 connection.abort()  # the next attempt needs a descriptor of its own
                 client.abort()
-                status, _ = await asyncio.wait_for(http_get(f.door, "/stats"), AT_ONCE)
+                status, _ = await asyncio.wait_for(http_get(f.admin_address, "/stats"), AT_ONCE)
                 assert status == 200
                 await asyncio.sleep(0.1)
-            assert f.most < SOCKETS
+            assert f.max_open < SOCKETS
 
     uvloop.run(asyncio.wait_for(test(), 60.0))
 
 
-@pytest.mark.parametrize("named", NAMED.values(), ids=NAMED)
-def test_the_call_to_discovery_finds_a_descriptor_and_the_drain_told_at_its_return_is_acted_on(
-    tmp_path: Path, named: int
+@pytest.mark.parametrize("configured", CONFIGURED.values(), ids=CONFIGURED)
+def test_discovery_reconnects_and_drains_a_backend_despite_idle_clients(
+    tmp_path: Path, configured: int
 ) -> None:
+    """Guards against a late drain: without a descriptor the gateway cannot reconnect to discovery."""
+
     async def test() -> None:
-        async with filled(tmp_path, named) as f:
+        async with filled(tmp_path, configured) as f:
             await asyncio.sleep(2.0)
             f.agent.call_times_ns.clear()
             await f.agent.start()
-            f.tell("terminating")
-            back = time.monotonic_ns()
+            f.list_backend("terminating")
+            returned_ns = time.monotonic_ns()
             while not f.agent.call_times_ns:
-                assert time.monotonic_ns() - back < AT_ONCE * SECOND
+                assert time.monotonic_ns() - returned_ns < AT_ONCE * SECOND
                 await asyncio.sleep(0.01)
-            acted = asyncio.create_task(f.refused())
-            assert await asyncio.wait_for(acted, AT_ONCE), "sent on"
-            assert f.most < SOCKETS
-            print(f"discovery was called {(f.agent.call_times_ns[0] - back) / SECOND:.2f} s after its return")
+            rejected = asyncio.create_task(f.is_rejected())
+            assert await asyncio.wait_for(rejected, AT_ONCE), "the request was forwarded"
+            assert f.max_open < SOCKETS
+            delay_s = (f.agent.call_times_ns[0] - returned_ns) / SECOND
+            print(f"discovery was called {delay_s:.2f} s after its return")
 
     uvloop.run(asyncio.wait_for(test(), 60.0))
--- a/tests/node/test_endings_close.py
+++ b/tests/node/test_endings_close.py
@@ -1,7 +1,8 @@
-"""Bytes that come in the very moment in which a connection is closed, and small writes: no answer goes with
-the close, and nothing that is read after it is sent on.
+"""Tests connections that close while bytes arrive: no answer is lost, and nothing read later is forwarded.
 
-The order is forced: the other side's bytes go into the socket between the last look at it and its close."""
+The tests force the order: the other side's bytes arrive between the gateway's last read and its close. Small
+writes are tested as well.
+"""
 
 from __future__ import annotations
 
@@ -22,19 +23,19 @@
 from ..backends.test_backends import bench
 
 
-def crossing(monkeypatch: pytest.MonkeyPatch, client: socket.socket, data: bytes) -> None:
-    """The client writes this just as the gateway closes its connection."""
+def write_before_close(monkeypatch: pytest.MonkeyPatch, client: socket.socket, data: bytes) -> None:
+    """Has the client write `data` just before the gateway closes its connection."""
     close = Client.close
 
-    def crossed(self: Client) -> None:
+    def write_and_close(self: Client) -> None:
         client.sendall(data)
         close(self)
 
-    monkeypatch.setattr(Client, "close", crossed)
+    monkeypatch.setattr(Client, "close", write_and_close)
 
 
 async def read_all(client: socket.socket) -> bytes:
-    """Up to the end; raises `ConnectionResetError` where that is none."""
+    """Returns all bytes up to the end; raises `ConnectionResetError` if the connection is reset instead."""
     client.setblocking(False)
     got = b""
     while data := await soon(asyncio.get_running_loop().sock_recv(client, 1 << 16)):
@@ -42,15 +43,16 @@
     return got
 
 
-def at_rest(w: World) -> bool:
+def is_idle(w: World) -> bool:
     return bool(w.node.clients._clients) and not w.node.requests
 
 
 @pytest.mark.parametrize("why", ["idle", "stopping"])
-def test_request_that_crosses_a_close_sees_an_end_and_is_not_sent_on(
-    why: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The client reads nothing until then: its last answer is still on the way when the gateway closes."""
+def test_request_sent_during_a_close_is_not_forwarded(why: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a lost answer and a request that is processed without one.
+
+    The client reads nothing before the close, so its last answer is still on its way when the gateway closes.
+    """
     monkeypatch.setattr(connections, "QUIET", 0.01)
     monkeypatch.setattr(connections, "LOOK", 0.01)
 
@@ -58,11 +60,11 @@
         bounds = ClientBounds(idle_s=0.05 if why == "idle" else 3600.0)
         async with world(Operator(clients=bounds)) as w:
             client = socket.create_connection((LOCAL, w.node.clients.port))
-            crossing(monkeypatch, client, call(number=2))
+            write_before_close(monkeypatch, client, call(number=2))
             client.sendall(call(number=1))
             connection, _ = await w.backend.command()
             connection.send(served(b"v"))
-            await until(lambda: at_rest(w))
+            await until(lambda: is_idle(w))
             stopping = asyncio.create_task(w.node.stop()) if why == "stopping" else None
             assert await read_all(client) == b"$1\r\nv\r\n"
             assert w.backend.commands.empty() and not w.node.requests
@@ -74,13 +76,13 @@
     run(test)
 
 
-def test_answer_that_is_written_with_a_close_is_not_taken_along_by_a_request_that_crosses_it(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_close_does_not_discard_the_answer_written_before_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a reset that discards an answer, because a request arrived unread before the close."""
+
     async def test() -> None:
         async with world() as w:
             client = socket.create_connection((LOCAL, w.node.clients.port))
-            crossing(monkeypatch, client, call(number=2))
+            write_before_close(monkeypatch, client, call(number=2))
             client.sendall(call(number=1))
             connection, _ = await w.backend.command()
             w.node.clients.closing = True
@@ -92,10 +94,8 @@
     run(test)
 
 
-def test_client_that_rests_on_after_the_end_of_its_connection_is_closed_all_the_same(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """It never ends its own side."""
+def test_client_that_never_closes_its_side_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a connection that stays half closed because its client never ends its own side."""
     monkeypatch.setattr(connections, "LOOK", 0.01)
     monkeypatch.setattr("trackspread.fronts.client.LINGER", 0.05)
 
@@ -109,7 +109,9 @@
     run(test)
 
 
-def test_connection_that_has_ended_but_for_its_clients_side_makes_room_for_a_newcomer() -> None:
+def test_half_closed_connection_makes_room_for_a_new_one() -> None:
+    """Guards against connections that only the client has not closed and that use up the limit."""
+
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -128,29 +130,34 @@
 
 
 def no_delay(transport: Any) -> bool:
-    made = cast(asyncio.Transport, transport).get_extra_info("socket")
-    return bool(made.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+    raw_socket = cast(asyncio.Transport, transport).get_extra_info("socket")
+    return bool(raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
-def test_small_writes_are_not_held_back_on_either_side() -> None:
+def test_small_writes_are_sent_without_delay_on_both_sides() -> None:
+    """Guards against Nagle's algorithm, which delays small writes to clients and backends."""
+
     async def test() -> None:
         async with world() as w:
             client = await w.client()
             client.send(call())
             connection, _ = await w.backend.command()
-            (link,) = [link for pool in w.node.backends._pools.values() for link in pool.connections]
+            pools = w.node.backends._pools.values()
+            (pooled,) = [each for pool in pools for each in pool.connections]
             (server,) = w.node.clients._clients
-            assert no_delay(link.transport) and no_delay(server._transport)
+            assert no_delay(pooled.transport) and no_delay(server._transport)
             connection.send(served(b"v"))
             assert await client.next() == b"v"
 
     run(test)
 
 
-def test_a_second_copy_that_comes_with_the_time_out_of_another_attempt_answers_no_repeat(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """In one turn: the copy lies unread on a connection at rest when the repeat looks for one."""
+def test_late_duplicate_answer_is_not_used_for_another_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an answer that is taken for another attempt's.
+
+    In one turn of the loop a duplicate answer arrives unread on an idle connection, another attempt times
+    out, and a third attempt needs a connection.
+    """
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -163,9 +170,9 @@
             first.send(served(b"one"))
             assert (await b.end())[:3] == (1, Outcome.OK, b"one")
             assert b.pools.idle_connections() == 1
-            made = first.writer.get_extra_info("socket")
-            with socket.socket(fileno=os.dup(made.fileno())) as again:
-                again.send(served(b"one"))
+            backend_socket = first.writer.get_extra_info("socket")
+            with socket.socket(fileno=os.dup(backend_socket.fileno())) as duplicate:
+                duplicate.send(served(b"one"))
             b.pools.expire(late)
             b.start(3)
             assert (await b.end())[:2] == (2, Outcome.TIMEOUT)
--- a/tests/node/test_endings_stop.py
+++ b/tests/node/test_endings_stop.py
@@ -1,4 +1,4 @@
-"""What ends with a gateway that is told to stop: everything taken is answered before it may be killed."""
+"""Tests that a gateway which stops answers everything it accepted before it may be killed."""
 
 from __future__ import annotations
 
@@ -13,15 +13,18 @@
 from ..fakes import call, run, served, soon, until, world
 
 SECOND = 1_000_000_000
-KILLED = 0.7  # s over the longest deadline after SIGTERM from which on SIGKILL may come
+KILL_MARGIN_S = 0.7  # after SIGTERM, SIGKILL may come this long after the longest deadline
 
 
 @pytest.mark.parametrize("kept", ["behind another", "held back"])
-def test_request_taken_late_in_the_drain_is_answered_before_the_gateway_may_be_killed(
+def test_late_request_in_the_drain_is_answered_before_sigkill(
     kept: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen on the bench: taken 0.78 s after SIGTERM, on a connection that was kept, sent to a backend that
-    hung for all of its time, and unanswered when the process was killed."""
+    """Guards against an accepted request without an answer when the process is killed.
+
+    A request that arrived 0.78 s after SIGTERM on a persistent connection was sent to a backend that hung for
+    the request's whole time.
+    """
     monkeypatch.setattr(connections, "QUIET", 0.01)
 
     async def test() -> None:
@@ -33,8 +36,8 @@
             stopped = w.node.now()
             stopping = asyncio.create_task(w.node.stop())
             await until(lambda: w.node.clients.closing)
-            # As if the drain had lasted until all but 0.3 s of what is left until SIGKILL.
-            w.node.now.base_ns += longest + int((KILLED - 0.4) * SECOND)
+            # The clock is moved forward, as if the drain had lasted until 0.3 s after the longest deadline.
+            w.node.now.base_ns += longest + int((KILL_MARGIN_S - 0.4) * SECOND)
             number = 2 if kept == "behind another" else 2 * w.node.clients.bounds.pipeline
             client.send(b"".join(call(number=2 + n) for n in range(number - 1)))
             await until(lambda: len(w.node.requests) > 1)
@@ -42,7 +45,7 @@
             assert await client.next() == b"one"
             for _ in range(number - 1):
                 assert str(await client.next()).split()[0] in ("ERR", "BUSY")
-                assert w.node.now() <= stopped + longest + int(KILLED * SECOND)
+                assert w.node.now() <= stopped + longest + int(KILL_MARGIN_S * SECOND)
             assert await client.next() is None
             await soon(stopping)
             assert not w.node.requests and not w.node.clients.count()
@@ -50,8 +53,11 @@
     run(test)
 
 
-def test_a_request_in_the_drain_has_no_more_time_than_sigkill_leaves_where_deadlines_are_long() -> None:
-    """Another customer's classes have deadlines of 12 s; SIGKILL waits for 3 s and 0.7 s at most."""
+def test_draining_limits_long_deadlines_to_the_time_before_sigkill() -> None:
+    """Guards against requests that are still open when the process is killed.
+
+    Another customer's classes have deadlines of 12 s, while SIGKILL comes at most 3.7 s after SIGTERM.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -70,7 +76,7 @@
             after, _ = await w.backend.command()
             open_now = sorted(w.node.requests.items())
             assert [request.expires_at_ns > stopped + 11 * SECOND for _, request in open_now] == [True, False]
-            assert open_now[1][1].expires_at_ns <= stopped + int((3 + KILLED) * SECOND)
+            assert open_now[1][1].expires_at_ns <= stopped + int((3 + KILL_MARGIN_S) * SECOND)
             before.send(served(b"one"))
             after.send(served(b"two"))
             assert [await client.next(), await client.next()] == [b"one", b"two"]
@@ -79,8 +85,8 @@
     run(test)
 
 
-def test_an_answer_that_is_not_written_out_yet_still_goes_out_before_the_gateway_ends() -> None:
-    """Its client reads slowly: what waits for it lies in the gateway when nothing else is owed any more."""
+def test_unwritten_answer_is_sent_before_the_gateway_ends() -> None:
+    """Guards against a lost answer: a slow client's answer is still in the gateway's buffer at the end."""
 
     async def test() -> None:
         async with world() as w:
--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The program as the platform runs it: configuration, start, SIGTERM."""
+"""Tests the program as the platform runs it: its configuration, its start and its signals."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 
 
 class Process:
-    """A gateway in a process of its own."""
+    """Holds a gateway's process, its port, its backend and its configuration file."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, backend: Backend, path: Path) -> None:
         self.process, self.port, self.backend, self.path = process, port, backend, path
 
     async def logged(self, words: bytes) -> None:
-        """Reads the log up to a line that holds these words."""
+        """Reads the log up to a line that contains `words`."""
         assert self.process.stderr is not None
         while words not in (line := await soon(self.process.stderr.readline())):
-            assert line, "ended before it said so"
+            assert line, "the process ended before it logged the text"
 
     async def client(self) -> Connection:
         return Connection(*await soon(asyncio.open_connection(LOCAL, self.port)))
@@ -60,8 +60,10 @@
 async def started(
     folder: Path, agent: Agent, config: dict[str, Any] | None = None, operator: str = ""
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
-    """The program as `run` starts it, from its first moment on, and its configuration. `operator`: the text
-    of the operator's file."""
+    """Starts the program as `run` does; yields the process and the path of its configuration.
+
+    `operator` is the text of the operator's file.
+    """
     path, own = folder / "config.json", folder / "own.toml"
     own.write_text(operator)
     path.write_text(json.dumps(config or raw_config(agent.port)))
@@ -89,15 +91,15 @@
         async with started(folder, agent) as (process, path):
             assert process.stderr is not None
             while b"listening on" not in (line := await soon(process.stderr.readline())):
-                assert line, "ended before it listened"
+                assert line, "the process ended before it listened"
             yield Process(process, int(line.rsplit(b":", 1)[1]), backend, path)
 
 
-def test_sigterm_before_the_first_list_ends_in_good_order(tmp_path: Path) -> None:
+def test_sigterm_before_the_first_list_exits_cleanly(tmp_path: Path) -> None:
     async def test() -> None:
         agent = Agent()
         async with listening(agent), started(tmp_path, agent) as (process, _):
-            await soon(agent.asked.get())  # it is told nothing
+            await soon(agent.asked.get())  # it sends no list
             process.send_signal(signal.SIGTERM)
             assert await soon(process.wait()) == 0
             assert process.stderr is not None and b"Traceback" not in await process.stderr.read()
@@ -106,10 +108,11 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_another_signal_during_the_drain_takes_nothing_that_is_owed_along(
-    tmp_path: Path, number: signal.Signals
-) -> None:
-    """A second SIGTERM, or SIGHUP with a file by which discovery is elsewhere and the class is gone."""
+def test_second_signal_during_the_drain_loses_no_answer(tmp_path: Path, number: signal.Signals) -> None:
+    """Guards against answers that are lost by another signal.
+
+    It is a second SIGTERM, or SIGHUP with a file that moves discovery and removes the open request's class.
+    """
 
     async def test() -> None:
         async with running(tmp_path) as p:
@@ -136,7 +139,7 @@
     run(test)
 
 
-def test_sigterm_answers_all_that_was_taken_and_what_still_comes_then_exits_0(tmp_path: Path) -> None:
+def test_sigterm_answers_accepted_and_waiting_requests_then_exits_0(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             taken, idle = await p.client(), await p.client()
@@ -144,7 +147,8 @@
             assert await idle.next() == b"PONG"
             taken.send(call(number=1))
             first, _ = await p.backend.command()
-            # Held still, so that all of this waits in socket and accept queue at the gateway's SIGTERM.
+            # The process is stopped, so that the requests wait in a socket and in the accept queue when it
+            # receives SIGTERM.
             p.process.send_signal(signal.SIGSTOP)
             late = await p.client()
             late.send(call(number=2))
@@ -166,7 +170,9 @@
     run(test)
 
 
-def test_connection_in_the_accept_queue_is_taken_though_the_stopping_gateway_lagged(tmp_path: Path) -> None:
+def test_lagging_gateway_accepts_queued_connections_while_it_stops(tmp_path: Path) -> None:
+    """Guards against a listener that is closed by time alone while connections wait in its accept queue."""
+
     async def test() -> None:
         async with running(tmp_path) as p:
             p.process.send_signal(signal.SIGTERM)
@@ -177,7 +183,7 @@
             late = await p.client()
             late.send(call())
             await soon(late.writer.drain())
-            await asyncio.sleep(QUIET + 0.1)  # its time to close the door passes meanwhile
+            await asyncio.sleep(QUIET + 0.1)  # the time after which the listener closes passes meanwhile
             p.process.send_signal(signal.SIGCONT)
             connection, _ = await p.backend.command()
             connection.send(served(b"v"))
@@ -187,27 +193,31 @@
     run(test)
 
 
-def test_stopping_gateway_closes_its_door_though_new_connections_keep_coming(tmp_path: Path) -> None:
+def test_stopping_gateway_closes_its_listener_despite_new_connections(tmp_path: Path) -> None:
+    """Guards against a stop that never ends because clients continue to connect."""
+
     async def test() -> None:
         async with running(tmp_path) as p:
             p.process.send_signal(signal.SIGTERM)
             await p.logged(b"stopping")
 
-            async def knock() -> None:
-                while True:  # ends when the door is closed; each stays open and says nothing
-                    kept.append(await p.client())
+            async def connect_repeatedly() -> None:
+                while True:  # ends when the listener is closed; every connection stays open and sends nothing
+                    idle.append(await p.client())
                     await asyncio.sleep(0.02)
 
-            kept: list[Connection] = []
+            idle: list[Connection] = []
             with pytest.raises(ConnectionRefusedError):
-                await soon(knock())
-            assert len(kept) > 1
+                await soon(connect_repeatedly())
+            assert len(idle) > 1
             assert await soon(p.process.wait()) == 0
 
     run(test)
 
 
-def test_sighup_moves_discovery_and_keeps_the_rest_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_discovery_and_ignores_a_bad_file(tmp_path: Path) -> None:
+    """Guards against a reload that affects the endpoint list, open requests or connections."""
+
     async def test() -> None:
         agent, second = Agent(), Backend()
         async with listening(agent), listening(second), running(tmp_path) as p:
@@ -215,22 +225,22 @@
             client = await p.client()
             client.send(call(number=1))
             before, _ = await p.backend.command()
-            whole = json.dumps(raw_config(agent.port) | {"name": "other"})
-            for bad in (whole[:-9], json.dumps({"discovery": f"{LOCAL}:{agent.port}"})):
+            complete = json.dumps(raw_config(agent.port) | {"name": "other"})
+            for bad in (complete[:-9], json.dumps({"discovery": f"{LOCAL}:{agent.port}"})):
                 p.path.write_text(bad)
                 p.process.send_signal(signal.SIGHUP)
                 await p.logged(b"configuration: reload rejected")
             assert agent.asked.empty()
-            p.path.write_text(whole)
+            p.path.write_text(complete)
             for _ in range(3):
                 p.process.send_signal(signal.SIGHUP)
             await p.logged(b"a restart is needed for name")
             assert b"index=1 " in await soon(agent.asked.get())
             before.send(served(b"one"))
             assert await client.next() == b"one"
-            # The list in use stays, and what the new agent tells is added to it.
+            # The endpoint list in use is kept, and the new agent's updates are applied to it.
             agent.tell(listing(3, host("s-1", p.backend.port, "terminating"), whole=False))
-            await until(lambda: p.backend.ended == 1)  # its connection at rest goes with the drain
+            await until(lambda: p.backend.ended == 1)  # draining closes its idle connection
             client.send(call(number=2))
             connection, _ = await second.command()
             connection.send(served(b"two"))
@@ -244,7 +254,7 @@
     run(test)
 
 
-def test_sighup_has_the_operators_file_read_again(tmp_path: Path) -> None:
+def test_sighup_reloads_the_operators_file(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             own = tmp_path / "own.toml"
@@ -260,7 +270,7 @@
             other = await p.client()
             other.send(call(number=3))
             second, words = await p.backend.command()
-            assert words[2] == b"%016x" % 3  # the first client's second call waits unread
+            assert words[2] == b"%016x" % 3  # the first client's second call is not read yet
             for each in (connection, second):
                 each.send(served(b"v"))
             assert await client.next() == b"v" == await other.next()
@@ -268,7 +278,7 @@
     run(test)
 
 
-def test_kill_and_start_again_serves_from_nothing(tmp_path: Path) -> None:
+def test_gateway_serves_again_after_a_kill_and_restart(tmp_path: Path) -> None:
     async def test() -> None:
         for number in (1, 2):
             async with running(tmp_path) as p:
@@ -302,7 +312,7 @@
         (raw_config(1) | {"settings": nested_settings(limits__maxAttempts=0)}, "limits.maxAttempts"),
     ],
 )
-def test_bad_configuration_ends_with_one_plain_line_and_exit_2(tmp_path: Path, raw: Any, words: str) -> None:
+def test_bad_configuration_ends_with_one_line_and_exit_2(tmp_path: Path, raw: Any, words: str) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if raw is not None:
@@ -321,7 +331,7 @@
     run(test)
 
 
-def test_address_in_use_ends_with_one_plain_line_and_exit_2(tmp_path: Path) -> None:
+def test_address_in_use_is_one_line_and_exit_2(tmp_path: Path) -> None:
     async def test() -> None:
         agent = Agent()
         agent.first = listing(1, host("s-1", 1))
@@ -339,7 +349,7 @@
     run(test)
 
 
-def test_environment_comes_before_the_file(tmp_path: Path) -> None:
+def test_environment_takes_precedence_over_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(1)))
     config = load(
@@ -356,7 +366,7 @@
         load({})
 
 
-def test_reload_goes_by_the_file_where_discovery_is(tmp_path: Path) -> None:
+def test_reload_takes_discoverys_address_from_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(1)))
     environment = {"ROUTER_CONFIG": str(path), "ROUTER_DISCOVERY": "127.0.0.8:2", "ROUTER_NAME": "n7"}
@@ -368,7 +378,7 @@
     assert needs_restart(old, old) == []
 
 
-def test_nested_settings_become_the_start_messages_lines() -> None:
+def test_nested_settings_flatten_to_the_start_messages_lines() -> None:
     nested = {"a": [{"name": "look up, twice", "on": True}], "b": {"c": [1, 2.5], "d": []}, "e": 10**12}
     assert list(flatten(nested)) == [
         "a.count=1",
@@ -380,7 +390,7 @@
     ]
 
 
-def test_names_on_the_wire_are_those_of_the_settings_as_written() -> None:
+def test_wire_names_are_the_settings_names_unchanged() -> None:
     config = parse(raw_config(1), {})
     assert config.classes == (b"look up", b"submit", b"charge") and config.plans == (b"team",)
     assert config.settings.classes[0].name == "look_up"
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -1,4 +1,4 @@
-"""Bounds on log lines that others cause."""
+"""Tests the limits on log lines that clients and backends cause."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from trackspread.logs import INTERVAL_S, MAX_LINES, RateLimitFilter
 
 
-def test_a_flood_of_lines_is_cut_and_counted(
+def test_log_lines_above_the_rate_are_dropped_and_counted(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     clock = [1000.0]
@@ -27,6 +27,6 @@
     assert caplog.messages[MAX_LINES:] == [f"spoilt again ({500 - MAX_LINES} lines like it left out)"]
 
 
-def test_logs_of_clients_and_backends_are_bounded() -> None:
+def test_logs_of_clients_and_backends_are_rate_limited() -> None:
     for log in (connections_log, pools_log, clients_log):
         assert any(isinstance(one, RateLimitFilter) for one in log.filters)
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change in service: numbers of classes, the module's rules, files taken or turned down."""
+"""Tests reloads of the settings: class numbers, the decision module's rules, and files that are rejected."""
 
 from __future__ import annotations
 
@@ -23,23 +23,25 @@
 NAMES = (b"read", b"submit", b"charge")
 
 
-def test_a_number_goes_to_another_class_only_once_no_request_holds_it() -> None:
+def test_class_number_is_reused_only_after_its_last_request() -> None:
+    """Guards against open requests that continue under another class's rules."""
     first = Roster.first(NAMES, CLASSES)
     other = replace(CLASSES[0], name="other", latency_objective_ns=5)
-    without, heirs = first.follow((b"charge", b"read"), (CLASSES[2], CLASSES[0]), {KEYED})
-    assert without.numbers() == {b"charge": UNSAFE, b"read": SAFE} and heirs == (0, 1, 2)  # order is nothing
-    held, heirs = without.follow((b"other", b"read"), (other, CLASSES[0]), {KEYED, UNSAFE})
-    assert held.numbers() == {b"other": 3, b"read": SAFE} and heirs == (0, 1, 2, -1)
-    assert held.rules[KEYED] == CLASSES[KEYED]  # whoever holds it keeps its rules
-    free, heirs = held.follow((b"submit", b"read", b"other"), (CLASSES[1], CLASSES[0], other), set())
-    assert free.numbers() == {b"submit": 1, b"read": SAFE, b"other": 3} and heirs == (0, -1, 2, 3)
-
-
-def test_a_class_whose_rules_change_has_another_number_and_the_same_past() -> None:
-    roster, heirs = Roster.first(NAMES, CLASSES).follow(
+    without, predecessors = first.follow((b"charge", b"read"), (CLASSES[2], CLASSES[0]), {KEYED})
+    # The order of the classes has no effect.
+    assert without.numbers() == {b"charge": UNSAFE, b"read": SAFE} and predecessors == (0, 1, 2)
+    held, predecessors = without.follow((b"other", b"read"), (other, CLASSES[0]), {KEYED, UNSAFE})
+    assert held.numbers() == {b"other": 3, b"read": SAFE} and predecessors == (0, 1, 2, -1)
+    assert held.rules[KEYED] == CLASSES[KEYED]  # the requests that use it keep its rules
+    free, predecessors = held.follow((b"submit", b"read", b"other"), (CLASSES[1], CLASSES[0], other), set())
+    assert free.numbers() == {b"submit": 1, b"read": SAFE, b"other": 3} and predecessors == (0, -1, 2, 3)
+
+
+def test_changed_class_gets_a_new_number_and_keeps_statistics() -> None:
+    roster, predecessors = Roster.first(NAMES, CLASSES).follow(
         NAMES, (replace(CLASSES[0], idempotency=Idempotency.NOT_IDEMPOTENT), *CLASSES[1:]), set()
     )
-    assert roster.numbers()[b"read"] == 3 and heirs == (0, 1, 2, 0)
+    assert roster.numbers()[b"read"] == 3 and predecessors == (0, 1, 2, 0)
     assert roster.rules[0].idempotency is Idempotency.IDEMPOTENT
 
 
@@ -49,24 +51,25 @@
 
 
 @pytest.mark.parametrize("shifted", [False, True])
-def test_open_requests_keep_class_and_attempts_and_new_ones_have_the_new(shifted: bool) -> None:
-    """`shifted` plants the breach that this guards against: numbers that follow the file's order."""
+def test_open_requests_keep_their_class_and_attempts_after_reload(shifted: bool) -> None:
+    """Guards against class numbers that follow the order in the file; `shifted` plants this fault."""
     module, now = Broker(settings(max_attempts=4), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     before = module.handle(now, arrival(1, now, SAFE))
     roster = Roster.first(NAMES, CLASSES)
-    told, unsafe_now = change(*roster.follow(NAMES[:0:-1], CLASSES[:0:-1], {SAFE}), 1), UNSAFE
+    change_event, unsafe_now = change(*roster.follow(NAMES[:0:-1], CLASSES[:0:-1], {SAFE}), 1), UNSAFE
     if shifted:
-        told, unsafe_now = change(Roster.first(NAMES[:0:-1], CLASSES[:0:-1]), (2, 1), 1), 0
-    module.handle(now, told)
+        change_event, unsafe_now = change(Roster.first(NAMES[:0:-1], CLASSES[:0:-1]), (2, 1), 1), 0
+    module.handle(now, change_event)
     lost = module.handle(now + 30 * MS, ended(before, 1, 0, Outcome.RESET))
-    assert any(isinstance(action, StartAttempt) for action in lost) is not shifted  # safe, four times at most
+    # The request is idempotent and has at most four attempts.
+    assert any(isinstance(action, StartAttempt) for action in lost) is not shifted
     unsafe = module.handle(now, arrival(2, now, unsafe_now))
     end = module.handle(now + 60 * MS, ended(unsafe, 2, 0, Outcome.RESET))
     assert [type(action) for action in end] == [Fail]
     harmless = module.handle(now, arrival(3, now, unsafe_now))
     end = module.handle(now + 90 * MS, ended(harmless, 3, 0, Outcome.REJECTED))
-    assert [type(action) for action in end] == [Reject]  # one attempt by the new settings
+    assert [type(action) for action in end] == [Reject]  # the new settings allow one attempt
 
 
 async def reread(p: Process, raw: Any, words: bytes) -> None:
@@ -75,7 +78,7 @@
     await p.logged(words)
 
 
-def test_a_class_is_added_and_dropped_while_its_requests_are_open(tmp_path: Path) -> None:
+def test_classes_change_while_their_requests_are_open(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             raw = json.loads(p.path.read_text())
@@ -84,15 +87,16 @@
             client, other = await p.client(), await p.client()
             client.send(call("submit", 1, body=b"b"))
             held, _ = await p.backend.command()
-            raw["settings"]["classes"] = [added, classes[0]]  # charge is dropped, submit has other rules
+            raw["settings"]["classes"] = [added, classes[0]]  # charge is removed, submit has other rules
             await reread(p, raw, b"classes changed: 2 now")
             other.send(call("charge", 2, body=b"b"))
             assert b"unknown class" in str(await other.next()).encode()
             other.send(call("submit", 3, body=b"b"))
             fresh, words = await p.backend.command()
             assert words[2] == b"%016x" % 3
-            # Both may have run: the keyed one goes on, the one shot fails. One after the other, as two breaks
-            # in a row suspend the only backend, and then nothing can go on.
+            # Backends may have processed both: the request with an idempotency key is retried, the other one
+            # fails. They end one after the other, because two lost connections in a row would eject the only
+            # backend, and then nothing could be retried.
             held.abort()
             again, words = await p.backend.command()
             assert words[2] == b"%016x" % 1
@@ -139,7 +143,7 @@
         (_broken(classes=2 * nested_settings()["classes"]), "a name stands twice"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_turned_down_whole(tmp_path: Path, raw: Any, words: str) -> None:
+def test_unusable_file_is_rejected_entirely(tmp_path: Path, raw: Any, words: str) -> None:
     from trackspread.config.addresses import ConfigError
     from trackspread.config.platform import reload
 
--- a/tests/node/test_services.py
+++ b/tests/node/test_services.py
@@ -1,4 +1,4 @@
-"""Several services behind one gateway: each has its own backends and pressure, and all share the quotas."""
+"""Tests several services behind one gateway: each has its own backends and load, and all share the quotas."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 CARRIED = ("", "lookups", "charges")
 DEFAULT, LOOKUPS, CHARGES = range(3)
-SERVICE_OF = {"read": "lookups", "charge": "charges"}  # "submit" is of the default service
+SERVICE_OF = {"read": "lookups", "charge": "charges"}  # "submit" belongs to the default service
 WIDE = plan(rate_per_s=1000.0, burst_units=1000.0)
 
 
@@ -74,7 +74,7 @@
 
 
 def listed(made: ServiceBrokers, now: int = 0) -> ServiceBrokers:
-    """Backends 1 and 2 are of the default service, 11 and 12 look up, 21 and 22 charge."""
+    """Lists backends 1 and 2 for the default service, 11 and 12 for lookups, 21 and 22 for charges."""
     made.handle(now, full_list(*of(DEFAULT, 1, 2), *of(LOOKUPS, 11, 12), *of(CHARGES, 21, 22)))
     return made
 
@@ -83,7 +83,7 @@
     return [action.backend for action in actions if isinstance(action, StartAttempt)]
 
 
-def test_each_request_goes_to_a_backend_of_its_service() -> None:
+def test_request_goes_to_a_backend_of_its_service() -> None:
     made = listed(module())
     wanted = {SAFE: {11, 12}, KEYED: {1, 2}, UNSAFE: {21, 22}}
     for request in range(60):
@@ -92,7 +92,7 @@
         assert chosen in wanted[cls]
 
 
-def test_a_service_without_backends_refuses_its_own_requests_alone() -> None:
+def test_service_without_backends_rejects_only_its_own_requests() -> None:
     made = listed(module())
     made.handle(
         MS, EndpointUpdate(EndpointUpdateKind.DELTA, 2, tuple(of(CHARGES, 21, 22, health=Health.DRAINING)))
@@ -107,7 +107,7 @@
     ]
 
 
-def test_a_request_whose_service_is_not_carried_is_refused() -> None:
+def test_request_of_a_service_not_carried_is_rejected() -> None:
     made = module(("", "charges"))
     made.handle(0, full_list(*of(DEFAULT, 1), *of(1, 21)))
     assert [type(each) for each in made.handle(0, arrival(1, 0, SAFE))] == [Reject]
@@ -115,7 +115,7 @@
     assert sends(made.handle(0, arrival(3, 0, KEYED))) == [1]
 
 
-def test_a_further_attempt_stays_in_the_service_and_every_end_finds_its_broker() -> None:
+def test_retries_and_their_ends_stay_in_the_service() -> None:
     made = listed(module())
     (first,) = sends(made.handle(0, arrival(1, 0, SAFE)))
     (second,) = sends(made.handle(MS, ended(1, first, Outcome.RESET)))
@@ -129,13 +129,13 @@
     assert not any(broker.requests.attempts or broker.requests.in_flight for broker in made.brokers)
 
 
-def test_a_quota_is_one_over_all_services() -> None:
+def test_quota_is_shared_by_all_services() -> None:
     made = listed(module(plans=(plan(rate_per_s=0.001, burst_units=6.0),)))
     sent = sum(len(sends(made.handle(MS, arrival(n, MS, n % 3, gateway_span=1)))) for n in range(30))
     assert sent == 6
 
 
-def test_a_limit_on_open_attempts_is_one_over_all_services() -> None:
+def test_concurrency_limit_is_shared_by_all_services() -> None:
     made = listed(module(plans=(plan(rate_per_s=0.0, burst_units=0.0, concurrency_limit=4),)))
     chosen = [sends(made.handle(MS, arrival(n, MS, n % 3, gateway_span=1))) for n in range(12)]
     assert sum(map(len, chosen)) == 4
@@ -144,9 +144,11 @@
     assert sends(made.handle(3 * MS, arrival(100, 3 * MS, UNSAFE, gateway_span=1)))
 
 
-def pressed(made: Broker | ServiceBrokers, charge_takes: int) -> list[int]:
-    """Lookups that are sent on in the last two of eight seconds, while a charge takes so long from the third
-    second on, and many customers ask for both."""
+def lookups_under_load(made: Broker | ServiceBrokers, charge_takes: int) -> list[int]:
+    """Returns the backends of the lookups that are forwarded in the last two of eight seconds.
+
+    From the third second on a charge takes `charge_takes` ns. Many customers send requests of both classes.
+    """
     now, due = 0, list[tuple[int, int, int, int]]()
     chosen: list[int] = []
     rng = random.Random(3)
@@ -167,15 +169,16 @@
     return chosen
 
 
-def test_pressure_in_one_service_refuses_none_of_another() -> None:
-    calm, slow = (len(pressed(listed(module()), takes)) for takes in (20 * MS, 2_900 * MS))
+def test_pressure_in_one_service_rejects_nothing_in_another() -> None:
+    calm, slow = (len(lookups_under_load(listed(module()), takes)) for takes in (20 * MS, 2_900 * MS))
     assert slow == calm > 190
     together = Broker(settings(gateway_count=1, may_gossip=False, plans=(WIDE,)), 7, 0)
     together.handle(0, full_list(*(backend(number) for number in (1, 2, 11, 12, 21, 22))))
-    assert len(pressed(together, 2_900 * MS)) < 0.2 * calm, "what it would be with all of them in one"
+    # The same load affects lookups if a single broker decides on all requests.
+    assert len(lookups_under_load(together, 2_900 * MS)) < 0.2 * calm
 
 
-def test_a_cap_is_each_services_own() -> None:
+def test_each_service_has_its_own_cap() -> None:
     made = listed(module())
     made.handle(MS, arrival(1, MS, SAFE, gateway_span=1))
     alone = concurrency_cap(made, 1)
@@ -186,24 +189,25 @@
     assert made.quota.accounts[1].in_flight == 2 and not made.brokers[DEFAULT].commitments.by_tenant
 
 
-def test_one_beat_serves_all_and_peers_are_told_once() -> None:
+def test_services_share_one_tick_and_one_peer_message() -> None:
+    """Guards against timers and messages to peers that increase with the number of services."""
     made = listed(module(gateway_count=2, may_gossip=True))
-    timers, words = 0, 0
-    for beat in range(1, 101):
-        now = beat * 100 * MS
+    timers, messages = 0, 0
+    for tick in range(1, 101):
+        now = tick * 100 * MS
         actions = made.handle(now, TimerFired(TICK_TIMER))
         timers += sum(isinstance(each, SetTimer) for each in actions)
-        words += sum(isinstance(each, SendToPeers) for each in actions)
-    plain = Broker(settings(gateway_count=2, plans=(WIDE,)), 7, 0)
-    told = sum(
+        messages += sum(isinstance(each, SendToPeers) for each in actions)
+    single = Broker(settings(gateway_count=2, plans=(WIDE,)), 7, 0)
+    expected = sum(
         isinstance(each, SendToPeers)
-        for beat in range(1, 101)
-        for each in plain.handle(beat * 100 * MS, TimerFired(TICK_TIMER))
+        for tick in range(1, 101)
+        for each in single.handle(tick * 100 * MS, TimerFired(TICK_TIMER))
     )
-    assert timers == 100 and words == told > 0
+    assert timers == 100 and messages == expected > 0
 
 
-def test_the_list_is_watched_once_and_asked_again_once() -> None:
+def test_services_share_one_watch_and_one_poll() -> None:
     made = module(polls_discovery=True)
     first = made.handle(0, full_list(*of(DEFAULT, 1)))
     assert [type(each) for each in first] == [SetTimer, WatchEndpoints]
@@ -211,13 +215,13 @@
     assert [type(each) for each in again] == [SetTimer]
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_a_backend_that_goes_over_to_another_service_leaves_the_first(whole: bool) -> None:
+@pytest.mark.parametrize("complete", [False, True])
+def test_backend_that_changes_its_service_leaves_the_first(complete: bool) -> None:
     made = listed(module())
     moved = of(CHARGES, 11)
     event = (
         full_list(*moved, *of(LOOKUPS, 12))
-        if whole
+        if complete
         else EndpointUpdate(EndpointUpdateKind.DELTA, 2, tuple(moved))
     )
     made.handle(MS, event)
@@ -226,35 +230,35 @@
     taken = {number for n in range(40, 99) for number in sends(made.handle(MS, arrival(n, MS, UNSAFE)))}
     assert 11 in taken
     gone = EndpointUpdate(EndpointUpdateKind.DELTA, 3, tuple(of(DEFAULT, 11, health=Health.REMOVED)))
-    made.handle(2 * MS, gone)  # whatever service its end is told under
+    made.handle(2 * MS, gone)  # the removal may name any service
     assert 11 not in {
         n for at in range(100, 160) for n in sends(made.handle(2 * MS, arrival(at, 2 * MS, UNSAFE)))
     }
 
 
-def test_classes_that_change_keep_their_service_and_past_or_begin_anew() -> None:
+def test_changed_classes_keep_statistics_only_within_their_service() -> None:
     made = listed(module())
     for request in range(20):
         (chosen,) = sends(made.handle(request * MS, arrival(request, request * MS, UNSAFE)))
         made.handle(request * MS + 1, ended(request, chosen, elapsed=77 * MS))
     open_before = sends(made.handle(30 * MS, arrival(50, 30 * MS, UNSAFE)))
-    fast = replace(
-        CLASSES[UNSAFE], latency_objective_ns=SECOND // 2
-    )  # named charge too, under a number of its own
-    other = replace(CLASSES[UNSAFE], name="other")  # of the default service
+    # This class is also named charge, and has a number of its own.
+    fast = replace(CLASSES[UNSAFE], latency_objective_ns=SECOND // 2)
+    other = replace(CLASSES[UNSAFE], name="other")  # belongs to the default service
     event = ClassesChanged((*CLASSES, fast, other), frozenset({SAFE, KEYED, 3, 4}), (0, 1, 2, 2, 2), 4)
     made.handle(31 * MS, event)
     charges, default = made.brokers[CHARGES], made.brokers[DEFAULT]
     assert [each.name for each in charges.settings.classes] == ["charge", "charge"]
     assert charges.model.active_classes == {1} and charges.model.latency[1].value == pytest.approx(77 * MS)
-    assert default.model.latency[1].weight == 0.0, "what it met as another service's says nothing here"
+    assert default.model.latency[1].weight == 0.0, "statistics of another service do not apply here"
     assert sends(made.handle(32 * MS, arrival(60, 32 * MS, 3)))[0] in {21, 22}
     assert sends(made.handle(32 * MS, arrival(61, 32 * MS, 4)))[0] in {1, 2}
     made.handle(33 * MS, ended(50, open_before[0]))
     assert all((50, 0) not in broker.requests.attempts for broker in made.brokers)
 
 
-def test_an_open_request_keeps_its_class_when_another_number_goes_to_another_service() -> None:
+def test_open_request_keeps_its_class_when_numbers_move() -> None:
+    """Guards against an open request that gets another class when a number moves to another service."""
     first, second, charge = CLASSES[SAFE], replace(CLASSES[SAFE], name="read2"), CLASSES[UNSAFE]
     services_of = {"read": "lookups", "read2": "lookups", "charge": "charges", "charge2": "charges"}
     made = ServiceBrokers(
@@ -269,7 +273,7 @@
     lookups, charges = made.brokers[LOOKUPS], made.brokers[CHARGES]
     held = lookups.requests.open_requests[1].arrival.request_class
     again = replace(charge, name="charge2")
-    # Nobody holds the first class any more: its number is a charge's now, and a lookup comes under a new one.
+    # No request has the first class any more: its number is now a charge's, and a lookup has a new number.
     event = ClassesChanged((again, second, charge, first), frozenset({0, 1, 2, 3}), (-1, 1, 2, 0), 4)
     made.handle(2 * MS, event)
     assert (
@@ -284,34 +288,37 @@
     assert lookups.model.latency[1 - held].weight == 0.0
 
 
-def test_plans_that_change_are_taken_in_once_and_solved_in_each_service() -> None:
+def test_changed_plans_apply_in_each_service() -> None:
     made = listed(module(plans=(plan(rate_per_s=1.0, burst_units=4.0),)))
     for request in range(2):
         made.handle(MS, arrival(request, MS, request * 2, gateway_span=1))
-    told = made.handle(2 * MS, PlansChanged((plan(rate_per_s=1.0, burst_units=40.0),)))
-    lines = [each.text for each in told if isinstance(each, LogMessage)]
+    actions = made.handle(2 * MS, PlansChanged((plan(rate_per_s=1.0, burst_units=40.0),)))
+    lines = [each.text for each in actions if isinstance(each, LogMessage)]
     assert [line.split(":")[0] for line in lines] == ["default", "lookups", "charges"]
     assert made.quota.accounts[1].plan.burst_units == 40.0
 
 
-def test_an_answer_of_a_home_finds_the_request_that_waits_for_it() -> None:
-    """Many gateways: a customer's home is another one, which is asked and grants."""
+def test_quota_owners_grant_reaches_the_waiting_request() -> None:
+    """Guards against a request that waits forever for the grant of the gateway that owns its quota.
+
+    With many gateways the owner of a tenant's quota is often another gateway.
+    """
     made = listed(module(gateway_count=40, may_gossip=True, peer_messages_per_s=1.0))
     actions: list[Action] = []
     customer = next(c for c in range(2, 99) if c % 40 not in (0,))
     actions = made.handle(MS, arrival(1, MS, UNSAFE, customer=customer, gateway_span=3, first_gateway=0))
-    asked = [each for each in actions if isinstance(each, SendToPeers)]
-    assert asked and not sends(actions)
-    home = listed(
+    queries = [each for each in actions if isinstance(each, SendToPeers)]
+    assert queries and not sends(actions)
+    owner = listed(
         module(gateway_count=40, gateway_index=customer % 40, may_gossip=True, peer_messages_per_s=1.0)
     )
-    replies = home.handle(2 * MS, PeerMessage(0, asked[0].data))
+    replies = owner.handle(2 * MS, PeerMessage(0, queries[0].data))
     answers = [each for each in replies if isinstance(each, SendToPeers)]
     (chosen,) = sends(made.handle(3 * MS, PeerMessage(customer % 40, answers[0].data)))
     assert chosen in {21, 22}
 
 
-def test_retired_brokers_refuse_all_and_resume() -> None:
+def test_retired_brokers_reject_everything_until_resumed() -> None:
     made = listed(module())
     made.retire(MS)
     assert [type(each) for each in made.handle(MS, arrival(1, MS, UNSAFE))] == [Reject]
@@ -320,12 +327,12 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_with_one_service_all_is_as_with_one_broker(seed: int) -> None:
+def test_one_service_behaves_like_a_single_broker(seed: int) -> None:
     rng = random.Random(f"services:{seed}")
-    figures = plan(rate_per_s=5.0, burst_units=9.0, concurrency_limit=rng.choice((0, 3)))
-    made = settings(gateway_count=rng.choice((1, 3, 40)), plans=(figures,))
+    limits = plan(rate_per_s=5.0, burst_units=9.0, concurrency_limit=rng.choice((0, 3)))
+    made = settings(gateway_count=rng.choice((1, 3, 40)), plans=(limits,))
     one, several = Broker(made, seed, 0), ServiceBrokers(made, seed, 0, ("",), lambda cls: "")
-    out: list[tuple[int, int, int]] = []
+    in_flight: list[tuple[int, int, int]] = []
     now = 0
     for request in range(600):
         now += rng.randrange(30 * MS)
@@ -334,15 +341,15 @@
             events.append(TimerFired(TICK_TIMER))
         if request % 50 == 0:
             events.insert(0, full_list(*(backend(n, booted=rng.choice((0, now))) for n in range(1, 6))))
-        if out and rng.random() < 0.8:
-            number, attempt, server = out.pop(rng.randrange(len(out)))
+        if in_flight and rng.random() < 0.8:
+            number, attempt, server = in_flight.pop(rng.randrange(len(in_flight)))
             events.append(ended(number, server, rng.choice(list(Outcome)), attempt))
         for event in events:
-            told = one.handle(now, event)
-            assert several.handle(now, event) == told
-            out += [
+            actions = one.handle(now, event)
+            assert several.handle(now, event) == actions
+            in_flight += [
                 (each.request, one.requests.open_requests[each.request].attempts_started - 1, each.backend)
-                for each in told
+                for each in actions
                 if isinstance(each, StartAttempt)
             ]
 
@@ -350,7 +357,7 @@
 # A gateway on sockets.
 
 
-def test_a_gateway_serves_its_services_and_tells_operators_of_them() -> None:
+def test_gateway_routes_by_service_and_reports_its_services() -> None:
     operator = parse('[services.classes]\nlookups = ["look_up"]', "f")
 
     async def test() -> None:
@@ -359,12 +366,12 @@
             client.send(call("look up", 1))
             assert isinstance(await client.next(), hiredis.ReplyError), "no backend of its service is listed"
             w.agent.tell(listing(2, {**host("s-2", w.backend.port), "service": "lookups"}, whole=False))
-            await until(lambda: any(each.backends for each in told(w)[1:]))
+            await until(lambda: any(each.backends for each in reported(w)[1:]))
             client.send(call("look up", 2))
             connection, _ = await w.backend.command()
             connection.send(served(b"found"))
-            await until(lambda: told(w)[1].commitments == 1 and told(w)[1].in_flight == 0)
-            assert [(each.service, each.backends, each.warm) for each in told(w)] == [
+            await until(lambda: reported(w)[1].commitments == 1 and reported(w)[1].in_flight == 0)
+            assert [(each.service, each.backends, each.warm) for each in reported(w)] == [
                 ("", 1, 1),
                 ("lookups", 1, 1),
             ]
@@ -372,17 +379,17 @@
     run(test)
 
 
-def told(w: World) -> list[ServiceReport]:
+def reported(w: World) -> list[ServiceReport]:
     status, text = w.node.reports.routes()[b"/services"]()
     assert status == 200
     return msgspec.json.decode(text, type=list[ServiceReport])
 
 
-# The list and the operator's file.
+# The endpoint list and the operator's file.
 
 
 def entry(name: str, service: str | None = None, health: str = "in_service") -> dict[str, Any]:
-    told = {
+    row = {
         "host": name,
         "dial": "127.0.0.1:1",
         "site": "a",
@@ -392,7 +399,7 @@
         "share": 1.0,
         "born_ms": 0,
     }
-    return told if service is None else {**told, "service": service}
+    return row if service is None else {**row, "service": service}
 
 
 def parsed(carried: CarriedServices, whole: bool, *hosts: dict[str, Any]) -> list[tuple[int, int, Health]]:
@@ -400,7 +407,7 @@
     return [(each.id, each.service, each.health) for each in update.topology.backends]
 
 
-def test_the_list_is_taken_as_far_as_its_services_are_carried() -> None:
+def test_endpoint_list_is_limited_to_the_carried_services() -> None:
     carried = CarriedServices(("", "charges"), lambda number: number == backend_id("was-here"))
     hosts = entry("plain"), entry("mine", "charges"), entry("other", "lookups"), entry("was-here", "lookups")
     plain, mine, was = (backend_id(name) for name in ("plain", "mine", "was-here"))
@@ -409,8 +416,8 @@
         (mine, 1, Health.READY),
         (was, 0, Health.REMOVED),
     ]
-    alike = CarriedServices()
-    assert [service for _, service, _ in parsed(alike, True, *hosts)] == [0, 0, 0, 0]
+    single = CarriedServices()
+    assert [service for _, service, _ in parsed(single, True, *hosts)] == [0, 0, 0, 0]
     with pytest.raises(ListError):
         parsed(carried, False, {**entry("odd"), "service": ["charges"]})
 
@@ -418,9 +425,10 @@
 SERVICES = '[services]\ncarries = ["a"]\n[services.classes]\na = ["x", "y"]\nb = ["z"]\n'
 
 
-def test_the_operators_file_says_what_is_carried() -> None:
-    told = parse(SERVICES, "f").services
-    assert told.carried() == ("", "a") and told.service_of("y") == "a" and told.service_of("other") == ""
+def test_operators_file_names_the_carried_services() -> None:
+    services = parse(SERVICES, "f").services
+    assert services.carried() == ("", "a")
+    assert services.service_of("y") == "a" and services.service_of("other") == ""
     assert parse(SERVICES.replace('"a"', ""), "f").services.carried() == ("", "a", "b")
     assert parse("", "f").services.carried() == ()
 
@@ -445,7 +453,7 @@
         ),
     ],
 )
-def test_a_mistake_is_one_plain_line(text: str, line: str) -> None:
+def test_mistake_in_services_is_a_one_line_error(text: str, line: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(text, "f")
     assert str(caught.value) == f"f: {line}"
--- a/tests/node/test_services_process.py
+++ b/tests/node/test_services_process.py
@@ -1,4 +1,4 @@
-"""Several services behind gateways that are processes: requests stay in their service, and so do troubles."""
+"""Tests several services behind gateway processes: requests and failures stay in their service."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 pytestmark = pytest.mark.processes
 
-MOST = 90.0  # s: only a hang reaches it
-TRIES = 4  # of a run whose rig lagged: such a run has no verdict
+TIMEOUT_S = 90.0  # only a run that hangs reaches it
+MAX_RUNS = 4  # a run on a machine that lagged has no verdict and is repeated
 CHARGE = "charge-post"
 TABLE = f'[services.classes]\ncharging = ["{CHARGE}"]\n'
-LOOKUPS = 250  # asked while all is calm, and again while no backend charges
-CHANCE = 0.1  # by which the parts served of so many may differ: some customers are at their quota by chance
+LOOKUPS = 250  # requests while all backends serve, and again while no backend charges
+TOLERANCE = 0.1  # between the served parts, as some customers reach their quota by chance
 
 
 class ServiceScene(Scenario):
-    """The last pod of three nodes charges, the other two do all else."""
+    """Lets the last pod of three nodes charge, and the other two serve everything else."""
 
     def service(self, spec: NodeSpec) -> str:
         return "charging" if spec.cell == 2 else ""
 
 
-def elsewhere(fleet: Fleet) -> Counter[str]:
-    """Requests that came to a backend of another service than their own, by class."""
+def misrouted(fleet: Fleet) -> Counter[str]:
+    """Counts by class the requests that reached a backend of another service than their own."""
     classes = {
         each.request: each.request_class for each in fleet.ledger.entries if isinstance(each, RequestSent)
     }
@@ -46,7 +46,7 @@
 
 
 def answers(entries: list[Entry], since: int, until: int) -> dict[str, Counter[str]]:
-    """How requests ended that were asked in this span, by class."""
+    """Counts by class how the requests ended that were sent in this span."""
     classes = {
         each.request: each.request_class
         for each in entries
@@ -59,11 +59,11 @@
     return found
 
 
-Work = Callable[[Fleet], Awaitable[None]]
+Scene = Callable[[Fleet], Awaitable[None]]
 
 
-def play(work: Work, table: str = TABLE) -> Fleet:
-    """A run in which the rig lagged is played again; the rules are decided on after it."""
+def run_fleet(scene: Scene, table: str = TABLE) -> Fleet:
+    """Runs a fleet and judges it; a run on a machine that lagged is repeated."""
 
     async def once() -> tuple[Fleet, Verdict]:
         scenario = ServiceScene(
@@ -71,20 +71,20 @@
         )
         async with Fleet(scenario, operator_file=lambda name: table) as fleet:
             fleet.start_clients()
-            await work(fleet)
+            await scene(fleet)
             await fleet.settle()
             return fleet, fleet.verdict()
 
-    for _ in range(TRIES):
-        fleet, verdict = uvloop.run(asyncio.wait_for(once(), MOST))
+    for _ in range(MAX_RUNS):
+        fleet, verdict = uvloop.run(asyncio.wait_for(once(), TIMEOUT_S))
         if verdict.state != "void":
             assert verdict.state == "kept", verdict.violations
             return fleet
-    raise AssertionError(f"the rig lagged in each of {TRIES} runs")
+    raise AssertionError(f"the machine lagged in each of {MAX_RUNS} runs")
 
 
-async def asked(fleet: Fleet, cls: str, more: int) -> None:
-    """Until so many more requests of a class were asked."""
+async def wait_for_requests(fleet: Fleet, cls: str, more: int) -> None:
+    """Returns once clients have sent `more` further requests of a class."""
 
     def count() -> int:
         return sum(
@@ -96,48 +96,50 @@
         await asyncio.sleep(0.05)
 
 
-async def replaced(fleet: Fleet) -> None:
-    """Nodes of both services are replaced, and a gateway starts anew."""
-    await asked(fleet, CHARGE, 20)
+async def replace_nodes(fleet: Fleet) -> None:
+    """Replaces nodes of both services, and restarts a gateway."""
+    await wait_for_requests(fleet, CHARGE, 20)
     chosen = [
         next(n for n in fleet.nodes_in_service() if (fleet.scenario.service(n.spec) != "") is charging)
         for charging in (True, False)
     ]
     await asyncio.gather(fleet.restart([0], 0.1), *(fleet.replace(node, 1.5) for node in chosen))
-    await asked(fleet, CHARGE, 40)
+    await wait_for_requests(fleet, CHARGE, 40)
 
 
-def test_requests_stay_in_their_service_while_nodes_are_replaced_and_a_gateway_starts_anew() -> None:
-    assert not elsewhere(play(replaced))
+def test_requests_stay_in_their_service_during_replacements() -> None:
+    """Guards against misrouted requests while nodes are replaced and a gateway restarts."""
+    assert not misrouted(run_fleet(replace_nodes))
 
 
-def test_without_the_table_they_go_anywhere() -> None:
-    """The same run finds it where it is so."""
-    assert elsewhere(play(replaced, "")).keys() >= {CHARGE, "rate-lookup"}
+def test_without_the_table_requests_reach_other_services() -> None:
+    """Proves that the same run detects misrouted requests."""
+    assert misrouted(run_fleet(replace_nodes, "")).keys() >= {CHARGE, "rate-lookup"}
 
 
-def test_a_service_all_of_whose_nodes_vanish_takes_none_of_the_others_along() -> None:
+def test_service_without_nodes_does_not_affect_the_others() -> None:
+    """Guards against lookups that fail while all nodes of another service are down."""
     spans: list[tuple[int, int]] = []
 
-    async def work(fleet: Fleet) -> None:
-        await asked(fleet, CHARGE, 20)  # the start is over
+    async def scene(fleet: Fleet) -> None:
+        await wait_for_requests(fleet, CHARGE, 20)  # the fleet has started
         calm = fleet.ledger.entries[-1].at
-        await asked(fleet, "rate-lookup", LOOKUPS)
+        await wait_for_requests(fleet, "rate-lookup", LOOKUPS)
         charging = [node for node in fleet.nodes.values() if fleet.scenario.service(node.spec)]
         for node in charging:
             node.down()
         begun = fleet.ledger.entries[-1].at
-        await asked(fleet, "rate-lookup", LOOKUPS)
+        await wait_for_requests(fleet, "rate-lookup", LOOKUPS)
         spans.extend([(calm, begun), (begun, fleet.ledger.entries[-1].at)])
         for node in charging:
             await node.start()
-        await asked(fleet, CHARGE, 40)
+        await wait_for_requests(fleet, CHARGE, 40)
 
-    fleet = play(work)
-    assert not elsewhere(fleet)
+    fleet = run_fleet(scene)
+    assert not misrouted(fleet)
     before, ends = (answers(fleet.ledger.entries, *span) for span in spans[-2:])
-    calm, parted = (each["rate-lookup"] for each in (before, ends))
-    assert parted["served"] / parted.total() >= calm["served"] / calm.total() - CHANCE
+    calm, down = (each["rate-lookup"] for each in (before, ends))
+    assert down["served"] / down.total() >= calm["served"] / calm.total() - TOLERANCE
     assert ends[CHARGE]["served"] < 0.1 * ends[CHARGE].total()
     back = answers(fleet.ledger.entries, spans[-1][1] + 5_000 * MILLISECOND, fleet.ledger.entries[-1].at)
     assert back.get(CHARGE, Counter(served=1))["served"] > 0
--- a/tests/node/test_settings_at_their_bounds.py
+++ b/tests/node/test_settings_at_their_bounds.py
@@ -1,4 +1,4 @@
-"""One setting at a time at the end of what may be given: the gateway serves on sockets, and logs no fault."""
+"""Tests a gateway with one setting at a time at its bound: it serves on sockets and logs no error."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ..fakes import call, config, run, served, soon, world
 
 SECOND = 1_000_000_000
-ENDS: list[dict[str, Any]] = [
+BOUNDS: list[dict[str, Any]] = [
     {"limits__connIdle": 0},
     {"limits__connIdle": 1},
     {"limits__connectTimeout": 0},
@@ -42,12 +42,12 @@
 ]
 
 
-@pytest.mark.parametrize("end", ENDS, ids=lambda end: next(iter(end)))
-def test_with_one_setting_at_its_end_the_gateway_serves(
-    end: dict[str, Any], caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("setting", BOUNDS, ids=lambda setting: next(iter(setting)))
+def test_gateway_serves_with_one_setting_at_its_bound(
+    setting: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with world(**end) as w:
+        async with world(**setting) as w:
             client = await w.client()
             for number in range(3):
                 client.send(call(number=number))
@@ -61,14 +61,14 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "words"),
+    ("setting", "text"),
     [
         ({"rules__fall": 0}, "settings.rules.fall: 0.0 is impossible"),
         ({"replicasOfMe": 0}, "settings.replicasOfMe: "),
         ({"limits__maxAttempts": 0}, "settings.limits.maxAttempts: "),
     ],
 )
-def test_what_cannot_be_used_is_named_by_its_key(end: dict[str, Any], words: str) -> None:
+def test_invalid_setting_is_named_by_its_key(setting: dict[str, Any], text: str) -> None:
     with pytest.raises(ConfigError) as error:
-        config(1, None, **end)
-    assert str(error.value).startswith(words) and "\n" not in str(error.value)
+        config(1, None, **setting)
+    assert str(error.value).startswith(text) and "\n" not in str(error.value)
