--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -80,6 +80,8 @@
 
 
 def test_planted_predecessor_that_never_resumes_is_detected() -> None:
+    """Proves that the virtual world detects an old process that does not serve after a failed handover."""
+
     class NeverResumes(PredecessorSteps):
         def handle(self, what: Event) -> Actions:
             return [each for each in super().handle(what) if each[0] is not Action.RESUME]
@@ -157,6 +159,7 @@
 
 
 def test_incomplete_or_reordered_state_is_rejected() -> None:
+    """Guards against a state that is restored although pieces are missing, repeated or out of order."""
     state = random.Random(1).randbytes(3 * wire.PIECE_BYTES + 5)
     packets = [wire.unpack(packet) for packet in wire.state_packets(state)]
     end = wire.unpack(wire.state_end_packet(state)).body
@@ -277,6 +280,7 @@
 
 
 def test_state_of_another_version_is_rejected() -> None:
+    """Guards against a module that is changed before its new state is found to be unusable."""
     module = Broker(settings(gateway_count=1), 1, 0)
     state = snapshot.export_state(Broker(settings(gateway_count=1), 2, 0), NAMES, {}) | {
         "version": 1,
--- a/tests/handover/test_handover_process.py
+++ b/tests/handover/test_handover_process.py
@@ -58,9 +58,9 @@
             fresh = await p.client()
             fresh.send(call(number=5))
             for _ in range(3):
-                connection, words = await p.backend.command()
-                assert words[2] in (b"%016x" % n for n in (3, 4, 5))
-                connection.send(served(words[2]))
+                connection, arguments = await p.backend.command()
+                assert arguments[2] in (b"%016x" % n for n in (3, 4, 5))
+                connection.send(served(arguments[2]))
             assert [await c.next() for c in (idle, partial, fresh)] == [b"%016x" % n for n in (4, 3, 5)]
             # An id that is open at the old process is open at the new one.
             other.send(call("charge", 1, body=b"b"))
@@ -69,8 +69,8 @@
             second.send(served(b"two"))
             first.send(served(b"one"))
             assert [await busy.next(), await busy.next()] == [b"one", b"two"]
-            connection, words = await p.backend.command()
-            assert words[2] == b"%016x" % 6
+            connection, arguments = await p.backend.command()
+            assert arguments[2] == b"%016x" % 6
             connection.send(served(b"six"))
             assert await busy.next() == b"six"
             assert await soon(old.wait()) == 0  # the old process ends by itself after its last answer
@@ -119,14 +119,14 @@
             old, admin_port = await p.start()
             (name,) = (each for each in os.listdir(p.folder) if each.startswith("trackspread-"))
             client = await p.client()
-            for what in ("hello alone", "asks and dies", "junk", "asks and hangs"):
+            for what in ("hello only", "requests and dies", "junk", "requests and hangs"):
                 successor = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
                 successor.connect(str(p.folder / name))
                 successor.send(b"junk" if what == "junk" else wire.pack(Kind.HELLO, b"n0"))
-                if what.startswith("asks"):
+                if what.startswith("requests"):
                     successor.send(wire.pack(Kind.STATE_REQUEST))
                     await asyncio.sleep(0.2)
-                if what != "asks and hangs":
+                if what != "requests and hangs":
                     successor.close()
                 client.send(call(number=1))
                 # The request arrives at once, or after the timeout for a successor that hangs.
@@ -155,6 +155,8 @@
 
 
 def test_new_process_starts_cold_after_a_kill(tmp_path: Path) -> None:
+    """Guards against a start that fails because of the socket name of a killed process."""
+
     async def test() -> None:
         async with platform(tmp_path) as p:
             old, _ = await p.start()
@@ -201,8 +203,8 @@
                 await asyncio.sleep(0.01)
             assert (await figures(new_admin_port))["backends_excluded"] == 1
             client.send(call("submit", 3, body=b"b").replace(b"c=submit", b"c=fresh!"))  # of the same length
-            connection, words = await second.command()
-            assert words[2] == b"%016x" % 3
+            connection, arguments = await second.command()
+            assert arguments[2] == b"%016x" % 3
             connection.send(served(b"v"))
             assert await client.next() == b"v"
             # The old process's request keeps the class that it arrived with, though the class has moved.
--- a/tests/node/test_descriptors_process.py
+++ b/tests/node/test_descriptors_process.py
@@ -52,17 +52,17 @@
     def list_backend(self, health: str) -> None:
         self.listed.put(ListedBackend("s-1", (("127.0.0.1", self.backend.port),), "a", "m1", 0, health, 0))
 
-    def open_idle(self, count: int, words: bytes = b"") -> None:
+    def open_idle(self, count: int, data: bytes = b"") -> None:
         """Opens `count` more idle connections at once; the gateway may close most of them unread."""
         for _ in range(count):
             made = socket.socket()
             made.setblocking(False)
             made.connect_ex(self.at)
             self.idle_clients.append(made)
-        if words:
+        if data:
             for made in self.idle_clients[-count:]:
                 with suppress(OSError):
-                    made.send(words)
+                    made.send(data)
 
     async def fill(self) -> None:
         """Has a stopped process accept all waiting connections in one turn of its loop."""
--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -46,10 +46,10 @@
     def __init__(self, process: asyncio.subprocess.Process, port: int, backend: Backend, path: Path) -> None:
         self.process, self.port, self.backend, self.path = process, port, backend, path
 
-    async def logged(self, words: bytes) -> None:
-        """Reads the log up to a line that contains `words`."""
+    async def logged(self, text: bytes) -> None:
+        """Reads the log up to a line that contains `text`."""
         assert self.process.stderr is not None
-        while words not in (line := await soon(self.process.stderr.readline())):
+        while text not in (line := await soon(self.process.stderr.readline())):
             assert line, "the process ended before it logged the text"
 
     async def client(self) -> Connection:
@@ -96,6 +96,8 @@
 
 
 def test_sigterm_before_the_first_list_exits_cleanly(tmp_path: Path) -> None:
+    """Guards against a start that does not end at SIGTERM, or ends with a traceback."""
+
     async def test() -> None:
         agent = Agent()
         async with listening(agent), started(tmp_path, agent) as (process, _):
@@ -140,6 +142,8 @@
 
 
 def test_sigterm_answers_accepted_and_waiting_requests_then_exits_0(tmp_path: Path) -> None:
+    """Guards against requests that are lost while they wait in a socket or in the accept queue at SIGTERM."""
+
     async def test() -> None:
         async with running(tmp_path) as p:
             taken, idle = await p.client(), await p.client()
@@ -158,8 +162,8 @@
             p.process.send_signal(signal.SIGCONT)
             held: dict[bytes, Connection] = {}
             for _ in range(2):
-                connection, words = await p.backend.command()
-                held[words[2]] = connection
+                connection, arguments = await p.backend.command()
+                held[arguments[2]] = connection
             held[b"%016x" % 3].send(served(b"3"))
             held[b"%016x" % 2].send(served(b"2"))
             first.send(served(b"1"))
@@ -269,8 +273,8 @@
             connection, _ = await p.backend.command()
             other = await p.client()
             other.send(call(number=3))
-            second, words = await p.backend.command()
-            assert words[2] == b"%016x" % 3  # the first client's second call is not read yet
+            second, arguments = await p.backend.command()
+            assert arguments[2] == b"%016x" % 3  # the first client's second call is not read yet
             for each in (connection, second):
                 each.send(served(b"v"))
             assert await client.next() == b"v" == await other.next()
@@ -284,8 +288,8 @@
             async with running(tmp_path) as p:
                 client = await p.client()
                 client.send(call(number=number))
-                connection, words = await p.backend.command()
-                assert words[2] == b"%016x" % number
+                connection, arguments = await p.backend.command()
+                assert arguments[2] == b"%016x" % number
                 connection.send(served(b"v"))
                 assert await client.next() == b"v"
 
@@ -299,7 +303,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "words"),
+    ("raw", "text"),
     [
         (None, "ROUTER_CONFIG"),
         ("no json", "ROUTER_CONFIG"),
@@ -312,7 +316,7 @@
         (raw_config(1) | {"settings": nested_settings(limits__maxAttempts=0)}, "limits.maxAttempts"),
     ],
 )
-def test_bad_configuration_ends_with_one_line_and_exit_2(tmp_path: Path, raw: Any, words: str) -> None:
+def test_bad_configuration_ends_with_one_line_and_exit_2(tmp_path: Path, raw: Any, text: str) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if raw is not None:
@@ -326,7 +330,7 @@
         out, err = await soon(process.communicate())
         assert process.returncode == 2 and out == b""
         (line,) = err.decode().splitlines()
-        assert line.startswith("trackspread: ") and words in line
+        assert line.startswith("trackspread: ") and text in line
 
     run(test)
 
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -72,10 +72,10 @@
     assert [type(action) for action in end] == [Reject]  # the new settings allow one attempt
 
 
-async def reread(p: Process, raw: Any, words: bytes) -> None:
+async def write_and_reload(p: Process, raw: Any, text: bytes) -> None:
     p.path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
     p.process.send_signal(signal.SIGHUP)
-    await p.logged(words)
+    await p.logged(text)
 
 
 def test_classes_change_while_their_requests_are_open(tmp_path: Path) -> None:
@@ -88,18 +88,18 @@
             client.send(call("submit", 1, body=b"b"))
             held, _ = await p.backend.command()
             raw["settings"]["classes"] = [added, classes[0]]  # charge is removed, submit has other rules
-            await reread(p, raw, b"classes changed: 2 now")
+            await write_and_reload(p, raw, b"classes changed: 2 now")
             other.send(call("charge", 2, body=b"b"))
             assert b"unknown class" in str(await other.next()).encode()
             other.send(call("submit", 3, body=b"b"))
-            fresh, words = await p.backend.command()
-            assert words[2] == b"%016x" % 3
+            fresh, arguments = await p.backend.command()
+            assert arguments[2] == b"%016x" % 3
             # Backends may have processed both: the request with an idempotency key is retried, the other one
             # fails. They end one after the other, because two lost connections in a row would eject the only
             # backend, and then nothing could be retried.
             held.abort()
-            again, words = await p.backend.command()
-            assert words[2] == b"%016x" % 1
+            again, arguments = await p.backend.command()
+            assert arguments[2] == b"%016x" % 1
             fresh.abort()
             assert "failed" in str(await other.next())
             again.send(served(b"v"))
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "words"),
+    ("raw", "text"),
     [
         ("", "Expecting value"),
         (json.dumps(raw_config(1))[:200], "ROUTER_CONFIG"),
@@ -143,11 +143,11 @@
         (_broken(classes=2 * nested_settings()["classes"]), "a name stands twice"),
     ],
 )
-def test_unusable_file_is_rejected_entirely(tmp_path: Path, raw: Any, words: str) -> None:
+def test_unusable_file_is_rejected_entirely(tmp_path: Path, raw: Any, text: str) -> None:
     from trackspread.config.addresses import ConfigError
     from trackspread.config.platform import reload
 
     path = tmp_path / "config.json"
     path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
-    with pytest.raises(ConfigError, match=words):
+    with pytest.raises(ConfigError, match=text):
         reload({"ROUTER_CONFIG": str(path)})
--- a/tests/node/test_services.py
+++ b/tests/node/test_services.py
@@ -116,6 +116,7 @@
 
 
 def test_retries_and_their_ends_stay_in_the_service() -> None:
+    """Guards against an attempt whose end does not reach the broker that counts it."""
     made = listed(module())
     (first,) = sends(made.handle(0, arrival(1, 0, SAFE)))
     (second,) = sends(made.handle(MS, ended(1, first, Outcome.RESET)))
@@ -130,6 +131,7 @@
 
 
 def test_quota_is_shared_by_all_services() -> None:
+    """Guards against a quota that is granted once for each service."""
     made = listed(module(plans=(plan(rate_per_s=0.001, burst_units=6.0),)))
     sent = sum(len(sends(made.handle(MS, arrival(n, MS, n % 3, gateway_span=1)))) for n in range(30))
     assert sent == 6
@@ -208,6 +210,7 @@
 
 
 def test_services_share_one_watch_and_one_poll() -> None:
+    """Guards against a watch, or a poll after a failure, for each service."""
     made = module(polls_discovery=True)
     first = made.handle(0, full_list(*of(DEFAULT, 1)))
     assert [type(each) for each in first] == [SetTimer, WatchEndpoints]
@@ -229,14 +232,15 @@
     assert chosen == {12}
     taken = {number for n in range(40, 99) for number in sends(made.handle(MS, arrival(n, MS, UNSAFE)))}
     assert 11 in taken
-    gone = EndpointUpdate(EndpointUpdateKind.DELTA, 3, tuple(of(DEFAULT, 11, health=Health.REMOVED)))
-    made.handle(2 * MS, gone)  # the removal may name any service
+    removal = EndpointUpdate(EndpointUpdateKind.DELTA, 3, tuple(of(DEFAULT, 11, health=Health.REMOVED)))
+    made.handle(2 * MS, removal)  # the removal may name any service
     assert 11 not in {
         n for at in range(100, 160) for n in sends(made.handle(2 * MS, arrival(at, 2 * MS, UNSAFE)))
     }
 
 
 def test_changed_classes_keep_statistics_only_within_their_service() -> None:
+    """Guards against statistics that follow a class into another service, or get lost within one."""
     made = listed(module())
     for request in range(20):
         (chosen,) = sends(made.handle(request * MS, arrival(request, request * MS, UNSAFE)))
@@ -289,6 +293,7 @@
 
 
 def test_changed_plans_apply_in_each_service() -> None:
+    """Guards against a plan that changes in the shared quota but not in each broker, or more than once."""
     made = listed(module(plans=(plan(rate_per_s=1.0, burst_units=4.0),)))
     for request in range(2):
         made.handle(MS, arrival(request, MS, request * 2, gateway_span=1))
@@ -402,8 +407,9 @@
     return row if service is None else {**row, "service": service}
 
 
-def parsed(carried: CarriedServices, whole: bool, *hosts: dict[str, Any]) -> list[tuple[int, int, Health]]:
-    update = parse_update({"seq": 1, "whole": whole, "hosts": list(hosts)}, ("a",), ("m1",), services=carried)
+def parsed(carried: CarriedServices, complete: bool, *hosts: dict[str, Any]) -> list[tuple[int, int, Health]]:
+    listed_hosts = {"seq": 1, "whole": complete, "hosts": list(hosts)}
+    update = parse_update(listed_hosts, ("a",), ("m1",), services=carried)
     return [(each.id, each.service, each.health) for each in update.topology.backends]
 
 
