--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -205,11 +205,11 @@
     The successor restores the module's state if `with_state`, and starts cold otherwise.
     """
     limits = plan(rate_per_s=1.0, burst_units=4.0)
-    made = [Broker(settings(plans=(limits,), gateway_count=1), seed, 0) for seed in (1, 2)]
+    modules = [Broker(settings(plans=(limits,), gateway_count=1), seed, 0) for seed in (1, 2)]
     now = SECOND
-    for module in made:
+    for module in modules:
         module.handle(now, full_list(*(backend(n) for n in range(4))))
-    old, new = made
+    old, new = modules
     for number in range(1, 9):
         for action in old.handle(now, arrival(number, now, gateway_span=1)):
             if isinstance(action, StartAttempt):
@@ -258,8 +258,8 @@
     The peers' attempts in flight were once restored as a list, and then every message of a peer raised an
     exception.
     """
-    made = settings(gateway_count=4, plans=(plan(concurrency_limit=3),))
-    old, new = Broker(made, 1, 0), Broker(made, 2, 0)
+    shared_settings = settings(gateway_count=4, plans=(plan(concurrency_limit=3),))
+    old, new = Broker(shared_settings, 1, 0), Broker(shared_settings, 2, 0)
     account = old.quota.account(SECOND, 2, 0, 4, 0)
     account.peer_totals, account.owner_record.queried_at_ns, account.owner_record.unsettled_grants = (
         {1: 5},
--- a/tests/node/test_descriptors_process.py
+++ b/tests/node/test_descriptors_process.py
@@ -55,14 +55,14 @@
     def open_idle(self, count: int, data: bytes = b"") -> None:
         """Opens `count` more idle connections at once; the gateway may close most of them unread."""
         for _ in range(count):
-            made = socket.socket()
-            made.setblocking(False)
-            made.connect_ex(self.at)
-            self.idle_clients.append(made)
+            client = socket.socket()
+            client.setblocking(False)
+            client.connect_ex(self.at)
+            self.idle_clients.append(client)
         if data:
-            for made in self.idle_clients[-count:]:
+            for client in self.idle_clients[-count:]:
                 with suppress(OSError):
-                    made.send(data)
+                    client.send(data)
 
     async def fill(self) -> None:
         """Has a stopped process accept all waiting connections in one turn of its loop."""
@@ -72,11 +72,12 @@
         self.gateway.signal(signal.SIGCONT)
 
     async def keep_full(self) -> None:
+        """Opens further idle connections until it is cancelled, and closes the oldest ones."""
         while True:
             self.open_idle(10, b"*1\r\n$4\r\nPING\r\n" if len(self.idle_clients) % 20 else b"")
             await asyncio.sleep(0.02)
-            for made in self.idle_clients[:-IDLE_CLIENTS]:
-                made.close()
+            for client in self.idle_clients[:-IDLE_CLIENTS]:
+                client.close()
             del self.idle_clients[:-IDLE_CLIENTS]
 
     async def is_rejected(self) -> bool:
@@ -108,22 +109,22 @@
         config["discovery"], config["listen"] = "{}:{}".format(*agent.address), "{}:{}".format(*at)
         config["control"], config["limits"] = "{}:{}".format(*control), {"sockets": configured}
         gateway = GatewayProcess("n0", at, config, folder, Ledger(), max_descriptors=SOCKETS)
-        made = Filled(gateway, at, control, agent, listed, backend)
-        made.list_backend("in_service")
+        scene = Filled(gateway, at, control, agent, listed, backend)
+        scene.list_backend("in_service")
         await gateway.start()
-        tasks = [asyncio.create_task(made.watch_descriptors())]
+        tasks = [asyncio.create_task(scene.watch_descriptors())]
         try:
             agent.stop_listening()
             agent.abort_watches()
-            await made.fill()
-            tasks.append(asyncio.create_task(made.keep_full()))
-            yield made
+            await scene.fill()
+            tasks.append(asyncio.create_task(scene.keep_full()))
+            yield scene
         finally:
             for task in tasks:
                 task.cancel()
-            for each in made.idle_clients:
+            for each in scene.idle_clients:
                 each.close()
-            print(f"descriptors open at once: {made.max_open} of {SOCKETS}; log: {gateway.log_tail(3)}")
+            print(f"descriptors open at once: {scene.max_open} of {SOCKETS}; log: {gateway.log_tail(3)}")
             await gateway.kill()
             agent.close()
             ports.close()
--- a/tests/node/test_services.py
+++ b/tests/node/test_services.py
@@ -64,19 +64,19 @@
     return SERVICE_OF.get(cls.name, "")
 
 
-def module(carried: tuple[str, ...] = CARRIED, **changes: Any) -> ServiceBrokers:
-    made = settings(**{"gateway_count": 1, "may_gossip": False, "plans": (WIDE,), **changes})
-    return ServiceBrokers(made, 7, 0, carried, service_of)
+def service_brokers(carried: tuple[str, ...] = CARRIED, **changes: Any) -> ServiceBrokers:
+    all_settings = settings(**{"gateway_count": 1, "may_gossip": False, "plans": (WIDE,), **changes})
+    return ServiceBrokers(all_settings, 7, 0, carried, service_of)
 
 
 def of(service: int, *numbers: int, health: Health = Health.READY) -> list[Any]:
     return [replace(backend(number, health), service=service) for number in numbers]
 
 
-def listed(made: ServiceBrokers, now: int = 0) -> ServiceBrokers:
+def listed(module: ServiceBrokers, now: int = 0) -> ServiceBrokers:
     """Lists backends 1 and 2 for the default service, 11 and 12 for lookups, 21 and 22 for charges."""
-    made.handle(now, full_list(*of(DEFAULT, 1, 2), *of(LOOKUPS, 11, 12), *of(CHARGES, 21, 22)))
-    return made
+    module.handle(now, full_list(*of(DEFAULT, 1, 2), *of(LOOKUPS, 11, 12), *of(CHARGES, 21, 22)))
+    return module
 
 
 def sends(actions: list[Action]) -> list[int]:
@@ -84,23 +84,23 @@
 
 
 def test_request_goes_to_a_backend_of_its_service() -> None:
-    made = listed(module())
+    module = listed(service_brokers())
     wanted = {SAFE: {11, 12}, KEYED: {1, 2}, UNSAFE: {21, 22}}
     for request in range(60):
         cls = request % 3
-        (chosen,) = sends(made.handle(request * MS, arrival(request, request * MS, cls)))
+        (chosen,) = sends(module.handle(request * MS, arrival(request, request * MS, cls)))
         assert chosen in wanted[cls]
 
 
 def test_service_without_backends_rejects_only_its_own_requests() -> None:
-    made = listed(module())
-    made.handle(
+    module = listed(service_brokers())
+    module.handle(
         MS, EndpointUpdate(EndpointUpdateKind.DELTA, 2, tuple(of(CHARGES, 21, 22, health=Health.DRAINING)))
     )
-    assert [type(each) for each in made.handle(2 * MS, arrival(1, 2 * MS, UNSAFE))] == [Reject]
-    assert sends(made.handle(2 * MS, arrival(2, 2 * MS, SAFE)))
-    assert unavailable_backends(made, 2 * MS) == 2
-    assert [(each.service, each.backends, each.excluded) for each in service_reports(made, 2 * MS)] == [
+    assert [type(each) for each in module.handle(2 * MS, arrival(1, 2 * MS, UNSAFE))] == [Reject]
+    assert sends(module.handle(2 * MS, arrival(2, 2 * MS, SAFE)))
+    assert unavailable_backends(module, 2 * MS) == 2
+    assert [(each.service, each.backends, each.excluded) for each in service_reports(module, 2 * MS)] == [
         ("", 2, 0),
         ("lookups", 2, 0),
         ("charges", 2, 2),
@@ -108,45 +108,45 @@
 
 
 def test_request_of_a_service_not_carried_is_rejected() -> None:
-    made = module(("", "charges"))
-    made.handle(0, full_list(*of(DEFAULT, 1), *of(1, 21)))
-    assert [type(each) for each in made.handle(0, arrival(1, 0, SAFE))] == [Reject]
-    assert sends(made.handle(0, arrival(2, 0, UNSAFE))) == [21]
-    assert sends(made.handle(0, arrival(3, 0, KEYED))) == [1]
+    module = service_brokers(("", "charges"))
+    module.handle(0, full_list(*of(DEFAULT, 1), *of(1, 21)))
+    assert [type(each) for each in module.handle(0, arrival(1, 0, SAFE))] == [Reject]
+    assert sends(module.handle(0, arrival(2, 0, UNSAFE))) == [21]
+    assert sends(module.handle(0, arrival(3, 0, KEYED))) == [1]
 
 
 def test_retries_and_their_ends_stay_in_the_service() -> None:
     """Guards against an attempt whose end does not reach the broker that counts it."""
-    made = listed(module())
-    (first,) = sends(made.handle(0, arrival(1, 0, SAFE)))
-    (second,) = sends(made.handle(MS, ended(1, first, Outcome.RESET)))
+    module = listed(service_brokers())
+    (first,) = sends(module.handle(0, arrival(1, 0, SAFE)))
+    (second,) = sends(module.handle(MS, ended(1, first, Outcome.RESET)))
     assert {first, second} == {11, 12}
-    made.handle(2 * MS, ended(1, second, attempt=1))
-    made.handle(2 * MS, arrival(2, 2 * MS, UNSAFE))
-    made.handle(3 * MS, ClientDisconnected(2))
-    assert not any(broker.requests.open_requests for broker in made.brokers)
-    made.handle(4 * MS, ended(2, 21, Outcome.CANCELLED))
-    made.handle(4 * MS, ended(2, 22, Outcome.CANCELLED))
-    assert not any(broker.requests.attempts or broker.requests.in_flight for broker in made.brokers)
+    module.handle(2 * MS, ended(1, second, attempt=1))
+    module.handle(2 * MS, arrival(2, 2 * MS, UNSAFE))
+    module.handle(3 * MS, ClientDisconnected(2))
+    assert not any(broker.requests.open_requests for broker in module.brokers)
+    module.handle(4 * MS, ended(2, 21, Outcome.CANCELLED))
+    module.handle(4 * MS, ended(2, 22, Outcome.CANCELLED))
+    assert not any(broker.requests.attempts or broker.requests.in_flight for broker in module.brokers)
 
 
 def test_quota_is_shared_by_all_services() -> None:
     """Guards against a quota that is granted once for each service."""
-    made = listed(module(plans=(plan(rate_per_s=0.001, burst_units=6.0),)))
-    sent = sum(len(sends(made.handle(MS, arrival(n, MS, n % 3, gateway_span=1)))) for n in range(30))
+    module = listed(service_brokers(plans=(plan(rate_per_s=0.001, burst_units=6.0),)))
+    sent = sum(len(sends(module.handle(MS, arrival(n, MS, n % 3, gateway_span=1)))) for n in range(30))
     assert sent == 6
 
 
 def test_concurrency_limit_is_shared_by_all_services() -> None:
-    made = listed(module(plans=(plan(rate_per_s=0.0, burst_units=0.0, concurrency_limit=4),)))
-    chosen = [sends(made.handle(MS, arrival(n, MS, n % 3, gateway_span=1))) for n in range(12)]
+    module = listed(service_brokers(plans=(plan(rate_per_s=0.0, burst_units=0.0, concurrency_limit=4),)))
+    chosen = [sends(module.handle(MS, arrival(n, MS, n % 3, gateway_span=1))) for n in range(12)]
     assert sum(map(len, chosen)) == 4
     number = next(n for n, each in enumerate(chosen) if each)
-    made.handle(2 * MS, ended(number, chosen[number][0]))
-    assert sends(made.handle(3 * MS, arrival(100, 3 * MS, UNSAFE, gateway_span=1)))
+    module.handle(2 * MS, ended(number, chosen[number][0]))
+    assert sends(module.handle(3 * MS, arrival(100, 3 * MS, UNSAFE, gateway_span=1)))
 
 
-def lookups_under_load(made: Broker | ServiceBrokers, charge_takes: int) -> list[int]:
+def lookups_under_load(module: Broker | ServiceBrokers, charge_takes: int) -> list[int]:
     """Returns the backends of the lookups that are forwarded in the last two of eight seconds.
 
     From the third second on a charge takes `charge_takes` ns. Many customers send requests of both classes.
@@ -157,13 +157,13 @@
     for step in range(800):
         now += 10 * MS
         if step % 10 == 0:
-            made.handle(now, TimerFired(TICK_TIMER))
+            module.handle(now, TimerFired(TICK_TIMER))
         for _, request, server, took in [each for each in due if each[0] <= now]:
-            made.handle(now, ended(request, server, elapsed=took))
+            module.handle(now, ended(request, server, elapsed=took))
         due = [each for each in due if each[0] > now]
         for number, cls in ((2 * step, SAFE), (2 * step + 1, UNSAFE)):
             event = arrival(number, now, cls, customer=rng.randrange(40), gateway_span=1)
-            for server in sends(made.handle(now, event)):
+            for server in sends(module.handle(now, event)):
                 took = charge_takes if cls == UNSAFE and now > 2 * SECOND else 20 * MS
                 due.append((now + took, number, server, took))
                 if cls == SAFE and now > 6 * SECOND:
@@ -172,7 +172,9 @@
 
 
 def test_pressure_in_one_service_rejects_nothing_in_another() -> None:
-    calm, slow = (len(lookups_under_load(listed(module()), takes)) for takes in (20 * MS, 2_900 * MS))
+    calm, slow = (
+        len(lookups_under_load(listed(service_brokers()), takes)) for takes in (20 * MS, 2_900 * MS)
+    )
     assert slow == calm > 190
     together = Broker(settings(gateway_count=1, may_gossip=False, plans=(WIDE,)), 7, 0)
     together.handle(0, full_list(*(backend(number) for number in (1, 2, 11, 12, 21, 22))))
@@ -181,23 +183,23 @@
 
 
 def test_each_service_has_its_own_cap() -> None:
-    made = listed(module())
-    made.handle(MS, arrival(1, MS, SAFE, gateway_span=1))
-    alone = concurrency_cap(made, 1)
-    made.handle(MS, arrival(2, MS, UNSAFE, gateway_span=1))
-    assert alone > 0 and concurrency_cap(made, 1) > alone
-    lookups, charges = made.brokers[LOOKUPS], made.brokers[CHARGES]
+    module = listed(service_brokers())
+    module.handle(MS, arrival(1, MS, SAFE, gateway_span=1))
+    alone = concurrency_cap(module, 1)
+    module.handle(MS, arrival(2, MS, UNSAFE, gateway_span=1))
+    assert alone > 0 and concurrency_cap(module, 1) > alone
+    lookups, charges = module.brokers[LOOKUPS], module.brokers[CHARGES]
     assert lookups.commitments.by_tenant[1].in_flight == charges.commitments.by_tenant[1].in_flight == 1
-    assert made.quota.accounts[1].in_flight == 2 and not made.brokers[DEFAULT].commitments.by_tenant
+    assert module.quota.accounts[1].in_flight == 2 and not module.brokers[DEFAULT].commitments.by_tenant
 
 
 def test_services_share_one_tick_and_one_peer_message() -> None:
     """Guards against timers and messages to peers that increase with the number of services."""
-    made = listed(module(gateway_count=2, may_gossip=True))
+    module = listed(service_brokers(gateway_count=2, may_gossip=True))
     timers, messages = 0, 0
     for tick in range(1, 101):
         now = tick * 100 * MS
-        actions = made.handle(now, TimerFired(TICK_TIMER))
+        actions = module.handle(now, TimerFired(TICK_TIMER))
         timers += sum(isinstance(each, SetTimer) for each in actions)
         messages += sum(isinstance(each, SendToPeers) for each in actions)
     single = Broker(settings(gateway_count=2, plans=(WIDE,)), 7, 0)
@@ -211,96 +213,96 @@
 
 def test_services_share_one_watch_and_one_poll() -> None:
     """Guards against a watch, or a poll after a failure, for each service."""
-    made = module(polls_discovery=True)
-    first = made.handle(0, full_list(*of(DEFAULT, 1)))
+    module = service_brokers(polls_discovery=True)
+    first = module.handle(0, full_list(*of(DEFAULT, 1)))
     assert [type(each) for each in first] == [SetTimer, WatchEndpoints]
-    again = made.handle(MS, EndpointUpdate(EndpointUpdateKind.FAILED, 0, ()))
+    again = module.handle(MS, EndpointUpdate(EndpointUpdateKind.FAILED, 0, ()))
     assert [type(each) for each in again] == [SetTimer]
 
 
 @pytest.mark.parametrize("complete", [False, True])
 def test_backend_that_changes_its_service_leaves_the_first(complete: bool) -> None:
-    made = listed(module())
+    module = listed(service_brokers())
     moved = of(CHARGES, 11)
     event = (
         full_list(*moved, *of(LOOKUPS, 12))
         if complete
         else EndpointUpdate(EndpointUpdateKind.DELTA, 2, tuple(moved))
     )
-    made.handle(MS, event)
-    chosen = {number for n in range(40) for number in sends(made.handle(MS, arrival(n, MS, SAFE)))}
+    module.handle(MS, event)
+    chosen = {number for n in range(40) for number in sends(module.handle(MS, arrival(n, MS, SAFE)))}
     assert chosen == {12}
-    taken = {number for n in range(40, 99) for number in sends(made.handle(MS, arrival(n, MS, UNSAFE)))}
+    taken = {number for n in range(40, 99) for number in sends(module.handle(MS, arrival(n, MS, UNSAFE)))}
     assert 11 in taken
     removal = EndpointUpdate(EndpointUpdateKind.DELTA, 3, tuple(of(DEFAULT, 11, health=Health.REMOVED)))
-    made.handle(2 * MS, removal)  # the removal may name any service
+    module.handle(2 * MS, removal)  # the removal may name any service
     assert 11 not in {
-        n for at in range(100, 160) for n in sends(made.handle(2 * MS, arrival(at, 2 * MS, UNSAFE)))
+        n for at in range(100, 160) for n in sends(module.handle(2 * MS, arrival(at, 2 * MS, UNSAFE)))
     }
 
 
 def test_changed_classes_keep_statistics_only_within_their_service() -> None:
     """Guards against statistics that follow a class into another service, or get lost within one."""
-    made = listed(module())
+    module = listed(service_brokers())
     for request in range(20):
-        (chosen,) = sends(made.handle(request * MS, arrival(request, request * MS, UNSAFE)))
-        made.handle(request * MS + 1, ended(request, chosen, elapsed=77 * MS))
-    open_before = sends(made.handle(30 * MS, arrival(50, 30 * MS, UNSAFE)))
+        (chosen,) = sends(module.handle(request * MS, arrival(request, request * MS, UNSAFE)))
+        module.handle(request * MS + 1, ended(request, chosen, elapsed=77 * MS))
+    open_before = sends(module.handle(30 * MS, arrival(50, 30 * MS, UNSAFE)))
     # This class is also named charge, and has a number of its own.
     fast = replace(CLASSES[UNSAFE], latency_objective_ns=SECOND // 2)
     other = replace(CLASSES[UNSAFE], name="other")  # belongs to the default service
     event = ClassesChanged((*CLASSES, fast, other), frozenset({SAFE, KEYED, 3, 4}), (0, 1, 2, 2, 2), 4)
-    made.handle(31 * MS, event)
-    charges, default = made.brokers[CHARGES], made.brokers[DEFAULT]
+    module.handle(31 * MS, event)
+    charges, default = module.brokers[CHARGES], module.brokers[DEFAULT]
     assert [each.name for each in charges.settings.classes] == ["charge", "charge"]
     assert charges.model.active_classes == {1} and charges.model.latency[1].value == pytest.approx(77 * MS)
     assert default.model.latency[1].weight == 0.0, "statistics of another service do not apply here"
-    assert sends(made.handle(32 * MS, arrival(60, 32 * MS, 3)))[0] in {21, 22}
-    assert sends(made.handle(32 * MS, arrival(61, 32 * MS, 4)))[0] in {1, 2}
-    made.handle(33 * MS, ended(50, open_before[0]))
-    assert all((50, 0) not in broker.requests.attempts for broker in made.brokers)
+    assert sends(module.handle(32 * MS, arrival(60, 32 * MS, 3)))[0] in {21, 22}
+    assert sends(module.handle(32 * MS, arrival(61, 32 * MS, 4)))[0] in {1, 2}
+    module.handle(33 * MS, ended(50, open_before[0]))
+    assert all((50, 0) not in broker.requests.attempts for broker in module.brokers)
 
 
 def test_open_request_keeps_its_class_when_numbers_move() -> None:
     """Guards against an open request that gets another class when a number moves to another service."""
     first, second, charge = CLASSES[SAFE], replace(CLASSES[SAFE], name="read2"), CLASSES[UNSAFE]
     services_of = {"read": "lookups", "read2": "lookups", "charge": "charges", "charge2": "charges"}
-    made = ServiceBrokers(
+    module = ServiceBrokers(
         settings(gateway_count=1, may_gossip=False, plans=(WIDE,), classes=(first, second, charge)),
         7,
         0,
         CARRIED,
         lambda cls: services_of[cls.name],
     )
-    listed(made)
-    (sent,) = sends(made.handle(MS, arrival(1, MS, 1)))
-    lookups, charges = made.brokers[LOOKUPS], made.brokers[CHARGES]
+    listed(module)
+    (sent,) = sends(module.handle(MS, arrival(1, MS, 1)))
+    lookups, charges = module.brokers[LOOKUPS], module.brokers[CHARGES]
     held = lookups.requests.open_requests[1].arrival.request_class
     again = replace(charge, name="charge2")
     # No request has the first class any more: its number is now a charge's, and a lookup has a new number.
     event = ClassesChanged((again, second, charge, first), frozenset({0, 1, 2, 3}), (-1, 1, 2, 0), 4)
-    made.handle(2 * MS, event)
+    module.handle(2 * MS, event)
     assert (
         lookups.settings.classes[held] == second
         and lookups.requests.open_requests[1].arrival.request_class == held
     )
     assert lookups.settings.classes == (first, second) and charges.settings.classes == (charge, again)
-    assert sends(made.handle(3 * MS, arrival(2, 3 * MS, 0)))[0] in {21, 22}
-    assert sends(made.handle(3 * MS, arrival(3, 3 * MS, 3)))[0] in {11, 12}
-    made.handle(4 * MS, ended(1, sent, elapsed=55 * MS))
+    assert sends(module.handle(3 * MS, arrival(2, 3 * MS, 0)))[0] in {21, 22}
+    assert sends(module.handle(3 * MS, arrival(3, 3 * MS, 3)))[0] in {11, 12}
+    module.handle(4 * MS, ended(1, sent, elapsed=55 * MS))
     assert lookups.model.latency[held].value == pytest.approx(55 * MS)
     assert lookups.model.latency[1 - held].weight == 0.0
 
 
 def test_changed_plans_apply_in_each_service() -> None:
     """Guards against a plan that changes in the shared quota but not in each broker, or more than once."""
-    made = listed(module(plans=(plan(rate_per_s=1.0, burst_units=4.0),)))
+    module = listed(service_brokers(plans=(plan(rate_per_s=1.0, burst_units=4.0),)))
     for request in range(2):
-        made.handle(MS, arrival(request, MS, request * 2, gateway_span=1))
-    actions = made.handle(2 * MS, PlansChanged((plan(rate_per_s=1.0, burst_units=40.0),)))
+        module.handle(MS, arrival(request, MS, request * 2, gateway_span=1))
+    actions = module.handle(2 * MS, PlansChanged((plan(rate_per_s=1.0, burst_units=40.0),)))
     lines = [each.text for each in actions if isinstance(each, LogMessage)]
     assert [line.split(":")[0] for line in lines] == ["default", "lookups", "charges"]
-    assert made.quota.accounts[1].plan.burst_units == 40.0
+    assert module.quota.accounts[1].plan.burst_units == 40.0
 
 
 def test_quota_owners_grant_reaches_the_waiting_request() -> None:
@@ -308,35 +310,38 @@
 
     With many gateways the owner of a tenant's quota is often another gateway.
     """
-    made = listed(module(gateway_count=40, may_gossip=True, peer_messages_per_s=1.0))
+    module = listed(service_brokers(gateway_count=40, may_gossip=True, peer_messages_per_s=1.0))
     actions: list[Action] = []
     customer = next(c for c in range(2, 99) if c % 40 not in (0,))
-    actions = made.handle(MS, arrival(1, MS, UNSAFE, customer=customer, gateway_span=3, first_gateway=0))
+    actions = module.handle(MS, arrival(1, MS, UNSAFE, customer=customer, gateway_span=3, first_gateway=0))
     queries = [each for each in actions if isinstance(each, SendToPeers)]
     assert queries and not sends(actions)
     owner = listed(
-        module(gateway_count=40, gateway_index=customer % 40, may_gossip=True, peer_messages_per_s=1.0)
+        service_brokers(
+            gateway_count=40, gateway_index=customer % 40, may_gossip=True, peer_messages_per_s=1.0
+        )
     )
     replies = owner.handle(2 * MS, PeerMessage(0, queries[0].data))
     answers = [each for each in replies if isinstance(each, SendToPeers)]
-    (chosen,) = sends(made.handle(3 * MS, PeerMessage(customer % 40, answers[0].data)))
+    (chosen,) = sends(module.handle(3 * MS, PeerMessage(customer % 40, answers[0].data)))
     assert chosen in {21, 22}
 
 
 def test_retired_brokers_reject_everything_until_resumed() -> None:
-    made = listed(module())
-    made.retire(MS)
-    assert [type(each) for each in made.handle(MS, arrival(1, MS, UNSAFE))] == [Reject]
-    made.resume()
-    assert sends(made.handle(2 * MS, arrival(2, 2 * MS, UNSAFE)))
+    module = listed(service_brokers())
+    module.retire(MS)
+    assert [type(each) for each in module.handle(MS, arrival(1, MS, UNSAFE))] == [Reject]
+    module.resume()
+    assert sends(module.handle(2 * MS, arrival(2, 2 * MS, UNSAFE)))
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_one_service_behaves_like_a_single_broker(seed: int) -> None:
     rng = random.Random(f"services:{seed}")
     limits = plan(rate_per_s=5.0, burst_units=9.0, concurrency_limit=rng.choice((0, 3)))
-    made = settings(gateway_count=rng.choice((1, 3, 40)), plans=(limits,))
-    one, several = Broker(made, seed, 0), ServiceBrokers(made, seed, 0, ("",), lambda cls: "")
+    shared_settings = settings(gateway_count=rng.choice((1, 3, 40)), plans=(limits,))
+    one = Broker(shared_settings, seed, 0)
+    several = ServiceBrokers(shared_settings, seed, 0, ("",), lambda cls: "")
     in_flight: list[tuple[int, int, int]] = []
     now = 0
     for request in range(600):
--- a/trackspread/node/plan_registry_part.py
+++ b/trackspread/node/plan_registry_part.py
@@ -40,7 +40,7 @@
         self._plans = config.settings.plans
         self._follower = VersionFollower()
         self._last_read: tuple[int, int, int] | None = None  # mtime, size and inode of the file
-        self._logged_fault = ""
+        self._logged_reason = ""
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -86,12 +86,12 @@
             registry = SCHEMA.unpack(self._path.read_bytes(), PlanRegistry)
         except (OSError, DocumentError) as error:
             reason = (error.strerror if isinstance(error, OSError) else None) or str(error)
-            if reason != self._logged_fault:
+            if reason != self._logged_reason:
                 log.warning("plans: %s cannot be read: %s; the limits in force stay", self._path, reason)
-            self._logged_fault = reason
+            self._logged_reason = reason
             return
         self._last_read = identity
-        self._logged_fault = ""
+        self._logged_reason = ""
         self._follower.set_registry(registry)
 
     def _put_in_force(self, version: Version | None, late_ms: int) -> None:
