--- a/trackspread/node/handover_state.py
+++ b/trackspread/node/handover_state.py
@@ -160,7 +160,7 @@
             )
         )
 
-    def ended(self, event: AttemptEnded) -> None:
+    def attempt_ended(self, event: AttemptEnded) -> None:
         """Reports that an attempt which was in flight has ended."""
         self._send(
             Progress(
@@ -174,7 +174,7 @@
             )
         )
 
-    def closed(self, number: int) -> None:
+    def request_closed(self, number: int) -> None:
         """Reports that an open request has its final answer."""
         self._send(Progress("closed", number))
 
@@ -202,7 +202,7 @@
         gateway.continue_numbers(count(state.next_number + NUMBER_OFFSET))
         gateway.share_descriptors(state.client_descriptors, state.backend_descriptors)
 
-    def progressed(self, body: bytes) -> None:
+    def apply_progress(self, body: bytes) -> None:
         """Applies one report of the old process; raises `WireError`."""
         progress: Progress = wire.decode(body, Progress)
         key = progress.request, progress.attempt
@@ -245,7 +245,7 @@
         event = AttemptEnded(number, True, 0, backend, 0, outcome, elapsed_ns, index, report)
         self._gateway.handle(event)
 
-    def predecessor_gone(self) -> None:
+    def predecessor_ended(self) -> None:
         """Ends the attempts and closes the requests of the old process, which has ended."""
         while self._in_flight:
             key, backend = self._in_flight.popitem()
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -223,7 +223,7 @@
             self.parts.record_usage(request.call, ending, request.attempt_count)
             self.open_request_ids.discard(request.call.request_id)
             if self.handover_exporter is not None:
-                self.handover_exporter.closed(number)
+                self.handover_exporter.request_closed(number)
         self._forget_finished(number, request)
 
     def _forget_finished(self, number: int, request: Request) -> None:
@@ -273,7 +273,11 @@
             request.slot.piece(data)
 
     def _forwarding_ended(self, number: int, request: Request, outcome: Outcome) -> None:
-        """Ends a forwarded value; if it is incomplete, the client's connection shows that."""
+        """Closes a request whose value was forwarded.
+
+        If the value is incomplete, its client must notice: it receives an error if nothing of the value has
+        been written to it yet, and otherwise its connection is closed.
+        """
         if outcome is Outcome.OK:
             self._close(number, request, Ending.SERVED)
             request.slot.whole(request.call)
@@ -304,7 +308,7 @@
         )
         self.handle(event, number)
         if self.handover_exporter is not None:
-            self.handover_exporter.ended(event)
+            self.handover_exporter.attempt_ended(event)
         self._forget_finished(number, request)
 
     def _load_values(self, report: LoadReport) -> tuple[float, ...]:
--- a/trackspread/node/successor.py
+++ b/trackspread/node/successor.py
@@ -54,7 +54,7 @@
         elif event is Event.CONNECTION_LOST:
             log.info("handover: the old process has ended")
             self._close_link()
-            self._importer.predecessor_gone()
+            self._importer.predecessor_ended()
 
     def _execute(self, action: Action) -> None:
         match action:
@@ -100,7 +100,7 @@
                 self._adopt_client(descriptor, packet.body)
                 descriptor = None
             case Kind.PROGRESS:
-                self._importer.progressed(packet.body)
+                self._importer.apply_progress(packet.body)
             case _:
                 raise WireError(f"{packet.kind.name} is not a valid packet for the new process at this step")
         if descriptor is not None:
