--- a/trackspread/node/door_reports.py
+++ b/trackspread/node/admin_reports.py
@@ -1,6 +1,6 @@
-"""What operators read of a gateway at its door: health, figures, services.
+"""Answers operators' queries at the admin server: health, counters and services.
 
-May know: requests, backends, the decision module's reports. Decides nothing.
+This module may depend on requests, backends and the decision module's reports. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -16,26 +16,29 @@
 from .request_handler import RequestHandler
 
 
-class DoorReports:
-    """One gateway's reports."""
+class AdminReports:
+    """Creates the admin server's reports on one gateway."""
 
     def __init__(
         self, handler: RequestHandler, backend_list: BackendList, is_serving: Callable[[], bool]
     ) -> None:
-        """`is_serving`: whether the gateway accepts requests and is not about to stop."""
+        """Creates the reports.
+
+        `is_serving` returns whether the gateway accepts requests and is not stopping.
+        """
         self._handler = handler
         self._backend_list = backend_list
         self._is_serving = is_serving
 
-    def answers(self) -> Routes:
-        """The reports by path."""
-        answers: Routes = {b"/healthcheck": self._health, b"/stats": self._stats}
+    def routes(self) -> Routes:
+        """Returns the functions that answer, by path."""
+        routes: Routes = {b"/healthcheck": self._health, b"/stats": self._stats}
         if isinstance(self._handler.decision_module, ServiceBrokers):
-            answers[b"/services"] = self._services
-        return answers
+            routes[b"/services"] = self._services
+        return routes
 
     def _health(self) -> Response:
-        """OK only while requests are accepted and can be served."""
+        """Returns status 200 only while requests are accepted and can be served."""
         if self._is_serving() and self._handler.ready():
             return 200, "ok\n"
         return 503, "not ready\n"
@@ -44,7 +47,7 @@
         handler = self._handler
         open_requests = sum(not request.is_closed for request in handler.requests.values())
         excluded_backends = unavailable_backends(handler.decision_module, handler.now())
-        return 200, handler.figures.lines(open_requests, len(self._backend_list), excluded_backends)
+        return 200, handler.counters.lines(open_requests, len(self._backend_list), excluded_backends)
 
     def _services(self) -> Response:
         module = self._handler.decision_module
