--- a/benchmarks/scale/control_roles.py
+++ b/benchmarks/scale/control_roles.py
@@ -174,7 +174,7 @@
             "bytes a second while all gateways start at once",
             "module.line.bytes",
             "backends",
-            "lists/turns.py",
+            "lists/poll_timing.py",
             RELAY,
             by="calls_start",
             when="at the peak",
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -10,7 +10,7 @@
 from trackspread.decide.idle_accounts import ACCOUNT_LIFETIME_NS
 from trackspread.decide.retry_policy import RETRIES_PER_REQUEST
 from trackspread.decide.time_units import SECOND
-from trackspread.lists.turns import SPREAD_MOST
+from trackspread.lists.poll_timing import MAX_SPREAD_S
 from trackspread.membership.slot_allocation import SLOT_COUNT
 from trackspread.membership.transport import DESCRIPTORS
 from trackspread.node.gateway import RESERVED_DESCRIPTORS
@@ -45,7 +45,7 @@
     "idle_s": IDLE_COMMITMENT_NS / SECOND,
     "forget_s": ACCOUNT_LIFETIME_NS / SECOND,
     "rest_s": 30 * RETIRE_FRACTION,
-    "spread_s": SPREAD_MOST,
+    "spread_s": MAX_SPREAD_S,
     "partitions": 8,
     "counter_beat_s": HEARTBEAT_NS / SECOND,
     "share": 0.018,
@@ -268,7 +268,7 @@
         "calls to discovery while all gateways start at once",
         "gateways / spread_s",
         "/s",
-        "`lists/turns.py` spreads them over 5 s at most",
+        "`lists/poll_timing.py` spreads them over 5 s at most",
     ),
     Line(
         "counter_heartbeats",
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -22,7 +22,7 @@
 from trackspread.call import PausableSource
 from trackspread.clock import Clock
 from trackspread.decide.events import Outcome
-from trackspread.framing.resp import AnswerFrames, Words
+from trackspread.framing.resp import AnswerScanner, CommandWords
 
 from ..fakes import LOCAL, Backend, listening, run, served, soon, until
 
@@ -72,7 +72,7 @@
         until: int = 0,
     ) -> Attempt:
         now = CLOCK()
-        words = Words((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
+        words = CommandWords((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
         call = Call(words, b"i", 0, 0, 1, 3000, 1.0, 1, 0, 0)
         attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, call, until)
         self.pools.start(attempt, timeout)
@@ -230,10 +230,10 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
 def test_answer_in_pieces_is_read_whole(size: int) -> None:
     async def test() -> None:
-        frames, whole = AnswerFrames(), served(b"\r\n$1\r\n" * 20)
+        frames, whole = AnswerScanner(), served(b"\r\n$1\r\n" * 20)
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
         assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(whole) - 1) % size + 1
-        assert not frames.midway
+        assert not frames.is_midway
 
     run(test)
 
--- a/tests/backends/test_endings_attempts.py
+++ b/tests/backends/test_endings_attempts.py
@@ -131,14 +131,14 @@
 def test_the_rest_of_a_command_that_lies_in_the_socket_is_read_before_its_client_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("trackspread.fronts.connections.LOOK", TIME / 2)
+    monkeypatch.setattr("trackspread.fronts.connections.TIMEOUT_CHECK_S", TIME / 2)
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(mute_s=TIME))) as w:
             client, began = await w.client(), time.monotonic()
             command = call()
             at_once(client, command[:20])
-            while not any(each._half for each in w.node.clients._fresh):
+            while not any(each._incomplete_since for each in w.node.clients._unused):
                 await asyncio.sleep(0)
             await halted(began + 0.1, lambda: at_once(client, command[20:]))
             connection, _ = await w.backend.command()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -241,7 +241,7 @@
             await node.discovery.close()
             node.backends.close()
             node.peers.close()
-            node.clients.shut()
+            node.clients.close()
 
 
 def call(
--- a/tests/fronts/test_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -21,7 +21,7 @@
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [])
-            w.node.clients.bound = 3
+            w.node.clients.max_connections = 3
             busy = await w.client()
             busy.send(call())
             await until(lambda: busy_requests(w) == 1)
@@ -176,9 +176,9 @@
 def test_client_that_says_nothing_or_half_a_command_is_closed(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert DEFAULTS.clients.mute_s + clients.LOOK < 3.0
+    assert DEFAULTS.clients.mute_s + clients.TIMEOUT_CHECK_S < 3.0
     quick = Operator(clients=ClientBounds(mute_s=0.02))
-    monkeypatch.setattr(clients, "LOOK", 0.01)
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
         async with world(quick) as w:
@@ -193,9 +193,9 @@
 
 
 def test_client_that_does_not_read_is_closed_and_its_commands_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert DEFAULTS.clients.unread_s + clients.LOOK < 3.0
+    assert DEFAULTS.clients.unread_s + clients.TIMEOUT_CHECK_S < 3.0
     quick = Operator(clients=ClientBounds(unread_s=0.05))
-    monkeypatch.setattr(clients, "LOOK", 0.01)
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
         async with world(quick) as w:
@@ -214,7 +214,7 @@
             await until(lambda: bool(s.of(RequestArrived)) and w.node.clients.count() == 0)
             answering.cancel()
             assert len(s.of(RequestArrived)) < most
-            assert w.node.clients.held == 0
+            assert w.node.clients.unprocessed_bytes == 0
 
     run(test)
 
@@ -245,7 +245,7 @@
                 w.node.execute(Reject(request, 7 * MS))
             assert {str(await client.next()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next() == b"PONG"
-            assert w.node.clients.held == 0
+            assert w.node.clients.unprocessed_bytes == 0
 
     run(test)
 
@@ -253,14 +253,14 @@
 def test_commands_that_wait_unread_are_bounded_over_all_clients() -> None:
     async def test() -> None:
         async with world() as w:
-            w.node.clients.memory = 10_000
+            w.node.clients.max_unprocessed_bytes = 10_000
             script(w, *[lambda a: []] * DEFAULTS.clients.pipeline)
             client = await w.client()
             client.send(b"".join(call(number=n, wait_ms=60) for n in range(300)))
             answers = [str(await client.next()) for _ in range(DEFAULTS.clients.pipeline)]
             assert set(answers) == {"ERR out of time"}
             assert "too many" in str(await client.next())
-            assert await client.next() is None and w.node.clients.held == 0
+            assert await client.next() is None and w.node.clients.unprocessed_bytes == 0
 
     run(test)
 
@@ -288,7 +288,7 @@
 def test_resting_clients_are_closed_early_only_where_connections_are_few(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(one_client, "IDLE_CROWDED", 0.0)
+    monkeypatch.setattr(one_client, "CROWDED_IDLE_S", 0.0)
 
     async def test() -> None:
         async with world() as w:
@@ -296,12 +296,12 @@
             for client in made:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next() == b"PONG"
-            w.node.clients.bound = 6
-            w.node.clients._look()
+            w.node.clients.max_connections = 6
+            w.node.clients._check_timeouts()
             await asyncio.sleep(0)
             assert w.node.clients.count() == 4
-            w.node.clients.bound = 5
-            w.node.clients._look()
+            w.node.clients.max_connections = 5
+            w.node.clients._check_timeouts()
             await until(lambda: w.node.clients.count() == 0)
 
     run(test)
@@ -310,7 +310,7 @@
 def test_newcomer_is_closed_where_no_connection_rests() -> None:
     async def test() -> None:
         async with world() as w:
-            w.node.clients.bound = 2
+            w.node.clients.max_connections = 2
             script(w, *[lambda a: []] * 2)
             busy = [await w.client() for _ in range(2)]
             for number, client in enumerate(busy):
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -326,10 +326,10 @@
     async def test() -> None:
         async with world() as w:
 
-            def tell(to: int | None, data: bytes) -> None:
+            def send(to: int | None, data: bytes) -> None:
                 raise OSError("no buffer")
 
-            monkeypatch.setattr(w.node.peers, "tell", tell)
+            monkeypatch.setattr(w.node.peers, "send", send)
             s = script(w, lambda a: [SendToPeers(None, b"x"), SetTimer(MS, 7), Reject(a.request, 0)])
             client = await w.client()
             client.send(call())
@@ -478,7 +478,7 @@
             client = await w.client()
             client.send(call())
             connection, _ = await w.backend.command()
-            w.node.clients.closing = True
+            w.node.clients.is_closing = True
             connection.send(served(b"v"))
             assert [await client.next(), await client.next()] == [b"v", None]
 
--- a/tests/fronts/test_endings_clients.py
+++ b/tests/fronts/test_endings_clients.py
@@ -116,7 +116,7 @@
     w.node.deadline_reached = lambda number: None  # type: ignore[method-assign]
     client = await w.client()
     client.send(b"".join(call(number=n) for n in range(2 * MOST)))
-    await until(lambda: len(w.node.requests) == MOST and w.node.clients.held > 0)
+    await until(lambda: len(w.node.requests) == MOST and w.node.clients.unprocessed_bytes > 0)
     return s, client
 
 
@@ -129,7 +129,7 @@
             s, client = await held_back(w)
             leave(client, how)
             await until(lambda: len(s.of(ClientDisconnected)) == MOST)
-            assert not w.node.requests and not w.node.clients.count() and not w.node.clients.held
+            assert not w.node.requests and not w.node.clients.count() and not w.node.clients.unprocessed_bytes
 
     run(test)
 
@@ -138,12 +138,12 @@
 def test_commands_held_back_are_not_taken_in_the_turn_in_which_room_comes(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("trackspread.fronts.connections.GONE_LOOK", 60.0, raising=False)
+    monkeypatch.setattr("trackspread.fronts.connections.END_CHECK_S", 60.0, raising=False)
 
     async def test() -> None:
         async with world() as w:
             s, client = await held_back(w)
-            (server,) = w.node.clients._clients
+            (server,) = w.node.clients._active
             leave(client, how)
             left = select.poll()
             transport = cast(asyncio.Transport, server._transport)
@@ -151,14 +151,14 @@
             await until(lambda: bool(left.poll(0)))
             w.node.execute(Fail(min(w.node.requests)))
             await until(lambda: not w.node.clients.count())
-            assert len(s.of(RequestArrived)) == MOST and not w.node.requests and not w.node.clients.held
+            assert len(s.of(RequestArrived)) == MOST and not w.node.requests and not w.node.clients.unprocessed_bytes
 
     run(test)
 
 
 def server_of(w: World) -> tuple[Any, asyncio.Transport]:
     """The gateway's side of its only client."""
-    (server,) = [*w.node.clients._clients, *w.node.clients._fresh]
+    (server,) = [*w.node.clients._active, *w.node.clients._unused]
     return server, cast(asyncio.Transport, server._transport)
 
 
@@ -175,12 +175,12 @@
     while not transport.get_write_buffer_size():
         client.send(call(number=number))
         await until(lambda: len(server.slots) == 1)
-        w.node.requests[server.slots[0].request].slot.served(call_of(w), b"v" * 60_000)
+        w.node.requests[server.slots[0].request].slot.send_value(call_of(w), b"v" * 60_000)
         w.node.requests.clear()
         w.node.open_request_ids.clear()
         number += 1
         await asyncio.sleep(0)
-    assert not server._blocked and not server.slots
+    assert not server._blocked_since and not server.slots
     return client
 
 
@@ -194,7 +194,7 @@
     async def test() -> None:
         async with world() as w:
             client = await unread(w)
-            w.node.clients.bound = 1
+            w.node.clients.max_connections = 1
             newcomer = await w.client()
             assert await newcomer.next() is None
             assert w.node.clients.count() == 1
@@ -208,7 +208,7 @@
 def test_connection_that_is_closed_with_answers_unread_ends_though_they_never_are(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("trackspread.fronts.connections.LOOK", 0.01)
+    monkeypatch.setattr("trackspread.fronts.connections.TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(idle_s=0.05, unread_s=0.05))) as w:
@@ -247,17 +247,17 @@
     async def test() -> None:
         async with world() as w:
             s = script(w, *[lambda a: []] * 2)
-            w.node.clients.bodies.most = 1 << 20
+            w.node.clients.bodies.limit_bytes = 1 << 20
             first, second = await w.client(), await w.client()
             first.send(call("charge", 1, body=b"x" * 1_500_000))
             await until(lambda: len(s.of(RequestArrived)) == 1)
             # The rest is still at the client: an end behind more than is read could not be seen.
             second.send(call("charge", 2, body=b"y" * 1_500_000)[:200_000])
-            await until(lambda: any(c.roomless for c in w.node.clients._fresh))
+            await until(lambda: any(c.is_body_paused for c in w.node.clients._unused))
             leave(second, how)
             await until(lambda: w.node.clients.count() == 1)
             w.node.execute(Fail(min(w.node.requests)))  # room for all of the second's body
             assert str(await first.next()) == "ERR failed"
-            assert len(s.of(RequestArrived)) == 1 and w.node.clients.bodies.held == 0
+            assert len(s.of(RequestArrived)) == 1 and w.node.clients.bodies.used_bytes == 0
 
     run(test)
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -12,13 +12,13 @@
 from trackspread.decide.broker import Broker
 from trackspread.decide.actions import StartAttempt
 from trackspread.decide.events import AttemptEnded, Outcome, ResponseStarted
-from trackspread.fronts.client import LONG_UNREAD
-from trackspread.framing.resp import LONG_FROM, LONG_MOST
+from trackspread.fronts.client import LONG_VALUE_UNREAD_S
+from trackspread.framing.resp import LONG_VALUE_BYTES, MAX_LONG_VALUE_BYTES
 
 from ..helpers import MS, SECOND, arrival, backend, full_list, settings
 from ..fakes import LOCAL, Connection, World, call, run, served, soon, until, world
 
-VALUE = random.Random(1).randbytes(LONG_MOST)
+VALUE = random.Random(1).randbytes(MAX_LONG_VALUE_BYTES)
 TAIL = served(b"")[len(b"*3\r\n$0\r\n") :]
 
 
@@ -46,8 +46,8 @@
     return b"".join(parts)
 
 
-@pytest.mark.parametrize("size", [LONG_FROM, LONG_FROM + 1, LONG_MOST])
-@pytest.mark.parametrize("piece", [1000, 70_000, LONG_MOST + 100])
+@pytest.mark.parametrize("size", [LONG_VALUE_BYTES, LONG_VALUE_BYTES + 1, MAX_LONG_VALUE_BYTES])
+@pytest.mark.parametrize("piece", [1000, 70_000, MAX_LONG_VALUE_BYTES + 100])
 def test_values_of_any_size_come_whole_in_pieces_of_any_size(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
@@ -103,7 +103,7 @@
             while before != unsent():  # until nothing moves any more
                 before = unsent()
                 await asyncio.sleep(0.2)
-            (held,) = w.node.clients._clients
+            (held,) = w.node.clients._active
             assert held._transport is not None
             waiting = sum(len(part) for slot in held.slots for part in slot.waiting or [])
             assert (
@@ -137,17 +137,17 @@
             client = await w.client()
             client.send(call(number=1))
             await w.backend.command()
-            (held,) = w.node.clients._clients
+            (held,) = w.node.clients._active
             slot, source, now = held.slots[0], Paced(), w.node.clients.time
             asked = next(iter(w.node.requests.values())).call
-            slot.begins(asked, 100_000, source)
+            slot.begin_value(asked, 100_000, source)
             held.pause_writing()
             assert source.paused
-            slot.piece(VALUE[:100_000])
-            slot.whole(asked)
-            held.look(now() + w.node.clients.bounds.unread_s + 1.0, False)
+            slot.add_piece(VALUE[:100_000])
+            slot.end_value(asked)
+            held.check_timeouts(now() + w.node.clients.bounds.unread_s + 1.0, False)
             assert held._transport is not None and not held._transport.is_closing()
-            held.look(now() + LONG_UNREAD + 1.0, False)
+            held.check_timeouts(now() + LONG_VALUE_UNREAD_S + 1.0, False)
             assert held._transport.is_closing()
 
     run(test)
@@ -259,7 +259,7 @@
             client = await w.client()
             client.send(call(number=1))
             connection, _ = await w.backend.command()
-            connection.send(head(LONG_MOST) + VALUE[:100_000])
+            connection.send(head(MAX_LONG_VALUE_BYTES) + VALUE[:100_000])
             await until(lambda: any(r.forwarded_attempt for r in w.node.requests.values()))
             client.abort()
             await until(lambda: not w.node.requests and w.backend.ended == 1)
@@ -271,8 +271,8 @@
     return call("charge", 1, body=VALUE[:size])
 
 
-@pytest.mark.parametrize("piece", [1000, 70_000, LONG_MOST + 500])
-@pytest.mark.parametrize("size", [LONG_FROM, LONG_FROM + 1, LONG_MOST])
+@pytest.mark.parametrize("piece", [1000, 70_000, MAX_LONG_VALUE_BYTES + 500])
+@pytest.mark.parametrize("size", [LONG_VALUE_BYTES, LONG_VALUE_BYTES + 1, MAX_LONG_VALUE_BYTES])
 def test_bodies_of_any_size_go_on_unchanged_and_are_there_for_another_attempt(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
@@ -285,11 +285,11 @@
             connection.send(b"-BUSY\r\n")
             again, words = await w.backend.command()
             assert words[4] == VALUE[:size]
-            assert w.node.clients.bodies.held == (size if size > LONG_FROM else 0)
+            assert w.node.clients.bodies.used_bytes == (size if size > LONG_VALUE_BYTES else 0)
             again.send(served(b"v"))
             client.send(call(number=2))
             assert await client.next() == b"v"
-            assert w.node.clients.bodies.held == 0
+            assert w.node.clients.bodies.used_bytes == 0
             connection, _ = await w.backend.command()
             connection.send(served(b"w"))
             assert await client.next() == b"w"
@@ -300,7 +300,7 @@
 def test_bodies_wait_for_room_in_turn_and_all_end() -> None:
     async def test() -> None:
         async with world() as w:
-            w.node.clients.bodies.most = 1 << 20
+            w.node.clients.bodies.limit_bytes = 1 << 20
             clients = [await w.client() for _ in range(6)]
             for number, client in enumerate(clients):
                 client.send(call("charge", number + 1, body=VALUE[:1_500_000]))
@@ -309,10 +309,10 @@
                 connection, words = await w.backend.command()
                 assert words[4] == VALUE[:1_500_000]
                 await asyncio.sleep(0.02)
-                peak = max(peak, w.node.clients.bodies.held)
+                peak = max(peak, w.node.clients.bodies.used_bytes)
                 connection.send(served(words[2]))
             assert [await client.next() for client in clients] == [b"%016x" % (n + 1) for n in range(6)]
-            assert peak <= (1 << 20) + 6 * (1 << 18) + 1_500_000 and w.node.clients.bodies.held == 0
+            assert peak <= (1 << 20) + 6 * (1 << 18) + 1_500_000 and w.node.clients.bodies.used_bytes == 0
 
     run(test)
 
@@ -343,14 +343,14 @@
     async def test() -> None:
         async with world() as w:
             client = await w.client()
-            client.send(body(LONG_MOST)[:300_000])
-            await until(lambda: w.node.clients.bodies.held > 200_000)
+            client.send(body(MAX_LONG_VALUE_BYTES)[:300_000])
+            await until(lambda: w.node.clients.bodies.used_bytes > 200_000)
             client.abort()
-            await until(lambda: w.node.clients.bodies.held == 0)
+            await until(lambda: w.node.clients.bodies.used_bytes == 0)
             # One of a class that is not there is answered, and costs no room either.
             other = await w.client()
             other.send(body(300_000).replace(b"c=charge", b"c=chargx"))
             assert "unknown class" in str(await other.next())
-            assert w.node.clients.bodies.held == 0
+            assert w.node.clients.bodies.used_bytes == 0
 
     run(test)
--- a/tests/lists/test_discovery_polls.py
+++ b/tests/lists/test_discovery_polls.py
@@ -7,68 +7,68 @@
 
 import pytest
 
-from trackspread.lists.agent import ANSWER, SILENCE
-from trackspread.lists.turns import (
-    ANSWER_MOST,
-    FIRST,
-    GRACE_PART,
-    PATIENCE,
-    SPREAD_MOST,
-    TOLD_MOST,
-    TURN,
-    UNASKED,
-    Turns,
+from trackspread.lists.agent import ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S
+from trackspread.lists.poll_timing import (
+    MAX_ANSWER_S,
+    MIN_WAIT_S,
+    GRACE_FRACTION,
+    CALL_TIMEOUT_S,
+    MAX_SPREAD_S,
+    NOTIFIED_AFTER_S,
+    MAX_CALL_S,
+    FIRST_SPREAD_S,
+    PollTiming,
 )
 
 
 def listed(gateways: int, turn: float, seed: int, spread: bool, end: float = 30.0) -> list[float]:
     """When each gateway had its list: calls wait in line, also those that their callers gave up."""
     rng, line, had = random.Random(seed), 0.0, []
-    calls = [Turns(gateways if spread else 1, rng, 10.0) for _ in range(gateways)]
-    due = [(turns.first(), number) for number, turns in enumerate(calls)]
+    calls = [PollTiming(gateways if spread else 1, rng, 10.0) for _ in range(gateways)]
+    due = [(turns.first_wait_s(), number) for number, turns in enumerate(calls)]
     heapq.heapify(due)
     while due and due[0][0] < end:
         now, number = heapq.heappop(due)
         line = max(line, now) + turn
-        if line - now <= PATIENCE:
+        if line - now <= CALL_TIMEOUT_S:
             had.append(line)
         else:
-            heapq.heappush(due, (now + PATIENCE + calls[number].again(True), number))
+            heapq.heappush(due, (now + CALL_TIMEOUT_S + calls[number].next_wait_s(True), number))
     return had
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_all_of_a_large_fleet_that_starts_together_have_their_list(seed: int) -> None:
     """Seen with 40 gateways: calls that all came at once timed out, came again, and most never had one."""
-    assert len(listed(40, TURN, seed, spread=True)) == 40
-    assert len(listed(40, TURN, seed, spread=False)) < 20
+    assert len(listed(40, MAX_CALL_S, seed, spread=True)) == 40
+    assert len(listed(40, MAX_CALL_S, seed, spread=False)) < 20
 
 
 def test_where_gateways_are_few_nobody_waits_for_a_turn() -> None:
-    turns = Turns(4, random.Random(1), 10.0)
-    assert turns.first() == 0.0
-    assert turns.again(False) <= FIRST
-    assert max(turns.again(False) for _ in range(20)) > 1.0
-    turns.answered()
-    assert turns.again(False) <= FIRST
+    turns = PollTiming(4, random.Random(1), 10.0)
+    assert turns.first_wait_s() == 0.0
+    assert turns.next_wait_s(False) <= MIN_WAIT_S
+    assert max(turns.next_wait_s(False) for _ in range(20)) > 1.0
+    turns.reset()
+    assert turns.next_wait_s(False) <= MIN_WAIT_S
 
 
 def test_nobody_waits_so_long_that_it_is_taken_as_told() -> None:
     """Seen: a restarted gateway that waited its turn of 8 s for its first call broke the rule on drains."""
-    turns = Turns(10_000, random.Random(1), 10.0)
-    assert max(turns.again(True) for _ in range(500)) <= SPREAD_MOST
-    turns.answered()
-    assert turns.again(False) <= UNASKED < 1.0
-    assert max(turns.first() for _ in range(500)) <= UNASKED
+    turns = PollTiming(10_000, random.Random(1), 10.0)
+    assert max(turns.next_wait_s(True) for _ in range(500)) <= MAX_SPREAD_S
+    turns.reset()
+    assert turns.next_wait_s(False) <= FIRST_SPREAD_S < 1.0
+    assert max(turns.first_wait_s() for _ in range(500)) <= FIRST_SPREAD_S
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 200])
 @pytest.mark.parametrize("grace", [0.25, 1.0, 2.0])
 def test_another_watch_is_opened_well_within_a_drains_grace(gateways: int, grace: float) -> None:
     """What a pushing agent has counts as told while no watch is open, however often watches broke before."""
-    turns = Turns(gateways, random.Random(1), grace)
-    waits = [turns.again(False) for _ in range(500)]
-    assert FIRST / 2 <= max(waits) <= GRACE_PART * grace
+    turns = PollTiming(gateways, random.Random(1), grace)
+    waits = [turns.next_wait_s(False) for _ in range(500)]
+    assert MIN_WAIT_S / 2 <= max(waits) <= GRACE_FRACTION * grace
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 25, 200, 10_000])
@@ -77,11 +77,11 @@
     gateways: int, grace: float
 ) -> None:
     """The wait before it, with a second for the call itself; a silence is part of the wait."""
-    turns = Turns(gateways, random.Random(1), grace)
+    turns = PollTiming(gateways, random.Random(1), grace)
     for _ in range(500):
-        assert turns.again(True) + ANSWER_MOST <= TOLD_MOST
-        assert turns.again(False) + ANSWER_MOST <= TOLD_MOST
-        assert max(ANSWER, SILENCE) + turns.after_silence() + ANSWER_MOST <= TOLD_MOST
+        assert turns.next_wait_s(True) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
+        assert turns.next_wait_s(False) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
+        assert max(ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S) + turns.wait_after_silence_s() + MAX_ANSWER_S <= NOTIFIED_AFTER_S
 
 
 def returns(gateways: int, outage: float, seed: int) -> list[float]:
@@ -89,10 +89,10 @@
     away for as long as the outage lasted."""
     rng, came = random.Random(seed), []
     for _ in range(gateways):
-        turns = Turns(gateways, rng, 1.0)
-        at = turns.first()
+        turns = PollTiming(gateways, rng, 1.0)
+        at = turns.first_wait_s()
         while at < outage:
-            at += turns.again(True)
+            at += turns.next_wait_s(True)
         came.append(at - outage)
     return came
 
@@ -104,6 +104,6 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_discovery_gets_one_call_of_each_gateway_at_its_return_ever_more_evenly(seed: int) -> None:
-    assert max(returns(200, 10.0, seed)) <= SPREAD_MOST
+    assert max(returns(200, 10.0, seed)) <= MAX_SPREAD_S
     assert busiest(returns(200, 10.0, seed)) <= 175
     assert busiest(returns(200, 120.0, seed)) <= 100
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -15,11 +15,11 @@
 from trackspread.decide.events import PeerMessage
 from trackspread.lists import agent as discovery
 from trackspread.lists.agent import Discovery, parse_update
-from trackspread.lists.turns import GRACE_PART, Turns
-from trackspread.lists.seam import ListError, Update, backend_id
+from trackspread.lists.poll_timing import GRACE_FRACTION, PollTiming
+from trackspread.lists.source import ListError, ListUpdate, backend_id
 from trackspread.node import gateway
 from trackspread.node.gateway import Gateway
-from trackspread.peers.datagrams import Peers
+from trackspread.peers.datagrams import PeerSocket
 
 from ..fakes import (
     Backend as Rating,
@@ -50,11 +50,11 @@
     """Notes what a watch brings."""
 
     def __init__(self, agent: Agent, index: int | None) -> None:
-        self.updates: asyncio.Queue[Update] = asyncio.Queue()
+        self.updates: asyncio.Queue[ListUpdate] = asyncio.Queue()
         self.watch = Discovery((LOCAL, agent.port), ZONES, KINDS, index, self.updates.put_nowait)
         self.watch.start()
 
-    async def next(self) -> Update:
+    async def next(self) -> ListUpdate:
         return await soon(self.updates.get())
 
 
@@ -143,31 +143,31 @@
     """What the agent has counts as told while no watch is open. A watch reset within its first seconds waited
     for its gateway's turn, up to 9 s with 200 gateways; only discovery's word that it is short may do so."""
     waits: list[float] = []
-    again = Turns.again
+    again = PollTiming.next_wait_s
 
-    def noted(turns: Turns, turned_away: bool) -> float:
+    def noted(turns: PollTiming, turned_away: bool) -> float:
         waits.append(again(turns, turned_away))
         return waits[-1] if len(waits) <= 3 else 0.0
 
-    monkeypatch.setattr(Turns, "again", noted)
+    monkeypatch.setattr(PollTiming, "next_wait_s", noted)
 
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
-            told: asyncio.Queue[Update] = asyncio.Queue()
+            told: asyncio.Queue[ListUpdate] = asyncio.Queue()
             watch = Discovery((LOCAL, agent.port), ZONES, KINDS, 7, told.put_nowait, 200, 1.0)
             watch.start()
             for _ in range(3):
                 await soon(agent.asked.get())
                 agent.hang_up()  # as a rule before any line
             await soon(agent.asked.get())
-            assert max(waits) <= GRACE_PART
+            assert max(waits) <= GRACE_FRACTION
             agent.tell(listing(8, whole=False))
             assert (await soon(told.get())).topology.version == 8
             agent.status = b"503 Service Unavailable"
             agent.hang_up()
             await until(lambda: len(waits) > 4)
-            assert max(waits[:4]) <= GRACE_PART < min(waits[4:])
+            assert max(waits[:4]) <= GRACE_FRACTION < min(waits[4:])
             await watch.close()
 
     run(test)
@@ -218,14 +218,14 @@
             await soon(old.asked.get())
             old.tell(listing(41, host("s-1", 1)))
             await f.next()
-            f.watch.move((LOCAL, new.port))
+            f.watch.switch_agent((LOCAL, new.port))
             assert b"index=41" in await soon(new.asked.get())
-            f.watch.move((LOCAL, new.port))  # where it already is
+            f.watch.switch_agent((LOCAL, new.port))  # where it already is
             new.tell(listing(42, whole=False))
             assert (await f.next()).topology.version == 42
             assert new.asked.empty() and old.asked.empty()
             await f.watch.close()
-            f.watch.move((LOCAL, old.port))
+            f.watch.switch_agent((LOCAL, old.port))
             await asyncio.sleep(0)
             assert old.asked.empty()
 
@@ -237,7 +237,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection may come up all the same, and would stay, with an agent that is no longer followed."""
-    monkeypatch.setattr(discovery, "CONNECT", 0.05 if how == "late" else 20.0)
+    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.05 if how == "late" else 20.0)
 
     async def test() -> None:
         new, old = Agent(), Agent()
@@ -250,7 +250,7 @@
                 if how == "closed":
                     await soon(f.watch.close())
                 elif how == "moved":
-                    f.watch.move((LOCAL, new.port))
+                    f.watch.switch_agent((LOCAL, new.port))
                     await soon(new.asked.get())
                 await until(lambda: connecting(old.port) == before)
                 await f.watch.close()
@@ -272,7 +272,7 @@
             await soon(old.asked.get())
             old.tell(listing(41, host("s-1", 1, "terminating"), host("s-2", 2, "terminating")))
             await f.next()
-            f.watch.move((LOCAL, new.port))
+            f.watch.switch_agent((LOCAL, new.port))
             await soon(new.asked.get())
             # The second has been started anew, so it is another: it was told too, before its drain.
             new.tell(listing(40, host("s-1", 1), host("s-2", 2, born_ms=5), host("s-3", 3)))
@@ -302,7 +302,7 @@
 
 def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(discovery, "SILENCE", 0.05)
+        monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
         agent = Agent()
         async with listening(agent):
             f = Follower(agent, 7)
@@ -321,7 +321,7 @@
         await soon(node.start())
         assert node.clients.port > 0
         await node.discovery.close()
-        node.clients.shut()
+        node.clients.close()
 
     run(test)
 
@@ -411,7 +411,7 @@
             node = Gateway(parse(raw, {}))
             await soon(node.start())
             stopping = asyncio.create_task(node.stop())
-            await until(lambda: node.clients.closing and node.clients.count() == 0)
+            await until(lambda: node.clients.is_closing and node.clients.count() == 0)
             told.at.clear()
             await until(lambda: len(told.at) >= 3)
             assert not stopping.done()
@@ -443,7 +443,7 @@
             client = await w.client()
             # The last entry of a name holds; its address is another one now.
             w.agent.tell(listing(2, host("s-1", 1), host("s-1", second.port)))
-            await until(lambda: "names s-1 more than once" in caplog.text)
+            await until(lambda: "duplicate entry for host s-1, using the last one" in caplog.text)
             assert caplog.text.count("s-1") == 1
             client.send(call(number=1))
             connection, _ = await second.command()
@@ -457,8 +457,8 @@
     run(test)
 
 
-async def _peers(heard: list[tuple[int, bytes]], ports: list[Address], me: int) -> Peers:
-    made = Peers(tuple(ports), None, me, lambda number, data: heard.append((number, data)))
+async def _peers(heard: list[tuple[int, bytes]], ports: list[Address], me: int) -> PeerSocket:
+    made = PeerSocket(tuple(ports), None, me, lambda number, data: heard.append((number, data)))
     await asyncio.get_running_loop().create_datagram_endpoint(lambda: made, local_addr=ports[me])
     return made
 
@@ -478,13 +478,13 @@
         zero, one = await _peers(heard0, ports[:3], 0), await _peers(heard1, ports[:3], 1)
         stranger.sendto(b"stranger", ports[1])
         probes[2][0].sendto(b"x" * 257, ports[1])
-        zero.tell(1, b"x" * 257)
-        zero.tell(9, b"nobody")
-        zero.tell(1, b"x" * 256)
+        zero.send(1, b"x" * 257)
+        zero.send(9, b"nobody")
+        zero.send(1, b"x" * 256)
         await until(lambda: bool(heard1))
-        zero.tell(None, b"all")
+        zero.send(None, b"all")
         await until(lambda: len(heard1) == 2)
-        one.tell(0, b"back")
+        one.send(0, b"back")
         await until(lambda: bool(heard0))
         assert heard1 == [(0, b"x" * 256), (0, b"all")] and heard0 == [(1, b"back")]
         for end in (zero, one):
--- a/tests/node/test_endings_close.py
+++ b/tests/node/test_endings_close.py
@@ -16,7 +16,7 @@
 from trackspread.config.operator import ClientBounds, Operator
 from trackspread.decide.events import Outcome
 from trackspread.fronts import connections
-from trackspread.fronts.client import Client
+from trackspread.fronts.client import ClientConnection
 
 from ..fakes import LOCAL, Backend, World, call, run, served, soon, until, world
 from ..backends.test_backends import bench
@@ -24,13 +24,13 @@
 
 def crossing(monkeypatch: pytest.MonkeyPatch, client: socket.socket, data: bytes) -> None:
     """The client writes this just as the gateway closes its connection."""
-    close = Client.close
+    close = ClientConnection.close
 
-    def crossed(self: Client) -> None:
+    def crossed(self: ClientConnection) -> None:
         client.sendall(data)
         close(self)
 
-    monkeypatch.setattr(Client, "close", crossed)
+    monkeypatch.setattr(ClientConnection, "close", crossed)
 
 
 async def read_all(client: socket.socket) -> bytes:
@@ -43,7 +43,7 @@
 
 
 def at_rest(w: World) -> bool:
-    return bool(w.node.clients._clients) and not w.node.requests
+    return bool(w.node.clients._active) and not w.node.requests
 
 
 @pytest.mark.parametrize("why", ["idle", "stopping"])
@@ -51,8 +51,8 @@
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client reads nothing until then: its last answer is still on the way when the gateway closes."""
-    monkeypatch.setattr(connections, "QUIET", 0.01)
-    monkeypatch.setattr(connections, "LOOK", 0.01)
+    monkeypatch.setattr(connections, "DRAIN_QUIET_S", 0.01)
+    monkeypatch.setattr(connections, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
         bounds = ClientBounds(idle_s=0.05 if why == "idle" else 3600.0)
@@ -83,7 +83,7 @@
             crossing(monkeypatch, client, call(number=2))
             client.sendall(call(number=1))
             connection, _ = await w.backend.command()
-            w.node.clients.closing = True
+            w.node.clients.is_closing = True
             connection.send(served(b"v" * 60_000))
             assert await read_all(client) == b"$60000\r\n" + b"v" * 60_000 + b"\r\n"
             assert w.backend.commands.empty()
@@ -96,8 +96,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It never ends its own side."""
-    monkeypatch.setattr(connections, "LOOK", 0.01)
-    monkeypatch.setattr("trackspread.fronts.client.LINGER", 0.05)
+    monkeypatch.setattr(connections, "TIMEOUT_CHECK_S", 0.01)
+    monkeypatch.setattr("trackspread.fronts.client.LINGER_S", 0.05)
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(mute_s=0.05))) as w:
@@ -114,9 +114,9 @@
         async with world() as w:
             client = await w.client()
             await until(lambda: w.node.clients.count() == 1)
-            (server,) = w.node.clients._fresh
+            (server,) = w.node.clients._unused
             server.close()
-            w.node.clients.bound = 1
+            w.node.clients.max_connections = 1
             newcomer = await w.client()
             newcomer.send(call())
             connection, _ = await w.backend.command()
@@ -139,7 +139,7 @@
             client.send(call())
             connection, _ = await w.backend.command()
             (link,) = [link for pool in w.node.backends._pools.values() for link in pool.connections]
-            (server,) = w.node.clients._clients
+            (server,) = w.node.clients._active
             assert no_delay(link.transport) and no_delay(server._transport)
             connection.send(served(b"v"))
             assert await client.next() == b"v"
--- a/tests/node/test_endings_stop.py
+++ b/tests/node/test_endings_stop.py
@@ -22,7 +22,7 @@
 ) -> None:
     """Seen on the bench: taken 0.78 s after SIGTERM, on a connection that was kept, sent to a backend that
     hung for all of its time, and unanswered when the process was killed."""
-    monkeypatch.setattr(connections, "QUIET", 0.01)
+    monkeypatch.setattr(connections, "DRAIN_QUIET_S", 0.01)
 
     async def test() -> None:
         async with world() as w:
@@ -32,7 +32,7 @@
             first, _ = await w.backend.command()
             stopped = w.node.now()
             stopping = asyncio.create_task(w.node.stop())
-            await until(lambda: w.node.clients.closing)
+            await until(lambda: w.node.clients.is_closing)
             # As if the drain had lasted until all but 0.3 s of what is left until SIGKILL.
             w.node.now.base_ns += longest + int((KILLED - 0.4) * SECOND)
             number = 2 if kept == "behind another" else 2 * w.node.clients.bounds.pipeline
@@ -87,7 +87,7 @@
             client = await w.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             number, sent = 0, 0
-            (server,) = [*w.node.clients._clients, *w.node.clients._fresh]
+            (server,) = [*w.node.clients._active, *w.node.clients._unused]
             transport = cast(asyncio.Transport, server._transport)
             while not transport.get_write_buffer_size():
                 client.send(call(number=number))
@@ -96,7 +96,7 @@
                 await until(lambda: not w.node.requests)
                 number += 1
             stopping = asyncio.create_task(w.node.stop())
-            await until(lambda: server._lingering > 0.0)
+            await until(lambda: server._linger_until > 0.0)
             assert not stopping.done() and transport.get_write_buffer_size()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             while (answer := await client.next()) is not None:
--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -16,7 +16,7 @@
 
 from trackspread.config.addresses import ConfigError
 from trackspread.config.platform import flatten, load, needs_restart, parse, reload
-from trackspread.fronts.connections import QUIET
+from trackspread.fronts.connections import DRAIN_QUIET_S
 
 from ..fakes import (
     LOCAL,
@@ -177,7 +177,7 @@
             late = await p.client()
             late.send(call())
             await soon(late.writer.drain())
-            await asyncio.sleep(QUIET + 0.1)  # its time to close the door passes meanwhile
+            await asyncio.sleep(DRAIN_QUIET_S + 0.1)  # its time to close the door passes meanwhile
             p.process.send_signal(signal.SIGCONT)
             connection, _ = await p.backend.command()
             connection.send(served(b"v"))
--- a/tests/node/test_services.py
+++ b/tests/node/test_services.py
@@ -35,7 +35,7 @@
 from trackspread.decide.report import ServiceReport, concurrency_cap, unavailable_backends, service_reports
 from trackspread.decide.services import ServiceBrokers
 from trackspread.lists.agent import parse_update
-from trackspread.lists.seam import ListError, backend_id
+from trackspread.lists.source import ListError, backend_id
 from trackspread.lists.services import CarriedServices
 
 from ..fakes import World, call, host, listing, run, served, until, world
--- a/trackspread/framing/__init__.py
+++ b/trackspread/framing/__init__.py
@@ -1,1 +1,1 @@
-"""Where messages of a protocol begin and end, for both sides of the gateway."""
+"""Message framing of protocols, for the client side and the backend side of the gateway."""
--- a/trackspread/framing/resp.py
+++ b/trackspread/framing/resp.py
@@ -1,207 +1,224 @@
-"""Where RESP2 messages end, and that no header in them asks for more than the protocol has room for."""
+"""Finds the ends of RESP2 messages, and rejects headers that exceed the protocol's limits."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-VALUE_MOST = 64 << 10  # bytes of one word of a command, but for its last: that may be long
-LONG_FROM = 64 << 10  # bytes over which a value is passed on as it comes, not held until it is whole
-LONG_MOST = 4 << 20  # bytes of a backend's value, or of a command's last word
-COMMAND_MOST = VALUE_MOST + 4096  # bytes of a whole command but for a long last word
-ARGUMENTS_MOST = 16  # words of a command; the longest that a client has a use for holds five
-EXTRA_MOST = 1024  # bytes of an answer's load report or figures on use
-EXTRA_ITEMS = 16  # of figures on use that come as an array
-LINE_MOST = 512  # bytes of a header or an error line
-ANSWER_ITEMS = 3  # value, figures on use, load report
-DEPTH_MOST = 2  # arrays in one another in an answer
+MAX_VALUE_BYTES = 64 << 10  # of one word of a command, except for its last one, which may be long
+LONG_VALUE_BYTES = 64 << 10  # above which a value is forwarded while it arrives, and not kept until complete
+MAX_LONG_VALUE_BYTES = 4 << 20  # of a backend's value, or of a command's last word
+MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4096  # of a complete command without a long last word
+MAX_ARGUMENTS = 16  # words of a command; the longest command has five
+MAX_EXTRA_BYTES = 1024  # of an answer's load report or usage figures
+MAX_EXTRA_ITEMS = 16  # of usage figures that are sent as an array
+MAX_LINE_BYTES = 512  # of a header or an error line
+ANSWER_ITEMS = 3  # value, usage figures, load report
+MAX_DEPTH = 2  # of nested arrays in an answer
 
 
-class Words(NamedTuple):
-    """A client's command, to be passed on as it came but for the value of `d`."""
+class CommandWords(NamedTuple):
+    """A client's command, which is forwarded unchanged except for the value of `d`."""
 
-    front: tuple[bytes, ...]  # command, customer, id
-    head: bytes  # names and values before `d`, with the comma behind them
-    tail: bytes  # those after it, with the comma before them
+    prefix: tuple[bytes, ...]  # command, tenant, request id
+    head: bytes  # the parameters before `d`, with the comma after them
+    tail: bytes  # the parameters after `d`, with the comma before them
     body: tuple[bytes, ...]
 
 
 class FrameError(ValueError):
-    """Nothing that follows on this connection can be read; the text says why."""
+    """Input after which nothing more on the connection can be read; the text is the reason."""
 
 
-class Frames:
-    """Finds the end of each message; goes ahead of hiredis, which takes any header at its word.
+class FrameScanner:
+    """Finds the end of each message before hiredis parses it, as hiredis trusts every header.
 
-    An array's places would be set aside before its first element has come (a hundred million of them, for
-    each collection of garbage to walk), the two bytes behind a value are not looked at, and types of RESP3
-    are read as well.
+    hiredis allocates an array before its first element has arrived (a hundred million elements, which each
+    garbage collection would visit), does not check the two bytes after a value, and accepts types of RESP3.
     """
 
-    __slots__ = ("_open", "_part", "_size", "_value", "long", "long_at")
+    __slots__ = (
+        "_message_bytes",
+        "_open_arrays",
+        "_partial",
+        "_value_remaining",
+        "in_long_value",
+        "long_value_start",
+    )
 
     def __init__(self) -> None:
-        self._open: list[int] = []  # elements still to come of each array that is open
-        self._part = b""  # of a header, or of the two bytes behind a value
-        self._value = -1  # bytes still to come of the value that is open, -1 for none
-        self._size = 0  # bytes of the message so far
-        self.long = False  # whether a long value is under way: its bytes are taken by `take`, not by `scan`
-        self.long_at = 0  # where its first byte lies in what was scanned last
+        self._open_arrays: list[int] = []  # elements missing of each open array
+        self._partial = b""  # the part received of a header, or of the two bytes after a value
+        self._value_remaining = -1  # bytes missing of the open value; -1 for none
+        self._message_bytes = 0  # so far
+        self.in_long_value = False  # whether a long value is open: `skip` counts its bytes, not `scan`
+        self.long_value_start = 0  # offset of its first byte in the data that was scanned last
 
     @property
-    def midway(self) -> bool:
-        """Whether a message has begun and not ended."""
-        return bool(self._open or self._part or self._value >= 0)
+    def is_midway(self) -> bool:
+        """Returns whether a message has begun and not ended."""
+        return bool(self._open_arrays or self._partial or self._value_remaining >= 0)
 
     @property
-    def rest(self) -> int:
-        """Bytes still to come of the value that is under way."""
-        return max(0, self._value)
+    def remaining_bytes(self) -> int:
+        """Returns the number of bytes missing of the open value."""
+        return max(0, self._value_remaining)
 
-    def take(self, size: int) -> None:
-        """So many bytes of a long value have been taken."""
-        self._value -= size
-        self.long = self._value > 0
+    def skip(self, size: int) -> None:
+        """Counts `size` bytes of a long value as consumed."""
+        self._value_remaining -= size
+        self.in_long_value = self._value_remaining > 0
 
     def scan(self, data: bytes, at: int) -> int:
-        """Where in `data` the message ends that begins, or goes on, at `at`; -1 where it does not, or where a
-        long value begins."""
+        """Returns the offset in `data` at which the message ends that begins, or continues, at `at`.
+
+        Returns -1 if it does not end in `data`, or if a long value begins. Raises `FrameError`.
+        """
         size = len(data)
         while at < size:
-            if self._value >= 0:
+            if self._value_remaining >= 0:
                 at = self._scan_value(data, at)
-                if self._value >= 0:
+                if self._value_remaining >= 0:
                     return -1
             else:
-                end = data.find(b"\n", at, at + LINE_MOST)
-                line = self._part + (data[at : end + 1] if end >= 0 else data[at : at + LINE_MOST])
+                end = data.find(b"\n", at, at + MAX_LINE_BYTES)
+                line = self._partial + (data[at : end + 1] if end >= 0 else data[at : at + MAX_LINE_BYTES])
                 if end < 0:
-                    if len(line) >= LINE_MOST:
+                    if len(line) >= MAX_LINE_BYTES:
                         raise FrameError("line too long")
-                    self._kind(line[:1])
-                    self._part = line
+                    self._check_type(line[:1])
+                    self._partial = line
                     return -1
-                self._part = b""
+                self._partial = b""
                 at = end + 1
                 if line[-2:] != b"\r\n":
                     raise FrameError("line does not end in CR LF")
-                if (length := self._header(line)) >= 0:
-                    if length > LONG_FROM:
-                        self._value = length
-                        self.long = True
-                        self.long_at = at
+                if (length := self._parse_header(line)) >= 0:
+                    if length > LONG_VALUE_BYTES:
+                        self._value_remaining = length
+                        self.in_long_value = True
+                        self.long_value_start = at
                         return -1
                     end = at + length + 2
-                    if end <= size:  # the usual case: the value has come whole
+                    if end <= size:  # the usual case: the value is complete
                         if data[end - 2 : end] != b"\r\n":
                             raise FrameError("value longer than its length")
                         at = end
                     else:
-                        self._value = length
+                        self._value_remaining = length
                         continue
                 elif length == -2:
-                    continue  # an array has opened
-            if self._closed():
+                    continue  # an array has begun
+            if self._end_element():
                 return at
         return -1
 
     def _scan_value(self, data: bytes, at: int) -> int:
-        take = min(self._value, len(data) - at)
-        at = at + take
-        self._value = self._value - take
-        if self._value == 0:
-            take = 2 - len(self._part)
-            self._part += data[at : at + take]
-            at = min(len(data), at + take)
-            if not b"\r\n".startswith(self._part):
+        size = min(self._value_remaining, len(data) - at)
+        at = at + size
+        self._value_remaining = self._value_remaining - size
+        if self._value_remaining == 0:
+            size = 2 - len(self._partial)
+            self._partial += data[at : at + size]
+            at = min(len(data), at + size)
+            if not b"\r\n".startswith(self._partial):
                 raise FrameError("value longer than its length")
-            if len(self._part) == 2:
-                self._part = b""
-                self._value = -1
+            if len(self._partial) == 2:
+                self._partial = b""
+                self._value_remaining = -1
         return at
 
-    def _closed(self) -> bool:
-        """One element has ended; whether the whole message has with it."""
-        opened = self._open
-        while opened:
-            opened[-1] -= 1
-            if opened[-1]:
+    def _end_element(self) -> bool:
+        """Counts the end of one element; returns whether it ends the message."""
+        missing = self._open_arrays
+        while missing:
+            missing[-1] -= 1
+            if missing[-1]:
                 return False
-            opened.pop()
+            missing.pop()
         return True
 
-    def _kind(self, kind: bytes) -> None:
-        """Raises where no header may begin so."""
+    def _check_type(self, type_byte: bytes) -> None:
+        """Raises `FrameError` if a header may not begin with this byte."""
         raise NotImplementedError
 
-    def _header(self, line: bytes) -> int:
-        """Bytes of the value that follows, -1 where nothing does, -2 where an array's elements do."""
+    def _parse_header(self, line: bytes) -> int:
+        """Returns the bytes of the value that follows, -1 if nothing follows, -2 if an array's elements do.
+
+        Raises `FrameError`.
+        """
         raise NotImplementedError
 
 
-def _length(line: bytes, most: int, null: bool = False) -> int:
+def _parse_length(line: bytes, max_length: int, allows_null: bool = False) -> int:
     text = line[1:-2]
-    if null and text == b"-1":
+    if allows_null and text == b"-1":
         return -1
     if not (text.isdigit() and len(text) <= 9):
         raise FrameError("bad length")
     length = int(text)
-    if length > most:
+    if length > max_length:
         raise FrameError("length over the limit")
     return length
 
 
-class CommandFrames(Frames):
-    """Commands: arrays of bulk strings."""
+class CommandScanner(FrameScanner):
+    """Finds the ends of commands, which are arrays of bulk strings."""
 
     __slots__ = ()
 
-    def _kind(self, kind: bytes) -> None:
-        if kind != (b"$" if self._open else b"*"):
+    def _check_type(self, type_byte: bytes) -> None:
+        if type_byte != (b"$" if self._open_arrays else b"*"):
             raise FrameError("expected an array of bulk strings")
 
-    def _header(self, line: bytes) -> int:
-        self._kind(line[:1])
-        if not self._open:
-            count = _length(line, ARGUMENTS_MOST)
+    def _parse_header(self, line: bytes) -> int:
+        self._check_type(line[:1])
+        if not self._open_arrays:
+            count = _parse_length(line, MAX_ARGUMENTS)
             if not count:
                 raise FrameError("empty command")
-            self._open.append(count)
-            self._size = 0
+            self._open_arrays.append(count)
+            self._message_bytes = 0
             return -2
-        length = _length(line, LONG_MOST if self._open == [1] else VALUE_MOST)
-        self._size += length if length <= LONG_FROM else 0
-        if self._size > COMMAND_MOST:
+        length = _parse_length(line, MAX_LONG_VALUE_BYTES if self._open_arrays == [1] else MAX_VALUE_BYTES)
+        self._message_bytes += length if length <= LONG_VALUE_BYTES else 0
+        if self._message_bytes > MAX_COMMAND_BYTES:
             raise FrameError("command too long")
         return length
 
 
-class AnswerFrames(Frames):
-    """Backends' answers: an array of value, figures and report; an error line; a probe's string or status."""
+class AnswerScanner(FrameScanner):
+    """Finds the ends of backends' answers.
+
+    An answer is an array of value, usage figures and load report, an error line, or a string or status that
+    answers a health check.
+    """
 
     __slots__ = ()
 
-    def _kind(self, kind: bytes) -> None:
-        if kind not in ((b"$",) if self._open == [ANSWER_ITEMS] else (b"$", b"*", b"-", b"+", b":")):
+    def _check_type(self, type_byte: bytes) -> None:
+        is_value_next = self._open_arrays == [ANSWER_ITEMS]
+        if type_byte not in ((b"$",) if is_value_next else (b"$", b"*", b"-", b"+", b":")):
             raise FrameError("not a value")
 
-    def _header(self, line: bytes) -> int:
-        kind = line[:1]
-        self._kind(kind)
-        if kind == b"$":
-            if self._open == [ANSWER_ITEMS]:
-                return _length(line, LONG_MOST)
-            return _length(line, EXTRA_MOST if self._open else LONG_FROM, null=bool(self._open))
-        if kind != b"*":
+    def _parse_header(self, line: bytes) -> int:
+        type_byte = line[:1]
+        self._check_type(type_byte)
+        if type_byte == b"$":
+            if self._open_arrays == [ANSWER_ITEMS]:
+                return _parse_length(line, MAX_LONG_VALUE_BYTES)
+            max_length = MAX_EXTRA_BYTES if self._open_arrays else LONG_VALUE_BYTES
+            return _parse_length(line, max_length, allows_null=bool(self._open_arrays))
+        if type_byte != b"*":
             return -1
-        if not self._open:
+        if not self._open_arrays:
             if line != b"*%d\r\n" % ANSWER_ITEMS:
                 raise FrameError("not an answer's three parts")
-            self._open.append(ANSWER_ITEMS)
+            self._open_arrays.append(ANSWER_ITEMS)
             return -2
-        count = _length(line, EXTRA_ITEMS, null=True)
+        count = _parse_length(line, MAX_EXTRA_ITEMS, allows_null=True)
         if count <= 0:
             return -1
-        if len(self._open) >= DEPTH_MOST:
+        if len(self._open_arrays) >= MAX_DEPTH:
             raise FrameError("arrays nested too deep")
-        self._open.append(count)
+        self._open_arrays.append(count)
         return -2
--- a/trackspread/fronts/bodies.py
+++ b/trackspread/fronts/bodies.py
@@ -1,6 +1,6 @@
-"""How much of long bodies clients may have here at once, and whose turn it is where there is no more room.
+"""The memory limit for long request bodies, and the order in which they are received when it is reached.
 
-May know: sizes, who came first. May not know: sockets, protocols, what becomes of a call.
+It knows sizes and the order of arrival. It knows no sockets, no protocols and no outcomes of requests.
 """
 
 from __future__ import annotations
@@ -8,52 +8,56 @@
 from typing import Protocol
 
 
-class Sender(Protocol):
-    """Whose body is coming."""
+class BodySender(Protocol):
+    """A connection that is receiving a long body."""
 
-    def room(self, there: bool) -> None:
-        """Whether more of it may be read."""
+    def allow_body(self, is_allowed: bool) -> None:
+        """Allows or stops reading more of the body."""
 
 
-class Bodies:
-    """Room for long bodies of all clients together: those that come and those of open requests.
+class BodyMemory:
+    """Counts the bytes of long bodies of all clients: those being received and those of open requests.
 
-    A body is kept until its request is answered, so that another attempt can follow. Where room is short,
-    nothing more is read of those that come: requests that are open end in their time and free theirs, and
-    where none is open, the body that began first goes on alone. So some always end, and none waits for
-    ever."""
+    A body is kept until its request is answered, so that a retry can send it again. Over the limit, bodies
+    being received are not read any further: open requests end within their deadlines and free their memory,
+    and if no request is open, the body that began first is read to its end. So some request always ends, and
+    no body waits forever.
+    """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.held = 0
-        self._coming: dict[Sender, int] = {}  # bytes so far, in the order in which they began
-        self._kept: dict[object, int] = {}
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.used_bytes = 0
+        self._incoming: dict[BodySender, int] = {}  # bytes received, in the bodies' order
+        self._retained: dict[object, int] = {}  # bytes of complete bodies by response slot
 
-    def grew(self, sender: Sender, size: int) -> None:
-        self.held += size - self._coming.get(sender, 0)
-        self._coming[sender] = size
-        self._judge()
+    def body_grew(self, sender: BodySender, size: int) -> None:
+        """Counts a body that is being received and has reached `size` bytes."""
+        self.used_bytes += size - self._incoming.get(sender, 0)
+        self._incoming[sender] = size
+        self._update_senders()
 
-    def whole(self, sender: Sender, slot: object, size: int) -> None:
-        """All of it has come, for the request of this place; 0 where none is kept."""
-        came = self._coming.pop(sender, 0) if self._coming else 0
+    def body_complete(self, sender: BodySender, slot: object, size: int) -> None:
+        """Counts a complete body for its response slot; a `size` of 0 means that no body is kept."""
+        received = self._incoming.pop(sender, 0) if self._incoming else 0
         if size:
-            self._kept[slot] = size
-        if size or came:
-            self.held += size - came
-            self._judge()
-
-    def gone(self, slot: object) -> None:
-        if self._kept and (size := self._kept.pop(slot, 0)):
-            self.held -= size
-            self._judge()
-
-    def left(self, sender: Sender) -> None:
-        if self._coming and (size := self._coming.pop(sender, 0)):
-            self.held -= size
-            self._judge()
-
-    def _judge(self) -> None:
-        room = self.held <= self.most
-        for number, sender in enumerate(list(self._coming)):
-            sender.room(room or not (number or self._kept))
+            self._retained[slot] = size
+        if size or received:
+            self.used_bytes += size - received
+            self._update_senders()
+
+    def release(self, slot: object) -> None:
+        """Frees the body of a request that has ended."""
+        if self._retained and (size := self._retained.pop(slot, 0)):
+            self.used_bytes -= size
+            self._update_senders()
+
+    def discard(self, sender: BodySender) -> None:
+        """Frees the incomplete body of a connection that is closed."""
+        if self._incoming and (size := self._incoming.pop(sender, 0)):
+            self.used_bytes -= size
+            self._update_senders()
+
+    def _update_senders(self) -> None:
+        is_within_limit = self.used_bytes <= self.limit_bytes
+        for position, sender in enumerate(list(self._incoming)):
+            sender.allow_body(is_within_limit or not (position or self._retained))
--- a/trackspread/fronts/client.py
+++ b/trackspread/fronts/client.py
@@ -1,8 +1,8 @@
-"""One client's connection: order of its answers, what it may take its time for, backpressure, alike for
-every front.
+"""One client's connection: the order of its answers, its timeouts and its backpressure, for every protocol.
 
-May know: bytes, time, its own place among the others. May not know: the protocol spoken (`seam.Front`), nor
-what becomes of a call. A front that answers in another order than that of the calls needs more than this.
+It knows bytes, time and its place among the other connections. It knows neither the protocol that the client
+speaks (`protocol.ClientAdapter`) nor the outcome of a call. Answers are written in the order of the calls; a
+protocol with another order needs changes here.
 """
 
 from __future__ import annotations
@@ -20,284 +20,310 @@
 from ..call import Call
 from ..call import InvalidCall, PausableSource
 from ..logs import RateLimitFilter
-from .seam import Broken, Front, Item, Ping
+from .protocol import ClientAdapter, Item, Ping, ProtocolError
 
 if TYPE_CHECKING:
-    from .connections import Clients
+    from .connections import ClientConnections
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-IDLE_CROWDED = 2.0  # s at rest that every connection is granted where few are left
-CARRY_MOST = 32 << 10  # bytes of what a client has said that go with its connection to another process
-LONG_UNREAD = 10.0  # s in which a client takes nothing of a long value: it may take seconds for a piece
-LINGER = 0.75  # s that what a client still sends is read on and dropped, once all is answered
-LINGER_MOST = 1 << 20  # bytes of it; more is left unread
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # of a socket: its other side sends nothing more
+CROWDED_IDLE_S = 2.0  # idle time that every connection gets when few more can be accepted
+MAX_HANDED_OVER_BYTES = 32 << 10  # of input that a connection takes along to another process
+LONG_VALUE_UNREAD_S = 10.0  # without progress in a long value: a slow client may take seconds for one piece
+LINGER_S = 0.75  # after the last answer, in which input is still read and discarded
+MAX_LINGER_BYTES = 1 << 20  # of discarded input; more than that stays unread
+END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # of a socket whose peer sends nothing more
 
 
-class Slot:
-    """The place of one answer in its connection's order."""
+class ResponseSlot:
+    """The place of one answer in the order of its connection."""
 
     __slots__ = ("answer", "client", "request", "source", "waiting")
 
-    def __init__(self, client: Client, request: int = -1) -> None:
+    def __init__(self, client: ClientConnection, request: int = -1) -> None:
         self.client = client
         self.request = request
         self.answer: bytes | None = None
-        self.source: PausableSource | None = None  # of a long value that is passed on as it comes
-        self.waiting: list[bytes] | None = None  # what came of it before its turn; None once it has its turn
+        self.source: PausableSource | None = None  # of a long value that is forwarded while it arrives
+        self.waiting: list[bytes] | None = None  # parts of a long value before its turn; None in its turn
 
-    def begins(self, call: Call, length: int, source: PausableSource) -> None:
-        self.source, self.waiting = source, [self.client.front.begins(call, length)]
-        self.client.begins(self)
+    def begin_value(self, call: Call, length: int, source: PausableSource) -> None:
+        """Begins a long value of `length` bytes, which `source` provides."""
+        self.source, self.waiting = source, [self.client.adapter.encode_value_head(call, length)]
+        self.client.begin_value(self)
 
-    def piece(self, data: bytes) -> None:
+    def add_piece(self, data: bytes) -> None:
+        """Forwards the next bytes of the long value, or keeps them until its turn."""
         if self.waiting is not None:
             self.waiting.append(data)
         else:
             self.client.write(data)
 
-    def whole(self, call: Call) -> None:
-        last = self.client.front.whole(call)
+    def end_value(self, call: Call) -> None:
+        """Completes the long value."""
+        tail = self.client.adapter.encode_value_tail(call)
         self.source = None
         if self.waiting is None:
-            return self.client.whole(self, last)
+            return self.client.end_value(self, tail)
         waiting = self.waiting
         self.waiting = None
-        self.client.answer(self, b"".join([*waiting, last]))
+        self.client.send_answer(self, b"".join([*waiting, tail]))
 
-    def cut(self, call: Call) -> None:
-        """The value can't be finished: the client is to see that, or is told so if it has seen nothing
-        yet."""
+    def abort_value(self, call: Call) -> None:
+        """Ends a long value that cannot be completed.
+
+        The client gets an error if none of the value was sent; otherwise its connection is closed, so that it
+        can see that the value is incomplete.
+        """
         self.source = None
         if self.waiting is not None:
             self.waiting = None
-            self.client.answer(self, self.client.front.failed(call, "failed"))
+            self.client.send_answer(self, self.client.adapter.encode_failure(call, "failed"))
         else:
-            self.client.cut()
+            self.client.close_incomplete()
 
-    def served(self, call: Call, value: bytes) -> None:
-        self.client.answer(self, self.client.front.served(call, value))
+    def send_value(self, call: Call, value: bytes) -> None:
+        """Answers with the request's value."""
+        self.client.send_answer(self, self.client.adapter.encode_value(call, value))
 
-    def refused(self, call: Call, wait_ms: int) -> None:
-        self.client.answer(self, self.client.front.refused(call, wait_ms))
+    def send_rejection(self, call: Call, retry_after_ms: int) -> None:
+        """Answers that the request is rejected."""
+        self.client.send_answer(self, self.client.adapter.encode_rejection(call, retry_after_ms))
 
-    def failed(self, call: Call, reason: str) -> None:
-        self.client.answer(self, self.client.front.failed(call, reason))
+    def send_failure(self, call: Call, reason: str) -> None:
+        """Answers that the request failed."""
+        self.client.send_answer(self, self.client.adapter.encode_failure(call, reason))
 
 
-class Client(asyncio.Protocol):
-    """One client's connection."""
+class ClientConnection(asyncio.Protocol):
+    """One client's connection with its incomplete command, its unprocessed input and its response slots."""
 
     __slots__ = (
-        "_before",
-        "_blocked",
+        "_blocked_since",
+        "_discarded_bytes",
         "_end_poll",
-        "_ending",
-        "_half",
-        "_late",
-        "_lingering",
-        "_long",
+        "_incomplete_since",
+        "_inherited_data",
+        "_is_ending",
+        "_is_processing",
+        "_is_reading",
+        "_is_sending_long_value",
+        "_linger_until",
         "_owner",
-        "_read_on",
-        "_reading",
-        "_rest",
-        "_rest_at",
-        "_taking",
+        "_reader",
         "_transport",
-        "_unsent",
-        "front",
-        "roomless",
-        "said",
-        "seen",
+        "_unprocessed",
+        "_unprocessed_since",
+        "_unsent_bytes",
+        "adapter",
+        "has_sent_command",
+        "idle_since",
+        "is_body_paused",
         "slots",
     )
 
-    def __init__(self, owner: Clients, front: Front, before: bytes = b"") -> None:
-        """`before`: what another process had read of it."""
+    def __init__(self, owner: ClientConnections, adapter: ClientAdapter, inherited_data: bytes = b"") -> None:
+        """Creates a connection; `inherited_data` is what another process read from it and did not process."""
         self._owner = owner
-        self.front = front
-        self._before = before
-        self._reading = self.front.reading()
+        self.adapter = adapter
+        self._inherited_data = inherited_data
+        self._reader = self.adapter.command_reader()
         self._transport: asyncio.Transport | None = None
-        self._end_poll = select.poll()  # asks the kernel whether the other side sends nothing more
-        self._ending = False  # nothing more is taken; closed once all that was taken is answered
-        self._lingering = 0.0  # when reading on ends, once the last answer is written
-        self._late = 0  # bytes read on since then
-        self._half = 0.0  # when the first byte of a command came whose last has not; 0 for none
-        # read, but not taken yet, and since when
-        self._rest = b""
-        self._rest_at = 0.0
-        self._blocked = 0.0  # since when what waits for the client has not grown less; 0 if nothing waits
-        self._unsent = 0  # bytes of it at that time
-        self._long = False  # whether what waits for the client is of a long value
-        self._read_on = True
-        self._taking = False  # more may lie behind the command that is being taken
-        self.roomless = False  # a long body is coming, and there is no room for more of it
-        self.said = False  # whether a whole command ever came
-        self.seen = owner.time()  # when it last came to rest
-        self.slots: deque[Slot] = deque()
+        self._end_poll = select.poll()  # asks the kernel whether the client sends nothing more
+        self._is_ending = False  # accepts no more commands; closes once all accepted ones are answered
+        self._linger_until = 0.0  # end of reading after the last answer was written; 0 before that
+        self._discarded_bytes = 0  # read since no command is accepted any more
+        self._incomplete_since = 0.0  # arrival of the first byte of the incomplete command; 0 for none
+        self._unprocessed = b""  # read, but held back
+        self._unprocessed_since = 0.0
+        self._blocked_since = 0.0  # since when no unsent byte was read; 0 if writing is possible
+        self._unsent_bytes = 0  # at that time
+        self._is_sending_long_value = False  # whether the unsent bytes belong to a long value
+        self._is_reading = True
+        self._is_processing = False  # more input may follow the command that is being processed
+        self.is_body_paused = False  # a long body is being received, and the memory for bodies is used up
+        self.has_sent_command = False  # whether a complete command was ever received
+        self.idle_since = owner.time()
+        self.slots: deque[ResponseSlot] = deque()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Registers the connection, and processes what another process had read from it."""
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=self._owner.buffer)
-        self._end_poll.register(self._transport.get_extra_info("socket").fileno(), ENDED)
-        self._owner.came(self)
-        before = self._before
-        self._before = b""
-        if before and not self._transport.is_closing():
-            self.data_received(before)
+        self._transport.set_write_buffer_limits(high=self._owner.write_buffer_bytes)
+        self._end_poll.register(self._transport.get_extra_info("socket").fileno(), END_EVENTS)
+        self._owner.connection_opened(self)
+        inherited_data = self._inherited_data
+        self._inherited_data = b""
+        if inherited_data and not self._transport.is_closing():
+            self.data_received(inherited_data)
 
     def data_received(self, data: bytes) -> None:
-        if self._ending:
-            self._late += len(data)
-            if self._late > LINGER_MOST:
-                self._gate()
-        elif self._rest:
-            self._hold(self._rest + data)
+        """Processes input, holds it back, or discards it where no command is accepted any more."""
+        if self._is_ending:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_LINGER_BYTES:
+                self._update_reading()
+        elif self._unprocessed:
+            self._hold_back(self._unprocessed + data)
         else:
-            self._take(data, 0.0)
+            self._process(data, 0.0)
 
-    def _take(self, data: bytes, waited: float) -> None:
-        """Command by command, as far as they may be taken now; `waited` counts in for each."""
-        self._taking = True
+    def _process(self, data: bytes, waited_s: float) -> None:
+        """Processes as many commands as may be accepted now; `waited_s` is how long they were held back."""
+        self._is_processing = True
         try:
-            self._take_from(data, waited)
+            self._process_commands(data, waited_s)
         finally:
-            self._taking = False
-        if self._owner.closing and self.resting():
+            self._is_processing = False
+        if self._owner.is_closing and self.is_idle():
             self.close()
 
-    def _take_from(self, data: bytes, waited: float) -> None:
-        at = 0
-        while at < len(data) and not self._ending:
-            if len(self.slots) >= self._owner.bounds.pipeline or self._blocked or self._owner.handing:
-                return self._hold(data[at:])
+    def _process_commands(self, data: bytes, waited_s: float) -> None:
+        start = 0
+        while start < len(data) and not self._is_ending:
+            is_pipeline_full = len(self.slots) >= self._owner.bounds.pipeline
+            if is_pipeline_full or self._blocked_since or self._owner.is_handing_over:
+                return self._hold_back(data[start:])
             try:
-                end, item = self._reading.read(data, at)
-            except Broken as error:
-                return self._broken(str(error))
+                end, item = self._reader.read(data, start)
+            except ProtocolError as error:
+                return self._fail_protocol(str(error))
             if item is None:
-                self._half = self._half or self._owner.time()
-                if self._reading.held:
-                    self._half = self._owner.time()  # a long body may take its time, as long as it moves
-                    self._owner.bodies.grew(self, self._reading.held)
+                self._incomplete_since = self._incomplete_since or self._owner.time()
+                if self._reader.long_body_bytes:
+                    self._incomplete_since = self._owner.time()  # a long body may be slow while it progresses
+                    self._owner.bodies.body_grew(self, self._reader.long_body_bytes)
                 return
-            at = end
-            self._half = 0.0
-            self._item(item, waited)
-
-    def _hold(self, rest: bytes) -> None:
-        """Backpressure: more commands than are worked on at once stay where they are."""
-        if not self._rest:
-            self._rest_at = self._owner.time()
-        self._owner.held += len(rest) - len(self._rest)
-        self._rest = rest
-        if self._owner.held > self._owner.memory and not self._owner.handing:
-            self._release()
-            return self._broken("too many commands at once")
-        self._gate()
-
-    def _release(self) -> bytes:
-        rest = self._rest
-        self._rest = b""
-        self._owner.held -= len(rest)
-        return rest
-
-    def _go_on(self) -> None:
-        if self._owner.handing:
-            self._owner.leave(self)
-        elif self.gone():
+            start = end
+            self._incomplete_since = 0.0
+            self._handle_item(item, waited_s)
+
+    def _hold_back(self, data: bytes) -> None:
+        """Applies backpressure: commands over the pipeline's limit stay unprocessed, and reading stops."""
+        if not self._unprocessed:
+            self._unprocessed_since = self._owner.time()
+        self._owner.unprocessed_bytes += len(data) - len(self._unprocessed)
+        self._unprocessed = data
+        is_over_limit = self._owner.unprocessed_bytes > self._owner.max_unprocessed_bytes
+        if is_over_limit and not self._owner.is_handing_over:
+            self._take_unprocessed()
+            return self._fail_protocol("too many commands at once")
+        self._update_reading()
+
+    def _take_unprocessed(self) -> bytes:
+        data = self._unprocessed
+        self._unprocessed = b""
+        self._owner.unprocessed_bytes -= len(data)
+        return data
+
+    def _resume_processing(self) -> None:
+        if self._owner.is_handing_over:
+            self._owner.pass_on_connection(self)
+        elif self.has_left():
             return self.abort()
-        elif self._rest and not self._ending and not cast(asyncio.Transport, self._transport).is_closing():
-            waited = self._owner.time() - self._rest_at
-            self._take(self._release(), waited)
-        self._gate()
-
-    def _gate(self) -> None:
-        """Read only what can be taken."""
-        read_on = (
-            self._late <= LINGER_MOST
-            if self._ending
-            else not (self._rest or self._blocked or self._owner.handing or self.roomless)
+        elif (
+            self._unprocessed
+            and not self._is_ending
+            and not cast(asyncio.Transport, self._transport).is_closing()
+        ):
+            waited_s = self._owner.time() - self._unprocessed_since
+            self._process(self._take_unprocessed(), waited_s)
+        self._update_reading()
+
+    def _update_reading(self) -> None:
+        """Reads from the socket only while input can be processed or, at the end, discarded."""
+        is_reading = (
+            self._discarded_bytes <= MAX_LINGER_BYTES
+            if self._is_ending
+            else not (
+                self._unprocessed or self._blocked_since or self._owner.is_handing_over or self.is_body_paused
+            )
         )
-        if read_on is not self._read_on:
-            self._read_on = read_on
+        if is_reading is not self._is_reading:
+            self._is_reading = is_reading
             transport = cast(asyncio.Transport, self._transport)
             if not transport.is_closing():
-                (transport.resume_reading if read_on else transport.pause_reading)()
-                self._owner.reads(self, read_on)
+                (transport.resume_reading if is_reading else transport.pause_reading)()
+                self._owner.reading_changed(self, is_reading)
 
-    def gone(self) -> bool:
-        """Whether the client has left, which nothing tells where its connection is not read."""
-        if self._read_on or cast(asyncio.Transport, self._transport).is_closing():
+    def has_left(self) -> bool:
+        """Returns whether the client has left while it is not read, when the loop reports no end."""
+        if self._is_reading or cast(asyncio.Transport, self._transport).is_closing():
             return False
-        return self.ended()
+        return self.has_ended()
+
+    def has_ended(self) -> bool:
+        """Returns whether the connection has ended according to the kernel.
 
-    def ended(self) -> bool:
-        """Whether the connection is over, by the kernel's word: its end may lie behind bytes that are not
-        read yet, or have come in this turn of the loop."""
+        Its end may lie behind bytes that are not read yet, or may have arrived in this turn of the loop.
+        """
         return cast(asyncio.Transport, self._transport).is_closing() or bool(self._end_poll.poll(0))
 
-    def room(self, there: bool) -> None:
-        """Whether there is room for more of the long body that is coming."""
-        if there is self.roomless:
-            self.roomless = not there
-            self._half = self._owner.time()
-            self._gate()
+    def allow_body(self, is_allowed: bool) -> None:
+        """Allows or stops reading more of the long body that is being received."""
+        if is_allowed is self.is_body_paused:
+            self.is_body_paused = not is_allowed
+            self._incomplete_since = self._owner.time()
+            self._update_reading()
 
     def pause_writing(self) -> None:
-        self._blocked = self._owner.time()
-        self._unsent = cast(asyncio.Transport, self._transport).get_write_buffer_size()
-        if (source := self._source()) is not None:
+        """Stops reading and the long value that is being sent, as the client does not read its answers."""
+        self._blocked_since = self._owner.time()
+        self._unsent_bytes = cast(asyncio.Transport, self._transport).get_write_buffer_size()
+        if (source := self._active_source()) is not None:
             source.pause()
-        self._gate()
+        self._update_reading()
 
-    def _source(self) -> PausableSource | None:
-        """Of the long value that is going out."""
+    def _active_source(self) -> PausableSource | None:
+        """Returns the source of the long value that is being sent."""
         return self.slots[0].source if self.slots and self.slots[0].waiting is None else None
 
     def resume_writing(self) -> None:
-        self._blocked = 0.0
-        if (source := self._source()) is not None:
+        """Continues the long value and the commands that were held back."""
+        self._blocked_since = 0.0
+        if (source := self._active_source()) is not None:
             source.resume()
         else:
-            self._long = False
-        self._go_on()
-
-    def _broken(self, reason: str) -> None:
-        """Where the next command begins can't be known any more; what was taken before is still answered,
-        or closing at once would lose it (rule 1)."""
-        log.warning("client sent what can't be read: %s", reason)
-        self._half = 0.0
-        self._ending = True
-        slot = Slot(self)
+            self._is_sending_long_value = False
+        self._resume_processing()
+
+    def _fail_protocol(self, reason: str) -> None:
+        """Ends the connection with an error: where the next command begins is unknown.
+
+        Commands that were accepted before are still answered, as closing at once would lose their answers
+        (rule 1).
+        """
+        log.warning("client connection: protocol error, connection ends: %s", reason)
+        self._incomplete_since = 0.0
+        self._is_ending = True
+        slot = ResponseSlot(self)
         self.slots.append(slot)
-        self._gate()
-        self.answer(slot, self.front.broken(reason))
+        self._update_reading()
+        self.send_answer(slot, self.adapter.encode_protocol_error(reason))
 
-    def _item(self, item: Item, waited: float) -> None:
-        slot = Slot(self)
+    def _handle_item(self, item: Item, waited_s: float) -> None:
+        slot = ResponseSlot(self)
         self.slots.append(slot)
-        self._owner.spoke(self)
-        if self._reading.had:
-            self._owner.bodies.whole(self, slot, item.body_bytes if isinstance(item, Call) else 0)
+        self._owner.command_received(self)
+        if self._reader.had_long_body:
+            body_bytes = item.body_bytes if isinstance(item, Call) else 0
+            self._owner.bodies.body_complete(self, slot, body_bytes)
         if isinstance(item, Call):
             try:
-                self._owner.requests.take(item, slot, waited)
+                self._owner.requests.take(item, slot, waited_s)
             except InvalidCall as error:
-                self.answer(slot, self.front.bad(str(error)))
+                self.send_answer(slot, self.adapter.encode_invalid_call(str(error)))
         elif isinstance(item, Ping):
-            self.answer(slot, self.front.pong(self._owner.requests.ready()))
+            self.send_answer(slot, self.adapter.encode_pong(self._owner.requests.ready()))
         else:
-            self.answer(slot, item)
+            self.send_answer(slot, item)
 
-    def answer(self, slot: Slot, answer: bytes) -> None:
-        """Kept until all before it on this connection are answered."""
+    def send_answer(self, slot: ResponseSlot, answer: bytes) -> None:
+        """Writes an answer, or keeps it until all answers before it on this connection are written."""
         slot.answer = answer
-        if self._owner.bodies.held:
-            self._owner.bodies.gone(slot)
+        if self._owner.bodies.used_bytes:
+            self._owner.bodies.release(slot)
         slots, transport = self.slots, cast(asyncio.Transport, self._transport)
         if not slots or slots[0] is not slot:
             return
@@ -305,146 +331,180 @@
             slots.popleft()
             transport.write(answer)
         else:
-            out = []
+            answers = []
             while slots and slots[0].answer is not None:
-                out.append(slots.popleft().answer or b"")
-            transport.write(b"".join(out))
+                answers.append(slots.popleft().answer or b"")
+            transport.write(b"".join(answers))
         if slots:
             if slots[0].source is not None:
-                self.begins(slots[0])
-            if self._rest and len(slots) < self._owner.bounds.pipeline:
-                self._owner.soon(self._go_on)
+                self.begin_value(slots[0])
+            if self._unprocessed and len(slots) < self._owner.bounds.pipeline:
+                self._owner.call_soon(self._resume_processing)
             return
-        self.seen = self._owner.time()
-        if self._ending:
-            self._linger()
-        elif self._owner.handing:
-            self._owner.leave(self)
-        elif self._rest:
-            self._owner.soon(self._go_on)
-        elif self._owner.closing and self.resting():
-            # A client in a hurry would never be found at rest by a look now and then.
+        self.idle_since = self._owner.time()
+        if self._is_ending:
+            self._half_close()
+        elif self._owner.is_handing_over:
+            self._owner.pass_on_connection(self)
+        elif self._unprocessed:
+            self._owner.call_soon(self._resume_processing)
+        elif self._owner.is_closing and self.is_idle():
+            # A client that sends without a pause would never be found idle by the periodic check.
             self.close()
 
-    def begins(self, slot: Slot) -> None:
-        """A long value has begun to come: it goes out in its turn, at the client's pace."""
+    def begin_value(self, slot: ResponseSlot) -> None:
+        """Begins to send a long value at the client's pace, or pauses its source until its turn."""
         source = cast(PausableSource, slot.source)
         if self.slots[0] is not slot:
             return source.pause()
         transport, waiting = cast(asyncio.Transport, self._transport), slot.waiting or []
         slot.waiting = None
-        self._long = True
-        # With no room in the buffer a pause tells at once that the client takes less than comes.
+        self._is_sending_long_value = True
+        # Without a write buffer, a pause shows at once that the client reads less than arrives.
         transport.set_write_buffer_limits(high=0)
-        (source.pause if self._blocked else source.resume)()
+        (source.pause if self._blocked_since else source.resume)()
         transport.write(b"".join(waiting))
 
     def write(self, data: bytes) -> None:
+        """Writes the next bytes of a long value."""
         cast(asyncio.Transport, self._transport).write(data)
 
-    def whole(self, slot: Slot, last: bytes) -> None:
-        cast(asyncio.Transport, self._transport).set_write_buffer_limits(high=self._owner.buffer)
-        self.answer(slot, last)
+    def end_value(self, slot: ResponseSlot, tail: bytes) -> None:
+        """Writes the end of a long value."""
+        cast(asyncio.Transport, self._transport).set_write_buffer_limits(high=self._owner.write_buffer_bytes)
+        self.send_answer(slot, tail)
 
-    def cut(self) -> None:
-        """What has begun can't be finished: the connection ends there, once what came of it is out."""
-        self._ending = True
+    def close_incomplete(self) -> None:
+        """Closes the connection after the bytes of a long value that cannot be completed."""
+        self._is_ending = True
         cast(asyncio.Transport, self._transport).close()
 
     def close(self) -> None:
-        """Take nothing more, and end once all is written. Bytes that come in this very moment are read and
-        dropped: the client sees an end with no answer, and sends its request once more elsewhere."""
-        self._ending = True
-        self._linger()
-
-    def _linger(self) -> None:
-        """Half-close: to close on bytes that came unread is to reset, and a reset may take answers along that
-        the client has not read yet."""
+        """Accepts no more commands, and ends the connection once all answers are written.
+
+        Input that arrives at the same time is read and discarded: the client sees an end without an answer,
+        and sends its request again elsewhere.
+        """
+        self._is_ending = True
+        self._half_close()
+
+    def _half_close(self) -> None:
+        """Ends the sending side, and continues to read for `LINGER_S`.
+
+        Closing a socket with unread input resets the connection, and a reset may discard answers that the
+        client has not read yet.
+        """
         transport = cast(asyncio.Transport, self._transport)
-        if not self._lingering and not transport.is_closing():
-            self._lingering = self._owner.time() + LINGER
+        if not self._linger_until and not transport.is_closing():
+            self._linger_until = self._owner.time() + LINGER_S
             transport.write_eof()
 
-    def hold(self) -> None:
-        """Another process is about to take over, or has given up doing so: nothing is read, or again."""
-        if not self._ending:
-            self._gate()
-            if not self._owner.handing:
-                self._owner.soon(self._go_on)
+    def handover_changed(self) -> None:
+        """Stops reading when a handover to another process begins, and resumes when it is cancelled."""
+        if not self._is_ending:
+            self._update_reading()
+            if not self._owner.is_handing_over:
+                self._owner.call_soon(self._resume_processing)
 
-    def depart(self) -> tuple[int, bytes] | None:
-        """A descriptor of the connection and what was read of it that is not taken, for another process,
-        where nothing is owed here and nothing unwritten; None where it has to stay."""
+    def detach(self) -> tuple[int, bytes] | None:
+        """Returns a descriptor of the connection and its unprocessed input, for another process.
+
+        Returns None if the connection has to stay here: an answer is missing or unsent, or the input is
+        longer than `MAX_HANDED_OVER_BYTES`.
+        """
         transport = cast(asyncio.Transport, self._transport)
-        busy = self.slots or self._ending or self._taking or transport.is_closing()
-        if busy or transport.get_write_buffer_size() or self._reading.size + len(self._rest) > CARRY_MOST:
+        is_busy = self.slots or self._is_ending or self._is_processing or transport.is_closing()
+        input_bytes = self._reader.buffered_bytes + len(self._unprocessed)
+        if is_busy or transport.get_write_buffer_size() or input_bytes > MAX_HANDED_OVER_BYTES:
             return None
         descriptor = os.dup(transport.get_extra_info("socket").fileno())
-        return descriptor, self._reading.unread() + self._release()
+        return descriptor, self._reader.take_buffered() + self._take_unprocessed()
 
-    def look(self, now: float, crowded: bool) -> None:
-        """Whether this connection has had its time."""
+    def check_timeouts(self, now: float, is_crowded: bool) -> None:
+        """Ends the connection if one of its timeouts has passed."""
         transport = cast(asyncio.Transport, self._transport)
-        unsent = transport.get_write_buffer_size()
-        if self._blocked or transport.is_closing() or (self._lingering and unsent):
-            # Also one that is closed or ends stays until what waits for the client is out.
-            if not self._blocked or unsent < self._unsent:
-                self._blocked = now
-                self._unsent = unsent
-            elif now - self._blocked >= self._patience():
-                log.warning("client does not read its answers")
+        unsent_bytes = transport.get_write_buffer_size()
+        if self._blocked_since or transport.is_closing() or (self._linger_until and unsent_bytes):
+            # A connection that is closed or ending also stays until its unsent bytes are written.
+            if not self._blocked_since or unsent_bytes < self._unsent_bytes:
+                self._blocked_since = now
+                self._unsent_bytes = unsent_bytes
+            elif now - self._blocked_since >= self._unread_timeout_s():
+                log.warning(
+                    "client connection: aborted, client did not read its answers for %.1f s",
+                    now - self._blocked_since,
+                )
                 self.abort()
-        elif self._lingering:
-            if now >= self._lingering:
+        elif self._linger_until:
+            if now >= self._linger_until:
                 self.abort()
-        elif self._half:
-            # Whoever has said nothing yet has had its time from connecting on.
-            since = self._half if self.said or self._reading.held else self.seen
-            if now - since >= (LONG_UNREAD if self._reading.held else self._owner.bounds.mute_s):
-                self._broken("command without end")
-        elif not self.slots and not self._rest:
+        elif self._incomplete_since:
+            # Before the first complete command, the time counts from the connection's start.
+            has_progressed = self.has_sent_command or self._reader.long_body_bytes
+            since = self._incomplete_since if has_progressed else self.idle_since
+            timeout_s = LONG_VALUE_UNREAD_S if self._reader.long_body_bytes else self._owner.bounds.mute_s
+            if now - since >= timeout_s:
+                self._fail_protocol("command without end")
+        elif not self.slots and not self._unprocessed:
             bounds = self._owner.bounds
-            idle = bounds.mute_s if not self.said else IDLE_CROWDED if crowded else bounds.idle_s
-            if now - self.seen >= idle and self.resting():
+            if not self.has_sent_command:
+                timeout_s = bounds.mute_s
+            else:
+                timeout_s = CROWDED_IDLE_S if is_crowded else bounds.idle_s
+            if now - self.idle_since >= timeout_s and self.is_idle():
                 self.close()
 
-    def _patience(self) -> float:
-        """s for which a client may take nothing: a slow one that moves is not a dead one."""
-        return max(self._owner.bounds.unread_s, LONG_UNREAD if self._long else 0.0)
+    def _unread_timeout_s(self) -> float:
+        """Returns how long a client may read nothing; a slow client of a long value gets more time."""
+        long_value_s = LONG_VALUE_UNREAD_S if self._is_sending_long_value else 0.0
+        return max(self._owner.bounds.unread_s, long_value_s)
 
     def eof_received(self) -> None:
-        """The client has gone, though the transport closes only once its last answers are out: it may take
-        none of them."""
-        self._abandon()
+        """Gives up the client's requests: it has left.
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._owner.went(self)
-        self._owner.bodies.left(self)
-        self._release()
-        self._abandon()
+        Its transport closes only once its last answers are written, which may never happen.
+        """
+        self._abandon_requests()
 
-    def _abandon(self) -> None:
-        """Nobody waits for what is owed here any more."""
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Removes the connection, and frees its memory."""
+        self._owner.connection_closed(self)
+        self._owner.bodies.discard(self)
+        self._take_unprocessed()
+        self._abandon_requests()
+
+    def _abandon_requests(self) -> None:
+        """Reports for each request without an answer that its client has left."""
         slots = self.slots
         self.slots = deque()
         for slot in slots:
-            self._owner.bodies.gone(slot)
+            self._owner.bodies.release(slot)
             if slot.answer is None:
                 self._owner.requests.left(slot.request)
 
-    def gives_way(self) -> bool:
-        """Whether its descriptor is free once it is aborted: nothing is owed, and nothing waits unread."""
-        over = self._lingering > 0.0 or self.resting()
-        return over and not cast(asyncio.Transport, self._transport).get_write_buffer_size()
+    def is_evictable(self) -> bool:
+        """Returns whether an abort frees the descriptor at once: no answer is missing or unsent."""
+        is_over = self._linger_until > 0.0 or self.is_idle()
+        return is_over and not cast(asyncio.Transport, self._transport).get_write_buffer_size()
 
-    def resting(self) -> bool:
-        """Between requests, with nothing unread in the socket; what is unwritten goes out before a close."""
+    def is_idle(self) -> bool:
+        """Returns whether the client has no request open and its socket holds no unread input.
+
+        Unsent answers do not matter, as they are written before a close.
+        """
         transport = cast(asyncio.Transport, self._transport)
-        busy = self.slots or self._rest or self._taking or self._reading.midway or self._ending
-        if busy or transport.is_closing():
+        is_busy = (
+            self.slots
+            or self._unprocessed
+            or self._is_processing
+            or self._reader.is_midway
+            or self._is_ending
+        )
+        if is_busy or transport.is_closing():
             return False
-        waiting = fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.FIONREAD, b"\0" * 4)
-        return bool(struct.unpack("i", waiting)[0] == 0)
+        unread = fcntl.ioctl(transport.get_extra_info("socket").fileno(), termios.FIONREAD, b"\0" * 4)
+        return bool(struct.unpack("i", unread)[0] == 0)
 
     def abort(self) -> None:
+        """Closes the connection at once."""
         cast(asyncio.Transport, self._transport).abort()
--- a/trackspread/fronts/connections.py
+++ b/trackspread/fronts/connections.py
@@ -1,7 +1,7 @@
-"""The clients' listening sockets and the connections that came through them, bounded together.
+"""The clients' listening sockets and connections, with limits over all of them.
 
-May know: time, how many connections there are. May not know: the protocol spoken (`seam.Front`), nor what
-becomes of a call; one connection is `client.py`'s.
+It knows time and the number of connections. It knows neither the protocol that clients speak
+(`protocol.ClientAdapter`) nor the outcome of a call; `client.py` holds one connection.
 """
 
 from __future__ import annotations
@@ -18,230 +18,256 @@
 from ..config.addresses import Address
 from ..config.operator import ClientBounds
 from ..lag import LagTolerantTimer
-from .bodies import Bodies
-from .client import Client, Slot
-from .seam import Front
-
-BACKLOG = 1024  # connections that wait for the loop's turn
-QUIET = 0.5  # s without a new connection after which a stopping gateway closes its door; the front needs 0.4
-DOOR_MOST = 0.9  # s after which it does so all the same: not all who connect heed the front
-ACCEPT_LOOK = 0.01  # s in which a stopping gateway's loop surely turns to its sockets
-IDLE_LOOK = 0.02  # s between looks for connections that have come to rest, while stopping
-GONE_LOOK = 0.02  # s between looks whether who is not read has left: 0.1 s later nothing of it may go out
-LOOK = 0.25  # s between looks at all connections for those that have had their time
-CROWDED = 0.75  # part of the bound on connections from which they count as few
-BODIES_PART = 0.2  # of the memory, for long bodies; one more than fits, and its copy when whole, come on top
-BUFFER_LEAST = 96 << 10  # bytes, for each connection, of what a client has not taken: over a whole value
-BUFFER_PART = 0.125  # of the memory, for what all clients together have not taken, and likewise not been read
-
-PassOn = Callable[[int, bytes], object]  # a connection's descriptor, and what was read of it and not taken
+from .bodies import BodyMemory
+from .client import ClientConnection, ResponseSlot
+from .protocol import ClientAdapter
+
+BACKLOG = 1024  # connections that wait to be accepted
+# Time without a new connection after which a draining gateway closes its listeners; the platform's load
+# balancer needs 0.4 s to stop sending new ones.
+DRAIN_QUIET_S = 0.5
+MAX_DRAIN_ACCEPT_S = 0.9  # after which it closes them in any case: not all clients heed the load balancer
+ACCEPT_TURN_S = 0.01  # within which the loop of a draining gateway reads its sockets
+IDLE_CHECK_S = 0.02  # between checks for idle connections while draining
+# Between checks whether clients that are not read have left: 0.1 s after that nothing may be sent for them.
+END_CHECK_S = 0.02
+TIMEOUT_CHECK_S = 0.25  # between checks of the timeouts of all connections
+CROWDED_FRACTION = 0.75  # of the maximum of connections, above which idle ones are closed early
+# Of the memory, for long bodies; one body over the limit, and its copy when it is complete, come on top.
+BODY_MEMORY_FRACTION = 0.2
+MIN_WRITE_BUFFER_BYTES = 96 << 10  # of unsent answers for each connection: more than one complete short value
+BUFFER_FRACTION = 0.125  # of the memory, for unsent answers of all clients; the same for unprocessed input
+
+PassOn = Callable[[int, bytes], object]  # takes a connection's descriptor and its unprocessed input
 
 
 class Requests(Protocol):
-    """What the server needs of the gateway."""
+    """The part of the gateway that handles requests."""
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Returns whether requests can be served."""
 
-    def take(self, call: Call, slot: Slot, waited: float) -> None: ...
+    def take(self, call: Call, slot: ResponseSlot, waited: float) -> None:
+        """Accepts a request that was held back for `waited` seconds; raises `InvalidCall`."""
 
-    def left(self, request: int) -> None: ...
+    def left(self, request: int) -> None:
+        """Handles that the client of a request has left."""
 
 
-class Clients:
-    """The listening sockets and the connections that came through them, bounded together."""
+class ClientConnections:
+    """The listening sockets and the connections that were accepted from them."""
 
     def __init__(
         self,
-        listeners: Sequence[tuple[Address, Front]],
+        listeners: Sequence[tuple[Address, ClientAdapter]],
         requests: Requests,
-        most: int,
-        memory: int,
+        max_connections: int,
+        memory_bytes: int,
         bounds: ClientBounds,
-        inherited: int | None = None,
+        inherited_descriptor: int | None = None,
     ) -> None:
-        """`memory`: bytes that the process may use; `inherited`: descriptor of the first listener's socket,
-        where the platform holds it: never shut down, only closed."""
+        """Prepares the listeners; `memory_bytes` is what the process may use.
+
+        `inherited_descriptor` is the first listener's socket where the platform holds it: it is only closed,
+        never shut down.
+        """
         self.requests = requests
         self.bounds = bounds
         loop = asyncio.get_running_loop()
         self.time = loop.time
-        self.soon = loop.call_soon
-        self._later = loop.call_later
+        self.call_soon = loop.call_soon
+        self._call_later = loop.call_later
         self._loop = loop
-        self.bound = most
-        self.memory = int(memory * BUFFER_PART)  # bytes that all clients' rests may hold
-        self.buffer = max(BUFFER_LEAST, self.memory // most)  # bytes that one client may leave untaken
-        self.held = 0  # bytes of all rests
-        self.bodies = Bodies(int(memory * BODIES_PART))
+        self.max_connections = max_connections
+        self.max_unprocessed_bytes = int(memory_bytes * BUFFER_FRACTION)  # of all clients together
+        self.write_buffer_bytes = max(MIN_WRITE_BUFFER_BYTES, self.max_unprocessed_bytes // max_connections)
+        self.unprocessed_bytes = 0  # of all clients together
+        self.bodies = BodyMemory(int(memory_bytes * BODY_MEMORY_FRACTION))
         self._listeners = listeners
-        self._inherited = inherited
-        # Both have whoever came to rest longest ago first.
-        self._clients: dict[Client, None] = {}  # those that have sent a whole command
-        self._fresh: dict[Client, None] = {}  # those that have not
+        self._inherited_descriptor = inherited_descriptor
+        # In both, the connection that has been idle longest comes first.
+        self._active: dict[ClientConnection, None] = {}  # connections that have sent a complete command
+        self._unused: dict[ClientConnection, None] = {}  # connections that have not
         self._servers: list[asyncio.Server] = []
-        self._unread: set[Client] = set()  # those that are not read for the time being
-        self._gone_looker: asyncio.TimerHandle | None = None  # while there are any
-        self._looker: LagTolerantTimer | None = None
-        self._last_came = 0.0
-        self.closing = False
-        self.handing = False  # another process takes over: nothing new is taken here
+        self._unread: set[ClientConnection] = set()  # connections that are not being read
+        self._end_check_timer: asyncio.TimerHandle | None = None  # runs while there are unread connections
+        self._timeout_check_timer: LagTolerantTimer | None = None
+        self._last_opened_at = 0.0
+        self.is_closing = False
+        self.is_handing_over = False  # another process takes over: no commands are accepted here
         self._pass_on: PassOn | None = None
 
     async def start(self) -> None:
-        await self.open_door()
-        self._look()
+        """Opens the listeners and begins to check timeouts; raises `OSError`."""
+        await self.open_listeners()
+        self._check_timeouts()
 
-    async def open_door(self) -> None:
+    async def open_listeners(self) -> None:
+        """Opens the listening sockets; raises `OSError`."""
         loop = asyncio.get_running_loop()
-        for number, (address, front) in enumerate(self._listeners):
-            made = partial(Client, self, front)
-            if not number and self._inherited is not None:
-                held = socket.socket(fileno=os.dup(self._inherited))
-                server = await loop.create_server(made, sock=held, backlog=BACKLOG)
+        for position, (address, adapter) in enumerate(self._listeners):
+            make_connection = partial(ClientConnection, self, adapter)
+            if not position and self._inherited_descriptor is not None:
+                listener = socket.socket(fileno=os.dup(self._inherited_descriptor))
+                server = await loop.create_server(make_connection, sock=listener, backlog=BACKLOG)
             else:
-                server = await loop.create_server(made, *address, backlog=BACKLOG)
+                server = await loop.create_server(make_connection, *address, backlog=BACKLOG)
             self._servers.append(server)
 
-    def hand(self) -> None:
-        """Take nothing more, for the time being: what comes waits in the kernel."""
-        self.handing = True
-        self.close_door()
-        for client in [*self._fresh, *self._clients]:
-            client.hold()
+    def begin_handover(self) -> None:
+        """Stops accepting connections and commands; both wait in the kernel."""
+        self.is_handing_over = True
+        self.close_listeners()
+        for client in [*self._unused, *self._active]:
+            client.handover_changed()
 
-    async def unhand(self) -> None:
-        """Nobody takes over after all."""
-        self.handing = False
+    async def cancel_handover(self) -> None:
+        """Accepts connections and commands again, as no other process takes over."""
+        self.is_handing_over = False
         self._pass_on = None
-        if not self.closing:
-            await self.open_door()
-        for client in [*self._fresh, *self._clients]:
-            client.hold()
+        if not self.is_closing:
+            await self.open_listeners()
+        for client in [*self._unused, *self._active]:
+            client.handover_changed()
 
     def pass_on(self, pass_on: PassOn) -> None:
-        """Connections go to another process from now on, each once nothing is owed on it."""
+        """Passes connections to another process from now on, each once all its requests are answered."""
         self._pass_on = pass_on
-        self.leave_all()
+        self.pass_on_all()
 
-    def leave_all(self) -> None:
-        for client in [*self._fresh, *self._clients]:
-            self.leave(client)
+    def pass_on_all(self) -> None:
+        """Passes on all connections that have no open request."""
+        for client in [*self._unused, *self._active]:
+            self.pass_on_connection(client)
 
-    def leave(self, client: Client) -> None:
-        if self._pass_on is not None and (gone := client.depart()) is not None:
-            # Closed here, it lives on by the other descriptor: neither side of it sees an end.
+    def pass_on_connection(self, client: ClientConnection) -> None:
+        """Passes on one connection if it has no open request."""
+        if self._pass_on is not None and (detached := client.detach()) is not None:
+            # The duplicated descriptor keeps the connection open: the client sees no end.
             client.abort()
-            self._pass_on(*gone)
+            self._pass_on(*detached)
 
-    async def adopt(self, descriptor: int, before: bytes) -> None:
-        """A connection that another process had, through the first listener."""
-        made = partial(Client, self, self._listeners[0][1], before)
-        came = socket.socket(fileno=descriptor)
+    async def adopt(self, descriptor: int, inherited_data: bytes) -> None:
+        """Takes over a connection of another process, as one of the first listener."""
+        make_connection = partial(ClientConnection, self, self._listeners[0][1], inherited_data)
+        adopted = socket.socket(fileno=descriptor)
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(made, came)
-        except OSError:  # its client has gone meanwhile
-            came.close()
-
-    def _look(self) -> None:
-        now, crowded = self.time(), self.count() > CROWDED * self.bound
-        for client in [*self._fresh, *self._clients]:
-            client.look(now, crowded)
-        # What has come, or has been read, while this process lagged counts before a look does.
-        self._looker = LagTolerantTimer(self._loop, LOOK, self._look)
-
-    def reads(self, client: Client, read_on: bool) -> None:
-        """Whether the client's connection is read from now on; nothing else tells of its end meanwhile."""
-        if read_on:
+            await asyncio.get_running_loop().connect_accepted_socket(make_connection, adopted)
+        except OSError:  # its client has left meanwhile
+            adopted.close()
+
+    def _check_timeouts(self) -> None:
+        now, is_crowded = self.time(), self.count() > CROWDED_FRACTION * self.max_connections
+        for client in [*self._unused, *self._active]:
+            client.check_timeouts(now, is_crowded)
+        # Input that arrived while the process lagged has to be read before the next check.
+        self._timeout_check_timer = LagTolerantTimer(self._loop, TIMEOUT_CHECK_S, self._check_timeouts)
+
+    def reading_changed(self, client: ClientConnection, is_reading: bool) -> None:
+        """Begins or ends the checks for a client's end: the loop reports none while it is not read."""
+        if is_reading:
             self._unread.discard(client)
         else:
             self._unread.add(client)
-            if self._gone_looker is None:
-                self._gone_looker = self._later(GONE_LOOK, self._look_gone)
+            if self._end_check_timer is None:
+                self._end_check_timer = self._call_later(END_CHECK_S, self._check_ends)
 
-    def _look_gone(self) -> None:
+    def _check_ends(self) -> None:
         for client in list(self._unread):
-            if client.gone():
+            if client.has_left():
                 client.abort()
-        self._gone_looker = self._later(GONE_LOOK, self._look_gone) if self._unread else None
+        self._end_check_timer = self._call_later(END_CHECK_S, self._check_ends) if self._unread else None
 
     @property
     def port(self) -> int:
-        """The first listener's."""
+        """Returns the port of the first listener."""
         return int(self._servers[0].sockets[0].getsockname()[1])
 
-    def came(self, client: Client) -> None:
-        self._last_came = self.time()
-        if self.count() >= self.bound:
-            # Descriptors are few: whoever never said anything, or else rests longest, makes room, as a
-            # gateway may close between requests. Where nobody rests the new one can't be kept.
-            for other in chain(self._fresh, self._clients):
-                if other.gives_way():
+    def connection_opened(self, client: ClientConnection) -> None:
+        """Registers a new connection, and evicts an idle one if there are too many.
+
+        Descriptors are limited, and a gateway may close a connection between requests. Connections that never
+        sent a command come first, then those idle for longest. The new one is aborted if none is evictable.
+        """
+        self._last_opened_at = self.time()
+        if self.count() >= self.max_connections:
+            for other in chain(self._unused, self._active):
+                if other.is_evictable():
                     other.abort()
-                    self.went(other)
+                    self.connection_closed(other)
                     break
             else:
                 client.abort()
                 return
-        self._fresh[client] = None
+        self._unused[client] = None
 
-    def spoke(self, client: Client) -> None:
-        """A whole command came from it: the last to be closed."""
-        (self._clients if client.said else self._fresh).pop(client, None)
-        client.said = True
-        self._clients[client] = None
+    def command_received(self, client: ClientConnection) -> None:
+        """Makes a connection that has sent a complete command the last in the order of eviction."""
+        (self._active if client.has_sent_command else self._unused).pop(client, None)
+        client.has_sent_command = True
+        self._active[client] = None
 
     def count(self) -> int:
-        return len(self._clients) + len(self._fresh)
+        """Returns the number of connections."""
+        return len(self._active) + len(self._unused)
 
-    def went(self, client: Client) -> None:
-        self._fresh.pop(client, None)
-        self._clients.pop(client, None)
+    def connection_closed(self, client: ClientConnection) -> None:
+        """Removes a connection."""
+        self._unused.pop(client, None)
+        self._active.pop(client, None)
         self._unread.discard(client)
 
     async def drain(self, end: float) -> None:
-        """Take what comes until new connections cease, answer all of it, close what rests. `end`: when, s of
-        the loop's clock, every request is over, with time for its answer to leave."""
+        """Serves until new connections cease, then closes the listeners and each connection once it is idle.
+
+        `end` is the time of the loop's clock, in seconds, at which every request is over and its answer has
+        had time to be sent.
+        """
         loop = asyncio.get_running_loop()
-        self._last_came = loop.time()
-        latest = self._last_came + DOOR_MOST
-        while not self.handing and (left := min(latest, self._last_came + QUIET) - loop.time()) > 0:
-            await asyncio.sleep(left)
-            # A loop that lagged wakes with its timer due and connections still in the accept queue: look
-            # once more, or they would be closed unread.
-            await asyncio.sleep(ACCEPT_LOOK)
-            # Where the process lagged again meanwhile, that timer fires before the sockets are looked at:
-            # between two turns without a wait they surely are.
+        self._last_opened_at = loop.time()
+        latest = self._last_opened_at + MAX_DRAIN_ACCEPT_S
+        while (
+            not self.is_handing_over
+            and (remaining_s := min(latest, self._last_opened_at + DRAIN_QUIET_S) - loop.time()) > 0
+        ):
+            await asyncio.sleep(remaining_s)
+            # A loop that lagged wakes with its timer due and connections still in the accept queue; without
+            # another turn they would be closed unread.
+            await asyncio.sleep(ACCEPT_TURN_S)
+            # If the process lagged again, that timer fires before the sockets are read; they are read between
+            # two turns without a wait.
             for _ in range(2):
                 await asyncio.sleep(0)
-        self.close_door()
-        self.closing = True
-        # Only half a command can hold a connection open for longer.
-        await self._emptied(end)
+        self.close_listeners()
+        self.is_closing = True
+        # From here on, only an incomplete command can keep a connection open for longer.
+        await self._close_idle_until(end)
 
-    async def _emptied(self, end: float) -> None:
-        """Close what rests until nothing is left, or all that it could owe is over."""
+    async def _close_idle_until(self, end: float) -> None:
+        """Closes idle connections until none is left or all requests are over at `end`, then the rest."""
         loop = asyncio.get_running_loop()
         while self.count() and loop.time() < end:
-            for client in [*self._fresh, *self._clients]:
-                if self.handing:
-                    self.leave(client)
-                elif client.resting():
+            for client in [*self._unused, *self._active]:
+                if self.is_handing_over:
+                    self.pass_on_connection(client)
+                elif client.is_idle():
                     client.close()
-            await asyncio.sleep(IDLE_LOOK)
-        self.shut()
+            await asyncio.sleep(IDLE_CHECK_S)
+        self.close()
 
-    def close_door(self) -> None:
+    def close_listeners(self) -> None:
+        """Closes the listening sockets."""
         servers = self._servers
         self._servers = []
         for server in servers:
             server.close()
 
-    def shut(self) -> None:
-        """Close everything as it stands."""
-        if self._looker is not None:
-            self._looker.cancel()
-        if self._gone_looker is not None:
-            self._gone_looker.cancel()
-        self.close_door()
-        for client in [*self._fresh, *self._clients]:
+    def close(self) -> None:
+        """Closes the listeners and all connections at once."""
+        if self._timeout_check_timer is not None:
+            self._timeout_check_timer.cancel()
+        if self._end_check_timer is not None:
+            self._end_check_timer.cancel()
+        self.close_listeners()
+        for client in [*self._unused, *self._active]:
             client.abort()
--- /dev/null
+++ b/trackspread/fronts/protocol.py
@@ -0,0 +1,82 @@
+"""The interface of a client protocol: an adapter turns bytes to a `Call`, and an answer to bytes.
+
+An adapter knows nothing of connections, pools or decisions; `connections.py` keeps order, limits and
+backpressure in the same way for every protocol.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from ..call import Call
+
+
+class ProtocolError(ValueError):
+    """Input after which nothing more on the connection can be read; the text is the reason."""
+
+
+class Ping:
+    """A client's question whether this gateway is ready."""
+
+
+PING = Ping()
+Item = Call | Ping | bytes  # bytes: the complete encoded answer to a command that cannot be accepted
+
+
+class CommandReader(Protocol):
+    """The reading side of one connection, with the command that is incomplete, if there is one."""
+
+    @property
+    def is_midway(self) -> bool:
+        """Returns whether a command has begun and not ended."""
+
+    @property
+    def buffered_bytes(self) -> int:
+        """Returns the size of the incomplete command, or more if it cannot be handed over."""
+
+    long_body_bytes: int
+    """Bytes received of the incomplete command's long body."""
+
+    had_long_body: bool
+    """Whether the command that was read last had a long body."""
+
+    def take_buffered(self) -> bytes:
+        """Returns the bytes of the incomplete command, for another reader; this one is not used any more."""
+
+    def read(self, data: bytes, start: int) -> tuple[int, Item | None]:
+        """Reads the command that begins, or continues, at `start`.
+
+        Returns the offset in `data` at which it ends and the command, or (-1, None) if it does not end in
+        `data`. Raises `ProtocolError`.
+        """
+
+
+class ClientAdapter(Protocol):
+    """One protocol; the same object serves all connections."""
+
+    def command_reader(self) -> CommandReader:
+        """Returns the reading side of a new connection."""
+
+    def encode_value(self, call: Call, value: bytes) -> bytes:
+        """Returns the answer with a request's value."""
+
+    def encode_value_head(self, call: Call, length: int) -> bytes:
+        """Returns the bytes before a value of `length` bytes that is forwarded while it arrives."""
+
+    def encode_value_tail(self, call: Call) -> bytes:
+        """Returns the bytes after a value that was forwarded."""
+
+    def encode_rejection(self, call: Call, retry_after_ms: int) -> bytes:
+        """Returns the answer that a retry is safe, after `retry_after_ms` if that is not 0."""
+
+    def encode_failure(self, call: Call, reason: str) -> bytes:
+        """Returns the answer that a request failed; it may have been executed."""
+
+    def encode_invalid_call(self, reason: str) -> bytes:
+        """Returns the answer to a request that cannot be accepted."""
+
+    def encode_protocol_error(self, reason: str) -> bytes:
+        """Returns the last answer on a connection that cannot be read any further."""
+
+    def encode_pong(self, is_ready: bool) -> bytes:
+        """Returns the answer to a `Ping`."""
--- a/trackspread/fronts/resp.py
+++ b/trackspread/fronts/resp.py
@@ -1,6 +1,6 @@
-"""RESP2 towards clients, as the platform's pages have it: commands to calls, answers to bytes.
+"""The RESP2 protocol that clients speak: parses commands to calls and encodes answers.
 
-May know: words, names of classes and plans. May not know: connections, pools, decisions.
+It knows commands and the names of classes and plans. It knows no connections, pools or decisions.
 """
 
 from __future__ import annotations
@@ -13,215 +13,232 @@
 from ..call import InvalidCall
 from ..config.roster import Roster
 from ..decide.settings import Idempotency, Settings
-from ..framing.resp import LONG_FROM, LONG_MOST, CommandFrames, FrameError, Words
-from .seam import PING, Broken, Item
+from ..framing.resp import LONG_VALUE_BYTES, MAX_LONG_VALUE_BYTES, CommandScanner, CommandWords, FrameError
+from .protocol import PING, Item, ProtocolError
 
-PAIRS_MOST = 1024  # bytes of a command's names and values
-WAIT_MOST = 86_400_000  # ms: no client waits longer than a day
+MAX_PARAMETERS_BYTES = 1024  # of the names and values of a command
+MAX_WAIT_MS = 86_400_000  # a day: no client waits longer
 
-# As the protocol has them; Python's own `int` and `float` take signs, underscores and spaces too.
-_CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-_ID = re.compile(rb"[0-9A-Za-z_.:-]{1,64}")
+# The forms that the protocol allows; Python's own `int` and `float` accept signs, underscores and spaces too.
+_TENANT = re.compile(rb"[0-9a-fA-F]{16}")
+_REQUEST_ID = re.compile(rb"[0-9A-Za-z_.:-]{1,64}")
 _KEY = re.compile(rb"[\x21-\x7e]{1,128}")
 _UNITS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-class Catalogue:
-    """Names of classes and plans, for reading calls."""
+class CallParser:
+    """Parses commands to calls; it holds the names of classes and plans."""
 
     def __init__(self, settings: Settings, classes: Roster, plans: tuple[bytes, ...]) -> None:
         self.configure(classes)
-        self._plans = {name: i for i, name in enumerate(plans)}
-        self._gateways = settings.gateway_count
-        self._largest = max(1.0, settings.largest_request_units)
+        self._plans = {name: index for index, name in enumerate(plans)}
+        self._gateway_count = settings.gateway_count
+        self._max_units = max(1.0, settings.largest_request_units)
 
     def configure(self, classes: Roster) -> None:
-        """These classes may be named from now on."""
-        self._classes = {name: (n, classes.rules[n].idempotency) for name, n in classes.numbers().items()}
-
-    def read(self, args: list[bytes]) -> Call:
-        """A call from a command's words; raises `InvalidCall` with the reason."""
-        if len(args) not in (4, 5):
+        """Replaces the classes that commands may name."""
+        self._classes = {
+            name: (index, classes.rules[index].idempotency) for name, index in classes.numbers().items()
+        }
+
+    def parse(self, words: list[bytes]) -> Call:
+        """Returns the call of a command; raises `InvalidCall` with the reason."""
+        if len(words) not in (4, 5):
             raise InvalidCall("wrong number of arguments")
-        customer = _customer(args[1])
-        if not _ID.fullmatch(args[2]):
+        tenant = _tenant(words[1])
+        if not _REQUEST_ID.fullmatch(words[2]):
             raise InvalidCall("bad request id")
-        if len(args[3]) > PAIRS_MOST:
+        if len(words[3]) > MAX_PARAMETERS_BYTES:
             raise InvalidCall("list of names and values too long")
-        items = args[3].split(b",")
+        items = words[3].split(b",")
         pairs = [item.partition(b"=") for item in items]
-        named = {name: value for name, _, value in pairs}
-        if len(named) != len(pairs):
+        parameters = {name: value for name, _, value in pairs}
+        if len(parameters) != len(pairs):
             raise InvalidCall("a name stands twice")
         if not all(name and equals for name, equals, _ in pairs):
             raise InvalidCall("expected a list of name=value")
-        cls, repeat = self._classes.get(named.get(b"c", b""), (-1, Idempotency.IDEMPOTENT))
-        if cls < 0:
+        request_class, idempotency = self._classes.get(
+            parameters.get(b"c", b""), (-1, Idempotency.IDEMPOTENT)
+        )
+        if request_class < 0:
             raise InvalidCall("unknown class")
-        plan = self._plans.get(named.get(b"t", b""), -1)
+        plan = self._plans.get(parameters.get(b"t", b""), -1)
         if plan < 0:
             raise InvalidCall("unknown plan")
-        if (args[0].upper() == b"CALL.GET") != (repeat is Idempotency.IDEMPOTENT):
+        if (words[0].upper() == b"CALL.GET") != (idempotency is Idempotency.IDEMPOTENT):
             raise InvalidCall("the class is not served by this command")
-        if repeat is Idempotency.IDEMPOTENT and len(args) == 5:
+        if idempotency is Idempotency.IDEMPOTENT and len(words) == 5:
             raise InvalidCall("the class takes no value")
-        if repeat is Idempotency.WITH_KEY and not _KEY.fullmatch(named.get(b"k", b"")):
+        if idempotency is Idempotency.WITH_KEY and not _KEY.fullmatch(parameters.get(b"k", b"")):
             raise InvalidCall("k missing: the class wants an idempotency key")
-        if b"d" not in named:
+        if b"d" not in parameters:
             raise InvalidCall("d missing")
-        at = next(i for i, pair in enumerate(pairs) if pair[0] == b"d")
-        before, after = b",".join(items[:at]), b",".join(items[at + 1 :])
+        position = next(index for index, pair in enumerate(pairs) if pair[0] == b"d")
+        before, after = b",".join(items[:position]), b",".join(items[position + 1 :])
         return Call(
-            raw_request=Words(
-                (args[0], args[1], args[2]),
+            raw_request=CommandWords(
+                (words[0], words[1], words[2]),
                 before + b"," if before else b"",
                 b"," + after if after else b"",
-                tuple(args[4:]),
+                tuple(words[4:]),
             ),
-            request_id=args[2],
-            request_class=cls,
+            request_id=words[2],
+            request_class=request_class,
             plan=plan,
-            tenant=customer,
-            wait_ms=_whole(named, b"d", 0, WAIT_MOST),
-            units=_units(named, self._largest),
-            gateway_span=_whole(named, b"spread", 1, self._gateways),
-            first_gateway=_whole(named, b"first", 0, self._gateways - 1),
-            options=RETRY_FLAG if named.get(b"r") == b"1" else 0,
-            body_bytes=len(args[4]) if len(args) == 5 and len(args[4]) > LONG_FROM else 0,
+            tenant=tenant,
+            wait_ms=_integer(parameters, b"d", 0, MAX_WAIT_MS),
+            units=_units(parameters, self._max_units),
+            gateway_span=_integer(parameters, b"spread", 1, self._gateway_count),
+            first_gateway=_integer(parameters, b"first", 0, self._gateway_count - 1),
+            options=RETRY_FLAG if parameters.get(b"r") == b"1" else 0,
+            body_bytes=len(words[4]) if len(words) == 5 and len(words[4]) > LONG_VALUE_BYTES else 0,
         )
 
 
-def _customer(word: bytes) -> int:
-    number = int(word, 16) if _CUSTOMER.fullmatch(word) else -1
+def _tenant(text: bytes) -> int:
+    number = int(text, 16) if _TENANT.fullmatch(text) else -1
     if not 0 <= number < 1 << 33:
         raise InvalidCall("bad customer")
     return number
 
 
-def _whole(named: dict[bytes, bytes], key: bytes, least: int, most: int) -> int:
-    word = named.get(key, b"")
-    if not (word.isdigit() and len(word) < 12 and least <= int(word) <= most):
-        raise InvalidCall(f"bad or missing {key.decode()}")
-    return int(word)
+def _integer(parameters: dict[bytes, bytes], name: bytes, min_value: int, max_value: int) -> int:
+    text = parameters.get(name, b"")
+    if not (text.isdigit() and len(text) < 12 and min_value <= int(text) <= max_value):
+        raise InvalidCall(f"bad or missing {name.decode()}")
+    return int(text)
 
 
-def _units(named: dict[bytes, bytes], most: float) -> float:
-    word = named.get(b"units", b"1")
-    units = float(word) if _UNITS.fullmatch(word) else -1.0
-    if not 0.0 < units <= most:
+def _units(parameters: dict[bytes, bytes], max_units: float) -> float:
+    text = parameters.get(b"units", b"1")
+    units = float(text) if _UNITS.fullmatch(text) else -1.0
+    if not 0.0 < units <= max_units:
         raise InvalidCall("bad units")
     return units
 
 
-def _line(text: str) -> bytes:
+def _single_line(text: str) -> bytes:
     return text.encode().replace(b"\r", b" ").replace(b"\n", b" ")
 
 
-class _Reading:
-    """One connection's commands; hiredis reads what `CommandFrames` has found to be whole."""
+class _RespCommandReader:
+    """Reads one connection's commands; hiredis parses those that `CommandScanner` found complete."""
 
-    __slots__ = ("_body", "_catalogue", "_frames", "_parts", "_reader", "had", "held")
+    __slots__ = ("_body", "_parser", "_parts", "_reader", "_scanner", "had_long_body", "long_body_bytes")
 
-    def __init__(self, catalogue: Catalogue) -> None:
-        self._catalogue = catalogue
+    def __init__(self, parser: CallParser) -> None:
+        self._parser = parser
         self._reader = hiredis.Reader()
-        self._frames = CommandFrames()
-        self._parts: list[bytes] = []  # of the command that has begun, but for a long last word
-        self._body: list[bytes] = []  # of that word: kept as it comes, copied once
-        # bytes of it; whether the command read last had one
-        self.held = 0
-        self.had = False
+        self._scanner = CommandScanner()
+        self._parts: list[bytes] = []  # of the incomplete command, except for its long body
+        self._body: list[bytes] = []  # pieces of the long body, joined once it is complete
+        self.long_body_bytes = 0
+        self.had_long_body = False
 
     @property
-    def midway(self) -> bool:
-        return self._frames.midway
+    def is_midway(self) -> bool:
+        """Returns whether a command has begun and not ended."""
+        return self._scanner.is_midway
 
     @property
-    def size(self) -> int:
-        return sum(map(len, self._parts)) + (LONG_MOST if self._frames.long else self.held)
+    def buffered_bytes(self) -> int:
+        """Returns the size of the incomplete command; see `CommandReader`."""
+        body_bytes = MAX_LONG_VALUE_BYTES if self._scanner.in_long_value else self.long_body_bytes
+        return sum(map(len, self._parts)) + body_bytes
 
-    def unread(self) -> bytes:
+    def take_buffered(self) -> bytes:
+        """Returns the bytes of the incomplete command and forgets them."""
         parts = self._parts
         self._parts = []
         return b"".join(parts)
 
-    def read(self, data: bytes, at: int) -> tuple[int, Item | None]:
-        frames, begin = self._frames, at
+    def read(self, data: bytes, start: int) -> tuple[int, Item | None]:
+        """Reads the command that begins, or continues, at `start`; see `CommandReader`."""
+        scanner = self._scanner
         try:
-            while (end := -1 if frames.long else frames.scan(data, begin)) < 0:
-                if not frames.long:
-                    self._parts.append(data[begin:])
+            while (end := -1 if scanner.in_long_value else scanner.scan(data, start)) < 0:
+                if not scanner.in_long_value:
+                    self._parts.append(data[start:])
                     return -1, None
-                if not self.held:
-                    begin = self._long_begins(data, begin)
-                taken = min(frames.rest, len(data) - begin)
-                self._body.append(data[begin : begin + taken])
-                self.held = self.held + taken
-                begin = begin + taken
-                frames.take(taken)
-                if frames.long:
+                if not self.long_body_bytes:
+                    start = self._begin_long_body(data, start)
+                available = min(scanner.remaining_bytes, len(data) - start)
+                self._body.append(data[start : start + available])
+                self.long_body_bytes = self.long_body_bytes + available
+                start = start + available
+                scanner.skip(available)
+                if scanner.in_long_value:
                     return -1, None
             for part in self._parts:
                 self._reader.feed(part)
             self._parts.clear()
-            self._reader.feed(data[begin:end])
+            self._reader.feed(data[start:end])
             words = self._reader.gets()
-            self.had = self.held > 0
-            if self.had:
+            self.had_long_body = self.long_body_bytes > 0
+            if self.had_long_body:
                 words[-1] = b"".join(self._body)
-                self.held = 0
+                self.long_body_bytes = 0
                 self._body.clear()
         except (FrameError, hiredis.ProtocolError) as error:
-            raise Broken(str(error)) from None
+            raise ProtocolError(str(error)) from None
         return end, self._item(words)
 
-    def _long_begins(self, data: bytes, begin: int) -> int:
-        """The reader is told of an empty word in its place; returns where its bytes begin."""
-        head = b"".join(self._parts) + data[begin : self._frames.long_at]
+    def _begin_long_body(self, data: bytes, start: int) -> int:
+        """Gives hiredis an empty word for the body; returns the offset of the body's first byte."""
+        head = b"".join(self._parts) + data[start : self._scanner.long_value_start]
         self._parts = [head[: head.rindex(b"$")] + b"$0\r\n"]
-        return self._frames.long_at
+        return self._scanner.long_value_start
 
     def _item(self, words: list[bytes]) -> Item:
         name = words[0].upper()
         if name in (b"CALL.GET", b"CALL.POST"):
             try:
-                return self._catalogue.read(words)
+                return self._parser.parse(words)
             except InvalidCall as error:
-                return b"-ERR %b\r\n" % _line(str(error))
-        # The platform's own front takes a gateway in on the answer to PING.
+                return b"-ERR %b\r\n" % _single_line(str(error))
+        # The platform's load balancer adds a gateway once it answers PING.
         return PING if name == b"PING" and len(words) == 1 else b"-ERR unknown command\r\n"
 
 
-class RespFront:
-    """RESP2, for all connections of one gateway."""
+class RespClientAdapter:
+    """The RESP2 protocol for all client connections of one gateway."""
 
     def __init__(self, settings: Settings, classes: Roster, plans: tuple[bytes, ...]) -> None:
-        self._catalogue = Catalogue(settings, classes, plans)
-        self.configure = self._catalogue.configure
+        self._parser = CallParser(settings, classes, plans)
+        self.configure = self._parser.configure
 
-    def reading(self) -> _Reading:
-        return _Reading(self._catalogue)
+    def command_reader(self) -> _RespCommandReader:
+        """Returns the reading side of a new connection."""
+        return _RespCommandReader(self._parser)
 
-    def served(self, call: Call, value: bytes) -> bytes:
+    def encode_value(self, call: Call, value: bytes) -> bytes:
+        """Returns the answer with a request's value."""
         return b"$%d\r\n%b\r\n" % (len(value), value)
 
-    def begins(self, call: Call, length: int) -> bytes:
+    def encode_value_head(self, call: Call, length: int) -> bytes:
+        """Returns the bytes before a value of `length` bytes."""
         return b"$%d\r\n" % length
 
-    def whole(self, call: Call) -> bytes:
+    def encode_value_tail(self, call: Call) -> bytes:
+        """Returns the bytes after a value."""
         return b"\r\n"
 
-    def refused(self, call: Call, wait_ms: int) -> bytes:
-        return b"-BUSY %d\r\n" % wait_ms if wait_ms else b"-BUSY\r\n"
+    def encode_rejection(self, call: Call, retry_after_ms: int) -> bytes:
+        """Returns the answer to a rejected request, with the time before a retry if that is not 0."""
+        return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
 
-    def failed(self, call: Call, reason: str) -> bytes:
-        return self.bad(reason)
+    def encode_failure(self, call: Call, reason: str) -> bytes:
+        """Returns the answer to a failed request."""
+        return self.encode_invalid_call(reason)
 
-    def bad(self, reason: str) -> bytes:
-        return b"-ERR %b\r\n" % _line(reason)
+    def encode_invalid_call(self, reason: str) -> bytes:
+        """Returns the answer to a request that cannot be accepted."""
+        return b"-ERR %b\r\n" % _single_line(reason)
 
-    def broken(self, reason: str) -> bytes:
-        return b"-ERR Protocol error: %b\r\n" % _line(reason)
+    def encode_protocol_error(self, reason: str) -> bytes:
+        """Returns the last answer on a connection that cannot be read any further."""
+        return b"-ERR Protocol error: %b\r\n" % _single_line(reason)
 
-    def pong(self, ready: bool) -> bytes:
-        return b"+PONG\r\n" if ready else b"-LOADING no list of backends yet\r\n"
+    def encode_pong(self, is_ready: bool) -> bytes:
+        """Returns the answer to PING."""
+        return b"+PONG\r\n" if is_ready else b"-LOADING no list of backends yet\r\n"
--- a/trackspread/lists/__init__.py
+++ b/trackspread/lists/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of backends comes from."""
+"""Service discovery: the source of the endpoint list, and when the gateway calls it."""
--- a/trackspread/lists/agent.py
+++ b/trackspread/lists/agent.py
@@ -1,4 +1,4 @@
-"""The platform's agent over HTTP: a watch that is followed in order, and taken up again where it broke."""
+"""Follows the endpoint list of the platform's discovery agent over HTTP, with one watch that is kept open."""
 
 from __future__ import annotations
 
@@ -16,23 +16,25 @@
 from ..decide.backends import Backend, EndpointUpdate, EndpointUpdateKind, Health
 from ..lag import LagTolerantTimer
 from ..logs import RateLimitFilter
-from .seam import ListError, Update, backend_id
-from .services import ALL_ALIKE, DEFAULT, CarriedServices
-from .turns import PATIENCE, Turns
+from .poll_timing import CALL_TIMEOUT_S, PollTiming
+from .services import ALL_SERVICES, DEFAULT, CarriedServices
+from .source import ListError, ListUpdate, backend_id
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-# A change counts as told 6 s after a watch fell silent, or after discovery could be reached if the call that
-# was out then stays without an answer: either is over early enough for another call.
-SILENCE = 4.5  # s without a whole line: an idle watch brings an empty one every 2 s, so two were missed
-# s without an answer's head, and from there without its first line: over what discovery keeps a call in its
-# queue. Two such silences and a start take less than the 10 s in which a process without a list gets ready.
-ANSWER = 3.5
-CONNECT = 1.0  # s for the agent, which is on this machine
-LINE = 4 << 20  # bytes of one line: some 20,000 entries; more is no list
-LEAVING_MOST = 1024  # backends that are remembered as leaving: several whole fleets
-MILLISECOND = 1_000_000
+# A change counts as notified 6 s after a watch became unresponsive, or after discovery could be reached if
+# the call in flight then stays without an answer. Both timeouts end early enough for another call.
+# Without a complete line: an idle watch gets an empty one every 2 s, so two are missing.
+SILENCE_TIMEOUT_S = 4.5
+# Without the head of an answer, and from there without its first line: longer than discovery keeps a call in
+# its queue. Two such timeouts and a start take less than the 10 s in which a process without a list has to
+# become ready.
+ANSWER_TIMEOUT_S = 3.5
+CONNECT_TIMEOUT_S = 1.0  # to the agent, which is on this machine
+MAX_LINE_BYTES = 4 << 20  # some 20,000 entries; a longer line is not accepted as a list
+MAX_LEAVING_BACKENDS = 1024  # that are remembered as draining or removed: several complete fleets
+NS_PER_MS = 1_000_000
 _HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
 
 
@@ -41,9 +43,12 @@
     zones: tuple[str, ...],
     kinds: tuple[str, ...],
     cached: bool = False,
-    services: CarriedServices = ALL_ALIKE,
-) -> Update:
-    """Discovery's form to the module's; zone, kind and service become indices, as on the simulator's wire."""
+    services: CarriedServices = ALL_SERVICES,
+) -> ListUpdate:
+    """Returns the update in discovery's JSON form; raises `ListError`.
+
+    Zone, kind and service become indices, as on the simulator's wire.
+    """
     try:
         kind = (
             EndpointUpdateKind.CACHED
@@ -58,11 +63,11 @@
             number, health = backend_id(host["host"]), _HEALTH[host["health"]]
             service = services.index(host.get("service", ""))
             if service is None:
-                if not services.listed(number):
+                if not services.is_listed(number):
                     continue
-                service, health = DEFAULT, Health.REMOVED  # it was of a service that is carried here
+                service, health = DEFAULT, Health.REMOVED  # it left a service that is carried here
             if number in seen:
-                log.warning("the list names %.64s more than once: its last entry holds", host["host"])
+                log.warning("endpoint list: duplicate entry for host %.64s, using the last one", host["host"])
             seen.add(number)
             if health is not Health.REMOVED:
                 addresses[number] = address(host["dial"], "dial")
@@ -74,23 +79,23 @@
                     int(host.get("block", 0)),
                     health,
                     float(host.get("share", 1.0)),
-                    # The module's clock reads Unix time; 0 stays 0, long ago.
-                    int(host.get("born_ms", 0)) * MILLISECOND,
+                    # The decision module's clock reads Unix time; 0 stays 0, which means long ago.
+                    int(host.get("born_ms", 0)) * NS_PER_MS,
                     service,
                 )
             )
-        return Update(EndpointUpdate(kind, int(raw["seq"]), tuple(entries)), addresses)
+        return ListUpdate(EndpointUpdate(kind, int(raw["seq"]), tuple(entries)), addresses)
     except (AttributeError, KeyError, TypeError, ValueError, ConfigError) as error:
         raise ListError(f"{type(error).__name__}: {error}") from None
 
 
 def _index(names: tuple[str, ...], name: Any) -> int:
-    """A name that the settings lack is like none of theirs."""
+    """Returns the index of a name; all names that the settings lack share the index after the last one."""
     return names.index(name) if name in names else len(names)
 
 
 class Discovery:
-    """Keeps one watch open. The list last told goes on serving while there is none."""
+    """Keeps one watch open at the agent; the last reported list stays in use while there is none."""
 
     def __init__(
         self,
@@ -98,39 +103,44 @@
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         index: int | None,
-        told: Callable[[Update], None],
+        on_update: Callable[[ListUpdate], None],
         gateways: int = 1,
-        grace: float = 1.0,
-        services: CarriedServices = ALL_ALIKE,
+        grace_s: float = 1.0,
+        services: CarriedServices = ALL_SERVICES,
     ) -> None:
-        """`grace`: s after the notice of a drain in which a request may still be sent. `services`: those that
-        are wanted of the list."""
-        self._agent, self._turns = agent, Turns(gateways, random.Random(), grace)
+        """Prepares the watch; `index` is the version of the cached list, or None.
+
+        `grace_s` is how long after the notice of a drain a request may still be sent. `services` are those
+        whose backends are reported.
+        """
+        self._agent, self._timing = agent, PollTiming(gateways, random.Random(), grace_s)
         self._zones = zones
         self._kinds = kinds
         self._index = index
-        self._told = told
+        self._on_update = on_update
         self._services = services
-        self._closed = False
-        self._leaving: dict[int, int] = {}  # backends told to drain or be gone, and when each had started
+        self._is_closed = False
+        self._leaving: dict[int, int] = {}  # start times of backends reported as draining or removed
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Begins to watch."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, agent: Address) -> None:
-        """Leave the watch for one at another agent, at once: the old one tells nothing more for long."""
-        if agent == self._agent or self._closed:
+    def switch_agent(self, agent: Address) -> None:
+        """Replaces the watch by one at another agent at once, as the old agent soon reports nothing more."""
+        if agent == self._agent or self._is_closed:
             return
-        log.info("discovery moves to %s:%d", *agent)
+        log.info("discovery: agent address changed to %s:%d, watch restarted", *agent)
         self._agent = agent
-        self._turns.answered()
+        self._timing.reset()
         if self._task is not None:
             self._task.cancel()
             self.start()
 
     async def close(self) -> None:
-        self._closed = True
+        """Ends the watch."""
+        self._is_closed = True
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -139,106 +149,115 @@
         loop = asyncio.get_running_loop()
         host, port = self._agent
         if self._index is not None:
-            await asyncio.sleep(self._turns.first())
+            await asyncio.sleep(self._timing.first_wait_s())
         while True:
-            watch = _Watch(f"{host}:{port}", self._index, self._line)
+            watch = _Watch(f"{host}:{port}", self._index, self._line_received)
             try:
-                async with asyncio.timeout(CONNECT):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await loop.create_connection(lambda made=watch: made, host, port)  # type: ignore[misc]
                 await watch.ended
             except (OSError, TimeoutError) as error:
-                log.warning("discovery: %s", error or type(error).__name__)
+                log.warning(
+                    "discovery: connection to %s:%d failed: %s", host, port, error or type(error).__name__
+                )
             except Exception:
-                # Whatever it was: a gateway that hears of no drain ever again breaks rule 3.
-                log.exception("discovery: fault in the watch")
+                # Any exception is caught: a gateway that is never notified of a drain again breaks rule 3.
+                log.exception("discovery: watch at %s:%d ended by an internal error", host, port)
             finally:
                 watch.close()
-            await asyncio.sleep(self._wait(watch))
-
-    def _wait(self, watch: _Watch) -> float:
-        """s until the next call."""
-        if watch.silent:
-            return self._turns.after_silence()
-        if watch.refused and self._index is None:
-            return self._turns.without_list()
-        return self._turns.again(watch.turned_away)
-
-    def _behind(self, update: Update) -> Update:
-        """A whole list that is older than what is known, as of an agent that lags behind the one before it:
-        followed, as the changes after it come in order, but a drain once told holds (rule 3)."""
+            await asyncio.sleep(self._wait_s(watch))
+
+    def _wait_s(self, watch: _Watch) -> float:
+        """Returns the wait before the next call."""
+        if watch.is_silent:
+            return self._timing.wait_after_silence_s()
+        if watch.got_error and self._index is None:
+            return self._timing.wait_without_list_s()
+        return self._timing.next_wait_s(watch.was_rejected)
+
+    def _keep_drains(self, update: ListUpdate) -> ListUpdate:
+        """Returns a complete list that is older than the known one, with its reported drains still in force.
+
+        It comes from an agent that lags behind the agent before it. It is followed, as the changes after it
+        arrive in order, but a backend that was reported as draining stays so (rule 3).
+        """
         entries = tuple(
             replace(entry, health=Health.DRAINING)
             if self._leaving.get(entry.id) == entry.started_at_ns
             else entry
             for entry in update.topology.backends
         )
-        return Update(replace(update.topology, backends=entries), update.addresses, update.old)
+        return ListUpdate(replace(update.topology, backends=entries), update.addresses, update.is_old)
 
-    def _line(self, line: bytes, first: bool) -> None:
+    def _line_received(self, line: bytes, is_first: bool) -> None:
         update = parse_update(json.loads(line), self._zones, self._kinds, services=self._services)
-        update.old = first
-        whole = update.topology.kind is EndpointUpdateKind.FULL
-        # A second watch may tell again what is known: an older version must not undo a newer one.
-        if not whole and self._index is not None and update.topology.version < self._index:
+        update.is_old = is_first
+        is_full = update.topology.kind is EndpointUpdateKind.FULL
+        # A second watch may repeat what is known: an older version must not undo a newer one.
+        if not is_full and self._index is not None and update.topology.version < self._index:
             return
-        if whole and self._index is not None and update.topology.version < self._index:
-            update = self._behind(update)
-        self._told(update)
+        if is_full and self._index is not None and update.topology.version < self._index:
+            update = self._keep_drains(update)
+        self._on_update(update)
         for entry in update.topology.backends:
             self._leaving.pop(entry.id, None)
             if entry.health is not Health.READY:
                 self._leaving[entry.id] = entry.started_at_ns
-        while len(self._leaving) > LEAVING_MOST:
+        while len(self._leaving) > MAX_LEAVING_BACKENDS:
             del self._leaving[next(iter(self._leaving))]
         self._index = update.topology.version
-        self._turns.answered()
+        self._timing.reset()
 
 
 class _Watch(asyncio.Protocol):
-    """One HTTP exchange; `ended` is done when nothing more can come of it."""
-
-    def __init__(self, host: str, index: int | None, line: Callable[[bytes, bool], None]) -> None:
-        self.turned_away = False
-        self.silent = False
-        self.refused = False  # turned away at once, with an error for an answer
-        # whether an answer has begun, and no line has come
-        self._begun = False
-        self._lineless = True
+    """One HTTP exchange with the agent; `ended` is done once nothing more can arrive on it."""
+
+    def __init__(self, host: str, index: int | None, on_line: Callable[[bytes, bool], None]) -> None:
+        self.was_rejected = False  # discovery is overloaded: an error, or a close while the call was queued
+        self.is_silent = False  # ended by a timeout
+        self.got_error = False  # answered at once with an error
+        self._has_answer = False  # whether an answer has begun
+        self._has_no_line = True
         self._loop = asyncio.get_running_loop()
         self.ended: asyncio.Future[None] = self._loop.create_future()
         self._http = h11.Connection(h11.CLIENT)
         self._host = host
         self._index = index
-        self._line = line
-        self._rest = b""
-        self._first = True
-        self._moved_at = self._loop.time()  # when the call was made, its answer began or its last line ended
+        self._on_line = on_line
+        self._partial_line = b""
+        self._is_first_line = True
+        self._progress_at = self._loop.time()  # of the call, the beginning of its answer, or its last line
         self._timer: LagTolerantTimer | None = None
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sends the request."""
         self._transport = cast(asyncio.Transport, transport)
         request = h11.Request(
             method="GET",
             target=f"/api/targets?stream=1&index={self._index or 0}",
             headers=[("Host", self._host), ("Accept", "application/json")],
         )
-        out = (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
-        self._transport.write(out)
-        self._listen()
-
-    def _listen(self) -> None:
-        """A machine that vanished says nothing: silence ends the watch as a break would. So does a trickle
-        that comes to no line, which tells as little."""
-        most = min(ANSWER, SILENCE) if self._lineless else SILENCE
-        left = self._moved_at + most - self._loop.time()
-        if left <= 0:
-            self.silent = True
-            self._end("silent")
+        data = (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
+        self._transport.write(data)
+        self._check_progress()
+
+    def _check_progress(self) -> None:
+        """Ends the watch if no complete line arrived in time, and otherwise schedules the next check.
+
+        An agent whose machine failed sends nothing, not even an end; bytes that never complete a line carry
+        no update either.
+        """
+        timeout_s = min(ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S) if self._has_no_line else SILENCE_TIMEOUT_S
+        remaining_s = self._progress_at + timeout_s - self._loop.time()
+        if remaining_s <= 0:
+            self.is_silent = True
+            self._end(f"no complete line for {timeout_s} s")
         else:
-            self._timer = LagTolerantTimer(self._loop, left, self._listen)
+            self._timer = LagTolerantTimer(self._loop, remaining_s, self._check_progress)
 
     def data_received(self, data: bytes) -> None:
+        """Reads the answer."""
         try:
             self._http.receive_data(data)
             while not self.ended.done():
@@ -247,40 +266,42 @@
                     return
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        self.turned_away = True
-                        self.refused = True
+                        self.was_rejected = True
+                        self.got_error = True
                         return self._end(f"status {event.status_code}")
-                    self._begun, self._moved_at = True, self._loop.time()
+                    self._has_answer, self._progress_at = True, self._loop.time()
                 if isinstance(event, h11.Data):
-                    self._lines(bytes(event.data))
+                    self._read_lines(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    return self._end("answer ended")
+                    return self._end("agent ended the answer")
         except (h11.RemoteProtocolError, ListError, ValueError) as error:
-            self._end(str(error))
+            self._end(f"invalid answer: {error}")
 
-    def _lines(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\n")
+    def _read_lines(self, data: bytes) -> None:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if lines:
-            self._lineless, self._moved_at = False, self._loop.time()
+            self._has_no_line, self._progress_at = False, self._loop.time()
         for line in lines:
             if line.strip():
-                first = self._first
-                self._first = False
-                self._line(line, first)
-        if len(self._rest) > LINE:
-            self._end("endless line")
+                is_first = self._is_first_line
+                self._is_first_line = False
+                self._on_line(line, is_first)
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            self._end(f"line longer than {MAX_LINE_BYTES} bytes")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        waited = not self._begun and self._loop.time() - self._moved_at >= PATIENCE
-        self.turned_away = self.turned_away or waited
-        self._end(str(exc or "closed"))
+        """Ends the watch; a close without an answer after `CALL_TIMEOUT_S` means an overloaded discovery."""
+        was_queued = not self._has_answer and self._loop.time() - self._progress_at >= CALL_TIMEOUT_S
+        self.was_rejected = self.was_rejected or was_queued
+        self._end(str(exc or "connection closed by the agent"))
 
-    def _end(self, why: str) -> None:
+    def _end(self, reason: str) -> None:
         if not self.ended.done():
-            log.warning("discovery watch over: %s", why)
+            log.warning("discovery: watch at %s ended: %s", self._host, reason)
             self.ended.set_result(None)
 
     def close(self) -> None:
+        """Closes the connection and cancels the timer."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
--- a/trackspread/lists/services.py
+++ b/trackspread/lists/services.py
@@ -1,4 +1,4 @@
-"""Which backends of the list serve the services that this gateway carries."""
+"""Maps the services that the endpoint list names to those that this gateway carries."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 DEFAULT = 0  # the index of the default service
 
 
-def _none(number: int) -> bool:
+def _none_listed(backend: int) -> bool:
     return False
 
 
 class CarriedServices:
-    """Indices of the carried services by name; without names every backend is of the default one."""
+    """Holds the carried services' indices by name; without names, all backends serve the default one."""
 
-    def __init__(self, names: Sequence[str] = (), listed: Callable[[int], bool] = _none) -> None:
-        """`listed`: whether a backend was told as one of a carried service, and not as gone since."""
-        self._indices = {name: number for number, name in enumerate(names)}
-        self.listed = listed
+    def __init__(self, names: Sequence[str] = (), is_listed: Callable[[int], bool] = _none_listed) -> None:
+        """Creates the map; `is_listed` tells whether a backend is listed now as one of a carried service."""
+        self._indices = {name: index for index, name in enumerate(names)}
+        self.is_listed = is_listed
 
     def index(self, service: object) -> int | None:
-        """None: not carried here. Raises `TypeError` where the list names it by something else than text."""
+        """Returns a service's index, or None if it is not carried; raises `TypeError` if it is no text."""
         if not self._indices:
             return DEFAULT
         if not isinstance(service, str):
-            raise TypeError(f"service is {type(service).__name__}, wanted a name")
+            raise TypeError(f"service: must be a string, got {type(service).__name__}")
         return self._indices.get(service)
 
 
-ALL_ALIKE = CarriedServices()
+ALL_SERVICES = CarriedServices()
--- a/trackspread/node/action_executor.py
+++ b/trackspread/node/action_executor.py
@@ -128,7 +128,7 @@
         if request.is_closed or now_ns >= request.expires_at_ns:
             self._report_not_sent(action, index, request.is_closed)
             return
-        if request.slot.client.ended():
+        if request.slot.client.has_ended():
             # The loop has not come to that yet; nothing is forwarded for a client that has left.
             self._loop.call_soon(self._host.left, action.request)
             self._report_not_sent(action, index, is_request_finished=True)
--- a/trackspread/node/backend_list.py
+++ b/trackspread/node/backend_list.py
@@ -9,7 +9,7 @@
 
 from ..backends.pools import ConnectionPools
 from ..decide.backends import EndpointUpdate, EndpointUpdateKind, Health
-from ..lists.seam import Update
+from ..lists.source import ListUpdate
 
 
 class BackendList:
@@ -27,22 +27,22 @@
     def __contains__(self, backend: object) -> bool:
         return backend in self._listed
 
-    def apply(self, update: Update) -> None:
+    def apply(self, update: ListUpdate) -> None:
         """Take up one update; raises `ListError` where the decision module could not."""
         if update.topology.kind is not EndpointUpdateKind.DELTA:
             self._drop_unlisted(update)
         for entry in update.topology.backends:
             address = update.addresses[entry.id] if entry.health is Health.READY else None
-            self._pools.update_backend(entry.id, address, update.old, entry.started_at_ns)
+            self._pools.update_backend(entry.id, address, update.is_old, entry.started_at_ns)
             if entry.health is Health.REMOVED:
                 self._listed.discard(entry.id)
             else:
                 self._listed.add(entry.id)
         self._handle(update.topology)
 
-    def _drop_unlisted(self, update: Update) -> None:
+    def _drop_unlisted(self, update: ListUpdate) -> None:
         """A complete list no longer names some of those that were listed."""
         named = {entry.id for entry in update.topology.backends}
         for backend in self._listed - named:
-            self._pools.update_backend(backend, None, update.old)
+            self._pools.update_backend(backend, None, update.is_old)
         self._listed.clear()
--- a/trackspread/node/class_reload.py
+++ b/trackspread/node/class_reload.py
@@ -9,11 +9,11 @@
 
 from ..config.platform import Config
 from ..config.roster import change
-from ..fronts.resp import RespFront
+from ..fronts.resp import RespClientAdapter
 from .request_handler import RequestHandler
 
 
-def reload_classes(handler: RequestHandler, front: RespFront, fresh: Config) -> None:
+def reload_classes(handler: RequestHandler, front: RespClientAdapter, fresh: Config) -> None:
     """Put the classes and the number of attempts of `fresh` in force; open requests keep theirs."""
     in_use = {request.call.request_class for request in handler.requests.values()}
     roster, predecessors = handler.roster.follow(fresh.classes, fresh.settings.classes, in_use)
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -21,13 +21,13 @@
 from ..control.admin_server import AdminServer
 from ..decide.backends import EndpointUpdate, EndpointUpdateKind
 from ..decide.events import PeerMessage, PlansChanged
-from ..fronts.connections import Clients, PassOn
-from ..fronts.resp import RespFront
+from ..fronts.connections import ClientConnections, PassOn
+from ..fronts.resp import RespClientAdapter
 from ..handover.link import Rendezvous
 from ..lists.agent import Discovery, parse_update
-from ..lists.seam import ListError, Update
+from ..lists.source import ListError, ListUpdate
 from ..lists.services import CarriedServices
-from ..peers.datagrams import Peers
+from ..peers.datagrams import PeerSocket
 from .backend_list import BackendList
 from .class_reload import reload_classes
 from .door_reports import DoorReports
@@ -81,9 +81,9 @@
         self._client_descriptors = descriptors - self._backend_descriptors
         self.backends = self._make_pools()
         self.backend_list = BackendList(self.backends, self.handle)
-        self._front = RespFront(config.settings, self.roster, config.plans)
+        self._front = RespClientAdapter(config.settings, self.roster, config.plans)
         self.clients = self._make_clients()
-        self.peers = Peers(
+        self.peers = PeerSocket(
             config.peers, config.peers_all, config.settings.gateway_index, self.peer_message_received
         )
         self.reports = DoorReports(self, self.backend_list, lambda: self._serving)
@@ -131,9 +131,9 @@
             config.memory,
         )
 
-    def _make_clients(self) -> Clients:
+    def _make_clients(self) -> ClientConnections:
         config = self.config
-        return Clients(
+        return ClientConnections(
             [(each, self._front) for each in (config.listen, *self.operator.addresses())],
             self,
             self._client_descriptors,
@@ -248,14 +248,14 @@
 
     def share_descriptors(self, clients: int, backends: int) -> None:
         """Descriptors that another process holds of those that both have together."""
-        self.clients.bound = max(1, self._client_descriptors - clients)
+        self.clients.max_connections = max(1, self._client_descriptors - clients)
         self.backends.limit_connections(max(1, self._backend_descriptors - backends))
 
     def freeze(self) -> int | None:
         """Accept nothing more; returns a descriptor of the peers' socket, for the other process."""
         self._serving = False
-        self.clients.hand()
-        self._peer_descriptor = self.peers.leave()
+        self.clients.begin_handover()
+        self._peer_descriptor = self.peers.detach()
         self.parts.close_fleet(leave=False)  # the process that takes over is the same gateway to the fleet
         return os.dup(self._peer_descriptor) if self._peer_descriptor is not None else None
 
@@ -272,7 +272,7 @@
 
     def is_vacant(self) -> bool:
         """Whether no request is open here and no client connected; idle connections leave meanwhile."""
-        self.clients.leave_all()
+        self.clients.pass_on_all()
         return not self.requests and not self.clients.count()
 
     async def unfreeze(self) -> None:
@@ -283,8 +283,8 @@
         self._peer_descriptor = None
         await self._open_peers(descriptor)
         await self.parts.start_fleet(HANDOVER_BIND_PATIENCE_S, wait_until_ready=False)
-        await self.clients.unhand()
-        self._serving = not self.clients.closing
+        await self.clients.cancel_handover()
+        self._serving = not self.clients.is_closing
 
     # Stop.
 
@@ -354,7 +354,7 @@
         self.operator = operator
         self.clients.bounds = operator.clients
         logging.getLogger("trackspread").setLevel(operator.log.level.upper())
-        self.discovery.move(fresh.discovery)
+        self.discovery.switch_agent(fresh.discovery)
         try:
             self.parts.replace_keys(operator.fleet)
         except ConfigError as error:
@@ -372,7 +372,7 @@
             self.parts.quota_counter.update_plans(event.plans)
         self.handle(event)
 
-    def _list_update_received(self, update: Update) -> None:
+    def _list_update_received(self, update: ListUpdate) -> None:
         self.backend_list.apply(update)
         if not self._list_received.is_set():
             self._list_received.set()
--- a/trackspread/node/handover_side.py
+++ b/trackspread/node/handover_side.py
@@ -11,7 +11,7 @@
 import socket
 from typing import Protocol
 
-from ..fronts.connections import Clients, PassOn
+from ..fronts.connections import ClientConnections, PassOn
 from ..handover import wire
 from ..handover.link import Link
 from ..handover.states import Action, Actions, Event
@@ -24,7 +24,7 @@
 class Serving(HandoverGateway, Protocol):
     """A process that can stop serving for another, and resume; a gateway is one."""
 
-    clients: Clients
+    clients: ClientConnections
 
     def freeze(self) -> int | None:
         """Accept nothing more; returns a descriptor of the peers' socket, for the other process."""
--- a/trackspread/node/request.py
+++ b/trackspread/node/request.py
@@ -4,7 +4,7 @@
 
 from ..backends.attempt import Attempt
 from ..call import Call
-from ..fronts.client import Slot
+from ..fronts.client import ResponseSlot
 from ..lag import LagTolerantTimer
 
 NS_PER_S = 1_000_000_000
@@ -25,7 +25,7 @@
         "timer",
     )
 
-    def __init__(self, call: Call, slot: Slot, expires_at_ns: int) -> None:
+    def __init__(self, call: Call, slot: ResponseSlot, expires_at_ns: int) -> None:
         """`slot`: where its client waits for the answer; `expires_at_ns`: by the gateway's clock."""
         self.call = call
         self.slot = slot
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -37,10 +37,10 @@
 )
 from ..decide.report import Module
 from ..decide.services import ServiceBrokers
-from ..fronts.client import Slot
+from ..fronts.client import ResponseSlot
 from ..lag import LagTolerantTimer
-from ..lists.seam import ListError
-from ..peers.datagrams import Peers
+from ..lists.source import ListError
+from ..peers.datagrams import PeerSocket
 from ..usage.record import Ending
 from .action_executor import ActionExecutor
 from .handover_state import StateExporter
@@ -60,7 +60,7 @@
     """The requests, and the module that decides on them; a gateway is one with sockets around it."""
 
     backends: ConnectionPools
-    peers: Peers
+    peers: PeerSocket
     parts: OptionalParts
 
     def __init__(self, config: Config, services: Services = NO_SERVICES) -> None:
@@ -106,7 +106,7 @@
 
     def send_to_peers(self, recipient: int | None, data: bytes) -> None:
         """Send a message to one other gateway, or to all."""
-        self.peers.tell(recipient, data)
+        self.peers.send(recipient, data)
 
     # From the clients.
 
@@ -114,7 +114,7 @@
         """Whether requests can be served."""
         return self.backends.has_available_backend()
 
-    def take(self, call: Call, slot: Slot, waited: float) -> None:
+    def take(self, call: Call, slot: ResponseSlot, waited: float) -> None:
         """Accept a request that waited so many seconds here already. Raises `InvalidCall`."""
         if call.request_id in self.open_request_ids:
             raise InvalidCall("a request with this id is open")
@@ -186,7 +186,7 @@
     def is_wanted(self, attempt: Attempt) -> bool:
         """Whether a client still waits for what this attempt is to bring."""
         request = self.requests.get(attempt.request)
-        return request is not None and not request.is_closed and not request.slot.client.ended()
+        return request is not None and not request.is_closed and not request.slot.client.has_ended()
 
     # Answers.
 
@@ -199,7 +199,7 @@
         if (request := self._open_request(number)) is not None:
             retry_after_ms = -(-retry_after_ns // NS_PER_MS)
             self._close(number, request, Ending.REFUSED)
-            request.slot.refused(request.call, retry_after_ms)
+            request.slot.send_rejection(request.call, retry_after_ms)
 
     def fail(self, number: int, reason: str) -> None:
         """Answer that the request failed, unless it has its answer."""
@@ -208,7 +208,7 @@
 
     def _fail(self, number: int, request: Request, reason: str) -> None:
         self._close(number, request, Ending.FAILED)
-        request.slot.failed(request.call, reason)
+        request.slot.send_failure(request.call, reason)
 
     def _close(self, number: int, request: Request, ending: Ending) -> None:
         """The final answer is given, or its client has left: no other follows."""
@@ -257,22 +257,22 @@
                 self._executor.cancel_soon(other)
         elapsed_ns = max(0, self.now() - attempt.started_at_ns)
         self.handle(ResponseStarted(number, elapsed_ns, attempt.index, attempt.backend), number)
-        request.slot.begins(request.call, length, source)
+        request.slot.begin_value(request.call, length, source)
         return True
 
     def value_piece(self, attempt: Attempt, data: bytes) -> None:
         """The next bytes of a long value."""
         if (request := self._open_request(attempt.request)) is not None:
-            request.slot.piece(data)
+            request.slot.add_piece(data)
 
     def _forwarding_ended(self, number: int, request: Request, outcome: Outcome) -> None:
         """The long value is complete, or never will be: then the client has to be able to see that."""
         if outcome is Outcome.OK:
             self._close(number, request, Ending.SERVED)
-            request.slot.whole(request.call)
+            request.slot.end_value(request.call)
         else:
             self._close(number, request, Ending.FAILED)
-            request.slot.cut(request.call)
+            request.slot.abort_value(request.call)
 
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
@@ -291,7 +291,7 @@
             self._forwarding_ended(number, request, outcome)
         elif outcome is Outcome.OK and value is not None and not request.is_closed:
             self._close(number, request, Ending.SERVED)
-            request.slot.served(request.call, value)
+            request.slot.send_value(request.call, value)
         event = AttemptEnded(
             number, request.is_closed, 0, attempt.backend, 0, outcome, elapsed_ns, attempt.index, load
         )
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -12,7 +12,7 @@
 from unittest.mock import patch
 
 from ...backends.pools import ConnectionPools
-from ...fronts.client import Slot
+from ...fronts.client import ResponseSlot
 from ...node import serve
 from ...node.gateway import Gateway
 from ..judge.verdict import Rule
@@ -27,25 +27,25 @@
 
 
 def _answers_twice() -> list[Any]:
-    real = Slot.refused
+    real = ResponseSlot.send_rejection
     calls = 0
 
-    def mutant(self: Slot, call: Any, wait_ms: int) -> None:
+    def mutant(self: ResponseSlot, call: Any, wait_ms: int) -> None:
         nonlocal calls
         real(self, call, wait_ms)
         calls += 1
         if calls % FAULT_INTERVAL == 0 and not self.client.slots:
             self.client._transport.write(b"-BUSY\r\n")  # type: ignore[union-attr]
 
-    return [patch.object(Slot, "refused", mutant)]
+    return [patch.object(ResponseSlot, "send_rejection", mutant)]
 
 
-def _answers_lost(instead: Callable[[Slot], None] = lambda slot: None) -> list[Any]:
+def _answers_lost(instead: Callable[[ResponseSlot], None] = lambda slot: None) -> list[Any]:
     """Every `FAULT_INTERVAL`th answer is not written; `instead` is called for it."""
-    real = Slot.served
+    real = ResponseSlot.send_value
     calls = 0
 
-    def mutant(self: Slot, call: Any, value: bytes) -> None:
+    def mutant(self: ResponseSlot, call: Any, value: bytes) -> None:
         nonlocal calls
         calls += 1
         if calls % FAULT_INTERVAL:
@@ -53,7 +53,7 @@
         else:
             instead(self)
 
-    return [patch.object(Slot, "served", mutant)]
+    return [patch.object(ResponseSlot, "send_value", mutant)]
 
 
 def _connection_ended() -> list[Any]:
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -25,7 +25,7 @@
     Ledger,
     RequestSent,
 )
-from ...lists.seam import backend_id
+from ...lists.source import backend_id
 from ...simulator.wire import parse_settings
 from ..standins.client_population import ClientRequest
 from ..standins.rating_node import NodeSpec, IdempotencyCache, RatingNode, AcceptedRequest, request_work_ns
