--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -451,7 +451,7 @@
             assert await client.next() == b"v"
             assert (
                 len(w.node.broker.load_balancer.backends) == 1
-                and f"is at {LOCAL}:{second.port} now" in caplog.text
+                and f"address changed from {LOCAL}:{w.backend.port} to {LOCAL}:{second.port}" in caplog.text
             )
 
     run(test)
--- a/tests/node/test_logs.py
+++ b/tests/node/test_logs.py
@@ -24,7 +24,7 @@
     assert len(caplog.messages) == MAX_LINES
     clock[0] += INTERVAL_S
     log.warning("spoilt %s", "again")
-    assert caplog.messages[MAX_LINES:] == [f"spoilt again ({500 - MAX_LINES} lines like it left out)"]
+    assert caplog.messages[MAX_LINES:] == [f"spoilt again ({500 - MAX_LINES} similar lines suppressed)"]
 
 
 def test_logs_of_clients_and_backends_are_bounded() -> None:
--- a/trackspread/__init__.py
+++ b/trackspread/__init__.py
@@ -1,1 +1,1 @@
-"""trackspread: which customers' requests a gateway sends on, where, and which it refuses."""
+"""A gateway that decides which tenants' requests it forwards to which backends, and which it rejects."""
--- a/trackspread/__main__.py
+++ b/trackspread/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m trackspread`: the command line."""
+"""Runs the command line for `python -m trackspread`."""
 
 import sys
 
--- a/trackspread/backends/__init__.py
+++ b/trackspread/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to backends: attempts, connection pools, and the adapter for the protocol that they speak."""
+"""The backend side of the gateway: attempts, connection pools, and the protocol that backends speak."""
--- a/trackspread/backends/adapter.py
+++ b/trackspread/backends/adapter.py
@@ -1,8 +1,8 @@
-"""The interface of a protocol towards backends: an adapter turns a `Call` to bytes and bytes to an outcome.
+"""The interface of a backend protocol: an adapter turns a `Call` to bytes, and an answer to an outcome.
 
-An adapter knows nothing of connections, time-outs or decisions. Which outcome a broken connection means is
-the connection's to say: a request that was never written completely counts as `CONNECT_FAILED`; one that was
-may have been executed.
+An adapter knows nothing of connections, timeouts or decisions. The outcome of a broken connection is decided
+by the connection: a request that was never written completely counts as `CONNECT_FAILED`; one that was may
+have been executed.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class InvalidAnswer(ValueError):
-    """An answer that breaks the protocol: the request may have run, the connection is of no further use."""
+    """An answer that breaks the protocol: the request may have run, and the connection is unusable."""
 
 
 class Answer(NamedTuple):
-    """What a complete answer means. `value` is None unless the request was served."""
+    """The meaning of a complete answer; `value` is None unless the request was served."""
 
     outcome: Outcome
     value: bytes | None
@@ -28,10 +28,10 @@
 
 
 class ReadResult(NamedTuple):
-    """What reading a chunk of bytes gave.
+    """The result of reading a chunk of bytes.
 
-    `end` is the offset in the chunk at which the answer ends. `answer` is None, and `end` -1, where it does
-    not end in this chunk.
+    `end` is the offset in the chunk at which the answer ends. If it does not end in this chunk, `answer` is
+    None and `end` is -1.
     """
 
     end: int
@@ -42,13 +42,13 @@
 
 
 class ValueReceiver(Protocol):
-    """Where a long value goes while it arrives."""
+    """Receives a long value while it arrives."""
 
     def value_begins(self, length: int) -> None:
-        """A value of `length` bytes has begun."""
+        """Handles the beginning of a value of `length` bytes."""
 
     def value_piece(self, data: bytes) -> None:
-        """The next bytes of the value."""
+        """Handles the next bytes of the value."""
 
 
 class AnswerReader(Protocol):
@@ -56,12 +56,12 @@
 
     @property
     def is_midway(self) -> bool:
-        """Whether an answer has begun and not ended."""
+        """Returns whether an answer has begun and not ended."""
 
     def read(self, data: bytes, is_health_check: bool, receiver: ValueReceiver) -> ReadResult:
-        """Read the answer that `data` begins or continues.
+        """Reads the answer that `data` begins or continues; raises `InvalidAnswer`.
 
-        A long value goes to `receiver` and is empty in the answer. Raises `InvalidAnswer`.
+        A long value goes to `receiver` and is empty in the answer.
         """
 
 
@@ -69,10 +69,10 @@
     """One protocol; the same object serves all connections."""
 
     def answer_reader(self) -> AnswerReader:
-        """The reading side of a new connection."""
+        """Returns the reading side of a new connection."""
 
     def request(self, call: Call, time_left_ms: int) -> bytes | list[bytes]:
-        """The bytes of one attempt that is waited for so long; several parts where it is long."""
+        """Returns the bytes of one attempt with its timeout in ms; a long one as several parts."""
 
     def health_check(self) -> bytes:
-        """The bytes of a health check."""
+        """Returns the bytes of a health check."""
--- a/trackspread/backends/attempt.py
+++ b/trackspread/backends/attempt.py
@@ -1,6 +1,6 @@
-"""One attempt at a backend, from its start to its one outcome.
+"""One attempt at a backend, from its start to its single outcome.
 
-May know: the call, the adapter, who observes attempts. May not know: sockets, pools, addresses.
+It knows the call, the adapter and the observer of attempts. It knows no sockets, pools or addresses.
 """
 
 from __future__ import annotations
@@ -17,19 +17,22 @@
 
 
 class AttemptConnection(Protocol):
-    """What an attempt needs of the connection that it is on."""
+    """The part of a connection that its attempt uses."""
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether some of the request is still in the write buffer, or none of it was written."""
+        """Returns whether some of the request is in the write buffer, or none of it was written."""
 
     def drop(self) -> None:
-        """Close at once."""
+        """Closes the connection at once."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of one request at one backend; a health check if `call` is None. Times are the clock's."""
+    """One attempt of one request at one backend, or a health check if `call` is None.
+
+    Times are those of the gateway's clock.
+    """
 
     request: int
     index: int
@@ -37,20 +40,20 @@
     started_at_ns: int
     expires_at_ns: int
     call: Call | None
-    not_after_ns: int = 0  # its last byte has to be out by then; 0 for no such time
+    not_after_ns: int = 0  # by which its last byte has to be written; 0 for no limit
     connection: AttemptConnection | None = None
     timer: LagTolerantTimer | None = None
-    is_written: bool = False  # completely
-    has_ended: bool = False  # and its observer was notified
+    is_written: bool = False  # whether its last byte was written
+    has_ended: bool = False  # whether its observer was notified of its end
 
     def cancel_timeout(self) -> None:
-        """Wait without a time limit of its own from now on."""
+        """Removes the attempt's own timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def encode(self, adapter: Adapter, now_ns: int) -> bytes | list[bytes]:
-        """The bytes to write, with the time for which this attempt is waited for."""
+        """Returns the bytes to write, which include the time left before the attempt's timeout."""
         if self.call is None:
             return adapter.health_check()
         time_left_ms = -(-(self.expires_at_ns - now_ns) // NS_PER_MS)
@@ -58,28 +61,28 @@
 
 
 class AttemptObserver(Protocol):
-    """Who is notified of attempts, health checks among them."""
+    """Is notified of attempts, including health checks."""
 
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
     ) -> None:
-        """Called once for each; a value that was passed on as it arrived is empty."""
+        """Handles the end of an attempt, once for each; a value that was forwarded is empty."""
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether a client still waits for the attempt; asked once its connection is established."""
+        """Returns whether a client still waits for the attempt; called once its connection is open."""
 
     def attempt_written(self) -> None:
-        """Called once for each request whose last byte has gone out."""
+        """Counts an attempt, once its last byte is written."""
 
     def value_begins(self, attempt: Attempt, length: int, source: PausableSource) -> bool:
-        """A long value of `length` bytes has begun; returns whether it is wanted."""
+        """Handles the beginning of a long value of `length` bytes; returns whether it is wanted."""
 
     def value_piece(self, attempt: Attempt, data: bytes) -> None:
-        """The next bytes of a long value."""
+        """Handles the next bytes of a long value."""
 
 
 class AttemptEndings:
-    """The ways in which an attempt ends; its observer is notified of one end only."""
+    """Ends attempts, and notifies their observer of one end only."""
 
     def __init__(self, observer: AttemptObserver) -> None:
         self.observer = observer
@@ -91,7 +94,7 @@
         value: bytes | None = None,
         report: LoadReport | None = None,
     ) -> None:
-        """Notify of the first end: one that was deferred to the loop's next turn may come second."""
+        """Notifies of the first end and ignores others: one deferred to the loop's next turn may follow."""
         if attempt.has_ended:
             return
         attempt.has_ended = True
@@ -100,29 +103,29 @@
         self.observer.attempt_ended(attempt, outcome, value, report or {})
 
     def fail_unsent(self, attempt: Attempt) -> None:
-        """End it as one that is known never to have run."""
+        """Ends an attempt that is known never to have run."""
         self.finish(attempt, Outcome.CONNECT_FAILED)
 
     def expire(self, attempt: Attempt) -> None:
-        """Stop waiting. What never left the write buffer never ran, anything else may have."""
+        """Ends an attempt at its timeout; it never ran if some of it is still in the write buffer."""
         connection = attempt.connection
         is_unsent = connection is None or connection.has_unsent_bytes
         self._abandon(attempt, Outcome.CONNECT_FAILED if is_unsent else Outcome.TIMEOUT)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End it because its answer is not wanted any more."""
+        """Ends an attempt whose answer is not wanted any more."""
         self._abandon(attempt, Outcome.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End it unless it is written: its client has left, or it may not be sent any more.
+        """Ends an attempt unless it is written, as its client has left or its time to be sent is over.
 
-        What has not gone out completely never will. It says nothing about the backend.
+        A request that is not written completely never will be. The outcome says nothing about the backend.
         """
         if not attempt.is_written:
             self._abandon(attempt, Outcome.NOT_SENT)
 
     def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.connection is not None:
-            # Answers come in order: a connection whose answer is not waited for is of no more use.
+            # Answers come in order, so a later request could not be matched to its answer on this connection.
             attempt.connection.drop()
         self.finish(attempt, outcome)
--- a/trackspread/backends/connection_pool.py
+++ b/trackspread/backends/connection_pool.py
@@ -1,6 +1,6 @@
 """The connections to one backend.
 
-May know: connections, attempts, time. May not know: other pools, the protocol spoken.
+It knows connections, attempts and time. It knows neither other pools nor the backend's protocol.
 """
 
 from __future__ import annotations
@@ -15,17 +15,22 @@
 from .connection import BackendConnection
 from .pool_context import PoolContext
 
-# That a connection rests after an answer while another can be used or opened: a duplicate answer may follow.
+# After an answer, a connection is not reused for this time if another one can be used or opened, as a
+# duplicate answer may follow.
 REUSE_DELAY_S = 0.005
 
 
 class ConnectionPool:
-    """The connections to one backend."""
+    """Holds the connections to one backend, and reuses idle ones."""
 
     def __init__(
         self, context: PoolContext, address: Address, incarnation: int, has_capacity: Callable[[], bool]
     ) -> None:
-        """`incarnation`: of the backend's process; `has_capacity`: whether one more may be opened."""
+        """Creates an empty pool.
+
+        `incarnation` identifies the backend's process. `has_capacity` tells whether one more connection may
+        be opened.
+        """
         self.context = context
         self.address = address
         self.incarnation = incarnation
@@ -36,16 +41,16 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether the backend is draining or gone and gets nothing new."""
+        """Returns whether the backend is draining or removed and gets no new attempts."""
         return self.closes_at_s is not None
 
     def start(self, attempt: Attempt, now_ns: int) -> None:
-        """Write the attempt on an idle connection, or open one for it."""
+        """Writes the attempt to an idle connection, or opens one for it."""
         connection = self._take_idle(REUSE_DELAY_S)
         if connection is None and not self._has_capacity():
             connection = self._take_idle(0.0)
             if connection is None:
-                # Out of descriptors: reported as what it is, a connection that was never established.
+                # Without a descriptor no connection is established, so the attempt never ran.
                 self.context.loop.call_soon(self.context.attempts.fail_unsent, attempt)
                 return
         if connection is not None:
@@ -54,8 +59,10 @@
             self._open(attempt)
 
     def _take_idle(self, min_idle_s: float) -> BackendConnection | None:
-        """The latest used connection that has been idle for at least `min_idle_s`. Closes those on the way
-        that are too old or not reusable."""
+        """Returns the last used connection that has been idle for at least `min_idle_s`, or None.
+
+        Closes those that it meets and that are too old or not reusable.
+        """
         now_s = self.context.time()
         for position in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[position]
@@ -86,23 +93,23 @@
             self._connect_failed(connection)
 
     def _connect_failed(self, connection: BackendConnection) -> None:
-        """Refused, or not established in time: the request is known never to have run."""
+        """Ends the attempt of a connection that was not established: it is known never to have run."""
         attempt = connection.attempt
         connection.drop()
         if attempt is not None:
             self.context.attempts.fail_unsent(attempt)
 
     def connected(self, connection: BackendConnection) -> None:
-        """Write the attempt that the connection was opened for, if it may still be written."""
+        """Writes the attempt that the connection was opened for, if it may still be written."""
         attempt = cast(Attempt, connection.attempt)
         connection.cancel_timer()
         if self.closes_at_s is not None and self.context.loop.time() >= self.closes_at_s:
-            # Rule 3: decided before the drain was notified, but too late to be written now.
+            # Rule 3: the attempt was decided before the drain was notified, but its grace time is over.
             self._connect_failed(connection)
             return
         now_ns = self.context.clock()
         if attempt.not_after_ns and now_ns >= attempt.not_after_ns:
-            # Rule 2: decided within the window for retries, but established too late.
+            # Rule 2: the attempt was decided within the window for retries, but the connection came too late.
             self.context.attempts.withdraw(attempt)
             return
         if attempt.call is not None and not self.context.attempts.observer.is_wanted(attempt):
@@ -111,8 +118,7 @@
         connection.write(attempt, now_ns)
 
     def release(self, connection: BackendConnection) -> None:
-        """Keep the connection for reuse; close it where the backend is draining or its process has
-        restarted."""
+        """Keeps the connection for reuse; closes it if the backend is draining or its process restarted."""
         if self.is_closing or connection.incarnation != self.incarnation:
             connection.drop()
             return
@@ -120,7 +126,7 @@
         self.idle.append(connection)
 
     def lost(self, connection: BackendConnection) -> None:
-        """It is closed."""
+        """Removes a closed connection."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.context.open_connections -= 1
@@ -128,32 +134,32 @@
                 self.idle.remove(connection)
 
     def begin_closing(self, grace_s: float) -> None:
-        """Close what is idle; connections that are being opened are not written to after the grace time."""
+        """Closes idle connections; those being opened are not written to after the grace time."""
         self.closes_at_s = self.closes_at_s or self.context.loop.time() + grace_s
         self.close_idle()
 
     def has_closed(self) -> bool:
-        """Whether the grace time is over and no connection is left."""
+        """Returns whether the grace time is over and no connection is left."""
         if self.closes_at_s is None or self.connections:
             return False
         return self.context.loop.time() > self.closes_at_s
 
     def restart(self, incarnation: int) -> None:
-        """The backend's process is another one: no connection to the former is used again."""
+        """Handles a restart of the backend's process: connections to the former one are not reused."""
         self.incarnation = incarnation
         self.close_idle()
 
     def retire(self, idle_before_s: float) -> None:
-        """Close what has been idle since that time or longer."""
+        """Closes connections that have been idle since that time or longer."""
         while self.idle and self.idle[0].idle_since_s <= idle_before_s:
             self.idle[0].drop()
 
     def close_idle(self) -> None:
-        """Close all idle connections."""
+        """Closes all idle connections."""
         for connection in self.idle[:]:
             connection.drop()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         for connection in list(self.connections):
             connection.drop()
--- a/trackspread/backends/pool_context.py
+++ b/trackspread/backends/pool_context.py
@@ -1,4 +1,4 @@
-"""What all connections of one gateway to its backends share."""
+"""The state that all connections of one gateway to its backends share."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True)
 class PoolContext:
-    """What all connections of one gateway share."""
+    """Holds the loop, the clocks, the adapter and the limits that all connections use."""
 
     loop: asyncio.AbstractEventLoop
-    time: Callable[[], float]  # s, the loop's
-    clock: Callable[[], int]  # ns, the gateway's
+    time: Callable[[], float]  # the loop's clock, in s
+    clock: Callable[[], int]  # the gateway's clock, in ns
     adapter: Adapter
     attempts: AttemptEndings
     idle_age: IdleAgeLimit
--- a/trackspread/backends/pools.py
+++ b/trackspread/backends/pools.py
@@ -1,7 +1,8 @@
-"""Connection pools to all backends, within one limit of connections.
+"""The connection pools of all backends, with one limit on their connections.
 
-May know: addresses, time, descriptors. May not know: the protocol spoken (`adapter.Adapter`), or which
-backend a request goes to, how often and for how long: that is the decision module's.
+It knows addresses, time and descriptors. It does not know the protocol that backends speak
+(`adapter.Adapter`). Which backend gets a request, how often and with which timeout is the decision module's
+choice.
 """
 
 from __future__ import annotations
@@ -23,17 +24,17 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-# The receive buffer that is set for one connection; the kernel keeps, and so delivers at once, twice that at
-# most. Under the minimum, small pieces come slowly, as the kernel counts each with its own overhead.
+# The receive buffer that is set for one connection. The kernel keeps, and so delivers at once, at most twice
+# that. Below the minimum, small pieces arrive slowly, as the kernel counts an overhead for each of them.
 MAX_RECEIVE_BUFFER_BYTES = 64 << 10
 MIN_RECEIVE_BUFFER_BYTES = 32 << 10
-RECEIVE_BUFFER_FRACTION = 0.25  # of the memory, for what all connections together may deliver at once
-RETIRE_FRACTION = 0.5  # of the idle limit, after which a connection is closed: well before its backend does
+RECEIVE_BUFFER_FRACTION = 0.25  # of the memory, for the receive buffers of all connections
+RETIRE_FRACTION = 0.5  # of the idle limit, after which a connection is closed, well before its backend does
 SWEEP_INTERVAL_S = 1.0  # between checks for idle connections to retire
 
 
 class ConnectionPools:
-    """All pools, bounded together so that descriptors never run out."""
+    """Holds all pools and limits their connections together, so that descriptors never run out."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         observer: AttemptObserver,
         memory_bytes: int,
     ) -> None:
-        """`clock`: the gateway's, in ns; `memory_bytes`: what the process may use."""
+        """Creates the pools; `clock` is the gateway's, in ns, `memory_bytes` is what the process may use."""
         self._loop = asyncio.get_running_loop()
         buffer_bytes = int(memory_bytes * RECEIVE_BUFFER_FRACTION / max_connections)
         self.context = PoolContext(
@@ -67,12 +68,12 @@
     def update_backend(
         self, backend: int, address: Address | None, is_old: bool = False, incarnation: int = 0
     ) -> None:
-        """Where a backend is reached; None once it drains or is gone and gets nothing new.
+        """Sets a backend's address, or None once it is draining or removed and gets no new attempts.
 
-        `is_old`: others may have been notified long ago: its grace time may be over, and connections that are
-        being opened to it are not written to. `incarnation`: when its process started, in any unit; another
-        one has none of the connections made to it, and what is written to them would end as a reset, as if
-        it might have run.
+        `is_old` means that others may have been notified long ago: the grace time may be over, so connections
+        that are being opened are not written to. `incarnation` is when the backend's process started, in any
+        unit. A new process has none of the former connections: a request written to one would end as a
+        reset, as if it might have run.
         """
         grace_s = 0.0 if is_old else self._grace_s
         pool = self._pools.get(backend)
@@ -88,34 +89,32 @@
 
     def _replace(self, pool: ConnectionPool, address: Address, grace_s: float) -> None:
         if pool.address != address:
-            log.warning("backend at %s:%d is at %s:%d now", *pool.address, *address)
+            log.warning("backend address changed from %s:%d to %s:%d", *pool.address, *address)
         pool.begin_closing(grace_s)
 
     def known_backends(self) -> list[int]:
-        """All that have a pool, those that are closing among them."""
+        """Returns the backends that have a pool, including those whose pool is closing."""
         return list(self._pools)
 
     def has_available_backend(self) -> bool:
-        """Whether any backend takes requests."""
+        """Returns whether any backend accepts attempts."""
         return any(not pool.is_closing for pool in self._pools.values())
 
     @property
     def open_connections(self) -> int:
-        """Connections to all backends, those that are being opened among them."""
+        """Returns the number of connections to all backends, including those being opened."""
         return self.context.open_connections
 
     def idle_connections(self) -> int:
-        """Connections without an attempt."""
+        """Returns the number of connections without an attempt."""
         return sum(len(pool.idle) for pool in self._pools.values())
 
     def limit_connections(self, max_connections: int) -> None:
-        """Open no more than so many from now on."""
+        """Changes the maximum of connections."""
         self.context.max_connections = max_connections
 
-    # Attempts.
-
     def start(self, attempt: Attempt, timeout_s: float | None) -> None:
-        """Start an attempt; its observer is notified of its end exactly once, never before this returns."""
+        """Starts an attempt; its observer is notified of its end exactly once, never before this returns."""
         if timeout_s is not None:
             attempt.timer = LagTolerantTimer(self._loop, timeout_s, partial(self.expire, attempt))
         pool = self._pools.get(attempt.backend)
@@ -125,31 +124,29 @@
             pool.start(attempt, attempt.started_at_ns)
 
     def expire(self, attempt: Attempt) -> None:
-        """Stop waiting for it."""
+        """Ends an attempt at its timeout."""
         self.context.attempts.expire(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End it because its answer is not wanted any more."""
+        """Ends an attempt whose answer is not wanted any more."""
         self.context.attempts.cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """End it unless its last byte has gone out."""
+        """Ends an attempt unless its last byte is written."""
         self.context.attempts.withdraw(attempt)
 
-    # Idle connections and the end.
-
     def close_idle(self, backend: int) -> None:
-        """Close one backend's idle connections."""
+        """Closes one backend's idle connections."""
         if (pool := self._pools.get(backend)) is not None:
             pool.close_idle()
 
     def close_all_idle(self) -> None:
-        """Close the idle connections to all backends."""
+        """Closes the idle connections to all backends."""
         for pool in self._pools.values():
             pool.close_idle()
 
     def _has_capacity(self) -> bool:
-        """Whether one more connection may be opened; an idle one elsewhere is closed for it."""
+        """Returns whether one more connection may be opened; closes an idle one elsewhere for it."""
         context = self.context
         if context.open_connections >= context.max_connections:
             spare = max(self._pools.values(), key=lambda pool: len(pool.idle), default=None)
@@ -168,7 +165,7 @@
         self._sweeper = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Closes all connections at once."""
         self._sweeper.cancel()
         for pool in self._pools.values():
             pool.close()
--- a/trackspread/backends/resp.py
+++ b/trackspread/backends/resp.py
@@ -1,6 +1,6 @@
-"""RESP2 towards backends: attempts and health checks to bytes, answers to outcomes.
+"""The RESP2 protocol that backends speak: encodes attempts and health checks, and reads answers.
 
-May know: RESP's commands and framing. May not know: connections, time-outs, decisions.
+It knows RESP's commands and framing. It knows no connections, timeouts or decisions.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from ..call import Call
 from ..decide.events import Outcome
-from ..framing.resp import ANSWER_ITEMS, AnswerFrames, FrameError, Words
+from ..framing.resp import ANSWER_ITEMS, AnswerScanner, CommandWords, FrameError
 from .adapter import INCOMPLETE, Answer, InvalidAnswer, LoadReport, ReadResult, ValueReceiver
 
-_EMPTY_VALUE = b"*%d\r\n$0\r\n" % ANSWER_ITEMS  # an answer's beginning, as hiredis gets it for a long value
+_EMPTY_VALUE = b"*%d\r\n$0\r\n" % ANSWER_ITEMS  # the beginning of an answer, fed to hiredis for a long value
 _ERROR_LINES = (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.REJECTED))
-# What the protocol writes, not all that Python reads as a number: no sign and no infinity.
+# The numbers that the protocol allows, without a sign and infinity; Python's `float` accepts more.
 _NUMBER = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
 def read_report(text: bytes) -> LoadReport:
-    """The load report in `name=number` pairs; empty where the text is none."""
+    """Returns the load report of `name=number` pairs; it is empty if one of them is invalid."""
     report: LoadReport = {}
     for item in text.split(b","):
         name, _, number = item.partition(b"=")
@@ -33,10 +33,9 @@
 
 
 def read_answer(reply: object) -> Answer:
-    """What a complete reply means.
+    """Returns the meaning of a complete reply; raises `InvalidAnswer`.
 
-    Value and framing must be right; a report or figures that cannot be read invalidate nothing. Raises
-    `InvalidAnswer`.
+    Value and framing must be valid; a load report or usage figures that cannot be read are ignored.
     """
     if isinstance(reply, list) and isinstance(reply[0], bytes):
         report = reply[2]
@@ -52,30 +51,30 @@
 
 
 def read_health_check(reply: object) -> Answer:
-    """What `INFO load` was answered with: the report as a string, or an error line."""
+    """Returns the meaning of the reply to `INFO load`, which is a load report or an error line."""
     if isinstance(reply, bytes):
         return Answer(Outcome.OK, None, read_report(reply))
     return read_answer(reply)
 
 
 class _RespAnswerReader:
-    """One connection's answers; hiredis parses what `AnswerFrames` has found to be complete."""
+    """Reads one connection's answers; hiredis parses those that `AnswerScanner` found complete."""
 
-    __slots__ = ("_frames", "_is_forwarding", "_parts", "_reader")
+    __slots__ = ("_is_forwarding", "_parts", "_reader", "_scanner")
 
     def __init__(self) -> None:
         self._reader = hiredis.Reader()
-        self._frames = AnswerFrames()
-        self._parts: list[bytes] = []  # of the answer that has begun
-        self._is_forwarding = False  # whether a long value is under way
+        self._scanner = AnswerScanner()
+        self._parts: list[bytes] = []  # of the incomplete answer
+        self._is_forwarding = False  # whether a long value is being forwarded
 
     @property
     def is_midway(self) -> bool:
-        """Whether an answer has begun and not ended."""
-        return self._frames.midway
+        """Returns whether an answer has begun and not ended."""
+        return self._scanner.is_midway
 
     def read(self, data: bytes, is_health_check: bool, receiver: ValueReceiver) -> ReadResult:
-        """Read the answer that `data` begins or continues; see `adapter.AnswerReader`."""
+        """Reads the answer that `data` begins or continues; see `adapter.AnswerReader`."""
         try:
             start, end = self._scan(data, receiver)
             if end < 0:
@@ -86,37 +85,37 @@
             raise InvalidAnswer(str(error)) from None
 
     def _scan(self, data: bytes, receiver: ValueReceiver) -> tuple[int, int]:
-        """Where the part of `data` begins that is still to be parsed, and where the answer ends.
+        """Returns the offsets of the part of `data` that is still to be parsed.
 
-        The end is -1 where the answer goes on in later data.
+        The end is -1 if the answer continues in later data.
         """
-        frames = self._frames
+        scanner = self._scanner
         at = 0
         while True:
-            if not frames.long:
-                end = frames.scan(data, at)
+            if not scanner.in_long_value:
+                end = scanner.scan(data, at)
                 if end >= 0:
                     return at, end
-                if not frames.long:
+                if not scanner.in_long_value:
                     self._parts.append(data[at:])
                     return at, -1
             at = self._forward(data, at, receiver)
-            if frames.long:
+            if scanner.in_long_value:
                 return at, -1
 
     def _forward(self, data: bytes, at: int, receiver: ValueReceiver) -> int:
-        """Give the long value's bytes to the receiver; where in `data` those end."""
-        frames = self._frames
+        """Gives a long value's bytes to the receiver; returns the offset in `data` at which they end."""
+        scanner = self._scanner
         if not self._is_forwarding:
             self._is_forwarding = True
             self._parts = [_EMPTY_VALUE]
-            at = frames.long_at
-            receiver.value_begins(frames.rest)
-        if available := min(frames.rest, len(data) - at):
+            at = scanner.long_value_start
+            receiver.value_begins(scanner.remaining_bytes)
+        if available := min(scanner.remaining_bytes, len(data) - at):
             receiver.value_piece(data[at : at + available])
-            frames.take(available)
+            scanner.skip(available)
             at += available
-        if not frames.long:
+        if not scanner.in_long_value:
             self._is_forwarding = False
         return at
 
@@ -129,23 +128,23 @@
 
 
 class RespAdapter:
-    """RESP2, for all connections of one gateway."""
+    """The RESP2 protocol for all backend connections of one gateway."""
 
     def answer_reader(self) -> _RespAnswerReader:
-        """The reading side of a new connection."""
+        """Returns the reading side of a new connection."""
         return _RespAnswerReader()
 
     def request(self, call: Call, time_left_ms: int) -> bytes | list[bytes]:
-        """The client's own bytes, except for `d`, the time left; a long body is not copied."""
-        words = cast(Words, call.raw_request)
+        """Returns the client's own bytes with the time left as `d`; a long body is not copied."""
+        words = cast(CommandWords, call.raw_request)
         parameters = b"%bd=%d%b" % (words.head, time_left_ms, words.tail)
         if not call.body_bytes:
-            return _pack((*words.front, parameters, *words.body))
-        packed = _pack((*words.front, parameters, b""))
+            return _pack((*words.prefix, parameters, *words.body))
+        packed = _pack((*words.prefix, parameters, b""))
         return [packed.removesuffix(b"$0\r\n\r\n"), b"$%d\r\n" % call.body_bytes, *words.body, b"\r\n"]
 
     def health_check(self) -> bytes:
-        """The bytes of a health check."""
+        """Returns the bytes of a health check."""
         return _pack((b"INFO", b"load"))
 
 
--- a/trackspread/call.py
+++ b/trackspread/call.py
@@ -1,6 +1,6 @@
-"""One request as a client sent it: what a front parses from bytes, and what a backend's adapter encodes.
+"""Holds one request as a client sent it: a client adapter parses it, and a backend adapter encodes it.
 
-May know: the decision module's vocabulary. May not know: any protocol, connection or pool.
+It knows the terms of the decision module. It knows no protocol, connection or pool.
 """
 
 from __future__ import annotations
@@ -8,30 +8,30 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-RETRY_FLAG = 2  # bit of `options`: a client's retry
+RETRY_FLAG = 2  # the bit of `options` that marks a client's retry
 
 
 class InvalidCall(ValueError):
-    """A request that cannot be accepted; its text is the reason that the client is given."""
+    """A request that cannot be accepted; the client receives the text as the reason."""
 
 
 class PausableSource(Protocol):
-    """Where a long value comes from; bytes that were read before a pause may still follow it."""
+    """The source of a long value; bytes that were read before a pause may still follow it."""
 
     def pause(self) -> None:
-        """Read no more of the value until `resume`."""
+        """Stops reading the value until `resume`."""
 
     def resume(self) -> None:
-        """Read on after `pause`."""
+        """Continues to read after `pause`."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request. `request_class` and `plan` are indices in the settings.
+    """One request; `request_class` and `plan` are indices in the settings.
 
-    `raw_request` is the request in its own protocol, for an adapter that speaks the same: it is forwarded
-    unchanged. `wait_ms`: how long the client waits for the answer, from the request's arrival.
-    `gateway_span`, `first_gateway`: as in `RequestArrived`.
+    `raw_request` is the request in its own protocol, which an adapter of the same protocol forwards unchanged.
+    `wait_ms` is how long the client waits for the answer, from the request's arrival. `gateway_span` and
+    `first_gateway` are those of `RequestArrived`.
     """
 
     raw_request: object
--- a/trackspread/clock.py
+++ b/trackspread/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a running gateway."""
+"""The clock that all parts of a running gateway use."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Clock:
-    """The time in ns: Unix time at the start of the process, and never going back from then on.
+    """Returns the time in ns when called: Unix time at the start of the process, never going back after it.
 
-    `base_ns` is the Unix time at which the machine's own clock read 0; two processes with the same base read
-    the same time.
+    `base_ns` is the Unix time at which the machine's monotonic clock read 0. Two processes with the same base
+    read the same time.
     """
 
     __slots__ = ("base_ns",)
--- a/trackspread/control/__init__.py
+++ b/trackspread/control/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server: readiness and counters of this process for operators (`docs/operators-door.md`)."""
+"""The admin server for operators, with readiness and counters of this process (`docs/operators-door.md`)."""
--- a/trackspread/control/admin_server.py
+++ b/trackspread/control/admin_server.py
@@ -1,6 +1,6 @@
-"""The admin server: HTTP/1.1 at an address of its own, one request to a connection.
+"""Serves HTTP/1.1 for operators at an address of its own, with one request for each connection.
 
-It has its own limits on connections, so that clients can't shut operators out.
+It has its own limit on connections, so that clients cannot lock operators out.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-MAX_CONNECTIONS = 24  # with the gateway's own files, within the descriptors that are reserved
+MAX_CONNECTIONS = 24  # fits with the gateway's own files within the reserved descriptors
 CALL_TIMEOUT_S = 5.0  # from connecting until the connection is closed
 MAX_HEAD_BYTES = 8 << 10  # of one request
 MAX_LOGGED_TARGET = 80  # bytes of a path
@@ -30,7 +30,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection: one request, one response, closed."""
+    """One connection, which is closed after one request and its response."""
 
     __slots__ = ("_http", "_server", "_timeout", "_transport")
 
@@ -41,13 +41,13 @@
         self._timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts the time-out of the connection."""
+        """Starts the timeout of the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._timeout = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort)
         self._server.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answers the first complete request; whatever follows it is dropped."""
+        """Answers the first complete request and ignores later input."""
         if self._http.our_state is not h11.IDLE:
             return
         try:
@@ -71,7 +71,8 @@
         head = self._http.send(h11.Response(status_code=status, headers=headers)) or b""
         transport = cast(asyncio.Transport, self._transport)
         transport.write(head + (self._http.send(h11.Data(data=body)) or b""))
-        # Half-closed: closing with unread input would reset the connection and may lose the response.
+        # Only the sending side is closed: closing with unread input would reset the connection, and the
+        # response might be lost.
         transport.write_eof()
 
     def eof_received(self) -> bool:
@@ -79,7 +80,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Frees the connection's place."""
+        """Cancels the timeout and removes the connection."""
         if self._timeout is not None:
             self._timeout.cancel()
         self._server.connection_closed(self)
@@ -90,7 +91,7 @@
 
 
 class AdminServer:
-    """The listening socket and its connections; over `MAX_CONNECTIONS` the oldest one is closed."""
+    """Holds the listening socket and its connections; closes the oldest one over `MAX_CONNECTIONS`."""
 
     def __init__(self, address: Address, routes: Routes) -> None:
         self._address = address
@@ -99,17 +100,17 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begins to listen; raises `OSError`."""
+        """Opens the listening socket; raises `OSError`."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), *self._address, backlog=BACKLOG)
 
     @property
     def port(self) -> int:
-        """The port that the server listens on."""
+        """Returns the port of the listening socket."""
         return int(cast(asyncio.Server, self._server).sockets[0].getsockname()[1])
 
     def connection_opened(self, connection: _Connection) -> None:
-        """Counts a new connection, and closes the oldest one if there are too many."""
+        """Registers a new connection, and closes the oldest one if there are too many."""
         self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
@@ -117,7 +118,7 @@
             oldest.abort()
 
     def connection_closed(self, connection: _Connection) -> None:
-        """Forgets a connection."""
+        """Removes a closed connection."""
         self._connections.pop(connection, None)
 
     def respond(self, request: h11.Request) -> Response:
@@ -130,7 +131,7 @@
         try:
             return route()
         except Exception:
-            log.exception("fault in answering %r", request.target[:MAX_LOGGED_TARGET])
+            log.exception("admin server: request for %r failed", request.target[:MAX_LOGGED_TARGET])
             return HTTPStatus.INTERNAL_SERVER_ERROR, "internal fault\n"
 
     def close(self) -> None:
--- a/trackspread/control/counters.py
+++ b/trackspread/control/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what this process has done since it started, as lines for operators."""
+"""Counts requests, attempts and reloads since the start of the process, for operators."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from ..usage.record import Ending
 
-MAX_CLASSES = 256  # request classes with counters, those of earlier configurations included
+MAX_CLASSES = 256  # request classes with counters, including those of earlier configurations
 _ENDING_NAMES = {Ending.SERVED: "served", Ending.REFUSED: "refused", Ending.FAILED: "failed"}
 
 
 class RequestCounters:
-    """Counters that only increase; gauges are passed in when the lines are written."""
+    """Holds counters that only increase; `lines` takes the gauges as arguments."""
 
     def __init__(self, classes: Iterable[bytes]) -> None:
         self.attempts = 0
@@ -21,7 +21,7 @@
         self.set_classes(classes)
 
     def set_classes(self, classes: Iterable[bytes]) -> None:
-        """Adds counters for these request classes; removed ones keep theirs, up to `MAX_CLASSES` in all."""
+        """Adds counters for these request classes; removed classes keep theirs, up to `MAX_CLASSES` in all."""
         configured = list(dict.fromkeys(classes))
         for name in configured:
             self._ended.setdefault(name, dict.fromkeys(_ENDING_NAMES, 0))
@@ -37,10 +37,10 @@
             counts[ending] += 1
 
     def lines(self, in_flight: int, known: int, excluded: int) -> str:
-        """Returns all counters as `name=value` lines, also those that are 0.
+        """Returns all counters as `name=value` lines, including those that are 0.
 
-        `in_flight` is the number of open requests, `known` that of backends and `excluded` that of backends
-        without new attempts.
+        `in_flight` is the number of open requests, `known` the number of backends, and `excluded` the number
+        of those that get no new attempts.
         """
         lines = [
             f"router.{word}.{name.decode()}={counts[ending]}"
--- a/trackspread/lag.py
+++ b/trackspread/lag.py
@@ -1,11 +1,11 @@
 """Timers that expire only once the loop has read its sockets.
 
-May know: the loop. May not know: what waits for what.
+It knows the loop. It does not know the purpose of a timer.
 
-Where the process lagged (its core was taken, its machine stood still) timers that came due meanwhile may run
-before the loop turns to its sockets, and what a socket brings takes further turns until it is read: what had
-arrived in time, or was established in time, would be reported as late. Whatever gives something up waits by
-one of these; what arrives in those turns cancels it, as it would have before.
+After the process lagged, because its core or its machine was paused, timers that came due meanwhile may run
+before the loop reads its sockets, and input takes further turns until it is processed. Input that arrived in
+time, or a connection that was established in time, would then count as late. Every timeout therefore uses one
+of these timers, and input that is processed in those turns cancels it as usual.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 import asyncio
 from collections.abc import Callable
 
-# Turns of the loop without a wait: in one it reads its sockets, what follows takes two more (a future that
-# is done wakes its task, the task goes on), and one is spare.
+# Turns of the loop without a wait. In one it reads its sockets, the processing takes two more (a future that is
+# done wakes its task, and the task continues), and one is a reserve.
 SOCKET_TURNS = 4
 
 
 class LagTolerantTimer:
-    """One call of `expired` after `delay_s` and the turns for sockets, unless it is cancelled before."""
+    """Calls `expired` once, after `delay_s` and the turns for sockets, unless it is cancelled before."""
 
     __slots__ = ("_expired", "_handle", "_loop")
 
@@ -37,9 +37,9 @@
             self._expired()
 
     def cancel(self) -> None:
-        """Do not expire."""
+        """Prevents the call of `expired`."""
         self._handle.cancel()
 
     def cancelled(self) -> bool:
-        """Whether it was cancelled."""
+        """Returns whether the timer was cancelled."""
         return self._handle.cancelled()
--- a/trackspread/logs.py
+++ b/trackspread/logs.py
@@ -1,4 +1,4 @@
-"""A limit on the rate of log lines whose number clients, backends or peers decide."""
+"""Limits the rate of log lines that clients, backends or peers cause."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Passes the first lines of each interval, so that invalid input can't cause unlimited logging.
+    """Passes the first lines of each interval, so that invalid input cannot cause unlimited logging.
 
-    The first line of the next interval states how many were left out.
+    The first line of the next interval states how many were suppressed.
     """
 
     def __init__(self) -> None:
@@ -25,13 +25,13 @@
         self._lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Returns whether the line is logged; may add the number of lines left out to it."""
+        """Returns whether the line is logged; may add the number of suppressed lines to it."""
         now = time.monotonic()
         if now - self._interval_start >= INTERVAL_S:
-            left_out = max(0, self._lines - MAX_LINES)
+            suppressed = max(0, self._lines - MAX_LINES)
             self._interval_start = now
             self._lines = 0
-            if left_out:
-                record.msg = f"{record.msg} ({left_out} lines like it left out)"
+            if suppressed:
+                record.msg = f"{record.msg} ({suppressed} similar lines suppressed)"
         self._lines += 1
         return self._lines <= MAX_LINES
