--- a/trackspread/call.py
+++ b/trackspread/call.py
@@ -29,9 +29,9 @@
 class Call:
     """One request; `request_class` and `plan` are indices in the settings.
 
-    `raw_request` is the request in its own protocol, which an adapter of the same protocol forwards unchanged.
-    `wait_ms` is how long the client waits for the answer, from the request's arrival. `gateway_span` and
-    `first_gateway` are those of `RequestArrived`.
+    `raw_request` is the request in its own protocol, which an adapter of the same protocol forwards
+    unchanged. `wait_ms` is how long the client waits for the answer, from the request's arrival.
+    `gateway_span` and `first_gateway` are those of `RequestArrived`.
     """
 
     raw_request: object
--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -1,8 +1,8 @@
-"""The command line: `run` (also without arguments), `check`, `use`, `plans`, `reserve`, `quota`, `fleet`,
-`control`, `configuration`, `try`.
+"""Parses and runs the command line.
 
-An error of the operator ends with exit status 2 and one line on standard error. Modules that only
-one command needs are imported when it runs, to save memory in a running gateway.
+The commands are `run` (also without arguments), `check`, `use`, `plans`, `reserve`, `quota`, `fleet`,
+`control`, `configuration` and `try`. An error of the operator ends with exit status 2 and one line on standard
+error. Modules that only one command needs are imported when it runs, to save memory in a running gateway.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from .node import serve
 
 DESCRIPTION = """\
-A gateway that gives each customer a cap on requests in flight, chosen by a small closed queuing model, so
-that latency and throughput aims hold beside the commitments already made."""
+A gateway that gives each tenant a cap on requests in flight. A small closed queuing model chooses the cap so
+that the latency and throughput objectives of all existing commitments hold."""
 
 ENVIRONMENT = """\
 environment:
-  ROUTER_CONFIG     path of the platform's configuration, JSON; wanted by run
+  ROUTER_CONFIG     path of the platform's configuration, JSON; required by run
   ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY, ROUTER_CONTROL
-                    come before the values of that file; the last is the operators' door
-  ROUTER_ACCEPT_FD  descriptor of the clients' listening socket, where the platform holds it: a newer
-                    process then takes over from an older one, which it meets in TMPDIR
+                    override the values of that file; the last is the address of the admin server
+  ROUTER_ACCEPT_FD  descriptor of the clients' listening socket, if the platform holds it: a newer process
+                    then takes over from an older one, through a socket in TMPDIR
 """
 
 
@@ -54,73 +54,77 @@
 
 
 def _add_run(commands: arguments.Commands[argparse.ArgumentParser]) -> None:
-    runs = commands.add_parser(
+    parser = commands.add_parser(
         "run",
-        help="run one gateway in the foreground (the same as no command at all)",
+        help="run one gateway in the foreground (the default command)",
         epilog=ENVIRONMENT,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    runs.add_argument(
+    parser.add_argument(
         "--file",
         metavar="FILE",
-        help=f"the operator's own file (left out: {serve.OWN_FILE}, if it is there, else defaults)",
+        help=f"the operator's file (default: {serve.OWN_FILE} if it exists, otherwise built-in defaults)",
     )
 
 
 def _add_check(commands: arguments.Commands[argparse.ArgumentParser]) -> None:
-    checks = commands.add_parser("check", help="check configuration files without starting anything")
-    checks.add_argument("file", metavar="FILE", nargs="?", help="the operator's own file")
-    checks.add_argument(
+    parser = commands.add_parser("check", help="check configuration files without starting a gateway")
+    parser.add_argument("file", metavar="FILE", nargs="?", help="the operator's file")
+    parser.add_argument(
         "--config",
         metavar="JSON",
-        help="the platform's configuration (left out: ROUTER_CONFIG, if it is set)",
+        help="the platform's configuration (default: ROUTER_CONFIG, if it is set)",
     )
 
 
 def _add_try(commands: arguments.Commands[argparse.ArgumentParser]) -> None:
-    tries = commands.add_parser(
+    parser = commands.add_parser(
         "try",
-        help="bring up gateways, rating nodes and clients on loopback, and watch them",
-        description="Three gateways, nine rating nodes and clients on loopback: shows live what is served "
-        "and refused, and why. In a terminal, keys kill a gateway (g) or a node (n), and q ends it.",
+        help="run gateways, rating nodes and clients on loopback, and show what they do",
+        description="Runs three gateways, nine rating nodes and clients on loopback, and shows live which "
+        "requests are served and rejected, and why. In a terminal, keys kill a gateway (g) or a node (n), "
+        "and q quits.",
     )
-    tries.add_argument("--seconds", type=float, default=20.0, help="how long it runs (20)")
-    tries.add_argument(
+    parser.add_argument("--seconds", type=float, default=20.0, help="how long it runs (20)")
+    parser.add_argument(
         "--kill",
         action="append",
         default=[],
         metavar="NAME[@S]",
-        help="kill a gateway (n0 to n2) or a node (s-0 to s-8) after S seconds (a third of the time); more "
-        "than one may be given",
+        help="kill a gateway (n0 to n2) or a node (s-0 to s-8) after S seconds (default: a third of the "
+        "time); may be given more than once",
     )
-    tries.add_argument("--seed", type=int, default=1, help="of clients and nodes (1)")
+    parser.add_argument("--seed", type=int, default=1, help="random seed of clients and nodes (1)")
 
 
 def _check(file: str | None, config: str | None) -> None:
     environment = {**os.environ, **({"ROUTER_CONFIG": config} if config else {})}
-    own = operator.load(Path(file)) if file else None
-    given = platform.load(environment) if environment.get("ROUTER_CONFIG") else None
-    if own is None and given is None:
+    operator_config = operator.load(Path(file)) if file else None
+    platform_config = platform.load(environment) if environment.get("ROUTER_CONFIG") else None
+    if operator_config is None and platform_config is None:
         raise ConfigError("nothing to check: name a FILE, --config JSON or ROUTER_CONFIG")
-    if own is not None and given is not None and given.listen in own.addresses():
-        raise ConfigError(
-            f"{file}: listeners: found {given.listen[0]}:{given.listen[1]}, which the platform's "
-            "configuration gives already, wanted another address"
-        )
-    if own is not None:
+    if operator_config is not None and platform_config is not None:
+        listen = platform_config.listen
+        if listen in operator_config.addresses():
+            raise ConfigError(
+                f"{file}: listeners: must not contain {listen[0]}:{listen[1]}, which is already the listen "
+                "address of the platform's configuration"
+            )
+    if operator_config is not None:
         print(
-            f"{file}: ok: role {own.role}, list from {own.list.source}, "
-            f"{len(own.listeners)} listener(s) besides the platform's"
+            f"{file}: ok: role {operator_config.role}, list from {operator_config.list.source}, "
+            f"{len(operator_config.listeners)} listener(s) besides the platform's"
         )
-    if given is not None:
+    if platform_config is not None:
         print(
-            f"{environment['ROUTER_CONFIG']}: ok: {given.name}, {len(given.classes)} classes, "
-            f"{len(given.plans)} plans, {given.settings.gateway_count} gateways"
+            f"{environment['ROUTER_CONFIG']}: ok: {platform_config.name}, "
+            f"{len(platform_config.classes)} classes, {len(platform_config.plans)} plans, "
+            f"{platform_config.settings.gateway_count} gateways"
         )
 
 
 def _operators_command(name: str) -> Callable[[argparse.Namespace], int] | None:
-    """Returns the function of a command in `commands/`, or None for other commands."""
+    """Returns the function that runs a command of `commands/`, or None for other commands."""
     match name:
         case "plans":
             from .commands import plans
@@ -180,5 +184,5 @@
 
 
 def script() -> int:
-    """Runs the command line of the process; the entry point of the installed command."""
+    """Runs the command line of the process, as the entry point of the installed command."""
     return main(sys.argv[1:])
--- a/trackspread/control/counters.py
+++ b/trackspread/control/counters.py
@@ -21,7 +21,7 @@
         self.set_classes(classes)
 
     def set_classes(self, classes: Iterable[bytes]) -> None:
-        """Adds counters for these request classes; removed classes keep theirs, up to `MAX_CLASSES` in all."""
+        """Adds counters for these request classes; removed ones keep theirs, up to `MAX_CLASSES` in all."""
         configured = list(dict.fromkeys(classes))
         for name in configured:
             self._ended.setdefault(name, dict.fromkeys(_ENDING_NAMES, 0))
--- a/trackspread/lag.py
+++ b/trackspread/lag.py
@@ -13,8 +13,8 @@
 import asyncio
 from collections.abc import Callable
 
-# Turns of the loop without a wait. In one it reads its sockets, the processing takes two more (a future that is
-# done wakes its task, and the task continues), and one is a reserve.
+# Turns of the loop without a wait. In one it reads its sockets, the processing takes two more (a future that
+# is done wakes its task, and the task continues), and one is a reserve.
 SOCKET_TURNS = 4
 
 
--- a/trackspread/simulator/__init__.py
+++ b/trackspread/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and the host that speaks it."""
+"""The host process for the platform's simulator, and the binary protocol between them."""
