--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -182,7 +182,7 @@
     ],
 )
 @pytest.mark.parametrize("pieces", [False, True])
-def test_spoilt_answer_may_have_run_and_closes_the_connection(
+def test_invalid_answer_may_have_run_and_closes_its_connection(
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
@@ -204,7 +204,9 @@
     run(test)
 
 
-def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_answer_ends_its_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The reset arrives while the timeout for the rest of the answer runs."""
+
     monkeypatch.setattr(connections, "STALL_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -228,7 +230,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
-def test_answer_in_pieces_is_read_whole(size: int) -> None:
+def test_answer_in_pieces_is_read_completely(size: int) -> None:
     async def test() -> None:
         frames, whole = AnswerScanner(), served(b"\r\n$1\r\n" * 20)
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
@@ -238,10 +240,12 @@
     run(test)
 
 
-def test_no_answer_has_places_set_aside_before_its_elements_have_come(
+def test_no_array_is_allocated_before_its_elements_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What hiredis is given is bounded: an array of a hundred million places stalls every collection."""
+    """The input of hiredis is checked: an array of a hundred million elements would stall each garbage
+    collection.
+    """
     fed: list[bytes] = []
 
     class Noted:
@@ -262,9 +266,11 @@
     run(test)
 
 
-def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
+def test_duplicate_answer_is_not_taken_for_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The duplicate arrives in a later packet, and is unread when the next attempt starts."""
+
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -288,7 +294,7 @@
     run(test)
 
 
-def test_connection_rests_after_an_answer_where_another_may_be_opened() -> None:
+def test_connection_is_not_reused_right_after_an_answer() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -308,7 +314,7 @@
     run(test)
 
 
-def test_refused_connect_never_ran() -> None:
+def test_attempt_with_a_refused_connection_never_ran() -> None:
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as unused:
             port = unused.getsockname()[1]
@@ -321,7 +327,7 @@
 
 
 @pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
-def test_unfinished_connect_never_ran(given_up_by: str) -> None:
+def test_attempt_with_an_unfinished_connection_never_ran(given_up_by: str) -> None:
     async def test() -> None:
         # A full accept queue leaves a connect unanswered, as a vanished machine does.
         with closing(socket.socket()) as full:
@@ -344,7 +350,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
-def test_after_the_last_byte_it_may_have_run(how: str) -> None:
+def test_completely_written_attempt_may_have_run(how: str) -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -370,7 +376,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "time-out"])
-def test_break_before_the_last_byte_never_ran(how: str) -> None:
+def test_partly_written_attempt_never_ran(how: str) -> None:
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as server:
             async with bench(port=server.getsockname()[1]) as b:
--- a/tests/backends/test_connections.py
+++ b/tests/backends/test_connections.py
@@ -18,7 +18,7 @@
 from .test_backends import bench
 
 
-def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pooled_connection_that_has_ended_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -42,11 +42,13 @@
     run(test)
 
 
-def test_a_backend_that_has_started_anew_has_none_of_the_connections_that_rest(
+def test_restarted_backend_has_no_idle_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A machine that vanished is back at its address: it never closed them, and a request that cannot be
-    repeated would be written, reset and lost."""
+    """A machine that failed is back at its address and never closed its connections.
+
+    A request that cannot be repeated would be written to one of them, reset and lost.
+    """
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -77,7 +79,7 @@
     run(test)
 
 
-def test_late_answer_is_never_taken_for_the_next_attempt() -> None:
+def test_late_answer_is_not_taken_for_the_next() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -95,7 +97,7 @@
     run(test)
 
 
-def test_words_nobody_asked_for_close_the_connection() -> None:
+def test_unexpected_answer_closes_the_connection() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -109,9 +111,11 @@
     run(test)
 
 
-def test_connections_are_reused_last_in_first_out_with_one_request_each(
+def test_last_used_connection_is_reused_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Each connection carries one request at a time."""
+
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -135,7 +139,7 @@
     run(test)
 
 
-def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
+def test_idle_connections_are_retired_before_their_limit() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend, idle=0.0) as b:
@@ -153,7 +157,7 @@
     run(test)
 
 
-def test_connections_that_are_reset_after_a_rest_are_not_kept_so_long() -> None:
+def test_resets_after_idle_times_shorten_the_idle_limit() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -185,7 +189,9 @@
     run(test)
 
 
-def test_breaks_that_come_at_any_age_or_seldom_shorten_no_rest() -> None:
+def test_rare_or_early_resets_keep_the_idle_limit() -> None:
+    """Early resets hit connections of any idle time, so a shorter limit would not help."""
+
     ages = IdleAgeLimit(15.0)
     for age in (0.01, 0.02) * 10:
         ages.record_use(age)
@@ -197,7 +203,7 @@
     assert ages.limit_s == 15.0
 
 
-def test_connections_are_bounded_and_idle_ones_give_way() -> None:
+def test_connections_are_limited_and_idle_ones_replaced() -> None:
     async def test() -> None:
         one, two = Backend(), Backend()
         async with listening(two), bench(one, most=1) as b:
@@ -217,7 +223,9 @@
     run(test)
 
 
-def test_backend_that_drains_loses_idle_connections_and_finishes_what_it_has() -> None:
+def test_draining_backend_finishes_its_open_attempts() -> None:
+    """Its idle connections are closed at once."""
+
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -236,8 +244,8 @@
 
 
 @pytest.mark.parametrize(("grace", "old"), [(0.0, False), (20.0, True), (20.0, False)])
-def test_nothing_still_connecting_is_written_past_the_drain_grace(grace: float, old: bool) -> None:
-    """What a call's first line brings may have been told long ago: none of its grace is left."""
+def test_connecting_attempt_is_not_written_after_drain_grace(grace: float, old: bool) -> None:
+    """A call's first update may be old: then nothing of the grace time is left."""
 
     async def test() -> None:
         backend = Backend()
@@ -253,7 +261,7 @@
     run(test)
 
 
-def test_unknown_backend_never_ran() -> None:
+def test_attempt_at_an_unknown_backend_never_ran() -> None:
     async def test() -> None:
         async with bench(port=1) as b:
             b.start(1, backend=99)
@@ -264,15 +272,15 @@
 
 
 @pytest.mark.parametrize("number", [b"much", b"nan", b"inf", b"-1", b"+1", b"1_0", b" 1", b"1e999", b""])
-def test_report_must_be_finite_numbers_from_0_up(number: bytes) -> None:
+def test_load_report_rejects_negative_and_infinite_numbers(number: bytes) -> None:
     assert read_answer([b"v", None, b"util=" + number]) == (Outcome.OK, b"v", {})
 
 
-def test_report_is_read_as_the_protocol_writes_it() -> None:
+def test_load_report_accepts_the_numbers_of_the_protocol() -> None:
     assert read_report(b"inflight=7,util=0.61,tiny=1e-05") == {"inflight": 7.0, "util": 0.61, "tiny": 1e-05}
 
 
-def test_connection_helper_reads_whole_answers() -> None:
+def test_connection_helper_reads_complete_answers() -> None:
     async def test() -> None:
         backend = Backend()
         async with listening(backend):
--- a/tests/backends/test_endings_attempts.py
+++ b/tests/backends/test_endings_attempts.py
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("how", ["time-out", "cancel", "withdrawn"])
-def test_an_end_put_off_to_the_next_turn_is_not_told_behind_another(how: str) -> None:
-    """Of an unknown backend, or where descriptors are short, an attempt ends in the loop's next turn."""
+def test_deferred_end_is_not_reported_after_another(how: str) -> None:
+    """An attempt at an unknown backend, or without a free descriptor, ends in the next turn of the loop."""
 
     async def test() -> None:
         async with bench(port=1) as b:
@@ -65,7 +65,7 @@
         await soon(stood)
 
 
-def test_an_answer_that_lies_in_the_socket_comes_before_the_time_out_of_its_attempt() -> None:
+def test_unread_answer_wins_over_the_attempt_timeout() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -78,7 +78,7 @@
     run(test)
 
 
-def test_an_answer_that_lies_in_the_socket_comes_before_the_end_of_its_requests_time() -> None:
+def test_unread_answer_wins_over_the_request_deadline() -> None:
     async def test() -> None:
         async with world() as w:
             client, began = await w.client(), time.monotonic()
@@ -90,7 +90,7 @@
     run(test)
 
 
-def test_the_rest_of_an_answer_that_lies_in_the_socket_is_not_missed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unread_rest_of_an_answer_is_not_missed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "STALL_TIMEOUT_S", TIME)
 
     async def test() -> None:
@@ -109,7 +109,7 @@
     run(test)
 
 
-def test_a_connection_that_is_up_is_not_taken_for_late() -> None:
+def test_established_connection_wins_over_the_connect_timeout() -> None:
     async def test() -> None:
         with socket.create_server((LOCAL, 0)) as server:
             server.setblocking(False)
@@ -128,7 +128,7 @@
     run(test)
 
 
-def test_the_rest_of_a_command_that_lies_in_the_socket_is_read_before_its_client_is_given_up(
+def test_unread_rest_of_a_command_keeps_its_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("trackspread.fronts.connections.TIMEOUT_CHECK_S", TIME / 2)
@@ -149,9 +149,10 @@
 
 
 @pytest.mark.parametrize("late", ["to come up", "to go out"])
-def test_a_repeat_that_is_too_late_for_its_window_is_not_written(late: str) -> None:
-    """Seen on the bench: decided 0.99 s after the first attempt, written 0.2 s later, as its connection came
-    up late; the window was 1 s."""
+def test_retry_after_its_deduplication_window_is_not_written(late: str) -> None:
+    """A retry was decided 0.99 s after the first attempt and written 0.2 s later, as its connection was
+    established late; the window was 1 s.
+    """
 
     async def test() -> None:
         with socket.create_server((LOCAL, 0)) as server:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -58,7 +58,9 @@
     return Gateway(replace(config(agent.port, None, **changes), control=(LOCAL, 0)))
 
 
-def test_health_is_yes_only_while_a_backend_is_usable_and_no_stop_has_begun() -> None:
+def test_health_check_needs_a_usable_backend() -> None:
+    """It fails before the first backend is listed, and once the gateway is stopping."""
+
     async def test() -> None:
         agent, backend = Agent(), Backend()
         async with listening(agent), listening(backend):
@@ -84,7 +86,7 @@
     run(test)
 
 
-def test_figures_count_each_ending_and_each_written_attempt_once() -> None:
+def test_counters_count_each_answer_and_attempt_once() -> None:
     async def test() -> None:
         agent, backend = Agent(), Backend()
         async with listening(agent), listening(backend):
@@ -114,7 +116,9 @@
     run(test)
 
 
-def test_planted_an_attempt_counted_at_its_start_and_at_its_end_is_convicted() -> None:
+def test_attempt_counted_twice_is_detected() -> None:
+    """The fault is planted: each attempt is counted again at its end."""
+
     async def test() -> None:
         agent, backend = Agent(), Backend()
         async with listening(agent), listening(backend):
@@ -140,7 +144,9 @@
     run(test)
 
 
-def test_callers_that_hold_on_do_not_shut_others_out_and_junk_gets_4xx() -> None:
+def test_open_connections_do_not_lock_operators_out() -> None:
+    """The oldest connections are closed over the limit; invalid requests get a status of 4xx."""
+
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
@@ -172,7 +178,7 @@
     run(test)
 
 
-def test_lines_of_dropped_classes_stay_while_there_is_room() -> None:
+def test_counters_of_removed_classes_stay_within_the_limit() -> None:
     made = RequestCounters([b"a", b"b"])
     made.count_ended(b"a", Ending.SERVED)
     made.set_classes([b"b", b"c"])
--- a/tests/fronts/test_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -17,7 +17,7 @@
 from .test_clients import MS, only_backend, script
 
 
-def test_clients_beyond_the_bound_make_resting_ones_give_way() -> None:
+def test_idle_clients_are_evicted_over_the_connection_limit() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [])
@@ -91,7 +91,7 @@
         ((b"FLUSHALL",), "unknown command"),
     ],
 )
-def test_bad_command_gets_a_plain_reason_and_the_connection_stays(
+def test_invalid_command_gets_a_reason_and_keeps_the_connection(
     words: tuple[bytes, ...], reason: str
 ) -> None:
     async def test() -> None:
@@ -130,7 +130,9 @@
         b"*2\r\n$4\r\nPING\r\n$60000000\r\n" + b"x" * 300_000,
     ],
 )
-def test_broken_resp_is_told_and_closes_the_connection_and_no_other(data: bytes, behind: bytes) -> None:
+def test_protocol_error_closes_only_its_own_connection(data: bytes, behind: bytes) -> None:
+    """The error is answered, also after a valid command and with its header in two pieces."""
+
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [Reject(a.request, 0)])
@@ -149,8 +151,11 @@
     run(test)
 
 
-def test_close_with_bytes_unread_takes_no_answer_along() -> None:
-    """Half-close: the client may go on sending for a while, and reads all that it is owed."""
+def test_close_with_unread_input_loses_no_answer() -> None:
+    """Closing with unread input resets a connection, and a reset discards answers.
+
+    A half-close does not: the client may go on sending for a while, and reads every answer.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -173,7 +178,7 @@
 @pytest.mark.parametrize(
     "said", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
 )
-def test_client_that_says_nothing_or_half_a_command_is_closed(
+def test_client_without_a_complete_command_is_closed(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert DEFAULTS.clients.mute_s + clients.TIMEOUT_CHECK_S < 3.0
@@ -192,7 +197,9 @@
     run(test)
 
 
-def test_client_that_does_not_read_is_closed_and_its_commands_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its commands are held back meanwhile, and their memory is freed."""
+
     assert DEFAULTS.clients.unread_s + clients.TIMEOUT_CHECK_S < 3.0
     quick = Operator(clients=ClientBounds(unread_s=0.05))
     monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
@@ -219,7 +226,9 @@
     run(test)
 
 
-def test_commands_beyond_the_pipeline_wait_unread_and_are_all_answered_in_order() -> None:
+def test_commands_over_the_pipeline_limit_wait_for_answers() -> None:
+    """They stay unprocessed until earlier ones are answered, and all are answered in order."""
+
     async def test() -> None:
         async with world() as w:
             number = 3 * DEFAULTS.clients.pipeline
@@ -250,7 +259,7 @@
     run(test)
 
 
-def test_commands_that_wait_unread_are_bounded_over_all_clients() -> None:
+def test_unprocessed_commands_are_limited_over_all_clients() -> None:
     async def test() -> None:
         async with world() as w:
             w.node.clients.max_unprocessed_bytes = 10_000
@@ -265,7 +274,7 @@
     run(test)
 
 
-def test_id_of_an_open_request_is_not_taken_again() -> None:
+def test_id_of_an_open_request_is_rejected() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, *[lambda a: []] * 3)
@@ -285,7 +294,7 @@
     run(test)
 
 
-def test_resting_clients_are_closed_early_only_where_connections_are_few(
+def test_idle_clients_are_closed_early_only_when_crowded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(one_client, "CROWDED_IDLE_S", 0.0)
@@ -307,7 +316,7 @@
     run(test)
 
 
-def test_newcomer_is_closed_where_no_connection_rests() -> None:
+def test_new_connection_is_closed_if_none_is_idle() -> None:
     async def test() -> None:
         async with world() as w:
             w.node.clients.max_connections = 2
@@ -322,7 +331,7 @@
     run(test)
 
 
-def test_broken_resp_behind_a_request_does_not_lose_it() -> None:
+def test_protocol_error_after_a_request_keeps_its_answer() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -336,7 +345,7 @@
     run(test)
 
 
-def test_command_in_pieces_is_read_whole() -> None:
+def test_command_in_pieces_is_read_completely() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [Reject(a.request, 0)])
--- a/tests/fronts/test_client_left_process.py
+++ b/tests/fronts/test_client_left_process.py
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("how", HOW)
 @pytest.mark.parametrize("answer", ANSWERS)
-def test_no_second_attempt_follows_a_failed_one_once_the_client_has_left(
+def test_failed_attempt_is_not_retried_after_client_left(
     tmp_path: Path, answer: str, how: str
 ) -> None:
     async def test() -> None:
@@ -155,7 +155,7 @@
     run(test)
 
 
-def test_no_attempt_begins_for_a_command_whose_client_left_before_it_was_read(tmp_path: Path) -> None:
+def test_unread_command_of_a_client_that_left_is_dropped(tmp_path: Path) -> None:
     async def test() -> None:
         async with gateway(tmp_path) as process:
             await rested(process, 3)
@@ -171,9 +171,11 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_no_attempt_is_written_to_a_connection_that_came_up_as_the_client_left(
+def test_nothing_is_written_when_client_left_during_connect(
     tmp_path: Path, how: str
 ) -> None:
+    """The backend's connection is established in the same turn in which the client's end arrives."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with busy_listener() as full:
@@ -216,8 +218,10 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_no_second_attempt_begins_while_the_client_is_not_read(tmp_path: Path, how: str) -> None:
-    """It has more commands open than are worked on at once, so nothing tells that it has left."""
+def test_unread_client_that_left_gets_no_retry(tmp_path: Path, how: str) -> None:
+    """The client has as many commands open as the pipeline allows, so it is not read, and the loop does not
+    report its end.
+    """
 
     async def test() -> None:
         async with gateway(tmp_path, 2) as process:
@@ -234,9 +238,11 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_no_held_command_is_sent_on_in_the_turn_in_which_there_is_room_for_it(
+def test_held_command_is_dropped_when_client_left(
     tmp_path: Path, how: str
 ) -> None:
+    """An answer makes place in the pipeline in the same turn in which the client's end arrives."""
+
     async def test() -> None:
         async with gateway(tmp_path) as process:
             client = Customer(process.port)
@@ -271,9 +277,12 @@
 
 @pytest.mark.parametrize("how", HOW)
 @pytest.mark.parametrize("granted", [True, False], ids=["granted", "no answer"])
-def test_no_attempt_begins_when_a_home_answers_or_does_not_once_the_client_has_left(
+def test_quota_owner_reply_starts_nothing_after_client_left(
     tmp_path: Path, granted: bool, how: str
 ) -> None:
+    """The request waits for the grant of its quota owner, which arrives or times out after the client left.
+    """
+
     async def test() -> None:
         own, home = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
         for end in (own, home):
@@ -318,9 +327,11 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_no_attempt_begins_when_the_counter_answers_once_the_client_has_left(
+def test_counter_reply_starts_nothing_after_client_left(
     tmp_path: Path, how: str
 ) -> None:
+    """The request waits for the shared counter, whose answer arrives after the client left."""
+
     async def test() -> None:
         server = CounterServer([Shard(0)], 2)
         await server.start()
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -97,7 +97,7 @@
     run(test)
 
 
-def test_arrival_tells_the_module_what_the_client_said() -> None:
+def test_arrival_event_has_the_parameters_of_the_command() -> None:
     async def test() -> None:
         async with world() as w:
             s = script(w, lambda a: [Reject(a.request, 1_500_001)], lambda a: [Reject(a.request, 0)])
@@ -120,8 +120,10 @@
     run(test)
 
 
-def test_what_the_module_counts_as_out_agrees_with_the_sockets_and_ends_at_zero() -> None:
-    """After good answers, errors, refusals, spoilt answers, resets, clients that leave, and a drain."""
+def test_attempts_in_flight_agree_with_open_connections() -> None:
+    """The decision module and the pools agree after answers, errors, rejections, invalid answers, resets,
+    clients that leave, and a drain; all counts end at 0.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -176,7 +178,7 @@
     run(test)
 
 
-def test_answers_stand_in_the_order_of_the_commands() -> None:
+def test_answers_keep_the_order_of_the_commands() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -195,7 +197,7 @@
     run(test)
 
 
-def test_request_left_open_fails_before_the_client_gives_up() -> None:
+def test_open_request_fails_before_the_client_times_out() -> None:
     async def test() -> None:
         async with world() as w:
             s = script(w, lambda a: [])
@@ -207,7 +209,7 @@
     run(test)
 
 
-def test_attempt_at_the_end_of_its_time_is_a_time_out_and_its_late_answer_goes_nowhere() -> None:
+def test_attempt_times_out_and_its_late_answer_is_dropped() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -226,7 +228,7 @@
     run(test)
 
 
-def test_second_answer_of_the_module_is_dropped() -> None:
+def test_second_answer_of_the_decision_module_is_dropped() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [Fail(a.request), Reject(a.request, 0)], lambda a: [Reject(a.request, 0)])
@@ -239,7 +241,7 @@
     run(test)
 
 
-def test_attempt_for_a_request_that_is_over_is_moot() -> None:
+def test_attempt_for_an_answered_request_is_ignored() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -259,7 +261,7 @@
     run(test)
 
 
-def test_client_that_leaves_is_told_to_the_module_once() -> None:
+def test_client_disconnect_is_reported_once() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -278,7 +280,7 @@
     run(test)
 
 
-def test_fault_in_one_event_costs_one_failure(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_one_event_fails_one_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with world() as w:
             s = script(w, KeyError("broken"), lambda a: [Reject(a.request, 0)])
@@ -294,8 +296,10 @@
     run(test)
 
 
-def test_attempt_whose_client_left_ends_with_its_time() -> None:
-    """A backend that vanished says nothing: the connection would stay open, counted as out, for good."""
+def test_attempt_of_a_client_that_left_times_out() -> None:
+    """A backend whose machine failed never answers: without the timeout, the connection would stay open and
+    count as in flight forever.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -318,10 +322,12 @@
     run(test)
 
 
-def test_action_that_cannot_be_carried_out_takes_no_other_with_it(
+def test_failed_action_does_not_prevent_the_next_ones(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The beat is asked for once a tick: lost with a fault it would stop, asked for again it would double."""
+    """The decision module sets its timer once in each tick: a timer that is lost with a failed action would
+    stop the ticks, and one that is set twice would double them.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -341,7 +347,7 @@
     run(test)
 
 
-def test_beat_of_the_module_survives_a_fault() -> None:
+def test_ticks_continue_after_an_exception() -> None:
     class Faulty(Script):
         def handle(self, now: int, event: Event) -> list[Action]:
             super().handle(now, event)
@@ -356,8 +362,10 @@
     run(test)
 
 
-def test_list_that_meets_a_fault_is_told_again() -> None:
-    """A notice of a drain must not be lost to a fault: rule 3 counts from when it was written to us."""
+def test_list_update_is_repeated_after_an_exception() -> None:
+    """The notice of a drain must not be lost to an exception: rule 3 counts from when it was sent to the
+    gateway.
+    """
 
     class Faulty(Script):
         def handle(self, now: int, event: Event) -> list[Action]:
@@ -382,7 +390,7 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_probe_is_sent_only_where_allowed(allowed: bool) -> None:
+def test_health_check_is_sent_only_if_allowed(allowed: bool) -> None:
     async def test() -> None:
         async with world(limits__probes=allowed) as w:
             backend = only_backend(w)
@@ -409,7 +417,9 @@
     run(test)
 
 
-def test_reports_reach_the_module_in_the_order_of_the_settings_also_from_error_lines() -> None:
+def test_load_reports_have_the_order_of_the_settings() -> None:
+    """Load reports are also read from error lines."""
+
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -449,7 +459,7 @@
     run(test)
 
 
-def test_idle_connections_close_when_the_module_says_so() -> None:
+def test_decision_module_closes_idle_connections() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -470,8 +480,8 @@
     run(test)
 
 
-def test_stopping_gateway_closes_a_busy_connection_with_its_answer() -> None:
-    """Between two requests of a client in a hurry there is hardly a rest that a look now and then finds."""
+def test_stopping_gateway_closes_a_connection_after_its_answer() -> None:
+    """A client that sends its next request at once would hardly ever be found idle by the periodic check."""
 
     async def test() -> None:
         async with world() as w:
--- a/tests/fronts/test_endings_clients.py
+++ b/tests/fronts/test_endings_clients.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_request_is_not_written_to_a_connection_that_comes_up_once_its_client_has_left(how: str) -> None:
+def test_late_connection_gets_no_request_after_client_left(how: str) -> None:
     async def test() -> None:
         with busy_listener() as full:
             async with world() as w:
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_request_partly_written_is_broken_off_once_its_client_has_left(how: str) -> None:
+def test_partly_written_request_is_aborted_after_client_left(how: str) -> None:
     async def test() -> None:
         with socket.create_server((LOCAL, 0)) as server:
             async with world() as w:
@@ -121,8 +121,10 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_commands_held_back_are_not_taken_once_their_client_has_left(how: str) -> None:
-    """Nothing is read from a client with so many commands open, and so nothing tells that it has left."""
+def test_held_commands_are_dropped_after_client_left(how: str) -> None:
+    """A client with as many commands open as the pipeline allows is not read, so the loop does not report its
+    end.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -135,9 +137,13 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_commands_held_back_are_not_taken_in_the_turn_in_which_room_comes(
+def test_held_commands_are_dropped_when_the_pipeline_frees(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The periodic check for clients that left is switched off: the end is seen before the next command is
+    processed.
+    """
+
     monkeypatch.setattr("trackspread.fronts.connections.END_CHECK_S", 60.0, raising=False)
 
     async def test() -> None:
@@ -188,8 +194,8 @@
     return next(iter(w.node.requests.values())).call
 
 
-def test_who_has_unread_answers_makes_no_room_for_a_newcomer() -> None:
-    """Closed, its descriptor would stay until it has read them, and nobody would count it."""
+def test_client_with_unread_answers_is_not_evicted() -> None:
+    """After a close its descriptor would stay open until the answers are read, and would not be counted."""
 
     async def test() -> None:
         async with world() as w:
@@ -205,9 +211,11 @@
     run(test)
 
 
-def test_connection_that_is_closed_with_answers_unread_ends_though_they_never_are(
+def test_closed_connection_with_unread_answers_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The client never reads them, so the connection ends by its timeout."""
+
     monkeypatch.setattr("trackspread.fronts.connections.TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
@@ -221,8 +229,8 @@
     run(test)
 
 
-def test_client_that_ends_with_answers_unread_is_told_as_gone_before_they_are_out() -> None:
-    """Its transport closes once they are: what waits could be sent on until then."""
+def test_client_end_is_reported_before_answers_are_sent() -> None:
+    """Its transport closes only after its answers are sent; until then a waiting request could be sent on."""
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(unread_s=3600.0))) as w:
@@ -241,8 +249,8 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_body_that_waits_for_room_is_dropped_with_its_client(how: str) -> None:
-    """Nothing is read of it meanwhile, and so nothing tells that its client has left."""
+def test_paused_body_is_dropped_with_its_client(how: str) -> None:
+    """A connection whose body is paused is not read, so the loop does not report that its client has left."""
 
     async def test() -> None:
         async with world() as w:
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("size", [LONG_VALUE_BYTES, LONG_VALUE_BYTES + 1, MAX_LONG_VALUE_BYTES])
 @pytest.mark.parametrize("piece", [1000, 70_000, MAX_LONG_VALUE_BYTES + 100])
-def test_values_of_any_size_come_whole_in_pieces_of_any_size(size: int, piece: int) -> None:
+def test_values_arrive_complete_in_pieces_of_any_size(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -66,7 +66,9 @@
     run(test)
 
 
-def test_first_bytes_go_on_at_once_and_no_time_cuts_off_what_still_comes() -> None:
+def test_long_value_is_forwarded_at_once_without_a_timeout() -> None:
+    """No deadline cuts off a value that is still arriving."""
+
     async def test() -> None:
         async with world() as w:
             client = await raw(w)
@@ -83,7 +85,9 @@
     run(test)
 
 
-def test_a_slow_client_holds_its_backend_back_and_costs_no_more_than_its_share() -> None:
+def test_slow_client_slows_its_backend_within_its_memory() -> None:
+    """The rest of the value stays at the backend, and the gateway keeps no more than four receive buffers."""
+
     async def test() -> None:
         async with world() as w:
             client = await raw(w, 4096)
@@ -131,7 +135,11 @@
         self.paused = False
 
 
-def test_a_client_may_take_seconds_also_for_what_is_left_once_the_backend_has_given_all() -> None:
+def test_slow_client_keeps_its_timeout_after_the_value_ended() -> None:
+    """The longer timeout for a long value also holds for the bytes that are unsent when the backend has sent
+    all of it.
+    """
+
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -154,7 +162,9 @@
 
 
 @pytest.mark.parametrize("what", ["reset", "garbage"])
-def test_a_value_that_cannot_be_finished_ends_the_connection_and_nothing_follows_it(what: str) -> None:
+def test_incomplete_value_ends_the_connection(what: str) -> None:
+    """Nothing follows the incomplete value on the connection, and no attempt is repeated."""
+
     async def test() -> None:
         async with world() as w:
             client = await raw(w)
@@ -181,8 +191,9 @@
 
 
 @pytest.mark.parametrize("deaf", [False, True])
-def test_nothing_is_sent_again_once_an_answer_has_begun(deaf: bool) -> None:
-    """`deaf` plants the breach: a module that does not hear of the beginning sends a second attempt."""
+def test_no_retry_after_an_answer_has_begun(deaf: bool) -> None:
+    """`misses_beginning` plants the fault: a decision module that is not notified of the beginning retries.
+    """
     module, now = Broker(settings(max_attempts=4), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
@@ -193,7 +204,9 @@
     assert any(isinstance(action, StartAttempt) for action in after) is deaf
 
 
-def test_the_models_time_of_a_long_value_is_that_of_its_first_byte_and_no_cap_counts_it() -> None:
+def test_model_uses_the_first_byte_of_a_long_value() -> None:
+    """The latency of a long value is that of its first byte, and it does not count for the cap afterwards."""
+
     module, now = Broker(settings(), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
@@ -205,7 +218,7 @@
     assert module.model.latency[0].value == 5 * MS
 
 
-def test_before_its_first_byte_goes_on_another_attempt_follows() -> None:
+def test_attempt_is_repeated_before_its_first_forwarded_byte() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -222,7 +235,7 @@
     run(test)
 
 
-def test_answers_keep_their_order_round_a_long_one() -> None:
+def test_answers_keep_their_order_around_a_long_value() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -253,7 +266,7 @@
     run(test)
 
 
-def test_a_client_that_leaves_ends_its_backends_work() -> None:
+def test_client_that_leaves_ends_its_attempt() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -273,7 +286,7 @@
 
 @pytest.mark.parametrize("piece", [1000, 70_000, MAX_LONG_VALUE_BYTES + 500])
 @pytest.mark.parametrize("size", [LONG_VALUE_BYTES, LONG_VALUE_BYTES + 1, MAX_LONG_VALUE_BYTES])
-def test_bodies_of_any_size_go_on_unchanged_and_are_there_for_another_attempt(size: int, piece: int) -> None:
+def test_bodies_are_forwarded_unchanged_and_kept_for_retries(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
             client, command = await w.client(), body(size)
@@ -297,7 +310,9 @@
     run(test)
 
 
-def test_bodies_wait_for_room_in_turn_and_all_end() -> None:
+def test_bodies_over_the_memory_limit_wait_in_order() -> None:
+    """Hardly one body fits, and still none waits forever."""
+
     async def test() -> None:
         async with world() as w:
             w.node.clients.bodies.limit_bytes = 1 << 20
@@ -324,7 +339,7 @@
         b"*5\r\n$9\r\nCALL.POST\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$4194305\r\n",
     ],
 )
-def test_a_length_over_the_limit_costs_its_connection_alone(junk: bytes) -> None:
+def test_length_over_the_limit_closes_only_its_connection(junk: bytes) -> None:
     async def test() -> None:
         async with world() as w:
             good, bad = await w.client(), await w.client()
@@ -339,7 +354,7 @@
     run(test)
 
 
-def test_a_body_that_stops_half_way_gives_its_room_back() -> None:
+def test_incomplete_body_frees_its_memory() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
--- a/tests/lists/test_discovery_polls.py
+++ b/tests/lists/test_discovery_polls.py
@@ -38,13 +38,15 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_all_of_a_large_fleet_that_starts_together_have_their_list(seed: int) -> None:
-    """Seen with 40 gateways: calls that all came at once timed out, came again, and most never had one."""
+def test_large_fleet_that_starts_together_gets_its_list(seed: int) -> None:
+    """With 40 gateways, calls that all came at once timed out and were repeated, and most gateways never got
+    a list.
+    """
     assert len(listed(40, MAX_CALL_S, seed, spread=True)) == 40
     assert len(listed(40, MAX_CALL_S, seed, spread=False)) < 20
 
 
-def test_where_gateways_are_few_nobody_waits_for_a_turn() -> None:
+def test_small_fleet_calls_without_a_spread() -> None:
     turns = PollTiming(4, random.Random(1), 10.0)
     assert turns.first_wait_s() == 0.0
     assert turns.next_wait_s(False) <= MIN_WAIT_S
@@ -53,8 +55,8 @@
     assert turns.next_wait_s(False) <= MIN_WAIT_S
 
 
-def test_nobody_waits_so_long_that_it_is_taken_as_told() -> None:
-    """Seen: a restarted gateway that waited its turn of 8 s for its first call broke the rule on drains."""
+def test_wait_ends_before_a_change_counts_as_notified() -> None:
+    """A restarted gateway that waited 8 s before its first call broke the rule on drains."""
     turns = PollTiming(10_000, random.Random(1), 10.0)
     assert max(turns.next_wait_s(True) for _ in range(500)) <= MAX_SPREAD_S
     turns.reset()
@@ -64,8 +66,9 @@
 
 @pytest.mark.parametrize("gateways", [1, 4, 200])
 @pytest.mark.parametrize("grace", [0.25, 1.0, 2.0])
-def test_another_watch_is_opened_well_within_a_drains_grace(gateways: int, grace: float) -> None:
-    """What a pushing agent has counts as told while no watch is open, however often watches broke before."""
+def test_next_watch_opens_within_a_drains_grace_time(gateways: int, grace: float) -> None:
+    """Changes at an agent that pushes count as notified while no watch is open, however often watches broke.
+    """
     turns = PollTiming(gateways, random.Random(1), grace)
     waits = [turns.next_wait_s(False) for _ in range(500)]
     assert MIN_WAIT_S / 2 <= max(waits) <= GRACE_FRACTION * grace
@@ -73,10 +76,12 @@
 
 @pytest.mark.parametrize("gateways", [1, 4, 25, 200, 10_000])
 @pytest.mark.parametrize("grace", [0.25, 1.0, 10.0])
-def test_whatever_became_of_a_call_the_next_one_is_answered_before_a_change_counts_as_told(
+def test_next_call_is_answered_before_a_change_is_due(
     gateways: int, grace: float
 ) -> None:
-    """The wait before it, with a second for the call itself; a silence is part of the wait."""
+    """This holds for any end of the call before: the wait leaves a second for the call, and a silence is part
+    of the wait.
+    """
     turns = PollTiming(gateways, random.Random(1), grace)
     for _ in range(500):
         assert turns.next_wait_s(True) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
@@ -103,7 +108,9 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_discovery_gets_one_call_of_each_gateway_at_its_return_ever_more_evenly(seed: int) -> None:
+def test_calls_after_an_outage_are_spread(seed: int) -> None:
+    """Each gateway calls once within the spread, and more evenly after a longer outage."""
+
     assert max(returns(200, 10.0, seed)) <= MAX_SPREAD_S
     assert busiest(returns(200, 10.0, seed)) <= 175
     assert busiest(returns(200, 120.0, seed)) <= 100
--- a/tests/lists/test_list_change_process.py
+++ b/tests/lists/test_list_change_process.py
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("name", [*(case.name for case in CASES), *OTHERS])
-def test_a_drain_is_acted_on_within_6_s_of_discoverys_having_it(name: str) -> None:
+def test_drain_takes_effect_within_6_s(name: str) -> None:
     took = measured()[name]
     if isinstance(took, BaseException):
         raise took
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -58,7 +58,7 @@
         return await soon(self.updates.get())
 
 
-def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
+def test_entry_is_mapped_as_for_the_simulator() -> None:
     entry = host("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
     update = parse_update(listing(41, entry, whole=False), ZONES, KINDS)
     assert update.topology.kind is EndpointUpdateKind.DELTA and update.topology.version == 41
@@ -68,13 +68,19 @@
     assert update.addresses == {number: (LOCAL, 6379)}
 
 
-def test_backend_number_hangs_on_the_name_alone() -> None:
+def test_backend_number_depends_on_the_name_alone() -> None:
     # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
+    """The expected number is fixed, so that a changed mapping shows: gateways of two versions may run
+    together.
+    """
+
     assert backend_id("s-5be2a07c") == 54393183237098
     assert backend_id("s-5be2a07d") != backend_id("s-5be2a07c")
 
 
-def test_born_long_ago_stays_zero_and_a_cold_backend_lies_on_the_modules_clock() -> None:
+def test_backend_start_time_uses_the_gateway_clock() -> None:
+    """A start time of 0 stays 0, which means long ago; a backend that just started is warming up."""
+
     async def test() -> None:
         async with world() as w:
             now_ms = time.time_ns() // 1_000_000
@@ -108,12 +114,14 @@
         listing(1, host("s", 1) | {"dial": "nowhere"}),
     ],
 )
-def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
+def test_unreadable_list_raises_list_error(raw: Any) -> None:
     with pytest.raises(ListError):
         parse_update(raw, ZONES, KINDS)
 
 
-def test_changes_come_in_order_and_a_broken_watch_goes_on_from_the_last_version() -> None:
+def test_watch_resumes_from_the_last_version() -> None:
+    """Changes arrive in order, also over several pieces and with empty lines between them."""
+
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
@@ -137,11 +145,14 @@
     run(test)
 
 
-def test_watch_that_breaks_young_in_a_large_fleet_is_opened_anew_within_a_drains_grace(
+def test_watch_reset_early_reopens_within_a_drains_grace(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has counts as told while no watch is open. A watch reset within its first seconds waited
-    for its gateway's turn, up to 9 s with 200 gateways; only discovery's word that it is short may do so."""
+    """Changes at the agent count as notified while no watch is open.
+
+    A watch reset within its first seconds waited for the spread, up to 9 s with 200 gateways; only an
+    overloaded discovery may cause that wait.
+    """
     waits: list[float] = []
     again = PollTiming.next_wait_s
 
@@ -173,10 +184,10 @@
     run(test)
 
 
-def test_a_fault_that_nobody_expected_does_not_end_discovery(
+def test_unexpected_exception_does_not_end_discovery(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Any exception but two kinds ended the task of the watch, and with it all news for good."""
+    """Any exception except two kinds ended the task of the watch, and with it all updates for good."""
 
     async def test() -> None:
         agent = Agent()
@@ -210,7 +221,7 @@
         return getattr(self._loop, name)
 
 
-def test_watch_moves_to_another_agent_and_goes_on_from_the_last_version() -> None:
+def test_watch_continues_at_another_agent() -> None:
     async def test() -> None:
         old, new = Agent(), Agent()
         async with listening(old), listening(new):
@@ -233,10 +244,11 @@
 
 
 @pytest.mark.parametrize("how", ["moved", "late", "closed"])
-def test_a_call_that_is_given_up_while_it_connects_leaves_no_watch_behind(
+def test_cancelled_connect_leaves_no_watch_open(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection may come up all the same, and would stay, with an agent that is no longer followed."""
+    """Its connection may still be established, and would stay open at an agent that is not followed any more.
+    """
     monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.05 if how == "late" else 20.0)
 
     async def test() -> None:
@@ -264,7 +276,9 @@
     return sum(row[2].endswith(f":{port:04X}") and row[3] == SYN_SENT for row in rows)
 
 
-def test_drain_holds_though_an_agent_that_lags_tells_an_older_whole_list() -> None:
+def test_drain_holds_against_an_older_complete_list() -> None:
+    """The older list comes from an agent that lags behind the agent before it."""
+
     async def test() -> None:
         old, new = Agent(), Agent()
         async with listening(old), listening(new):
@@ -285,7 +299,7 @@
     run(test)
 
 
-def test_junk_on_the_watch_breaks_it_and_it_is_taken_up_again() -> None:
+def test_watch_reopens_after_invalid_input() -> None:
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
@@ -300,7 +314,7 @@
     run(test)
 
 
-def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_without_input_reopens(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
         agent = Agent()
@@ -313,7 +327,7 @@
     run(test)
 
 
-def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cached_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST_TIMEOUT_S", 0.01)
         node = Gateway(config(1, listing(5, host("s-1", 1))))
@@ -326,7 +340,7 @@
     run(test)
 
 
-def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ping_without_any_list_gets_no_pong(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST_TIMEOUT_S", 0.01)
         async with world() as w:
@@ -343,7 +357,7 @@
     run(test)
 
 
-def test_only_the_first_line_of_a_watch_counts_as_old_news() -> None:
+def test_only_the_first_line_of_a_watch_is_old() -> None:
     async def test() -> None:
         async with world() as w:
             told: list[bool] = []
@@ -365,7 +379,7 @@
     run(test)
 
 
-def test_drained_backend_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
+def test_drained_or_unlisted_backend_gets_no_requests() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -390,11 +404,12 @@
     run(test)
 
 
-def test_stopping_gateway_has_word_for_its_peers_up_to_the_longest_deadline(
+def test_stopping_gateway_sends_heartbeats_until_the_longest_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Or they would hold its slices of the quotas back for one that fell silent, while its customers lean
-    on them."""
+    """Without them its peers would hold back its shares of the quotas as those of an unresponsive gateway,
+    while its tenants rely on them.
+    """
     monkeypatch.setattr(gateway, "PEER_MESSAGES_MARGIN_S", -0.5)  # short of the deadline here, to be quick
 
     async def test() -> None:
@@ -434,9 +449,11 @@
         self.at.append(asyncio.get_running_loop().time())
 
 
-def test_a_list_with_double_ids_and_an_address_that_moves_serves_on_and_is_told(
+def test_duplicate_hosts_and_changed_addresses_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """The gateway continues to serve: the last entry of a host counts, at its new address."""
+
     async def test() -> None:
         second = Rating()
         async with listening(second), world() as w:
@@ -463,7 +480,9 @@
     return made
 
 
-def test_peers_are_known_by_their_address_and_strangers_and_junk_are_dropped() -> None:
+def test_datagrams_of_unknown_senders_are_dropped() -> None:
+    """Peers are known by their address; datagrams that are too long are dropped as well."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         quiet = asyncio.DatagramProtocol
@@ -495,7 +514,9 @@
     run(test)
 
 
-def test_peer_message_reaches_the_module_and_junk_does_no_harm() -> None:
+def test_peer_message_reaches_the_decision_module() -> None:
+    """Invalid messages before it do no harm."""
+
     async def test() -> None:
         async with world() as w:
             for junk in (b"", b"\xff" * 7, b"\x01" * 256):
--- a/tests/lists/test_startup_process.py
+++ b/tests/lists/test_startup_process.py
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("name", TROUBLES)
 @pytest.mark.parametrize("lists", LISTS)
-def test_nine_in_ten_are_ready_within_10_s_while_discovery_is_down(name: str, lists: str) -> None:
+def test_nine_in_ten_gateways_are_ready_within_10_s(name: str, lists: str) -> None:
     times = measured(lists == LISTS[0], TROUBLES[name])
     nine = times[-(-len(times) * 9 // 10) - 1]
     print(f"{name}, {lists}: nine in ten ready after {nine:.2f} s, the last after {times[-1]:.2f} s")
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -111,7 +111,7 @@
     return found
 
 
-def test_the_pages_own_inbound_example() -> None:
+def test_documented_inbound_example_is_decoded() -> None:
     raw = bytes.fromhex(
         "5604 03000000 fc03 c4913a5dd1020400 00 00000000 640ad2557c3bf091 90dbb60302000000"
         "00000040 00004040 0000803f 01"
@@ -129,7 +129,7 @@
     )
 
 
-def test_the_pages_own_reply_and_list_examples() -> None:
+def test_documented_reply_and_list_examples_are_decoded() -> None:
     raw = bytes.fromhex(
         "5604 03000000 1004 c4913a5dd1020400 01 0300 074a1203 5600 0100 a0491a0100000000 0000 03"
         "00004040000068410000e040"
@@ -145,7 +145,7 @@
     assert topology.backends[1].started_at_ns == 0x16B969D00
 
 
-def test_actions_match_the_pages_examples() -> None:
+def test_actions_are_encoded_as_documented() -> None:
     assert wire.encode_action(StartAttempt(0x402D15D3A91C4, 0x03124A07, 80_000_000)).hex() == (
         "e803" + "c4913a5dd1020400" + "074a1203" + "00b4c40400000000"
     )
@@ -153,7 +153,7 @@
     assert wire.encode_action(LogMessage("two servers unknown")).hex().startswith("38041300")
 
 
-def test_sim_answers_every_frame() -> None:
+def test_simulator_host_answers_every_frame() -> None:
     done = run(frame() + frame(select(3), up(), listed(1, 2), inbound(4)) + frame(select(3), inbound(5)))
     assert done.returncode == 0
     first, second, third = replies(done.stdout)
@@ -162,7 +162,7 @@
     assert struct.pack("<HQ", 1000, 5) in third[1]
 
 
-def test_a_view_comes_as_a_record_of_this_projects_own() -> None:
+def test_view_has_a_record_of_its_own() -> None:
     _, events = wire.decode(struct.pack("<Q", 8) + select(3) + fleet(ALL_SLOTS))
     seats = slots_of((0, 2)), slots_of((1, 2))
     assert events == [(3, FleetChanged(70, (71,), (70, 71), seats, ALL_SLOTS, (seats[1],), 10**12, 10**12))]
@@ -172,7 +172,9 @@
         wire.decode(struct.pack("<Q", 8) + select(3) + fleet(ALL_SLOTS)[:-1])
 
 
-def test_without_slots_of_the_view_what_all_share_is_refused_and_with_them_it_is_served() -> None:
+def test_request_is_served_only_with_slots_of_the_view() -> None:
+    """Without slots the gateway has no part of the shared quotas; with slots it has, until they expire."""
+
     done = run(
         frame(select(3), up(), listed(1, 2), fleet(0), inbound(4))
         + frame(select(3), fleet(ALL_SLOTS))
@@ -186,7 +188,7 @@
     assert struct.pack("<HQ", 1010, 6) in fourth[1], "their time is over"
 
 
-def test_restart_in_one_batch_forgets_everything() -> None:
+def test_restart_in_one_batch_clears_the_instance() -> None:
     down = struct.pack("<H", 1090)
     done = run(frame(select(0), up(), listed(1)) + frame(select(0), down, up(), listed(), inbound(1)))
     assert struct.pack("<HQ", 1010, 1) in replies(done.stdout)[1][1]
@@ -203,7 +205,7 @@
         (frame(inbound(1)), "before any select"),
     ],
 )
-def test_malformed_frames_end_with_one_plain_line(data: bytes, complaint: str) -> None:
+def test_malformed_frame_ends_with_one_line(data: bytes, complaint: str) -> None:
     done = run(frame() + data if complaint.startswith("count") else data)
     lines = done.stderr.decode().splitlines()
     assert done.returncode == 1
@@ -220,12 +222,12 @@
         ("classes.0.idempotency=free", "classes.0.idempotency=maybe", "classes.0.idempotency"),
     ],
 )
-def test_settings_errors_name_the_key(old: str, new: str, key: str) -> None:
+def test_settings_error_names_the_key(old: str, new: str, key: str) -> None:
     with pytest.raises(wire.SettingsError, match=re.escape(key)):
         wire.parse_settings(SETTINGS_TEXT.replace(old, new))
 
 
-def test_impossible_settings_become_die_with_the_key() -> None:
+def test_invalid_settings_are_answered_with_die() -> None:
     done = run(frame(select(0), up(SETTINGS_TEXT.replace("zone=0", "zone=x"))))
     assert b"settings: zone" in done.stdout
     assert done.returncode == 0
--- a/trackspread/cli.py
+++ b/trackspread/cli.py
@@ -1,8 +1,9 @@
 """Parses and runs the command line.
 
 The commands are `run` (also without arguments), `check`, `use`, `plans`, `reserve`, `quota`, `fleet`,
-`control`, `configuration` and `try`. An error of the operator ends with exit status 2 and one line on standard
-error. Modules that only one command needs are imported when it runs, to save memory in a running gateway.
+`control`, `configuration` and `try`. An error of the operator ends with exit status 2 and one line on
+standard error. Modules that only one command needs are imported when it runs, to save memory in a running
+gateway.
 """
 
 from __future__ import annotations
