--- a/tests/backends/__init__.py
+++ b/tests/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `backends`."""
+"""Tests the package `backends`."""
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -1,4 +1,4 @@
-"""Pools and attempts over loopback sockets: what each happening means, and which connection is used."""
+"""Tests the outcomes of attempts, and which connection they use, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Bench:
-    """Pools to one fake backend (number 7), and how attempts ended."""
+    """Holds the pools with one fake backend, number 7, and records how attempts ended."""
 
     def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[Ended] = asyncio.Queue()
@@ -83,7 +83,7 @@
 
 
 def connection_is_up(attempt: Attempt) -> bool:
-    """Whether the attempt is on a connection that is established."""
+    """Returns whether the attempt's connection is established."""
     return isinstance(attempt.connection, BackendConnection) and attempt.connection.transport is not None
 
 
@@ -119,7 +119,7 @@
         (b"-ERR failed util=0.9,inflight=2\r\n", Outcome.ERROR, None, {"util": 0.9, "inflight": 2.0}),
         (b"-BUSY\r\n", Outcome.REJECTED, None, {}),
         (b"-BUSY util=1\r\n", Outcome.REJECTED, None, {"util": 1.0}),
-        # Good, with what can't be read where no value stands.
+        # The value is valid; the load report or the usage figures cannot be read.
         (served(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
         (served(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n*2\r\n:1\r\n$1\r\nx\r\n$-1\r\n", Outcome.OK, b"v", {}),
@@ -185,7 +185,7 @@
 def test_invalid_answer_may_have_run_and_closes_its_connection(
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
+    # An incomplete answer is invalid once its rest has been missing for the timeout.
     monkeypatch.setattr(connections, "STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -223,7 +223,7 @@
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
-            await asyncio.sleep(2 * connections.STALL_TIMEOUT_S)  # nothing is left that could come then
+            await asyncio.sleep(2 * connections.STALL_TIMEOUT_S)  # no timer is left that could expire then
             assert faults == [] and b.ends.empty()
 
     run(test)
@@ -283,7 +283,7 @@
                 assert await soon(loop.sock_recv(taken, 4096))
                 await soon(loop.sock_sendall(taken, served(b"v")))
                 assert (await b.end())[1] is Outcome.OK
-                # Between two turns of the loop: in the socket, and not yet read, when the next one starts.
+                # Sent between two turns of the loop: it is unread when the next attempt starts.
                 taken.send(served(b"v"))
                 b.start(2)
                 other, _ = await soon(loop.sock_accept(server))
@@ -329,7 +329,7 @@
 @pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
 def test_attempt_with_an_unfinished_connection_never_ran(given_up_by: str) -> None:
     async def test() -> None:
-        # A full accept queue leaves a connect unanswered, as a vanished machine does.
+        # A full accept queue leaves a connect unanswered, as a failed machine does.
         with closing(socket.socket()) as full:
             full.bind((LOCAL, 0))
             full.listen(0)
@@ -368,7 +368,7 @@
                 b.pools.cancel(attempt)
                 wanted = Outcome.CANCELLED
             assert await b.end() == (1, wanted, None, {})
-            # The connection is closed too: an answer that still comes belongs to nobody.
+            # The connection is closed too, as an answer that still arrives is not wanted.
             await until(lambda: backend.ended == 1)
             assert b.pools.open_connections == 0 and b.ends.empty()
 
@@ -380,7 +380,7 @@
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as server:
             async with bench(port=server.getsockname()[1]) as b:
-                # More than both socket buffers hold, so that some of it stays behind.
+                # The body is larger than both socket buffers, so that some of it stays behind.
                 attempt = b.start(1, body=b"x" * (32 << 20))
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
--- a/tests/backends/test_connections.py
+++ b/tests/backends/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backends on sockets: when they rest, are used again, and end."""
+"""Tests when connections to backends are idle, are reused, and are closed, over sockets."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
                     assert await soon(loop.sock_recv(taken, 4096))
                     await soon(loop.sock_sendall(taken, served(b"v")))
                     assert (await b.end())[:2] == (number, Outcome.OK)
-                    # Reset or ended between two turns of the loop: the gateway has not heard of it.
+                    # Reset or ended between two turns of the loop: the gateway does not know yet.
                     if number == 1:
                         taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     taken.close()
@@ -65,7 +65,7 @@
             out, _ = await backend.command()
             assert out is first
             b.pools.update_backend(7, (LOCAL, backend.port), incarnation=2)
-            out.send(served(b"w"))  # what is out may still be answered
+            out.send(served(b"w"))  # an attempt in flight may still be answered
             assert (await b.end())[:2] == (2, Outcome.OK)
             assert b.pools.idle_connections() == 0
             b.start(3)
@@ -147,12 +147,12 @@
             connection, _ = await backend.command()
             connection.send(served(b"v"))
             await b.end()
-            b.start(2)  # the old one is past its time, looked for or not
+            b.start(2)  # the idle connection is over its limit even before a sweep
             other, _ = await backend.command()
             assert other is not connection
             other.send(served(b"v"))
             await b.end()
-            await until(lambda: backend.ended == 2)  # the sweep finds the second
+            await until(lambda: backend.ended == 2)  # the sweep closes the second
 
     run(test)
 
@@ -164,8 +164,8 @@
             clock = [100.0]
             b.pools.context.time = lambda: clock[0]
 
-            async def rested(seconds: float, broken: bool) -> bool:
-                """A good answer, then another request after that rest; whether it came on the same one."""
+            async def reused_after(seconds: float, broken: bool) -> bool:
+                """Sends another request after `seconds` idle; returns whether it used the same connection."""
                 b.start(1)
                 first, _ = await backend.command()
                 first.send(served(b"v"))
@@ -175,16 +175,16 @@
                 second, _ = await backend.command()
                 second.abort() if broken else second.send(served(b"v"))
                 assert (await b.end())[1] is (Outcome.RESET if broken else Outcome.OK)
-                clock[0] += 1000.0  # nothing of this round is used again
+                clock[0] += 1000.0  # no connection of this round is reused
                 return second is first
 
             for _ in range(3):
-                assert await rested(0.3, True)
-            assert not await rested(0.3, False)
-            assert await rested(0.15, False)
+                assert await reused_after(0.3, True)
+            assert not await reused_after(0.3, False)
+            assert await reused_after(0.15, False)
             for _ in range(120):
                 b.pools.context.idle_age.decay()
-            assert await rested(0.3, False)  # after a while it is tried again
+            assert await reused_after(0.3, False)  # the longer idle time is tried again later
 
     run(test)
 
@@ -265,7 +265,7 @@
     async def test() -> None:
         async with bench(port=1) as b:
             b.start(1, backend=99)
-            assert b.ends.empty()  # told in a turn of its own
+            assert b.ends.empty()  # reported in the next turn of the loop
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
     run(test)
--- a/tests/backends/test_endings_attempts.py
+++ b/tests/backends/test_endings_attempts.py
@@ -1,8 +1,8 @@
-"""What ends with an attempt: its one end is told once, whatever else falls into the same turn of the loop,
-and what came in time counts though the process lagged.
+"""Tests that an attempt ends once, and that input which arrived in time counts although the process lagged.
 
-A lag is forced: what the other side did lies in the kernel, and the loop stands still until the timer is
-due, in the midst of its sockets: what came to the others meanwhile is behind the timers."""
+Another end may fall into the same turn of the loop. A lag is forced: the loop blocks in a socket's callback
+until the timer is due, so that input of other sockets is processed after the timers.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from ..fakes import LOCAL, Backend, Connection, call, run, served, soon, world
 from .test_backends import CLOCK, bench
 
-TIME = 1.0  # s of each timer here: long enough to come to the halt before it is due
+TIMER_S = 1.0  # of each timer here: long enough for the loop to block before it is due
 
 
 @pytest.mark.parametrize("how", ["time-out", "cancel", "withdrawn"])
@@ -30,7 +30,7 @@
 
     async def test() -> None:
         async with bench(port=1) as b:
-            attempt = b.start(1, backend=99)  # its end is on its way
+            attempt = b.start(1, backend=99)  # its end is deferred to the next turn
             ends = {"time-out": b.pools.expire, "cancel": b.pools.cancel, "withdrawn": b.pools.withdraw}
             ends[how](attempt)
             first = await b.end()
@@ -41,28 +41,30 @@
     run(test)
 
 
-def at_once(connection: Connection, data: bytes) -> None:
-    """Into the other side's socket, without a turn of the loop."""
+def write_to_socket(connection: Connection, data: bytes) -> None:
+    """Writes to the socket directly, without a turn of the loop."""
     descriptor = connection.writer.get_extra_info("socket").fileno()
     assert os.write(descriptor, data) == len(data)
 
 
-async def halted(began: float, do: Callable[[], object]) -> None:
-    """From some socket's turn on the process stands still until the timer is due that began then; `do` is
-    what others do to it meanwhile."""
+async def block_until_due(began: float, act: Callable[[], object]) -> None:
+    """Blocks the loop in a socket's callback until the timer that started at `began` is due.
+
+    `act` is what the other side does meanwhile.
+    """
     loop, (ours, theirs) = asyncio.get_running_loop(), socket.socketpair()
-    stood = loop.create_future()
+    blocked = loop.create_future()
 
-    def stand_still() -> None:
+    def block() -> None:
         loop.remove_reader(ours)
-        do()
-        time.sleep(max(0.0, began + 1.1 * TIME - time.monotonic()))
-        stood.set_result(None)
+        act()
+        time.sleep(max(0.0, began + 1.1 * TIMER_S - time.monotonic()))
+        blocked.set_result(None)
 
     with ours, theirs:
         theirs.send(b"x")
-        loop.add_reader(ours, stand_still)
-        await soon(stood)
+        loop.add_reader(ours, block)
+        await soon(blocked)
 
 
 def test_unread_answer_wins_over_the_attempt_timeout() -> None:
@@ -70,9 +72,9 @@
         backend = Backend()
         async with bench(backend) as b:
             began = time.monotonic()
-            b.start(1, timeout=TIME)
+            b.start(1, timeout=TIMER_S)
             connection, _ = await backend.command()
-            await halted(began, lambda: at_once(connection, served(b"v")))
+            await block_until_due(began, lambda: write_to_socket(connection, served(b"v")))
             assert (await b.end())[:3] == (1, Outcome.OK, b"v")
 
     run(test)
@@ -82,16 +84,16 @@
     async def test() -> None:
         async with world() as w:
             client, began = await w.client(), time.monotonic()
-            client.send(call(wait_ms=int(TIME * 1000)))
+            client.send(call(wait_ms=int(TIMER_S * 1000)))
             connection, _ = await w.backend.command()
-            await halted(began, lambda: at_once(connection, served(b"v")))
+            await block_until_due(began, lambda: write_to_socket(connection, served(b"v")))
             assert await client.next() == b"v"
 
     run(test)
 
 
 def test_unread_rest_of_an_answer_is_not_missed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "STALL_TIMEOUT_S", TIME)
+    monkeypatch.setattr(connection, "STALL_TIMEOUT_S", TIMER_S)
 
     async def test() -> None:
         backend = Backend()
@@ -99,11 +101,11 @@
             b.start(1)
             connection, _ = await backend.command()
             whole = served(b"v" * 100)
-            at_once(connection, whole[:50])
+            write_to_socket(connection, whole[:50])
             began = time.monotonic()
             while not any(link.timer for link in b.pools._pools[7].connections):
                 await asyncio.sleep(0)
-            await halted(began + 0.1, lambda: at_once(connection, whole[50:]))
+            await block_until_due(began + 0.1, lambda: write_to_socket(connection, whole[50:]))
             assert (await b.end())[:3] == (1, Outcome.OK, b"v" * 100)
 
     run(test)
@@ -113,11 +115,11 @@
     async def test() -> None:
         with socket.create_server((LOCAL, 0)) as server:
             server.setblocking(False)
-            async with bench(port=server.getsockname()[1], connect=TIME) as b:
+            async with bench(port=server.getsockname()[1], connect=TIMER_S) as b:
                 began = time.monotonic()
                 b.start(1)
-                await asyncio.sleep(0)  # the connect goes out, and the kernel answers it
-                await halted(began, lambda: None)
+                await asyncio.sleep(0)  # the connect is sent, and the kernel answers it
+                await block_until_due(began, lambda: None)
                 loop = asyncio.get_running_loop()
                 taken, _ = await soon(loop.sock_accept(server))
                 assert await soon(loop.sock_recv(taken, 4096))
@@ -131,16 +133,16 @@
 def test_unread_rest_of_a_command_keeps_its_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("trackspread.fronts.connections.TIMEOUT_CHECK_S", TIME / 2)
+    monkeypatch.setattr("trackspread.fronts.connections.TIMEOUT_CHECK_S", TIMER_S / 2)
 
     async def test() -> None:
-        async with world(Operator(clients=ClientBounds(mute_s=TIME))) as w:
+        async with world(Operator(clients=ClientBounds(mute_s=TIMER_S))) as w:
             client, began = await w.client(), time.monotonic()
             command = call()
-            at_once(client, command[:20])
+            write_to_socket(client, command[:20])
             while not any(each._incomplete_since for each in w.node.clients._unused):
                 await asyncio.sleep(0)
-            await halted(began + 0.1, lambda: at_once(client, command[20:]))
+            await block_until_due(began + 0.1, lambda: write_to_socket(client, command[20:]))
             connection, _ = await w.backend.command()
             connection.send(served(b"v"))
             assert await client.next() == b"v"
@@ -159,7 +161,7 @@
             server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             server.setblocking(False)
             async with bench(port=server.getsockname()[1]) as b:
-                body = b"x" * (4 << 20)  # over what both sockets hold
+                body = b"x" * (4 << 20)  # more than both sockets hold
                 wait = 1 if late == "to come up" else 300_000_000
                 attempt = b.start(1, body=body, until=CLOCK() + wait)
                 loop = asyncio.get_running_loop()
--- a/tests/control/__init__.py
+++ b/tests/control/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `control`."""
+"""Tests the package `control`."""
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -1,4 +1,4 @@
-"""The operators' door on loopback: what it answers, to whom, and what it never does."""
+"""Tests the admin server over loopback sockets: its answers, its counters and its limits."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 )
 
 
-async def asked(port: int, words: bytes) -> bytes:
-    """The whole answer to these bytes."""
+async def exchange(port: int, words: bytes) -> bytes:
+    """Sends bytes and returns the complete answer."""
     reader, writer = await soon(asyncio.open_connection(LOCAL, port))
     writer.write(words)
     try:
@@ -39,15 +39,15 @@
         writer.close()
 
 
-async def figures(port: int) -> dict[str, int]:
-    head, _, body = (await asked(port, STATS)).partition(b"\r\n\r\n")
+async def counters(port: int) -> dict[str, int]:
+    head, _, body = (await exchange(port, STATS)).partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 "), head
     pairs = (line.split("=") for line in body.decode().splitlines())
     return {name.removeprefix("router."): int(value) for name, value in pairs}
 
 
 async def status(port: int, words: bytes) -> int:
-    return int((await asked(port, words)).split()[1])
+    return int((await exchange(port, words)).split()[1])
 
 
 STATS = b"GET /stats HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -73,14 +73,14 @@
             agent.tell(listing(2, host("s-1", backend.port)))
             while await status(port, CHECK) != 200:
                 await asyncio.sleep(0.01)
-            taken = Connection(*await asyncio.open_connection(LOCAL, node.clients.port))
-            taken.send(call())
-            owed, _ = await backend.command()
+            client = Connection(*await asyncio.open_connection(LOCAL, node.clients.port))
+            client.send(call())
+            open_request, _ = await backend.command()
             stop = asyncio.get_running_loop().create_task(node.stop())
             await asyncio.sleep(0)
             assert await status(port, CHECK) == 503
-            owed.send(served(b"v"))
-            assert await taken.next() == b"v"
+            open_request.send(served(b"v"))
+            assert await client.next() == b"v"
             await soon(stop)
 
     run(test)
@@ -95,20 +95,20 @@
             assert node.door is not None
             await soon(node.start())
             port = node.door.port
-            before = await figures(port)
+            before = await counters(port)
             assert set(before.values()) == {0, 2, 1} and before["served.look up"] == 0
             assert (before["backends_known"], before["backends_excluded"]) == (2, 1)
             client = Connection(*await asyncio.open_connection(LOCAL, node.clients.port))
             for number in range(3):
                 client.send(call(number=number))
                 connection, _ = await backend.command()
-                assert (await figures(port))["in_flight"] == 1
+                assert (await counters(port))["in_flight"] == 1
                 connection.send(served(b"v") if number else b"-ERR failed\r\n")
-                if not number:  # tried again: one request, two attempts
+                if not number:  # retried: one request, two attempts
                     connection, _ = await backend.command()
                     connection.send(served(b"v"))
                 assert await client.next() == b"v"
-            after = await figures(port)
+            after = await counters(port)
             assert (after["served.look up"], after["attempts"], after["in_flight"]) == (3, 4, 0)
             assert after["failed.look up"] == after["refused.look up"] == after["served.charge"] == 0
             await soon(node.stop())
@@ -138,7 +138,7 @@
             connection, _ = await backend.command()
             connection.send(served(b"v"))
             assert await client.next() == b"v"
-            assert (await figures(node.door.port))["attempts"] != 1
+            assert (await counters(node.door.port))["attempts"] != 1
             await soon(node.stop())
 
     run(test)
@@ -155,13 +155,13 @@
             assert node.door is not None
             await soon(node.start())
             port = node.door.port
-            held = [await asyncio.open_connection(LOCAL, port) for _ in range(3 * MAX_CONNECTIONS)]
-            for _, writer in held:
+            connections = [await asyncio.open_connection(LOCAL, port) for _ in range(3 * MAX_CONNECTIONS)]
+            for _, writer in connections:
                 writer.write(b"GET /stats HT")
-            assert (await figures(port))["in_flight"] == 0
-            # The oldest made room, and only they: the newest goes on and gets its answer.
-            held[-1][1].write(b"TP/1.1\r\nHost: x\r\n\r\n")
-            assert b" 200 " in await soon(held[-1][0].readline())
+            assert (await counters(port))["in_flight"] == 0
+            # Only the oldest connections were closed: the newest continues and gets its answer.
+            connections[-1][1].write(b"TP/1.1\r\nHost: x\r\n\r\n")
+            assert b" 200 " in await soon(connections[-1][0].readline())
             for words, wanted in (
                 (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", 404),
                 (b"POST /stats HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
@@ -169,9 +169,9 @@
                 (b"*1\r\n$4\r\nPING\r\n\r\n", 400),
             ):
                 assert await status(port, words) == wanted, words[:40]
-            twice = await asked(port, 2 * CHECK)
-            assert twice.count(b"HTTP/1.1 ") == 1  # one call to a connection
-            for _, writer in held:
+            twice = await exchange(port, 2 * CHECK)
+            assert twice.count(b"HTTP/1.1 ") == 1  # one request for each connection
+            for _, writer in connections:
                 writer.close()
             await soon(node.stop())
 
--- a/tests/fronts/__init__.py
+++ b/tests/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `fronts`."""
+"""Tests the package `fronts`."""
--- a/tests/fronts/test_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -1,4 +1,4 @@
-"""Clients' connections on sockets: their bounds, broken commands, and how they are closed."""
+"""Tests the limits of client connections, invalid commands and closes, over sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from trackspread.config.operator import DEFAULTS, ClientBounds, Operator
 from trackspread.decide.actions import Action, Reject, StartAttempt
 from trackspread.decide.events import RequestArrived
-from trackspread.fronts import client as one_client
+from trackspread.fronts import client as client_module
 from trackspread.fronts import connections as clients
 
 from ..fakes import CUSTOMER, World, call, run, served, soon, until, world
@@ -24,18 +24,18 @@
             w.node.clients.max_connections = 3
             busy = await w.client()
             busy.send(call())
-            await until(lambda: busy_requests(w) == 1)
+            await until(lambda: event_count(w) == 1)
             resting = [await w.client() for _ in range(5)]
             assert [await client.next() for client in resting[:3]] == [None] * 3
             for client in resting[3:]:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next() == b"PONG"
-            assert w.node.clients.count() == 3 and busy_requests(w) == 1
+            assert w.node.clients.count() == 3 and event_count(w) == 1
 
     run(test)
 
 
-def busy_requests(w: World) -> int:
+def event_count(w: World) -> int:
     return len(w.node.decision_module.events)  # type: ignore[union-attr]
 
 
@@ -137,7 +137,7 @@
         async with world() as w:
             script(w, lambda a: [Reject(a.request, 0)])
             other, client = await w.client(), await w.client()
-            # Behind another command, and with its header in two pieces.
+            # The input follows another command, and its header arrives in two pieces.
             client.send(behind + data[:2])
             await asyncio.sleep(0)
             client.send(data[2:])
@@ -176,20 +176,20 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
+    "sent", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
 )
 def test_client_without_a_complete_command_is_closed(
-    said: bytes, monkeypatch: pytest.MonkeyPatch
+    sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert DEFAULTS.clients.mute_s + clients.TIMEOUT_CHECK_S < 3.0
-    quick = Operator(clients=ClientBounds(mute_s=0.02))
+    operator = Operator(clients=ClientBounds(mute_s=0.02))
     monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
-        async with world(quick) as w:
+        async with world(operator) as w:
             client = await w.client()
-            client.send(said)
-            if said:
+            client.send(sent)
+            if sent:
                 assert "without end" in str(await client.next())
             assert await client.next() is None
             await until(lambda: w.node.clients.count() == 0)
@@ -201,12 +201,12 @@
     """Its commands are held back meanwhile, and their memory is freed."""
 
     assert DEFAULTS.clients.unread_s + clients.TIMEOUT_CHECK_S < 3.0
-    quick = Operator(clients=ClientBounds(unread_s=0.05))
+    operator = Operator(clients=ClientBounds(unread_s=0.05))
     monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
-        async with world(quick) as w:
-            backend, most = only_backend(w), 600  # some 40 MB of answers, far over the sockets' buffers
+        async with world(operator) as w:
+            backend, most = only_backend(w), 600  # some 40 MB of answers, far more than the sockets' buffers
             s = script(w, *[lambda a: [StartAttempt(a.request, backend, 0)]] * most)
 
             async def answer() -> None:
@@ -246,7 +246,7 @@
             while len(arrived) < number:
                 assert len(w.node.requests) <= DEFAULTS.clients.pipeline
                 before = len(arrived)
-                w.node.execute(Reject(arrived[before - 1], 7 * MS))  # out of order: the last of them first
+                w.node.execute(Reject(arrived[before - 1], 7 * MS))  # out of order: the last first
                 for request in arrived[before - DEFAULTS.clients.pipeline : before - 1]:
                     w.node.execute(Reject(request, 7 * MS))
                 await until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
@@ -280,12 +280,12 @@
             script(w, *[lambda a: []] * 3)
             client, other = await w.client(), await w.client()
             client.send(call(number=5))
-            await until(lambda: busy_requests(w) == 1)
+            await until(lambda: event_count(w) == 1)
             other.send(call(number=5))
             assert "open" in str(await other.next())
-            assert busy_requests(w) == 1
+            assert event_count(w) == 1
             client.abort()
-            await until(lambda: busy_requests(w) == 2)  # told that the client has left
+            await until(lambda: event_count(w) == 2)  # the second event says that the client has left
             other.send(call(number=5, wait_ms=60))
             assert str(await other.next()) == "ERR out of time"
             other.send(call(number=5, wait_ms=60))
@@ -297,7 +297,7 @@
 def test_idle_clients_are_closed_early_only_when_crowded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(one_client, "CROWDED_IDLE_S", 0.0)
+    monkeypatch.setattr(client_module, "CROWDED_IDLE_S", 0.0)
 
     async def test() -> None:
         async with world() as w:
@@ -324,7 +324,7 @@
             busy = [await w.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(call(number=number))
-            await until(lambda: busy_requests(w) == 2)
+            await until(lambda: event_count(w) == 2)
             assert await (await w.client()).next() is None
             assert w.node.clients.count() == 2
 
--- a/tests/fronts/test_client_left_process.py
+++ b/tests/fronts/test_client_left_process.py
@@ -1,8 +1,10 @@
-"""A client that has left gets no further attempt, wherever its request waits: the program in a process.
+"""Tests with a gateway process that a client that has left gets no further attempt.
 
-The order is forced by a process that is stopped: what the request waits for and its client's end lie in the
-kernel when it goes on, the former first. What ends the wait is checked to have come, and the process is ended
-in good order before its attempts are counted, so nothing can follow.
+This holds wherever its request waits.
+
+The order of events is forced by stopping the process: the event that the request waits for, and then its
+client's end, are in the kernel when the process continues. The event is checked to have arrived, and the
+process is shut down gracefully before attempts are counted, so that none can follow.
 """
 
 from __future__ import annotations
@@ -52,20 +54,20 @@
     served,
     soon,
 )
-from ..backends.test_endings_attempts import at_once
+from ..backends.test_endings_attempts import write_to_socket
 from ..node.test_gateway_process import Process, started
 
 pytestmark = pytest.mark.processes
 
 HOW = ["end", "reset"]
-HERE, ELSEWHERE = 2, 1  # customers by their homes, of two gateways
-HELD = 3600.0  # s that the counter would keep its answers: a test says them
+OWN_TENANT, OTHER_TENANT = 2, 1  # whose quota owner is this gateway, or the other one
+HELD_ANSWER_S = 3600.0  # delay of the counter's answers; a test writes them itself
 PIPELINE = DEFAULTS.clients.pipeline
-WAITED = 4 * TICK / 1e9  # s, over the time for which a request waits for a home
+OWNER_TIMEOUT_S = 4 * TICK / 1e9  # longer than a request waits for its quota owner
 
 
-class Customer:
-    """A client on a blocking socket: what it does has come to the gateway's kernel when the call returns."""
+class BlockingClient:
+    """A client on a blocking socket: its bytes are in the gateway's kernel when a call returns."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((LOCAL, port))
@@ -80,7 +82,7 @@
 
 @contextmanager
 def stopped(process: Process) -> Iterator[None]:
-    """The gateway stands still meanwhile."""
+    """Stops the gateway's process for the time of the block."""
     pid = process.process.pid
     os.kill(pid, signal.SIGSTOP)
     while Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "T":
@@ -100,8 +102,10 @@
     operator: str = "",
     **settings: Any,
 ) -> AsyncIterator[Process]:
-    """A gateway with so many backends that are one server in truth, and others at the ports `more`.
-    `keys`: of its configuration; `operator`: the text of the operator's file."""
+    """Runs a gateway with `backends` backends, which are all one server, and others at the ports `more`.
+
+    `keys` are keys of its configuration; `operator` is the text of the operator's file.
+    """
     agent, backend = Agent(), Backend()
     async with listening(agent), listening(backend):
         ports = [backend.port] * backends + list(more)
@@ -111,20 +115,20 @@
             made = Process(process, 0, backend, path)
             assert process.stderr is not None
             while b"listening on" not in (line := await soon(process.stderr.readline())):
-                assert line, "ended before it listened"
+                assert line, "the gateway ended before it listened"
             made.port = int(line.rsplit(b":", 1)[1])
             yield made
 
 
-async def ended(process: Process) -> int:
-    """Ends the gateway in good order; how many more commands came whole to the backends."""
+async def stop(process: Process) -> int:
+    """Shuts the gateway down; returns how many more complete commands reached the backends."""
     process.process.send_signal(signal.SIGTERM)
     assert await soon(process.process.wait()) == 0
     return process.backend.commands.qsize()
 
 
-async def rested(process: Process, count: int, customer: bytes = CUSTOMER) -> None:
-    """So many connections to backends are up and at rest: an attempt is written at once."""
+async def open_idle_connections(process: Process, count: int, customer: bytes = CUSTOMER) -> None:
+    """Opens `count` connections to backends and leaves them idle, so that an attempt is written at once."""
     client = Connection(*await soon(asyncio.open_connection(LOCAL, process.port)))
     client.send(b"".join(call(number=1000 + n, customer=customer) for n in range(count)))
     for connection, _ in [await process.backend.command() for _ in range(count)]:
@@ -143,14 +147,14 @@
 ) -> None:
     async def test() -> None:
         async with gateway(tmp_path) as process:
-            await rested(process, 2)
-            client = Customer(process.port)
+            await open_idle_connections(process, 2)
+            client = BlockingClient(process.port)
             client.send(call())
             first, _ = await process.backend.command()
             with stopped(process):
-                at_once(first, ANSWERS[answer])
+                write_to_socket(first, ANSWERS[answer])
                 client.leave(how)
-            assert await ended(process) == 0
+            assert await stop(process) == 0
 
     run(test)
 
@@ -158,14 +162,14 @@
 def test_unread_command_of_a_client_that_left_is_dropped(tmp_path: Path) -> None:
     async def test() -> None:
         async with gateway(tmp_path) as process:
-            await rested(process, 3)
-            client = Customer(process.port)
+            await open_idle_connections(process, 3)
+            client = BlockingClient(process.port)
             client.send(call(number=1))
             await process.backend.command()
             with stopped(process):
                 client.send(call(number=2) + call("charge", 3, body=b"B"))
                 client.leave("end")
-            assert await ended(process) == 0
+            assert await stop(process) == 0
 
     run(test)
 
@@ -181,11 +185,11 @@
         with busy_listener() as full:
             full.setblocking(False)
             async with gateway(tmp_path, 0, (full.getsockname()[1],)) as process:
-                client = Customer(process.port)
+                client = BlockingClient(process.port)
                 client.send(call("charge", body=b"B"))
-                await connecting(process, full.getsockname()[1])
+                await wait_for_connect(process, full.getsockname()[1])
                 with stopped(process):
-                    taken = await accepted(full, process)
+                    taken = await accept_connection(full, process)
                     client.leave(how)
                 assert await soon(loop.sock_recv(taken, 1 << 16)) == b""
                 taken.close()
@@ -193,22 +197,22 @@
     run(test)
 
 
-def sockets_of(process: Process, port: int) -> list[str]:
-    """Local addresses, in hexadecimal, of connections from here to the port in the kernel's table."""
+def local_addresses(process: Process, port: int) -> list[str]:
+    """Returns the local addresses, in hexadecimal, of the process's connections to a port."""
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     own = {os.readlink(path) for path in Path(f"/proc/{process.process.pid}/fd").iterdir()}
     return [row[1] for row in rows if row[2].endswith(f":{port:04X}") and f"socket:[{row[9]}]" in own]
 
 
-async def connecting(process: Process, port: int) -> None:
-    while not sockets_of(process, port):
+async def wait_for_connect(process: Process, port: int) -> None:
+    while not local_addresses(process, port):
         await asyncio.sleep(0.001)
 
 
-async def accepted(full: socket.socket, process: Process) -> socket.socket:
-    """The gateway's connection, out of a queue that was full of others."""
+async def accept_connection(full: socket.socket, process: Process) -> socket.socket:
+    """Returns the gateway's connection from an accept queue that was full of others."""
     loop, port = asyncio.get_running_loop(), full.getsockname()[1]
-    (wanted,) = sockets_of(process, port)
+    (wanted,) = local_addresses(process, port)
     while True:
         taken, (_, theirs) = await soon(loop.sock_accept(full))
         if wanted.endswith(f":{theirs:04X}"):
@@ -225,14 +229,14 @@
 
     async def test() -> None:
         async with gateway(tmp_path, 2) as process:
-            client = Customer(process.port)
+            client = BlockingClient(process.port)
             client.send(b"".join(call(number=n) for n in range(2 * PIPELINE)))
             firsts = [(await process.backend.command())[0] for _ in range(PIPELINE)]
             with stopped(process):
                 client.leave(how)
                 for first in firsts:
-                    at_once(first, ANSWERS["refused"])
-            assert await ended(process) == 0
+                    write_to_socket(first, ANSWERS["refused"])
+            assert await stop(process) == 0
 
     run(test)
 
@@ -245,31 +249,43 @@
 
     async def test() -> None:
         async with gateway(tmp_path) as process:
-            client = Customer(process.port)
+            client = BlockingClient(process.port)
             client.send(b"".join(call(number=n) for n in range(2 * PIPELINE)))
             firsts = [(await process.backend.command())[0] for _ in range(PIPELINE)]
             with stopped(process):
                 client.leave(how)
                 for first in firsts:
-                    at_once(first, served(b"v"))
-            assert await ended(process) == 0
+                    write_to_socket(first, served(b"v"))
+            assert await stop(process) == 0
 
     run(test)
 
 
-def asked(home: socket.socket, customer: int) -> tuple[QuotaMessage, Any]:
-    """The next ask that comes to the customer's home, and where from."""
+def next_quota_request(owner: socket.socket, customer: int) -> tuple[QuotaMessage, Any]:
+    """Returns the next quota request of a tenant that reaches its owner, and the sender's address."""
     while True:
-        data, address = home.recvfrom(MAX_MESSAGE_BYTES)
-        draw = unpack_quota_message(data)
-        if draw is not None and draw.kind == QuotaMessageKind.REQUEST and draw.tenant == customer:
-            return draw, address
-
-
-def grant(home: socket.socket, draw: QuotaMessage, address: Any) -> None:
-    home.sendto(
+        data, address = owner.recvfrom(MAX_MESSAGE_BYTES)
+        quota_request = unpack_quota_message(data)
+        if (
+            quota_request is not None
+            and quota_request.kind == QuotaMessageKind.REQUEST
+            and quota_request.tenant == customer
+        ):
+            return quota_request, address
+
+
+def grant(owner: socket.socket, quota_request: QuotaMessage, address: Any) -> None:
+    owner.sendto(
         pack_quota_message(
-            QuotaMessage(QuotaMessageKind.GRANT, draw.tenant, draw.plan, 100.0, draw.query, 10, in_flight=1)
+            QuotaMessage(
+                QuotaMessageKind.GRANT,
+                quota_request.tenant,
+                quota_request.plan,
+                100.0,
+                quota_request.query,
+                10,
+                in_flight=1,
+            )
         ),
         address,
     )
@@ -284,34 +300,34 @@
     """
 
     async def test() -> None:
-        own, home = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
-        for end in (own, home):
+        own, owner = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+        for end in (own, owner):
             end.settimeout(WAIT)
             end.bind((LOCAL, 0))
-        ports = ["{}:{}".format(*end.getsockname()) for end in (own, home)]
+        ports = ["{}:{}".format(*end.getsockname()) for end in (own, owner)]
         own.close()
         plan = plan_settings("team", 1000.0, 1000.0) | {"parallel": 8}
         async with gateway(
             tmp_path, keys={"peer_listen": ports[0], "peers": ports}, packages=[plan]
         ) as process:
-            await rested(process, 1, b"%016x" % HERE)
-            client = Customer(process.port)
-            client.send(call(customer=b"%016x" % ELSEWHERE))
-            draw, address = asked(home, ELSEWHERE)
+            await open_idle_connections(process, 1, b"%016x" % OWN_TENANT)
+            client = BlockingClient(process.port)
+            client.send(call(customer=b"%016x" % OTHER_TENANT))
+            quota_request, address = next_quota_request(owner, OTHER_TENANT)
             with stopped(process):
                 if granted:
-                    grant(home, draw, address)
+                    grant(owner, quota_request, address)
                 client.leave(how)
                 if not granted:
-                    time.sleep(WAITED)
-            assert await ended(process) == 0
-        home.close()
+                    time.sleep(OWNER_TIMEOUT_S)
+            assert await stop(process) == 0
+        owner.close()
 
     run(test)
 
 
-async def heard_counter(process: Process) -> None:
-    """The gateway has had word from its counter, and a connection to a backend is at rest."""
+async def wait_for_counter(process: Process) -> None:
+    """Waits until the gateway has had an answer of its counter, and a connection to a backend is idle."""
     client, number = Connection(*await soon(asyncio.open_connection(LOCAL, process.port))), 1000
     while True:
         number += 1
@@ -336,20 +352,20 @@
         server = CounterServer([Shard(0)], 2)
         await server.start()
         own = f'[counter]\nservers = ["{server.server_texts(0)[0]}"]\npartitions = 1\n'
-        plan = plan_settings("team", 10.0, 2.0)  # none of it is kept here before a word comes
+        plan = plan_settings("team", 10.0, 2.0)  # none of it is kept here before the counter answers
         async with gateway(tmp_path, operator=own, packages=[plan]) as process:
-            await heard_counter(process)
-            (shard,), asked_of = server.shards, key_of("ts", 0, ELSEWHERE)
+            await wait_for_counter(process)
+            (shard,), counter_key = server.shards, key_of("ts", 0, OTHER_TENANT)
             execute = shard.execute
 
             def held(gateway: int, words: tuple[bytes, ...], now: int, asking: bool = False) -> Any:
-                if asked_of in words:
-                    server.delay_s = HELD
+                if counter_key in words:
+                    server.delay_s = HELD_ANSWER_S
                 return execute(gateway, words, now, asking)
 
             shard.execute = held  # type: ignore[method-assign]
-            client = Customer(process.port)
-            client.send(call(customer=b"%016x" % ELSEWHERE))
+            client = BlockingClient(process.port)
+            client.send(call(customer=b"%016x" % OTHER_TENANT))
             while not (asking := [line for line in server.connections if line._delayed]):
                 await asyncio.sleep(0)
             with stopped(process):
@@ -357,7 +373,7 @@
                 descriptor = transport.get_extra_info("socket").fileno()
                 os.write(descriptor, b"".join(asking[0]._delayed))
                 client.leave(how)
-            assert await ended(process) == 0
+            assert await stop(process) == 0
         server.close()
 
     run(test)
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -1,4 +1,4 @@
-"""The gateway as its clients see it, over loopback sockets."""
+"""Tests the gateway with clients and backends on loopback sockets."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Script:
-    """Stands in for the module: does for each arrival what the test says, and notes every event."""
+    """Replaces the decision module: returns the test's actions for each arrival, and records every event."""
 
     def __init__(self, *plans: Any) -> None:
         self.plans, self.events = list(plans), list[Event]()
@@ -61,8 +61,8 @@
     return made
 
 
-def let_time_pass(w: World, s: Script) -> None:
-    """As if the latest request's time were over, however fast the machine is."""
+def expire_latest_request(w: World, s: Script) -> None:
+    """Ends the time of the latest request, independent of the machine's speed."""
     w.node.now.base_ns += 60 * SECOND
     w.node.deadline_reached(s.of(RequestArrived)[-1].request)
     w.node.now.base_ns -= 60 * SECOND
@@ -157,7 +157,7 @@
                     await until(lambda: not module.requests.open_requests)
                     ending = served(b"for nobody")
                 if ending == b"-BUSY\r\n":
-                    # Never ran, so it is tried again; there is but one backend to do so.
+                    # The attempt never ran, so it is retried, at the only backend.
                     connection.send(ending)
                     connection, _ = await w.backend.command()
                     assert module.requests.in_flight == 1
@@ -171,7 +171,7 @@
                 )
                 assert all(s.in_flight == 0 for s in module.load_balancer.backends.values())
                 for server in module.load_balancer.backends.values():
-                    server.ejected_until_ns = 0  # symptoms would have it rest
+                    server.ejected_until_ns = 0  # its failures would eject it
             await until(lambda: backends.open_connections == 0)
             assert all(a.in_flight == 0 for a in module.quota.accounts.values())
 
@@ -190,7 +190,7 @@
             by_id[b"%016x" % 2].send(served(b"two"))
             await until(
                 lambda: w.node.backends.idle_connections() == 1
-            )  # the second's answer has been taken in
+            )  # the second answer was read
             by_id[b"%016x" % 1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", b"two", b"PONG"]
 
@@ -204,7 +204,7 @@
             client = await w.client()
             client.send(call(wait_ms=60))
             assert str(await client.next()).startswith("ERR")
-            assert len(s.of(ClientDisconnected)) == 1  # the module need not care for it any longer
+            assert len(s.of(ClientDisconnected)) == 1  # so the decision module forgets the request
 
     run(test)
 
@@ -217,7 +217,7 @@
             s = script(w, lambda a: [StartAttempt(a.request, backend, 0)], lambda a: [Fail(a.request)])
             client.send(call())
             connection, _ = await w.backend.command()
-            let_time_pass(w, s)
+            expire_latest_request(w, s)
             assert str(await client.next()).startswith("ERR")
             outcomes = [e.outcome for e in s.of(AttemptEnded)]
             assert outcomes == [Outcome.TIMEOUT]
@@ -255,7 +255,7 @@
             assert str(await client.next()) == "ERR failed"
             client.send(call(number=2))
             _, words = await w.backend.command()
-            assert words[2] == b"%016x" % 2  # the first was never written
+            assert words[2] == b"%016x" % 2  # the attempt of the first was never written
             assert not s.of(ClientDisconnected)
 
     run(test)
@@ -313,7 +313,7 @@
             assert not s.of(AttemptEnded)
             timer = w.node.requests[s.of(RequestArrived)[0].request].timer
             assert timer is not None and not timer.cancelled()
-            let_time_pass(w, s)
+            expire_latest_request(w, s)
             (ended,) = s.of(AttemptEnded)
             assert (ended.outcome, ended.request_finished) == (Outcome.TIMEOUT, True)
             await until(lambda: w.backend.ended == 1)
--- a/tests/fronts/test_endings_clients.py
+++ b/tests/fronts/test_endings_clients.py
@@ -1,6 +1,7 @@
-"""What ends with a client: whatever of its requests still waits is never sent on, wherever it waits.
+"""Tests that a waiting request is never sent on after its client has left, wherever it waits.
 
-Each test brings the bad order about over sockets, by events alone."""
+Each test causes the critical order of events over sockets, without relying on time.
+"""
 
 from __future__ import annotations
 
@@ -29,8 +30,8 @@
     client.writer.close()
 
 
-async def moved(w: World, port: int) -> int:
-    """The one backend is at another address now; its number."""
+async def move_backend(w: World, port: int) -> int:
+    """Moves the only backend to another address; returns its number."""
     pools, backend = w.node.backends, only_backend(w)
     before = pools._pools[backend]
     w.agent.tell(listing(2, host("s-1", port)))
@@ -43,14 +44,14 @@
     async def test() -> None:
         with busy_listener() as full:
             async with world() as w:
-                backend = await moved(w, full.getsockname()[1])
+                backend = await move_backend(w, full.getsockname()[1])
                 s = script(w, lambda a: [StartAttempt(a.request, backend, 0)])
                 client = await w.client()
                 client.send(call("charge", body=b"B"))
                 await until(lambda: w.node.backends.open_connections == 1)
                 leave(client, how)
                 await until(lambda: bool(s.of(ClientDisconnected)))
-                # The backend takes connections now: the gateway's comes up, if it still wants it.
+                # The backend accepts connections now: the gateway's is established if it is still wanted.
                 loop = asyncio.get_running_loop()
                 full.setblocking(False)
                 came: list[bytes] = []
@@ -77,10 +78,10 @@
     async def test() -> None:
         with socket.create_server((LOCAL, 0)) as server:
             async with world() as w:
-                backend = await moved(w, server.getsockname()[1])
+                backend = await move_backend(w, server.getsockname()[1])
                 s = script(w, lambda a: [StartAttempt(a.request, backend, 0)])
                 client = await w.client()
-                body = b"x" * (4 << 20)  # over what both sockets hold: some of it stays behind
+                body = b"x" * (4 << 20)  # more than both sockets hold: some of it stays behind
                 server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 client.send(call("charge", body=body))
                 server.setblocking(False)
@@ -107,16 +108,16 @@
     run(test)
 
 
-MOST = DEFAULTS.clients.pipeline
+PIPELINE = DEFAULTS.clients.pipeline
 
 
-async def held_back(w: World) -> tuple[Script, Connection]:
-    """A client with as many commands open as are worked on at once, which no time ends, and as many held."""
-    s = script(w, *[lambda a: []] * (2 * MOST))
+async def client_with_held_commands(w: World) -> tuple[Script, Connection]:
+    """Opens a client with a full pipeline of commands, which never time out, and as many held back."""
+    s = script(w, *[lambda a: []] * (2 * PIPELINE))
     w.node.deadline_reached = lambda number: None  # type: ignore[method-assign]
     client = await w.client()
-    client.send(b"".join(call(number=n) for n in range(2 * MOST)))
-    await until(lambda: len(w.node.requests) == MOST and w.node.clients.unprocessed_bytes > 0)
+    client.send(b"".join(call(number=n) for n in range(2 * PIPELINE)))
+    await until(lambda: len(w.node.requests) == PIPELINE and w.node.clients.unprocessed_bytes > 0)
     return s, client
 
 
@@ -128,9 +129,9 @@
 
     async def test() -> None:
         async with world() as w:
-            s, client = await held_back(w)
+            s, client = await client_with_held_commands(w)
             leave(client, how)
-            await until(lambda: len(s.of(ClientDisconnected)) == MOST)
+            await until(lambda: len(s.of(ClientDisconnected)) == PIPELINE)
             assert not w.node.requests and not w.node.clients.count() and not w.node.clients.unprocessed_bytes
 
     run(test)
@@ -148,7 +149,7 @@
 
     async def test() -> None:
         async with world() as w:
-            s, client = await held_back(w)
+            s, client = await client_with_held_commands(w)
             (server,) = w.node.clients._active
             leave(client, how)
             left = select.poll()
@@ -157,27 +158,30 @@
             await until(lambda: bool(left.poll(0)))
             w.node.execute(Fail(min(w.node.requests)))
             await until(lambda: not w.node.clients.count())
-            assert len(s.of(RequestArrived)) == MOST and not w.node.requests and not w.node.clients.unprocessed_bytes
+            assert len(s.of(RequestArrived)) == PIPELINE
+            assert not w.node.requests and not w.node.clients.unprocessed_bytes
 
     run(test)
 
 
-def server_of(w: World) -> tuple[Any, asyncio.Transport]:
-    """The gateway's side of its only client."""
+def server_side(w: World) -> tuple[Any, asyncio.Transport]:
+    """Returns the gateway's side of its only client connection."""
     (server,) = [*w.node.clients._active, *w.node.clients._unused]
     return server, cast(asyncio.Transport, server._transport)
 
 
-async def unread(w: World) -> Connection:
-    """A client that is owed nothing but has not read its answers: some lie in the gateway's own buffer, and
-    too few of them for the gateway to hold back what it reads."""
+async def client_with_unread_answers(w: World) -> Connection:
+    """Opens a client whose requests are all answered, but which has not read its answers.
+
+    Some of them are in the gateway's own buffer, too few for the gateway to stop reading.
+    """
     script(w, *[lambda a: []] * 200)
     client = await w.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     number = 0
     while not w.node.clients.count():
         await asyncio.sleep(0)
-    server, transport = server_of(w)
+    server, transport = server_side(w)
     while not transport.get_write_buffer_size():
         client.send(call(number=number))
         await until(lambda: len(server.slots) == 1)
@@ -199,12 +203,12 @@
 
     async def test() -> None:
         async with world() as w:
-            client = await unread(w)
+            client = await client_with_unread_answers(w)
             w.node.clients.max_connections = 1
             newcomer = await w.client()
             assert await newcomer.next() is None
             assert w.node.clients.count() == 1
-            _, transport = server_of(w)
+            _, transport = server_side(w)
             assert not transport.is_closing()
             client.abort()
 
@@ -220,8 +224,8 @@
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(idle_s=0.05, unread_s=0.05))) as w:
-            client = await unread(w)
-            _, transport = server_of(w)
+            client = await client_with_unread_answers(w)
+            _, transport = server_side(w)
             await until(transport.is_closing)
             await until(lambda: w.node.clients.count() == 0)
             client.abort()
@@ -234,14 +238,14 @@
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(unread_s=3600.0))) as w:
-            client = await unread(w)
+            client = await client_with_unread_answers(w)
             s = script(w, lambda a: [])
             w.node.deadline_reached = lambda number: None  # type: ignore[method-assign]
             client.send(call(number=999))
             await until(lambda: len(s.of(RequestArrived)) == 1)
             client.writer.write_eof()
             await until(lambda: len(s.of(ClientDisconnected)) == 1)
-            _, transport = server_of(w)
+            _, transport = server_side(w)
             assert transport.get_write_buffer_size() and not w.node.requests
             client.abort()
 
@@ -259,12 +263,12 @@
             first, second = await w.client(), await w.client()
             first.send(call("charge", 1, body=b"x" * 1_500_000))
             await until(lambda: len(s.of(RequestArrived)) == 1)
-            # The rest is still at the client: an end behind more than is read could not be seen.
+            # The rest is still at the client: an end behind unread input could not be seen.
             second.send(call("charge", 2, body=b"y" * 1_500_000)[:200_000])
             await until(lambda: any(c.is_body_paused for c in w.node.clients._unused))
             leave(second, how)
             await until(lambda: w.node.clients.count() == 1)
-            w.node.execute(Fail(min(w.node.requests)))  # room for all of the second's body
+            w.node.execute(Fail(min(w.node.requests)))  # makes memory for the whole second body
             assert str(await first.next()) == "ERR failed"
             assert len(s.of(RequestArrived)) == 1 and w.node.clients.bodies.used_bytes == 0
 
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -1,5 +1,7 @@
-"""Long values on loopback: passed on as they come, at the slower peer's pace, and never as whole when they
-are not."""
+"""Tests that long values are forwarded while they arrive, at the pace of the slower side.
+
+A value that is incomplete must never look complete to the client.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +28,8 @@
     return b"*3\r\n$%d\r\n" % size
 
 
-async def raw(w: World, size: int = 0) -> socket.socket:
-    """A client that takes nothing by itself; `size`: of its receive buffer."""
+async def connect_raw(w: World, size: int = 0) -> socket.socket:
+    """Connects a client that reads only on request; `size` is that of its receive buffer."""
     made = socket.socket()
     if size:
         made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
@@ -36,7 +38,7 @@
     return made
 
 
-async def exactly(client: socket.socket, size: int) -> bytes:
+async def read_exactly(client: socket.socket, size: int) -> bytes:
     loop, parts = asyncio.get_running_loop(), []
     while size:
         data = await soon(loop.sock_recv(client, min(size, 1 << 16)))
@@ -52,7 +54,7 @@
     async def test() -> None:
         async with world() as w:
             client = await w.client()
-            for number in (1, 2):  # the connections serve on behind it
+            for number in (1, 2):  # the connections can be used again after the value
                 client.send(call(number=number))
                 connection, _ = await w.backend.command()
                 whole = served(VALUE[:size])
@@ -60,7 +62,7 @@
                     connection.send(whole[at : at + piece])
                     await connection.writer.drain()
                 assert await client.next() == VALUE[:size]
-                await asyncio.sleep(0.02)  # it rests a moment before it is used again
+                await asyncio.sleep(0.02)  # a connection is not reused at once
             assert len(w.backend.connections) == 1
 
     run(test)
@@ -71,14 +73,14 @@
 
     async def test() -> None:
         async with world() as w:
-            client = await raw(w)
+            client = await connect_raw(w)
             await asyncio.get_running_loop().sock_sendall(client, call(number=1, wait_ms=300))
             connection, _ = await w.backend.command()
             connection.send(head(100_000) + VALUE[:10])
-            assert await exactly(client, 19) == b"$100000\r\n" + VALUE[:10]
-            await asyncio.sleep(0.8)  # over the client's time, and over what a short answer may take
+            assert await read_exactly(client, 19) == b"$100000\r\n" + VALUE[:10]
+            await asyncio.sleep(0.8)  # over the client's deadline and the timeout of a short answer
             connection.send(VALUE[10:100_000] + TAIL)
-            assert await exactly(client, 99_992) == VALUE[10:100_000] + b"\r\n"
+            assert await read_exactly(client, 99_992) == VALUE[10:100_000] + b"\r\n"
             assert w.node.figures.lines(0, 0, 0).startswith("router.served.look up=1\n")
             client.close()
 
@@ -90,7 +92,7 @@
 
     async def test() -> None:
         async with world() as w:
-            client = await raw(w, 4096)
+            client = await connect_raw(w, 4096)
             await asyncio.get_running_loop().sock_sendall(client, call(number=1) + call(number=2))
             held_at: dict[int, Connection] = {}
             for _ in range(2):
@@ -104,7 +106,7 @@
                 return [held_at[n].writer.transport.get_write_buffer_size() for n in (1, 2)]
 
             before: list[int] = []
-            while before != unsent():  # until nothing moves any more
+            while before != unsent():  # until no more bytes are sent
                 before = unsent()
                 await asyncio.sleep(0.2)
             (held,) = w.node.clients._active
@@ -114,16 +116,16 @@
                 held._transport.get_write_buffer_size() + waiting
                 <= 4 * w.node.backends.context.receive_buffer_bytes
             )
-            assert sum(before) > 0  # the rest waits where it is
+            assert sum(before) > 0  # the rest stays at the backend
             whole = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
-            assert await exactly(client, 2 * len(whole)) == 2 * whole
+            assert await read_exactly(client, 2 * len(whole)) == 2 * whole
             client.close()
 
     run(test)
 
 
-class Paced:
-    """A long value's source that notes what it is told."""
+class RecordingSource:
+    """The source of a long value; records whether it is paused."""
 
     def __init__(self) -> None:
         self.paused = False
@@ -146,7 +148,7 @@
             client.send(call(number=1))
             await w.backend.command()
             (held,) = w.node.clients._active
-            slot, source, now = held.slots[0], Paced(), w.node.clients.time
+            slot, source, now = held.slots[0], RecordingSource(), w.node.clients.time
             asked = next(iter(w.node.requests.values())).call
             slot.begin_value(asked, 100_000, source)
             held.pause_writing()
@@ -167,11 +169,11 @@
 
     async def test() -> None:
         async with world() as w:
-            client = await raw(w)
+            client = await connect_raw(w)
             await asyncio.get_running_loop().sock_sendall(client, call(number=1))
             connection, _ = await w.backend.command()
             connection.send(head(100_000) + VALUE[:50_000])
-            await exactly(client, 50_009)
+            await read_exactly(client, 50_009)
             if what == "reset":
                 connection.abort()
             else:
@@ -182,7 +184,7 @@
                     rest += data
             except ConnectionError:
                 pass
-            assert len(rest) <= 50_000  # short of its last two bytes: the client can tell
+            assert len(rest) <= 50_000  # without its last two bytes: the client sees that it is incomplete
             assert w.backend.commands.empty() and not w.node.requests
             assert "router.failed.look up=1\n" in w.node.figures.lines(0, 0, 0)
             client.close()
@@ -190,18 +192,18 @@
     run(test)
 
 
-@pytest.mark.parametrize("deaf", [False, True])
-def test_no_retry_after_an_answer_has_begun(deaf: bool) -> None:
+@pytest.mark.parametrize("misses_beginning", [False, True])
+def test_no_retry_after_an_answer_has_begun(misses_beginning: bool) -> None:
     """`misses_beginning` plants the fault: a decision module that is not notified of the beginning retries.
     """
     module, now = Broker(settings(max_attempts=4), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
-    if not deaf:
+    if not misses_beginning:
         module.handle(now, ResponseStarted(1, 5 * MS, 0, sent.backend))
     end = AttemptEnded(1, False, 0, sent.backend, 0, Outcome.RESET, 900 * MS, 0, ())
     after = module.handle(now + 900 * MS, end)
-    assert any(isinstance(action, StartAttempt) for action in after) is deaf
+    assert any(isinstance(action, StartAttempt) for action in after) is misses_beginning
 
 
 def test_model_uses_the_first_byte_of_a_long_value() -> None:
@@ -244,13 +246,12 @@
             for _ in range(3):
                 connection, words = await w.backend.command()
                 held[int(words[2], 16)] = connection
-            held[2].send(served(VALUE[:500_000]))  # has to wait for the first: not in the gateway's memory
+            held[2].send(served(VALUE[:500_000]))  # waits for the first, not in the gateway
             held[3].send(served(b"three"))
             await asyncio.sleep(0.1)
             held[1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", VALUE[:500_000], b"three"]
-            # One that breaks before its turn has been seen by nobody: an error in its place, the rest goes
-            # on.
+            # A value that breaks off before its turn is replaced by an error, as none of it was sent.
             client.send(call(number=4) + call(number=5))
             for _ in range(2):
                 connection, words = await w.backend.command()
@@ -280,7 +281,7 @@
     run(test)
 
 
-def body(size: int) -> bytes:
+def command_with_body(size: int) -> bytes:
     return call("charge", 1, body=VALUE[:size])
 
 
@@ -289,7 +290,7 @@
 def test_bodies_are_forwarded_unchanged_and_kept_for_retries(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
-            client, command = await w.client(), body(size)
+            client, command = await w.client(), command_with_body(size)
             for at in range(0, len(command), piece):
                 client.send(command[at : at + piece])
                 await client.writer.drain()
@@ -320,7 +321,7 @@
             for number, client in enumerate(clients):
                 client.send(call("charge", number + 1, body=VALUE[:1_500_000]))
             peak = 0
-            for _ in clients:  # none waits for ever, though hardly one fits
+            for _ in clients:  # none waits forever, though hardly one fits
                 connection, words = await w.backend.command()
                 assert words[4] == VALUE[:1_500_000]
                 await asyncio.sleep(0.02)
@@ -358,13 +359,13 @@
     async def test() -> None:
         async with world() as w:
             client = await w.client()
-            client.send(body(MAX_LONG_VALUE_BYTES)[:300_000])
+            client.send(command_with_body(MAX_LONG_VALUE_BYTES)[:300_000])
             await until(lambda: w.node.clients.bodies.used_bytes > 200_000)
             client.abort()
             await until(lambda: w.node.clients.bodies.used_bytes == 0)
-            # One of a class that is not there is answered, and costs no room either.
+            # A body of an unknown class is answered, and uses no memory either.
             other = await w.client()
-            other.send(body(300_000).replace(b"c=charge", b"c=chargx"))
+            other.send(command_with_body(300_000).replace(b"c=charge", b"c=chargx"))
             assert "unknown class" in str(await other.next())
             assert w.node.clients.bodies.used_bytes == 0
 
--- a/tests/lists/__init__.py
+++ b/tests/lists/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `lists`."""
+"""Tests the package `lists`."""
--- a/tests/lists/test_discovery_polls.py
+++ b/tests/lists/test_discovery_polls.py
@@ -1,4 +1,4 @@
-"""When gateways call discovery: a line that serves one call after the other, in virtual time."""
+"""Tests when gateways call a discovery that answers one call after the other, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 )
 
 
-def listed(gateways: int, turn: float, seed: int, spread: bool, end: float = 30.0) -> list[float]:
-    """When each gateway had its list: calls wait in line, also those that their callers gave up."""
+def list_times(gateways: int, turn: float, seed: int, spread: bool, end: float = 30.0) -> list[float]:
+    """Returns when each gateway got its list; calls stay queued even after they timed out."""
     rng, line, had = random.Random(seed), 0.0, []
     calls = [PollTiming(gateways if spread else 1, rng, 10.0) for _ in range(gateways)]
-    due = [(turns.first_wait_s(), number) for number, turns in enumerate(calls)]
+    due = [(timing.first_wait_s(), number) for number, timing in enumerate(calls)]
     heapq.heapify(due)
     while due and due[0][0] < end:
         now, number = heapq.heappop(due)
@@ -42,26 +42,26 @@
     """With 40 gateways, calls that all came at once timed out and were repeated, and most gateways never got
     a list.
     """
-    assert len(listed(40, MAX_CALL_S, seed, spread=True)) == 40
-    assert len(listed(40, MAX_CALL_S, seed, spread=False)) < 20
+    assert len(list_times(40, MAX_CALL_S, seed, spread=True)) == 40
+    assert len(list_times(40, MAX_CALL_S, seed, spread=False)) < 20
 
 
 def test_small_fleet_calls_without_a_spread() -> None:
-    turns = PollTiming(4, random.Random(1), 10.0)
-    assert turns.first_wait_s() == 0.0
-    assert turns.next_wait_s(False) <= MIN_WAIT_S
-    assert max(turns.next_wait_s(False) for _ in range(20)) > 1.0
-    turns.reset()
-    assert turns.next_wait_s(False) <= MIN_WAIT_S
+    timing = PollTiming(4, random.Random(1), 10.0)
+    assert timing.first_wait_s() == 0.0
+    assert timing.next_wait_s(False) <= MIN_WAIT_S
+    assert max(timing.next_wait_s(False) for _ in range(20)) > 1.0
+    timing.reset()
+    assert timing.next_wait_s(False) <= MIN_WAIT_S
 
 
 def test_wait_ends_before_a_change_counts_as_notified() -> None:
     """A restarted gateway that waited 8 s before its first call broke the rule on drains."""
-    turns = PollTiming(10_000, random.Random(1), 10.0)
-    assert max(turns.next_wait_s(True) for _ in range(500)) <= MAX_SPREAD_S
-    turns.reset()
-    assert turns.next_wait_s(False) <= FIRST_SPREAD_S < 1.0
-    assert max(turns.first_wait_s() for _ in range(500)) <= FIRST_SPREAD_S
+    timing = PollTiming(10_000, random.Random(1), 10.0)
+    assert max(timing.next_wait_s(True) for _ in range(500)) <= MAX_SPREAD_S
+    timing.reset()
+    assert timing.next_wait_s(False) <= FIRST_SPREAD_S < 1.0
+    assert max(timing.first_wait_s() for _ in range(500)) <= FIRST_SPREAD_S
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 200])
@@ -69,8 +69,8 @@
 def test_next_watch_opens_within_a_drains_grace_time(gateways: int, grace: float) -> None:
     """Changes at an agent that pushes count as notified while no watch is open, however often watches broke.
     """
-    turns = PollTiming(gateways, random.Random(1), grace)
-    waits = [turns.next_wait_s(False) for _ in range(500)]
+    timing = PollTiming(gateways, random.Random(1), grace)
+    waits = [timing.next_wait_s(False) for _ in range(500)]
     assert MIN_WAIT_S / 2 <= max(waits) <= GRACE_FRACTION * grace
 
 
@@ -82,28 +82,31 @@
     """This holds for any end of the call before: the wait leaves a second for the call, and a silence is part
     of the wait.
     """
-    turns = PollTiming(gateways, random.Random(1), grace)
+    timing = PollTiming(gateways, random.Random(1), grace)
     for _ in range(500):
-        assert turns.next_wait_s(True) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
-        assert turns.next_wait_s(False) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
-        assert max(ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S) + turns.wait_after_silence_s() + MAX_ANSWER_S <= NOTIFIED_AFTER_S
+        assert timing.next_wait_s(True) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
+        assert timing.next_wait_s(False) + MAX_ANSWER_S <= NOTIFIED_AFTER_S
+        silence_s = max(ANSWER_TIMEOUT_S, SILENCE_TIMEOUT_S)
+        assert silence_s + timing.wait_after_silence_s() + MAX_ANSWER_S <= NOTIFIED_AFTER_S
 
 
-def returns(gateways: int, outage: float, seed: int) -> list[float]:
-    """When each gateway's call reached discovery, s after its return: all broke together, and were turned
-    away for as long as the outage lasted."""
+def calls_after_outage(gateways: int, outage: float, seed: int) -> list[float]:
+    """Returns when each gateway's call reached discovery, in s after an outage of `outage` s.
+
+    All watches broke together, and calls were rejected during the outage.
+    """
     rng, came = random.Random(seed), []
     for _ in range(gateways):
-        turns = PollTiming(gateways, rng, 1.0)
-        at = turns.first_wait_s()
+        timing = PollTiming(gateways, rng, 1.0)
+        at = timing.first_wait_s()
         while at < outage:
-            at += turns.next_wait_s(True)
+            at += timing.next_wait_s(True)
         came.append(at - outage)
     return came
 
 
-def busiest(came: list[float]) -> int:
-    """The most calls within one second."""
+def max_calls_per_s(came: list[float]) -> int:
+    """Returns the maximum of calls within one second."""
     return max(sum(begin <= at < begin + 1.0 for at in came) for begin in came)
 
 
@@ -111,6 +114,6 @@
 def test_calls_after_an_outage_are_spread(seed: int) -> None:
     """Each gateway calls once within the spread, and more evenly after a longer outage."""
 
-    assert max(returns(200, 10.0, seed)) <= MAX_SPREAD_S
-    assert busiest(returns(200, 10.0, seed)) <= 175
-    assert busiest(returns(200, 120.0, seed)) <= 100
+    assert max(calls_after_outage(200, 10.0, seed)) <= MAX_SPREAD_S
+    assert max_calls_per_s(calls_after_outage(200, 10.0, seed)) <= 175
+    assert max_calls_per_s(calls_after_outage(200, 120.0, seed)) <= 100
--- a/tests/lists/test_list_change_process.py
+++ b/tests/lists/test_list_change_process.py
@@ -1,5 +1,7 @@
-"""A change is acted on within 6 s of the moment at which discovery had it and could be reached, whatever
-became of the calls before: one process of a gateway in each case, at an agent of its own."""
+"""Tests that a change takes effect within 6 s after discovery has it and can be reached.
+
+This holds whatever became of the calls before. Each case has one gateway process and one agent.
+"""
 
 from __future__ import annotations
 
@@ -26,22 +28,24 @@
 pytestmark = pytest.mark.processes
 
 SECOND = 1_000_000_000
-TOLD = 6.0  # s after which a change counts as told
-ASKED = 0.02  # s between requests
-PATIENCE = 40.0  # s for a case to come to its drain: several calls that are turned away late
-MOST = 90.0  # s for a case in all: only a hang reaches it
-AFTER = 8.0  # s that requests go on after the drain began
+NOTIFIED_AFTER_S = 6.0  # after which a change counts as notified
+REQUEST_INTERVAL_S = 0.02
+DRAIN_TIMEOUT_S = 40.0  # for a case to reach its drain, over several calls that are rejected late
+CASE_TIMEOUT_S = 90.0  # of a whole case: only a hang reaches it
+OBSERVED_S = 8.0  # for which requests continue after the drain began
 GATEWAYS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What becomes of the calls of one gateway: so many of each kind; discovery is reached again, and has a
-    drain, in the moment in which the last of them has come to its trouble."""
+    """The faults of one gateway's calls, with the number of calls for each.
+
+    Discovery can be reached again, and has a drain, as soon as the last of the calls has met its fault.
+    """
 
     name: str
-    troubles: tuple[tuple[AgentFault, int], ...]
-    grace: int = SECOND  # ns of a drain
+    faults: tuple[tuple[AgentFault, int], ...]
+    grace: int = SECOND  # grace time of a drain, in ns
     gateways: int = GATEWAYS
 
 
@@ -50,7 +54,7 @@
     Case("reset, long grace", ((AgentFault.RESET, 8),), 10 * SECOND),
     Case("ended", ((AgentFault.EMPTY_ANSWER, 8),)),
     Case("ended, long grace", ((AgentFault.EMPTY_ANSWER, 8),), 10 * SECOND),
-    # The wait is drawn: more than one, so that one that is too long shows.
+    # The wait is random: several cases, so that one that is too long shows.
     *(Case(f"error {number}", ((AgentFault.ERROR, 2),)) for number in range(5)),
     *(Case(f"kept waiting {number}", ((AgentFault.CLOSED_LATE, 2),)) for number in range(5)),
     Case("error, few gateways", ((AgentFault.ERROR, 8),), 10 * SECOND, 4),
@@ -61,16 +65,16 @@
 
 
 class Stage:
-    """One gateway with one backend, an agent, and a client that asks again and again."""
+    """Holds one gateway with one backend, an agent, and a client that sends requests all the time."""
 
     def __init__(
         self, gateway: GatewayProcess, agent: DiscoveryAgent, listed: BackendList, backend: Address
     ) -> None:
         self.gateway, self.agent = gateway, agent
-        self.begun = 0  # ns of the monotonic clock at which the drain began
-        self.sent: list[int] = []  # of the same, at which each request came to the backend
+        self.begun = 0  # when the drain began, in ns of the monotonic clock
+        self.sent: list[int] = []  # when each request reached the backend, in the same unit
         self.drained = asyncio.Event()
-        self.back: asyncio.Task[None] | None = None  # has discovery return
+        self.back: asyncio.Task[None] | None = None  # ends the outage of discovery
         self._listed, self._backend = listed, backend
         self.tell("in_service")
 
@@ -78,13 +82,13 @@
         self._listed.put(ListedBackend("s-1", (self._backend,), "a", "m1", 0, health, 0))
 
     def drain(self) -> None:
-        """Discovery can be reached, and has a drain."""
+        """Ends the fault of discovery, and adds a drain to its list."""
         self.agent.fault, self.begun = None, time.monotonic_ns()
         self.tell("terminating")
         self.drained.set()
 
     def last(self) -> float:
-        """s after the drain's beginning at which the last request came to the backend."""
+        """Returns when the last request reached the backend, in s after the drain began."""
         assert self.sent and self.sent[-1] >= self.begun - SECOND, "nothing was sent before the drain"
         return (self.sent[-1] - self.begun) / SECOND
 
@@ -96,19 +100,19 @@
         connection.send(served(b"v"))
 
 
-async def ask(gateway: Address) -> None:
-    """Until the gateway has ended."""
+async def send_requests(gateway: Address) -> None:
+    """Sends requests until the gateway has ended."""
     client, number = Connection(*await asyncio.open_connection(*gateway)), 0
     answer: Any = b""
     while answer is not None:
         number += 1
         client.send(call(number=number))
         answer = await client.next()
-        await asyncio.sleep(ASKED)
+        await asyncio.sleep(REQUEST_INTERVAL_S)
 
 
-async def staged(trouble: Callable[[Stage], object], grace: int, gateways: int) -> float:
-    """Plays a case; s from the drain's beginning to the last request that came to the backend."""
+async def run_case(cause_fault: Callable[[Stage], object], grace: int, gateways: int) -> float:
+    """Runs a case; returns when the last request reached the backend, in s after the drain began."""
     listed, ports, backend = BackendList(), Ports(), Backend()
     agent = DiscoveryAgent(listed, 0, Ledger())
     await agent.start()
@@ -121,16 +125,16 @@
             gateway = GatewayProcess("n0", at, config, Path(folder), Ledger())
             stage = Stage(gateway, agent, listed, ("127.0.0.1", backend.port))
             await gateway.start()
-            tasks = [asyncio.create_task(serve(stage, backend)), asyncio.create_task(ask(at))]
+            tasks = [asyncio.create_task(serve(stage, backend)), asyncio.create_task(send_requests(at))]
             try:
                 await asyncio.sleep(0.5)
-                trouble(stage)
-                async with asyncio.timeout(PATIENCE):
+                cause_fault(stage)
+                async with asyncio.timeout(DRAIN_TIMEOUT_S):
                     await stage.drained.wait()
-                await asyncio.sleep(AFTER)
+                await asyncio.sleep(OBSERVED_S)
                 return stage.last()
             finally:
-                # First the process: a client that waits for its answer with a limit may miss its cancelling.
+                # The process ends first: a client that waits with a timeout may miss its cancellation.
                 await gateway.kill()
                 for task in tasks:
                     task.cancel()
@@ -139,13 +143,13 @@
                 ports.close()
 
 
-def in_turn(case: Case) -> Callable[[Stage], None]:
-    """Each call comes to its trouble, and the drain begins with the last of them."""
+def faults_in_order(case: Case) -> Callable[[Stage], None]:
+    """Returns a function that gives each call its fault, and begins the drain at the last one."""
 
     def begin(stage: Stage) -> None:
-        left = [trouble for trouble, count in case.troubles for _ in range(count)]
+        left = [fault for fault, count in case.faults for _ in range(count)]
 
-        def troubled() -> None:
+        def fault_met() -> None:
             left.pop(0)
             if left:
                 stage.agent.fault = left[0]
@@ -153,7 +157,7 @@
                 stage.agent.on_fault = lambda: None
                 stage.drain()
 
-        stage.agent.fault, stage.agent.on_fault = left[0], troubled
+        stage.agent.fault, stage.agent.on_fault = left[0], fault_met
         stage.agent.abort_watches()
 
     return begin
@@ -165,7 +169,7 @@
 
 
 def refused(stage: Stage) -> None:
-    """Long enough for the waits between calls to be at their longest."""
+    """Refuses connections for long enough that the waits between calls reach their maximum."""
     stage.agent.stop_listening()
     stage.agent.abort_watches()
     stage.back = asyncio.create_task(again(stage, 5.0))
@@ -197,13 +201,13 @@
 
 
 @cache
-def measured() -> dict[str, float | BaseException]:
-    """All cases, side by side: each is little work and much waiting."""
-    plays = {case.name: (in_turn(case), case.grace, case.gateways) for case in CASES}
-    plays |= {name: (trouble, SECOND, GATEWAYS) for name, trouble in OTHERS.items()}
+def results() -> dict[str, float | BaseException]:
+    """Returns the results of all cases, which run concurrently as they mostly wait."""
+    plays = {case.name: (faults_in_order(case), case.grace, case.gateways) for case in CASES}
+    plays |= {name: (cause_fault, SECOND, GATEWAYS) for name, cause_fault in OTHERS.items()}
 
     async def play() -> dict[str, float | BaseException]:
-        cases = (asyncio.wait_for(staged(*how), MOST) for how in plays.values())
+        cases = (asyncio.wait_for(run_case(*how), CASE_TIMEOUT_S) for how in plays.values())
         made = await asyncio.gather(*cases, return_exceptions=True)
         return dict(zip(plays, made, strict=True))
 
@@ -212,8 +216,8 @@
 
 @pytest.mark.parametrize("name", [*(case.name for case in CASES), *OTHERS])
 def test_drain_takes_effect_within_6_s(name: str) -> None:
-    took = measured()[name]
+    took = results()[name]
     if isinstance(took, BaseException):
         raise took
     print(f"{name}: the last request was sent {took:.2f} s after the drain began")
-    assert took <= TOLD
+    assert took <= NOTIFIED_AFTER_S
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -1,4 +1,4 @@
-"""Discovery's watch, the mapping of its entries, and messages between gateways, over loopback sockets."""
+"""Tests the watch of discovery, the mapping of its entries, and messages between gateways, over sockets."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Follower:
-    """Notes what a watch brings."""
+    """Records the updates of a watch."""
 
     def __init__(self, agent: Agent, index: int | None) -> None:
         self.updates: asyncio.Queue[ListUpdate] = asyncio.Queue()
@@ -69,7 +69,6 @@
 
 
 def test_backend_number_depends_on_the_name_alone() -> None:
-    # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
     """The expected number is fixed, so that a changed mapping shows: gateways of two versions may run
     together.
     """
@@ -156,25 +155,25 @@
     waits: list[float] = []
     again = PollTiming.next_wait_s
 
-    def noted(turns: PollTiming, turned_away: bool) -> float:
-        waits.append(again(turns, turned_away))
+    def recorded(timing: PollTiming, was_rejected: bool) -> float:
+        waits.append(again(timing, was_rejected))
         return waits[-1] if len(waits) <= 3 else 0.0
 
-    monkeypatch.setattr(PollTiming, "next_wait_s", noted)
+    monkeypatch.setattr(PollTiming, "next_wait_s", recorded)
 
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
-            told: asyncio.Queue[ListUpdate] = asyncio.Queue()
-            watch = Discovery((LOCAL, agent.port), ZONES, KINDS, 7, told.put_nowait, 200, 1.0)
+            received: asyncio.Queue[ListUpdate] = asyncio.Queue()
+            watch = Discovery((LOCAL, agent.port), ZONES, KINDS, 7, received.put_nowait, 200, 1.0)
             watch.start()
             for _ in range(3):
                 await soon(agent.asked.get())
-                agent.hang_up()  # as a rule before any line
+                agent.hang_up()  # usually before any line
             await soon(agent.asked.get())
             assert max(waits) <= GRACE_FRACTION
             agent.tell(listing(8, whole=False))
-            assert (await soon(told.get())).topology.version == 8
+            assert (await soon(received.get())).topology.version == 8
             agent.status = b"503 Service Unavailable"
             agent.hang_up()
             await until(lambda: len(waits) > 4)
@@ -212,7 +211,7 @@
 
 
 class _Loop:
-    """A loop whose connections a test makes."""
+    """A loop with the test's own `create_connection`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connect: Any) -> None:
         self._loop, self.create_connection = loop, connect
@@ -231,7 +230,7 @@
             await f.next()
             f.watch.switch_agent((LOCAL, new.port))
             assert b"index=41" in await soon(new.asked.get())
-            f.watch.switch_agent((LOCAL, new.port))  # where it already is
+            f.watch.switch_agent((LOCAL, new.port))  # the present agent
             new.tell(listing(42, whole=False))
             assert (await f.next()).topology.version == 42
             assert new.asked.empty() and old.asked.empty()
@@ -256,22 +255,22 @@
         with busy_listener() as full:
             async with listening(new):
                 old.port = full.getsockname()[1]
-                before = connecting(old.port)
+                before = unestablished_connections(old.port)
                 f = Follower(old, None)
-                await until(lambda: connecting(old.port) == before + 1)
+                await until(lambda: unestablished_connections(old.port) == before + 1)
                 if how == "closed":
                     await soon(f.watch.close())
                 elif how == "moved":
                     f.watch.switch_agent((LOCAL, new.port))
                     await soon(new.asked.get())
-                await until(lambda: connecting(old.port) == before)
+                await until(lambda: unestablished_connections(old.port) == before)
                 await f.watch.close()
 
     run(test)
 
 
-def connecting(port: int) -> int:
-    """How many of this machine's connections to this port are not up yet, by the kernel's own table."""
+def unestablished_connections(port: int) -> int:
+    """Returns how many of this machine's connections to a port the kernel lists as not established."""
     rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(row[2].endswith(f":{port:04X}") and row[3] == SYN_SENT for row in rows)
 
@@ -288,10 +287,10 @@
             await f.next()
             f.watch.switch_agent((LOCAL, new.port))
             await soon(new.asked.get())
-            # The second has been started anew, so it is another: it was told too, before its drain.
+            # The second backend has restarted, so its drain, which was reported before, does not hold.
             new.tell(listing(40, host("s-1", 1), host("s-2", 2, born_ms=5), host("s-3", 3)))
-            told = (await f.next()).topology
-            assert [e.health for e in told.backends] == [Health.DRAINING, Health.READY, Health.READY]
+            received = (await f.next()).topology
+            assert [e.health for e in received.backends] == [Health.DRAINING, Health.READY, Health.READY]
             new.tell(listing(42, host("s-1", 1), whole=False))
             assert (await f.next()).topology.backends[0].health is Health.READY
             await f.watch.close()
@@ -360,21 +359,23 @@
 def test_only_the_first_line_of_a_watch_is_old() -> None:
     async def test() -> None:
         async with world() as w:
-            told: list[bool] = []
-            learn = w.node.backends.update_backend
+            received: list[bool] = []
+            update_backend = w.node.backends.update_backend
 
-            def noted(number: int, where: tuple[str, int] | None, old: bool = False, booted: int = 0) -> None:
-                told.append(old)
-                learn(number, where, old, booted)
+            def recorded(
+                number: int, address: tuple[str, int] | None, is_old: bool = False, incarnation: int = 0
+            ) -> None:
+                received.append(is_old)
+                update_backend(number, address, is_old, incarnation)
 
-            w.node.backends.update_backend = noted  # type: ignore[method-assign,assignment]
+            w.node.backends.update_backend = recorded  # type: ignore[method-assign,assignment]
             w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating"), whole=False))
-            await until(lambda: told == [False])
+            await until(lambda: received == [False])
             w.agent.hang_up()
             w.agent.first = listing(3, host("s-1", w.backend.port), whole=False)
-            await until(lambda: told == [False, True])
+            await until(lambda: received == [False, True])
             w.agent.tell(listing(4, host("s-1", w.backend.port, "terminating"), whole=False))
-            await until(lambda: told == [False, True, False])
+            await until(lambda: received == [False, True, False])
 
     run(test)
 
@@ -410,13 +411,13 @@
     """Without them its peers would hold back its shares of the quotas as those of an unresponsive gateway,
     while its tenants rely on them.
     """
-    monkeypatch.setattr(gateway, "PEER_MESSAGES_MARGIN_S", -0.5)  # short of the deadline here, to be quick
+    monkeypatch.setattr(gateway, "PEER_MESSAGES_MARGIN_S", -0.5)  # shorter than the deadline, to be quick
 
     async def test() -> None:
-        agent, told = Agent(), Told()
+        agent, received = Agent(), DatagramTimes()
         agent.first = listing(1, host("s-1", 1))
         loop = asyncio.get_running_loop()
-        peer, _ = await loop.create_datagram_endpoint(lambda: told, local_addr=(LOCAL, 0))
+        peer, _ = await loop.create_datagram_endpoint(lambda: received, local_addr=(LOCAL, 0))
         own, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(LOCAL, 0))
         ports = [":".join(map(str, end.get_extra_info("sockname"))) for end in (own, peer)]
         own.close()
@@ -427,20 +428,20 @@
             await soon(node.start())
             stopping = asyncio.create_task(node.stop())
             await until(lambda: node.clients.is_closing and node.clients.count() == 0)
-            told.at.clear()
-            await until(lambda: len(told.at) >= 3)
+            received.at.clear()
+            await until(lambda: len(received.at) >= 3)
             assert not stopping.done()
             await soon(stopping)
-            last = len(told.at)
+            last = len(received.at)
             await asyncio.sleep(0)
-            assert len(told.at) == last
+            assert len(received.at) == last
         peer.close()
 
     run(test)
 
 
-class Told(asyncio.DatagramProtocol):
-    """Notes when word came."""
+class DatagramTimes(asyncio.DatagramProtocol):
+    """Records when datagrams arrive."""
 
     def __init__(self) -> None:
         self.at: list[float] = []
@@ -458,7 +459,7 @@
         second = Rating()
         async with listening(second), world() as w:
             client = await w.client()
-            # The last entry of a name holds; its address is another one now.
+            # The last entry of a host counts, and its address has changed.
             w.agent.tell(listing(2, host("s-1", 1), host("s-1", second.port)))
             await until(lambda: "duplicate entry for host s-1, using the last one" in caplog.text)
             assert caplog.text.count("s-1") == 1
@@ -474,8 +475,8 @@
     run(test)
 
 
-async def _peers(heard: list[tuple[int, bytes]], ports: list[Address], me: int) -> PeerSocket:
-    made = PeerSocket(tuple(ports), None, me, lambda number, data: heard.append((number, data)))
+async def _open_peer_socket(received: list[tuple[int, bytes]], ports: list[Address], me: int) -> PeerSocket:
+    made = PeerSocket(tuple(ports), None, me, lambda number, data: received.append((number, data)))
     await asyncio.get_running_loop().create_datagram_endpoint(lambda: made, local_addr=ports[me])
     return made
 
@@ -488,24 +489,25 @@
         quiet = asyncio.DatagramProtocol
         probes = [await loop.create_datagram_endpoint(quiet, local_addr=(LOCAL, 0)) for _ in range(4)]
         ports = [transport.get_extra_info("sockname") for transport, _ in probes]
-        stranger = probes[3][0]
+        unknown_sender = probes[3][0]
         probes[0][0].close()
         probes[1][0].close()
-        heard0: list[tuple[int, bytes]] = []
-        heard1: list[tuple[int, bytes]] = []
+        received0: list[tuple[int, bytes]] = []
+        received1: list[tuple[int, bytes]] = []
         await asyncio.sleep(0)
-        zero, one = await _peers(heard0, ports[:3], 0), await _peers(heard1, ports[:3], 1)
-        stranger.sendto(b"stranger", ports[1])
+        zero = await _open_peer_socket(received0, ports[:3], 0)
+        one = await _open_peer_socket(received1, ports[:3], 1)
+        unknown_sender.sendto(b"stranger", ports[1])
         probes[2][0].sendto(b"x" * 257, ports[1])
         zero.send(1, b"x" * 257)
         zero.send(9, b"nobody")
         zero.send(1, b"x" * 256)
-        await until(lambda: bool(heard1))
+        await until(lambda: bool(received1))
         zero.send(None, b"all")
-        await until(lambda: len(heard1) == 2)
+        await until(lambda: len(received1) == 2)
         one.send(0, b"back")
-        await until(lambda: bool(heard0))
-        assert heard1 == [(0, b"x" * 256), (0, b"all")] and heard0 == [(1, b"back")]
+        await until(lambda: bool(received0))
+        assert received1 == [(0, b"x" * 256), (0, b"all")] and received0 == [(1, b"back")]
         for end in (zero, one):
             end.close()
         for transport, _ in probes[2:]:
--- a/tests/lists/test_startup_process.py
+++ b/tests/lists/test_startup_process.py
@@ -1,8 +1,8 @@
-"""Processes that all restart within a second, while discovery is down for 6 s: nine in ten are ready within
-10 s.
+"""Tests how fast processes are ready that all restart within a second, while discovery is down for 6 s.
 
-All count themselves among 200 gateways; a few of these are played. Each has an agent of its own, and all
-agents are in the same trouble."""
+All are configured as part of 200 gateways; a few of these run. Each has an agent of its own, and all agents
+have the same fault.
+"""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 pytestmark = pytest.mark.processes
 
 GATEWAYS = 200
-PLAYED = 10
-TOGETHER = 1.0  # s within which all restart
-DOWN = 6.0  # s from the first restart on for which discovery is down
-READY = 10.0  # s from its own start within which nine in ten are ready
-MOST = 40.0  # s for a case in all: only a hang reaches it
-# None: connections are refused.
-TROUBLES = {
+PROCESSES = 10
+RESTART_SPAN_S = 1.0  # within which all restart
+OUTAGE_S = 6.0  # of discovery, from the first restart
+READY_WITHIN_S = 10.0  # from its own start, for nine in ten processes
+CASE_TIMEOUT_S = 40.0  # of a whole case: only a hang reaches it
+# The value None means that connections are refused.
+FAULTS = {
     "refused": None,
     "error": AgentFault.ERROR,
     "kept waiting": AgentFault.CLOSED_LATE,
@@ -43,17 +43,17 @@
 LISTS = ("with the list last known", "without a list")
 
 
-async def took(known: bool, trouble: AgentFault | None) -> list[float]:
-    """s from its start that each process took until it answered a ping as one that can serve."""
+async def startup_times(known: bool, fault: AgentFault | None) -> list[float]:
+    """Returns the times, in s, that the processes took from start to ready, in rising order."""
     loop, ports, listed = asyncio.get_running_loop(), Ports(), BackendList()
-    listed.put(ListedBackend("s-1", (("127.0.0.1", 1),) * PLAYED, "a", "m1", 0, "in_service", 0))
-    agents = [DiscoveryAgent(listed, number, Ledger()) for number in range(PLAYED)]
+    listed.put(ListedBackend("s-1", (("127.0.0.1", 1),) * PROCESSES, "a", "m1", 0, "in_service", 0))
+    agents = [DiscoveryAgent(listed, number, Ledger()) for number in range(PROCESSES)]
     with TemporaryDirectory() as folder:
         gateways = []
         for number, agent in enumerate(agents):
             await agent.start()
-            agent.fault = trouble
-            if trouble is None:
+            agent.fault = fault
+            if fault is None:
                 agent.stop_listening()
             at = ports.tcp()
             last = listed.snapshot(number) if known else None
@@ -62,21 +62,21 @@
             gateways.append(GatewayProcess(f"n{number}", at, config, Path(folder), Ledger()))
 
         async def start(number: int) -> float:
-            await asyncio.sleep(TOGETHER * number / PLAYED)
+            await asyncio.sleep(RESTART_SPAN_S * number / PROCESSES)
             began = loop.time()
             await gateways[number].start()
             return loop.time() - began
 
         async def back() -> None:
-            await asyncio.sleep(DOWN)
+            await asyncio.sleep(OUTAGE_S)
             for agent in agents:
                 agent.fault = None
-                if trouble is None:
+                if fault is None:
                     await agent.start()
 
         returns = asyncio.create_task(back())
         try:
-            return sorted(await asyncio.gather(*map(start, range(PLAYED))))
+            return sorted(await asyncio.gather(*map(start, range(PROCESSES))))
         finally:
             returns.cancel()
             for gateway in gateways:
@@ -87,14 +87,14 @@
 
 
 @cache
-def measured(known: bool, trouble: AgentFault | None) -> list[float]:
-    return uvloop.run(asyncio.wait_for(took(known, trouble), MOST))
+def cached_startup_times(known: bool, fault: AgentFault | None) -> list[float]:
+    return uvloop.run(asyncio.wait_for(startup_times(known, fault), CASE_TIMEOUT_S))
 
 
-@pytest.mark.parametrize("name", TROUBLES)
+@pytest.mark.parametrize("name", FAULTS)
 @pytest.mark.parametrize("lists", LISTS)
 def test_nine_in_ten_gateways_are_ready_within_10_s(name: str, lists: str) -> None:
-    times = measured(lists == LISTS[0], TROUBLES[name])
+    times = cached_startup_times(lists == LISTS[0], FAULTS[name])
     nine = times[-(-len(times) * 9 // 10) - 1]
     print(f"{name}, {lists}: nine in ten ready after {nine:.2f} s, the last after {times[-1]:.2f} s")
-    assert nine <= READY
+    assert nine <= READY_WITHIN_S
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `simulator`."""
+"""Tests the package `simulator`."""
--- a/tests/simulator/test_simulator_wire.py
+++ b/tests/simulator/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: frames in, frames out, settings text."""
+"""Tests the simulator's host: decoding of frames, encoding of actions, and the settings text."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     return struct.pack("<HQI", 1000, 7, len(raw)) + raw
 
 
-def listed(*backends: int) -> bytes:
+def endpoint_list(*backends: int) -> bytes:
     entries = b"".join(struct.pack("<IBBHBfQ", b, 0, 0, 0, 1, 1.0, 0) for b in backends)
     return struct.pack("<HBQI", 1010, 2, 1, len(backends)) + entries
 
@@ -90,7 +90,7 @@
 
 
 def fleet(slots: int, until: int = 10**12) -> bytes:
-    """A view of two places: this gateway, 70, has these slots, 71 those of the second place."""
+    """Returns a view of two places: gateway 70, this one, has `slots`, and 71 those of the second place."""
     head = struct.pack("<HIQQHHH", wire.FLEET, 70, until, 10**12, 2, 1, 2)
     places = [slots_to_bytes(slots_of((n, 2))) for n in range(2)]
     masks = [slots.to_bytes(128, "little"), struct.pack("<3I", 71, 70, 71), places[1], *places]
@@ -154,7 +154,8 @@
 
 
 def test_simulator_host_answers_every_frame() -> None:
-    done = run(frame() + frame(select(3), up(), listed(1, 2), inbound(4)) + frame(select(3), inbound(5)))
+    started = frame(select(3), up(), endpoint_list(1, 2), inbound(4))
+    done = run(frame() + started + frame(select(3), inbound(5)))
     assert done.returncode == 0
     first, second, third = replies(done.stdout)
     assert first == (0, b"")
@@ -176,7 +177,7 @@
     """Without slots the gateway has no part of the shared quotas; with slots it has, until they expire."""
 
     done = run(
-        frame(select(3), up(), listed(1, 2), fleet(0), inbound(4))
+        frame(select(3), up(), endpoint_list(1, 2), fleet(0), inbound(4))
         + frame(select(3), fleet(ALL_SLOTS))
         + frame(select(3), inbound(5))
         + frame(select(3), fleet(ALL_SLOTS, until=1), inbound(6))
@@ -185,17 +186,18 @@
     first, _, third, fourth = replies(done.stdout)
     assert struct.pack("<HQ", 1010, 4) in first[1]
     assert struct.pack("<HQ", 1000, 5) in third[1]
-    assert struct.pack("<HQ", 1010, 6) in fourth[1], "their time is over"
+    assert struct.pack("<HQ", 1010, 6) in fourth[1], "its slots have expired"
 
 
 def test_restart_in_one_batch_clears_the_instance() -> None:
     down = struct.pack("<H", 1090)
-    done = run(frame(select(0), up(), listed(1)) + frame(select(0), down, up(), listed(), inbound(1)))
+    started = frame(select(0), up(), endpoint_list(1))
+    done = run(started + frame(select(0), down, up(), endpoint_list(), inbound(1)))
     assert struct.pack("<HQ", 1010, 1) in replies(done.stdout)[1][1]
 
 
 @pytest.mark.parametrize(
-    ("data", "complaint"),
+    ("data", "error_text"),
     [
         (frame(select(0), struct.pack("<H", 1020) + b"abc"), "ends inside inbound at byte 20"),
         (frame(struct.pack("<H", 4242)), "unknown record code 4242 at byte 12"),
@@ -205,11 +207,11 @@
         (frame(inbound(1)), "before any select"),
     ],
 )
-def test_malformed_frame_ends_with_one_line(data: bytes, complaint: str) -> None:
-    done = run(frame() + data if complaint.startswith("count") else data)
+def test_malformed_frame_ends_with_one_line(data: bytes, error_text: str) -> None:
+    done = run(frame() + data if error_text.startswith("count") else data)
     lines = done.stderr.decode().splitlines()
     assert done.returncode == 1
-    assert len(lines) == 1 and complaint in lines[0]
+    assert len(lines) == 1 and error_text in lines[0]
     assert all(count == 0 for count, _ in replies(done.stdout))
 
 
