--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -34,11 +34,11 @@
 class Bench:
     """Holds the pools with one fake backend, number 7, and records how attempts ended."""
 
-    def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
+    def __init__(self, max_connections: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[Ended] = asyncio.Queue()
         self.written = 0
         self.pools = ConnectionPools(
-            most,
+            max_connections,
             connect,
             idle,
             grace,
@@ -90,23 +90,23 @@
 @asynccontextmanager
 async def bench(
     backend: Backend | None = None,
-    most: int = 100,
+    max_connections: int = 100,
     connect: float = 20.0,
     idle: float = 30.0,
     grace: float = 20.0,
     port: int = 0,
 ) -> AsyncIterator[Bench]:
-    made = Bench(most, connect, idle, grace)
+    pools_bench = Bench(max_connections, connect, idle, grace)
     try:
         if backend is None:
-            made.pools.update_backend(7, (LOCAL, port))
-            yield made
+            pools_bench.pools.update_backend(7, (LOCAL, port))
+            yield pools_bench
         else:
             async with listening(backend):
-                made.pools.update_backend(7, (LOCAL, backend.port))
-                yield made
+                pools_bench.pools.update_backend(7, (LOCAL, backend.port))
+                yield pools_bench
     finally:
-        made.pools.close()
+        pools_bench.pools.close()
 
 
 @pytest.mark.parametrize(
@@ -232,10 +232,10 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
 def test_answer_in_pieces_is_read_completely(size: int) -> None:
     async def test() -> None:
-        frames, whole = AnswerScanner(), served(b"\r\n$1\r\n" * 20)
-        ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
-        assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(whole) - 1) % size + 1
-        assert not frames.is_midway
+        scanner, encoded = AnswerScanner(), served(b"\r\n$1\r\n" * 20)
+        ends = [scanner.scan(encoded[at : at + size], 0) for at in range(0, len(encoded), size)]
+        assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(encoded) - 1) % size + 1
+        assert not scanner.is_midway
 
     run(test)
 
@@ -248,7 +248,7 @@
     """
     fed: list[bytes] = []
 
-    class Noted:
+    class RecordingReader:
         def feed(self, data: bytes) -> None:
             fed.append(data)
 
@@ -258,7 +258,7 @@
             attempt = b.start(1)
             connection, _ = await backend.command()
             assert isinstance(attempt.connection, BackendConnection)
-            monkeypatch.setattr(attempt.connection.answers, "_reader", Noted())
+            monkeypatch.setattr(attempt.connection.answers, "_reader", RecordingReader())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
@@ -334,17 +334,17 @@
             full.bind((LOCAL, 0))
             full.listen(0)
             address = full.getsockname()
-            fill = [socket.socket() for _ in range(4)]
-            for one in fill:
-                one.setblocking(False)
-                one.connect_ex(address)
-            late = given_up_by == "connect time-out"
-            async with bench(port=address[1], connect=0.05 if late else 20.0) as b:
-                b.start(1, timeout=None if late else 0.05)
+            fillers = [socket.socket() for _ in range(4)]
+            for filler in fillers:
+                filler.setblocking(False)
+                filler.connect_ex(address)
+            is_connect_timeout = given_up_by == "connect time-out"
+            async with bench(port=address[1], connect=0.05 if is_connect_timeout else 20.0) as b:
+                b.start(1, timeout=None if is_connect_timeout else 0.05)
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
                 assert b.pools.open_connections == 0
-            for one in fill:
-                one.close()
+            for filler in fillers:
+                filler.close()
 
     run(test)
 
--- a/tests/backends/test_connections.py
+++ b/tests/backends/test_connections.py
@@ -123,15 +123,15 @@
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.command() for _ in range(2)]
-            assert held[0][0] is not held[1][0]
-            for connection, _ in held:
+            commands = [await backend.command() for _ in range(2)]
+            assert commands[0][0] is not commands[1][0]
+            for connection, _ in commands:
                 connection.send(served(b"v"))
                 await b.end()
             for number in (3, 4):
                 b.start(number)
                 connection, _ = await backend.command()
-                assert connection is held[1][0]
+                assert connection is commands[1][0]
                 connection.send(served(b"v"))
                 await b.end()
             assert b.pools.open_connections == 2
@@ -192,21 +192,21 @@
 def test_rare_or_early_resets_keep_the_idle_limit() -> None:
     """Early resets hit connections of any idle time, so a shorter limit would not help."""
 
-    ages = IdleAgeLimit(15.0)
+    idle_age = IdleAgeLimit(15.0)
     for age in (0.01, 0.02) * 10:
-        ages.record_use(age)
-        ages.record_reset(age)
+        idle_age.record_use(age)
+        idle_age.record_reset(age)
     for _ in range(100):
-        ages.record_use(1.0)
+        idle_age.record_use(1.0)
     for _ in range(4):
-        ages.record_reset(1.0)
-    assert ages.limit_s == 15.0
+        idle_age.record_reset(1.0)
+    assert idle_age.limit_s == 15.0
 
 
 def test_connections_are_limited_and_idle_ones_replaced() -> None:
     async def test() -> None:
         one, two = Backend(), Backend()
-        async with listening(two), bench(one, most=1) as b:
+        async with listening(two), bench(one, max_connections=1) as b:
             b.pools.update_backend(8, (LOCAL, two.port))
             b.start(1)
             connection, _ = await one.command()
@@ -231,12 +231,12 @@
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.command() for _ in range(2)]
-            held[0][0].send(served(b"v"))
+            commands = [await backend.command() for _ in range(2)]
+            commands[0][0].send(served(b"v"))
             await b.end()
             b.pools.update_backend(7, None)
             await until(lambda: backend.ended == 1)
-            held[1][0].send(served(b"w"))
+            commands[1][0].send(served(b"w"))
             assert (await b.end())[1:3] == (Outcome.OK, b"w")
             await until(lambda: backend.ended == 2)
 
--- a/tests/backends/test_endings_attempts.py
+++ b/tests/backends/test_endings_attempts.py
@@ -100,12 +100,12 @@
         async with bench(backend) as b:
             b.start(1)
             connection, _ = await backend.command()
-            whole = served(b"v" * 100)
-            write_to_socket(connection, whole[:50])
+            encoded = served(b"v" * 100)
+            write_to_socket(connection, encoded[:50])
             began = time.monotonic()
             while not any(link.timer for link in b.pools._pools[7].connections):
                 await asyncio.sleep(0)
-            await block_until_due(began + 0.1, lambda: write_to_socket(connection, whole[50:]))
+            await block_until_due(began + 0.1, lambda: write_to_socket(connection, encoded[50:]))
             assert (await b.end())[:3] == (1, Outcome.OK, b"v" * 100)
 
     run(test)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -179,12 +179,12 @@
 
 
 def test_counters_of_removed_classes_stay_within_the_limit() -> None:
-    made = RequestCounters([b"a", b"b"])
-    made.count_ended(b"a", Ending.SERVED)
-    made.set_classes([b"b", b"c"])
-    made.count_ended(b"a", Ending.LEFT)
-    lines = made.lines(1, 2, 3).splitlines()
+    request_counters = RequestCounters([b"a", b"b"])
+    request_counters.count_ended(b"a", Ending.SERVED)
+    request_counters.set_classes([b"b", b"c"])
+    request_counters.count_ended(b"a", Ending.LEFT)
+    lines = request_counters.lines(1, 2, 3).splitlines()
     assert {"router.served.a=1", "router.refused.c=0", "router.backends_excluded=3"} <= set(lines)
     for number in range(2 * MAX_CLASSES):
-        made.set_classes([b"n%d" % number])
-    assert sum("served" in line for line in made.lines(0, 0, 0).splitlines()) == MAX_CLASSES
+        request_counters.set_classes([b"n%d" % number])
+    assert sum("served" in line for line in request_counters.lines(0, 0, 0).splitlines()) == MAX_CLASSES
--- a/tests/fronts/test_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -206,8 +206,9 @@
 
     async def test() -> None:
         async with world(operator) as w:
-            backend, most = only_backend(w), 600  # some 40 MB of answers, far more than the sockets' buffers
-            s = script(w, *[lambda a: [StartAttempt(a.request, backend, 0)]] * most)
+            backend = only_backend(w)
+            command_count = 600  # some 40 MB of answers, far more than the sockets' buffers
+            s = script(w, *[lambda a: [StartAttempt(a.request, backend, 0)]] * command_count)
 
             async def answer() -> None:
                 while True:
@@ -217,10 +218,10 @@
             answering = asyncio.create_task(answer())
             client = await w.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            client.send(b"".join(call(number=number) for number in range(most)))
+            client.send(b"".join(call(number=number) for number in range(command_count)))
             await until(lambda: bool(s.of(RequestArrived)) and w.node.clients.count() == 0)
             answering.cancel()
-            assert len(s.of(RequestArrived)) < most
+            assert len(s.of(RequestArrived)) < command_count
             assert w.node.clients.unprocessed_bytes == 0
 
     run(test)
@@ -301,8 +302,8 @@
 
     async def test() -> None:
         async with world() as w:
-            made = [await w.client() for _ in range(4)]
-            for client in made:
+            clients = [await w.client() for _ in range(4)]
+            for client in clients:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next() == b"PONG"
             w.node.clients.max_connections = 6
--- a/tests/fronts/test_client_left_process.py
+++ b/tests/fronts/test_client_left_process.py
@@ -67,7 +67,7 @@
 
 
 class BlockingClient:
-    """A client on a blocking socket: its bytes are in the gateway's kernel when a call returns."""
+    """Sends on a blocking socket, so that its bytes are in the gateway's kernel when a call returns."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((LOCAL, port))
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -56,9 +56,9 @@
 
 
 def script(w: World, *plans: Any) -> Script:
-    made = Script(*plans)
-    w.node.decision_module = made  # type: ignore[assignment]
-    return made
+    replacement = Script(*plans)
+    w.node.decision_module = replacement  # type: ignore[assignment]
+    return replacement
 
 
 def expire_latest_request(w: World, s: Script) -> None:
--- a/tests/fronts/test_endings_clients.py
+++ b/tests/fronts/test_endings_clients.py
@@ -25,8 +25,8 @@
 
 
 def leave(client: Connection, how: str) -> None:
-    made = client.writer.get_extra_info("socket")
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
+    raw_socket = client.writer.get_extra_info("socket")
+    raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
     client.writer.close()
 
 
@@ -54,18 +54,18 @@
                 # The backend accepts connections now: the gateway's is established if it is still wanted.
                 loop = asyncio.get_running_loop()
                 full.setblocking(False)
-                came: list[bytes] = []
+                received: list[bytes] = []
 
                 async def accept() -> None:
                     while True:
                         taken, _ = await loop.sock_accept(full)
                         taken.setblocking(False)
-                        came.append(await loop.sock_recv(taken, 1 << 16))
+                        received.append(await loop.sock_recv(taken, 1 << 16))
 
                 accepting = asyncio.create_task(accept())
-                await until(lambda: w.node.backends.open_connections == 0 or any(came))
+                await until(lambda: w.node.backends.open_connections == 0 or any(received))
                 accepting.cancel()
-                assert not any(came)
+                assert not any(received)
                 (ended,) = s.of(AttemptEnded)
                 assert (ended.outcome, ended.request_finished) == (Outcome.NOT_SENT, True)
                 assert not w.node.requests and not w.node.open_request_ids
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -30,12 +30,12 @@
 
 async def connect_raw(w: World, size: int = 0) -> socket.socket:
     """Connects a client that reads only on request; `size` is that of its receive buffer."""
-    made = socket.socket()
+    client = socket.socket()
     if size:
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
-    made.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(made, (LOCAL, w.node.clients.port))
-    return made
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
+    client.setblocking(False)
+    await asyncio.get_running_loop().sock_connect(client, (LOCAL, w.node.clients.port))
+    return client
 
 
 async def read_exactly(client: socket.socket, size: int) -> bytes:
@@ -57,9 +57,9 @@
             for number in (1, 2):  # the connections can be used again after the value
                 client.send(call(number=number))
                 connection, _ = await w.backend.command()
-                whole = served(VALUE[:size])
-                for at in range(0, len(whole), piece):
-                    connection.send(whole[at : at + piece])
+                encoded = served(VALUE[:size])
+                for at in range(0, len(encoded), piece):
+                    connection.send(encoded[at : at + piece])
                     await connection.writer.drain()
                 assert await client.next() == VALUE[:size]
                 await asyncio.sleep(0.02)  # a connection is not reused at once
@@ -109,23 +109,23 @@
             while before != unsent():  # until no more bytes are sent
                 before = unsent()
                 await asyncio.sleep(0.2)
-            (held,) = w.node.clients._active
-            assert held._transport is not None
-            waiting = sum(len(part) for slot in held.slots for part in slot.waiting or [])
+            (server,) = w.node.clients._active
+            assert server._transport is not None
+            waiting = sum(len(part) for slot in server.slots for part in slot.waiting or [])
             assert (
-                held._transport.get_write_buffer_size() + waiting
+                server._transport.get_write_buffer_size() + waiting
                 <= 4 * w.node.backends.context.receive_buffer_bytes
             )
             assert sum(before) > 0  # the rest stays at the backend
-            whole = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
-            assert await read_exactly(client, 2 * len(whole)) == 2 * whole
+            encoded = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
+            assert await read_exactly(client, 2 * len(encoded)) == 2 * encoded
             client.close()
 
     run(test)
 
 
 class RecordingSource:
-    """The source of a long value; records whether it is paused."""
+    """Provides a long value, and records whether it is paused."""
 
     def __init__(self) -> None:
         self.paused = False
@@ -147,18 +147,18 @@
             client = await w.client()
             client.send(call(number=1))
             await w.backend.command()
-            (held,) = w.node.clients._active
-            slot, source, now = held.slots[0], RecordingSource(), w.node.clients.time
+            (server,) = w.node.clients._active
+            slot, source, now = server.slots[0], RecordingSource(), w.node.clients.time
             asked = next(iter(w.node.requests.values())).call
             slot.begin_value(asked, 100_000, source)
-            held.pause_writing()
+            server.pause_writing()
             assert source.paused
             slot.add_piece(VALUE[:100_000])
             slot.end_value(asked)
-            held.check_timeouts(now() + w.node.clients.bounds.unread_s + 1.0, False)
-            assert held._transport is not None and not held._transport.is_closing()
-            held.check_timeouts(now() + LONG_VALUE_UNREAD_S + 1.0, False)
-            assert held._transport.is_closing()
+            server.check_timeouts(now() + w.node.clients.bounds.unread_s + 1.0, False)
+            assert server._transport is not None and not server._transport.is_closing()
+            server.check_timeouts(now() + LONG_VALUE_UNREAD_S + 1.0, False)
+            assert server._transport.is_closing()
 
     run(test)
 
@@ -178,13 +178,13 @@
                 connection.abort()
             else:
                 connection.send(VALUE[50_000:100_000] + b"no end of line")
-            rest = b""
+            received = b""
             try:
                 while data := await soon(asyncio.get_running_loop().sock_recv(client, 1 << 16)):
-                    rest += data
+                    received += data
             except ConnectionError:
                 pass
-            assert len(rest) <= 50_000  # without its last two bytes: the client sees that it is incomplete
+            assert len(received) <= 50_000  # at least two bytes short: the client sees that it is incomplete
             assert w.backend.commands.empty() and not w.node.requests
             assert "router.failed.look up=1\n" in w.node.figures.lines(0, 0, 0)
             client.close()
@@ -242,25 +242,25 @@
         async with world() as w:
             client = await w.client()
             client.send(call(number=1) + call(number=2) + call(number=3))
-            held: dict[int, Connection] = {}
+            connections: dict[int, Connection] = {}
             for _ in range(3):
                 connection, words = await w.backend.command()
-                held[int(words[2], 16)] = connection
-            held[2].send(served(VALUE[:500_000]))  # waits for the first, not in the gateway
-            held[3].send(served(b"three"))
+                connections[int(words[2], 16)] = connection
+            connections[2].send(served(VALUE[:500_000]))  # waits for the first, not in the gateway
+            connections[3].send(served(b"three"))
             await asyncio.sleep(0.1)
-            held[1].send(served(b"one"))
+            connections[1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", VALUE[:500_000], b"three"]
             # A value that breaks off before its turn is replaced by an error, as none of it was sent.
             client.send(call(number=4) + call(number=5))
             for _ in range(2):
                 connection, words = await w.backend.command()
-                held[int(words[2], 16)] = connection
-            held[5].send(head(100_000) + VALUE[:10])
+                connections[int(words[2], 16)] = connection
+            connections[5].send(head(100_000) + VALUE[:10])
             await until(lambda: any(r.forwarded_attempt for r in w.node.requests.values()))
-            held[5].abort()
+            connections[5].abort()
             await until(lambda: len(w.node.requests) == 1)
-            held[4].send(served(b"four"))
+            connections[4].send(served(b"four"))
             assert await client.next() == b"four"
             assert "failed" in str(await client.next())
 
@@ -334,17 +334,17 @@
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "data",
     [
         b"*5\r\n$9\r\nCALL.POST\r\n$100000\r\n",
         b"*5\r\n$9\r\nCALL.POST\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$4194305\r\n",
     ],
 )
-def test_length_over_the_limit_closes_only_its_connection(junk: bytes) -> None:
+def test_length_over_the_limit_closes_only_its_connection(data: bytes) -> None:
     async def test() -> None:
         async with world() as w:
             good, bad = await w.client(), await w.client()
-            bad.send(junk)
+            bad.send(data)
             assert "limit" in str(await bad.next())
             assert await bad.next() is None
             good.send(call(number=1))
--- a/tests/lists/test_discovery_polls.py
+++ b/tests/lists/test_discovery_polls.py
@@ -21,20 +21,20 @@
 )
 
 
-def list_times(gateways: int, turn: float, seed: int, spread: bool, end: float = 30.0) -> list[float]:
+def list_times(gateways: int, call_s: float, seed: int, spread: bool, end: float = 30.0) -> list[float]:
     """Returns when each gateway got its list; calls stay queued even after they timed out."""
-    rng, line, had = random.Random(seed), 0.0, []
+    rng, queue_end, list_times_s = random.Random(seed), 0.0, []
     calls = [PollTiming(gateways if spread else 1, rng, 10.0) for _ in range(gateways)]
-    due = [(timing.first_wait_s(), number) for number, timing in enumerate(calls)]
-    heapq.heapify(due)
-    while due and due[0][0] < end:
-        now, number = heapq.heappop(due)
-        line = max(line, now) + turn
-        if line - now <= CALL_TIMEOUT_S:
-            had.append(line)
+    due_calls = [(timing.first_wait_s(), number) for number, timing in enumerate(calls)]
+    heapq.heapify(due_calls)
+    while due_calls and due_calls[0][0] < end:
+        now, number = heapq.heappop(due_calls)
+        queue_end = max(queue_end, now) + call_s
+        if queue_end - now <= CALL_TIMEOUT_S:
+            list_times_s.append(queue_end)
         else:
-            heapq.heappush(due, (now + CALL_TIMEOUT_S + calls[number].next_wait_s(True), number))
-    return had
+            heapq.heappush(due_calls, (now + CALL_TIMEOUT_S + calls[number].next_wait_s(True), number))
+    return list_times_s
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -95,19 +95,19 @@
 
     All watches broke together, and calls were rejected during the outage.
     """
-    rng, came = random.Random(seed), []
+    rng, call_times = random.Random(seed), []
     for _ in range(gateways):
         timing = PollTiming(gateways, rng, 1.0)
         at = timing.first_wait_s()
         while at < outage:
             at += timing.next_wait_s(True)
-        came.append(at - outage)
-    return came
+        call_times.append(at - outage)
+    return call_times
 
 
-def max_calls_per_s(came: list[float]) -> int:
+def max_calls_per_s(call_times: list[float]) -> int:
     """Returns the maximum of calls within one second."""
-    return max(sum(begin <= at < begin + 1.0 for at in came) for begin in came)
+    return max(sum(begin <= at < begin + 1.0 for at in call_times) for begin in call_times)
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/lists/test_list_change_process.py
+++ b/tests/lists/test_list_change_process.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """The faults of one gateway's calls, with the number of calls for each.
+    """Lists the faults of one gateway's calls, with the number of calls for each.
 
     Discovery can be reached again, and has a drain, as soon as the last of the calls has met its fault.
     """
@@ -74,7 +74,7 @@
         self.begun = 0  # when the drain began, in ns of the monotonic clock
         self.sent: list[int] = []  # when each request reached the backend, in the same unit
         self.drained = asyncio.Event()
-        self.back: asyncio.Task[None] | None = None  # ends the outage of discovery
+        self.outage_end: asyncio.Task[None] | None = None  # ends the outage of discovery
         self._listed, self._backend = listed, backend
         self.tell("in_service")
 
@@ -172,25 +172,25 @@
     """Refuses connections for long enough that the waits between calls reach their maximum."""
     stage.agent.stop_listening()
     stage.agent.abort_watches()
-    stage.back = asyncio.create_task(again(stage, 5.0))
+    stage.outage_end = asyncio.create_task(end_outage(stage, 5.0))
 
 
 def never_comes_up(stage: Stage) -> None:
     stage.agent.stop_listening()
     stage.agent.abort_watches()
-    stage.back = asyncio.create_task(crowded(stage))
+    stage.outage_end = asyncio.create_task(end_outage_after_timeouts(stage))
 
 
-async def again(stage: Stage, away: float) -> None:
-    await asyncio.sleep(away)
+async def end_outage(stage: Stage, delay_s: float) -> None:
+    await asyncio.sleep(delay_s)
     await stage.agent.start()
     stage.drain()
 
 
-async def crowded(stage: Stage) -> None:
+async def end_outage_after_timeouts(stage: Stage) -> None:
     with busy_listener(stage.agent.address):
         await asyncio.sleep(5.0)
-    await again(stage, 0.0)
+    await end_outage(stage, 0.0)
 
 
 OTHERS: dict[str, Callable[[Stage], None]] = {
@@ -203,21 +203,21 @@
 @cache
 def results() -> dict[str, float | BaseException]:
     """Returns the results of all cases, which run concurrently as they mostly wait."""
-    plays = {case.name: (faults_in_order(case), case.grace, case.gateways) for case in CASES}
-    plays |= {name: (cause_fault, SECOND, GATEWAYS) for name, cause_fault in OTHERS.items()}
+    cases_by_name = {case.name: (faults_in_order(case), case.grace, case.gateways) for case in CASES}
+    cases_by_name |= {name: (cause_fault, SECOND, GATEWAYS) for name, cause_fault in OTHERS.items()}
 
-    async def play() -> dict[str, float | BaseException]:
-        cases = (asyncio.wait_for(run_case(*how), CASE_TIMEOUT_S) for how in plays.values())
-        made = await asyncio.gather(*cases, return_exceptions=True)
-        return dict(zip(plays, made, strict=True))
+    async def run_all() -> dict[str, float | BaseException]:
+        runs = (asyncio.wait_for(run_case(*case), CASE_TIMEOUT_S) for case in cases_by_name.values())
+        outcomes = await asyncio.gather(*runs, return_exceptions=True)
+        return dict(zip(cases_by_name, outcomes, strict=True))
 
-    return uvloop.run(play())
+    return uvloop.run(run_all())
 
 
 @pytest.mark.parametrize("name", [*(case.name for case in CASES), *OTHERS])
 def test_drain_takes_effect_within_6_s(name: str) -> None:
-    took = results()[name]
-    if isinstance(took, BaseException):
-        raise took
+    drain_s = results()[name]
+    if isinstance(drain_s, BaseException):
+        raise drain_s
     print(f"{name}: the last request was sent {took:.2f} s after the drain began")
-    assert took <= NOTIFIED_AFTER_S
+    assert drain_s <= NOTIFIED_AFTER_S
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -211,7 +211,7 @@
 
 
 class _Loop:
-    """A loop with the test's own `create_connection`."""
+    """Wraps a loop, with the test's own `create_connection`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connect: Any) -> None:
         self._loop, self.create_connection = loop, connect
--- a/tests/lists/test_startup_process.py
+++ b/tests/lists/test_startup_process.py
@@ -67,18 +67,18 @@
             await gateways[number].start()
             return loop.time() - began
 
-        async def back() -> None:
+        async def end_outage() -> None:
             await asyncio.sleep(OUTAGE_S)
             for agent in agents:
                 agent.fault = None
                 if fault is None:
                     await agent.start()
 
-        returns = asyncio.create_task(back())
+        outage_end = asyncio.create_task(end_outage())
         try:
             return sorted(await asyncio.gather(*map(start, range(PROCESSES))))
         finally:
-            returns.cancel()
+            outage_end.cancel()
             for gateway in gateways:
                 await gateway.kill()
             for agent in agents:
--- a/trackspread/__init__.py
+++ b/trackspread/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway that decides which tenants' requests it forwards to which backends, and which it rejects."""
+"""Forwards tenants' requests to backends, or rejects them, as a gateway between clients and backends."""
--- a/trackspread/backends/__init__.py
+++ b/trackspread/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The backend side of the gateway: attempts, connection pools, and the protocol that backends speak."""
+"""Sends attempts to backends: connection pools, and the protocol that backends speak."""
--- a/trackspread/backends/adapter.py
+++ b/trackspread/backends/adapter.py
@@ -1,4 +1,4 @@
-"""The interface of a backend protocol: an adapter turns a `Call` to bytes, and an answer to an outcome.
+"""Defines the interface of a backend protocol: an adapter turns a `Call` to bytes, an answer to an outcome.
 
 An adapter knows nothing of connections, timeouts or decisions. The outcome of a broken connection is decided
 by the connection: a request that was never written completely counts as `CONNECT_FAILED`; one that was may
@@ -16,11 +16,11 @@
 
 
 class InvalidAnswer(ValueError):
-    """An answer that breaks the protocol: the request may have run, and the connection is unusable."""
+    """Reports an answer that breaks the protocol: the request may have run, the connection is unusable."""
 
 
 class Answer(NamedTuple):
-    """The meaning of a complete answer; `value` is None unless the request was served."""
+    """Holds the meaning of a complete answer; `value` is None unless the request was served."""
 
     outcome: Outcome
     value: bytes | None
@@ -28,7 +28,7 @@
 
 
 class ReadResult(NamedTuple):
-    """The result of reading a chunk of bytes.
+    """Holds the result of reading a chunk of bytes.
 
     `end` is the offset in the chunk at which the answer ends. If it does not end in this chunk, `answer` is
     None and `end` is -1.
@@ -52,7 +52,7 @@
 
 
 class AnswerReader(Protocol):
-    """The reading side of one connection."""
+    """Reads the answers of one connection."""
 
     @property
     def is_midway(self) -> bool:
@@ -66,7 +66,7 @@
 
 
 class Adapter(Protocol):
-    """One protocol; the same object serves all connections."""
+    """Encodes and reads one protocol; the same object serves all connections."""
 
     def answer_reader(self) -> AnswerReader:
         """Returns the reading side of a new connection."""
--- a/trackspread/backends/attempt.py
+++ b/trackspread/backends/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend, from its start to its single outcome.
+"""Follows one attempt at a backend from its start to its single outcome.
 
 It knows the call, the adapter and the observer of attempts. It knows no sockets, pools or addresses.
 """
@@ -17,7 +17,7 @@
 
 
 class AttemptConnection(Protocol):
-    """The part of a connection that its attempt uses."""
+    """Provides the part of a connection that its attempt uses."""
 
     @property
     def has_unsent_bytes(self) -> bool:
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of one request at one backend, or a health check if `call` is None.
+    """Holds one attempt of one request at one backend, or a health check if `call` is None.
 
     Times are those of the gateway's clock.
     """
--- a/trackspread/backends/connection.py
+++ b/trackspread/backends/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend, with at most one attempt at a time on it.
+"""Keeps one connection to a backend, which carries at most one attempt at a time.
 
 It knows bytes, time, the socket and outcomes. It knows neither the protocol that the backend speaks
 (`adapter.Adapter`) nor other connections.
@@ -33,7 +33,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool that a connection belongs to."""
+    """Owns connections; a connection pool implements it."""
 
     context: PoolContext
     address: Address
@@ -49,7 +49,7 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection; its attempt counts as written once the write buffer is empty."""
+    """Holds one connection; its attempt counts as written once the write buffer is empty."""
 
     __slots__ = (
         "_is_paused",
--- a/trackspread/backends/connection_pool.py
+++ b/trackspread/backends/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend.
+"""Pools the connections to one backend.
 
 It knows connections, attempts and time. It knows neither other pools nor the backend's protocol.
 """
--- a/trackspread/backends/idle_age.py
+++ b/trackspread/backends/idle_age.py
@@ -11,7 +11,7 @@
 
 
 class IdleAgeLimit:
-    """The time for which a connection may stay idle and is still likely to work.
+    """Holds the time for which a connection may stay idle and is still likely to work.
 
     A device on the network path, or the backend itself, may drop an idle connection long before the time in
     the settings and without a notice: the next request on it ends as a reset, and may have run.
--- a/trackspread/backends/pool_context.py
+++ b/trackspread/backends/pool_context.py
@@ -1,4 +1,4 @@
-"""The state that all connections of one gateway to its backends share."""
+"""Holds the state that all connections of one gateway to its backends share."""
 
 from __future__ import annotations
 
--- a/trackspread/backends/pools.py
+++ b/trackspread/backends/pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all backends, with one limit on their connections.
+"""Holds the connection pools of all backends, with one limit on their connections.
 
 It knows addresses, time and descriptors. It does not know the protocol that backends speak
 (`adapter.Adapter`). Which backend gets a request, how often and with which timeout is the decision module's
--- a/trackspread/backends/resp.py
+++ b/trackspread/backends/resp.py
@@ -1,4 +1,4 @@
-"""The RESP2 protocol that backends speak: encodes attempts and health checks, and reads answers.
+"""Implements the RESP2 protocol that backends speak: encodes attempts and health checks, reads answers.
 
 It knows RESP's commands and framing. It knows no connections, timeouts or decisions.
 """
@@ -128,7 +128,7 @@
 
 
 class RespAdapter:
-    """The RESP2 protocol for all backend connections of one gateway."""
+    """Implements the RESP2 protocol for all backend connections of one gateway."""
 
     def answer_reader(self) -> _RespAnswerReader:
         """Returns the reading side of a new connection."""
--- a/trackspread/call.py
+++ b/trackspread/call.py
@@ -12,11 +12,11 @@
 
 
 class InvalidCall(ValueError):
-    """A request that cannot be accepted; the client receives the text as the reason."""
+    """Reports a request that cannot be accepted; the client receives the text as the reason."""
 
 
 class PausableSource(Protocol):
-    """The source of a long value; bytes that were read before a pause may still follow it."""
+    """Provides a long value; bytes that were read before a pause may still follow it."""
 
     def pause(self) -> None:
         """Stops reading the value until `resume`."""
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request; `request_class` and `plan` are indices in the settings.
+    """Holds one request; `request_class` and `plan` are indices in the settings.
 
     `raw_request` is the request in its own protocol, which an adapter of the same protocol forwards
     unchanged. `wait_ms` is how long the client waits for the answer, from the request's arrival.
--- a/trackspread/clock.py
+++ b/trackspread/clock.py
@@ -1,4 +1,4 @@
-"""The clock that all parts of a running gateway use."""
+"""Provides the clock that all parts of a running gateway use."""
 
 from __future__ import annotations
 
--- a/trackspread/control/__init__.py
+++ b/trackspread/control/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server for operators, with readiness and counters of this process (`docs/operators-door.md`)."""
+"""Serves readiness and counters of this process to operators (`docs/operators-door.md`)."""
--- a/trackspread/control/admin_server.py
+++ b/trackspread/control/admin_server.py
@@ -30,7 +30,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, which is closed after one request and its response."""
+    """Serves one connection, which is closed after one request and its response."""
 
     __slots__ = ("_http", "_server", "_timeout", "_transport")
 
--- a/trackspread/framing/resp.py
+++ b/trackspread/framing/resp.py
@@ -17,7 +17,7 @@
 
 
 class CommandWords(NamedTuple):
-    """A client's command, which is forwarded unchanged except for the value of `d`."""
+    """Holds a client's command, which is forwarded unchanged except for the value of `d`."""
 
     prefix: tuple[bytes, ...]  # command, tenant, request id
     head: bytes  # the parameters before `d`, with the comma after them
@@ -26,7 +26,7 @@
 
 
 class FrameError(ValueError):
-    """Input after which nothing more on the connection can be read; the text is the reason."""
+    """Reports input after which nothing more on the connection can be read; the text is the reason."""
 
 
 class FrameScanner:
--- a/trackspread/fronts/__init__.py
+++ b/trackspread/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of the gateway: listening sockets, connections, and the protocol that clients speak."""
+"""Serves clients: listening sockets, connections, and the protocol that clients speak."""
--- a/trackspread/fronts/bodies.py
+++ b/trackspread/fronts/bodies.py
@@ -1,4 +1,4 @@
-"""The memory limit for long request bodies, and the order in which they are received when it is reached.
+"""Limits the memory of long request bodies, and orders their reception when the limit is reached.
 
 It knows sizes and the order of arrival. It knows no sockets, no protocols and no outcomes of requests.
 """
@@ -9,7 +9,7 @@
 
 
 class BodySender(Protocol):
-    """A connection that is receiving a long body."""
+    """Receives a long body, and can be paused."""
 
     def allow_body(self, is_allowed: bool) -> None:
         """Allows or stops reading more of the body."""
--- a/trackspread/fronts/client.py
+++ b/trackspread/fronts/client.py
@@ -1,4 +1,4 @@
-"""One client's connection: the order of its answers, its timeouts and its backpressure, for every protocol.
+"""Keeps one client's connection: its order of answers, timeouts and backpressure, for every protocol.
 
 It knows bytes, time and its place among the other connections. It knows neither the protocol that the client
 speaks (`protocol.ClientAdapter`) nor the outcome of a call. Answers are written in the order of the calls; a
@@ -37,7 +37,7 @@
 
 
 class ResponseSlot:
-    """The place of one answer in the order of its connection."""
+    """Holds the place of one answer in the order of its connection."""
 
     __slots__ = ("answer", "client", "request", "source", "waiting")
 
@@ -97,7 +97,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection with its incomplete command, its unprocessed input and its response slots."""
+    """Holds one client's connection with its incomplete command, unprocessed input and response slots."""
 
     __slots__ = (
         "_blocked_since",
--- a/trackspread/fronts/connections.py
+++ b/trackspread/fronts/connections.py
@@ -1,4 +1,4 @@
-"""The clients' listening sockets and connections, with limits over all of them.
+"""Holds the clients' listening sockets and connections, and limits them together.
 
 It knows time and the number of connections. It knows neither the protocol that clients speak
 (`protocol.ClientAdapter`) nor the outcome of a call; `client.py` holds one connection.
@@ -42,7 +42,7 @@
 
 
 class Requests(Protocol):
-    """The part of the gateway that handles requests."""
+    """Handles requests for the client connections; the gateway implements it."""
 
     def ready(self) -> bool:
         """Returns whether requests can be served."""
@@ -55,7 +55,7 @@
 
 
 class ClientConnections:
-    """The listening sockets and the connections that were accepted from them."""
+    """Holds the listening sockets and the connections that were accepted from them."""
 
     def __init__(
         self,
--- a/trackspread/fronts/protocol.py
+++ b/trackspread/fronts/protocol.py
@@ -1,4 +1,4 @@
-"""The interface of a client protocol: an adapter turns bytes to a `Call`, and an answer to bytes.
+"""Defines the interface of a client protocol: an adapter turns bytes to a `Call`, and an answer to bytes.
 
 An adapter knows nothing of connections, pools or decisions; `connections.py` keeps order, limits and
 backpressure in the same way for every protocol.
@@ -12,11 +12,11 @@
 
 
 class ProtocolError(ValueError):
-    """Input after which nothing more on the connection can be read; the text is the reason."""
+    """Reports input after which nothing more on the connection can be read; the text is the reason."""
 
 
 class Ping:
-    """A client's question whether this gateway is ready."""
+    """Represents a client's question whether this gateway is ready."""
 
 
 PING = Ping()
@@ -24,7 +24,7 @@
 
 
 class CommandReader(Protocol):
-    """The reading side of one connection, with the command that is incomplete, if there is one."""
+    """Reads the commands of one connection, and holds the incomplete one."""
 
     @property
     def is_midway(self) -> bool:
@@ -52,7 +52,7 @@
 
 
 class ClientAdapter(Protocol):
-    """One protocol; the same object serves all connections."""
+    """Encodes and reads one protocol; the same object serves all connections."""
 
     def command_reader(self) -> CommandReader:
         """Returns the reading side of a new connection."""
--- a/trackspread/fronts/resp.py
+++ b/trackspread/fronts/resp.py
@@ -1,4 +1,4 @@
-"""The RESP2 protocol that clients speak: parses commands to calls and encodes answers.
+"""Implements the RESP2 protocol that clients speak: parses commands to calls and encodes answers.
 
 It knows commands and the names of classes and plans. It knows no connections, pools or decisions.
 """
@@ -201,7 +201,7 @@
 
 
 class RespClientAdapter:
-    """The RESP2 protocol for all client connections of one gateway."""
+    """Implements the RESP2 protocol for all client connections of one gateway."""
 
     def __init__(self, settings: Settings, classes: Roster, plans: tuple[bytes, ...]) -> None:
         self._parser = CallParser(settings, classes, plans)
--- a/trackspread/lists/__init__.py
+++ b/trackspread/lists/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the source of the endpoint list, and when the gateway calls it."""
+"""Gets the endpoint list from service discovery, and times the calls to it."""
--- a/trackspread/lists/agent.py
+++ b/trackspread/lists/agent.py
@@ -210,7 +210,7 @@
 
 
 class _Watch(asyncio.Protocol):
-    """One HTTP exchange with the agent; `ended` is done once nothing more can arrive on it."""
+    """Runs one HTTP exchange with the agent; `ended` is done once nothing more can arrive on it."""
 
     def __init__(self, host: str, index: int | None, on_line: Callable[[bytes, bool], None]) -> None:
         self.was_rejected = False  # discovery is overloaded: an error, or a close while the call was queued
--- a/trackspread/lists/source.py
+++ b/trackspread/lists/source.py
@@ -1,4 +1,4 @@
-"""The interface of a source of the endpoint list: it reports updates, with an address for each backend.
+"""Defines the interface of a source of the endpoint list, which reports updates with addresses.
 
 A source knows nothing of requests, pools or decisions. An update counts as notified from when it is reported.
 """
@@ -13,11 +13,11 @@
 
 
 class ListError(ValueError):
-    """An endpoint list that cannot be read."""
+    """Reports an endpoint list that cannot be read."""
 
 
 class ListUpdate:
-    """One version of the list or of its changes: the decision module's part and the backends' addresses."""
+    """Holds one version of the list or of its changes, with the backends' addresses."""
 
     __slots__ = ("addresses", "is_old", "topology")
 
--- a/trackspread/peers/datagrams.py
+++ b/trackspread/peers/datagrams.py
@@ -17,7 +17,7 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """The UDP socket for all messages to and from other gateways; a sender's address gives its number."""
+    """Sends and receives all messages of other gateways; a sender's address gives its number."""
 
     def __init__(
         self,
--- a/trackspread/simulator/__init__.py
+++ b/trackspread/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The host process for the platform's simulator, and the binary protocol between them."""
+"""Runs decision modules for the platform's simulator over a binary protocol."""
--- a/trackspread/simulator/wire.py
+++ b/trackspread/simulator/wire.py
@@ -49,15 +49,15 @@
 
 
 class WireError(ValueError):
-    """A frame that cannot be read; the text names the fault and its byte."""
+    """Reports a frame that cannot be read; the text names the fault and its byte."""
 
 
 class SettingsError(ValueError):
-    """Settings with a missing or invalid value; the text names the key."""
+    """Reports settings with a missing or invalid value; the text names the key."""
 
 
 class InstanceStarted:
-    """The start of an instance, with its random seed and its settings text."""
+    """Marks the start of an instance, with its random seed and its settings text."""
 
     __slots__ = ("seed", "settings")
 
@@ -67,7 +67,7 @@
 
 
 class InstanceStopped:
-    """The end of an instance."""
+    """Marks the end of an instance."""
 
     __slots__ = ()
 
@@ -314,7 +314,7 @@
 
 
 class _SettingsText:
-    """The settings text as a mapping; each look-up raises a `SettingsError` that names its key."""
+    """Holds the settings text as a mapping; each look-up raises a `SettingsError` that names its key."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
