--- a/tests/fronts/test_client_left_process.py
+++ b/tests/fronts/test_client_left_process.py
@@ -112,12 +112,12 @@
         agent.first = listing(1, *(host(f"s-{n}", port) for n, port in enumerate(ports)))
         config = raw_config(agent.port, **settings) | (keys or {})
         async with started(folder, agent, config, operator) as (process, path):
-            made = Process(process, 0, backend, path)
+            running = Process(process, 0, backend, path)
             assert process.stderr is not None
             while b"listening on" not in (line := await soon(process.stderr.readline())):
                 assert line, "the gateway ended before it listened"
-            made.port = int(line.rsplit(b":", 1)[1])
-            yield made
+            running.port = int(line.rsplit(b":", 1)[1])
+            yield running
 
 
 async def stop(process: Process) -> int:
@@ -358,20 +358,22 @@
             (shard,), counter_key = server.shards, key_of("ts", 0, OTHER_TENANT)
             execute = shard.execute
 
-            def held(gateway: int, words: tuple[bytes, ...], now: int, asking: bool = False) -> Any:
+            def execute_and_delay(
+                gateway: int, words: tuple[bytes, ...], now: int, asking: bool = False
+            ) -> Any:
                 if counter_key in words:
                     server.delay_s = HELD_ANSWER_S
                 return execute(gateway, words, now, asking)
 
-            shard.execute = held  # type: ignore[method-assign]
+            shard.execute = execute_and_delay  # type: ignore[method-assign]
             client = BlockingClient(process.port)
             client.send(call(customer=b"%016x" % OTHER_TENANT))
-            while not (asking := [line for line in server.connections if line._delayed]):
+            while not (waiting := [line for line in server.connections if line._delayed]):
                 await asyncio.sleep(0)
             with stopped(process):
-                (transport,) = [line._transport for line in asking if line._transport is not None]
+                (transport,) = [line._transport for line in waiting if line._transport is not None]
                 descriptor = transport.get_extra_info("socket").fileno()
-                os.write(descriptor, b"".join(asking[0]._delayed))
+                os.write(descriptor, b"".join(waiting[0]._delayed))
                 client.leave(how)
             assert await stop(process) == 0
         server.close()
--- a/tests/lists/test_list_change_process.py
+++ b/tests/lists/test_list_change_process.py
@@ -219,5 +219,5 @@
     drain_s = results()[name]
     if isinstance(drain_s, BaseException):
         raise drain_s
-    print(f"{name}: the last request was sent {took:.2f} s after the drain began")
+    print(f"{name}: the last request was sent {drain_s:.2f} s after the drain began")
     assert drain_s <= NOTIFIED_AFTER_S
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -200,8 +200,8 @@
                 return await connect(*args)
 
             watching = Discovery((LOCAL, agent.port), ZONES, KINDS, None, print)
-            made = _Loop(loop, broken)
-            monkeypatch.setattr(asyncio, "get_running_loop", lambda: made)
+            wrapped_loop = _Loop(loop, broken)
+            monkeypatch.setattr(asyncio, "get_running_loop", lambda: wrapped_loop)
             watching.start()
             assert b"index=0" in await soon(agent.asked.get())
             assert not faults and "unheard of" in caplog.text
@@ -476,9 +476,9 @@
 
 
 async def _open_peer_socket(received: list[tuple[int, bytes]], ports: list[Address], me: int) -> PeerSocket:
-    made = PeerSocket(tuple(ports), None, me, lambda number, data: received.append((number, data)))
-    await asyncio.get_running_loop().create_datagram_endpoint(lambda: made, local_addr=ports[me])
-    return made
+    peer_socket = PeerSocket(tuple(ports), None, me, lambda number, data: received.append((number, data)))
+    await asyncio.get_running_loop().create_datagram_endpoint(lambda: peer_socket, local_addr=ports[me])
+    return peer_socket
 
 
 def test_datagrams_of_unknown_senders_are_dropped() -> None:
