--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -1,4 +1,4 @@
-"""Pools and attempts over loopback sockets: what each happening means, and which connection is used."""
+"""Tests the outcomes of attempts, and which connection they use, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from trackspread.call import PausableSource
 from trackspread.clock import Clock
 from trackspread.decide.events import Outcome
-from trackspread.framing.resp import AnswerFrames, Words
+from trackspread.framing.resp import AnswerScanner, CommandWords
 
 from ..fakes import LOCAL, Backend, listening, run, served, soon, until
 
@@ -32,13 +32,13 @@
 
 
 class Bench:
-    """Pools to one fake backend (number 7), and how attempts ended."""
+    """Holds the pools with one fake backend, number 7, and records how attempts ended."""
 
-    def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
+    def __init__(self, max_connections: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[Ended] = asyncio.Queue()
         self.written = 0
         self.pools = ConnectionPools(
-            most,
+            max_connections,
             connect,
             idle,
             grace,
@@ -72,7 +72,7 @@
         until: int = 0,
     ) -> Attempt:
         now = CLOCK()
-        words = Words((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
+        words = CommandWords((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
         call = Call(words, b"i", 0, 0, 1, 3000, 1.0, 1, 0, 0)
         attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, call, until)
         self.pools.start(attempt, timeout)
@@ -83,30 +83,30 @@
 
 
 def connection_is_up(attempt: Attempt) -> bool:
-    """Whether the attempt is on a connection that is established."""
+    """Returns whether the attempt's connection is established."""
     return isinstance(attempt.connection, BackendConnection) and attempt.connection.transport is not None
 
 
 @asynccontextmanager
 async def bench(
     backend: Backend | None = None,
-    most: int = 100,
+    max_connections: int = 100,
     connect: float = 20.0,
     idle: float = 30.0,
     grace: float = 20.0,
     port: int = 0,
 ) -> AsyncIterator[Bench]:
-    made = Bench(most, connect, idle, grace)
+    pools_bench = Bench(max_connections, connect, idle, grace)
     try:
         if backend is None:
-            made.pools.update_backend(7, (LOCAL, port))
-            yield made
+            pools_bench.pools.update_backend(7, (LOCAL, port))
+            yield pools_bench
         else:
             async with listening(backend):
-                made.pools.update_backend(7, (LOCAL, backend.port))
-                yield made
+                pools_bench.pools.update_backend(7, (LOCAL, backend.port))
+                yield pools_bench
     finally:
-        made.pools.close()
+        pools_bench.pools.close()
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
         (b"-ERR failed util=0.9,inflight=2\r\n", Outcome.ERROR, None, {"util": 0.9, "inflight": 2.0}),
         (b"-BUSY\r\n", Outcome.REJECTED, None, {}),
         (b"-BUSY util=1\r\n", Outcome.REJECTED, None, {"util": 1.0}),
-        # Good, with what can't be read where no value stands.
+        # The value is valid; the load report or the usage figures cannot be read.
         (served(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
         (served(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n*2\r\n:1\r\n$1\r\nx\r\n$-1\r\n", Outcome.OK, b"v", {}),
@@ -182,10 +182,10 @@
     ],
 )
 @pytest.mark.parametrize("pieces", [False, True])
-def test_spoilt_answer_may_have_run_and_closes_the_connection(
+def test_invalid_answer_may_have_run_and_closes_its_connection(
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
+    # An incomplete answer is invalid once its rest has been missing for the timeout.
     monkeypatch.setattr(connections, "STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -204,7 +204,9 @@
     run(test)
 
 
-def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_answer_ends_its_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The reset arrives while the timeout for the rest of the answer runs."""
+
     monkeypatch.setattr(connections, "STALL_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -221,30 +223,32 @@
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
-            await asyncio.sleep(2 * connections.STALL_TIMEOUT_S)  # nothing is left that could come then
+            await asyncio.sleep(2 * connections.STALL_TIMEOUT_S)  # no timer is left that could expire then
             assert faults == [] and b.ends.empty()
 
     run(test)
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
-def test_answer_in_pieces_is_read_whole(size: int) -> None:
+def test_answer_in_pieces_is_read_completely(size: int) -> None:
     async def test() -> None:
-        frames, whole = AnswerFrames(), served(b"\r\n$1\r\n" * 20)
-        ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
-        assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(whole) - 1) % size + 1
-        assert not frames.midway
+        scanner, encoded = AnswerScanner(), served(b"\r\n$1\r\n" * 20)
+        ends = [scanner.scan(encoded[at : at + size], 0) for at in range(0, len(encoded), size)]
+        assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(encoded) - 1) % size + 1
+        assert not scanner.is_midway
 
     run(test)
 
 
-def test_no_answer_has_places_set_aside_before_its_elements_have_come(
+def test_no_array_is_allocated_before_its_elements_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What hiredis is given is bounded: an array of a hundred million places stalls every collection."""
+    """The input of hiredis is checked: an array of a hundred million elements would stall each garbage
+    collection.
+    """
     fed: list[bytes] = []
 
-    class Noted:
+    class RecordingReader:
         def feed(self, data: bytes) -> None:
             fed.append(data)
 
@@ -254,7 +258,7 @@
             attempt = b.start(1)
             connection, _ = await backend.command()
             assert isinstance(attempt.connection, BackendConnection)
-            monkeypatch.setattr(attempt.connection.answers, "_reader", Noted())
+            monkeypatch.setattr(attempt.connection.answers, "_reader", RecordingReader())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
@@ -262,9 +266,11 @@
     run(test)
 
 
-def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
+def test_duplicate_answer_is_not_taken_for_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """The duplicate arrives in a later packet, and is unread when the next attempt starts."""
+
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -277,7 +283,7 @@
                 assert await soon(loop.sock_recv(taken, 4096))
                 await soon(loop.sock_sendall(taken, served(b"v")))
                 assert (await b.end())[1] is Outcome.OK
-                # Between two turns of the loop: in the socket, and not yet read, when the next one starts.
+                # Sent between two turns of the loop: it is unread when the next attempt starts.
                 taken.send(served(b"v"))
                 b.start(2)
                 other, _ = await soon(loop.sock_accept(server))
@@ -288,7 +294,7 @@
     run(test)
 
 
-def test_connection_rests_after_an_answer_where_another_may_be_opened() -> None:
+def test_connection_is_not_reused_right_after_an_answer() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -308,7 +314,7 @@
     run(test)
 
 
-def test_refused_connect_never_ran() -> None:
+def test_attempt_with_a_refused_connection_never_ran() -> None:
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as unused:
             port = unused.getsockname()[1]
@@ -321,30 +327,30 @@
 
 
 @pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
-def test_unfinished_connect_never_ran(given_up_by: str) -> None:
+def test_attempt_with_an_unfinished_connection_never_ran(given_up_by: str) -> None:
     async def test() -> None:
-        # A full accept queue leaves a connect unanswered, as a vanished machine does.
+        # A full accept queue leaves a connect unanswered, as a failed machine does.
         with closing(socket.socket()) as full:
             full.bind((LOCAL, 0))
             full.listen(0)
             address = full.getsockname()
-            fill = [socket.socket() for _ in range(4)]
-            for one in fill:
-                one.setblocking(False)
-                one.connect_ex(address)
-            late = given_up_by == "connect time-out"
-            async with bench(port=address[1], connect=0.05 if late else 20.0) as b:
-                b.start(1, timeout=None if late else 0.05)
+            fillers = [socket.socket() for _ in range(4)]
+            for filler in fillers:
+                filler.setblocking(False)
+                filler.connect_ex(address)
+            is_connect_timeout = given_up_by == "connect time-out"
+            async with bench(port=address[1], connect=0.05 if is_connect_timeout else 20.0) as b:
+                b.start(1, timeout=None if is_connect_timeout else 0.05)
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
                 assert b.pools.open_connections == 0
-            for one in fill:
-                one.close()
+            for filler in fillers:
+                filler.close()
 
     run(test)
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
-def test_after_the_last_byte_it_may_have_run(how: str) -> None:
+def test_completely_written_attempt_may_have_run(how: str) -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -362,7 +368,7 @@
                 b.pools.cancel(attempt)
                 wanted = Outcome.CANCELLED
             assert await b.end() == (1, wanted, None, {})
-            # The connection is closed too: an answer that still comes belongs to nobody.
+            # The connection is closed too, as an answer that still arrives is not wanted.
             await until(lambda: backend.ended == 1)
             assert b.pools.open_connections == 0 and b.ends.empty()
 
@@ -370,11 +376,11 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "time-out"])
-def test_break_before_the_last_byte_never_ran(how: str) -> None:
+def test_partly_written_attempt_never_ran(how: str) -> None:
     async def test() -> None:
         with closing(socket.create_server((LOCAL, 0))) as server:
             async with bench(port=server.getsockname()[1]) as b:
-                # More than both socket buffers hold, so that some of it stays behind.
+                # The body is larger than both socket buffers, so that some of it stays behind.
                 attempt = b.start(1, body=b"x" * (32 << 20))
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
--- a/tests/backends/test_connections.py
+++ b/tests/backends/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backends on sockets: when they rest, are used again, and end."""
+"""Tests when connections to backends are idle, are reused, and are closed, over sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .test_backends import bench
 
 
-def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pooled_connection_that_has_ended_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -32,7 +32,7 @@
                     assert await soon(loop.sock_recv(taken, 4096))
                     await soon(loop.sock_sendall(taken, served(b"v")))
                     assert (await b.end())[:2] == (number, Outcome.OK)
-                    # Reset or ended between two turns of the loop: the gateway has not heard of it.
+                    # Reset or ended between two turns of the loop: the gateway does not know yet.
                     if number == 1:
                         taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     taken.close()
@@ -42,11 +42,13 @@
     run(test)
 
 
-def test_a_backend_that_has_started_anew_has_none_of_the_connections_that_rest(
+def test_restarted_backend_has_no_idle_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A machine that vanished is back at its address: it never closed them, and a request that cannot be
-    repeated would be written, reset and lost."""
+    """A machine that failed is back at its address and never closed its connections.
+
+    A request that cannot be repeated would be written to one of them, reset and lost.
+    """
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -63,7 +65,7 @@
             out, _ = await backend.command()
             assert out is first
             b.pools.update_backend(7, (LOCAL, backend.port), incarnation=2)
-            out.send(served(b"w"))  # what is out may still be answered
+            out.send(served(b"w"))  # an attempt in flight may still be answered
             assert (await b.end())[:2] == (2, Outcome.OK)
             assert b.pools.idle_connections() == 0
             b.start(3)
@@ -77,7 +79,7 @@
     run(test)
 
 
-def test_late_answer_is_never_taken_for_the_next_attempt() -> None:
+def test_late_answer_is_not_taken_for_the_next() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -95,7 +97,7 @@
     run(test)
 
 
-def test_words_nobody_asked_for_close_the_connection() -> None:
+def test_unexpected_answer_closes_the_connection() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -109,9 +111,11 @@
     run(test)
 
 
-def test_connections_are_reused_last_in_first_out_with_one_request_each(
+def test_last_used_connection_is_reused_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Each connection carries one request at a time."""
+
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
@@ -119,15 +123,15 @@
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.command() for _ in range(2)]
-            assert held[0][0] is not held[1][0]
-            for connection, _ in held:
+            commands = [await backend.command() for _ in range(2)]
+            assert commands[0][0] is not commands[1][0]
+            for connection, _ in commands:
                 connection.send(served(b"v"))
                 await b.end()
             for number in (3, 4):
                 b.start(number)
                 connection, _ = await backend.command()
-                assert connection is held[1][0]
+                assert connection is commands[1][0]
                 connection.send(served(b"v"))
                 await b.end()
             assert b.pools.open_connections == 2
@@ -135,7 +139,7 @@
     run(test)
 
 
-def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
+def test_idle_connections_are_retired_before_their_limit() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend, idle=0.0) as b:
@@ -143,25 +147,25 @@
             connection, _ = await backend.command()
             connection.send(served(b"v"))
             await b.end()
-            b.start(2)  # the old one is past its time, looked for or not
+            b.start(2)  # the idle connection is over its limit even before a sweep
             other, _ = await backend.command()
             assert other is not connection
             other.send(served(b"v"))
             await b.end()
-            await until(lambda: backend.ended == 2)  # the sweep finds the second
+            await until(lambda: backend.ended == 2)  # the sweep closes the second
 
     run(test)
 
 
-def test_connections_that_are_reset_after_a_rest_are_not_kept_so_long() -> None:
+def test_resets_after_idle_times_shorten_the_idle_limit() -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
             clock = [100.0]
             b.pools.context.time = lambda: clock[0]
 
-            async def rested(seconds: float, broken: bool) -> bool:
-                """A good answer, then another request after that rest; whether it came on the same one."""
+            async def reused_after(seconds: float, broken: bool) -> bool:
+                """Sends another request after `seconds` idle; returns whether it used the same connection."""
                 b.start(1)
                 first, _ = await backend.command()
                 first.send(served(b"v"))
@@ -171,36 +175,38 @@
                 second, _ = await backend.command()
                 second.abort() if broken else second.send(served(b"v"))
                 assert (await b.end())[1] is (Outcome.RESET if broken else Outcome.OK)
-                clock[0] += 1000.0  # nothing of this round is used again
+                clock[0] += 1000.0  # no connection of this round is reused
                 return second is first
 
             for _ in range(3):
-                assert await rested(0.3, True)
-            assert not await rested(0.3, False)
-            assert await rested(0.15, False)
+                assert await reused_after(0.3, True)
+            assert not await reused_after(0.3, False)
+            assert await reused_after(0.15, False)
             for _ in range(120):
                 b.pools.context.idle_age.decay()
-            assert await rested(0.3, False)  # after a while it is tried again
+            assert await reused_after(0.3, False)  # the longer idle time is tried again later
 
     run(test)
 
 
-def test_breaks_that_come_at_any_age_or_seldom_shorten_no_rest() -> None:
-    ages = IdleAgeLimit(15.0)
+def test_rare_or_early_resets_keep_the_idle_limit() -> None:
+    """Early resets hit connections of any idle time, so a shorter limit would not help."""
+
+    idle_age = IdleAgeLimit(15.0)
     for age in (0.01, 0.02) * 10:
-        ages.record_use(age)
-        ages.record_reset(age)
+        idle_age.record_use(age)
+        idle_age.record_reset(age)
     for _ in range(100):
-        ages.record_use(1.0)
+        idle_age.record_use(1.0)
     for _ in range(4):
-        ages.record_reset(1.0)
-    assert ages.limit_s == 15.0
+        idle_age.record_reset(1.0)
+    assert idle_age.limit_s == 15.0
 
 
-def test_connections_are_bounded_and_idle_ones_give_way() -> None:
+def test_connections_are_limited_and_idle_ones_replaced() -> None:
     async def test() -> None:
         one, two = Backend(), Backend()
-        async with listening(two), bench(one, most=1) as b:
+        async with listening(two), bench(one, max_connections=1) as b:
             b.pools.update_backend(8, (LOCAL, two.port))
             b.start(1)
             connection, _ = await one.command()
@@ -217,18 +223,20 @@
     run(test)
 
 
-def test_backend_that_drains_loses_idle_connections_and_finishes_what_it_has() -> None:
+def test_draining_backend_finishes_its_open_attempts() -> None:
+    """Its idle connections are closed at once."""
+
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.command() for _ in range(2)]
-            held[0][0].send(served(b"v"))
+            commands = [await backend.command() for _ in range(2)]
+            commands[0][0].send(served(b"v"))
             await b.end()
             b.pools.update_backend(7, None)
             await until(lambda: backend.ended == 1)
-            held[1][0].send(served(b"w"))
+            commands[1][0].send(served(b"w"))
             assert (await b.end())[1:3] == (Outcome.OK, b"w")
             await until(lambda: backend.ended == 2)
 
@@ -236,8 +244,8 @@
 
 
 @pytest.mark.parametrize(("grace", "old"), [(0.0, False), (20.0, True), (20.0, False)])
-def test_nothing_still_connecting_is_written_past_the_drain_grace(grace: float, old: bool) -> None:
-    """What a call's first line brings may have been told long ago: none of its grace is left."""
+def test_connecting_attempt_is_not_written_after_drain_grace(grace: float, old: bool) -> None:
+    """A call's first update may be old: then nothing of the grace time is left."""
 
     async def test() -> None:
         backend = Backend()
@@ -253,26 +261,26 @@
     run(test)
 
 
-def test_unknown_backend_never_ran() -> None:
+def test_attempt_at_an_unknown_backend_never_ran() -> None:
     async def test() -> None:
         async with bench(port=1) as b:
             b.start(1, backend=99)
-            assert b.ends.empty()  # told in a turn of its own
+            assert b.ends.empty()  # reported in the next turn of the loop
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
     run(test)
 
 
 @pytest.mark.parametrize("number", [b"much", b"nan", b"inf", b"-1", b"+1", b"1_0", b" 1", b"1e999", b""])
-def test_report_must_be_finite_numbers_from_0_up(number: bytes) -> None:
+def test_load_report_rejects_negative_and_infinite_numbers(number: bytes) -> None:
     assert read_answer([b"v", None, b"util=" + number]) == (Outcome.OK, b"v", {})
 
 
-def test_report_is_read_as_the_protocol_writes_it() -> None:
+def test_load_report_accepts_the_numbers_of_the_protocol() -> None:
     assert read_report(b"inflight=7,util=0.61,tiny=1e-05") == {"inflight": 7.0, "util": 0.61, "tiny": 1e-05}
 
 
-def test_connection_helper_reads_whole_answers() -> None:
+def test_connection_helper_reads_complete_answers() -> None:
     async def test() -> None:
         backend = Backend()
         async with listening(backend):
--- a/tests/fronts/test_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -1,4 +1,4 @@
-"""Clients' connections on sockets: their bounds, broken commands, and how they are closed."""
+"""Tests the limits of client connections, invalid commands and closes, over sockets."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from trackspread.config.operator import DEFAULTS, ClientBounds, Operator
 from trackspread.decide.actions import Action, Reject, StartAttempt
 from trackspread.decide.events import RequestArrived
-from trackspread.fronts import client as one_client
+from trackspread.fronts import client as client_module
 from trackspread.fronts import connections as clients
 
 from ..fakes import CUSTOMER, World, call, run, served, soon, until, world
 from .test_clients import MS, only_backend, script
 
 
-def test_clients_beyond_the_bound_make_resting_ones_give_way() -> None:
+def test_idle_clients_are_evicted_over_the_connection_limit() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [])
-            w.node.clients.bound = 3
+            w.node.clients.max_connections = 3
             busy = await w.client()
             busy.send(call())
-            await until(lambda: busy_requests(w) == 1)
+            await until(lambda: event_count(w) == 1)
             resting = [await w.client() for _ in range(5)]
             assert [await client.next() for client in resting[:3]] == [None] * 3
             for client in resting[3:]:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next() == b"PONG"
-            assert w.node.clients.count() == 3 and busy_requests(w) == 1
+            assert w.node.clients.count() == 3 and event_count(w) == 1
 
     run(test)
 
 
-def busy_requests(w: World) -> int:
+def event_count(w: World) -> int:
     return len(w.node.decision_module.events)  # type: ignore[union-attr]
 
 
@@ -91,7 +91,7 @@
         ((b"FLUSHALL",), "unknown command"),
     ],
 )
-def test_bad_command_gets_a_plain_reason_and_the_connection_stays(
+def test_invalid_command_gets_a_reason_and_keeps_the_connection(
     words: tuple[bytes, ...], reason: str
 ) -> None:
     async def test() -> None:
@@ -130,12 +130,14 @@
         b"*2\r\n$4\r\nPING\r\n$60000000\r\n" + b"x" * 300_000,
     ],
 )
-def test_broken_resp_is_told_and_closes_the_connection_and_no_other(data: bytes, behind: bytes) -> None:
+def test_protocol_error_closes_only_its_own_connection(data: bytes, behind: bytes) -> None:
+    """The error is answered, also after a valid command and with its header in two pieces."""
+
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [Reject(a.request, 0)])
             other, client = await w.client(), await w.client()
-            # Behind another command, and with its header in two pieces.
+            # The input follows another command, and its header arrives in two pieces.
             client.send(behind + data[:2])
             await asyncio.sleep(0)
             client.send(data[2:])
@@ -149,8 +151,11 @@
     run(test)
 
 
-def test_close_with_bytes_unread_takes_no_answer_along() -> None:
-    """Half-close: the client may go on sending for a while, and reads all that it is owed."""
+def test_close_with_unread_input_loses_no_answer() -> None:
+    """Closing with unread input resets a connection, and a reset discards answers.
+
+    A half-close does not: the client may go on sending for a while, and reads every answer.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -171,20 +176,20 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
+    "sent", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
 )
-def test_client_that_says_nothing_or_half_a_command_is_closed(
-    said: bytes, monkeypatch: pytest.MonkeyPatch
+def test_client_without_a_complete_command_is_closed(
+    sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert DEFAULTS.clients.mute_s + clients.LOOK < 3.0
-    quick = Operator(clients=ClientBounds(mute_s=0.02))
-    monkeypatch.setattr(clients, "LOOK", 0.01)
+    assert DEFAULTS.clients.mute_s + clients.TIMEOUT_CHECK_S < 3.0
+    operator = Operator(clients=ClientBounds(mute_s=0.02))
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
-        async with world(quick) as w:
+        async with world(operator) as w:
             client = await w.client()
-            client.send(said)
-            if said:
+            client.send(sent)
+            if sent:
                 assert "without end" in str(await client.next())
             assert await client.next() is None
             await until(lambda: w.node.clients.count() == 0)
@@ -192,15 +197,18 @@
     run(test)
 
 
-def test_client_that_does_not_read_is_closed_and_its_commands_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert DEFAULTS.clients.unread_s + clients.LOOK < 3.0
-    quick = Operator(clients=ClientBounds(unread_s=0.05))
-    monkeypatch.setattr(clients, "LOOK", 0.01)
+def test_client_that_does_not_read_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its commands are held back meanwhile, and their memory is freed."""
+
+    assert DEFAULTS.clients.unread_s + clients.TIMEOUT_CHECK_S < 3.0
+    operator = Operator(clients=ClientBounds(unread_s=0.05))
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
-        async with world(quick) as w:
-            backend, most = only_backend(w), 600  # some 40 MB of answers, far over the sockets' buffers
-            s = script(w, *[lambda a: [StartAttempt(a.request, backend, 0)]] * most)
+        async with world(operator) as w:
+            backend = only_backend(w)
+            command_count = 600  # some 40 MB of answers, far more than the sockets' buffers
+            s = script(w, *[lambda a: [StartAttempt(a.request, backend, 0)]] * command_count)
 
             async def answer() -> None:
                 while True:
@@ -210,16 +218,18 @@
             answering = asyncio.create_task(answer())
             client = await w.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            client.send(b"".join(call(number=number) for number in range(most)))
+            client.send(b"".join(call(number=number) for number in range(command_count)))
             await until(lambda: bool(s.of(RequestArrived)) and w.node.clients.count() == 0)
             answering.cancel()
-            assert len(s.of(RequestArrived)) < most
-            assert w.node.clients.held == 0
+            assert len(s.of(RequestArrived)) < command_count
+            assert w.node.clients.unprocessed_bytes == 0
 
     run(test)
 
 
-def test_commands_beyond_the_pipeline_wait_unread_and_are_all_answered_in_order() -> None:
+def test_commands_over_the_pipeline_limit_wait_for_answers() -> None:
+    """They stay unprocessed until earlier ones are answered, and all are answered in order."""
+
     async def test() -> None:
         async with world() as w:
             number = 3 * DEFAULTS.clients.pipeline
@@ -237,7 +247,7 @@
             while len(arrived) < number:
                 assert len(w.node.requests) <= DEFAULTS.clients.pipeline
                 before = len(arrived)
-                w.node.execute(Reject(arrived[before - 1], 7 * MS))  # out of order: the last of them first
+                w.node.execute(Reject(arrived[before - 1], 7 * MS))  # out of order: the last first
                 for request in arrived[before - DEFAULTS.clients.pipeline : before - 1]:
                     w.node.execute(Reject(request, 7 * MS))
                 await until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
@@ -245,38 +255,38 @@
                 w.node.execute(Reject(request, 7 * MS))
             assert {str(await client.next()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next() == b"PONG"
-            assert w.node.clients.held == 0
+            assert w.node.clients.unprocessed_bytes == 0
 
     run(test)
 
 
-def test_commands_that_wait_unread_are_bounded_over_all_clients() -> None:
+def test_unprocessed_commands_are_limited_over_all_clients() -> None:
     async def test() -> None:
         async with world() as w:
-            w.node.clients.memory = 10_000
+            w.node.clients.max_unprocessed_bytes = 10_000
             script(w, *[lambda a: []] * DEFAULTS.clients.pipeline)
             client = await w.client()
             client.send(b"".join(call(number=n, wait_ms=60) for n in range(300)))
             answers = [str(await client.next()) for _ in range(DEFAULTS.clients.pipeline)]
             assert set(answers) == {"ERR out of time"}
             assert "too many" in str(await client.next())
-            assert await client.next() is None and w.node.clients.held == 0
+            assert await client.next() is None and w.node.clients.unprocessed_bytes == 0
 
     run(test)
 
 
-def test_id_of_an_open_request_is_not_taken_again() -> None:
+def test_id_of_an_open_request_is_rejected() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, *[lambda a: []] * 3)
             client, other = await w.client(), await w.client()
             client.send(call(number=5))
-            await until(lambda: busy_requests(w) == 1)
+            await until(lambda: event_count(w) == 1)
             other.send(call(number=5))
             assert "open" in str(await other.next())
-            assert busy_requests(w) == 1
+            assert event_count(w) == 1
             client.abort()
-            await until(lambda: busy_requests(w) == 2)  # told that the client has left
+            await until(lambda: event_count(w) == 2)  # the second event says that the client has left
             other.send(call(number=5, wait_ms=60))
             assert str(await other.next()) == "ERR out of time"
             other.send(call(number=5, wait_ms=60))
@@ -285,44 +295,44 @@
     run(test)
 
 
-def test_resting_clients_are_closed_early_only_where_connections_are_few(
+def test_idle_clients_are_closed_early_only_when_crowded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(one_client, "IDLE_CROWDED", 0.0)
+    monkeypatch.setattr(client_module, "CROWDED_IDLE_S", 0.0)
 
     async def test() -> None:
         async with world() as w:
-            made = [await w.client() for _ in range(4)]
-            for client in made:
+            clients = [await w.client() for _ in range(4)]
+            for client in clients:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next() == b"PONG"
-            w.node.clients.bound = 6
-            w.node.clients._look()
+            w.node.clients.max_connections = 6
+            w.node.clients._check_timeouts()
             await asyncio.sleep(0)
             assert w.node.clients.count() == 4
-            w.node.clients.bound = 5
-            w.node.clients._look()
+            w.node.clients.max_connections = 5
+            w.node.clients._check_timeouts()
             await until(lambda: w.node.clients.count() == 0)
 
     run(test)
 
 
-def test_newcomer_is_closed_where_no_connection_rests() -> None:
+def test_new_connection_is_closed_if_none_is_idle() -> None:
     async def test() -> None:
         async with world() as w:
-            w.node.clients.bound = 2
+            w.node.clients.max_connections = 2
             script(w, *[lambda a: []] * 2)
             busy = [await w.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(call(number=number))
-            await until(lambda: busy_requests(w) == 2)
+            await until(lambda: event_count(w) == 2)
             assert await (await w.client()).next() is None
             assert w.node.clients.count() == 2
 
     run(test)
 
 
-def test_broken_resp_behind_a_request_does_not_lose_it() -> None:
+def test_protocol_error_after_a_request_keeps_its_answer() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -336,7 +346,7 @@
     run(test)
 
 
-def test_command_in_pieces_is_read_whole() -> None:
+def test_command_in_pieces_is_read_completely() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [Reject(a.request, 0)])
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -1,4 +1,4 @@
-"""The gateway as its clients see it, over loopback sockets."""
+"""Tests the gateway with clients and backends on loopback sockets."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Script:
-    """Stands in for the module: does for each arrival what the test says, and notes every event."""
+    """Replaces the decision module: returns the test's actions for each arrival, and records every event."""
 
     def __init__(self, *plans: Any) -> None:
         self.plans, self.events = list(plans), list[Event]()
@@ -56,13 +56,13 @@
 
 
 def script(w: World, *plans: Any) -> Script:
-    made = Script(*plans)
-    w.node.decision_module = made  # type: ignore[assignment]
-    return made
+    replacement = Script(*plans)
+    w.node.decision_module = replacement  # type: ignore[assignment]
+    return replacement
 
 
-def let_time_pass(w: World, s: Script) -> None:
-    """As if the latest request's time were over, however fast the machine is."""
+def expire_latest_request(w: World, s: Script) -> None:
+    """Ends the time of the latest request, independent of the machine's speed."""
     w.node.now.base_ns += 60 * SECOND
     w.node.deadline_reached(s.of(RequestArrived)[-1].request)
     w.node.now.base_ns -= 60 * SECOND
@@ -97,7 +97,7 @@
     run(test)
 
 
-def test_arrival_tells_the_module_what_the_client_said() -> None:
+def test_arrival_event_has_the_parameters_of_the_command() -> None:
     async def test() -> None:
         async with world() as w:
             s = script(w, lambda a: [Reject(a.request, 1_500_001)], lambda a: [Reject(a.request, 0)])
@@ -120,8 +120,10 @@
     run(test)
 
 
-def test_what_the_module_counts_as_out_agrees_with_the_sockets_and_ends_at_zero() -> None:
-    """After good answers, errors, refusals, spoilt answers, resets, clients that leave, and a drain."""
+def test_attempts_in_flight_agree_with_open_connections() -> None:
+    """The decision module and the pools agree after answers, errors, rejections, invalid answers, resets,
+    clients that leave, and a drain; all counts end at 0.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -155,7 +157,7 @@
                     await until(lambda: not module.requests.open_requests)
                     ending = served(b"for nobody")
                 if ending == b"-BUSY\r\n":
-                    # Never ran, so it is tried again; there is but one backend to do so.
+                    # The attempt never ran, so it is retried, at the only backend.
                     connection.send(ending)
                     connection, _ = await w.backend.command()
                     assert module.requests.in_flight == 1
@@ -169,14 +171,14 @@
                 )
                 assert all(s.in_flight == 0 for s in module.load_balancer.backends.values())
                 for server in module.load_balancer.backends.values():
-                    server.ejected_until_ns = 0  # symptoms would have it rest
+                    server.ejected_until_ns = 0  # its failures would eject it
             await until(lambda: backends.open_connections == 0)
             assert all(a.in_flight == 0 for a in module.quota.accounts.values())
 
     run(test)
 
 
-def test_answers_stand_in_the_order_of_the_commands() -> None:
+def test_answers_keep_the_order_of_the_commands() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -188,26 +190,26 @@
             by_id[b"%016x" % 2].send(served(b"two"))
             await until(
                 lambda: w.node.backends.idle_connections() == 1
-            )  # the second's answer has been taken in
+            )  # the second answer was read
             by_id[b"%016x" % 1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", b"two", b"PONG"]
 
     run(test)
 
 
-def test_request_left_open_fails_before_the_client_gives_up() -> None:
+def test_open_request_fails_before_the_client_times_out() -> None:
     async def test() -> None:
         async with world() as w:
             s = script(w, lambda a: [])
             client = await w.client()
             client.send(call(wait_ms=60))
             assert str(await client.next()).startswith("ERR")
-            assert len(s.of(ClientDisconnected)) == 1  # the module need not care for it any longer
+            assert len(s.of(ClientDisconnected)) == 1  # so the decision module forgets the request
 
     run(test)
 
 
-def test_attempt_at_the_end_of_its_time_is_a_time_out_and_its_late_answer_goes_nowhere() -> None:
+def test_attempt_times_out_and_its_late_answer_is_dropped() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -215,7 +217,7 @@
             s = script(w, lambda a: [StartAttempt(a.request, backend, 0)], lambda a: [Fail(a.request)])
             client.send(call())
             connection, _ = await w.backend.command()
-            let_time_pass(w, s)
+            expire_latest_request(w, s)
             assert str(await client.next()).startswith("ERR")
             outcomes = [e.outcome for e in s.of(AttemptEnded)]
             assert outcomes == [Outcome.TIMEOUT]
@@ -226,7 +228,7 @@
     run(test)
 
 
-def test_second_answer_of_the_module_is_dropped() -> None:
+def test_second_answer_of_the_decision_module_is_dropped() -> None:
     async def test() -> None:
         async with world() as w:
             script(w, lambda a: [Fail(a.request), Reject(a.request, 0)], lambda a: [Reject(a.request, 0)])
@@ -239,7 +241,7 @@
     run(test)
 
 
-def test_attempt_for_a_request_that_is_over_is_moot() -> None:
+def test_attempt_for_an_answered_request_is_ignored() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -253,13 +255,13 @@
             assert str(await client.next()) == "ERR failed"
             client.send(call(number=2))
             _, words = await w.backend.command()
-            assert words[2] == b"%016x" % 2  # the first was never written
+            assert words[2] == b"%016x" % 2  # the attempt of the first was never written
             assert not s.of(ClientDisconnected)
 
     run(test)
 
 
-def test_client_that_leaves_is_told_to_the_module_once() -> None:
+def test_client_disconnect_is_reported_once() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -278,7 +280,7 @@
     run(test)
 
 
-def test_fault_in_one_event_costs_one_failure(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_one_event_fails_one_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with world() as w:
             s = script(w, KeyError("broken"), lambda a: [Reject(a.request, 0)])
@@ -294,8 +296,10 @@
     run(test)
 
 
-def test_attempt_whose_client_left_ends_with_its_time() -> None:
-    """A backend that vanished says nothing: the connection would stay open, counted as out, for good."""
+def test_attempt_of_a_client_that_left_times_out() -> None:
+    """A backend whose machine failed never answers: without the timeout, the connection would stay open and
+    count as in flight forever.
+    """
 
     async def test() -> None:
         async with world() as w:
@@ -309,7 +313,7 @@
             assert not s.of(AttemptEnded)
             timer = w.node.requests[s.of(RequestArrived)[0].request].timer
             assert timer is not None and not timer.cancelled()
-            let_time_pass(w, s)
+            expire_latest_request(w, s)
             (ended,) = s.of(AttemptEnded)
             assert (ended.outcome, ended.request_finished) == (Outcome.TIMEOUT, True)
             await until(lambda: w.backend.ended == 1)
@@ -318,18 +322,20 @@
     run(test)
 
 
-def test_action_that_cannot_be_carried_out_takes_no_other_with_it(
+def test_failed_action_does_not_prevent_the_next_ones(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The beat is asked for once a tick: lost with a fault it would stop, asked for again it would double."""
+    """The decision module sets its timer once in each tick: a timer that is lost with a failed action would
+    stop the ticks, and one that is set twice would double them.
+    """
 
     async def test() -> None:
         async with world() as w:
 
-            def tell(to: int | None, data: bytes) -> None:
+            def send(to: int | None, data: bytes) -> None:
                 raise OSError("no buffer")
 
-            monkeypatch.setattr(w.node.peers, "tell", tell)
+            monkeypatch.setattr(w.node.peers, "send", send)
             s = script(w, lambda a: [SendToPeers(None, b"x"), SetTimer(MS, 7), Reject(a.request, 0)])
             client = await w.client()
             client.send(call())
@@ -341,7 +347,7 @@
     run(test)
 
 
-def test_beat_of_the_module_survives_a_fault() -> None:
+def test_ticks_continue_after_an_exception() -> None:
     class Faulty(Script):
         def handle(self, now: int, event: Event) -> list[Action]:
             super().handle(now, event)
@@ -356,8 +362,10 @@
     run(test)
 
 
-def test_list_that_meets_a_fault_is_told_again() -> None:
-    """A notice of a drain must not be lost to a fault: rule 3 counts from when it was written to us."""
+def test_list_update_is_repeated_after_an_exception() -> None:
+    """The notice of a drain must not be lost to an exception: rule 3 counts from when it was sent to the
+    gateway.
+    """
 
     class Faulty(Script):
         def handle(self, now: int, event: Event) -> list[Action]:
@@ -382,7 +390,7 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_probe_is_sent_only_where_allowed(allowed: bool) -> None:
+def test_health_check_is_sent_only_if_allowed(allowed: bool) -> None:
     async def test() -> None:
         async with world(limits__probes=allowed) as w:
             backend = only_backend(w)
@@ -409,7 +417,9 @@
     run(test)
 
 
-def test_reports_reach_the_module_in_the_order_of_the_settings_also_from_error_lines() -> None:
+def test_load_reports_have_the_order_of_the_settings() -> None:
+    """Load reports are also read from error lines."""
+
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -449,7 +459,7 @@
     run(test)
 
 
-def test_idle_connections_close_when_the_module_says_so() -> None:
+def test_decision_module_closes_idle_connections() -> None:
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
@@ -470,15 +480,15 @@
     run(test)
 
 
-def test_stopping_gateway_closes_a_busy_connection_with_its_answer() -> None:
-    """Between two requests of a client in a hurry there is hardly a rest that a look now and then finds."""
+def test_stopping_gateway_closes_a_connection_after_its_answer() -> None:
+    """A client that sends its next request at once would hardly ever be found idle by the periodic check."""
 
     async def test() -> None:
         async with world() as w:
             client = await w.client()
             client.send(call())
             connection, _ = await w.backend.command()
-            w.node.clients.closing = True
+            w.node.clients.is_closing = True
             connection.send(served(b"v"))
             assert [await client.next(), await client.next()] == [b"v", None]
 
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -1,5 +1,7 @@
-"""Long values on loopback: passed on as they come, at the slower peer's pace, and never as whole when they
-are not."""
+"""Tests that long values are forwarded while they arrive, at the pace of the slower side.
+
+A value that is incomplete must never look complete to the client.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +14,13 @@
 from trackspread.decide.broker import Broker
 from trackspread.decide.actions import StartAttempt
 from trackspread.decide.events import AttemptEnded, Outcome, ResponseStarted
-from trackspread.fronts.client import LONG_UNREAD
-from trackspread.framing.resp import LONG_FROM, LONG_MOST
+from trackspread.fronts.client import LONG_VALUE_UNREAD_S
+from trackspread.framing.resp import LONG_VALUE_BYTES, MAX_LONG_VALUE_BYTES
 
 from ..helpers import MS, SECOND, arrival, backend, full_list, settings
 from ..fakes import LOCAL, Connection, World, call, run, served, soon, until, world
 
-VALUE = random.Random(1).randbytes(LONG_MOST)
+VALUE = random.Random(1).randbytes(MAX_LONG_VALUE_BYTES)
 TAIL = served(b"")[len(b"*3\r\n$0\r\n") :]
 
 
@@ -26,17 +28,17 @@
     return b"*3\r\n$%d\r\n" % size
 
 
-async def raw(w: World, size: int = 0) -> socket.socket:
-    """A client that takes nothing by itself; `size`: of its receive buffer."""
-    made = socket.socket()
+async def connect_raw(w: World, size: int = 0) -> socket.socket:
+    """Connects a client that reads only on request; `size` is that of its receive buffer."""
+    client = socket.socket()
     if size:
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
-    made.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(made, (LOCAL, w.node.clients.port))
-    return made
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
+    client.setblocking(False)
+    await asyncio.get_running_loop().sock_connect(client, (LOCAL, w.node.clients.port))
+    return client
 
 
-async def exactly(client: socket.socket, size: int) -> bytes:
+async def read_exactly(client: socket.socket, size: int) -> bytes:
     loop, parts = asyncio.get_running_loop(), []
     while size:
         data = await soon(loop.sock_recv(client, min(size, 1 << 16)))
@@ -46,47 +48,51 @@
     return b"".join(parts)
 
 
-@pytest.mark.parametrize("size", [LONG_FROM, LONG_FROM + 1, LONG_MOST])
-@pytest.mark.parametrize("piece", [1000, 70_000, LONG_MOST + 100])
-def test_values_of_any_size_come_whole_in_pieces_of_any_size(size: int, piece: int) -> None:
+@pytest.mark.parametrize("size", [LONG_VALUE_BYTES, LONG_VALUE_BYTES + 1, MAX_LONG_VALUE_BYTES])
+@pytest.mark.parametrize("piece", [1000, 70_000, MAX_LONG_VALUE_BYTES + 100])
+def test_values_arrive_complete_in_pieces_of_any_size(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
-            for number in (1, 2):  # the connections serve on behind it
+            for number in (1, 2):  # the connections can be used again after the value
                 client.send(call(number=number))
                 connection, _ = await w.backend.command()
-                whole = served(VALUE[:size])
-                for at in range(0, len(whole), piece):
-                    connection.send(whole[at : at + piece])
+                encoded = served(VALUE[:size])
+                for at in range(0, len(encoded), piece):
+                    connection.send(encoded[at : at + piece])
                     await connection.writer.drain()
                 assert await client.next() == VALUE[:size]
-                await asyncio.sleep(0.02)  # it rests a moment before it is used again
+                await asyncio.sleep(0.02)  # a connection is not reused at once
             assert len(w.backend.connections) == 1
 
     run(test)
 
 
-def test_first_bytes_go_on_at_once_and_no_time_cuts_off_what_still_comes() -> None:
+def test_long_value_is_forwarded_at_once_without_a_timeout() -> None:
+    """No deadline cuts off a value that is still arriving."""
+
     async def test() -> None:
         async with world() as w:
-            client = await raw(w)
+            client = await connect_raw(w)
             await asyncio.get_running_loop().sock_sendall(client, call(number=1, wait_ms=300))
             connection, _ = await w.backend.command()
             connection.send(head(100_000) + VALUE[:10])
-            assert await exactly(client, 19) == b"$100000\r\n" + VALUE[:10]
-            await asyncio.sleep(0.8)  # over the client's time, and over what a short answer may take
+            assert await read_exactly(client, 19) == b"$100000\r\n" + VALUE[:10]
+            await asyncio.sleep(0.8)  # over the client's deadline and the timeout of a short answer
             connection.send(VALUE[10:100_000] + TAIL)
-            assert await exactly(client, 99_992) == VALUE[10:100_000] + b"\r\n"
+            assert await read_exactly(client, 99_992) == VALUE[10:100_000] + b"\r\n"
             assert w.node.counters.lines(0, 0, 0).startswith("router.served.look up=1\n")
             client.close()
 
     run(test)
 
 
-def test_a_slow_client_holds_its_backend_back_and_costs_no_more_than_its_share() -> None:
+def test_slow_client_slows_its_backend_within_its_memory() -> None:
+    """The rest of the value stays at the backend, and the gateway keeps no more than four receive buffers."""
+
     async def test() -> None:
         async with world() as w:
-            client = await raw(w, 4096)
+            client = await connect_raw(w, 4096)
             await asyncio.get_running_loop().sock_sendall(client, call(number=1) + call(number=2))
             held_at: dict[int, Connection] = {}
             for _ in range(2):
@@ -100,26 +106,26 @@
                 return [held_at[n].writer.transport.get_write_buffer_size() for n in (1, 2)]
 
             before: list[int] = []
-            while before != unsent():  # until nothing moves any more
+            while before != unsent():  # until no more bytes are sent
                 before = unsent()
                 await asyncio.sleep(0.2)
-            (held,) = w.node.clients._clients
-            assert held._transport is not None
-            waiting = sum(len(part) for slot in held.slots for part in slot.waiting or [])
+            (server,) = w.node.clients._active
+            assert server._transport is not None
+            waiting = sum(len(part) for slot in server.slots for part in slot.waiting or [])
             assert (
-                held._transport.get_write_buffer_size() + waiting
+                server._transport.get_write_buffer_size() + waiting
                 <= 4 * w.node.backends.context.receive_buffer_bytes
             )
-            assert sum(before) > 0  # the rest waits where it is
-            whole = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
-            assert await exactly(client, 2 * len(whole)) == 2 * whole
+            assert sum(before) > 0  # the rest stays at the backend
+            encoded = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
+            assert await read_exactly(client, 2 * len(encoded)) == 2 * encoded
             client.close()
 
     run(test)
 
 
-class Paced:
-    """A long value's source that notes what it is told."""
+class RecordingSource:
+    """Provides a long value, and records whether it is paused."""
 
     def __init__(self) -> None:
         self.paused = False
@@ -131,48 +137,54 @@
         self.paused = False
 
 
-def test_a_client_may_take_seconds_also_for_what_is_left_once_the_backend_has_given_all() -> None:
+def test_slow_client_keeps_its_timeout_after_the_value_ended() -> None:
+    """The longer timeout for a long value also holds for the bytes that are unsent when the backend has sent
+    all of it.
+    """
+
     async def test() -> None:
         async with world() as w:
             client = await w.client()
             client.send(call(number=1))
             await w.backend.command()
-            (held,) = w.node.clients._clients
-            slot, source, now = held.slots[0], Paced(), w.node.clients.time
+            (server,) = w.node.clients._active
+            slot, source, now = server.slots[0], RecordingSource(), w.node.clients.time
             asked = next(iter(w.node.requests.values())).call
-            slot.begins(asked, 100_000, source)
-            held.pause_writing()
+            slot.begin_value(asked, 100_000, source)
+            server.pause_writing()
             assert source.paused
-            slot.piece(VALUE[:100_000])
-            slot.whole(asked)
-            held.look(now() + w.node.clients.bounds.unread_s + 1.0, False)
-            assert held._transport is not None and not held._transport.is_closing()
-            held.look(now() + LONG_UNREAD + 1.0, False)
-            assert held._transport.is_closing()
+            slot.add_piece(VALUE[:100_000])
+            slot.end_value(asked)
+            server.check_timeouts(now() + w.node.clients.bounds.unread_s + 1.0, False)
+            assert server._transport is not None and not server._transport.is_closing()
+            server.check_timeouts(now() + LONG_VALUE_UNREAD_S + 1.0, False)
+            assert server._transport.is_closing()
 
     run(test)
 
 
 @pytest.mark.parametrize("what", ["reset", "garbage"])
-def test_a_value_that_cannot_be_finished_ends_the_connection_and_nothing_follows_it(what: str) -> None:
+def test_incomplete_value_ends_the_connection(what: str) -> None:
+    """Nothing follows the incomplete value on the connection, and no attempt is repeated."""
+
     async def test() -> None:
         async with world() as w:
-            client = await raw(w)
+            client = await connect_raw(w)
             await asyncio.get_running_loop().sock_sendall(client, call(number=1))
             connection, _ = await w.backend.command()
             connection.send(head(100_000) + VALUE[:50_000])
-            await exactly(client, 50_009)
+            await read_exactly(client, 50_009)
             if what == "reset":
                 connection.abort()
             else:
                 connection.send(VALUE[50_000:100_000] + b"no end of line")
-            rest = b""
+            received = b""
             try:
                 while data := await soon(asyncio.get_running_loop().sock_recv(client, 1 << 16)):
-                    rest += data
+                    received += data
             except ConnectionError:
                 pass
-            assert len(rest) <= 50_000  # short of its last two bytes: the client can tell
+            assert len(received) <= 50_000  # at least two bytes short: the client sees that it is incomplete
             assert w.backend.commands.empty() and not w.node.requests
             assert "router.failed.look up=1\n" in w.node.counters.lines(0, 0, 0)
             client.close()
@@ -180,20 +192,23 @@
     run(test)
 
 
-@pytest.mark.parametrize("deaf", [False, True])
-def test_nothing_is_sent_again_once_an_answer_has_begun(deaf: bool) -> None:
-    """`deaf` plants the breach: a module that does not hear of the beginning sends a second attempt."""
+@pytest.mark.parametrize("misses_beginning", [False, True])
+def test_no_retry_after_an_answer_has_begun(misses_beginning: bool) -> None:
+    """`misses_beginning` plants the fault: a decision module that is not notified of the beginning retries.
+    """
     module, now = Broker(settings(max_attempts=4), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
-    if not deaf:
+    if not misses_beginning:
         module.handle(now, ResponseStarted(1, 5 * MS, 0, sent.backend))
     end = AttemptEnded(1, False, 0, sent.backend, 0, Outcome.RESET, 900 * MS, 0, ())
     after = module.handle(now + 900 * MS, end)
-    assert any(isinstance(action, StartAttempt) for action in after) is deaf
+    assert any(isinstance(action, StartAttempt) for action in after) is misses_beginning
+
 
+def test_model_uses_the_first_byte_of_a_long_value() -> None:
+    """The latency of a long value is that of its first byte, and it does not count for the cap afterwards."""
 
-def test_the_models_time_of_a_long_value_is_that_of_its_first_byte_and_no_cap_counts_it() -> None:
     module, now = Broker(settings(), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
@@ -205,7 +220,7 @@
     assert module.model.latency[0].value == 5 * MS
 
 
-def test_before_its_first_byte_goes_on_another_attempt_follows() -> None:
+def test_attempt_is_repeated_before_its_first_forwarded_byte() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -222,44 +237,43 @@
     run(test)
 
 
-def test_answers_keep_their_order_round_a_long_one() -> None:
+def test_answers_keep_their_order_around_a_long_value() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
             client.send(call(number=1) + call(number=2) + call(number=3))
-            held: dict[int, Connection] = {}
+            connections: dict[int, Connection] = {}
             for _ in range(3):
                 connection, words = await w.backend.command()
-                held[int(words[2], 16)] = connection
-            held[2].send(served(VALUE[:500_000]))  # has to wait for the first: not in the gateway's memory
-            held[3].send(served(b"three"))
+                connections[int(words[2], 16)] = connection
+            connections[2].send(served(VALUE[:500_000]))  # waits for the first, not in the gateway
+            connections[3].send(served(b"three"))
             await asyncio.sleep(0.1)
-            held[1].send(served(b"one"))
+            connections[1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", VALUE[:500_000], b"three"]
-            # One that breaks before its turn has been seen by nobody: an error in its place, the rest goes
-            # on.
+            # A value that breaks off before its turn is replaced by an error, as none of it was sent.
             client.send(call(number=4) + call(number=5))
             for _ in range(2):
                 connection, words = await w.backend.command()
-                held[int(words[2], 16)] = connection
-            held[5].send(head(100_000) + VALUE[:10])
+                connections[int(words[2], 16)] = connection
+            connections[5].send(head(100_000) + VALUE[:10])
             await until(lambda: any(r.forwarded_attempt for r in w.node.requests.values()))
-            held[5].abort()
+            connections[5].abort()
             await until(lambda: len(w.node.requests) == 1)
-            held[4].send(served(b"four"))
+            connections[4].send(served(b"four"))
             assert await client.next() == b"four"
             assert "failed" in str(await client.next())
 
     run(test)
 
 
-def test_a_client_that_leaves_ends_its_backends_work() -> None:
+def test_client_that_leaves_ends_its_attempt() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
             client.send(call(number=1))
             connection, _ = await w.backend.command()
-            connection.send(head(LONG_MOST) + VALUE[:100_000])
+            connection.send(head(MAX_LONG_VALUE_BYTES) + VALUE[:100_000])
             await until(lambda: any(r.forwarded_attempt for r in w.node.requests.values()))
             client.abort()
             await until(lambda: not w.node.requests and w.backend.ended == 1)
@@ -267,16 +281,16 @@
     run(test)
 
 
-def body(size: int) -> bytes:
+def command_with_body(size: int) -> bytes:
     return call("charge", 1, body=VALUE[:size])
 
 
-@pytest.mark.parametrize("piece", [1000, 70_000, LONG_MOST + 500])
-@pytest.mark.parametrize("size", [LONG_FROM, LONG_FROM + 1, LONG_MOST])
-def test_bodies_of_any_size_go_on_unchanged_and_are_there_for_another_attempt(size: int, piece: int) -> None:
+@pytest.mark.parametrize("piece", [1000, 70_000, MAX_LONG_VALUE_BYTES + 500])
+@pytest.mark.parametrize("size", [LONG_VALUE_BYTES, LONG_VALUE_BYTES + 1, MAX_LONG_VALUE_BYTES])
+def test_bodies_are_forwarded_unchanged_and_kept_for_retries(size: int, piece: int) -> None:
     async def test() -> None:
         async with world() as w:
-            client, command = await w.client(), body(size)
+            client, command = await w.client(), command_with_body(size)
             for at in range(0, len(command), piece):
                 client.send(command[at : at + piece])
                 await client.writer.drain()
@@ -285,11 +299,11 @@
             connection.send(b"-BUSY\r\n")
             again, words = await w.backend.command()
             assert words[4] == VALUE[:size]
-            assert w.node.clients.bodies.held == (size if size > LONG_FROM else 0)
+            assert w.node.clients.bodies.used_bytes == (size if size > LONG_VALUE_BYTES else 0)
             again.send(served(b"v"))
             client.send(call(number=2))
             assert await client.next() == b"v"
-            assert w.node.clients.bodies.held == 0
+            assert w.node.clients.bodies.used_bytes == 0
             connection, _ = await w.backend.command()
             connection.send(served(b"w"))
             assert await client.next() == b"w"
@@ -297,38 +311,40 @@
     run(test)
 
 
-def test_bodies_wait_for_room_in_turn_and_all_end() -> None:
+def test_bodies_over_the_memory_limit_wait_in_order() -> None:
+    """Hardly one body fits, and still none waits forever."""
+
     async def test() -> None:
         async with world() as w:
-            w.node.clients.bodies.most = 1 << 20
+            w.node.clients.bodies.limit_bytes = 1 << 20
             clients = [await w.client() for _ in range(6)]
             for number, client in enumerate(clients):
                 client.send(call("charge", number + 1, body=VALUE[:1_500_000]))
             peak = 0
-            for _ in clients:  # none waits for ever, though hardly one fits
+            for _ in clients:  # none waits forever, though hardly one fits
                 connection, words = await w.backend.command()
                 assert words[4] == VALUE[:1_500_000]
                 await asyncio.sleep(0.02)
-                peak = max(peak, w.node.clients.bodies.held)
+                peak = max(peak, w.node.clients.bodies.used_bytes)
                 connection.send(served(words[2]))
             assert [await client.next() for client in clients] == [b"%016x" % (n + 1) for n in range(6)]
-            assert peak <= (1 << 20) + 6 * (1 << 18) + 1_500_000 and w.node.clients.bodies.held == 0
+            assert peak <= (1 << 20) + 6 * (1 << 18) + 1_500_000 and w.node.clients.bodies.used_bytes == 0
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "data",
     [
         b"*5\r\n$9\r\nCALL.POST\r\n$100000\r\n",
         b"*5\r\n$9\r\nCALL.POST\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$4194305\r\n",
     ],
 )
-def test_a_length_over_the_limit_costs_its_connection_alone(junk: bytes) -> None:
+def test_length_over_the_limit_closes_only_its_connection(data: bytes) -> None:
     async def test() -> None:
         async with world() as w:
             good, bad = await w.client(), await w.client()
-            bad.send(junk)
+            bad.send(data)
             assert "limit" in str(await bad.next())
             assert await bad.next() is None
             good.send(call(number=1))
@@ -339,18 +355,18 @@
     run(test)
 
 
-def test_a_body_that_stops_half_way_gives_its_room_back() -> None:
+def test_incomplete_body_frees_its_memory() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
-            client.send(body(LONG_MOST)[:300_000])
-            await until(lambda: w.node.clients.bodies.held > 200_000)
+            client.send(command_with_body(MAX_LONG_VALUE_BYTES)[:300_000])
+            await until(lambda: w.node.clients.bodies.used_bytes > 200_000)
             client.abort()
-            await until(lambda: w.node.clients.bodies.held == 0)
-            # One of a class that is not there is answered, and costs no room either.
+            await until(lambda: w.node.clients.bodies.used_bytes == 0)
+            # A body of an unknown class is answered, and uses no memory either.
             other = await w.client()
-            other.send(body(300_000).replace(b"c=charge", b"c=chargx"))
+            other.send(command_with_body(300_000).replace(b"c=charge", b"c=chargx"))
             assert "unknown class" in str(await other.next())
-            assert w.node.clients.bodies.held == 0
+            assert w.node.clients.bodies.used_bytes == 0
 
     run(test)
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -1,4 +1,4 @@
-"""Discovery's watch, the mapping of its entries, and messages between gateways, over loopback sockets."""
+"""Tests the watch of discovery, the mapping of its entries, and messages between gateways, over sockets."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from trackspread.decide.events import PeerMessage
 from trackspread.lists import agent as discovery
 from trackspread.lists.agent import Discovery, parse_update
-from trackspread.lists.turns import GRACE_PART, Turns
-from trackspread.lists.seam import ListError, Update, backend_id
+from trackspread.lists.poll_timing import GRACE_FRACTION, PollTiming
+from trackspread.lists.source import ListError, ListUpdate, backend_id
 from trackspread.node import gateway
 from trackspread.node.gateway import Gateway
-from trackspread.peers.datagrams import Peers
+from trackspread.peers.datagrams import PeerSocket
 
 from ..fakes import (
     Backend as Rating,
@@ -47,18 +47,18 @@
 
 
 class Follower:
-    """Notes what a watch brings."""
+    """Records the updates of a watch."""
 
     def __init__(self, agent: Agent, index: int | None) -> None:
-        self.updates: asyncio.Queue[Update] = asyncio.Queue()
+        self.updates: asyncio.Queue[ListUpdate] = asyncio.Queue()
         self.watch = Discovery((LOCAL, agent.port), ZONES, KINDS, index, self.updates.put_nowait)
         self.watch.start()
 
-    async def next(self) -> Update:
+    async def next(self) -> ListUpdate:
         return await soon(self.updates.get())
 
 
-def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
+def test_entry_is_mapped_as_for_the_simulator() -> None:
     entry = host("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
     update = parse_update(listing(41, entry, whole=False), ZONES, KINDS)
     assert update.topology.kind is EndpointUpdateKind.DELTA and update.topology.version == 41
@@ -68,13 +68,18 @@
     assert update.addresses == {number: (LOCAL, 6379)}
 
 
-def test_backend_number_hangs_on_the_name_alone() -> None:
-    # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
+def test_backend_number_depends_on_the_name_alone() -> None:
+    """The expected number is fixed, so that a changed mapping shows: gateways of two versions may run
+    together.
+    """
+
     assert backend_id("s-5be2a07c") == 54393183237098
     assert backend_id("s-5be2a07d") != backend_id("s-5be2a07c")
 
 
-def test_born_long_ago_stays_zero_and_a_cold_backend_lies_on_the_modules_clock() -> None:
+def test_backend_start_time_uses_the_gateway_clock() -> None:
+    """A start time of 0 stays 0, which means long ago; a backend that just started is warming up."""
+
     async def test() -> None:
         async with world() as w:
             now_ms = time.time_ns() // 1_000_000
@@ -108,12 +113,14 @@
         listing(1, host("s", 1) | {"dial": "nowhere"}),
     ],
 )
-def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
+def test_unreadable_list_raises_list_error(raw: Any) -> None:
     with pytest.raises(ListError):
         parse_update(raw, ZONES, KINDS)
 
 
-def test_changes_come_in_order_and_a_broken_watch_goes_on_from_the_last_version() -> None:
+def test_watch_resumes_from_the_last_version() -> None:
+    """Changes arrive in order, also over several pieces and with empty lines between them."""
+
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
@@ -137,46 +144,49 @@
     run(test)
 
 
-def test_watch_that_breaks_young_in_a_large_fleet_is_opened_anew_within_a_drains_grace(
+def test_watch_reset_early_reopens_within_a_drains_grace(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has counts as told while no watch is open. A watch reset within its first seconds waited
-    for its gateway's turn, up to 9 s with 200 gateways; only discovery's word that it is short may do so."""
+    """Changes at the agent count as notified while no watch is open.
+
+    A watch reset within its first seconds waited for the spread, up to 9 s with 200 gateways; only an
+    overloaded discovery may cause that wait.
+    """
     waits: list[float] = []
-    again = Turns.again
+    again = PollTiming.next_wait_s
 
-    def noted(turns: Turns, turned_away: bool) -> float:
-        waits.append(again(turns, turned_away))
+    def recorded(timing: PollTiming, was_rejected: bool) -> float:
+        waits.append(again(timing, was_rejected))
         return waits[-1] if len(waits) <= 3 else 0.0
 
-    monkeypatch.setattr(Turns, "again", noted)
+    monkeypatch.setattr(PollTiming, "next_wait_s", recorded)
 
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
-            told: asyncio.Queue[Update] = asyncio.Queue()
-            watch = Discovery((LOCAL, agent.port), ZONES, KINDS, 7, told.put_nowait, 200, 1.0)
+            received: asyncio.Queue[ListUpdate] = asyncio.Queue()
+            watch = Discovery((LOCAL, agent.port), ZONES, KINDS, 7, received.put_nowait, 200, 1.0)
             watch.start()
             for _ in range(3):
                 await soon(agent.asked.get())
-                agent.hang_up()  # as a rule before any line
+                agent.hang_up()  # usually before any line
             await soon(agent.asked.get())
-            assert max(waits) <= GRACE_PART
+            assert max(waits) <= GRACE_FRACTION
             agent.tell(listing(8, whole=False))
-            assert (await soon(told.get())).topology.version == 8
+            assert (await soon(received.get())).topology.version == 8
             agent.status = b"503 Service Unavailable"
             agent.hang_up()
             await until(lambda: len(waits) > 4)
-            assert max(waits[:4]) <= GRACE_PART < min(waits[4:])
+            assert max(waits[:4]) <= GRACE_FRACTION < min(waits[4:])
             await watch.close()
 
     run(test)
 
 
-def test_a_fault_that_nobody_expected_does_not_end_discovery(
+def test_unexpected_exception_does_not_end_discovery(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Any exception but two kinds ended the task of the watch, and with it all news for good."""
+    """Any exception except two kinds ended the task of the watch, and with it all updates for good."""
 
     async def test() -> None:
         agent = Agent()
@@ -190,8 +200,8 @@
                 return await connect(*args)
 
             watching = Discovery((LOCAL, agent.port), ZONES, KINDS, None, print)
-            made = _Loop(loop, broken)
-            monkeypatch.setattr(asyncio, "get_running_loop", lambda: made)
+            wrapped_loop = _Loop(loop, broken)
+            monkeypatch.setattr(asyncio, "get_running_loop", lambda: wrapped_loop)
             watching.start()
             assert b"index=0" in await soon(agent.asked.get())
             assert not faults and "unheard of" in caplog.text
@@ -201,7 +211,7 @@
 
 
 class _Loop:
-    """A loop whose connections a test makes."""
+    """Wraps a loop, with the test's own `create_connection`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connect: Any) -> None:
         self._loop, self.create_connection = loop, connect
@@ -210,7 +220,7 @@
         return getattr(self._loop, name)
 
 
-def test_watch_moves_to_another_agent_and_goes_on_from_the_last_version() -> None:
+def test_watch_continues_at_another_agent() -> None:
     async def test() -> None:
         old, new = Agent(), Agent()
         async with listening(old), listening(new):
@@ -218,14 +228,14 @@
             await soon(old.asked.get())
             old.tell(listing(41, host("s-1", 1)))
             await f.next()
-            f.watch.move((LOCAL, new.port))
+            f.watch.switch_agent((LOCAL, new.port))
             assert b"index=41" in await soon(new.asked.get())
-            f.watch.move((LOCAL, new.port))  # where it already is
+            f.watch.switch_agent((LOCAL, new.port))  # the present agent
             new.tell(listing(42, whole=False))
             assert (await f.next()).topology.version == 42
             assert new.asked.empty() and old.asked.empty()
             await f.watch.close()
-            f.watch.move((LOCAL, old.port))
+            f.watch.switch_agent((LOCAL, old.port))
             await asyncio.sleep(0)
             assert old.asked.empty()
 
@@ -233,38 +243,41 @@
 
 
 @pytest.mark.parametrize("how", ["moved", "late", "closed"])
-def test_a_call_that_is_given_up_while_it_connects_leaves_no_watch_behind(
+def test_cancelled_connect_leaves_no_watch_open(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection may come up all the same, and would stay, with an agent that is no longer followed."""
-    monkeypatch.setattr(discovery, "CONNECT", 0.05 if how == "late" else 20.0)
+    """Its connection may still be established, and would stay open at an agent that is not followed any more.
+    """
+    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.05 if how == "late" else 20.0)
 
     async def test() -> None:
         new, old = Agent(), Agent()
         with busy_listener() as full:
             async with listening(new):
                 old.port = full.getsockname()[1]
-                before = connecting(old.port)
+                before = unestablished_connections(old.port)
                 f = Follower(old, None)
-                await until(lambda: connecting(old.port) == before + 1)
+                await until(lambda: unestablished_connections(old.port) == before + 1)
                 if how == "closed":
                     await soon(f.watch.close())
                 elif how == "moved":
-                    f.watch.move((LOCAL, new.port))
+                    f.watch.switch_agent((LOCAL, new.port))
                     await soon(new.asked.get())
-                await until(lambda: connecting(old.port) == before)
+                await until(lambda: unestablished_connections(old.port) == before)
                 await f.watch.close()
 
     run(test)
 
 
-def connecting(port: int) -> int:
-    """How many of this machine's connections to this port are not up yet, by the kernel's own table."""
+def unestablished_connections(port: int) -> int:
+    """Returns how many of this machine's connections to a port the kernel lists as not established."""
     rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(row[2].endswith(f":{port:04X}") and row[3] == SYN_SENT for row in rows)
 
 
-def test_drain_holds_though_an_agent_that_lags_tells_an_older_whole_list() -> None:
+def test_drain_holds_against_an_older_complete_list() -> None:
+    """The older list comes from an agent that lags behind the agent before it."""
+
     async def test() -> None:
         old, new = Agent(), Agent()
         async with listening(old), listening(new):
@@ -272,12 +285,12 @@
             await soon(old.asked.get())
             old.tell(listing(41, host("s-1", 1, "terminating"), host("s-2", 2, "terminating")))
             await f.next()
-            f.watch.move((LOCAL, new.port))
+            f.watch.switch_agent((LOCAL, new.port))
             await soon(new.asked.get())
-            # The second has been started anew, so it is another: it was told too, before its drain.
+            # The second backend has restarted, so its drain, which was reported before, does not hold.
             new.tell(listing(40, host("s-1", 1), host("s-2", 2, born_ms=5), host("s-3", 3)))
-            told = (await f.next()).topology
-            assert [e.health for e in told.backends] == [Health.DRAINING, Health.READY, Health.READY]
+            received = (await f.next()).topology
+            assert [e.health for e in received.backends] == [Health.DRAINING, Health.READY, Health.READY]
             new.tell(listing(42, host("s-1", 1), whole=False))
             assert (await f.next()).topology.backends[0].health is Health.READY
             await f.watch.close()
@@ -285,7 +298,7 @@
     run(test)
 
 
-def test_junk_on_the_watch_breaks_it_and_it_is_taken_up_again() -> None:
+def test_watch_reopens_after_invalid_input() -> None:
     async def test() -> None:
         agent = Agent()
         async with listening(agent):
@@ -300,9 +313,9 @@
     run(test)
 
 
-def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_without_input_reopens(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(discovery, "SILENCE", 0.05)
+        monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
         agent = Agent()
         async with listening(agent):
             f = Follower(agent, 7)
@@ -313,7 +326,7 @@
     run(test)
 
 
-def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cached_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST_TIMEOUT_S", 0.01)
         node = Gateway(config(1, listing(5, host("s-1", 1))))
@@ -321,12 +334,12 @@
         await soon(node.start())
         assert node.clients.port > 0
         await node.discovery.close()
-        node.clients.shut()
+        node.clients.close()
 
     run(test)
 
 
-def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ping_without_any_list_gets_no_pong(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("trackspread.node.gateway.FIRST_LIST_TIMEOUT_S", 0.01)
         async with world() as w:
@@ -343,29 +356,31 @@
     run(test)
 
 
-def test_only_the_first_line_of_a_watch_counts_as_old_news() -> None:
+def test_only_the_first_line_of_a_watch_is_old() -> None:
     async def test() -> None:
         async with world() as w:
-            told: list[bool] = []
-            learn = w.node.backends.update_backend
+            received: list[bool] = []
+            update_backend = w.node.backends.update_backend
 
-            def noted(number: int, where: tuple[str, int] | None, old: bool = False, booted: int = 0) -> None:
-                told.append(old)
-                learn(number, where, old, booted)
+            def recorded(
+                number: int, address: tuple[str, int] | None, is_old: bool = False, incarnation: int = 0
+            ) -> None:
+                received.append(is_old)
+                update_backend(number, address, is_old, incarnation)
 
-            w.node.backends.update_backend = noted  # type: ignore[method-assign,assignment]
+            w.node.backends.update_backend = recorded  # type: ignore[method-assign,assignment]
             w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating"), whole=False))
-            await until(lambda: told == [False])
+            await until(lambda: received == [False])
             w.agent.hang_up()
             w.agent.first = listing(3, host("s-1", w.backend.port), whole=False)
-            await until(lambda: told == [False, True])
+            await until(lambda: received == [False, True])
             w.agent.tell(listing(4, host("s-1", w.backend.port, "terminating"), whole=False))
-            await until(lambda: told == [False, True, False])
+            await until(lambda: received == [False, True, False])
 
     run(test)
 
 
-def test_drained_backend_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
+def test_drained_or_unlisted_backend_gets_no_requests() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -390,18 +405,19 @@
     run(test)
 
 
-def test_stopping_gateway_has_word_for_its_peers_up_to_the_longest_deadline(
+def test_stopping_gateway_sends_heartbeats_until_the_longest_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Or they would hold its slices of the quotas back for one that fell silent, while its customers lean
-    on them."""
-    monkeypatch.setattr(gateway, "PEER_MESSAGES_MARGIN_S", -0.5)  # short of the deadline here, to be quick
+    """Without them its peers would hold back its shares of the quotas as those of an unresponsive gateway,
+    while its tenants rely on them.
+    """
+    monkeypatch.setattr(gateway, "PEER_MESSAGES_MARGIN_S", -0.5)  # shorter than the deadline, to be quick
 
     async def test() -> None:
-        agent, told = Agent(), Told()
+        agent, received = Agent(), DatagramTimes()
         agent.first = listing(1, host("s-1", 1))
         loop = asyncio.get_running_loop()
-        peer, _ = await loop.create_datagram_endpoint(lambda: told, local_addr=(LOCAL, 0))
+        peer, _ = await loop.create_datagram_endpoint(lambda: received, local_addr=(LOCAL, 0))
         own, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(LOCAL, 0))
         ports = [":".join(map(str, end.get_extra_info("sockname"))) for end in (own, peer)]
         own.close()
@@ -411,21 +427,21 @@
             node = Gateway(parse(raw, {}))
             await soon(node.start())
             stopping = asyncio.create_task(node.stop())
-            await until(lambda: node.clients.closing and node.clients.count() == 0)
-            told.at.clear()
-            await until(lambda: len(told.at) >= 3)
+            await until(lambda: node.clients.is_closing and node.clients.count() == 0)
+            received.at.clear()
+            await until(lambda: len(received.at) >= 3)
             assert not stopping.done()
             await soon(stopping)
-            last = len(told.at)
+            last = len(received.at)
             await asyncio.sleep(0)
-            assert len(told.at) == last
+            assert len(received.at) == last
         peer.close()
 
     run(test)
 
 
-class Told(asyncio.DatagramProtocol):
-    """Notes when word came."""
+class DatagramTimes(asyncio.DatagramProtocol):
+    """Records when datagrams arrive."""
 
     def __init__(self) -> None:
         self.at: list[float] = []
@@ -434,16 +450,18 @@
         self.at.append(asyncio.get_running_loop().time())
 
 
-def test_a_list_with_double_ids_and_an_address_that_moves_serves_on_and_is_told(
+def test_duplicate_hosts_and_changed_addresses_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """The gateway continues to serve: the last entry of a host counts, at its new address."""
+
     async def test() -> None:
         second = Rating()
         async with listening(second), world() as w:
             client = await w.client()
-            # The last entry of a name holds; its address is another one now.
+            # The last entry of a host counts, and its address has changed.
             w.agent.tell(listing(2, host("s-1", 1), host("s-1", second.port)))
-            await until(lambda: "names s-1 more than once" in caplog.text)
+            await until(lambda: "duplicate entry for host s-1, using the last one" in caplog.text)
             assert caplog.text.count("s-1") == 1
             client.send(call(number=1))
             connection, _ = await second.command()
@@ -451,42 +469,45 @@
             assert await client.next() == b"v"
             assert (
                 len(w.node.broker.load_balancer.backends) == 1
-                and f"is at {LOCAL}:{second.port} now" in caplog.text
+                and f"address changed from {LOCAL}:{w.backend.port} to {LOCAL}:{second.port}" in caplog.text
             )
 
     run(test)
 
 
-async def _peers(heard: list[tuple[int, bytes]], ports: list[Address], me: int) -> Peers:
-    made = Peers(tuple(ports), None, me, lambda number, data: heard.append((number, data)))
-    await asyncio.get_running_loop().create_datagram_endpoint(lambda: made, local_addr=ports[me])
-    return made
+async def _open_peer_socket(received: list[tuple[int, bytes]], ports: list[Address], me: int) -> PeerSocket:
+    peer_socket = PeerSocket(tuple(ports), None, me, lambda number, data: received.append((number, data)))
+    await asyncio.get_running_loop().create_datagram_endpoint(lambda: peer_socket, local_addr=ports[me])
+    return peer_socket
 
 
-def test_peers_are_known_by_their_address_and_strangers_and_junk_are_dropped() -> None:
+def test_datagrams_of_unknown_senders_are_dropped() -> None:
+    """Peers are known by their address; datagrams that are too long are dropped as well."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         quiet = asyncio.DatagramProtocol
         probes = [await loop.create_datagram_endpoint(quiet, local_addr=(LOCAL, 0)) for _ in range(4)]
         ports = [transport.get_extra_info("sockname") for transport, _ in probes]
-        stranger = probes[3][0]
+        unknown_sender = probes[3][0]
         probes[0][0].close()
         probes[1][0].close()
-        heard0: list[tuple[int, bytes]] = []
-        heard1: list[tuple[int, bytes]] = []
+        received0: list[tuple[int, bytes]] = []
+        received1: list[tuple[int, bytes]] = []
         await asyncio.sleep(0)
-        zero, one = await _peers(heard0, ports[:3], 0), await _peers(heard1, ports[:3], 1)
-        stranger.sendto(b"stranger", ports[1])
+        zero = await _open_peer_socket(received0, ports[:3], 0)
+        one = await _open_peer_socket(received1, ports[:3], 1)
+        unknown_sender.sendto(b"stranger", ports[1])
         probes[2][0].sendto(b"x" * 257, ports[1])
-        zero.tell(1, b"x" * 257)
-        zero.tell(9, b"nobody")
-        zero.tell(1, b"x" * 256)
-        await until(lambda: bool(heard1))
-        zero.tell(None, b"all")
-        await until(lambda: len(heard1) == 2)
-        one.tell(0, b"back")
-        await until(lambda: bool(heard0))
-        assert heard1 == [(0, b"x" * 256), (0, b"all")] and heard0 == [(1, b"back")]
+        zero.send(1, b"x" * 257)
+        zero.send(9, b"nobody")
+        zero.send(1, b"x" * 256)
+        await until(lambda: bool(received1))
+        zero.send(None, b"all")
+        await until(lambda: len(received1) == 2)
+        one.send(0, b"back")
+        await until(lambda: bool(received0))
+        assert received1 == [(0, b"x" * 256), (0, b"all")] and received0 == [(1, b"back")]
         for end in (zero, one):
             end.close()
         for transport, _ in probes[2:]:
@@ -495,7 +516,9 @@
     run(test)
 
 
-def test_peer_message_reaches_the_module_and_junk_does_no_harm() -> None:
+def test_peer_message_reaches_the_decision_module() -> None:
+    """Invalid messages before it do no harm."""
+
     async def test() -> None:
         async with world() as w:
             for junk in (b"", b"\xff" * 7, b"\x01" * 256):
--- a/tests/node/test_endings_close.py
+++ b/tests/node/test_endings_close.py
@@ -17,7 +17,7 @@
 from trackspread.config.operator import ClientBounds, Operator
 from trackspread.decide.events import Outcome
 from trackspread.fronts import connections
-from trackspread.fronts.client import Client
+from trackspread.fronts.client import ClientConnection
 
 from ..fakes import LOCAL, Backend, World, call, run, served, soon, until, world
 from ..backends.test_backends import bench
@@ -25,13 +25,13 @@
 
 def write_before_close(monkeypatch: pytest.MonkeyPatch, client: socket.socket, data: bytes) -> None:
     """Has the client write `data` just before the gateway closes its connection."""
-    close = Client.close
+    close = ClientConnection.close
 
-    def write_and_close(self: Client) -> None:
+    def write_and_close(self: ClientConnection) -> None:
         client.sendall(data)
         close(self)
 
-    monkeypatch.setattr(Client, "close", write_and_close)
+    monkeypatch.setattr(ClientConnection, "close", write_and_close)
 
 
 async def read_all(client: socket.socket) -> bytes:
@@ -44,7 +44,7 @@
 
 
 def is_idle(w: World) -> bool:
-    return bool(w.node.clients._clients) and not w.node.requests
+    return bool(w.node.clients._active) and not w.node.requests
 
 
 @pytest.mark.parametrize("why", ["idle", "stopping"])
@@ -53,8 +53,8 @@
 
     The client reads nothing before the close, so its last answer is still on its way when the gateway closes.
     """
-    monkeypatch.setattr(connections, "QUIET", 0.01)
-    monkeypatch.setattr(connections, "LOOK", 0.01)
+    monkeypatch.setattr(connections, "DRAIN_QUIET_S", 0.01)
+    monkeypatch.setattr(connections, "TIMEOUT_CHECK_S", 0.01)
 
     async def test() -> None:
         bounds = ClientBounds(idle_s=0.05 if why == "idle" else 3600.0)
@@ -85,7 +85,7 @@
             write_before_close(monkeypatch, client, call(number=2))
             client.sendall(call(number=1))
             connection, _ = await w.backend.command()
-            w.node.clients.closing = True
+            w.node.clients.is_closing = True
             connection.send(served(b"v" * 60_000))
             assert await read_all(client) == b"$60000\r\n" + b"v" * 60_000 + b"\r\n"
             assert w.backend.commands.empty()
@@ -96,8 +96,8 @@
 
 def test_client_that_never_closes_its_side_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a connection that stays half closed because its client never ends its own side."""
-    monkeypatch.setattr(connections, "LOOK", 0.01)
-    monkeypatch.setattr("trackspread.fronts.client.LINGER", 0.05)
+    monkeypatch.setattr(connections, "TIMEOUT_CHECK_S", 0.01)
+    monkeypatch.setattr("trackspread.fronts.client.LINGER_S", 0.05)
 
     async def test() -> None:
         async with world(Operator(clients=ClientBounds(mute_s=0.05))) as w:
@@ -116,9 +116,9 @@
         async with world() as w:
             client = await w.client()
             await until(lambda: w.node.clients.count() == 1)
-            (server,) = w.node.clients._fresh
+            (server,) = w.node.clients._unused
             server.close()
-            w.node.clients.bound = 1
+            w.node.clients.max_connections = 1
             newcomer = await w.client()
             newcomer.send(call())
             connection, _ = await w.backend.command()
@@ -144,7 +144,7 @@
             connection, _ = await w.backend.command()
             pools = w.node.backends._pools.values()
             (pooled,) = [each for pool in pools for each in pool.connections]
-            (server,) = w.node.clients._clients
+            (server,) = w.node.clients._active
             assert no_delay(pooled.transport) and no_delay(server._transport)
             connection.send(served(b"v"))
             assert await client.next() == b"v"
--- a/tests/node/test_endings_stop.py
+++ b/tests/node/test_endings_stop.py
@@ -25,7 +25,7 @@
     A request that arrived 0.78 s after SIGTERM on a persistent connection was sent to a backend that hung for
     the request's whole time.
     """
-    monkeypatch.setattr(connections, "QUIET", 0.01)
+    monkeypatch.setattr(connections, "DRAIN_QUIET_S", 0.01)
 
     async def test() -> None:
         async with world() as w:
@@ -35,7 +35,7 @@
             first, _ = await w.backend.command()
             stopped = w.node.now()
             stopping = asyncio.create_task(w.node.stop())
-            await until(lambda: w.node.clients.closing)
+            await until(lambda: w.node.clients.is_closing)
             # The clock is moved forward, as if the drain had lasted until 0.3 s after the longest deadline.
             w.node.now.base_ns += longest + int((KILL_MARGIN_S - 0.4) * SECOND)
             number = 2 if kept == "behind another" else 2 * w.node.clients.bounds.pipeline
@@ -93,7 +93,7 @@
             client = await w.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             number, sent = 0, 0
-            (server,) = [*w.node.clients._clients, *w.node.clients._fresh]
+            (server,) = [*w.node.clients._active, *w.node.clients._unused]
             transport = cast(asyncio.Transport, server._transport)
             while not transport.get_write_buffer_size():
                 client.send(call(number=number))
@@ -102,7 +102,7 @@
                 await until(lambda: not w.node.requests)
                 number += 1
             stopping = asyncio.create_task(w.node.stop())
-            await until(lambda: server._lingering > 0.0)
+            await until(lambda: server._linger_until > 0.0)
             assert not stopping.done() and transport.get_write_buffer_size()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             while (answer := await client.next()) is not None:
--- a/trackspread/__init__.py
+++ b/trackspread/__init__.py
@@ -1,1 +1,1 @@
-"""trackspread: which customers' requests a gateway sends on, where, and which it refuses."""
+"""Forwards tenants' requests to backends, or rejects them, as a gateway between clients and backends."""
--- a/trackspread/backends/__init__.py
+++ b/trackspread/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to backends: attempts, connection pools, and the adapter for the protocol that they speak."""
+"""Sends attempts to backends: connection pools, and the protocol that backends speak."""
--- a/trackspread/control/__init__.py
+++ b/trackspread/control/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server: readiness and counters of this process for operators (`docs/operators-door.md`)."""
+"""Serves readiness and counters of this process to operators (`docs/operators-door.md`)."""
--- a/trackspread/fronts/__init__.py
+++ b/trackspread/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""What clients speak."""
+"""Serves clients: listening sockets, connections, and the protocol that clients speak."""
--- a/trackspread/lists/__init__.py
+++ b/trackspread/lists/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of backends comes from."""
+"""Gets the endpoint list from service discovery, and times the calls to it."""
--- a/trackspread/node/class_reload.py
+++ b/trackspread/node/class_reload.py
@@ -9,11 +9,11 @@
 
 from ..config.platform import Config
 from ..config.roster import change
-from ..fronts.resp import RespFront
+from ..fronts.resp import RespClientAdapter
 from .request_handler import RequestHandler
 
 
-def reload_classes(handler: RequestHandler, front: RespFront, new_config: Config) -> None:
+def reload_classes(handler: RequestHandler, front: RespClientAdapter, new_config: Config) -> None:
     """Applies the classes and the number of attempts of `new_config`; open requests keep theirs."""
     in_use = {request.call.request_class for request in handler.requests.values()}
     roster, predecessors = handler.roster.follow(new_config.classes, new_config.settings.classes, in_use)
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -21,13 +21,13 @@
 from ..control.admin_server import AdminServer
 from ..decide.backends import EndpointUpdate, EndpointUpdateKind
 from ..decide.events import PeerMessage, PlansChanged
-from ..fronts.connections import Clients, PassOn
-from ..fronts.resp import RespFront
+from ..fronts.connections import ClientConnections, PassOn
+from ..fronts.resp import RespClientAdapter
 from ..handover.link import HandoverSocket
 from ..lists.agent import Discovery, parse_update
-from ..lists.seam import ListError, Update
+from ..lists.source import ListError, ListUpdate
 from ..lists.services import CarriedServices
-from ..peers.datagrams import Peers
+from ..peers.datagrams import PeerSocket
 from .backend_list import BackendList
 from .class_reload import reload_classes
 from .admin_reports import AdminReports
@@ -82,9 +82,9 @@
         self._client_descriptors = descriptors - self._backend_descriptors
         self.backends = self._make_pools()
         self.backend_list = BackendList(self.backends, self.handle)
-        self._front = RespFront(config.settings, self.roster, config.plans)
+        self._front = RespClientAdapter(config.settings, self.roster, config.plans)
         self.clients = self._make_clients()
-        self.peers = Peers(
+        self.peers = PeerSocket(
             config.peers, config.peers_all, config.settings.gateway_index, self.peer_message_received
         )
         self.reports = AdminReports(self, self.backend_list, lambda: self._serving)
@@ -132,9 +132,9 @@
             config.memory,
         )
 
-    def _make_clients(self) -> Clients:
+    def _make_clients(self) -> ClientConnections:
         config = self.config
-        return Clients(
+        return ClientConnections(
             [(each, self._front) for each in (config.listen, *self.operator.addresses())],
             self,
             self._client_descriptors,
@@ -250,15 +250,15 @@
 
     def share_descriptors(self, clients: int, backends: int) -> None:
         """Lowers the limits by the descriptors that another process holds; both share one total."""
-        self.clients.bound = max(1, self._client_descriptors - clients)
+        self.clients.max_connections = max(1, self._client_descriptors - clients)
         self.backends.limit_connections(max(1, self._backend_descriptors - backends))
 
     def stop_serving(self) -> int | None:
         """Stops accepting; returns a descriptor of the peers' socket for the other process, or None."""
         self._serving = False
-        self.clients.hand()
-        self._peer_descriptor = self.peers.leave()
-        self.parts.close_fleet(leave=False)  # the successor is the same gateway in the fleet
+        self.clients.begin_handover()
+        self._peer_descriptor = self.peers.detach()
+        self.parts.close_fleet(detach=False)  # the successor is the same gateway in the fleet
         return os.dup(self._peer_descriptor) if self._peer_descriptor is not None else None
 
     def retire(self, exporter: StateExporter) -> None:
@@ -274,7 +274,7 @@
 
     def is_drained(self) -> bool:
         """Passes idle connections on; returns whether no request is open and no client is connected."""
-        self.clients.leave_all()
+        self.clients.pass_on_all()
         return not self.requests and not self.clients.count()
 
     async def resume_serving(self) -> None:
@@ -285,8 +285,8 @@
         self._peer_descriptor = None
         await self._open_peers(descriptor)
         await self.parts.start_fleet(HANDOVER_BIND_TIMEOUT_S, wait_until_ready=False)
-        await self.clients.unhand()
-        self._serving = not self.clients.closing
+        await self.clients.cancel_handover()
+        self._serving = not self.clients.is_closing
 
     async def stop(self) -> None:
         """Shuts down gracefully; everything that was accepted is answered first."""
@@ -352,7 +352,7 @@
         self.operator = operator
         self.clients.bounds = operator.clients
         logging.getLogger("trackspread").setLevel(operator.log.level.upper())
-        self.discovery.move(new_config.discovery)
+        self.discovery.switch_agent(new_config.discovery)
         try:
             self.parts.replace_keys(operator.fleet)
         except ConfigError as error:
@@ -373,7 +373,7 @@
             self.parts.quota_counter.update_plans(event.plans)
         self.handle(event)
 
-    def _list_update_received(self, update: Update) -> None:
+    def _list_update_received(self, update: ListUpdate) -> None:
         self.backend_list.apply(update)
         if not self._list_received.is_set():
             self._list_received.set()
--- a/trackspread/node/handover_side.py
+++ b/trackspread/node/handover_side.py
@@ -12,7 +12,7 @@
 import socket
 from typing import Protocol
 
-from ..fronts.connections import Clients, PassOn
+from ..fronts.connections import ClientConnections, PassOn
 from ..handover import wire
 from ..handover.link import Link
 from ..handover.states import Action, Actions, Event
@@ -25,7 +25,7 @@
 class ServingGateway(HandoverGateway, Protocol):
     """Describes a gateway that can stop serving in favor of another process, and resume."""
 
-    clients: Clients
+    clients: ClientConnections
 
     def stop_serving(self) -> int | None:
         """Stops accepting; returns a descriptor of the peers' socket for the other process, or None."""
--- a/trackspread/node/request.py
+++ b/trackspread/node/request.py
@@ -4,7 +4,7 @@
 
 from ..backends.attempt import Attempt
 from ..call import Call
-from ..fronts.client import Slot
+from ..fronts.client import ResponseSlot
 from ..lag import LagTolerantTimer
 
 NS_PER_S = 1_000_000_000
@@ -25,7 +25,7 @@
         "timer",
     )
 
-    def __init__(self, call: Call, slot: Slot, expires_at_ns: int) -> None:
+    def __init__(self, call: Call, slot: ResponseSlot, expires_at_ns: int) -> None:
         """Creates an open request.
 
         `slot` is the place among its client's answers, `expires_at_ns` the deadline by the gateway's clock.
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -37,10 +37,10 @@
 )
 from ..decide.report import Module
 from ..decide.services import ServiceBrokers
-from ..fronts.client import Slot
+from ..fronts.client import ResponseSlot
 from ..lag import LagTolerantTimer
-from ..lists.seam import ListError
-from ..peers.datagrams import Peers
+from ..lists.source import ListError
+from ..peers.datagrams import PeerSocket
 from ..usage.record import Ending
 from .action_executor import ActionExecutor
 from .handover_state import StateExporter
@@ -61,7 +61,7 @@
     """Holds the open requests and the decision module; `Gateway` adds the sockets."""
 
     backends: ConnectionPools
-    peers: Peers
+    peers: PeerSocket
     parts: OptionalParts
 
     def __init__(self, config: Config, services: Services = NO_SERVICES) -> None:
@@ -110,13 +110,13 @@
 
     def send_to_peers(self, recipient: int | None, data: bytes) -> None:
         """Sends a message to one other gateway, or to all if `recipient` is None."""
-        self.peers.tell(recipient, data)
+        self.peers.send(recipient, data)
 
     def ready(self) -> bool:
         """Returns whether requests can be served."""
         return self.backends.has_available_backend()
 
-    def take(self, call: Call, slot: Slot, waited: float) -> None:
+    def take(self, call: Call, slot: ResponseSlot, waited: float) -> None:
         """Accepts a request that has already waited `waited` seconds in this process.
 
         Raises `InvalidCall` if a request with the same id is open.
@@ -193,7 +193,7 @@
     def is_wanted(self, attempt: Attempt) -> bool:
         """Returns whether a client still waits for the answer of this attempt."""
         request = self.requests.get(attempt.request)
-        return request is not None and not request.is_closed and not request.slot.client.ended()
+        return request is not None and not request.is_closed and not request.slot.client.has_ended()
 
     def _open_request(self, number: int) -> Request | None:
         request = self.requests.get(number)
@@ -204,7 +204,7 @@
         if (request := self._open_request(number)) is not None:
             retry_after_ms = -(-retry_after_ns // NS_PER_MS)
             self._close(number, request, Ending.REFUSED)
-            request.slot.refused(request.call, retry_after_ms)
+            request.slot.send_rejection(request.call, retry_after_ms)
 
     def fail(self, number: int, reason: str) -> None:
         """Answers that the request failed, unless it has been answered."""
@@ -213,7 +213,7 @@
 
     def _fail(self, number: int, request: Request, reason: str) -> None:
         self._close(number, request, Ending.FAILED)
-        request.slot.failed(request.call, reason)
+        request.slot.send_failure(request.call, reason)
 
     def _close(self, number: int, request: Request, ending: Ending) -> None:
         """Closes a request that has its final answer or whose client has left; no other answer follows."""
@@ -264,13 +264,13 @@
                 self._executor.cancel_soon(other)
         elapsed_ns = max(0, self.now() - attempt.started_at_ns)
         self.handle(ResponseStarted(number, elapsed_ns, attempt.index, attempt.backend), number)
-        request.slot.begins(request.call, length, source)
+        request.slot.begin_value(request.call, length, source)
         return True
 
     def value_piece(self, attempt: Attempt, data: bytes) -> None:
         """Forwards the next bytes of a long value."""
         if (request := self._open_request(attempt.request)) is not None:
-            request.slot.piece(data)
+            request.slot.add_piece(data)
 
     def _forwarding_ended(self, number: int, request: Request, outcome: Outcome) -> None:
         """Closes a request whose value was forwarded.
@@ -280,10 +280,10 @@
         """
         if outcome is Outcome.OK:
             self._close(number, request, Ending.SERVED)
-            request.slot.whole(request.call)
+            request.slot.end_value(request.call)
         else:
             self._close(number, request, Ending.FAILED)
-            request.slot.cut(request.call)
+            request.slot.abort_value(request.call)
 
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
@@ -302,7 +302,7 @@
             self._forwarding_ended(number, request, outcome)
         elif outcome is Outcome.OK and value is not None and not request.is_closed:
             self._close(number, request, Ending.SERVED)
-            request.slot.served(request.call, value)
+            request.slot.send_value(request.call, value)
         event = AttemptEnded(
             number, request.is_closed, 0, attempt.backend, 0, outcome, elapsed_ns, attempt.index, load
         )
--- a/trackspread/simulator/__init__.py
+++ b/trackspread/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and the host that speaks it."""
+"""Runs decision modules for the platform's simulator over a binary protocol."""
