--- a/benchmarks/scale/operator_tools.py
+++ b/benchmarks/scale/operator_tools.py
@@ -36,7 +36,7 @@
     report = FleetReport(
         fleet="rating-eu",
         name="gateway-0000",
-        standing="settled",
+        status="settled",
         view=(1, 0, 5),
         members=size,
         usable_fraction=1.0 / size,
--- a/tests/cells/test_cells_host.py
+++ b/tests/cells/test_cells_host.py
@@ -22,7 +22,7 @@
     RetireCell,
 )
 from trackspread.cells.topology import ControlMachine, Zone
-from trackspread.cells.wire import MARK, CellsWire
+from trackspread.cells.wire import MAGIC, CellsWire
 from trackspread.membership.host import created_now_ms
 from trackspread.membership.identifiers import Epoch
 from trackspread.membership.messages import MemberMessage, Ping
@@ -58,7 +58,7 @@
         spoilt[rng.randrange(len(spoilt))] ^= 1 << rng.randrange(8)
         assert one.read(bytes(spoilt)) is None
         junk = rng.randbytes(rng.randrange(60))
-        assert one.read(MARK + one.keys.sign(junk) + junk) is None
+        assert one.read(MAGIC + one.keys.sign(junk) + junk) is None
     assert one.read(wire(key=b"other key of size").pack_message(message())) is None
     assert one.read(wire("g").pack_message(CellsMessage("g", "a", 1, RetireCell("c", (1, 0, 1))))) is None
     assert {"digest", "spoilt", "another fleet"} <= set(one.dropped)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -99,8 +99,8 @@
         assert (member_table.own_update.incarnation, member_table.own_update.state) == (life + 1, State.ALIVE)
     assert not member_table.apply(0, word("me", 10, 0, State.DEAD), "x"), "an old word"
     assert not member_table.apply(0, word("me", 9, 5, State.DEAD), "x"), "of a former process"
-    assert member_table.newer_namesake is None
-    assert not member_table.apply(0, word("me", 11), "x") and member_table.newer_namesake is not None
+    assert member_table.newer_process is None
+    assert not member_table.apply(0, word("me", 11), "x") and member_table.newer_process is not None
 
 
 def test_a_table_is_bounded_and_those_gone_longest_make_room() -> None:
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -227,7 +227,7 @@
         elif message.epoch is not None:
             if message.epoch >= self.epoch:
                 self.epoch = message.epoch
-                self._obey(now_ns, message.epoch, body)
+                self._apply_decision(now_ns, message.epoch, body)
         elif self.leader is not None and self.control_member.is_coordinator(now_ns):
             self._answer_as_leader(now_ns, self.leader, self._machines[message.name], body)
 
@@ -249,7 +249,7 @@
             case RetireCell():
                 leader.directory.record_retired(body.name)
 
-    def _obey(self, now_ns: int, epoch: Epoch, body: MessageBody) -> None:
+    def _apply_decision(self, now_ns: int, epoch: Epoch, body: MessageBody) -> None:
         """A decision of the leader."""
         match body:
             case ForwardedPlacement():
--- a/trackspread/cells/directory.py
+++ b/trackspread/cells/directory.py
@@ -41,7 +41,7 @@
 MAX_REMEMBERED_RETIRED = 1_024  # retired cells
 
 
-class Moving(NamedTuple):
+class PendingMove(NamedTuple):
     """A gateway that was notified to move."""
 
     cell_name: str  # the one that it is to leave
@@ -92,8 +92,9 @@
         self._started_at_ns = now_ns
         self._count = 0  # of numbers given out
         self._cell_of: dict[str, str] = {}  # the cell that a gateway is or was placed in, by its name
-        self._moving: dict[str, Moving] = {}  # by the gateway's name
-        self._to_split: dict[Zone, list[tuple[str, str]]] = {}  # gateways that a split moves, and their cells
+        self._pending_moves: dict[str, PendingMove] = {}  # by the gateway's name
+        # Gateways that a split still has to move, each with the name of its cell.
+        self._split_queues: dict[Zone, list[tuple[str, str]]] = {}
         self._next_round_ns: dict[Zone, int] = {}
         self._lost_since_ns: dict[Address, int] = {}  # control machines that are not live
 
@@ -106,7 +107,7 @@
     def place(self, now_ns: int, member_id: MemberId, request: PlacementRequest) -> Placement | None:
         """Where this gateway is to be; None: not known yet, or there is no capacity."""
         name = member_id[0]
-        if (moving := self._moving.get(name)) is not None:
+        if (moving := self._pending_moves.get(name)) is not None:
             return moving.placement
         known = self._current_placement(now_ns, name, request) or self._former_placement(
             now_ns, name, request.location
@@ -157,10 +158,10 @@
 
     def _record_arrival(self, name: str, entry: CellEntry) -> None:
         entry.pending.pop(name, None)
-        moving = self._moving.get(name)
+        moving = self._pending_moves.get(name)
         if moving is not None and moving.placement.cell.name == entry.cell.name:
-            del self._moving[name]
-        if name not in self._moving and self._is_newest_report(name, entry):
+            del self._pending_moves[name]
+        if name not in self._pending_moves and self._is_newest_report(name, entry):
             self._cell_of[name] = entry.cell.name
 
     def record_retired(self, name: str) -> None:
@@ -293,12 +294,12 @@
                 if self._cell_of.get(name) == entry.cell.name:
                     del self._cell_of[name]
             self._update_times(now_ns, entry)
-        for name, moving in list(self._moving.items()):
+        for name, moving in list(self._pending_moves.items()):
             source = self.entries.get(moving.cell_name)
             target = self.entries.get(moving.placement.cell.name)
             has_left = source is None or name not in source.members  # to the target, or it has stopped
             if has_left or target is None or target.cell.closing:
-                del self._moving[name]
+                del self._pending_moves[name]
 
     def _update_times(self, now_ns: int, entry: CellEntry) -> None:
         count = entry.count()
@@ -306,8 +307,8 @@
             entry.last_count = count
             entry.changed_at_ns = now_ns
         is_small = count <= self.policy.min_gateways
-        entry.small_since_ns = _since(entry.small_since_ns, is_small, now_ns)
-        entry.empty_since_ns = _since(entry.empty_since_ns, not count, now_ns)
+        entry.small_since_ns = _true_since(entry.small_since_ns, is_small, now_ns)
+        entry.empty_since_ns = _true_since(entry.empty_since_ns, not count, now_ns)
 
     def _rebalance(self, now_ns: int, zone: Zone) -> list[MoveRequest]:
         """One round of one zone: a split or close in progress goes on, else one may begin."""
@@ -319,7 +320,7 @@
                 self._retire(entry)
         if closing:
             return list(self._moves_from_closing(now_ns, closing))
-        if self._to_split.get(zone):
+        if self._split_queues.get(zone):
             return list(self._moves_of_split(now_ns, zone))
         self._start_change(now_ns, zone)
         return []
@@ -331,18 +332,20 @@
             del self.retired[next(iter(self.retired))]
 
     def _moves_from_closing(self, now_ns: int, closing: list[CellEntry]) -> Iterator[MoveRequest]:
-        staying = [(e, name) for e in closing for name in sorted(e.members) if name not in self._moving]
+        staying = [
+            (e, name) for e in closing for name in sorted(e.members) if name not in self._pending_moves
+        ]
         for entry, name in staying[:MOVES_PER_ROUND]:
             target = self._cell_with_capacity(now_ns, entry.cell.location)
             if target is not None and target.view_number != NO_VIEW:
                 yield self._move(now_ns, entry, name, target)
 
     def _moves_of_split(self, now_ns: int, zone: Zone) -> Iterator[MoveRequest]:
-        waiting = self._to_split[zone]
+        waiting = self._split_queues[zone]
         for _ in range(min(MOVES_PER_ROUND, len(waiting))):
             name, cell_name = waiting[-1]
             entry = self.entries.get(cell_name)
-            if entry is not None and name in entry.members and name not in self._moving:
+            if entry is not None and name in entry.members and name not in self._pending_moves:
                 target = self._split_target(now_ns, zone, entry)
                 if target is None or target.view_number == NO_VIEW:
                     return
@@ -360,7 +363,7 @@
 
     def _move(self, now_ns: int, entry: CellEntry, name: str, target: CellEntry) -> MoveRequest:
         placement = Placement(self._next_number(), target.cell)
-        self._moving[name] = Moving(entry.cell.name, placement, now_ns)
+        self._pending_moves[name] = PendingMove(entry.cell.name, placement, now_ns)
         self._assign(now_ns, name, target)
         return MoveRequest(entry.cell, name, placement)
 
@@ -370,7 +373,7 @@
         full = [entry for entry in entries if len(entry.members) > self.policy.max_gateways]
         if full:
             names = sorted(full[0].members)
-            self._to_split[zone] = [(name, full[0].cell.name) for name in names[len(names) // 2 :]]
+            self._split_queues[zone] = [(name, full[0].cell.name) for name in names[len(names) // 2 :]]
             return
         for entry in sorted(entries, key=CellEntry.count):
             if self._needs_new_seed(now_ns, entry) or self._is_redundant(now_ns, entry, entries):
@@ -395,13 +398,13 @@
     def _repeated_moves(self, now_ns: int) -> list[MoveRequest]:
         """Moves of gateways that have not left yet: their notices may be lost."""
         requests = []
-        for name, moving in self._moving.items():
+        for name, moving in self._pending_moves.items():
             source = self.entries.get(moving.cell_name)
             target = self.entries.get(moving.placement.cell.name)
             is_due = now_ns - moving.sent_at_ns >= RESEND_INTERVAL_NS
             if is_due and source is not None and target is not None:
                 self._assign(now_ns, name, target)
-                self._moving[name] = moving._replace(sent_at_ns=now_ns)
+                self._pending_moves[name] = moving._replace(sent_at_ns=now_ns)
                 requests.append(MoveRequest(source.cell, name, moving.placement))
         return requests
 
@@ -418,7 +421,7 @@
     return machine.region != zone.region, in_same_zone, load[machine.address], machine.name
 
 
-def _since(since_ns: int | None, holds: bool, now_ns: int) -> int | None:
+def _true_since(since_ns: int | None, holds: bool, now_ns: int) -> int | None:
     """When a condition that holds now began to; None where it does not."""
     if not holds:
         return None
--- a/trackspread/cells/directory_leader.py
+++ b/trackspread/cells/directory_leader.py
@@ -108,7 +108,7 @@
         if now_ns < self._tick_at_ns:
             return []
         self._tick_at_ns = now_ns + TICK_INTERVAL_NS
-        self._note_restarts(live)
+        self._detect_restarts(live)
         before = set(self.directory.entries)
         messages = _move_messages(self.directory.tick(now_ns, frozenset(live)))
         for name in before - self.directory.entries.keys():
@@ -134,7 +134,7 @@
         del self._partial_reports[key]
         return tuple(member_id for page in sorted(partial.members) for member_id in partial.members[page])
 
-    def _note_restarts(self, live: dict[str, int]) -> None:
+    def _detect_restarts(self, live: dict[str, int]) -> None:
         for name, created_at_ms in live.items():
             machine = self._machines.get(name)
             if machine is not None and self._created_at_ms.get(name) != created_at_ms:
--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -13,7 +13,7 @@
 from ..logs import RateLimitFilter
 from ..membership.actions import Action, ExchangeTables, PeerDataReceived, SendMessage, StatusEvent
 from ..membership.core_host import CHANGE_KINDS, LOGGED_KINDS, CoreHost, DataCallback
-from ..membership.host import describe
+from ..membership.host import format_event
 from ..membership.identifiers import Address, Epoch
 from ..membership.messages import MemberMessage, TableSnapshot
 from .actions import CellJoined, CellLeft, CellsAction, LeadershipChanged, MemberAction, SendCellsMessage
@@ -118,9 +118,9 @@
     def _record_event(self, fleet: str, event: StatusEvent) -> None:
         self._log_event(event.kind, {**event.details, "fleet": fleet})
         if event.kind in LOGGED_KINDS and isinstance(self.core, Gateway):
-            important_log.info("%s: %s%s", fleet, event.kind, describe(event))
+            important_log.info("%s: %s%s", fleet, event.kind, format_event(event))
         elif event.kind in LOGGED_KINDS:  # a control machine is in many views
-            log.info("%s: %s%s", fleet, event.kind, describe(event))
+            log.info("%s: %s%s", fleet, event.kind, format_event(event))
 
     def _record_placement(self, action: CellJoined | CellLeft) -> None:
         kind = "joined" if isinstance(action, CellJoined) else "parted"
--- a/trackspread/cells/wire.py
+++ b/trackspread/cells/wire.py
@@ -12,7 +12,7 @@
 from ..membership.wire import Wire
 from .messages import CellsMessage
 
-MARK = b"tc\x01"  # the kind of datagram, and the version of what follows
+MAGIC = b"tc\x01"  # the kind of datagram, and the version of what follows
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(CellsMessage)
@@ -28,13 +28,13 @@
 
     def pack_message(self, message: CellsMessage) -> bytes:
         """The datagram of a message on cells."""
-        return self._sealed(_encode(message), MARK)
+        return self._signed(_encode(message), MAGIC)
 
     def read(self, data: bytes) -> MemberMessage | CellsMessage | None:
         """The message of a datagram of either kind; None, counted, for one that is dropped."""
-        if not data.startswith(MARK):
+        if not data.startswith(MAGIC):
             return self.unpack(data)
-        payload = self._opened(data, MARK)
+        payload = self._verified_payload(data, MAGIC)
         if payload is None:
             return None
         try:
--- a/trackspread/commands/fleet.py
+++ b/trackspread/commands/fleet.py
@@ -55,7 +55,7 @@
 
 def differences(reports: Sequence[FleetReport]) -> list[str]:
     """Returns, as lines for operators, why these gateways are not settled in one view."""
-    found = [f"{each.name} is {each.standing}" for each in reports if each.standing != "settled"]
+    found = [f"{each.name} is {each.status}" for each in reports if each.status != "settled"]
     found += [
         f"{each.name}: the view and who is live differ in {', '.join(each.differing_names)}"
         for each in reports
@@ -82,7 +82,7 @@
     cell = f", cell {report.cell}," if report.cell else ""
     text = [
         f"fleet {report.fleet}{cell} as {report.name} knows it: "
-        f"{report.standing}, view {_view_number(report.view)} of "
+        f"{report.status}, view {_view_number(report.view)} of "
         f"{report.members}, coordinator {coordinator}, part {report.usable_fraction:.1%}, "
         f"health {report.health}",
         f"  {'name':<20} {'state':<8} {'in view':<8} {'life':>4} {'since':>9}  {'version':<10} address",
--- a/trackspread/membership/host.py
+++ b/trackspread/membership/host.py
@@ -77,12 +77,12 @@
         self._log_event(event.kind, event.details)
         if event.kind in LOGGED_KINDS:
             level = logging.WARNING if event.kind == "fenced" else logging.INFO
-            important_log.log(level, "fleet: %s%s", event.kind, describe(event))
+            important_log.log(level, "fleet: %s%s", event.kind, format_event(event))
         elif event.kind == "member":
-            log.info("fleet: member%s", describe(event))
+            log.info("fleet: member%s", format_event(event))
 
 
-def describe(event: StatusEvent) -> str:
+def format_event(event: StatusEvent) -> str:
     """The details of an event for the log, with a space before them; empty for a kind without."""
     details = event.details
     match event.kind:
--- a/trackspread/membership/member_table.py
+++ b/trackspread/membership/member_table.py
@@ -47,7 +47,7 @@
         self._max_members = max_members
         self.by_name: dict[str, MemberEntry] = {}
         self.rejected_updates = 0  # on members beyond the limit
-        self.newer_namesake: GossipUpdate | None = None  # a newer process under this member's own name
+        self.newer_process: GossipUpdate | None = None  # a newer process under this member's own name
         # Both are read several times a tick, and dropped with each change.
         # What of this member it was made of; digest.
         self._cached_digest: tuple[tuple[int, int], int] | None = None
@@ -79,7 +79,7 @@
         """An update on this member's own name; returns whether a new incarnation answers it."""
         own = self.own_update
         if update.created_at_ms > own.created_at_ms:
-            self.newer_namesake = update
+            self.newer_process = update
             return False
         if update.created_at_ms < own.created_at_ms:
             return False
--- a/trackspread/membership/report.py
+++ b/trackspread/membership/report.py
@@ -33,7 +33,7 @@
 
     fleet: str
     name: str
-    standing: str
+    status: str = msgspec.field(name="standing")
     view: tuple[int, int, int] | None
     members: int
     usable_fraction: float = msgspec.field(name="part")  # of the shared limits, that may be used here now
@@ -48,7 +48,7 @@
     answered_s: float | None = None  # since a control machine answered; None: never, or there are no cells
 
 
-def standing(now_ns: int, member: Member) -> str:
+def member_status(now_ns: int, member: Member) -> str:
     """One word for whether the member takes part; see `FleetReport`."""
     if member.is_fenced:
         return "fenced"
@@ -78,7 +78,7 @@
     return FleetReport(
         fleet=member.settings.fleet,
         name=table.own_update.name,
-        standing=standing(now_ns, member),
+        status=member_status(now_ns, member),
         view=view.number if view is not None else None,
         members=len(in_view),
         usable_fraction=round(member.usable_slots(now_ns).bit_count() / SLOT_COUNT, 4),
--- a/trackspread/membership/update_handler.py
+++ b/trackspread/membership/update_handler.py
@@ -59,7 +59,7 @@
         """A message from another process under this name: the newer process stays."""
         own = self._state.member_table.own_update
         if created_at_ms > own.created_at_ms:
-            self._give_way(GossipUpdate(own.name, created_at_ms, 0, State.ALIVE, *source))
+            self._fence(GossipUpdate(own.name, created_at_ms, 0, State.ALIVE, *source))
         else:
             namesake: MemberId = own.name, created_at_ms
             self._outbox.send(source, Ping(self._state.prober.next_sequence(), namesake), (own,))
@@ -104,12 +104,12 @@
         One at this very address, or one that is gone, can only be a former process whose clock was ahead.
         """
         table = self._state.member_table
-        namesake = table.newer_namesake
+        namesake = table.newer_process
         if namesake is None:
             return
-        table.newer_namesake = None
+        table.newer_process = None
         if namesake.address != self._state.settings.address and namesake.state < State.DEAD:
-            self._give_way(namesake)
+            self._fence(namesake)
             return
         table.own_update = structs.replace(
             table.own_update, created_at_ms=namesake.created_at_ms + 1, incarnation=0
@@ -118,7 +118,7 @@
         self.own_update_changed()
         self._outbox.report("renamed", who=self._state.member_id)
 
-    def _give_way(self, namesake: GossipUpdate) -> None:
+    def _fence(self, namesake: GossipUpdate) -> None:
         self._lease_maintainer.release()
         self._coordination.resign()
         self._state.has_left = True
--- a/trackspread/membership/wire.py
+++ b/trackspread/membership/wire.py
@@ -1,7 +1,7 @@
 """Members' messages as bytes: datagrams and tables, each with a digest, keyed where the fleet has a key.
 
-A datagram is a mark, a digest of what follows, and the message (MessagePack). What does not match its digest,
-its types, its bounds or the fleet's name is counted and dropped.
+A datagram is a magic number, a digest of what follows, and the message (MessagePack). A datagram that does
+not match its digest, its types, its bounds or the fleet's name is counted and dropped.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from .messages import MemberMessage, TableSnapshot, ViewAnnouncement
 
-MARK = b"ts\x01"  # the kind of datagram, and the version of what follows
+MAGIC = b"ts\x01"  # the kind of datagram, and the version of what follows
 DIGEST_BYTES = 16
 MAX_DATAGRAM_BYTES = 1_200  # one packet on any network
 MAX_MEMBER_BYTES = 512  # of a table for each member ...
@@ -62,7 +62,7 @@
 
     def pack(self, message: MemberMessage) -> bytes:
         """The datagram. Gossip updates that do not fit are left out, as is a view that is too large."""
-        while len(data := self._sealed(_encode(message))) > MAX_DATAGRAM_BYTES:
+        while len(data := self._signed(_encode(message))) > MAX_DATAGRAM_BYTES:
             if message.updates:
                 message = msgspec.structs.replace(message, updates=message.updates[:-2])
             elif isinstance(message.body, ViewAnnouncement) and message.body.view is not None:
@@ -78,7 +78,7 @@
 
     def pack_table(self, table: TableSnapshot) -> bytes:
         """The table with its length before it, `TABLE_LENGTH_BYTES`, big endian."""
-        data = self._sealed(_encode(table))
+        data = self._signed(_encode(table))
         return len(data).to_bytes(TABLE_LENGTH_BYTES) + data
 
     def unpack_table(self, data: bytes) -> TableSnapshot | None:
@@ -90,7 +90,7 @@
         return fleet == self.fleet
 
     def _decode(self, data: bytes, decoder: msgspec.msgpack.Decoder[DecodedT]) -> DecodedT | None:
-        payload = self._opened(data)
+        payload = self._verified_payload(data)
         if payload is None:
             return None
         try:
@@ -103,17 +103,17 @@
             return None
         return decoded
 
-    def _sealed(self, payload: bytes, mark: bytes = MARK) -> bytes:
-        return mark + self.keys.sign(payload) + payload
+    def _signed(self, payload: bytes, magic: bytes = MAGIC) -> bytes:
+        return magic + self.keys.sign(payload) + payload
 
-    def _opened(self, data: bytes, mark: bytes = MARK) -> bytes | None:
-        """The payload of these bytes; None, counted, where the mark or the digest does not match."""
-        header_bytes = len(mark) + DIGEST_BYTES
-        if len(data) <= header_bytes or not data.startswith(mark):
+    def _verified_payload(self, data: bytes, magic: bytes = MAGIC) -> bytes | None:
+        """The payload of these bytes; None, counted, where the magic or the digest does not match."""
+        header_bytes = len(magic) + DIGEST_BYTES
+        if len(data) <= header_bytes or not data.startswith(magic):
             self.dropped["foreign"] += 1
             return None
         payload = data[header_bytes:]
-        if not self.keys.matches(data[len(mark) : header_bytes], payload):
+        if not self.keys.matches(data[len(magic) : header_bytes], payload):
             self.dropped["digest"] += 1
             return None
         return payload
