--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -118,9 +118,9 @@
     def _record_event(self, fleet: str, event: StatusEvent) -> None:
         self._log_event(event.kind, {**event.details, "fleet": fleet})
         if event.kind in LOGGED_KINDS and isinstance(self.core, Gateway):
-            important_log.info("%s: %s%s", fleet, event.kind, format_event(event))
+            important_log.info("%s: %s", fleet, format_event(event))
         elif event.kind in LOGGED_KINDS:  # a control machine is in many views
-            log.info("%s: %s%s", fleet, event.kind, format_event(event))
+            log.info("%s: %s", fleet, format_event(event))
 
     def _record_placement(self, action: CellJoined | CellLeft) -> None:
         kind = "joined" if isinstance(action, CellJoined) else "parted"
--- a/trackspread/membership/__init__.py
+++ b/trackspread/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The view: gateways keep a view of their own fleet (`docs/design/membership.md`)."""
+"""Keeps each gateway's view of its own fleet (`docs/design/membership.md`)."""
--- a/trackspread/membership/acceptor.py
+++ b/trackspread/membership/acceptor.py
@@ -1,6 +1,6 @@
-"""A member's part in the seeds' election of a coordinator, where it is a seed itself.
+"""Takes part in the seeds' election of a coordinator on behalf of a member that is a seed.
 
-Messages of the election to other seeds become votes; those to itself are delivered at once.
+Messages of the election to other seeds become votes; messages to the member itself are delivered at once.
 """
 
 from __future__ import annotations
@@ -13,19 +13,23 @@
 from .messages import Vote
 from .settings import MemberSettings
 
-# Of wall clock for each round number of a first ballot: later processes bid beyond it.
+# The round of a process's first ballot counts wall-clock intervals of this length, so that processes created
+# later bid with greater rounds.
 BALLOT_ROUND_NS = 100 * MS
 
 
 class AddressedVote(NamedTuple):
-    """A vote, and the seed that it is for."""
+    """Holds a vote and the address of the seed that it is for."""
 
     address: Address
     vote: Vote
 
 
 class Acceptor:
-    """One member's vote. `seed_index` is -1 for a member that is no seed, which never owns the election."""
+    """Votes for one member.
+
+    `seed_index` is -1 for a member that is no seed; such a member never owns the election.
+    """
 
     def __init__(self, settings: MemberSettings, now_ns: int, rng: random.Random) -> None:
         self._seeds = settings.seeds
@@ -37,24 +41,24 @@
         self.record_round(settings.created_at_ms * MS // BALLOT_ROUND_NS)
 
     def is_owner(self, now_ns: int) -> bool:
-        """Whether this member owns the election at this instant."""
+        """Returns whether this member owns the election at this instant."""
         return self.election is not None and self.election.owns(now_ns)
 
     def epoch(self) -> Epoch | None:
-        """The epoch of the ballot that this member won last; None for one that is no seed."""
+        """Returns the epoch of the ballot that this member won last, or None for a member that is no seed."""
         return (self.election.epoch, self.seed_index) if self.election is not None else None
 
     def record_round(self, round_number: int) -> None:
-        """A ballot of this round was won: the next bid is beyond it."""
+        """Records that a ballot of this round was won, so that the next bid has a greater round."""
         if self.election is not None:
             self.election.on_newer_epoch(round_number)
 
     def tick(self, now_ns: int) -> list[AddressedVote]:
-        """Votes that are due now."""
+        """Returns the votes that are due now."""
         return self._deliver(now_ns, self.election.tick(now_ns)) if self.election is not None else []
 
     def receive(self, now_ns: int, vote: Vote) -> list[AddressedVote]:
-        """Votes that answer this one."""
+        """Returns the votes that answer this one."""
         if self.election is None or not 0 <= vote.seed < len(self._seeds):
             return []
         ballot = vote.round, vote.ballot_seed
--- a/trackspread/membership/actions.py
+++ b/trackspread/membership/actions.py
@@ -1,4 +1,4 @@
-"""What a member wants its host to do."""
+"""Defines the actions that a member requests of its host."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 
 
 class SendMessage(NamedTuple):
-    """Send this datagram."""
+    """Asks the host to send this datagram."""
 
     address: Address
     message: MemberMessage
 
 
 class ExchangeTables(NamedTuple):
-    """Exchange member tables with this address over a connection; the answer goes to `Member.merge`."""
+    """Asks the host to exchange member tables with this address over a connection.
+
+    The table that is returned goes to `Member.merge`.
+    """
 
     address: Address
 
 
 class PeerDataReceived(NamedTuple):
-    """Data of the program of a present member; `slots`: the set of slots that it holds."""
+    """Delivers application data from a present member, with the set of slots that this member holds."""
 
     name: str
     data: bytes
@@ -30,9 +33,9 @@
 
 
 class StatusEvent(NamedTuple):
-    """Something has changed; for the log, the event log and users of the view.
+    """Reports a change for the log, the event log and users of the view.
 
-    `kind` and the keys of `details` stand in the event log's lines.
+    `kind` and the keys of `details` are written to the event log.
     """
 
     kind: str
--- a/trackspread/membership/coordination.py
+++ b/trackspread/membership/coordination.py
@@ -1,4 +1,4 @@
-"""A member's part in the fleet's view: electing a coordinator, being it, and following its views."""
+"""Elects a coordinator, acts as coordinator where this member is elected, and follows views."""
 
 from __future__ import annotations
 
@@ -21,13 +21,16 @@
 from .slot_allocation import format_slots, slots_to_bytes
 from .timing import TICK_NS
 
-# Since the last grant, from which a slow seed stands for election too.
+# A slow seed also stands for election when it has had no grant for this time.
 LEADERLESS_TIMEOUT_NS = 3 * RENEWAL_SPAN_NS
-MAX_INLINE_MEMBERS = 32  # members of a view that still fits into a datagram
+MAX_INLINE_MEMBERS = 32  # greatest number of members with which a view fits into a datagram
 
 
 class Coordination:
-    """Election, views and grants at one member. `coordinator`: while this member is it."""
+    """Runs the election, views and grants at one member.
+
+    `coordinator` is set while this member is the coordinator.
+    """
 
     def __init__(self, state: MemberState, outbox: Outbox, acceptor: Acceptor, renewal: LeaseRenewal) -> None:
         self._state = state
@@ -37,21 +40,21 @@
         self.coordinator: Coordinator | None = None
 
     def is_coordinator(self, now_ns: int) -> bool:
-        """Whether this member coordinates at this instant."""
+        """Returns whether this member is the coordinator at this instant."""
         return self.coordinator is not None and self.acceptor.is_owner(now_ns)
 
     def coordinates_epoch(self, now_ns: int, epoch: Epoch) -> bool:
-        """Whether this member coordinates in just this epoch at this instant."""
+        """Returns whether this member is the coordinator of exactly this epoch at this instant."""
         return (
             self.coordinator is not None and self.coordinator.epoch == epoch and self.is_coordinator(now_ns)
         )
 
     def resign(self) -> None:
-        """Be no coordinator any more."""
+        """Stops acting as coordinator."""
         self.coordinator = None
 
     def tick(self, now_ns: int) -> None:
-        """Take part in the election; as its owner, issue the views that are due."""
+        """Takes part in the election and, as its owner, issues the views that are due."""
         if self._stands_for_election(now_ns):
             self._send_votes(self.acceptor.tick(now_ns))
         epoch = self.acceptor.epoch()
@@ -68,11 +71,14 @@
             self._issue(now_ns, view)
 
     def receive_vote(self, now_ns: int, vote: Vote) -> None:
-        """A message of the election."""
+        """Handles a message of the election."""
         self._send_votes(self.acceptor.receive(now_ns, vote))
 
     def _stands_for_election(self, now_ns: int) -> bool:
-        """A slow member leaves it to others to coordinate, unless nobody else can or does."""
+        """Returns whether this member stands for election.
+
+        A slow member leaves coordination to others, unless no other seed exists or no coordinator answers.
+        """
         is_only_seed = len(self._state.settings.seeds) == 1
         return (
             is_only_seed
@@ -105,7 +111,7 @@
                 self._outbox.send(entry.update.address, ViewAnnouncement(view.number, inline))
 
     def record_leader(self, now_ns: int, leader: Leader) -> None:
-        """Somebody knows of this coordinator; one of a newer epoch is asked for a lease at once."""
+        """Records a coordinator, and requests a lease at once from one of a newer epoch."""
         known = self._state.leader
         if known is None or leader.epoch > known.epoch:
             self._state.leader = leader
@@ -114,7 +120,7 @@
             self._renewal.next_at_ns = now_ns
 
     def adopt(self, now_ns: int, view: View) -> None:
-        """Follow this view, if it is newer; all members renew their leases within the next tick."""
+        """Follows this view if it is newer; all members then renew their leases within the next tick."""
         if view.number > self._state.view_number():
             self._state.view = view
             random_delay_ns = int(self._state.rng.random() * TICK_NS)
@@ -122,14 +128,14 @@
             self._outbox.report("view", number=view.number, parent=view.parent, members=view.members)
 
     def receive_announcement(self, now_ns: int, announcement: ViewAnnouncement, source: Address) -> None:
-        """The coordinator names its newest view; one that is not attached is fetched."""
+        """Handles the announcement of the newest view, which is fetched where it is not attached."""
         if announcement.view is not None:
             self.adopt(now_ns, announcement.view)
         elif announcement.view_number > self._state.view_number():
             self._outbox.exchange_tables(source)
 
     def grant_lease(self, now_ns: int, member_id: MemberId, request: LeaseRequest) -> LeaseGrant | None:
-        """What this member, as the coordinator asked, grants; None where it is not the coordinator."""
+        """Returns the grant that answers a request, or None where this member is not the coordinator."""
         state = self._state
         if self.coordinator is None or not self.coordinates_epoch(now_ns, request.epoch):
             return None
@@ -152,20 +158,21 @@
     def receive_request(
         self, now_ns: int, member_id: MemberId, request: LeaseRequest, source: Address
     ) -> None:
-        """Another member requests slots."""
+        """Handles another member's request for slots."""
         if not self._state.member_table.is_present(member_id):
             if self.coordinates_epoch(now_ns, request.epoch):
-                self._outbox.exchange_tables(source)  # it, or an update on it, is new here
+                # The process or an update about it is not known here yet.
+                self._outbox.exchange_tables(source)
         elif (grant := self.grant_lease(now_ns, member_id, request)) is not None:
             self._outbox.send(source, grant)
 
     def release(self, now_ns: int, member_id: MemberId, epoch: Epoch) -> None:
-        """A member gives up its lease."""
+        """Releases the lease that a member gives up."""
         if self.coordinator is not None and self.coordinates_epoch(now_ns, epoch):
             self.coordinator.leases.release(member_id)
 
     def forget(self, now_ns: int, name: str, source: Address) -> None:
-        """Free the slots of a member at an operator's request; only the coordinator answers."""
+        """Frees the slots of a member at an operator's request; only the coordinator answers."""
         if self.coordinator is None or not self.is_coordinator(now_ns):
             return
         table = self._state.member_table
--- a/trackspread/membership/coordinator.py
+++ b/trackspread/membership/coordinator.py
@@ -1,20 +1,19 @@
-"""What the coordinator does: it issues views in its epoch, and grants leases to the members that request
-them.
-
-- Only the owner of the seeds' election acts as coordinator, and checks at each instant whether it still is;
-  two own nothing at the same time (`planning/election.py`). Its epoch is its ballot: nobody else numbers a
-  view with it.
-- A member is in the view that is live and requests its lease: one that the coordinator can't reach, or that
-  can't reach it, holds nothing whoever else reaches it.
-- A view names its parent: the newest that the coordinator knows of, its own or a predecessor's.
-- The members of a view are granted the slots of their own list position, and even shares of the rest
+"""Issues the views of one epoch as coordinator, and grants slot leases to the members that request them.
+
+- Only the owner of the seeds' election acts as coordinator, and it checks at each instant whether it still is
+  the owner; two members never own the election at the same time (`planning/election.py`). Its epoch is its
+  ballot, so that no other member numbers a view with it.
+- The view contains the members that are live and request their lease. A member that can't reach the
+  coordinator, or that the coordinator can't reach, holds no slots, whichever other members reach it.
+- A view names its parent: the newest view that the coordinator knows of, its own or a predecessor's.
+- The members of a view are granted the slots of their own list position and even shares of the rest
   (`slot_allocation.py`); an observer is granted none.
 
 | a member is | and | in the next view |
 | --- | --- | --- |
-| live | has sent a request within `REQUEST_TIMEOUT_NS` | yes |
-| live, in the view | none to this coordinator, in office for less than `REQUEST_TIMEOUT_NS` | yes |
-| live | has sent none for longer | no, until it does again |
+| live | it has sent a request within `REQUEST_TIMEOUT_NS` | yes |
+| live, in the view | it has sent none; this coordinator has acted for less than `REQUEST_TIMEOUT_NS` | yes |
+| live | it has sent no request for longer | no, until it sends one again |
 | gone | | no |
 """
 
@@ -28,13 +27,13 @@
 from .slot_allocation import ALL_SLOTS, allocate, slots_from_bytes
 from .slot_leases import SlotGrant, SlotLeases
 
-FIRST_VIEW_DELAY_NS = 600 * MS  # from the election until the first view: members send requests within it
-MIN_VIEW_INTERVAL_NS = 150 * MS  # between views: simultaneous changes make one
-REQUEST_TIMEOUT_NS = int(1.2 * RENEWAL_SPAN_NS)  # without a request, after which a member is left out
+FIRST_VIEW_DELAY_NS = 600 * MS  # time from the election to the first view, in which members send requests
+MIN_VIEW_INTERVAL_NS = 150 * MS  # time between views, so that simultaneous changes form one view
+REQUEST_TIMEOUT_NS = int(1.2 * RENEWAL_SPAN_NS)  # time without a request after which a member is left out
 
 
 class _AllocationInput(NamedTuple):
-    """All that an allocation depends on, beside what members hold."""
+    """Holds all that an allocation depends on, except the slots that members hold."""
 
     view_number: ViewNumber
     free_slots: int
@@ -42,17 +41,17 @@
 
 
 class Coordinator:
-    """The coordinator of one epoch, for as long as it owns the election."""
+    """Acts as the coordinator of one epoch, for as long as it owns the election."""
 
     def __init__(
         self, now_ns: int, epoch: Epoch, known_view: View | None, seed_count: int, lease_duration_ns: int
     ) -> None:
-        """`known_view`: the newest view known here, at best the predecessors' last."""
+        """Starts the epoch; `known_view` is the newest view known here, ideally the predecessors' last."""
         self.epoch = epoch
         self.leases = SlotLeases(now_ns, epoch, lease_duration_ns)
         self.lease_duration_ns = lease_duration_ns
         self._seed_count = seed_count
-        self._restarted_seeds = set[int]()  # by index: those that no earlier epoch has granted slots
+        self._restarted_seeds = set[int]()  # indices of the seeds that no earlier epoch has granted slots
         self.view: View | None = None
         self._known_view = known_view
         self._parent: ViewNumber = known_view.number if known_view is not None else NO_VIEW
@@ -64,12 +63,15 @@
         self._allocated_for: _AllocationInput | None = None
 
     def record_view_number(self, number: ViewNumber) -> None:
-        """A member has a predecessor's view of this number: the first view here is to follow it."""
+        """Records that a member has a predecessor's view of this number.
+
+        The first view of this epoch has to follow the newest of these.
+        """
         if self.view is None:
             self._parent = max(self._parent, number)
 
     def next_view(self, now_ns: int, live: tuple[MemberId, ...]) -> View | None:
-        """A new view of these live members; None where none is due."""
+        """Returns a new view of these live members, or None where none is due."""
         self._remove_expired(now_ns)
         delay_ns = MIN_VIEW_INTERVAL_NS if self.view is not None else FIRST_VIEW_DELAY_NS
         if now_ns - self._issued_at_ns < delay_ns:
@@ -86,16 +88,16 @@
     def grant_lease(
         self, now_ns: int, member_id: MemberId, seed_index: int, request: LeaseRequest
     ) -> SlotGrant:
-        """Grant slots to a member that requests them; `seed_index`: -1 for one that is no seed."""
+        """Grants slots to a member that requests them; `seed_index` is -1 for a member that is no seed."""
         self._requested_at_ns[member_id] = now_ns
         self._positions[member_id] = request.position
         current = slots_from_bytes(request.slots)
         self.record_view_number(request.view_number)
         if seed_index >= 0 and request.first_epoch:
             self._record_restarted_seed(now_ns, seed_index)
-        # Until there is a view, all members keep what they hold.
-        wanted = current if self.view is None else self._allocated_slots(now_ns, member_id, self.view)
-        return self.leases.grant(now_ns, member_id, wanted, request.serial, current)
+        # Before the first view, all members keep the slots that they hold.
+        target = current if self.view is None else self._allocated_slots(now_ns, member_id, self.view)
+        return self.leases.grant(now_ns, member_id, target, request.serial, current)
 
     def _remove_expired(self, now_ns: int) -> None:
         for member_id, at_ns in list(self._requested_at_ns.items()):
@@ -106,8 +108,8 @@
 
     def _next_members(self, now_ns: int, live: tuple[MemberId, ...]) -> tuple[MemberId, ...]:
         before = self.view or self._known_view
-        in_office_ns = now_ns - self._started_at_ns
-        retained = set(before.members) if before is not None and in_office_ns < REQUEST_TIMEOUT_NS else set()
+        acting_ns = now_ns - self._started_at_ns
+        retained = set(before.members) if before is not None and acting_ns < REQUEST_TIMEOUT_NS else set()
         return tuple(
             member_id for member_id in live if member_id in retained or member_id in self._requested_at_ns
         )
@@ -120,7 +122,10 @@
             self.leases.all_seeds_restarted(now_ns)
 
     def _allocated_slots(self, now_ns: int, member_id: MemberId, view: View) -> int:
-        """What the member is to have; allocated anew only after a change, as requests come all along."""
+        """Returns the slots allocated to the member.
+
+        They are computed only after a change, because requests arrive continuously.
+        """
         free = ALL_SLOTS & ~self.leases.held_by_others(now_ns, view.members)
         positions = tuple(self._positions.get(each, NO_POSITION) for each in view.members)
         allocated_for = _AllocationInput(view.number, free, positions)
--- a/trackspread/membership/core_host.py
+++ b/trackspread/membership/core_host.py
@@ -1,5 +1,4 @@
-"""Runs a state machine of the fleet's view on sockets, with an event log: what all its hosts have in
-common."""
+"""Runs a state machine of the fleet's view on sockets, as the common base of all its hosts."""
 
 from __future__ import annotations
 
@@ -15,33 +14,33 @@
 
 ActionT = TypeVar("ActionT")
 
-# Kinds of event after which `on_change` is called: members, or this one's slots, have changed.
+# After events of these kinds `on_change` is called, because members or this member's slots have changed.
 CHANGE_KINDS = {"member", "part", "slow", "well", "left", "fenced", "renamed"}
-# Event kinds for the log.
+# Events of these kinds are written to the log as well as to the event log.
 LOGGED_KINDS = {"view", "fenced", "leads", "leads no more", "slow", "well", "renamed", "left", "forgot"}
 
-DataCallback = Callable[[str, bytes, int], None]  # name of the sender, data, the set of slots it holds
+DataCallback = Callable[[str, bytes, int], None]  # the sender's name, the data, and the sender's set of slots
 
 
 class Core(Protocol[ActionT]):
-    """A state machine that a host runs."""
+    """Describes a state machine that a host runs."""
 
     @property
     def member_id(self) -> MemberId:
-        """Name and creation time."""
+        """Returns the name and creation time of the process."""
 
     def start(self, now_ns: int, /) -> list[ActionT]:
-        """Begin."""
+        """Starts the state machine."""
 
     def tick(self, now_ns: int, /) -> list[ActionT]:
-        """Do what is due."""
+        """Performs the work that is due."""
 
     def merge(self, now_ns: int, table: TableSnapshot, /) -> list[ActionT]:
-        """Learn what another member knows."""
+        """Merges another member's table."""
 
 
 class CoreHost(Transport, Generic[ActionT]):
-    """Base of hosts of one core."""
+    """Provides the common base of hosts that each run one core."""
 
     def __init__(
         self,
@@ -55,23 +54,32 @@
         max_served_exchanges: int = MAX_SERVED_EXCHANGES,
         receive_buffer_bytes: int = 0,
     ) -> None:
-        """Raises `OSError` where the event log can't be opened."""
+        """Creates the host without opening its sockets.
+
+        Raises `OSError` where the event log can't be opened.
+        """
         super().__init__(listen, wire, max_served_exchanges, receive_buffer_bytes)
         self._clock_ns = clock_ns
         self._state_machine = core
         self._on_change = on_change
         self._on_data = on_data
-        # A message often goes to several members.
+        # The last message is kept encoded, because one message often goes to several members.
         self._last_packed: tuple[MemberMessage, bytes] | None = None
         self._event_log = EventLog(event_log, *core.member_id) if event_log is not None else None
 
     async def start(self) -> None:
-        """Raises `OSError` where the address can't be bound."""
+        """Opens the sockets and starts the core.
+
+        Raises `OSError` where the address can't be bound.
+        """
         await self._open(lambda: self._perform(self._state_machine.start(self._clock_ns())))
 
     def close(self, leave: bool = True) -> None:
-        """Shut down gracefully; `leave` False: another process goes on under this name, or it stops at
-        once."""
+        """Closes the sockets and the event log, after a graceful shutdown of the core.
+
+        With `leave` False the core does not leave the fleet, because another process continues under its name
+        or because the host stops at once.
+        """
         self._stop_ticking()
         if self._transport is not None:
             self._perform(self._final_actions(leave))
@@ -81,11 +89,11 @@
             self._event_log = None
 
     def _final_actions(self, leave: bool) -> Iterable[ActionT]:
-        """What the core has to say when its host closes."""
+        """Returns the core's last actions before its host closes."""
         raise NotImplementedError
 
     def _perform(self, actions: Iterable[ActionT]) -> None:
-        """Do what the core wants done."""
+        """Performs the actions of the core."""
         raise NotImplementedError
 
     def _tick(self) -> None:
--- a/trackspread/membership/discovery.py
+++ b/trackspread/membership/discovery.py
@@ -1,5 +1,7 @@
-"""Finds members that are not known, or that gossip has not reached: by seeds, reconnects and table
-exchanges."""
+"""Finds members that are unknown or that gossip has not reached.
+
+It does so by contacting seeds, reconnecting to gone members and exchanging member tables.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +12,15 @@
 from .messages import State
 from .outbox import Outbox
 
-SEED_INTERVAL_NS = 500 * MS  # between exchanges with seeds while no other member is known
-RECONNECT_INTERVAL_NS = 1 * SECOND  # between attempts to reach gone members, and seeds that are not known
-REPAIR_INTERVAL_NS = 700 * MS  # between exchanges with members whose digest differs
-ANTI_ENTROPY_INTERVAL_NS = 10 * SECOND  # between exchanges with a random member in a fleet of ten
-JITTER = (0.7, 1.3)  # of the intervals: members must not act together
+SEED_INTERVAL_NS = 500 * MS  # time between exchanges with seeds while no other member is known
+RECONNECT_INTERVAL_NS = 1 * SECOND  # time between attempts to reach gone members and unknown seeds
+REPAIR_INTERVAL_NS = 700 * MS  # time between exchanges with members whose digest differs
+ANTI_ENTROPY_INTERVAL_NS = 10 * SECOND  # time between exchanges with a random member in a fleet of ten
+JITTER = (0.7, 1.3)  # random factor of the intervals, so that members do not act simultaneously
 
 
 class Discovery:
-    """Discovery at one member."""
+    """Runs discovery at one member."""
 
     def __init__(self, state: MemberState, outbox: Outbox, now_ns: int) -> None:
         self._state = state
@@ -29,14 +31,17 @@
         self.anti_entropy_at_ns = now_ns + ANTI_ENTROPY_INTERVAL_NS
 
     def contact_seed(self, now_ns: int) -> None:
-        """Exchange tables with a random seed."""
+        """Exchanges tables with a random seed."""
         settings = self._state.settings
         self._seed_at_ns = now_ns + SEED_INTERVAL_NS
         if others := [seed for seed in settings.seeds if seed != settings.address]:
             self._outbox.exchange_tables(self._state.rng.choice(others))
 
     def tick(self, now_ns: int) -> None:
-        """Look for members. Those gone are never given up: they may be behind a partition that has healed."""
+        """Starts the exchanges that are due.
+
+        Attempts to reach gone members never stop, as they may be behind a partition that has healed.
+        """
         present = self._state.member_table.present()
         if now_ns >= self._seed_at_ns and not present:
             self.contact_seed(now_ns)
@@ -49,14 +54,17 @@
             self._outbox.exchange_tables(self._state.rng.choice(present).update.address)
 
     def compare_digest(self, now_ns: int, digest: int, source: Address) -> None:
-        """Exchange tables with a member that knows another fleet, once no queued update can explain it."""
+        """Exchanges tables with a member whose live members differ.
+
+        While updates are queued nothing is exchanged, as these may explain the difference.
+        """
         state = self._state
         if digest != state.member_table.digest() and not state.gossip and now_ns >= self._repair_at_ns:
             self._repair_at_ns = now_ns + self._jittered(REPAIR_INTERVAL_NS)
             self._outbox.exchange_tables(source)
 
     def _reconnect(self) -> None:
-        """Ping a random member that is dead, and exchange tables with a random seed that is not known."""
+        """Pings a random dead member, and exchanges tables with a random unknown seed."""
         state = self._state
         entries = state.member_table.by_name.values()
         if gone := [entry for entry in entries if entry.update.state == State.DEAD]:
--- a/trackspread/membership/event_log.py
+++ b/trackspread/membership/event_log.py
@@ -1,8 +1,8 @@
-"""A file of a member's events, a JSON line each, for analysis afterwards.
+"""Writes a member's events to a file, one JSON line each, for later analysis.
 
-A line is written with one call to the end of the file, so that lines of several processes under one name do
-not mix and a killed one leaves complete lines. Timestamps are of the machine's monotonic clock, the same for
-all its processes.
+Each line is appended with a single write call, so that lines of several processes under one name do not
+interleave and a killed process leaves complete lines. Timestamps are those of the machine's monotonic clock,
+which all its processes share.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BYTES = 64 << 20  # of one process: a day of a calm fleet; events beyond it are not recorded
+MAX_BYTES = 64 << 20  # limit of one process, enough for a day without faults; further events are dropped
 
 
 class EventLine(msgspec.Struct, frozen=True):
-    """One line; the keys in the file are `at`, `name`, `born`, `kind` and `about`."""
+    """Holds one line, whose keys in the file are `at`, `name`, `born`, `kind` and `about`."""
 
-    at_ns: int = msgspec.field(name="at")  # monotonic
+    at_ns: int = msgspec.field(name="at")  # monotonic clock
     name: str
     created_at_ms: int = msgspec.field(name="born")
     kind: str
@@ -30,10 +30,13 @@
 
 
 class EventLog:
-    """Appends lines; a disk that fails ends the recording, never the gateway."""
+    """Appends events to the file; a failing disk stops the recording and never the gateway."""
 
     def __init__(self, path: Path, name: str, created_at_ms: int) -> None:
-        """Raises `OSError` where the file can't be opened."""
+        """Opens the file for appending.
+
+        Raises `OSError` where the file can't be opened.
+        """
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
         self._name = name
         self._created_at_ms = created_at_ms
@@ -41,21 +44,21 @@
         self._encode = msgspec.json.Encoder().encode
 
     def write(self, kind: str, details: dict[str, object]) -> None:
-        """Append an event that happens now."""
+        """Appends an event with the current time."""
         if self._remaining_bytes <= 0:
             return
         event = EventLine(time.monotonic_ns(), self._name, self._created_at_ms, kind, details)
         line = self._encode(event) + b"\n"
         self._remaining_bytes -= len(line)
-        reason = "its size limit is reached"
+        reason = f"the size limit of {MAX_BYTES} bytes is reached"
         try:
             os.write(self._file, line)
         except OSError as error:
             self._remaining_bytes = 0
             reason = str(error.strerror)
         if self._remaining_bytes <= 0:
-            log.warning("event log of %s: no more events are recorded: %s", self._name, reason)
+            log.warning("event log: recording of member %s has stopped: %s", self._name, reason)
 
     def close(self) -> None:
-        """Close the file."""
+        """Closes the file."""
         os.close(self._file)
--- a/trackspread/membership/failure_detector.py
+++ b/trackspread/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Probes members, suspects those that do not answer, and declares suspects dead."""
+"""Probes members, suspects members that do not answer, and declares suspects dead."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from .suspicion import suspicion_timeout_ns
 from .update_handler import UpdateHandler
 
-MAX_RELAYED_PINGS = 64  # pings in progress for others; further requests are ignored
+MAX_RELAYED_PINGS = 64  # limit of pings in progress for other members; further requests are ignored
 
 
 class _RelayedPing(NamedTuple):
-    """A ping sent at another member's request."""
+    """Holds a ping sent at another member's request."""
 
-    sequence: int  # the other member's
+    sequence: int  # the requester's sequence number
     requester: Address
     expires_at_ns: int
 
 
 class FailureDetector:
-    """Failure detection at one member."""
+    """Runs failure detection at one member."""
 
     def __init__(
         self, state: MemberState, outbox: Outbox, updates: UpdateHandler, lease_maintainer: LeaseMaintainer
@@ -37,10 +37,10 @@
         self._outbox = outbox
         self._updates = updates
         self._lease_maintainer = lease_maintainer
-        self._relayed: dict[int, _RelayedPing] = {}  # by this member's own sequence number
+        self._relayed: dict[int, _RelayedPing] = {}  # keyed by this member's own sequence number
 
     def tick(self, now_ns: int) -> None:
-        """Send the pings that are due, and judge the members that have not answered."""
+        """Sends the pings that are due, and updates the state of members that have not answered."""
         self._start_probe(now_ns)
         for probe in self._state.prober.make_indirect(now_ns):
             self._request_pings(now_ns, probe)
@@ -50,14 +50,14 @@
         self._update_own_slowness(now_ns)
 
     def receive_ping(self, ping: Ping, source: Address) -> None:
-        """Answer a ping; a Nack says that a former process of this name was meant."""
+        """Answers a ping; a nack tells the sender that the target is a former process of this name."""
         if ping.target == self._state.member_id:
             self._outbox.send(source, Ack(ping.sequence, self._state.lease.first_epoch))
         elif ping.target[0] == self._state.member_table.own_update.name:
             self._outbox.send(source, Nack(ping.sequence), (self._state.member_table.own_update,))
 
     def receive_ack(self, now_ns: int, ack: Ack) -> None:
-        """The answer to a ping: for another member, to a seed for contact, or of a probe."""
+        """Handles the ack of a relayed ping, of a ping that keeps contact with a seed, or of a probe."""
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is not None:
             self._outbox.send(relayed.requester, Ack(relayed.sequence))
@@ -72,7 +72,7 @@
             self._record_answer(now_ns, entry, late=not result.in_time)
 
     def receive_ping_request(self, now_ns: int, request: PingRequest, source: Address) -> None:
-        """Ping a member for another."""
+        """Pings a member on behalf of another."""
         if len(self._relayed) >= MAX_RELAYED_PINGS:
             return
         sequence = self._state.prober.next_sequence()
@@ -90,7 +90,7 @@
             self._outbox.ping(table.by_name[probe.member_id[0]].update, probe.sequence)
 
     def _request_pings(self, now_ns: int, probe: Probe) -> None:
-        """Ask helpers to ping a member that is late, and ping it once more: the first ping may be lost."""
+        """Asks helpers to ping a late member, and pings it again, because the first ping may be lost."""
         table = self._state.member_table
         entry = table.by_name.get(probe.member_id[0])
         if entry is None:
@@ -122,7 +122,7 @@
                 self._outbox.send(relayed.requester, Nack(relayed.sequence))
 
     def _record_answer(self, now_ns: int, entry: MemberEntry, late: bool) -> None:
-        """Count an answer; the member is notified of what is found, while that lasts."""
+        """Counts an answer, and notifies the member while it is observed as slow."""
         slow = self._state.slowness.record_answer(now_ns, entry.update.name, late)
         if slow is not None:
             self._outbox.send(entry.update.address, SlownessReport(entry.update.member_id, slow))
--- a/trackspread/membership/gossip.py
+++ b/trackspread/membership/gossip.py
@@ -1,5 +1,7 @@
-"""Selects the gossip updates that go with the next datagram: the newest first, each a bounded number of
-times."""
+"""Selects the gossip updates that the next datagram carries.
+
+The newest updates go first, and each is sent a bounded number of times.
+"""
 
 from __future__ import annotations
 
@@ -7,27 +9,31 @@
 
 from .messages import GossipUpdate
 
-# Times the decimal logarithm of the fleet's size: transmissions of each update (SWIM)
+# Each update is sent this many times the decimal logarithm of the fleet's size (SWIM).
 TRANSMISSIONS_FACTOR = 4
-MAX_UPDATES_PER_MESSAGE = 12  # of some 60 bytes each: with the rest they stay under 1,200
+# An update takes some 60 bytes: with the rest of the message, this many stay under 1,200 bytes.
+MAX_UPDATES_PER_MESSAGE = 12
 
 
 class GossipQueue:
-    """Updates still to be sent, at most one for each member: a new one replaces the former."""
+    """Holds the updates that are still to be sent, at most one for each member."""
 
     def __init__(self) -> None:
-        # By name: transmissions so far, and the update.
+        # The transmissions so far and the update, by the member's name.
         self._pending: dict[str, tuple[int, GossipUpdate]] = {}
 
     def add(self, update: GossipUpdate) -> None:
-        """Queue this update in place of the member's former one."""
+        """Queues this update in place of the member's former one."""
         self._pending[update.name] = 0, update
 
     def __len__(self) -> int:
         return len(self._pending)
 
     def next_updates(self, member_count: int) -> tuple[GossipUpdate, ...]:
-        """The updates sent least often; those sent often enough for a fleet of this size leave the queue."""
+        """Returns the updates that were sent least often.
+
+        Updates that were sent often enough for a fleet of this size leave the queue.
+        """
         if not self._pending:
             return ()
         max_transmissions = ceil(TRANSMISSIONS_FACTOR * log10(member_count + 1)) + 1
--- a/trackspread/membership/host.py
+++ b/trackspread/membership/host.py
@@ -1,4 +1,4 @@
-"""Runs a member on sockets, with the log and the event log."""
+"""Runs a member on sockets, and writes its events to the log and the event log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,17 @@
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
-important_log = logging.getLogger(f"{__name__}.note")  # the many events of members must not suppress these
+# A logger of its own, so that the rate limit on the many events of members does not suppress these.
+important_log = logging.getLogger(f"{__name__}.note")
+
+
+# Log texts of the event kinds whose text has no values.
+_FIXED_TEXTS = {
+    "leads no more": "this member is no longer the coordinator",
+    "left": "this member has left the fleet",
+    "slow": "this process answers late and others do not wait for it: check its load, CPU and network",
+    "well": "this process no longer answers late",
+}
 
 
 class Host(CoreHost[Action]):
@@ -36,14 +46,17 @@
         on_change: Callable[[], None] = lambda: None,
         on_data: DataCallback = lambda name, data, slots: None,
     ) -> None:
-        """`on_change` is called when members or this one's slots have changed, `on_data` with the data of
-        other members. Raises `OSError` where the event log can't be opened."""
+        """Creates the member and its host without opening sockets.
+
+        `on_change` is called when members or this member's slots have changed, and `on_data` with the data of
+        other members. Raises `OSError` where the event log can't be opened.
+        """
         self.settings = settings
         self.core = Member(settings, clock_ns(), seed)
         super().__init__(self.core, listen, wire, clock_ns, event_log, on_change, on_data)
 
     def send_data(self, names: Iterable[str], data: bytes) -> None:
-        """Send data of the program to other members."""
+        """Sends application data to other members."""
         self._perform(self.core.send_data(names, data))
 
     def _final_actions(self, leave: bool) -> Iterable[Action]:
@@ -77,42 +90,38 @@
         self._log_event(event.kind, event.details)
         if event.kind in LOGGED_KINDS:
             level = logging.WARNING if event.kind == "fenced" else logging.INFO
-            important_log.log(level, "fleet: %s%s", event.kind, format_event(event))
+            important_log.log(level, "fleet: %s", format_event(event))
         elif event.kind == "member":
-            log.info("fleet: member%s", format_event(event))
+            log.info("fleet: %s", format_event(event))
 
 
 def format_event(event: StatusEvent) -> str:
-    """The details of an event for the log, with a space before them; empty for a kind without."""
+    """Returns the text of an event for the log, without the fleet's or the cell's name."""
     details = event.details
     match event.kind:
         case "member":
             name, _ = cast(MemberId, details["who"])
-            slow = ", slow" if details["slow"] else ""
-            return f" {name} is {details['state']}{slow}, says {details['by']}"
+            slow = " and slow" if details["slow"] else ""
+            return f"member {name} is {details['state']}{slow}, as reported by {details['by']}"
         case "view":
             names = ", ".join(name for name, _ in cast(tuple[MemberId, ...], details["members"]))
-            return f" {details['number']}: {names}"
+            return f"view {details['number']} has the members {names}"
         case "forgot":
             slots = details["slots"] or "none"
-            return f" {details['name']}, at an operator's request: its slots ({slots}) are free"
+            return f"member {details['name']} was declared gone by an operator; freed slots: {slots}"
         case "fenced":
             return (
-                f" off: a newer process with this name is at {details['at']}; this one has left the "
-                "fleet and holds no slots: stop one of the two"
+                f"this process is fenced: a newer process with this name is at {details['at']}; this one has "
+                "left the fleet and holds no slots: stop one of the two"
             )
         case "leads":
-            return f" as coordinator, epoch {details['epoch']}"
-        case "slow":
-            return ": this process answers late, others do not wait for it (load, CPU, network)"
-        case "well":
-            return ": this process no longer answers late"
+            return f"this member is the coordinator of epoch {details['epoch']}"
         case "renamed":
             _, created_at_ms = cast(MemberId, details["who"])
-            return f": now known as created at {created_at_ms}, as a former process's clock was ahead"
-    return ""
+            return f"this process uses creation time {created_at_ms} ms: a former process's clock was ahead"
+    return _FIXED_TEXTS.get(event.kind, event.kind)
 
 
 def created_now_ms() -> int:
-    """The wall clock in ms, by which processes of one name are told apart."""
+    """Returns the wall-clock time in ms, which distinguishes the processes of one name."""
     return time.time_ns() // 1_000_000
--- a/trackspread/membership/lease_maintainer.py
+++ b/trackspread/membership/lease_maintainer.py
@@ -1,5 +1,8 @@
-"""Keeps a member's lease: asks the coordinator to renew it, and seeds for contact while it does not
-answer."""
+"""Maintains a member's lease.
+
+It asks the coordinator to renew the lease, and pings seeds for contact while the coordinator does not
+answer.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
 from .outbox import Outbox
 from .slot_allocation import format_slots
 
-RELEASE_COPIES = 2  # where both get lost, others wait until the lease expires
+RELEASE_COPIES = 2  # copies of a release; where all are lost, other members wait until the lease expires
 
 
 class LeaseMaintainer:
-    """The lease of one member."""
+    """Maintains the lease of one member."""
 
     def __init__(
         self,
@@ -31,7 +34,7 @@
         self._contact_seeds_at_ns = now_ns
 
     def tick(self, now_ns: int) -> None:
-        """Request what is due; a coordinator grants its own request at once."""
+        """Sends the requests that are due; a coordinator grants its own request at once."""
         state = self._state
         self._contact_seeds(now_ns)
         if state.leader is None or state.member_table.own_update.state == State.LEFT:
@@ -47,19 +50,19 @@
             self.accept(now_ns, grant)
 
     def accept(self, now_ns: int, grant: LeaseGrant) -> None:
-        """Apply a grant of the coordinator."""
+        """Applies a grant of the coordinator."""
         if self._renewal.accept(now_ns, grant):
             self._report_lease(now_ns)
 
     def receive_seed_ack(self, now_ns: int, ack: Ack) -> bool:
-        """Whether this ack answers a ping that was to keep contact with a seed."""
+        """Returns whether this ack answers a ping that keeps contact with a seed."""
         if not self._renewal.record_seed_ack(ack.sequence, ack.first_epoch):
             return False
         self._report_lease(now_ns)
         return True
 
     def release(self) -> None:
-        """Give the lease up, and notify the coordinator."""
+        """Gives up the lease and notifies the coordinator."""
         state = self._state
         state.lease.give_up()
         if state.leader is not None and state.leader.member_id != state.member_id:
@@ -67,7 +70,7 @@
                 self._outbox.send(state.leader.address, LeaseRelease(state.leader.epoch))
 
     def _contact_seeds(self, now_ns: int) -> None:
-        """While the coordinator does not answer: ping the seeds, one of which may be this member."""
+        """Pings the seeds, one of which may be this member, while the coordinator does not answer."""
         if now_ns < self._contact_seeds_at_ns or not self._renewal.needs_seed_contact(now_ns):
             return
         self._contact_seeds_at_ns = now_ns + RENEWAL_INTERVAL_NS
--- a/trackspread/membership/lease_renewal.py
+++ b/trackspread/membership/lease_renewal.py
@@ -1,7 +1,8 @@
-"""When a member renews its lease, and what it does with the answers.
+"""Schedules the renewal of a member's lease and handles the answers.
 
-The coordinator is asked to renew the lease all along. While it does not answer, every seed is pinged: the
-slots can be used no longer than some seed answers that knows of the lease (`slot_lease.py`).
+The member asks the coordinator continuously to renew the lease. While the coordinator does not answer, the
+member pings every seed: it may use its slots only while a seed answers that knows of the lease
+(`slot_lease.py`).
 """
 
 from __future__ import annotations
@@ -12,22 +13,23 @@
 from .slot_allocation import slots_from_bytes, slots_to_bytes
 from .slot_lease import SlotLease
 
-RENEWAL_INTERVAL_NS = RENEWAL_SPAN_NS // 5  # between requests
-EMPTY_INTERVAL_NS = RENEWAL_INTERVAL_NS // 4  # while nothing is held: others' leases shrink within that time
+RENEWAL_INTERVAL_NS = RENEWAL_SPAN_NS // 5  # time between requests
+# Time between requests of a member without slots; other members' leases shrink within it.
+EMPTY_INTERVAL_NS = RENEWAL_INTERVAL_NS // 4
 
 
 class LeaseRenewal:
-    """Renewal of one member's lease."""
+    """Renews one member's lease."""
 
     def __init__(self, now_ns: int, position: ListPosition) -> None:
         self.lease = SlotLease()
         self._position = position
-        self.answered_at_ns = now_ns  # when the newest request was sent that the coordinator has answered
-        self.next_at_ns = now_ns  # of the next request
-        self._seed_pings: dict[int, int] = {}  # pings to seeds: sequence number, time sent in ns
+        self.answered_at_ns = now_ns  # send time of the newest request that the coordinator has answered
+        self.next_at_ns = now_ns  # time of the next request
+        self._seed_pings: dict[int, int] = {}  # send times in ns of pings to seeds, by sequence number
 
     def next_request(self, now_ns: int, epoch: Epoch, view_number: ViewNumber) -> LeaseRequest | None:
-        """The request to the coordinator of this epoch; None where none is due."""
+        """Returns the request to the coordinator of this epoch, or None where none is due."""
         if now_ns < self.next_at_ns:
             return None
         settled = self._position == OBSERVER or bool(self.lease.usable_slots(now_ns))
@@ -39,25 +41,25 @@
         return LeaseRequest(now_ns, epoch, self.lease.serial, slots, view_number, self._position, first_epoch)
 
     def needs_seed_contact(self, now_ns: int) -> bool:
-        """Whether the coordinator does not answer while slots are held."""
+        """Returns whether the coordinator does not answer while this member holds slots."""
         unanswered_ns = now_ns - self.answered_at_ns
         return unanswered_ns > 2 * RENEWAL_INTERVAL_NS and bool(self.lease.granted_slots)
 
     def record_seed_ping(self, now_ns: int, sequence: int) -> None:
-        """A seed is pinged with this sequence number."""
+        """Records a ping of a seed with this sequence number."""
         for old in [s for s, at_ns in self._seed_pings.items() if now_ns - at_ns > CONTACT_TIMEOUT_NS]:
             del self._seed_pings[old]
         self._seed_pings[sequence] = now_ns
 
     def record_seed_ack(self, sequence: int, first_epoch: Epoch | None) -> bool:
-        """Whether this ack answers such a ping; `first_epoch`: what it says of its sender."""
+        """Returns whether this ack answers a ping of a seed; `first_epoch` is the epoch in the ack."""
         sent_at_ns = self._seed_pings.pop(sequence, None)
         if sent_at_ns is not None and self.lease.is_known_to(first_epoch):
             self.lease.extend_contact(sent_at_ns)
         return sent_at_ns is not None
 
     def accept(self, now_ns: int, grant: LeaseGrant) -> bool:
-        """Apply a grant; returns whether it counts."""
+        """Applies a grant and returns whether it was accepted."""
         slots = slots_from_bytes(grant.slots)
         accepted = self.lease.accept(
             now_ns, grant.sent_at_ns, grant.epoch, grant.serial, slots, grant.duration_ns
--- a/trackspread/membership/member.py
+++ b/trackspread/membership/member.py
@@ -1,7 +1,7 @@
-"""One member of the fleet as a state machine: messages and times in, actions out.
+"""Runs one member of the fleet as a state machine that turns messages and times into actions.
 
-The host calls `start` once, `tick` every `TICK_NS`, `receive` for each valid datagram of this fleet,
-`table_snapshot` and `merge` for each exchange over a connection, and performs the returned actions in order.
+The host calls `start` once, `tick` every `TICK_NS`, `receive` for each valid datagram of this fleet, and
+`table_snapshot` and `merge` for each exchange over a connection. It performs the returned actions in order.
 All state is bounded by twice the settings' `max_members`.
 """
 
@@ -51,11 +51,11 @@
 from .slot_lease import SlotLease
 from .update_handler import UpdateHandler
 
-LEAVE_PINGS = 2 * HELPERS  # members that are notified directly when this one leaves
+LEAVE_PINGS = 2 * HELPERS  # number of members that are notified directly when this one leaves
 
 
 class Member:
-    """One member. `seed`: of all its random choices."""
+    """Runs one member; `seed` determines all its random choices."""
 
     def __init__(self, settings: MemberSettings, now_ns: int, seed: int) -> None:
         rng = random.Random(seed)
@@ -82,76 +82,72 @@
         self._detector = FailureDetector(self.state, self._outbox, self._updates, self._lease_maintainer)
         self.discovery = Discovery(self.state, self._outbox, now_ns)
 
-    # What is known here.
-
     @property
     def member_id(self) -> MemberId:
-        """Name and creation time of this process, as the fleet knows it."""
+        """Returns the name and creation time by which the fleet knows this process."""
         return self.state.member_id
 
     @property
     def member_table(self) -> MemberTable:
-        """All other members."""
+        """Returns the table of all other members."""
         return self.state.member_table
 
     @property
     def gossip(self) -> GossipQueue:
-        """Updates still to be sent."""
+        """Returns the updates that are still to be sent."""
         return self.state.gossip
 
     @property
     def view(self) -> View | None:
-        """The newest view."""
+        """Returns the newest known view, or None."""
         return self.state.view
 
     @property
     def leader(self) -> Leader | None:
-        """The coordinator of the newest epoch."""
+        """Returns the coordinator of the newest known epoch, or None."""
         return self.state.leader
 
     @property
     def lease(self) -> SlotLease:
-        """The slots of this member."""
+        """Returns the slot lease of this member."""
         return self.state.lease
 
     @property
     def coordinator(self) -> Coordinator | None:
-        """The coordinator that this member is, if any."""
+        """Returns the coordinator role of this member, or None while it is not the coordinator."""
         return self.coordination.coordinator
 
     @property
     def has_left(self) -> bool:
-        """Whether it was shut down or fenced, and sends nothing any more."""
+        """Returns whether the member has shut down or is fenced, and sends nothing any more."""
         return self.state.has_left
 
     @property
     def is_fenced(self) -> bool:
-        """Whether a newer process runs under this name."""
+        """Returns whether a newer process runs under this name."""
         return self.state.is_fenced
 
     def view_number(self) -> ViewNumber:
-        """Number of the newest view."""
+        """Returns the number of the newest known view, or `NO_VIEW`."""
         return self.state.view_number()
 
     def usable_slots(self, now_ns: int) -> int:
-        """The slots of the shared limits that this member may use at this instant."""
+        """Returns the slots of the shared limits that this member may use at this instant."""
         return 0 if self.has_left else self.lease.usable_slots(now_ns)
 
     def is_coordinator(self, now_ns: int) -> bool:
-        """Whether this member coordinates at this instant."""
+        """Returns whether this member is the coordinator at this instant."""
         return self.coordination.is_coordinator(now_ns)
 
-    # What the host calls.
-
     def start(self, now_ns: int) -> list[Action]:
-        """Begin; the first actions find other members."""
+        """Starts the member; the first actions find other members."""
         self._updates.own_update_changed()
         self._outbox.report("started", who=self.member_id, address=self.settings.address)
         self.discovery.contact_seed(now_ns)
         return self._outbox.take()
 
     def tick(self, now_ns: int) -> list[Action]:
-        """Do what is due."""
+        """Performs the work that is due."""
         if not self.has_left:
             self._detector.tick(now_ns)
             self.coordination.tick(now_ns)
@@ -160,7 +156,7 @@
         return self._outbox.take()
 
     def receive(self, now_ns: int, message: MemberMessage, source: Address) -> list[Action]:
-        """A datagram of this fleet from the address `source`."""
+        """Handles a datagram of this fleet from the address `source`."""
         if self.has_left or message.member_id == self.member_id:
             return []
         if isinstance(message.body, ForgetRequest):
@@ -172,13 +168,13 @@
         return self._outbox.take()
 
     def table_snapshot(self) -> TableSnapshot:
-        """All that this member knows, for another."""
+        """Returns all that this member knows, to be sent to another."""
         table = self.member_table
         updates = (table.own_update, *(entry.update for entry in table.by_name.values()))
         return TableSnapshot(self.settings.fleet, *self.member_id, updates, self.view, self.leader)
 
     def merge(self, now_ns: int, table: TableSnapshot) -> list[Action]:
-        """Learn what another member knows."""
+        """Merges another member's table."""
         if self.has_left or table.fleet != self.settings.fleet:
             return []
         for update in table.updates[: 2 * self.settings.max_members]:
@@ -190,7 +186,7 @@
         return self._outbox.take()
 
     def leave(self, now_ns: int) -> list[Action]:
-        """Shut down gracefully: notify some members and the coordinator, and give up the lease."""
+        """Shuts down gracefully: notifies some members and the coordinator, and gives up the lease."""
         if self.has_left:
             return self._outbox.take()
         state, table = self.state, self.member_table
@@ -209,7 +205,10 @@
         return self._outbox.take()
 
     def hand_over(self) -> list[Action]:
-        """Another process goes on under this name: the coordinator learns only that the lease is given up."""
+        """Stops in favor of another process under this name.
+
+        Only the coordinator is notified, and only that the lease is released.
+        """
         if not self.has_left:
             self._lease_maintainer.release()
             self._outbox.report("made way")
@@ -217,7 +216,7 @@
         return self._outbox.take()
 
     def send_data(self, names: Iterable[str], data: bytes) -> list[Action]:
-        """Send data to those of these members that are present, in one message that is the same for all."""
+        """Sends data to those of these members that are present, as one message that is equal for all."""
         body = PeerData(data, slots_to_bytes(self.lease.granted_slots))
         table = self.member_table
         message = MemberMessage(self.settings.fleet, *self.member_id, body, table.digest())
@@ -228,8 +227,6 @@
             if entry is not None and entry.is_present
         ]
 
-    # Messages.
-
     def _receive_from_member(self, now_ns: int, message: MemberMessage, source: Address) -> None:
         for update in message.updates:
             self._updates.apply(now_ns, update, message.name)
@@ -240,7 +237,7 @@
         self.discovery.compare_digest(now_ns, message.digest, source)
 
     def _receive_detection(self, now_ns: int, message: MemberMessage, source: Address) -> bool:
-        """Whether the body is one of failure detection or data, and was dealt with."""
+        """Handles a body of failure detection or application data; returns whether it was one."""
         match message.body:
             case Ping() as ping:
                 self._detector.receive_ping(ping, source)
--- a/trackspread/membership/member_state.py
+++ b/trackspread/membership/member_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one member share: its tables and what it knows of the fleet."""
+"""Holds the state that the components of one member share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class MemberState:
-    """State of one member; its parts change it, its host reads it."""
+    """Holds the state of one member; its components change it, and its host reads it."""
 
     settings: MemberSettings
     rng: random.Random
@@ -28,14 +28,14 @@
     slowness: Slowness = field(default_factory=Slowness)
     view: View | None = None
     leader: Leader | None = None  # the coordinator of the newest epoch known
-    has_left: bool = False  # shut down or fenced: nothing is sent any more
-    is_fenced: bool = False  # a newer process runs under this name
+    has_left: bool = False  # the member has shut down or is fenced, and sends nothing any more
+    is_fenced: bool = False  # a newer process runs under this member's name
 
     @property
     def member_id(self) -> MemberId:
-        """Name and creation time of this process, as the fleet knows it."""
+        """Returns the name and creation time by which the fleet knows this process."""
         return self.member_table.own_update.member_id
 
     def view_number(self) -> ViewNumber:
-        """Number of the newest view known."""
+        """Returns the number of the newest known view, or `NO_VIEW`."""
         return self.view.number if self.view else NO_VIEW
--- a/trackspread/membership/messages.py
+++ b/trackspread/membership/messages.py
@@ -1,7 +1,7 @@
-"""Messages between members.
+"""Defines the messages between members.
 
-The structs are arrays on the wire: the order of their fields is the format, and the tag of a body is its
-kind. Tags differ from class names where they are older than these names.
+The structs are encoded as arrays: the order of their fields is the wire format, and the tag of a body
+identifies its kind. Where a class has been renamed, its tag keeps the former name.
 """
 
 from __future__ import annotations
@@ -14,17 +14,23 @@
 
 
 class State(IntEnum):
-    """State of a member. Of two updates on one process the one with the greater (incarnation, state) holds;
-    only the member itself begins a new incarnation, to say that it is alive."""
+    """Defines the states of a member.
+
+    Of two updates about one process, the one with the greater (incarnation, state) takes precedence. Only the
+    member itself starts a new incarnation, which declares that it is alive.
+    """
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # crashed, stopped or out of everybody's reach
-    LEFT = 3  # shut down gracefully; it only comes back as another process
+    DEAD = 2  # the member has crashed or stopped, or no member can reach it
+    LEFT = 3  # the member has shut down gracefully; only another process can return under its name
 
 
 class GossipUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """One update on one member; the one of greater rank holds, in whatever order they arrive."""
+    """Carries one update about one member.
+
+    The update with the greater rank takes precedence, in whatever order updates arrive.
+    """
 
     name: str
     created_at_ms: int
@@ -33,26 +39,29 @@
     host: str
     port: int
     version: str = ""
-    slow: bool = False  # reported by the member itself, as many see it so: others should not wait for it
+    slow: bool = False  # declared by the member itself once many observe it; others then do not wait for it
 
     @property
     def member_id(self) -> MemberId:
-        """Which process it is on."""
+        """Returns the process that this update is about."""
         return self.name, self.created_at_ms
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Precedence among updates on one name."""
+        """Returns the precedence among updates about one name."""
         return self.created_at_ms, self.incarnation, self.state
 
     @property
     def address(self) -> Address:
-        """Where the member is reached."""
+        """Returns the address at which the member is reached."""
         return self.host, self.port
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """The agreed members of the fleet: one number names one view. `parent`: the view that it follows."""
+    """Holds the agreed members of the fleet; each number identifies exactly one view.
+
+    `parent` is the number of the view that this one follows.
+    """
 
     number: ViewNumber
     parent: ViewNumber
@@ -60,25 +69,25 @@
 
 
 class Body(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Content of one datagram."""
+    """Provides the base class of all message bodies; a datagram carries one body."""
 
 
 class Ping(Body, frozen=True):
-    """Probes a member; the message of a suspected one carries the suspicion too."""
+    """Probes a member; a message to a suspected member carries the suspicion too."""
 
     sequence: int
     target: MemberId
 
 
 class Ack(Body, frozen=True):
-    """Answers a ping. `first_epoch`: of the coordinator that first granted its sender slots."""
+    """Answers a ping; `first_epoch` is that of the coordinator that first granted slots to the sender."""
 
     sequence: int
     first_epoch: Epoch | None = None
 
 
 class Nack(Body, frozen=True):
-    """A helper has had no ack in time: the helper is reachable, whatever its target is."""
+    """Reports that a helper has received no ack in time, which shows that the helper itself is reachable."""
 
     sequence: int
 
@@ -93,7 +102,7 @@
 
 
 class Vote(Body, frozen=True):
-    """Message of the seeds' election of a coordinator; the ballot is (`round`, `ballot_seed`)."""
+    """Carries a message of the seeds' election of a coordinator; the ballot is (`round`, `ballot_seed`)."""
 
     seed: int  # index of the sender
     kind: str
@@ -103,11 +112,11 @@
 
 
 class LeaseRequest(Body, frozen=True, tag="Renew"):
-    """A member asks the coordinator to grant slots or renew its lease.
+    """Asks the coordinator to grant slots or to renew the sender's lease.
 
-    `sent_at_ns`: on the sender's clock, returned in the grant. `slots`: those granted to it that have not
-    expired; `serial`: by which grant of this epoch, 0 for an earlier epoch's. `first_epoch`: no coordinator
-    of another epoch has granted it any.
+    `sent_at_ns` is on the sender's clock and is returned in the grant. `slots` are the granted slots that
+    have not expired; `serial` is the number of their grant in this epoch, and 0 for a grant of an earlier
+    epoch. `first_epoch` says that no coordinator of another epoch has granted slots to the sender.
     """
 
     sent_at_ns: int
@@ -120,7 +129,7 @@
 
 
 class LeaseGrant(Body, frozen=True, tag="Grant"):
-    """The coordinator grants slots for `duration_ns` from `sent_at_ns` on, and names its newest view."""
+    """Grants slots for `duration_ns` counted from `sent_at_ns`, and names the coordinator's newest view."""
 
     sent_at_ns: int
     epoch: Epoch
@@ -131,34 +140,39 @@
 
 
 class LeaseRelease(Body, frozen=True, tag="Release"):
-    """A process that stops or is fenced gives up its slots; another may run under its name."""
+    """Releases the slots of a process that stops or is fenced; another may run under its name."""
 
     epoch: Epoch
 
 
 class ViewAnnouncement(Body, frozen=True, tag="Fresh"):
-    """The coordinator has been elected or has a new view; `view` is absent where it does not fit."""
+    """Announces the elected coordinator or its new view.
+
+    `view` is None where it does not fit into the datagram.
+    """
 
     view_number: ViewNumber
     view: View | None
 
 
 class SlownessReport(Body, frozen=True, tag="Report"):
-    """The sender finds this member slow, or no longer slow."""
+    """Reports that the sender observes this member as slow, or as no longer slow."""
 
     member_id: MemberId
     slow: bool
 
 
 class ForgetRequest(Body, frozen=True, tag="Forget"):
-    """An operator declares that the member of this name is gone for good."""
+    """Carries an operator's declaration that the member of this name is permanently gone."""
 
     name: str
 
 
 class ForgetResponse(Body, frozen=True, tag="Forgotten"):
-    """The coordinator's answer. `is_running`: it is present, and nothing is freed; else how many slots
-    are."""
+    """Answers a `ForgetRequest` for the coordinator.
+
+    `is_running` says that the member is present, in which case no slots are freed.
+    """
 
     name: str
     is_running: bool
@@ -166,7 +180,7 @@
 
 
 class PeerData(Body, frozen=True, tag="Words"):
-    """Opaque data of the program for another gateway. `slots`: those that its sender holds."""
+    """Carries opaque application data to another gateway, with the slots that its sender holds."""
 
     data: bytes
     slots: bytes
@@ -190,7 +204,7 @@
 
 
 class Leader(msgspec.Struct, frozen=True, array_like=True):
-    """The coordinator of an epoch."""
+    """Identifies the coordinator of an epoch."""
 
     epoch: Epoch
     member_id: MemberId
@@ -199,14 +213,14 @@
 
     @property
     def address(self) -> Address:
-        """Where it is reached."""
+        """Returns the address at which the coordinator is reached."""
         return self.host, self.port
 
 
 class MemberMessage(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram: its sender, body, gossip updates and the newest coordinator that the sender knows.
+    """Holds one datagram: its sender, body, gossip updates and the newest coordinator known to the sender.
 
-    `digest`: 32 bits of the sender's live members; members that agree have the same.
+    `digest` is a 32-bit digest of the sender's live members; members that agree have equal digests.
     """
 
     fleet: str
@@ -219,12 +233,15 @@
 
     @property
     def member_id(self) -> MemberId:
-        """Its sender."""
+        """Returns the sender's name and creation time."""
         return self.name, self.created_at_ms
 
 
 class TableSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that one member knows, sent over a connection: it repairs what lost updates left different."""
+    """Holds all that one member knows, sent over a connection.
+
+    An exchange of snapshots repairs differences that lost updates have left.
+    """
 
     fleet: str
     name: str
--- a/trackspread/membership/report.py
+++ b/trackspread/membership/report.py
@@ -1,5 +1,7 @@
-"""What one gateway knows of its fleet, for operators. The field names of the structs are the keys of the
-JSON."""
+"""Reports to operators what one gateway knows of its fleet.
+
+The encoded field names of the structs are the keys of the JSON.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,10 @@
 
 
 class MemberReport(msgspec.Struct, frozen=True):
-    """One member as this gateway knows it; `in_view`: whether the view has just this process of its name."""
+    """Describes one member as this gateway knows it.
+
+    `in_view` says whether the view contains exactly this process of the name.
+    """
 
     name: str
     state: str
@@ -22,34 +27,38 @@
     incarnation: int = msgspec.field(name="life")
     version: str
     address: str
-    since_s: float  # in this state
+    since_s: float  # time in this state
     in_view: bool
 
 
 class FleetReport(msgspec.Struct, frozen=True):
-    """All of it. `standing`: `settled`, `joining` (in no view yet), `waiting` (in it, while its slots are
-    still leased to others, as far as is known), `parted` (cut off from the coordinator: nothing is known for
-    sure), `fenced` or `left`."""
+    """Describes the fleet as this gateway knows it.
+
+    `status` is `settled`, `joining` (in no view yet), `waiting` (in the view, while its slots are still
+    leased to others, as far as is known), `parted` (cut off from the coordinator, so that nothing is known
+    for certain), `fenced` or `left`.
+    """
 
     fleet: str
     name: str
     status: str = msgspec.field(name="standing")
     view: tuple[int, int, int] | None
     members: int
-    usable_fraction: float = msgspec.field(name="part")  # of the shared limits, that may be used here now
+    usable_fraction: float = msgspec.field(name="part")  # fraction of the shared limits usable here now
     leader: str
     is_coordinator: bool = msgspec.field(name="leads")
-    health: int  # of this process; 0 is healthy
+    health: int  # health score of this process; 0 is healthy
     known_members: tuple[MemberReport, ...] = msgspec.field(name="seen")
     differing_names: tuple[str, ...] = msgspec.field(name="differ")  # live or in the view, but not both
     counts: dict[str, int]
     dropped: dict[str, int]
-    cell: str = ""  # where the fleet has cells: which one this view is of
-    answered_s: float | None = None  # since a control machine answered; None: never, or there are no cells
+    cell: str = ""  # the cell that this view belongs to, in a fleet that has cells
+    # Time since a control machine answered; None where none has answered or the fleet has no cells.
+    answered_s: float | None = None
 
 
 def member_status(now_ns: int, member: Member) -> str:
-    """One word for whether the member takes part; see `FleetReport`."""
+    """Returns the member's status as `FleetReport` lists them."""
     if member.is_fenced:
         return "fenced"
     if member.has_left:
@@ -64,8 +73,10 @@
 def fleet_report(
     now_ns: int, member: Member, counts: Mapping[str, int], dropped: Mapping[str, int]
 ) -> FleetReport:
-    """The report at this instant. `counts`: the host's; `dropped`: messages that its wire dropped, by
-    reason."""
+    """Returns the report at this instant.
+
+    `counts` are those of the host, and `dropped` counts the messages that its wire dropped, by reason.
+    """
     table, view = member.member_table, member.view
     in_view = set(view.members) if view is not None else set()
     known = [(table.own_update, member.started_at_ns)]
--- a/trackspread/membership/slot_allocation.py
+++ b/trackspread/membership/slot_allocation.py
@@ -1,10 +1,10 @@
-"""The shared limits, cut into slots, and which member is to have which slots.
+"""Divides the shared limits into slots and allocates the slots to members.
 
-Every limit that gateways share (a tenant's quota, its hard limit, its concurrency limit) is worth
-`SLOT_COUNT` slots; a member may use of every limit as much as it has slots. A set of slots is the bits of one
-integer. Each position in the platform's list of gateways has a run of slots, so that a member whose traffic
-comes by a few positions has its complete limits there; the slots of vacant positions, and the shares of
-gateways without one, are moved as little as possible.
+Every limit that gateways share (a tenant's quota, its hard limit, its concurrency limit) is divided into
+`SLOT_COUNT` slots; a member may use the fraction of each limit that its slots stand for. A set of slots is
+stored as the bits of one integer. Each position in the platform's list of gateways has a contiguous range of
+slots, so that a tenant whose traffic arrives at a few positions has its complete limits there. The slots of
+vacant positions, and the shares of gateways without a position, are moved as little as possible.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from .identifiers import NO_POSITION, ListPosition, MemberId
 
-SLOT_COUNT = 1024  # several to a gateway in a fleet of hundreds; as bits 128 bytes of a datagram
+SLOT_COUNT = 1024  # several for each gateway in a fleet of hundreds; as bits, 128 bytes of a datagram
 ALL_SLOTS = (1 << SLOT_COUNT) - 1
 SLOT_SET_BYTES = SLOT_COUNT // 8
 
@@ -21,7 +21,7 @@
 
 
 def slots_of(position: ListPosition) -> int:
-    """The slots of a list position, whose index counts from 0; none for an index outside the list."""
+    """Returns the slots of a list position, whose index counts from 0, or none for one outside the list."""
     index, length = position
     if not 0 <= index < length:
         return 0
@@ -31,24 +31,24 @@
 
 
 def slots_to_bytes(slots: int) -> bytes:
-    """The set as it goes over the wire: little endian, empty for no slots."""
+    """Returns the set in its wire format, which is little endian and empty for no slots."""
     return slots.to_bytes(SLOT_SET_BYTES, "little") if slots else b""
 
 
 def slots_from_bytes(data: bytes) -> int:
-    """The set that these bytes stand for; bytes from others that are too long are cut."""
+    """Returns the set that these bytes encode; excess bytes from other members are ignored."""
     return int.from_bytes(data[:SLOT_SET_BYTES], "little")
 
 
 def format_slots(slots: int) -> str:
-    """The set as runs, `0-169,340-509`."""
+    """Returns the set as ranges, such as `0-169,340-509`."""
     runs = []
     first = 0
     while slots >> first:
         rest = slots >> first
-        first += (rest & -rest).bit_length() - 1  # to the next slot in the set
+        first += (rest & -rest).bit_length() - 1  # the next slot in the set
         rest = slots >> first
-        # The lowest bit that is not set says how long this run is.
+        # The position of the lowest clear bit is the length of this range.
         length = (~rest & (rest + 1)).bit_length() - 1
         runs.append(f"{first}-{first + length - 1}")
         first += length
@@ -56,7 +56,7 @@
 
 
 def lowest_slots(slots: int, count: int) -> int:
-    """The `count` lowest slots of the set, or all where it has fewer."""
+    """Returns the `count` lowest slots of the set, or all of them where it has fewer."""
     if count >= slots.bit_count():
         return slots
     remaining = slots
@@ -74,15 +74,16 @@
     current: Mapping[MemberId, int],
     free: int,
 ) -> Allocation:
-    """Divide the `free` slots: each of `members` gets its own position's, and an even share of the rest.
+    """Divides the `free` slots: each of `members` gets those of its position and an even share of the rest.
 
-    `current`: what each has now, which it gets rather than other slots.
+    `current` holds the slots that each member has now, which it keeps in preference to other slots.
     """
     allocation = dict.fromkeys(members, 0)
     remaining = _allocate_by_position(allocation, positions, free)
     minimum = free.bit_count() // len(members) if members else 0
     remaining = _fill_up(allocation, current, remaining, minimum)
-    for member_id in _fewest_first(allocation):  # fewer slots are left than there are members
+    # Fewer slots remain than there are members: the members with the fewest get one each.
+    for member_id in _fewest_first(allocation):
         chosen = lowest_slots(remaining, 1)
         allocation[member_id] |= chosen
         remaining &= ~chosen
@@ -98,7 +99,7 @@
 def _allocate_by_position(
     allocation: Allocation, positions: Mapping[MemberId, ListPosition], free: int
 ) -> int:
-    """Give each member the free slots of its position; returns those that remain."""
+    """Gives each member the free slots of its position; returns the slots that remain."""
     remaining = free
     for member_id in sorted(allocation):
         allocation[member_id] = slots_of(positions.get(member_id, NO_POSITION)) & remaining
@@ -107,7 +108,7 @@
 
 
 def _fill_up(allocation: Allocation, current: Mapping[MemberId, int], remaining: int, minimum: int) -> int:
-    """Give each member up to `minimum` slots, rather those it holds; returns those that remain."""
+    """Gives each member up to `minimum` slots, first those it holds; returns the slots that remain."""
     for member_id in _fewest_first(allocation):
         for preferred in (current.get(member_id, 0) & remaining, remaining):
             missing = max(0, minimum - allocation[member_id].bit_count())
@@ -120,7 +121,7 @@
 def _take_from_others(
     allocation: Allocation, current: Mapping[MemberId, int], member_id: MemberId, minimum: int
 ) -> None:
-    """Bring a member to `minimum` slots, from those that have most, rather with slots it holds."""
+    """Raises a member to `minimum` slots, taken from the members with most, first slots it holds."""
     while (missing := minimum - allocation[member_id].bit_count()) > 0:
         donor = max(allocation, key=lambda each: (allocation[each].bit_count(), each))
         available = allocation[donor].bit_count()
--- a/trackspread/membership/slowness.py
+++ b/trackspread/membership/slowness.py
@@ -1,38 +1,38 @@
-"""Slow members: what a member finds of others, and what others report of it.
+"""Detects slow members from a member's own observations and from other members' reports.
 
-A member reports another that answers late repeatedly to it, for as long as it does. A member that enough
-others report, or whose own health is bad, says of itself that it is slow, so that nobody waits for it. Only
-the member itself says so: a single observer on a bad path must not.
+A member that repeatedly receives late answers from another reports this to it, for as long as it lasts. A
+member that enough others report, or whose own health is bad, declares itself slow, so that no member waits
+for it. Only the member itself declares this, because a single observer may have a bad network path.
 """
 
 from __future__ import annotations
 
 from .identifiers import MS, SECOND
 
-NEWEST_WEIGHT = 0.25  # of the newest answer in the moving average of late ones: four probes decide
-SLOW_FRACTION = 0.5  # of late answers from which a member is found slow ...
-RECOVERED_FRACTION = 0.15  # ... and at or under which it no longer is
-REPORT_INTERVAL_NS = 1 * SECOND  # between reports while it lasts
-REPORT_LIFETIME_NS = 3 * SECOND  # for which a report counts: two may be lost
-REPORTERS_FRACTION = 0.3  # of the other members that have to report it ...
-MIN_REPORTERS = 2  # ... and at least so many
-UNHEALTHY_FROM = 5  # steps of local health at which a member finds itself slow
-UNHEALTHY_ABOVE = 1  # steps of local health above which it stays slow
-MIN_CHANGE_INTERVAL_NS = 500 * MS  # between changes of a member's own state
+NEWEST_WEIGHT = 0.25  # weight of the newest answer in the moving average, so that about four probes decide
+SLOW_FRACTION = 0.5  # fraction of late answers from which a member counts as slow
+RECOVERED_FRACTION = 0.15  # fraction of late answers up to which a slow member counts as recovered
+REPORT_INTERVAL_NS = 1 * SECOND  # time between reports to a member while it is slow
+REPORT_LIFETIME_NS = 3 * SECOND  # time for which a report counts, so that two may be lost
+REPORTERS_FRACTION = 0.3  # fraction of the other members that have to report a member ...
+MIN_REPORTERS = 2  # ... and the least number of them
+UNHEALTHY_FROM = 5  # local health score at which a member declares itself slow
+UNHEALTHY_ABOVE = 1  # local health score above which a slow member stays slow
+MIN_CHANGE_INTERVAL_NS = 500 * MS  # time between changes of a member's own state
 
 
 class Slowness:
-    """Slowness as one member sees it; bounded by the members that it knows."""
+    """Tracks slowness at one member; its size is bounded by the members that it knows."""
 
     def __init__(self) -> None:
-        self._late_fraction: dict[str, float] = {}  # by name: moving average of late answers
-        self._reported_at_ns: dict[str, int] = {}  # members found slow, and when they were last notified
-        self._reporters: dict[str, int] = {}  # who finds this member slow, and when it last said so
+        self._late_fraction: dict[str, float] = {}  # moving average of late answers, by the member's name
+        self._reported_at_ns: dict[str, int] = {}  # when each slow member was last notified, by its name
+        self._reporters: dict[str, int] = {}  # when each member last reported this one as slow, by its name
         self._is_slow = False
         self._changed_at_ns = 0
 
     def record_answer(self, now_ns: int, name: str, late: bool) -> bool | None:
-        """Count an answer; returns what is to be reported to the member, None for nothing."""
+        """Counts an answer and returns what to report to the member, or None for nothing."""
         newest = NEWEST_WEIGHT if late else 0.0
         fraction = self._late_fraction.get(name, 0.0) * (1.0 - NEWEST_WEIGHT) + newest
         self._late_fraction[name] = fraction
@@ -46,33 +46,34 @@
         return None
 
     def forget(self, name: str) -> None:
-        """Drop all that is known of this member."""
+        """Drops all that is known of this member."""
         self._late_fraction.pop(name, None)
         self._reported_at_ns.pop(name, None)
         self._reporters.pop(name, None)
 
     def record_report(self, now_ns: int, reporter: str, slow: bool) -> None:
-        """Another member finds this one slow, or no longer slow."""
+        """Records that another member observes this one as slow, or as no longer slow."""
         if slow:
             self._reporters[reporter] = now_ns
         else:
             self._reporters.pop(reporter, None)
 
     def is_slow(self, now_ns: int, member_count: int, health: int) -> bool:
-        """Whether this member is slow, by others' reports and its own health."""
+        """Returns whether this member is slow, by others' reports and its own health."""
         for name in [n for n, at_ns in self._reporters.items() if now_ns - at_ns > REPORT_LIFETIME_NS]:
             del self._reporters[name]
-        found = self._found_slow(member_count, health)
-        if found != self._is_slow and now_ns - self._changed_at_ns >= MIN_CHANGE_INTERVAL_NS:
-            self._is_slow = found
+        is_slow_now = self._meets_slow_condition(member_count, health)
+        if is_slow_now != self._is_slow and now_ns - self._changed_at_ns >= MIN_CHANGE_INTERVAL_NS:
+            self._is_slow = is_slow_now
             self._changed_at_ns = now_ns
         return self._is_slow
 
-    def _found_slow(self, member_count: int, health: int) -> bool:
-        if member_count <= 1:  # nobody waits for one that is alone, and none could say that it has recovered
+    def _meets_slow_condition(self, member_count: int, health: int) -> bool:
+        # No member waits for one that is alone, and none could report its recovery.
+        if member_count <= 1:
             return False
-        wanted = max(MIN_REPORTERS, int(REPORTERS_FRACTION * (member_count - 1)))
-        reported = len(self._reporters) >= wanted
+        min_reporters = max(MIN_REPORTERS, int(REPORTERS_FRACTION * (member_count - 1)))
+        reported = len(self._reporters) >= min_reporters
         if self._is_slow:
             return reported or health > UNHEALTHY_ABOVE
         return (member_count > MIN_REPORTERS and reported) or health >= UNHEALTHY_FROM
--- a/trackspread/membership/transport.py
+++ b/trackspread/membership/transport.py
@@ -1,7 +1,7 @@
-"""Datagrams and connections at one address, and a timer: what any host of a view needs of the network.
+"""Provides datagrams, connections and a timer at one address to any host of a view.
 
-All that arrives is bounded: a datagram by the wire, a table by the fleet's size, connections by number and
-time. A fault in the handling of one message costs that message alone.
+All input is bounded: a datagram by the wire format, a table by the fleet's size, connections by number and
+time. An exception in the handling of one message affects only that message.
 """
 
 from __future__ import annotations
@@ -21,14 +21,16 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-EXCHANGE_TIMEOUT_S = 2.0  # for one exchange of tables
-MAX_OWN_EXCHANGES = 4  # in progress that were begun here
-MAX_SERVED_EXCHANGES = 16  # in progress that others began
-# With both sockets, the event log, and one to spare.
+EXCHANGE_TIMEOUT_S = 2.0  # time limit of one exchange of tables
+MAX_OWN_EXCHANGES = 4  # limit of exchanges in progress that this member started
+MAX_SERVED_EXCHANGES = 16  # limit of exchanges in progress that other members started
+# File descriptors include both sockets, the event log and one spare.
 DESCRIPTORS = MAX_OWN_EXCHANGES + MAX_SERVED_EXCHANGES + 4
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
+    """Passes received datagrams to a `Transport`."""
+
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
 
@@ -36,13 +38,13 @@
         self._transport.datagram_received(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """A dead member's port answers with an ICMP error; datagrams may be lost anyway."""
+        """Ignores the ICMP error of a dead member's port, because datagrams may be lost anyway."""
 
 
 class Transport:
-    """Base of hosts, which add what is to be done with what arrives.
+    """Provides the sockets and the timer of a host, which adds the handling of received messages.
 
-    `counts`: datagrams and bytes, sent and received; exchanges, and bytes of the tables in them.
+    `counts` holds the datagrams and bytes sent and received, the exchanges, and the bytes of their tables.
     """
 
     def __init__(
@@ -52,7 +54,10 @@
         max_served_exchanges: int = MAX_SERVED_EXCHANGES,
         receive_buffer_bytes: int = 0,
     ) -> None:
-        """`receive_buffer_bytes`: of the datagram socket; 0: the system's default."""
+        """Creates the transport without opening sockets.
+
+        `receive_buffer_bytes` is the receive buffer of the datagram socket; 0 keeps the system's default.
+        """
         self.wire = wire
         self.counts = Counter[str]()
         self._receive_buffer_bytes = receive_buffer_bytes
@@ -65,30 +70,26 @@
         self._served_exchanges = 0
         self._next_tick_s = 0.0  # on the event loop's clock
 
-    # What a host adds.
-
-    def _receive(self, data: bytes, source: Address) -> None:
-        """A datagram has arrived."""
+        def _receive(self, data: bytes, source: Address) -> None:
+            """Handles a received datagram."""
         raise NotImplementedError
 
     def _tick(self) -> None:
-        """Another `TICK_NS` is over."""
+        """Runs once every `TICK_NS`."""
         raise NotImplementedError
 
     def _table_snapshot(self, fleet: str) -> TableSnapshot | None:
-        """What is known of this fleet, for another member; None for an unknown fleet."""
+        """Returns what is known of this fleet, for another member, or None for an unknown fleet."""
         raise NotImplementedError
 
     def _merge(self, table: TableSnapshot) -> None:
-        """Another member's table has arrived."""
+        """Merges another member's table."""
         raise NotImplementedError
 
-    # Sockets.
-
     async def _open(self, on_open: Callable[[], None]) -> None:
-        """Open both sockets; `on_open` is called once datagrams can be sent.
+        """Opens both sockets; `on_open` is called once datagrams can be sent.
 
-        Raises `OSError` where the address can't be bound; then both sockets are closed.
+        Raises `OSError` where the address can't be bound, in which case both sockets are closed.
         """
         loop = asyncio.get_running_loop()
         datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -125,23 +126,24 @@
         for task in list(self._own_exchanges):
             task.cancel()
 
-    def _guarded(self, call: Callable[[], None]) -> None:
+    def _run_guarded(self, call: Callable[[], None]) -> None:
+        """Runs `call`; an exception is logged and affects nothing else."""
         try:
             call()
         except Exception:
-            log.exception("fleet: fault in handling one tick or message, which is skipped")
+            log.exception("fleet: one tick or message is skipped because its handling failed")
 
     def _run_tick(self) -> None:
         loop = asyncio.get_running_loop()
-        self._guarded(self._tick)
+        self._run_guarded(self._tick)
         self._next_tick_s = max(self._next_tick_s + TICK_NS / SECOND, loop.time())
         self._timer = loop.call_at(self._next_tick_s, self._run_tick)
 
     def datagram_received(self, data: bytes, source: Address) -> None:
-        """A datagram has arrived at the socket."""
+        """Counts and handles a datagram received by the socket."""
         self.counts["received"] += 1
         self.counts["bytes received"] += len(data)
-        self._guarded(lambda: self._receive(data, source))
+        self._run_guarded(lambda: self._receive(data, source))
 
     def _send(self, data: bytes, address: Address) -> None:
         if self._transport is None:
@@ -150,10 +152,8 @@
         self.counts["bytes sent"] += len(data)
         self._transport.sendto(data, address)
 
-    # Exchanges of tables over connections.
-
     def _start_exchange(self, address: Address, fleet: str) -> None:
-        """Send our table of this fleet there, and merge the one that is returned."""
+        """Sends this member's table of the fleet to the address, and merges the table that is returned."""
         if len(self._own_exchanges) >= MAX_OWN_EXCHANGES or self._transport is None:
             return
         task = asyncio.get_running_loop().create_task(self._exchange(address, fleet))
@@ -161,7 +161,7 @@
         task.add_done_callback(self._own_exchanges.discard)
 
     async def _exchange(self, address: Address, fleet: str) -> None:
-        """One that fails is only counted: the core begins others."""
+        """Runs one exchange; a failure is only counted, because the core starts further exchanges."""
         writer: asyncio.StreamWriter | None = None
         local = None if self._listen[0] == "0.0.0.0" else (self._listen[0], 0)
         try:
@@ -202,7 +202,7 @@
             writer.close()
 
     async def _read_table(self, reader: asyncio.StreamReader) -> TableSnapshot | None:
-        """The table that arrives, merged; None for one that is too large or invalid."""
+        """Reads, merges and returns a table, or returns None for one that is too large or invalid."""
         size = int.from_bytes(await reader.readexactly(TABLE_LENGTH_BYTES))
         if size > self.wire.max_table_bytes:
             self.wire.dropped["too long"] += 1
@@ -210,5 +210,5 @@
         data = await reader.readexactly(size)
         self.counts["table bytes received"] += TABLE_LENGTH_BYTES + size
         if (table := self.wire.unpack_table(data)) is not None:
-            self._guarded(lambda: self._merge(table))
+            self._run_guarded(lambda: self._merge(table))
         return table
--- a/trackspread/membership/update_handler.py
+++ b/trackspread/membership/update_handler.py
@@ -1,4 +1,4 @@
-"""What a member does with gossip updates, and with other processes under its own name."""
+"""Handles gossip updates, and other processes under the member's own name."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .messages import GossipUpdate, Ping, State
 from .outbox import Outbox
 
-SUSPECT_PROBES = 6.0  # members, on average, that probe a suspect at once when they learn of the suspicion
+SUSPECT_PROBES = 6.0  # mean number of members that probe a suspect as soon as they learn of the suspicion
 
 
 class UpdateHandler:
-    """Applies updates to the member table, and passes on what is news."""
+    """Applies updates to the member table, and forwards those that changed it."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._lease_maintainer = lease_maintainer
 
     def apply(self, now_ns: int, update: GossipUpdate, reporter: str) -> None:
-        """An update by this reporter, another member or this one."""
+        """Applies an update by this reporter, which is another member or this one."""
         state, table = self._state, self._state.member_table
         entry = table.by_name.get(update.name)
         before = entry.update if entry is not None else None
@@ -52,11 +52,11 @@
         self._release_leases(before, update)
 
     def own_update_changed(self) -> None:
-        """Pass on what this member says of itself."""
+        """Queues this member's own changed update for gossip."""
         self._state.gossip.add(self._state.member_table.own_update)
 
     def receive_from_namesake(self, created_at_ms: int, source: Address) -> None:
-        """A message from another process under this name: the newer process stays."""
+        """Handles a message from another process under this name, of which the newer one stays."""
         own = self._state.member_table.own_update
         if created_at_ms > own.created_at_ms:
             self._fence(GossipUpdate(own.name, created_at_ms, 0, State.ALIVE, *source))
@@ -76,10 +76,10 @@
             )
 
     def _maybe_probe(self, now_ns: int, name: str) -> None:
-        """Probe a suspect out of turn, with a chance that lets `SUSPECT_PROBES` members do so."""
+        """Probes a suspect out of turn, with a probability by which `SUSPECT_PROBES` members do so."""
         state = self._state
-        chance = SUSPECT_PROBES / max(1, state.member_table.present_count())
-        if state.rng.random() >= chance:
+        probability = SUSPECT_PROBES / max(1, state.member_table.present_count())
+        if state.rng.random() >= probability:
             return
         update = state.member_table.by_name[name].update
         probe = state.prober.start(now_ns, update.member_id)
@@ -87,21 +87,22 @@
             self._outbox.ping(update, probe.sequence)
 
     def _release_leases(self, before: GossipUpdate | None, update: GossipUpdate) -> None:
-        """As the coordinator: free the slots of processes that have surely stopped."""
+        """Frees, as the coordinator, the slots of processes that have certainly stopped."""
         if self._coordination.coordinator is None:
             return
         leases = self._coordination.coordinator.leases
         if update.state == State.LEFT:
-            leases.release(update.member_id)  # it gave its lease up before it said so
+            leases.release(update.member_id)  # a member gives up its lease before it announces that it has left
         if before is None:
             return
         if before.created_at_ms < update.created_at_ms and before.address == update.address:
-            leases.release(before.member_id)  # an address has one process: the former one is gone
+            leases.release(before.member_id)  # an address has only one process, so the former one has ended
 
     def _check_fencing(self) -> None:
-        """Give way to a newer process under this name.
+        """Fences this process if a newer one runs under its name.
 
-        One at this very address, or one that is gone, can only be a former process whose clock was ahead.
+        A newer creation time at this member's own address, or of a gone process, can only belong to a former
+        process whose clock was ahead; this process then takes a creation time after it.
         """
         table = self._state.member_table
         namesake = table.newer_process
