--- a/trackspread/cells/__init__.py
+++ b/trackspread/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Membership in levels: gateways in cells of one zone each, and control machines that keep the directory."""
+"""Implements two-level membership: gateways form cells, and control machines keep the directory of cells."""
--- a/trackspread/cells/actions.py
+++ b/trackspread/cells/actions.py
@@ -1,4 +1,4 @@
-"""What a control machine or a gateway wants its host to do."""
+"""Defines the actions that a control machine or a gateway requests of its host."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 
 
 class SendCellsMessage(NamedTuple):
-    """Send this datagram."""
+    """Asks the host to send this datagram."""
 
     address: Address
     message: CellsMessage
 
 
 class MemberAction(NamedTuple):
-    """What the member of a view wants done; `fleet`: the cell's name, or the fleet's for the control
-    machines."""
+    """Carries an action of the member in one view.
+
+    `fleet` is the name of the cell, or of the fleet for the view of the control machines.
+    """
 
     fleet: str
     action: Action
 
 
 class CellJoined(NamedTuple):
-    """The gateway takes part in this cell from now on."""
+    """Reports that the gateway is a member of this cell from now on."""
 
     placement: Placement
 
 
 class CellLeft(NamedTuple):
-    """The gateway no longer takes part in this cell, and holds no slots of it."""
+    """Reports that the gateway is no longer a member of this cell and holds none of its slots."""
 
     placement: Placement
 
 
 class LeadershipChanged(NamedTuple):
-    """This control machine leads in this epoch from now on; None: it leads no more."""
+    """Reports that this control machine leads in this epoch from now on, or stops leading if it is None."""
 
     epoch: Epoch | None
 
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -1,14 +1,13 @@
-"""One control machine: its membership in the control machines' own view, the cells that it seeds, and
-leading.
-
-- The coordinator of the control machines' view leads, as long as it is coordinator: there is no other
-  election. It checks at each instant whether it still is. Messages of a leader with an older epoch than the
-  newest known are dropped.
-- A cell is seeded, and retired, by the leader's decision alone.
-- A gateway's request is answered here where its cell is seeded here, open, and no move of the gateway is
-  known; else by the leader. While the leader is unreachable (`LEADER_TIMEOUT_NS`), a gateway without a cell
-  is placed in one of its zone that is seeded here and has capacity, by that cell's own number: no cell is
-  opened, closed or split.
+"""Runs one control machine: a member of the control machines' view, a seed of cells, and at times the leader.
+
+- The coordinator of the control machines' view is the leader for as long as it is coordinator; there is no
+  other election. It checks at each instant whether it still is the coordinator. Messages of a leader whose
+  epoch is older than the newest known one are dropped.
+- A cell is seeded and retired only by the leader's decision.
+- This control machine answers a gateway's request if the gateway's cell is seeded here and open and no move
+  of the gateway is known; otherwise the leader answers it. While the leader is unreachable
+  (`LEADER_TIMEOUT_NS`), a gateway without a cell is placed in a cell of its zone that is seeded here and has
+  capacity, by that cell's own number; no cell is opened, closed or split.
 """
 
 from __future__ import annotations
@@ -46,18 +45,22 @@
 from .seeded_cell import SeededCell
 from .topology import MAX_CELL_MEMBERS, CellPolicy, ControlMachine
 
-MAX_VOTERS = 7  # of the control machines: an election among more has more to wait for than it gains
-LEADER_TIMEOUT_NS = 5 * SECOND  # without an answer of the leader, after which newcomers are placed without it
-MAX_SEEDED_CELLS = 1_024  # of one control machine
-MAX_REMEMBERED_RETIRED = 1_024  # retired cells, so that late messages do not bring them back
+MAX_VOTERS = 7  # more voters would delay an election more than they make it safer
+# Without an answer of the leader for this time, gateways without a cell are placed without it.
+LEADER_TIMEOUT_NS = 5 * SECOND
+MAX_SEEDED_CELLS = 1_024  # limit of cells that one control machine seeds
+MAX_REMEMBERED_RETIRED = 1_024  # limit of remembered retired cells, which late messages must not bring back
 
 
 class ControlSettings(NamedTuple):
-    """Settings of one control machine. `machines`: all of them, in the same order everywhere."""
+    """Holds the settings of one control machine.
+
+    `machines` lists all control machines in the same order in every process.
+    """
 
     fleet: str
     name: str
-    created_at_ms: int  # wall clock
+    created_at_ms: int  # wall-clock time
     machines: tuple[ControlMachine, ...]
     version: str = ""
     policy: CellPolicy = CellPolicy()
@@ -66,18 +69,21 @@
 
 
 def voters(machines: Iterable[ControlMachine]) -> tuple[Address, ...]:
-    """An odd number of them, from all regions in turn: of three regions or more none has a majority."""
+    """Returns the addresses of an odd number of voters, taken from all regions in turn.
+
+    With three regions or more, no region then has a majority.
+    """
     by_region: dict[str, list[ControlMachine]] = {}
     for machine in machines:
         by_region.setdefault(machine.region, []).append(machine)
-    turns = zip_longest(*by_region.values())
-    in_turn = [machine for turn in turns for machine in turn if machine is not None]
-    odd_count = len(in_turn) - (len(in_turn) + 1) % 2
-    return tuple(machine.address for machine in in_turn[: min(MAX_VOTERS, odd_count)])
+    rounds = zip_longest(*by_region.values())
+    alternating = [machine for each in rounds for machine in each if machine is not None]
+    odd_count = len(alternating) - (len(alternating) + 1) % 2
+    return tuple(machine.address for machine in alternating[: min(MAX_VOTERS, odd_count)])
 
 
 class Controller(CellsCore):
-    """The core of a control machine. `seed`: of all its random choices."""
+    """Runs the core of a control machine; `seed` determines all its random choices."""
 
     def __init__(self, settings: ControlSettings, now_ns: int, seed: int) -> None:
         super().__init__()
@@ -91,27 +97,25 @@
         self.control_member = Member(member_settings, now_ns, self.rng.getrandbits(60))
         self.cells: dict[str, SeededCell] = {}
         self.retired: dict[str, RetireCell] = {}
-        self.leader: DirectoryLeader | None = None  # while this machine leads
-        self.epoch: Epoch = NO_EPOCH  # the newest leader's that is known
+        self.leader: DirectoryLeader | None = None  # set while this machine leads
+        self.epoch: Epoch = NO_EPOCH  # epoch of the newest known leader
 
     @property
     def member_id(self) -> MemberId:
-        """Name and creation time of this process."""
+        """Returns the name and creation time of this process."""
         return self.settings.name, self.settings.created_at_ms
 
     def is_leader(self, now_ns: int) -> bool:
-        """Whether this machine leads at this instant."""
+        """Returns whether this machine leads at this instant."""
         return self.leader is not None and self.control_member.is_coordinator(now_ns)
 
-    # What the host calls.
-
     def start(self, now_ns: int) -> list[CellsAction]:
-        """Begin."""
+        """Starts the member in the control machines' view."""
         self._add_member_actions(self.settings.fleet, self.control_member.start(now_ns))
         return self._take_actions()
 
     def tick(self, now_ns: int) -> list[CellsAction]:
-        """Do what is due."""
+        """Performs the work that is due."""
         if not self.has_left:
             self._add_member_actions(self.settings.fleet, self.control_member.tick(now_ns))
             for name, seeded in list(self.cells.items()):
@@ -121,14 +125,14 @@
         return self._take_actions()
 
     def receive_cells_message(self, now_ns: int, message: CellsMessage, source: Address) -> list[CellsAction]:
-        """A message of a gateway, another control machine or an operator."""
+        """Handles a message of a gateway, another control machine or an operator."""
         is_own = message.member_id == self.member_id
         if not self.has_left and message.fleet == self.settings.fleet and not is_own:
             self._dispatch(now_ns, message, source)
         return self._take_actions()
 
     def leave(self, now_ns: int) -> list[CellsAction]:
-        """Shut down gracefully. The cells go on with their other seeds."""
+        """Shuts down gracefully; the cells continue with their other seeds."""
         if not self.has_left:
             for name, seeded in self.cells.items():
                 self._add_member_actions(name, seeded.member.leave(now_ns))
@@ -137,8 +141,6 @@
             self.has_left = True
         return self._take_actions()
 
-    # Views.
-
     def _member_settings(self, fleet: str, seeds: tuple[Address, ...], max_members: int) -> MemberSettings:
         settings = self.settings
         return MemberSettings(
@@ -160,8 +162,6 @@
         seeded = self.cells.get(fleet)
         return seeded.member if seeded is not None else None
 
-    # Leading.
-
     def _lead(self, now_ns: int) -> None:
         coordinator = self.control_member.coordinator
         if coordinator is None or not self.control_member.is_coordinator(now_ns):
@@ -175,7 +175,7 @@
             self._send(now_ns, address, body, coordinator.epoch)
 
     def _live_machines(self) -> dict[str, int]:
-        """Creation times in ms of the control machines that are alive, by name."""
+        """Returns the creation times in ms of the control machines that are alive, by name."""
         entries = self.control_member.member_table.present()
         alive = [entry.update for entry in entries if entry.update.state == State.ALIVE]
         live = {update.name: update.created_at_ms for update in alive}
@@ -193,7 +193,7 @@
             self._actions.append(LeadershipChanged(None))
 
     def _send(self, now_ns: int, address: Address, body: MessageBody, epoch: Epoch | None = None) -> None:
-        """Send a message, or handle it at once where it is for this machine itself."""
+        """Sends a message, or handles it at once where it is for this machine itself."""
         message = CellsMessage(self.settings.fleet, *self.member_id, body, epoch)
         if address == self.machine.address:
             self._dispatch(now_ns, message, address)
@@ -201,7 +201,7 @@
             self._actions.append(SendCellsMessage(address, message))
 
     def _leader_address(self) -> Address | None:
-        """Where the newest known leader is reached."""
+        """Returns the address of the newest known leader, or None."""
         leader = self.control_member.leader
         return leader.address if leader is not None else None
 
@@ -214,8 +214,6 @@
             for report in seeded.due_reports(now_ns, leader.epoch, self._control_names, self.rng):
                 self._send(now_ns, leader.address, report)
 
-    # Messages.
-
     def _dispatch(self, now_ns: int, message: CellsMessage, source: Address) -> None:
         body = message.body
         if isinstance(body, PlacementRequest):
@@ -223,7 +221,7 @@
         elif isinstance(body, DirectoryRequest):
             self._answer_operator(now_ns, body.page, source)
         elif message.name not in self._control_names:
-            return  # the rest comes from control machines alone
+            return  # only control machines may send the other kinds
         elif message.epoch is not None:
             if message.epoch >= self.epoch:
                 self.epoch = message.epoch
@@ -234,7 +232,7 @@
     def _answer_as_leader(
         self, now_ns: int, leader: DirectoryLeader, machine: ControlMachine, body: MessageBody
     ) -> None:
-        """A control machine's message to the leader, which this machine is."""
+        """Handles a control machine's message to the leader, which is this machine."""
         match body:
             case ForwardedRequest():
                 rejected_before = leader.directory.rejected_requests
@@ -250,7 +248,7 @@
                 leader.directory.record_retired(body.name)
 
     def _apply_decision(self, now_ns: int, epoch: Epoch, body: MessageBody) -> None:
-        """A decision of the leader."""
+        """Applies a decision of the leader."""
         match body:
             case ForwardedPlacement():
                 self._send(now_ns, body.address, PlacementNotice(body.member_id, body.placement))
@@ -271,7 +269,8 @@
                 seeded.cell = cell
             return
         if (retired := self.retired.get(cell.name)) is not None:
-            if (leader := self._leader_address()) is not None:  # a later one does not know
+            # A later leader does not know that the cell is retired.
+            if (leader := self._leader_address()) is not None:
                 self._send(now_ns, leader, retired)
             return
         if self.machine.address not in cell.seeds or len(self.cells) >= MAX_SEEDED_CELLS:
@@ -309,8 +308,6 @@
             answer = DirectoryPage(self._leader_address(), page, 0, 0, ())
         self._send(now_ns, source, answer)
 
-    # Gateways' requests.
-
     def _answer_placement(self, now_ns: int, member_id: MemberId, request: PlacementRequest) -> None:
         placement = self._placement_in_seeded_cell(member_id, request)
         unanswered_ns = now_ns - self.control_member.renewal.answered_at_ns
@@ -322,7 +319,7 @@
             self._send(now_ns, leader, ForwardedRequest(member_id, request))
 
     def _placement_in_seeded_cell(self, member_id: MemberId, request: PlacementRequest) -> Placement | None:
-        """The answer to a gateway of a cell that is seeded here; None where the leader has to decide."""
+        """Returns the placement of a gateway whose cell is seeded here, or None where the leader decides."""
         current = request.current
         seeded = self.cells.get(current.cell.name) if current is not None else None
         if current is None or seeded is None:
@@ -337,11 +334,14 @@
     def _place_without_leader(
         self, now_ns: int, member_id: MemberId, request: PlacementRequest
     ) -> Placement | None:
-        """The gateway's former cell, else the fullest with capacity, of those of its zone that are seeded
-        here."""
+        """Returns a placement in a cell of the gateway's zone that is seeded here.
+
+        The gateway's former cell is preferred, otherwise the fullest cell with capacity.
+        """
         if request.current is not None:
             return None
-        candidates: list[tuple[bool, int, str]] = []  # whether it is the former cell, its gateways, its name
+        # Each candidate holds whether it is the former cell, its number of gateways, and its name.
+        candidates: list[tuple[bool, int, str]] = []
         for name, seeded in self.cells.items():
             if seeded.cell.location != request.location or seeded.cell.closing or not seeded.has_view:
                 continue
--- a/trackspread/cells/core.py
+++ b/trackspread/cells/core.py
@@ -1,4 +1,4 @@
-"""What the cores of gateways and control machines have in common: they pass their members' actions on."""
+"""Provides the common base of gateways and control machines, which forwards their members' actions."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class CellsCore:
-    """Base of both cores."""
+    """Forwards datagrams and tables to the member of their view, and collects its actions."""
 
     def __init__(self) -> None:
-        self.has_left = False  # shut down: nothing is sent any more
+        self.has_left = False  # the process has shut down and sends nothing any more
         self._actions: list[CellsAction] = []
 
     def receive(self, now_ns: int, message: MemberMessage, source: Address) -> list[CellsAction]:
-        """A datagram of a view, from the address `source`."""
+        """Handles a datagram of a view from the address `source`."""
         return self._in_view(message.fleet, lambda member: member.receive(now_ns, message, source))
 
     def merge(self, now_ns: int, table: TableSnapshot) -> list[CellsAction]:
-        """Another member's table of a view."""
+        """Merges another member's table of a view."""
         return self._in_view(table.fleet, lambda member: member.merge(now_ns, table))
 
     def table_snapshot(self, fleet: str) -> TableSnapshot | None:
-        """All that is known of a view, for another member of it; None for an unknown view."""
+        """Returns all that is known of a view, for another member of it, or None for an unknown view."""
         member = self._member_in(fleet)
         return member.table_snapshot() if member is not None else None
 
     def _member_in(self, fleet: str) -> Member | None:
-        """The member here in the view of this name."""
+        """Returns this process's member in the view of this name, or None where it has none."""
         raise NotImplementedError
 
     def _in_view(self, fleet: str, call: Callable[[Member], Iterable[Action]]) -> list[CellsAction]:
--- a/trackspread/cells/directory_leader.py
+++ b/trackspread/cells/directory_leader.py
@@ -1,8 +1,8 @@
-"""The leader's work: the directory, and that every control machine seeds the cells that it names.
+"""Runs the leader's directory and makes each cell's control machines seed it.
 
 - Every entry is sent to its seeds until they report it with that number; a process that restarts is sent all
   its entries again. Seeds of a retired cell are notified as long as they report it.
-- A report that does not fit into one datagram comes in pages; only a complete one counts.
+- A report that does not fit into one datagram arrives in pages, and is applied only when it is complete.
 - Each report is answered with a receipt, which stops its repetition.
 """
 
@@ -26,36 +26,36 @@
 )
 from .topology import CellPolicy, ControlMachine
 
-TICK_INTERVAL_NS = 250 * MS  # between two runs of `tick`
-RESEND_INTERVAL_NS = 1 * SECOND  # after which an entry is sent again to a seed that has not reported it
-MAX_REPORT_PAGES = 64  # a cell has far fewer gateways than they hold
-ROWS_PER_PAGE = 8  # cells of one page of the directory, with the longest names
-MAX_PARTIAL_REPORTS = 1_024  # reports of which pages are missing
+TICK_INTERVAL_NS = 250 * MS  # time between two runs of `tick`
+RESEND_INTERVAL_NS = 1 * SECOND  # time until an entry is sent again to a seed that has not reported it
+MAX_REPORT_PAGES = 64  # a cell has far fewer gateways than so many pages hold
+ROWS_PER_PAGE = 8  # number of cells with the longest names that fit into one page of the directory
+MAX_PARTIAL_REPORTS = 1_024  # limit of reports with missing pages
 
 
 class AddressedBody(NamedTuple):
-    """A message to send in the leader's epoch."""
+    """Holds a message to send in the leader's epoch, and its address."""
 
     address: Address
     body: MessageBody
 
 
 class _SeedEntry(NamedTuple):
-    """An entry of the directory at one of its seeds."""
+    """Identifies an entry of the directory at one of its seeds."""
 
     cell_name: str
     seed: Address
 
 
 class _PartialReport(NamedTuple):
-    """The pages of one report that have arrived."""
+    """Holds the pages of one report that have arrived."""
 
     view_number: ViewNumber
     members: dict[int, tuple[MemberId, ...]]
 
 
 class DirectoryLeader:
-    """The leader of one epoch."""
+    """Acts as the leader of one epoch."""
 
     def __init__(
         self, now_ns: int, epoch: Epoch, policy: CellPolicy, machines: tuple[ControlMachine, ...]
@@ -65,12 +65,12 @@
         self._machines = {machine.name: machine for machine in machines}
         self._reported: dict[_SeedEntry, ViewNumber] = {}
         self._sent_at_ns: dict[_SeedEntry, int] = {}
-        self._created_at_ms: dict[str, int] = {}  # of the control machines
-        self._partial_reports: dict[tuple[str, str], _PartialReport] = {}  # by names of machine and cell
+        self._created_at_ms: dict[str, int] = {}  # creation times of the control machines, by name
+        self._partial_reports: dict[tuple[str, str], _PartialReport] = {}  # keyed by machine and cell name
         self._tick_at_ns = now_ns
 
     def place(self, now_ns: int, forwarded: ForwardedRequest) -> ForwardedPlacement | None:
-        """The placement of a gateway; None where there is none yet."""
+        """Returns the placement of a gateway, or None where it has none yet."""
         request = forwarded.request
         placement = self.directory.place(now_ns, forwarded.member_id, request)
         if placement is None:
@@ -78,7 +78,7 @@
         return ForwardedPlacement(forwarded.member_id, request.address, placement)
 
     def record_report(self, now_ns: int, machine: ControlMachine, report: CellReport) -> list[MessageBody]:
-        """A control machine's report of a cell; returns the answers."""
+        """Records a control machine's report of a cell and returns the answers."""
         name = report.cell.name
         if (retired := self.directory.retired.get(name)) is not None:
             return [RetireCell(name, retired.number)]
@@ -96,7 +96,7 @@
         return [receipt]
 
     def directory_page(self, page: int, address: Address) -> DirectoryPage:
-        """One page of all cells, counted from 0; `address`: of the leader."""
+        """Returns one page of all cells, counted from 0; `address` is that of the leader."""
         entries = sorted(self.directory.entries.values(), key=lambda entry: entry.cell.name)
         pages = max(1, -(-len(entries) // ROWS_PER_PAGE))
         shown = entries[page * ROWS_PER_PAGE : (page + 1) * ROWS_PER_PAGE] if page >= 0 else []
@@ -104,7 +104,10 @@
         return DirectoryPage(address, page, pages, self.directory.rejected_requests, rows)
 
     def tick(self, now_ns: int, live: dict[str, int]) -> list[AddressedBody]:
-        """Messages that are due. `live`: creation times in ms of the live control machines, by name."""
+        """Returns the messages that are due.
+
+        `live` holds the creation times in ms of the live control machines, by name.
+        """
         if now_ns < self._tick_at_ns:
             return []
         self._tick_at_ns = now_ns + TICK_INTERVAL_NS
@@ -117,7 +120,7 @@
         return messages + self._seed_messages(now_ns, live_addresses)
 
     def _complete(self, machine_name: str, report: CellReport) -> tuple[MemberId, ...] | None:
-        """All members, once all pages of one view have arrived."""
+        """Returns all members once all pages of one view have arrived, and None before."""
         if report.pages == 1:
             return report.members
         if not 0 <= report.page < report.pages <= MAX_REPORT_PAGES:
@@ -142,7 +145,7 @@
                 self._forget_reported(machine.address)
 
     def _forget_reported(self, address: Address) -> None:
-        """The seed at this address has no entries any more, as far as is known."""
+        """Drops what the seed at this address has reported, as a restarted process has no entries."""
         for key in [key for key in self._reported if key.seed == address]:
             del self._reported[key]
         for key in [key for key in self._sent_at_ns if key.seed == address]:
@@ -156,7 +159,7 @@
         return [AddressedBody(seed, RetireCell(name, retired.number)) for seed in retired.seeds]
 
     def _seed_messages(self, now_ns: int, live_addresses: set[Address]) -> list[AddressedBody]:
-        """Entries that live seeds have not reported yet."""
+        """Returns the entries that live seeds have not reported yet and that are due to be sent."""
         messages = []
         for entry in self.directory.entries.values():
             cell = entry.cell
@@ -171,7 +174,7 @@
 
 
 def _move_messages(requests: list[MoveRequest]) -> list[AddressedBody]:
-    """Each request to all seeds of the cell: whichever reaches the gateway notifies it."""
+    """Returns each request as messages to all seeds of the cell, any of which may reach the gateway."""
     return [
         AddressedBody(seed, MoveGateways(request.cell.name, (request.gateway,), request.placement))
         for request in requests
--- a/trackspread/cells/gateway.py
+++ b/trackspread/cells/gateway.py
@@ -1,17 +1,17 @@
-"""A gateway's side: which cell it is to be in, that it is in it, and how it moves from one to another.
+"""Runs a gateway's side of cells: it requests its placement, joins its cell, and moves between cells.
 
-- A gateway asks a control machine of its region for its placement, and goes on asking one of the cell's
-  seeds, at long intervals. Without an answer it asks others, of other regions too, with random backoff, so
-  that a region that heals sees no burst.
-- It follows its placement until one with a greater number arrives, whatever does not answer.
-- It moves by leaving the one cell, whose slots it gives back, and then joining the other: it is never in two.
+- A gateway asks a control machine of its region for its placement, and then keeps asking one of the cell's
+  seeds at long intervals. Without an answer it asks other control machines, including those of other regions,
+  with random backoff, so that a region that heals receives no burst.
+- It follows its placement until one with a greater number arrives, even if no control machine answers.
+- It moves by leaving one cell, whose slots it releases, before it joins the other, and is never in two cells.
 
-| event | without a cell | in one |
+| event | gateway without a cell | gateway in a cell |
 | --- | --- | --- |
-| placement, number not greater | | ignored, but for a newer entry of the same cell |
-| placement, same cell | joined | updated |
-| placement, another cell | joined | left, then joined |
-| no answer | asks again, soon, then at long intervals | stays, asks again |
+| placement, number not greater | | ignored, except for a newer entry of the same cell |
+| placement, same cell | joins | updates its placement |
+| placement, another cell | joins | leaves, then joins |
+| no answer | asks again soon, then at long intervals | stays, asks again |
 | fenced: a newer process has this name | | sends nothing more |
 """
 
@@ -30,21 +30,24 @@
 from .messages import CellsMessage, Placement, PlacementNotice, PlacementRequest
 from .topology import MAX_CELL_MEMBERS, ControlMachine, Zone
 
-REFRESH_INTERVAL_NS = 6 * SECOND  # the mean, between requests of a gateway that is in a cell
-MIN_BACKOFF_NS = 500 * MS  # the mean, before the first retry
-MAX_BACKOFF_NS = 4 * SECOND  # the mean
+REFRESH_INTERVAL_NS = 6 * SECOND  # mean time between requests of a gateway that is in a cell
+MIN_BACKOFF_NS = 500 * MS  # mean backoff before the first retry
+MAX_BACKOFF_NS = 4 * SECOND  # greatest mean backoff
 MAX_BACKOFF_DOUBLINGS = 10
-LOCAL_ATTEMPTS = 3  # without an answer, after which control machines of other regions are asked too
-REFRESH_JITTER = (0.7, 1.3)  # of the interval
-BACKOFF_JITTER = (0.5, 1.5)  # of the backoff
+LOCAL_ATTEMPTS = 3  # unanswered requests after which control machines of other regions are asked too
+REFRESH_JITTER = (0.7, 1.3)  # random factor of the refresh interval
+BACKOFF_JITTER = (0.5, 1.5)  # random factor of the backoff
 
 
 class GatewaySettings(NamedTuple):
-    """Settings of one gateway. `machines`: control machines, at least those of its own region."""
+    """Holds the settings of one gateway.
+
+    `machines` lists control machines, at least those of the gateway's own region.
+    """
 
     fleet: str
     name: str
-    created_at_ms: int  # wall clock
+    created_at_ms: int  # wall-clock time
     address: Address
     zone: Zone
     machines: tuple[ControlMachine, ...]
@@ -54,8 +57,10 @@
 
 
 class Gateway(CellsCore):
-    """The core of a gateway's part in cells (not the process, `node/gateway.py`). `seed`: of all its random
-    choices."""
+    """Runs the core of a gateway's membership in cells; the process itself is in `node/gateway.py`.
+
+    `seed` determines all its random choices.
+    """
 
     def __init__(self, settings: GatewaySettings, now_ns: int, seed: int) -> None:
         super().__init__()
@@ -63,8 +68,8 @@
         self.rng = random.Random(seed)
         self.placement: Placement | None = None
         self.member: Member | None = None
-        self.answered_at_ns: int | None = None  # by a control machine
-        self._created_at_ms = settings.created_at_ms  # of the newest process of this name in any cell
+        self.answered_at_ns: int | None = None  # time of a control machine's last answer
+        self._created_at_ms = settings.created_at_ms  # creation time under which it last joined a cell
         self._unanswered_requests = 0  # requests since the last answer
         self._next_request_at_ns = now_ns
         self._control_names = frozenset(machine.name for machine in settings.machines)
@@ -75,29 +80,27 @@
 
     @property
     def member_id(self) -> MemberId:
-        """Name and creation time, as the cell knows them."""
+        """Returns the name and creation time by which the cell knows this gateway."""
         if self.member is not None:
             return self.member.member_id
         return self.settings.name, self._created_at_ms
 
     @property
     def is_fenced(self) -> bool:
-        """Whether a newer process runs under this name."""
+        """Returns whether a newer process runs under this name."""
         return self.member is not None and self.member.is_fenced
 
     def usable_slots(self, now_ns: int) -> int:
-        """The slots of the cell's shared limits that this gateway may use at this instant."""
+        """Returns the slots of the cell's shared limits that this gateway may use at this instant."""
         return self.member.usable_slots(now_ns) if self.member is not None else 0
 
-    # What the host calls.
-
     def start(self, now_ns: int) -> list[CellsAction]:
-        """Begin after a random delay: many gateways may start at once."""
+        """Schedules the first request after a random delay, because many gateways may start at once."""
         self._next_request_at_ns = now_ns + int(MIN_BACKOFF_NS * self.rng.random())
         return self._take_actions()
 
     def tick(self, now_ns: int) -> list[CellsAction]:
-        """Do what is due."""
+        """Performs the work that is due."""
         if self.member is not None:
             self._perform(self.member.tick(now_ns))
         if not self.has_left and not self.is_fenced and now_ns >= self._next_request_at_ns:
@@ -105,7 +108,7 @@
         return self._take_actions()
 
     def receive_cells_message(self, now_ns: int, message: CellsMessage, source: Address) -> list[CellsAction]:
-        """A control machine's message."""
+        """Handles a control machine's message."""
         body = message.body
         if self._accepts(message) and isinstance(body, PlacementNotice) and body.member_id == self.member_id:
             self.answered_at_ns = now_ns
@@ -115,28 +118,26 @@
         return self._take_actions()
 
     def send_data(self, names: Iterable[str], data: bytes) -> list[CellsAction]:
-        """Send data to those of these gateways that are present in the cell."""
+        """Sends data to those of these gateways that are present in the cell."""
         if self.member is not None:
             self._perform(self.member.send_data(names, data))
         return self._take_actions()
 
     def leave(self, now_ns: int) -> list[CellsAction]:
-        """Shut down gracefully."""
+        """Shuts down gracefully."""
         if not self.has_left:
             self._leave_cell(now_ns)
             self.has_left = True
         return self._take_actions()
 
     def hand_over(self) -> list[CellsAction]:
-        """Another process goes on under this name."""
+        """Stops in favor of another process under this name."""
         if not self.has_left:
             if self.member is not None:
                 self._perform(self.member.hand_over())
             self.has_left = True
         return self._take_actions()
 
-    # The cell.
-
     def _accepts(self, message: CellsMessage) -> bool:
         from_control = message.fleet == self.settings.fleet and message.name in self._control_names
         return from_control and not self.has_left and not self.is_fenced
@@ -151,7 +152,7 @@
             self._add_member_actions(self.placement.cell.name, actions)
 
     def _request_placement(self, now_ns: int) -> None:
-        """Ask a control machine; the backoff grows until it answers."""
+        """Asks a control machine for the placement; the backoff grows until one answers."""
         backoff_ns = min(
             MAX_BACKOFF_NS, MIN_BACKOFF_NS << min(self._unanswered_requests, MAX_BACKOFF_DOUBLINGS)
         )
@@ -164,7 +165,7 @@
         self._actions.append(SendCellsMessage(machine, message))
 
     def _choose_machine(self) -> Address:
-        """A seed of its cell, which knows it best; then one of its region; then any."""
+        """Returns a seed of the cell, which knows the gateway best, then one of its region, then any."""
         if self.placement is not None and not self._unanswered_requests:
             return self.rng.choice(self.placement.cell.seeds)
         if self._local_machines and self._unanswered_requests < LOCAL_ATTEMPTS:
@@ -191,7 +192,7 @@
         self.member = None
 
     def _join_cell(self, now_ns: int, placement: Placement) -> None:
-        """Join as another process of this name: the former one has left, should it ever return to a cell."""
+        """Joins with a new creation time, because a member that has left a cell can't return to it."""
         settings, cell = self.settings, placement.cell
         self.placement = placement
         self._created_at_ms += 1
--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -1,7 +1,8 @@
-"""Runs a control machine's or a gateway's core on sockets, with the log and the event log. Decides nothing.
+"""Runs a control machine's or a gateway's core on sockets, and writes its events to the logs.
 
-One address serves the views of all cells that the core takes part in, and the messages on cells. Hundreds of
-gateways may share a process: each is two sockets and one timer.
+The host makes no decisions of its own. One address serves the views of all cells in which the core is a
+member, and the messages on cells. Hundreds of gateways may share a process: each uses two sockets and one
+timer.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
-# So that the many events of members do not suppress these.
+# A logger of its own, so that the rate limit on the many events of members does not suppress these.
 important_log = logging.getLogger(f"{__name__}.note")
 
-CONTROL_RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of its socket's buffer: hundreds of gateways may ask at once
-MAX_CONTROL_EXCHANGES = 128  # exchanges under way at a control machine, which is in many views
+CONTROL_RECEIVE_BUFFER_BYTES = 1 << 20  # hundreds of gateways may send requests at once
+MAX_CONTROL_EXCHANGES = 128  # limit of exchanges in progress at a control machine, which is in many views
 
 
 class Host(CoreHost[CellsAction]):
     """Runs one core.
 
-    Its event log has a line for each event, with the `fleet` that it belongs to: the cell's name, or the
-    fleet's for the control machines' own view.
+    Its event log has a line for each event, with the `fleet` to which it belongs: the cell's name, or the
+    fleet's name for the control machines' own view.
     """
 
     def __init__(
@@ -49,9 +50,12 @@
         on_data: DataCallback = lambda name, data, slots: None,
         on_leadership: Callable[[Epoch | None], None] = lambda epoch: None,
     ) -> None:
-        """`on_change` is called when members or this one's slots have changed, `on_data` with the data of
-        others of the cell, `on_leadership` with the epoch from which on this control machine leads, and with
-        None when it no longer does. Raises `OSError` where the event log can't be opened."""
+        """Creates the host without opening sockets.
+
+        `on_change` is called when members or this member's slots have changed, and `on_data` with the data of
+        other members of the cell. `on_leadership` is called with the epoch in which this control machine
+        starts to lead, and with None when it stops leading. Raises `OSError` where the event log can't be opened.
+        """
         self.core = core
         self._cells_wire = wire
         self._on_leadership = on_leadership
@@ -62,7 +66,7 @@
             super().__init__(*common)
 
     def send_data(self, names: Iterable[str], data: bytes) -> None:
-        """Send data of the program to other members of the gateway's cell."""
+        """Sends application data to other members of the gateway's cell."""
         if isinstance(self.core, Gateway):
             self._perform(self.core.send_data(names, data))
 
@@ -102,7 +106,7 @@
             self._on_change()
 
     def _perform_in_cell(self, fleet: str, action: Action) -> bool:
-        """Do what the member of this cell wants done; returns whether the program may act on it."""
+        """Performs an action of this cell's member; returns whether members or slots may have changed."""
         match action:
             case SendMessage(address, message):
                 self._send_message(address, message)
@@ -119,23 +123,36 @@
         self._log_event(event.kind, {**event.details, "fleet": fleet})
         if event.kind in LOGGED_KINDS and isinstance(self.core, Gateway):
             important_log.info("%s: %s", fleet, format_event(event))
-        elif event.kind in LOGGED_KINDS:  # a control machine is in many views
+        elif event.kind in LOGGED_KINDS:  # rate-limited, because a control machine is in many views
             log.info("%s: %s", fleet, format_event(event))
 
     def _record_placement(self, action: CellJoined | CellLeft) -> None:
         kind = "joined" if isinstance(action, CellJoined) else "parted"
         cell = action.placement.cell.name
-        important_log.info("cell %s: %s", cell, "joined" if kind == "joined" else "left")
+        important_log.info("cell %s: this gateway has %s it", cell, "joined" if kind == "joined" else "left")
         self._log_event(kind, {"cell": cell, "number": action.placement.number})
 
     def _record_control_event(self, kind: str, details: dict[str, object]) -> None:
         if kind == "full":
             log.warning(
-                "fleet.gateways: the limit of %s gateways is reached, a further one gets no cell: "
-                "raise it or stop gateways",
+                "fleet.gateways: a gateway gets no cell because the limit of %s gateways is reached: "
+                "raise the limit or stop gateways",
                 details["gateways"],
             )
         else:
-            text = ", ".join(f"{key} {value}" for key, value in details.items() if value is not None)
-            important_log.info("control: %s %s", kind, text)
+            important_log.info("control: %s", _format_control_event(kind, details))
         self._log_event(f"control {kind}", details)
+
+
+def _format_control_event(kind: str, details: dict[str, object]) -> str:
+    """Returns the text of a control machine's event for the log."""
+    match kind:
+        case "leads":
+            return f"this machine leads in epoch {details['epoch']}"
+        case "leads no more":
+            return "this machine no longer leads"
+        case "seeds":
+            return f"this machine seeds cell {details['cell']}, entry {details['number']}"
+        case "retired":
+            return f"this machine no longer seeds cell {details['cell']}: entry {details['number']} retired it"
+    return kind
--- a/trackspread/cells/messages.py
+++ b/trackspread/cells/messages.py
@@ -1,12 +1,12 @@
-"""Messages between gateways and control machines.
+"""Defines the messages between gateways and control machines.
 
 A cell is a group of gateways of one zone with a view of its own (`membership/`); its seeds are control
-machines. The control machines are one more such group; the coordinator of its view leads, and keeps the
-directory of cells. All that the directory decides is numbered by the leader's epoch and a count in it: of two
-messages the greater number holds.
+machines. The control machines are one more such group; the coordinator of its view is the leader and keeps
+the directory of cells. Each decision of the directory is numbered by the leader's epoch and a count within
+it: of two messages, the one with the greater number takes precedence.
 
-The structs are arrays on the wire: the order of their fields is the format, and the tag of a body is its
-kind. Tags differ from class names where they are older than these names.
+The structs are encoded as arrays: the order of their fields is the wire format, and the tag of a body
+identifies its kind. Where a class has been renamed, its tag keeps the former name.
 """
 
 from __future__ import annotations
@@ -18,37 +18,42 @@
 
 
 class Cell(msgspec.Struct, frozen=True, array_like=True):
-    """An entry of the directory. `closing`: its gateways are moved to other cells, and none is placed
-    there."""
+    """Holds an entry of the directory.
+
+    The gateways of a `closing` cell are moved to other cells, and no gateway is placed in it.
+    """
 
     name: str
     region: str
     zone: str
-    number: ViewNumber  # of this entry
+    number: ViewNumber  # number of this entry
     seeds: tuple[Address, ...]
     closing: bool = False
 
     @property
     def location(self) -> Zone:
-        """The zone of its gateways."""
+        """Returns the zone of the cell's gateways."""
         return Zone(self.region, self.zone)
 
 
 class Placement(msgspec.Struct, frozen=True, array_like=True):
-    """Which cell a gateway is to be in. `number`: of this decision; a gateway follows only greater ones."""
+    """Assigns a gateway to a cell.
+
+    `number` is that of this decision; a gateway follows only decisions with a greater number.
+    """
 
     number: ViewNumber
     cell: Cell
 
 
 class Body(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Content of one message."""
+    """Provides the base class of all message bodies; a message carries one body."""
 
 
 class PlacementRequest(Body, frozen=True, tag="Locate"):
-    """A gateway asks a control machine for its placement, and goes on asking while it is in a cell.
+    """Asks a control machine for a gateway's placement; the gateway repeats this while it is in a cell.
 
-    `address`: where it is reached; `current`: the placement that it follows.
+    `address` is the address at which the gateway is reached, and `current` the placement that it follows.
     """
 
     region: str
@@ -58,26 +63,29 @@
 
     @property
     def location(self) -> Zone:
-        """The zone of the gateway."""
+        """Returns the zone of the gateway."""
         return Zone(self.region, self.zone)
 
 
 class PlacementNotice(Body, frozen=True, tag="Located"):
-    """The answer to a gateway, or sent to one that is to move. `member_id`: the process that it is for."""
+    """Answers a gateway's request, or notifies a gateway that has to move.
+
+    `member_id` is the process that the notice is for.
+    """
 
     member_id: MemberId
     placement: Placement
 
 
 class ForwardedRequest(Body, frozen=True, tag="Forwarded"):
-    """A control machine forwards a gateway's request to the leader."""
+    """Forwards a gateway's request from a control machine to the leader."""
 
     member_id: MemberId
     request: PlacementRequest
 
 
 class ForwardedPlacement(Body, frozen=True, tag="Placed"):
-    """The leader's answer to `ForwardedRequest`, to be forwarded to the gateway at `address`."""
+    """Answers a `ForwardedRequest`; the receiver forwards the placement to the gateway at `address`."""
 
     member_id: MemberId
     address: Address
@@ -85,21 +93,23 @@
 
 
 class SeedCell(Body, frozen=True, tag="Seed"):
-    """The leader wants the receiver to seed this cell, or to update its entry."""
+    """Orders the receiver to seed this cell, or to update its entry."""
 
     cell: Cell
 
 
 class RetireCell(Body, frozen=True, tag="Retire"):
-    """The leader has retired an empty cell, which is no longer to be seeded; also sent by a control machine
-    to a later leader that wants it seeded."""
+    """Announces that the leader has retired an empty cell, which its seeds then no longer seed.
+
+    A control machine also sends this to a later leader that orders it to seed the retired cell.
+    """
 
     name: str
     number: ViewNumber
 
 
 class MoveGateways(Body, frozen=True, tag="Move"):
-    """The leader wants these gateways of a cell notified that they are to move to another."""
+    """Orders the receiver to notify these gateways of a cell that they have to move to another."""
 
     cell_name: str
     gateways: tuple[str, ...]
@@ -107,7 +117,7 @@
 
 
 class CellReport(Body, frozen=True):
-    """A seed reports a cell to the leader: its entry there, and a page of the gateways in its view."""
+    """Reports a cell from a seed to the leader, with its entry and a page of the gateways in its view."""
 
     cell: Cell
     view_number: ViewNumber
@@ -117,7 +127,7 @@
 
 
 class ReportReceipt(Body, frozen=True, tag="Noted"):
-    """The leader has received the receiver's report of a cell up to these numbers."""
+    """Confirms that the leader has received the reports of a cell up to these numbers."""
 
     name: str
     number: ViewNumber
@@ -125,13 +135,13 @@
 
 
 class DirectoryRequest(Body, frozen=True, tag="Describe"):
-    """An operator asks for a page of the directory."""
+    """Asks for a page of the directory on behalf of an operator."""
 
     page: int
 
 
 class CellRow(msgspec.Struct, frozen=True, array_like=True):
-    """One cell, for an operator."""
+    """Describes one cell to an operator."""
 
     name: str
     gateways: int
@@ -139,12 +149,15 @@
 
 
 class DirectoryPage(Body, frozen=True, tag="Described"):
-    """The leader's answer; another control machine's has no rows, and the address of the leader it knows."""
+    """Answers a `DirectoryRequest`.
+
+    The answer of a control machine that does not lead has no rows, only the address of the known leader.
+    """
 
     leader: Address | None
     page: int
     pages: int
-    rejected_requests: int  # of gateways beyond the limit of the fleet
+    rejected_requests: int  # requests of gateways beyond the limit of the fleet
     rows: tuple[CellRow, ...]
 
 
@@ -164,8 +177,10 @@
 
 
 class CellsMessage(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram between a gateway and a control machine, or between two of these. `epoch`: of a leader's
-    decision; None for all other messages."""
+    """Holds one datagram between a gateway and a control machine, or between two control machines.
+
+    `epoch` is that of a leader's decision, and None in all other messages.
+    """
 
     fleet: str
     name: str
@@ -175,5 +190,5 @@
 
     @property
     def member_id(self) -> MemberId:
-        """Its sender."""
+        """Returns the sender's name and creation time."""
         return self.name, self.created_at_ms
--- a/trackspread/cells/seeded_cell.py
+++ b/trackspread/cells/seeded_cell.py
@@ -1,4 +1,4 @@
-"""One cell at one of its seeds: the member that votes there, and what the leader knows of it."""
+"""Holds one cell at one of its seeds: the member that votes in it, and the state of reports to the leader."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from ..membership.member import Member
 from .messages import Cell, CellReport, Placement, ReportReceipt
 
-# Over which reports to a new leader are spread: thousands would be a burst.
+# Reports to a new leader are spread over this time, because thousands of them at once would be a burst.
 FIRST_REPORT_SPREAD_NS = 1 * SECOND
-RESEND_INTERVAL_NS = 1 * SECOND  # between reports without a receipt
-COORDINATOR_REFRESH_NS = 10 * SECOND  # between the coordinator's reports while nothing changes
-SEED_REFRESH_NS = 30 * SECOND  # between the other seeds'
-REPORT_JITTER = (0.8, 1.2)  # of these intervals
-MAX_PAGE_BYTES = 700  # of members in one report, about: with the entry it fits into one datagram
-MEMBER_OVERHEAD_BYTES = 14  # of a member beside its name
-MAX_REMEMBERED_MOVES = 256  # gateways on their way to other cells
+RESEND_INTERVAL_NS = 1 * SECOND  # time between reports without a receipt
+COORDINATOR_REFRESH_NS = 10 * SECOND  # time between the coordinator's reports while nothing changes
+SEED_REFRESH_NS = 30 * SECOND  # time between the other seeds' reports while nothing changes
+REPORT_JITTER = (0.8, 1.2)  # random factor of these intervals
+MAX_PAGE_BYTES = 700  # approximate limit of the members in one report, which with the entry fits a datagram
+MEMBER_OVERHEAD_BYTES = 14  # encoded size of a member in addition to its name
+MAX_REMEMBERED_MOVES = 256  # limit of remembered gateways that are moving to other cells
 
 
 class Receipt(NamedTuple):
-    """What the leader has received last: numbers of the entry and of the view."""
+    """Holds the numbers of the entry and the view that the leader has received last."""
 
     epoch: Epoch
     cell_number: ViewNumber
@@ -31,8 +31,11 @@
 
 @dataclass(slots=True)
 class SeededCell:
-    """`epoch`: of the leader that is reported to; `moves`: placements of gateways that are to leave the
-    cell."""
+    """Holds one cell that this control machine seeds.
+
+    `epoch` is that of the leader to which reports go; `moves` holds the placements of gateways that have to
+    leave the cell.
+    """
 
     cell: Cell
     member: Member
@@ -43,7 +46,7 @@
     moves: dict[str, Placement] = field(default_factory=dict)
 
     def gateways(self, control_names: frozenset[str]) -> tuple[MemberId, ...]:
-        """Gateways of the newest view: all its members but those with a name of `control_names`."""
+        """Returns the gateways of the newest view: all its members except those named in `control_names`."""
         view = self.member.view
         if view is None:
             return ()
@@ -52,7 +55,7 @@
     def due_reports(
         self, now_ns: int, epoch: Epoch, control_names: frozenset[str], rng: random.Random
     ) -> list[CellReport]:
-        """The pages of the report that is due to the leader of this epoch now; none where none is due."""
+        """Returns the pages of the report that is due to the leader of this epoch, or none."""
         if epoch != self.epoch:
             delay_ns = int(FIRST_REPORT_SPREAD_NS * rng.random()) if self.epoch is not None else 0
             self.resend_at_ns = now_ns + delay_ns
@@ -73,11 +76,11 @@
         ]
 
     def record_receipt(self, epoch: Epoch, receipt: ReportReceipt) -> None:
-        """The leader has received a report."""
+        """Records that the leader has received a report."""
         self.receipt = Receipt(epoch, receipt.number, receipt.view_number)
 
     def record_move(self, gateway: str, placement: Placement) -> bool:
-        """Whether this placement is the newest for the gateway."""
+        """Records a placement; returns whether it is the newest for the gateway."""
         before = self.moves.get(gateway)
         if before is not None and before.number > placement.number:
             return False
@@ -88,7 +91,7 @@
 
     @property
     def has_view(self) -> bool:
-        """Whether any view of the cell is known here."""
+        """Returns whether any view of the cell is known here."""
         return self.member.view_number() != NO_VIEW
 
     def _is_known_to_leader(self, epoch: Epoch, view_number: ViewNumber, is_coordinator: bool) -> bool:
@@ -99,7 +102,7 @@
 
 
 def _pages(members: tuple[MemberId, ...]) -> list[tuple[MemberId, ...]]:
-    """The members in pages of about `MAX_PAGE_BYTES`; at least one page, even if it is empty."""
+    """Returns the members in pages of about `MAX_PAGE_BYTES`, and one empty page where there are none."""
     pages: list[list[MemberId]] = [[]]
     page_bytes = 0
     for member_id in members:
--- a/trackspread/membership/transport.py
+++ b/trackspread/membership/transport.py
@@ -70,8 +70,8 @@
         self._served_exchanges = 0
         self._next_tick_s = 0.0  # on the event loop's clock
 
-        def _receive(self, data: bytes, source: Address) -> None:
-            """Handles a received datagram."""
+    def _receive(self, data: bytes, source: Address) -> None:
+        """Handles a received datagram."""
         raise NotImplementedError
 
     def _tick(self) -> None:
