--- a/trackspread/cells/host.py
+++ b/trackspread/cells/host.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
-# A logger of its own, so that the rate limit on the many events of members does not suppress these.
+# These lines have a logger of their own, so that the rate limit on the events of members does not drop them.
 important_log = logging.getLogger(f"{__name__}.note")
 
 CONTROL_RECEIVE_BUFFER_BYTES = 1 << 20  # hundreds of gateways may send requests at once
@@ -54,7 +54,8 @@
 
         `on_change` is called when members or this member's slots have changed, and `on_data` with the data of
         other members of the cell. `on_leadership` is called with the epoch in which this control machine
-        starts to lead, and with None when it stops leading. Raises `OSError` where the event log can't be opened.
+        starts to lead, and with None when it stops leading. Raises `OSError` where the event log can't be
+        opened.
         """
         self.core = core
         self._cells_wire = wire
@@ -154,5 +155,5 @@
         case "seeds":
             return f"this machine seeds cell {details['cell']}, entry {details['number']}"
         case "retired":
-            return f"this machine no longer seeds cell {details['cell']}: entry {details['number']} retired it"
+            return f"this machine no longer seeds cell {details['cell']}: retired by {details['number']}"
     return kind
--- a/trackspread/membership/host.py
+++ b/trackspread/membership/host.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
-# A logger of its own, so that the rate limit on the many events of members does not suppress these.
+# These lines have a logger of their own, so that the rate limit on the events of members does not drop them.
 important_log = logging.getLogger(f"{__name__}.note")
 
 
-# Log texts of the event kinds whose text has no values.
+# Events of these kinds have a log text without values.
 _FIXED_TEXTS = {
     "leads no more": "this member is no longer the coordinator",
     "left": "this member has left the fleet",
--- a/trackspread/membership/update_handler.py
+++ b/trackspread/membership/update_handler.py
@@ -92,7 +92,7 @@
             return
         leases = self._coordination.coordinator.leases
         if update.state == State.LEFT:
-            leases.release(update.member_id)  # a member gives up its lease before it announces that it has left
+            leases.release(update.member_id)  # a member gives up its lease before it announces its departure
         if before is None:
             return
         if before.created_at_ms < update.created_at_ms and before.address == update.address:
