--- a/tests/membership/__init__.py
+++ b/tests/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `membership`."""
+"""Contains the tests of `trackspread.membership`."""
--- a/tests/membership/test_membership_bytes.py
+++ b/tests/membership/test_membership_bytes.py
@@ -1,4 +1,4 @@
-"""The wire of the fleet's view, byte for byte: what gateways of other releases send and understand."""
+"""Tests the wire format of membership byte for byte, as gateways of other releases send and read it."""
 
 from __future__ import annotations
 
@@ -61,12 +61,12 @@
     ],
     ids=lambda value: type(value).__name__ if isinstance(value, msgspec.Struct) else "",
 )
-def test_each_body_has_its_bytes(body: MessageBody, data: str) -> None:
+def test_message_bodies_keep_their_bytes(body: MessageBody, data: str) -> None:
     assert msgspec.msgpack.encode(body).hex() == data
     assert msgspec.msgpack.decode(bytes.fromhex(data), type=MessageBody) == body
 
 
-def test_messages_and_tables_have_their_bytes_with_and_without_a_key() -> None:
+def test_messages_and_tables_keep_their_bytes_with_and_without_key() -> None:
     keyed, unkeyed = Wire("f", Keys(b"k" * 16), 8), Wire("f", Keys(), 8)
     message = (
         "747301baa252a701dc5849a956748e12e5971a97a166a1610193a450696e670392a16202079198a163030401a8"
@@ -89,14 +89,14 @@
     assert keyed.unpack_table(bytes.fromhex(table)[4:]) == snapshot
 
 
-def test_lines_of_the_event_log_have_their_keys() -> None:
+def test_event_log_lines_keep_their_keys() -> None:
     line = EventLine(1, "a", 2, "view", {"number": (5, 1, 3)})
     assert (
         msgspec.json.encode(line) == b'{"at":1,"name":"a","born":2,"kind":"view","about":{"number":[5,1,3]}}'
     )
 
 
-def test_the_operators_report_has_its_keys() -> None:
+def test_fleet_report_keeps_its_json_keys() -> None:
     member = MemberReport("b", "ALIVE", 2, 3, "1", "10.0.0.2:7002", 1.5, True)
     report = FleetReport("f", "a", "settled", None, 2, 0.5, "a", True, 0, (member,), ("c",), {"sent": 1}, {})
     assert msgspec.json.encode(report) == (
