--- a/tests/cells/__init__.py
+++ b/tests/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `cells`."""
+"""Contains the tests of `trackspread.cells`."""
--- a/tests/cells/test_cells_bytes.py
+++ b/tests/cells/test_cells_bytes.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and control machines, byte for byte: what other releases send and understand."""
+"""Tests messages of gateways and control machines byte for byte, as other releases send and read them."""
 
 from __future__ import annotations
 
@@ -73,12 +73,12 @@
     ],
     ids=lambda value: type(value).__name__ if isinstance(value, msgspec.Struct) else "",
 )
-def test_each_body_has_its_bytes(body: MessageBody, data: str) -> None:
+def test_message_bodies_keep_their_bytes(body: MessageBody, data: str) -> None:
     assert msgspec.msgpack.encode(body).hex() == data
     assert msgspec.msgpack.decode(bytes.fromhex(data), type=MessageBody) == body
 
 
-def test_a_datagram_has_its_bytes() -> None:
+def test_datagram_keeps_its_bytes() -> None:
     wire = CellsWire("f", Keys(b"k" * 16), 8)
     message = CellsMessage("f", "c", 1, DirectoryRequest(2), (5, 1))
     data = "7463017ed47a5be746097074ac98a13bcdb36f95a166a1630192a8446573637269626502920501"
--- a/tests/cells/test_cells_file.py
+++ b/tests/cells/test_cells_file.py
@@ -1,4 +1,4 @@
-"""Cells in the operator's file, and the commands that read it."""
+"""Tests cells in the operator's file, and the commands that read it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, wanted",
+    "text, expected",
     [
         ('[fleet]\nregion = "r"', "fleet.name: found nothing, wanted a name: fleet.region is set"),
         (f"[fleet]\n{seat(1)}", "fleet.name: found nothing, wanted a name: fleet.control is set"),
@@ -59,10 +59,10 @@
         (f"{PLACED}gateways = 1\n{seat(1)}", "fleet.gateways: found 1, wanted int >= 2"),
     ],
 )
-def test_a_mistake_is_one_line(text: str, wanted: str) -> None:
-    with pytest.raises(ConfigError, match=r"^f: ") as found:
+def test_invalid_table_gives_a_one_line_error(text: str, expected: str) -> None:
+    with pytest.raises(ConfigError, match=r"^f: ") as raised:
         parse(text, "f")
-    assert wanted in str(found.value) and "\n" not in str(found.value)
+    assert expected in str(raised.value) and "\n" not in str(raised.value)
 
 
 def test_one_file_serves_gateways_and_control_machines() -> None:
@@ -73,7 +73,7 @@
     assert CellPart("g", both, lambda: 0).report() is None
 
 
-def test_names_that_contradict_the_file_are_one_line() -> None:
+def test_names_that_contradict_the_file_give_one_line_errors() -> None:
     with pytest.raises(ConfigError, match=r"NAME: found 'c9', wanted a control machine's: c1, c2$"):
         make_host("c9", fleet(PLACED + seat(1) + seat(2)))
     with pytest.raises(ConfigError, match=r"name: found 'c1', which fleet.control has too"):
@@ -82,7 +82,7 @@
         CellPart("g", fleet(GATEWAY + seat(1)), lambda: 0)
 
 
-def test_the_commands_say_what_is_wrong(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_commands_report_errors_in_the_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "own.toml"
     file.write_text(PLACED + seat(9))
     assert main(["control", "c1", "--file", str(file)]) == 2
--- a/tests/cells/test_cells_host.py
+++ b/tests/cells/test_cells_host.py
@@ -1,4 +1,4 @@
-"""Control machines' and gateways' cores on sockets, in this process, on loopback."""
+"""Tests control machines and gateways on loopback sockets within this process."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from trackspread.testing.standins.loopback import Ports
 
 ZONE = Zone("r", "z")
-MOST = 40.0  # s: only a hang reaches it
-LOOK = 0.05  # s between looks
+TIMEOUT_S = 40.0  # only a hang reaches it
+POLL_INTERVAL_S = 0.05
 
 
 def wire(fleet: str = "f", key: bytes = b"k" * 16) -> CellsWire:
@@ -41,44 +41,46 @@
 
 
 def message(name: str = "g") -> CellsMessage:
-    held = Placement((1, 0, 3), Cell("c", "r", "z", (1, 0, 2), (("10.0.0.1", 1),) * 3))
-    return CellsMessage("f", name, 7, PlacementRequest("r", "z", ("10.0.0.9", 2), held))
+    current = Placement((1, 0, 3), Cell("c", "r", "z", (1, 0, 2), (("10.0.0.1", 1),) * 3))
+    return CellsMessage("f", name, 7, PlacementRequest("r", "z", ("10.0.0.9", 2), current))
 
 
-def test_words_on_cells_and_of_views_share_an_address_and_what_is_spoilt_is_counted() -> None:
-    one = wire()
-    data = one.pack_message(message())
-    assert one.read(data) == message()
+def test_cell_and_view_messages_share_an_address() -> None:
+    """Corrupted messages and those of other fleets or keys are counted and dropped."""
+    cells_wire = wire()
+    data = cells_wire.pack_message(message())
+    assert cells_wire.read(data) == message()
     member_message = MemberMessage("any cell", "a", 1, Ping(3, ("b", 2)), 7)
-    assert one.read(one.pack(member_message)) == member_message, "whatever its cell"
+    assert cells_wire.read(cells_wire.pack(member_message)) == member_message, "views of all names are read"
     assert Wire("f", Keys(b"k" * 16), 64).unpack(data) is None
     rng = random.Random(2)
     for _ in range(200):
-        spoilt = bytearray(data)
-        spoilt[rng.randrange(len(spoilt))] ^= 1 << rng.randrange(8)
-        assert one.read(bytes(spoilt)) is None
-        junk = rng.randbytes(rng.randrange(60))
-        assert one.read(MAGIC + one.keys.sign(junk) + junk) is None
-    assert one.read(wire(key=b"other key of size").pack_message(message())) is None
-    assert one.read(wire("g").pack_message(CellsMessage("g", "a", 1, RetireCell("c", (1, 0, 1))))) is None
-    assert {"digest", "spoilt", "another fleet"} <= set(one.dropped)
+        corrupted = bytearray(data)
+        corrupted[rng.randrange(len(corrupted))] ^= 1 << rng.randrange(8)
+        assert cells_wire.read(bytes(corrupted)) is None
+        payload = rng.randbytes(rng.randrange(60))
+        assert cells_wire.read(MAGIC + cells_wire.keys.sign(payload) + payload) is None
+    assert cells_wire.read(wire(key=b"other key of size").pack_message(message())) is None
+    other_fleet = CellsMessage("g", "a", 1, RetireCell("c", (1, 0, 1)))
+    assert cells_wire.read(wire("g").pack_message(other_fleet)) is None
+    assert {"digest", "spoilt", "another fleet"} <= set(cells_wire.dropped)
 
 
-def test_a_placement_of_the_longest_names_fits_into_a_datagram() -> None:
-    long = Cell("x" * 128, "r" * 64, "z" * 64, (1 << 40, 6, 1 << 20), (("255.255.255.255", 65535),) * 3)
-    located = PlacementNotice(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), long))
-    placed = CellsMessage("f" * 64, "n" * 64, 1 << 42, located)
-    assert len(wire("f" * 64).pack_message(placed)) <= MAX_DATAGRAM_BYTES
+def test_placement_with_longest_names_fits_into_a_datagram() -> None:
+    cell = Cell("x" * 128, "r" * 64, "z" * 64, (1 << 40, 6, 1 << 20), (("255.255.255.255", 65535),) * 3)
+    notice = PlacementNotice(("g" * 64, 1 << 42), Placement((1 << 40, 6, 9), cell))
+    longest = CellsMessage("f" * 64, "n" * 64, 1 << 42, notice)
+    assert len(wire("f" * 64).pack_message(longest)) <= MAX_DATAGRAM_BYTES
 
 
 class Fleet:
-    """Three control machines and some gateways."""
+    """Runs three control machines and some gateways in this process."""
 
     def __init__(self, ports: Ports, gateways: int, folder: Path) -> None:
         self.machines = tuple(ControlMachine(f"c{n}", "r", f"z{n}", (ports.host(), 7500)) for n in range(3))
         self.folder, self._ports = folder, ports
-        self.led: list[tuple[str, Epoch | None]] = []
-        self.heard: list[tuple[str, bytes]] = []
+        self.leaderships: list[tuple[str, Epoch | None]] = []
+        self.received: list[tuple[str, bytes]] = []
         self.control = [self.controller(machine) for machine in self.machines]
         self.gateways = [self.gateway(f"g{n}") for n in range(gateways)]
 
@@ -94,7 +96,7 @@
             wire(),
             time.monotonic_ns,
             self.folder / machine.name,
-            on_leadership=lambda epoch: self.led.append((machine.name, epoch)),
+            on_leadership=lambda epoch: self.leaderships.append((machine.name, epoch)),
         )
 
     def gateway(self, name: str) -> Host:
@@ -110,7 +112,7 @@
             wire(),
             time.monotonic_ns,
             self.folder / name,
-            on_data=lambda sender, data, part: self.heard.append((sender, data)),
+            on_data=lambda sender, data, part: self.received.append((sender, data)),
         )
 
     def hosts(self) -> list[Host]:
@@ -130,9 +132,9 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    async with asyncio.timeout(MOST):
+    async with asyncio.timeout(TIMEOUT_S):
         while not holds():
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def play(tmp_path: Path, gateways: int, work: Callable[[Fleet], Awaitable[None]]) -> Fleet:
@@ -154,10 +156,12 @@
 
 
 @pytest.mark.processes
-def test_gateways_find_their_cell_and_one_that_ends_or_a_leader_that_does_is_got_over(tmp_path: Path) -> None:
+def test_cell_survives_the_end_of_gateway_and_leader(tmp_path: Path) -> None:
+    """Gateways find their cell; it settles again after a gateway leaves and after the leader stops."""
+
     async def work(fleet: Fleet) -> None:
         fleet.gateways[0].send_data(["g1", "g2"], b"word")
-        await until(lambda: len(fleet.heard) == 2)
+        await until(lambda: len(fleet.received) == 2)
         fleet.gateways.pop().close()
         await until(fleet.settled)
         leader = next(
@@ -183,7 +187,7 @@
         await until(fleet.settled)
 
     fleet = play(tmp_path, 6, work)
-    assert len({name for name, epoch in fleet.led if epoch is not None}) >= 2
+    assert len({name for name, epoch in fleet.leaderships if epoch is not None}) >= 2
     lines = RecordReader([tmp_path / "g0"]).all()
     kinds = [each.kind for each in lines]
     assert "joined" in kinds and "parted" in kinds and "view" in kinds
--- a/tests/cells/test_cells_process.py
+++ b/tests/cells/test_cells_process.py
@@ -1,4 +1,4 @@
-"""Cells on processes: gateways that serve, control machines, faults between; judged by their records."""
+"""Tests cells on processes of gateways and control machines under faults, decided from their event logs."""
 
 from __future__ import annotations
 
@@ -20,97 +20,106 @@
 
 pytestmark = pytest.mark.processes
 
-GATEWAYS, CONTROL = 6, 4
-START, SETTLED = 25.0, 25.0  # s until all are in cells that are whole; a cold control tier rebuilds first
-LOOK = 0.2  # s between looks at the records
-KEPT = Path(tempfile.gettempdir()) / "trackspread-kept"  # ledger, logs and records of a run that failed
-MOST = 150.0  # s: only a hang reaches it
-TRIES = 4  # of a run whose rig lagged: such a run has no verdict
+GATEWAYS, CONTROL_MACHINES = 6, 4
+# Limits in s until all gateways are in settled cells; newly started control machines first rebuild the
+# directory.
+START, SETTLED = 25.0, 25.0
+POLL_INTERVAL_S = 0.2  # time between reads of the event logs
+# The folder receives the ledger, logs and event logs of a run that failed.
+FAILED_RUN_FOLDER = Path(tempfile.gettempdir()) / "trackspread-kept"
+TIMEOUT_S = 150.0  # only a hang reaches it
+ATTEMPTS = 4  # a run in which the harness lagged has no verdict and is repeated
 
 Work = Callable[[CelledFleet], Awaitable[None]]
 
 
-async def settled(fleet: CelledFleet, most: float = SETTLED) -> None:
+async def settled(fleet: CelledFleet, timeout_s: float = SETTLED) -> None:
+    """Waits until all cells are settled, and fails after `timeout_s`."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + most
-    while amiss := unsettled_cells(fleet):
-        assert loop.time() < end, f"{amiss}; {[c.log_tail(2) for c in fleet.control_machines.values()]}"
-        await asyncio.sleep(LOOK)
+    end = loop.time() + timeout_s
+    while fault := unsettled_cells(fleet):
+        assert loop.time() < end, f"{fault}; {[c.log_tail(2) for c in fleet.control_machines.values()]}"
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def until(holds: Callable[[], bool], most: float = SETTLED) -> None:
-    async with asyncio.timeout(most):
+async def until(holds: Callable[[], bool], timeout_s: float = SETTLED) -> None:
+    """Waits until the condition holds, and raises `TimeoutError` after `timeout_s`."""
+    async with asyncio.timeout(timeout_s):
         while not holds():
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-QUICK = (
-    "-m",
-    "trackspread.testing.harness.fast_control",
-    "none",
-)  # small cells, merged and replaced within seconds
+# These control machines keep small cells, which they merge and replace within seconds.
+FAST_CONTROL = ("-m", "trackspread.testing.harness.fast_control", "none")
 
 
-def play(work: Work, controls: tuple[str, ...] = CONTROL_COMMAND, keys: str = "keep_s = 3.0") -> None:
-    """The rules, and all records, are decided on after it; a run in which the rig lagged is played again."""
+def play(work: Work, control_command: tuple[str, ...] = CONTROL_COMMAND, keys: str = "keep_s = 3.0") -> None:
+    """Runs `work` on a fleet and checks its ledger and event logs; repeats it if the harness lagged."""
 
     async def once() -> bool:
         scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance_ns=200 * MS)
-        async with CelledFleet(scenario, CONTROL, keys, control_command=controls) as fleet:
+        async with CelledFleet(scenario, CONTROL_MACHINES, keys, control_command=control_command) as fleet:
             await settled(fleet, START)
             fleet.start_clients()
             await work(fleet)
             await fleet.settle()
-            amiss = fleet.inconsistencies()
+            inconsistencies = fleet.inconsistencies()
             verdict = fleet.verdict()
-            if verdict.state == "void" and not amiss:
+            if verdict.state == "void" and not inconsistencies:
                 return False
-            if verdict.state == "broken" or amiss:
-                membership_fleet.save_run(fleet, KEPT)
-            assert amiss == []
+            if verdict.state == "broken" or inconsistencies:
+                membership_fleet.save_run(fleet, FAILED_RUN_FOLDER)
+            assert inconsistencies == []
             assert verdict.state == "kept", verdict.violations
             return True
 
-    for _ in range(TRIES):
-        if uvloop.run(asyncio.wait_for(once(), MOST)):
+    for _ in range(ATTEMPTS):
+        if uvloop.run(asyncio.wait_for(once(), TIMEOUT_S)):
             return
-    raise AssertionError(f"the rig lagged in each of {TRIES} runs")
+    raise AssertionError(f"the harness lagged in each of {ATTEMPTS} runs")
 
 
-def moves(fleet: CelledFleet, since: int) -> list[str]:
+def departures(fleet: CelledFleet, since: int) -> list[str]:
+    """Returns the names of gateways that have left a cell after `since` (ns)."""
     return [each.name for each in fleet.records() if each.at > since and each.kind == "parted"]
 
 
-def cut(fleet: CelledFleet, some: list[str], others: list[str], hole: bool) -> None:
-    """What the ones say to the others."""
+def cut(fleet: CelledFleet, some: list[str], others: list[str], blocked: bool) -> None:
+    """Blocks, or unblocks, the datagrams and connections from `some` to `others`."""
     for a in some:
         for b in others:
-            fleet.network.path(a, b, "udp").blackhole = fleet.network.path(a, b, "tcp").blackhole = hole
+            fleet.network.path(a, b, "udp").blackhole = fleet.network.path(a, b, "tcp").blackhole = blocked
+
 
+def operators_file(fleet: CelledFleet, name: str) -> Path:
+    """Writes an operator's file with the real addresses of the control machines.
 
-def direct(fleet: CelledFleet, name: str) -> Path:
-    """A control machine's file with the addresses themselves: the wire knows no stranger's questions."""
+    The simulated network at the advertised addresses does not pass requests of an operator.
+    """
     text = fleet.fleet_table(name)
     for each in fleet.control_names:
         text = text.replace(
             "{}:{}".format(*fleet.advertised_addresses[each]), "{}:{}".format(*fleet.member_addresses[each])
         )
-    (fleet.folder / "direct.toml").write_text(text)
-    return fleet.folder / "direct.toml"
+    (fleet.folder / "operators_file.toml").write_text(text)
+    return fleet.folder / "operators_file.toml"
 
 
 def names(fleet: CelledFleet) -> list[str]:
     return [gateway.name for gateway in fleet.gateways]
 
 
-def test_a_leader_and_coordinators_end_and_the_operator_sees_the_cells() -> None:
+def test_cells_settle_after_leader_and_gateway_end() -> None:
+    """The operator's commands show the cells before and after, and a control machine stops with status 0."""
+
     async def work(fleet: CelledFleet) -> None:
-        doors = ["{}:{}".format(*fleet.control_addresses[name]) for name in names(fleet)]
-        status, out = await command("fleet", "view", *doors, "--wait", "10")
+        admin_addresses = ["{}:{}".format(*fleet.control_addresses[name]) for name in names(fleet)]
+        status, out = await command("fleet", "view", *admin_addresses, "--wait", "10")
         assert status == 0, out
         assert out.count("cell r.z0.") == out.count("cell r.z1.") == GATEWAYS // 2
         leader = fleet.leader()
-        await fleet.control_machines[leader].kill()  # it coordinates some cell too, or its seat there is lost
+        # The killed machine is also the coordinator or another seed of some cell.
+        await fleet.control_machines[leader].kill()
         await until(lambda: fleet.leader() not in ("", leader))
         await settled(fleet)
         await fleet.stop_gateways([4])
@@ -118,35 +127,39 @@
         await fleet.start_gateways([4])
         await settled(fleet)
         await fleet.control_machines[leader].start()
-        file = str(direct(fleet, leader))
+        file = str(operators_file(fleet, leader))
 
-        async def listed() -> str:
+        async def cells_output() -> str:
             return (await command("fleet", "cells", "--file", file))[1]
 
         async with asyncio.timeout(SETTLED):
-            while f"2 cells, {GATEWAYS} gateways" not in await listed():
-                await asyncio.sleep(LOOK)
+            while f"2 cells, {GATEWAYS} gateways" not in await cells_output():
+                await asyncio.sleep(POLL_INTERVAL_S)
         other = next(name for name in fleet.control_names if name not in (leader, fleet.leader()))
         assert await fleet.control_machines[other].end() == 0
 
     play(work)
 
 
-def test_half_of_the_fleet_starts_anew_and_a_stopped_one_wakes_with_an_old_lease() -> None:
+def test_cells_settle_after_restarts_and_a_long_pause() -> None:
+    """Restarted gateways return to their cells, and a paused one resumes after its lease has expired."""
+
     async def work(fleet: CelledFleet) -> None:
         before = fleet.cells_by_gateway()
         await fleet.restart([0, 1, 2], 0.2)
         await settled(fleet)
-        assert fleet.cells_by_gateway() == before, "all come back to the cells that they were in"
+        assert fleet.cells_by_gateway() == before, "all gateways return to their former cells"
         fleet.gateways[5].pause()
-        await asyncio.sleep(6.0)  # over the life of what it holds
+        await asyncio.sleep(6.0)  # longer than its lease
         fleet.gateways[5].resume()
         await settled(fleet)
 
     play(work)
 
 
-def test_two_that_believe_they_lead_and_control_machines_that_all_start_anew() -> None:
+def test_no_gateway_moves_for_stale_leader_or_control_restart() -> None:
+    """A leader is paused until another leads, and then all control machines restart."""
+
     async def work(fleet: CelledFleet) -> None:
         since = fleet.records()[-1].at
         leader = fleet.leader()
@@ -167,12 +180,14 @@
             )
         )
         await settled(fleet, 40.0)
-        assert moves(fleet, since) == []
+        assert departures(fleet, since) == []
 
     play(work)
 
 
-def test_cells_that_reach_no_control_machine_or_one_way_only_go_on_and_heal_without_a_move() -> None:
+def test_no_gateway_moves_when_control_machines_are_unreachable() -> None:
+    """Cells go on and heal after a partition from the control machines in both directions or in one."""
+
     async def work(fleet: CelledFleet) -> None:
         since = fleet.records()[-1].at
         cut(fleet, names(fleet), fleet.control_names, True)
@@ -185,33 +200,37 @@
         await asyncio.sleep(5.0)
         cut(fleet, names(fleet)[:2], fleet.control_names, False)
         await settled(fleet)
-        assert moves(fleet, since) == []
+        assert departures(fleet, since) == []
 
     play(work)
 
 
-def test_gateways_move_when_a_control_machine_is_gone_for_good_and_when_cells_are_merged() -> None:
+def test_gateways_move_after_seed_loss_and_when_cells_merge() -> None:
+    """One control machine is killed for good, and then a cell shrinks until it is merged."""
+
     async def work(fleet: CelledFleet) -> None:
         since = fleet.records()[-1].at
         before = fleet.cells_by_gateway()
-        assert len(set(before.values())) == 4, "two gateways and one in each zone"
+        assert len(set(before.values())) == 4, "each zone has a cell of two gateways and a cell of one"
         gone = next(name for name in fleet.control_names if name != fleet.leader())
         await fleet.control_machines[gone].kill()
-        await until(lambda: bool(moves(fleet, since)) and unsettled_cells(fleet) == "", 60.0)
+        await until(lambda: bool(departures(fleet, since)) and unsettled_cells(fleet) == "", 60.0)
         await settled(fleet)
-        # Of the cell of two in zone z0 one ends for good: what is left of it is merged with the other.
+        # One gateway of zone z0's cell of two stops for good: the rest of it is merged with the other cell.
         cells = fleet.cells_by_gateway()
         in_zone = [name for name in names(fleet) if cells[name].startswith("r.z0.")]
-        of_two = next(name for name in in_zone if list(cells.values()).count(cells[name]) == 2)
-        await fleet.stop_gateways([int(of_two[1:])])
-        left = [name for name in in_zone if name != of_two]
-        await until(lambda: len({fleet.cells_by_gateway().get(name) for name in left}) == 1, 60.0)
+        stopped = next(name for name in in_zone if list(cells.values()).count(cells[name]) == 2)
+        await fleet.stop_gateways([int(stopped[1:])])
+        remaining = [name for name in in_zone if name != stopped]
+        await until(lambda: len({fleet.cells_by_gateway().get(name) for name in remaining}) == 1, 60.0)
         await settled(fleet)
 
-    play(work, QUICK)
+    play(work, FAST_CONTROL)
 
 
-def test_cells_that_heal_one_after_the_other_are_not_merged_meanwhile() -> None:
+def test_cells_that_heal_one_by_one_are_not_merged() -> None:
+    """After a partition, a small cell is reachable before the others, and must not be merged meanwhile."""
+
     async def work(fleet: CelledFleet) -> None:
         since = fleet.records()[-1].at
         cells = fleet.cells_by_gateway()
@@ -220,7 +239,7 @@
         others = [name for name in names(fleet) if name != alone]
         cut(fleet, names(fleet), fleet.control_names, True)
         cut(fleet, fleet.control_names, names(fleet), True)
-        # Longer than a cell has to be small, after all of them were taken for dead.
+        # All gateways are taken for dead, and stay unreachable for longer than the merge delay.
         await until(lambda: all(not gateways_seen(fleet, cell) for cell in set(cells.values())))
         await asyncio.sleep(6.0)
         cut(fleet, [alone], fleet.control_names, False)
@@ -230,29 +249,30 @@
         cut(fleet, others, fleet.control_names, False)
         cut(fleet, fleet.control_names, others, False)
         await settled(fleet)
-        assert moves(fleet, since) == []
+        assert departures(fleet, since) == []
 
-    play(work, QUICK)
+    play(work, FAST_CONTROL)
 
 
 def gateways_seen(fleet: CelledFleet, cell: str) -> set[str]:
-    """Gateways in the newest view of a cell that its control machines hold."""
-    held = [
+    """Returns the gateways in the newest view of a cell that a control machine has recorded."""
+    views = [
         each
         for each in fleet.records_of_cell(cell)
         if each.kind == "view" and each.name in fleet.control_names
     ]
-    members = {name for name, _ in held[-1].about["members"]} if held else set()  # type: ignore[attr-defined]
+    newest = views[-1].about["members"] if views else ()
+    members = {name for name, _ in newest}  # type: ignore[attr-defined]
     return members - set(fleet.control_names)
 
 
-def by_zone(fleet: CelledFleet) -> bool:
-    """Whether each gateway is in a cell of its own zone."""
+def all_in_own_zone(fleet: CelledFleet) -> bool:
+    """Returns whether each gateway is in a cell of its own zone."""
     return all(cell.startswith(f"r.z{int(name[1:]) % 2}.") for name, cell in fleet.cells_by_gateway().items())
 
 
 def seeded_by(fleet: CelledFleet, control: str) -> set[str]:
-    """Gateways in cells that a control machine seeds."""
+    """Returns the gateways in cells that this control machine seeds."""
     cells = {
         str(each.about["cell"])
         for each in fleet.records()
@@ -261,33 +281,33 @@
     return {name for name, cell in fleet.cells_by_gateway().items() if cell in cells}
 
 
-async def told(fleet: CelledFleet) -> str:
-    """Why what runs here is not right, after a cut and a control machine's end; nothing where it is."""
+async def find_fault(fleet: CelledFleet) -> str:
+    """Returns which fault shows after a cut and a control machine's end, or an empty string for none."""
     try:
         await settled(fleet, START)
-        if not by_zone(fleet):
+        if not all_in_own_zone(fleet):
             return "a gateway is in a cell of another zone"
         since = fleet.records()[-1].at
         cut(fleet, names(fleet), fleet.control_names, True)
         await asyncio.sleep(8.0)
         cut(fleet, names(fleet), fleet.control_names, False)
         await settled(fleet)
-        if moved := moves(fleet, since):
+        if moved := departures(fleet, since):
             return f"{moved} left their cells for a cut"
         others = [name for name in fleet.control_names if name != fleet.leader()]
         gone = max(others, key=lambda name: len(seeded_by(fleet, name)))
-        left = seeded_by(fleet, gone)
-        assert left, "no gateway is in a cell that this control machine seeds"
+        affected = seeded_by(fleet, gone)
+        assert affected, "no gateway is in a cell that this control machine seeds"
         await fleet.control_machines[gone].kill()
-        # All of them: a cell that is given up too early is told by whoever is still in it.
-        await until(lambda: left <= set(moves(fleet, since)) and unsettled_cells(fleet) == "")
+        # All of them have to move, because a cell that is retired too early shows only in gateways left in it.
+        await until(lambda: affected <= set(departures(fleet, since)) and unsettled_cells(fleet) == "")
         await settled(fleet)
     except (AssertionError, TimeoutError) as error:
         return f"not settled: {error}"
     return "; ".join(each.text for each in fleet.inconsistencies()[:2])
 
 
-PLANTED = (
+MUTANTS = (
     "none",
     "cells-joins-first",
     "cells-kept-slots",
@@ -300,23 +320,27 @@
 )
 
 
-# s for which slots are granted: longer than from a cut to its heal, and from a seed's end to the moves that
-# follow it, so that a gateway which moves has slots to give back.
-KEEP_S = 15.0
+# s for which slots are granted: longer than from a cut to its heal, and from a seed's end to the departures that
+# follow it, so that a gateway which departures has slots to give back.
+LEASE_S = 15.0
+
 
+@pytest.mark.parametrize("name", MUTANTS)
+def test_mutants_are_detected_on_processes(name: str) -> None:
+    """Each mutant shows a fault, and the unchanged code shows none."""
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_fault_is_told_on_processes_and_none_where_there_is_none(name: str) -> None:
     async def once() -> str:
         scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.1, seed=7)
-        runs = (
+        gateway_command = (
             ("-m", "trackspread.testing.harness.mutant_gateway", name)
             if name != "none"
             else ("-m", "trackspread", "run")
         )
-        controls = ("-m", "trackspread.testing.harness.fast_control", name)
-        async with CelledFleet(scenario, CONTROL, f"keep_s = {KEEP_S}", runs, controls) as fleet:
-            return await told(fleet)
+        control_command = ("-m", "trackspread.testing.harness.fast_control", name)
+        async with CelledFleet(
+            scenario, CONTROL_MACHINES, f"keep_s = {LEASE_S}", gateway_command, control_command
+        ) as fleet:
+            return await find_fault(fleet)
 
-    found = uvloop.run(asyncio.wait_for(once(), MOST))
+    found = uvloop.run(asyncio.wait_for(once(), TIMEOUT_S))
     assert bool(found) == (name != "none"), found
--- a/tests/membership/test_membership_process.py
+++ b/tests/membership/test_membership_process.py
@@ -343,9 +343,8 @@
     """The checker finds conflicting views and overlapping grants, and reads files with an incomplete line."""
     one, two = (("a", 1),), (("a", 1), ("b", 1))
     view = {"number": (1, 0, 1), "parent": (0, -1, 0), "members": two}
-    assert (
-        find_view_conflicts([make_record(1, "a", "issued", **view), make_record(2, "b", "view", **view)]) == []
-    )
+    issued = make_record(1, "a", "issued", **view)
+    assert find_view_conflicts([issued, make_record(2, "b", "view", **view)]) == []
     assert find_view_conflicts(
         [make_record(1, "a", "view", **view), make_record(2, "b", "view", **{**view, "members": one})]
     )
