--- a/tests/cells/test_cells_process.py
+++ b/tests/cells/test_cells_process.py
@@ -299,7 +299,7 @@
         affected = seeded_by(fleet, gone)
         assert affected, "no gateway is in a cell that this control machine seeds"
         await fleet.control_machines[gone].kill()
-        # All of them have to move, because a cell that is retired too early shows only in gateways left in it.
+        # All have to move, because a cell that is retired too early shows only in gateways left in it.
         await until(lambda: affected <= set(departures(fleet, since)) and unsettled_cells(fleet) == "")
         await settled(fleet)
     except (AssertionError, TimeoutError) as error:
@@ -320,8 +320,8 @@
 )
 
 
-# s for which slots are granted: longer than from a cut to its heal, and from a seed's end to the departures that
-# follow it, so that a gateway which departures has slots to give back.
+# The lease duration is longer than the time from a cut to its heal, and from a seed's end to the moves that
+# follow it, so that a gateway that moves has slots to release.
 LEASE_S = 15.0
 
 
--- a/tests/membership/test_limits_follow_membership_process.py
+++ b/tests/membership/test_limits_follow_membership_process.py
@@ -143,7 +143,7 @@
     play(work, "keep_s = 600")
 
 
-def test_paused_gateway_uses_no_slots_of_others_when_it_resumes() -> None:
+def test_resumed_gateway_uses_no_slots_that_others_hold() -> None:
     """Other gateways hold its slots by the time it resumes, because its lease has expired meanwhile."""
 
     async def work(fleet: Fleet) -> None:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -230,7 +230,7 @@
     assert leases.grant(now + grantor_duration_ns(KEEP), b, ALL_SLOTS, 0, 0)[1] == ALL_SLOTS
 
 
-def test_grant_counts_from_its_request_and_older_ones_are_rejected() -> None:
+def test_grant_counts_from_request_and_older_grants_are_rejected() -> None:
     """The holder counts a lease from before its request, and rejects older serials and epochs."""
     lease = SlotLease()
     assert lease.start_request((1, 0)) and lease.accept(900 * MS, 0, (1, 0), 2, 50, RENEWAL_SPAN_NS)
--- a/tests/membership/test_membership_bytes.py
+++ b/tests/membership/test_membership_bytes.py
@@ -66,7 +66,8 @@
     assert msgspec.msgpack.decode(bytes.fromhex(data), type=MessageBody) == body
 
 
-def test_messages_and_tables_keep_their_bytes_with_and_without_key() -> None:
+def test_messages_and_tables_keep_their_bytes() -> None:
+    """The bytes are fixed both with a key and without one."""
     keyed, unkeyed = Wire("f", Keys(b"k" * 16), 8), Wire("f", Keys(), 8)
     message = (
         "747301baa252a701dc5849a956748e12e5971a97a166a1610193a450696e670392a16202079198a163030401a8"
--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -86,7 +86,7 @@
     assert world.until_settled(5 * SECOND) <= 5 * SECOND
 
 
-def test_member_cut_off_from_seeds_regains_slots_from_new_coordinator() -> None:
+def test_cut_off_member_regains_slots_from_new_coordinator() -> None:
     """A member without contact to a seed stops using its slots, and a later coordinator grants them again."""
     world = World(1, 6, settings={"lease_duration_ns": 60 * SECOND})
     world.begin(6 * SECOND)
--- a/tests/membership/test_membership_process.py
+++ b/tests/membership/test_membership_process.py
@@ -308,7 +308,7 @@
     uvloop.run(asyncio.wait_for(once(), TIMEOUT_S))
 
 
-def test_address_in_use_gives_one_line_error_and_status_2(tmp_path: Path) -> None:
+def test_address_in_use_gives_error_line_and_status_2(tmp_path: Path) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as used:
         used.bind((LOCAL, 0))
         address = f"{LOCAL}:{used.getsockname()[1]}"
