--- a/tests/cells/test_cells.py
+++ b/tests/cells/test_cells.py
@@ -287,7 +287,8 @@
     message = CellsMessage("fleet", "c1" if leader.name != "c1" else "c2", 1, forwarded)
     actions = core.receive_cells_message(now, message, UNKNOWN_ADDRESS)
     assert [action for action in actions if isinstance(action, SendCellsMessage)]
-    assert not core.receive_cells_message(now + 3 * SECOND, message, UNKNOWN_ADDRESS), "it was paused meanwhile"
+    later = now + 3 * SECOND
+    assert not core.receive_cells_message(later, message, UNKNOWN_ADDRESS), "it was paused meanwhile"
 
 
 @pytest.mark.parametrize("world", WORLDS[1:], ids=lambda world: str(world.__name__))
--- a/tests/cells/test_cells_host.py
+++ b/tests/cells/test_cells_host.py
@@ -120,12 +120,12 @@
 
     def settled(self) -> bool:
         slots, now = 0, time.monotonic_ns()
-        wanted = {host.core.member_id[0] for host in self.hosts()}
+        names = {host.core.member_id[0] for host in self.hosts()}
         for host in self.gateways:
             core = host.core
             if not isinstance(core, Gateway) or core.member is None or core.member.view is None:
                 return False
-            if {name for name, _ in core.member.view.members} != wanted:
+            if {name for name, _ in core.member.view.members} != names:
                 return False
             slots |= core.usable_slots(now)
         return slots == ALL_SLOTS
--- a/tests/cells/test_cells_process.py
+++ b/tests/cells/test_cells_process.py
@@ -1,4 +1,4 @@
-"""Tests cells on processes of gateways and control machines under faults, decided from their event logs."""
+"""Tests cells on processes of gateways and control machines under faults, judged by their event logs."""
 
 from __future__ import annotations
 
@@ -53,12 +53,12 @@
 FAST_CONTROL = ("-m", "trackspread.testing.harness.fast_control", "none")
 
 
-def play(work: Work, control_command: tuple[str, ...] = CONTROL_COMMAND, keys: str = "keep_s = 3.0") -> None:
+def play(work: Work, control_command: tuple[str, ...] = CONTROL_COMMAND, fleet_settings: str = "keep_s = 3.0") -> None:
     """Runs `work` on a fleet and checks its ledger and event logs; repeats it if the harness lagged."""
 
     async def once() -> bool:
         scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance_ns=200 * MS)
-        async with CelledFleet(scenario, CONTROL_MACHINES, keys, control_command=control_command) as fleet:
+        async with CelledFleet(scenario, CONTROL_MACHINES, fleet_settings, control_command=control_command) as fleet:
             await settled(fleet, START)
             fleet.start_clients()
             await work(fleet)
@@ -106,6 +106,7 @@
 
 
 def names(fleet: CelledFleet) -> list[str]:
+    """Returns the names of all gateways."""
     return [gateway.name for gateway in fleet.gateways]
 
 
@@ -186,7 +187,7 @@
 
 
 def test_no_gateway_moves_when_control_machines_are_unreachable() -> None:
-    """Cells go on and heal after a partition from the control machines in both directions or in one."""
+    """Cells continue and heal after a partition from the control machines in both directions or in one."""
 
     async def work(fleet: CelledFleet) -> None:
         since = fleet.records()[-1].at
--- a/tests/cells/test_directory.py
+++ b/tests/cells/test_directory.py
@@ -190,7 +190,7 @@
 
 
 def test_small_cells_are_merged_after_a_delay() -> None:
-    """The emptied cell is retired, and a gateway that still names it does not bring it back."""
+    """The emptied cell is retired, and a gateway that still names it does not restore it."""
     fleet = settled_fleet(48)
     for number in range(5, 24):
         fleet.end(f"g{number:03d}")
@@ -205,7 +205,7 @@
     (gone,) = fleet.directory.retired
     fleet.placed["late"] = Placement((17, 1, 1), cell(gone, (17, 1, 1)))
     late = fleet.request("late")
-    assert late is not None and late.cell.name != gone, "a retired cell is not brought back"
+    assert late is not None and late.cell.name != gone, "a retired cell is not restored"
 
 
 def test_cells_of_lost_zone_are_retired_one_by_one() -> None:
--- a/tests/membership/test_limits_follow_membership_process.py
+++ b/tests/membership/test_limits_follow_membership_process.py
@@ -1,6 +1,6 @@
 """Tests, on fleets of processes under load and faults, that shared limits follow the view.
 
-The results are decided from the event logs and the ledgers.
+The results are judged by the event logs and the ledgers.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 LEASE_S = 4  # lease duration in s where a test waits for the expiry of a lease
 
 
-def play(work: Work, keys: str) -> None:
+def play(work: Work, fleet_settings: str) -> None:
     """Runs the test on six gateways, with seeds on both sides of the cuts."""
-    play_fleet(work, 6, keys, seeds=(0, 2, 4))
+    play_fleet(work, 6, fleet_settings, seeds=(0, 2, 4))
 
 
 def slot_count(record: MembershipRecord) -> int:
@@ -171,7 +171,7 @@
 
 
 def test_halves_of_a_partitioned_fleet_stay_within_quotas() -> None:
-    """Both halves go on serving within their limits while the fleet is partitioned and after it heals."""
+    """Both halves serve requests within their limits while the fleet is partitioned and after it heals."""
 
     names = [f"n{n}" for n in range(GATEWAYS)]
     cut = Cut(5.0, 8.0, fault_schedule.partition(names[:6], names[6:]))
--- a/tests/membership/test_membership_process.py
+++ b/tests/membership/test_membership_process.py
@@ -1,4 +1,4 @@
-"""Tests membership on fleets of processes under faults; each run is decided from its event logs."""
+"""Tests membership on fleets of processes under faults; each run is judged by its event logs."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 def play(
     work: Work,
     gateways: int = GATEWAYS,
-    keys: str = "",
+    fleet_settings: str = "",
     upgradable: bool = False,
     seeds: tuple[int, ...] = (0, 1, 2),
 ) -> None:
@@ -69,7 +69,7 @@
     async def once() -> bool:
         # A dozen processes that start at once occupy the cores, so that times are less exact than elsewhere.
         scenario = Scenario(gateways=gateways, nodes=6, load=0.15, seed=5, tolerance_ns=200 * MS)
-        async with Fleet(scenario, view_settings=keys, upgradable=upgradable, seeds=seeds) as fleet:
+        async with Fleet(scenario, view_settings=fleet_settings, upgradable=upgradable, seeds=seeds) as fleet:
             settled_after_s = await membership_fleet.until_settled(fleet, 2 * START)
             fleet.start_clients()
             await work(fleet)
--- a/trackspread/cells/controller.py
+++ b/trackspread/cells/controller.py
@@ -49,7 +49,7 @@
 # Without an answer of the leader for this time, gateways without a cell are placed without it.
 LEADER_TIMEOUT_NS = 5 * SECOND
 MAX_SEEDED_CELLS = 1_024  # limit of cells that one control machine seeds
-MAX_REMEMBERED_RETIRED = 1_024  # limit of remembered retired cells, which late messages must not bring back
+MAX_REMEMBERED_RETIRED = 1_024  # limit of remembered retired cells, which late messages must not restore
 
 
 class ControlSettings(NamedTuple):
@@ -236,8 +236,8 @@
         match body:
             case ForwardedRequest():
                 rejected_before = leader.directory.rejected_requests
-                if (placed := leader.place(now_ns, body)) is not None:
-                    self._send(now_ns, machine.address, placed, leader.epoch)
+                if (placement := leader.place(now_ns, body)) is not None:
+                    self._send(now_ns, machine.address, placement, leader.epoch)
                 elif leader.directory.rejected_requests > rejected_before:
                     details: dict[str, object] = {"gateways": self.settings.policy.max_fleet_gateways}
                     self._actions.append(StatusEvent("full", details))
