--- a/tests/cells/test_cells_process.py
+++ b/tests/cells/test_cells_process.py
@@ -53,12 +53,18 @@
 FAST_CONTROL = ("-m", "trackspread.testing.harness.fast_control", "none")
 
 
-def play(work: Work, control_command: tuple[str, ...] = CONTROL_COMMAND, fleet_settings: str = "keep_s = 3.0") -> None:
+def play(
+    work: Work,
+    control_command: tuple[str, ...] = CONTROL_COMMAND,
+    fleet_settings: str = "keep_s = 3.0",
+) -> None:
     """Runs `work` on a fleet and checks its ledger and event logs; repeats it if the harness lagged."""
 
     async def once() -> bool:
         scenario = Scenario(gateways=GATEWAYS, nodes=6, load=0.15, seed=7, tolerance_ns=200 * MS)
-        async with CelledFleet(scenario, CONTROL_MACHINES, fleet_settings, control_command=control_command) as fleet:
+        async with CelledFleet(
+            scenario, CONTROL_MACHINES, fleet_settings, control_command=control_command
+        ) as fleet:
             await settled(fleet, START)
             fleet.start_clients()
             await work(fleet)
