--- a/tests/cells/test_cells_file.py
+++ b/tests/cells/test_cells_file.py
@@ -13,10 +13,11 @@
 from trackspread.node.control_machine import make_host
 
 GATEWAY = '[fleet]\nname = "f"\nlisten = "127.0.0.1:7400"\n'
-PLACED = GATEWAY + 'region = "r"\nzone = "z"\n'
+IN_ZONE = GATEWAY + 'region = "r"\nzone = "z"\n'
 
 
-def seat(number: int, port: int | None = None, region: str = "r", zone: str = "z") -> str:
+def control(number: int, port: int | None = None, region: str = "r", zone: str = "z") -> str:
+    """Returns the table of one control machine; its port is its number unless given."""
     return (
         f'[[fleet.control]]\nname = "c{number}"\nregion = "{region}"\nzone = "{zone}"\n'
         f'address = "127.0.0.1:{number if port is None else port}"\n'
@@ -24,6 +25,7 @@
 
 
 def fleet(text: str) -> Fleet:
+    """Returns the fleet's settings in this operator's file."""
     return parse(text, "f").fleet
 
 
@@ -31,32 +33,38 @@
     "text, expected",
     [
         ('[fleet]\nregion = "r"', "fleet.name: found nothing, wanted a name: fleet.region is set"),
-        (f"[fleet]\n{seat(1)}", "fleet.name: found nothing, wanted a name: fleet.control is set"),
-        (PLACED, "fleet.control: found nothing, wanted control machines: fleet.region or fleet.zone is set"),
+        (f"[fleet]\n{control(1)}", "fleet.name: found nothing, wanted a name: fleet.control is set"),
+        (IN_ZONE, "fleet.control: found nothing, wanted control machines: fleet.region or fleet.zone is set"),
         (
-            PLACED.replace('listen = "127.0.0.1:7400"', "") + seat(1),
+            IN_ZONE.replace('listen = "127.0.0.1:7400"', "") + control(1),
             "fleet.listen: found nothing, wanted host",
         ),
-        (f'{PLACED}seeds = ["127.0.0.1:1"]\n{seat(1)}', "fleet.seeds: found 1, wanted none: the control"),
-        (PLACED + seat(1) + seat(1, 2), "fleet.control[1].name: found 'c1' twice, wanted once each"),
+        (f'{IN_ZONE}seeds = ["127.0.0.1:1"]\n{control(1)}', "fleet.seeds: found 1, wanted none: the control"),
+        (IN_ZONE + control(1) + control(1, 2), "fleet.control[1].name: found 'c1' twice, wanted once each"),
         (
-            PLACED + seat(1) + seat(2, 1),
+            IN_ZONE + control(1) + control(2, 1),
             "fleet.control[1].address: found '127.0.0.1:1' twice, wanted once each",
         ),
-        (PLACED + seat(1, 0), "fleet.control[0].address: found port 0, wanted 1 to 65535"),
-        (PLACED + seat(1).replace("127.0.0.1", "0.0.0.0"), "wanted an address that others can reach"),
-        (PLACED + seat(1).replace("127.0.0.1", "control"), "wanted an address and a port, as 127.0.0.1:7500"),
+        (IN_ZONE + control(1, 0), "fleet.control[0].address: found port 0, wanted 1 to 65535"),
+        (IN_ZONE + control(1).replace("127.0.0.1", "0.0.0.0"), "wanted an address that others can reach"),
         (
-            PLACED + seat(1, region=""),
+            IN_ZONE + control(1).replace("127.0.0.1", "control"),
+            "wanted an address and a port, as 127.0.0.1:7500",
+        ),
+        (
+            IN_ZONE + control(1, region=""),
             "fleet.control[0].region: found nothing, wanted the region that it is in",
         ),
-        (PLACED + seat(1, region="s"), "fleet.region: found 'r', wanted one that has control machines: s"),
         (
-            PLACED.replace('zone = "z"\n', "") + seat(1),
+            IN_ZONE + control(1, region="s"),
+            "fleet.region: found 'r', wanted one that has control machines: s",
+        ),
+        (
+            IN_ZONE.replace('zone = "z"\n', "") + control(1),
             "fleet.zone: found nothing, wanted the zone that this",
         ),
-        (PLACED + seat(1, zone="z z"), "fleet.control[0].zone: found 'z z'"),
-        (f"{PLACED}gateways = 1\n{seat(1)}", "fleet.gateways: found 1, wanted int >= 2"),
+        (IN_ZONE + control(1, zone="z z"), "fleet.control[0].zone: found 'z z'"),
+        (f"{IN_ZONE}gateways = 1\n{control(1)}", "fleet.gateways: found 1, wanted int >= 2"),
     ],
 )
 def test_invalid_table_gives_a_one_line_error(text: str, expected: str) -> None:
@@ -66,7 +74,7 @@
 
 
 def test_one_file_serves_gateways_and_control_machines() -> None:
-    both = fleet(PLACED + seat(1) + seat(2))
+    both = fleet(IN_ZONE + control(1) + control(2))
     assert [machine.name for machine in control_machines(both)] == ["c1", "c2"]
     host = make_host("c2", both)
     assert host.core.member_id[0] == "c2"
@@ -75,16 +83,16 @@
 
 def test_names_that_contradict_the_file_give_one_line_errors() -> None:
     with pytest.raises(ConfigError, match=r"NAME: found 'c9', wanted a control machine's: c1, c2$"):
-        make_host("c9", fleet(PLACED + seat(1) + seat(2)))
+        make_host("c9", fleet(IN_ZONE + control(1) + control(2)))
     with pytest.raises(ConfigError, match=r"name: found 'c1', which fleet.control has too"):
-        CellPart("c1", fleet(PLACED + seat(1)), lambda: 0)
+        CellPart("c1", fleet(IN_ZONE + control(1)), lambda: 0)
     with pytest.raises(ConfigError, match=r"fleet.region: found nothing, wanted this gateway's"):
-        CellPart("g", fleet(GATEWAY + seat(1)), lambda: 0)
+        CellPart("g", fleet(GATEWAY + control(1)), lambda: 0)
 
 
 def test_commands_report_errors_in_the_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "own.toml"
-    file.write_text(PLACED + seat(9))
+    file.write_text(IN_ZONE + control(9))
     assert main(["control", "c1", "--file", str(file)]) == 2
     assert "NAME: found 'c1', wanted a control machine's: c9" in capsys.readouterr().err
     assert main(["fleet", "cells", "--file", str(file)]) == 2
