--- a/trackspread/cells/directory_leader.py
+++ b/trackspread/cells/directory_leader.py
@@ -82,7 +82,7 @@
         name = report.cell.name
         if (retired := self.directory.retired.get(name)) is not None:
             return [RetireCell(name, retired.number)]
-        members = self._complete(machine.name, report)
+        members = self._assembled_members(machine.name, report)
         if members is None:
             return []
         self.directory.record_report(now_ns, report.cell, report.view_number, members)
@@ -119,7 +119,7 @@
         live_addresses = {self._machines[name].address for name in live if name in self._machines}
         return messages + self._seed_messages(now_ns, live_addresses)
 
-    def _complete(self, machine_name: str, report: CellReport) -> tuple[MemberId, ...] | None:
+    def _assembled_members(self, machine_name: str, report: CellReport) -> tuple[MemberId, ...] | None:
         """Returns all members once all pages of one view have arrived, and None before."""
         if report.pages == 1:
             return report.members
--- a/trackspread/membership/update_handler.py
+++ b/trackspread/membership/update_handler.py
@@ -46,7 +46,7 @@
         if before is None or before.rank != update.rank:
             self._report_change(before, update, reporter)
             if update.state == State.SUSPECT:
-                self._maybe_probe(now_ns, update.name)
+                self._probe_suspect(now_ns, update.name)
         if not table.by_name[update.name].is_present:
             state.slowness.forget(update.name)
         self._release_leases(before, update)
@@ -75,7 +75,7 @@
                 by=reporter,
             )
 
-    def _maybe_probe(self, now_ns: int, name: str) -> None:
+    def _probe_suspect(self, now_ns: int, name: str) -> None:
         """Probes a suspect out of turn, with a probability by which `SUSPECT_PROBES` members do so."""
         state = self._state
         probability = SUSPECT_PROBES / max(1, state.member_table.present_count())
