--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -33,7 +33,7 @@
 from trackspread.storage.directory import Directory, write_atomically
 from trackspread.storage.slots import SLOT_BYTES
 from trackspread.usage.control import AREA_SIZE, AREAS, Names
-from trackspread.usage.host import UseHost, export_all
+from trackspread.usage.host import UsageHost, export_all
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.record import Ending
 from trackspread.usage.senders import Target, make_sender
@@ -124,7 +124,7 @@
             for name in ("n0", "n1"):
                 ledger = await export_all(folder / name, make_sender(Target(server.url)), DRAIN_MOST)
                 if not ledger.is_all_exported:
-                    raise RuntimeError(f"{name} is not exported: {ledger.exporter.trouble}")
+                    raise RuntimeError(f"{name} is not exported: {ledger.exporter.last_error}")
             told = compare(fleet.ledger.entries, server.database.totals())
         server.close()
         return told, server.billing.reply_counts
@@ -171,12 +171,12 @@
     return cost(first["n0"], second["n1"]) / cost(first["n1"], second["n0"])
 
 
-def _host(folder: Path) -> UseHost:
+def _host(folder: Path) -> UsageHost:
     bounds = Bounds((4 << 20) // SLOT_BYTES, 1024, 200_000_000, 10**9, "fold")
-    return UseHost(folder, bounds, Names("n0", ("a",), ("p",)), time.monotonic_ns, None)
+    return UsageHost(folder, bounds, Names("n0", ("a",), ("p",)), time.monotonic_ns, None)
 
 
-async def _live(host: UseHost) -> None:
+async def _live(host: UsageHost) -> None:
     host.start()
     while host.ledger.state is not State.LIVE:
         await asyncio.sleep(0.001)
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -25,19 +25,19 @@
 from trackspread.storage.document import DocumentError, Schema
 from trackspread.storage.journal import MARK_EVERY, Journal
 from trackspread.storage.slots import (
-    HEAD_BYTES,
+    HEADER_BYTES,
     PAYLOAD_BYTES,
     SLOT_BYTES,
-    Head,
+    SegmentHeader,
     Scan,
     SegmentError,
     checksum_seed,
     count_written_slots,
-    pack_head,
+    pack_header,
     pack_slot,
     scan,
     slot_offset,
-    unpack_head,
+    unpack_header,
 )
 from trackspread.testing.virtual.usage.disk import Disk, VirtualFiles
 
@@ -74,7 +74,7 @@
 
 
 def test_each_slot_stands_for_itself_and_for_its_place_and_stream() -> None:
-    head, seed = Head(1, 0, 8, b"n" * 16), checksum_seed(b"n" * 16)
+    header, seed = SegmentHeader(1, 0, 8, b"n" * 16), checksum_seed(b"n" * 16)
     data = bytearray(8 * SLOT_BYTES)
     for number in (1, 2, 4):
         data[(number - 1) * SLOT_BYTES : number * SLOT_BYTES] = pack_slot(_payload(number), seed, number)
@@ -82,38 +82,38 @@
     data[5 * SLOT_BYTES : 6 * SLOT_BYTES] = pack_slot(
         _payload(4), seed, 4
     )  # the fourth once more, in the sixth place
-    found = scan(bytes(data), head, 1)
+    found = scan(bytes(data), header, 1)
     assert sorted(found.payloads) == [1, 4] and found.bad == [2, 6] and found.last == 6
-    other = scan(bytes(data), Head(1, 0, 8, b"m" * 16), 1)
+    other = scan(bytes(data), SegmentHeader(1, 0, 8, b"m" * 16), 1)
     assert not other.payloads and other.bad == [1, 2, 4, 6]
     assert count_written_slots(bytes(data)) == 6 and count_written_slots(bytes(SLOT_BYTES)) == 0
 
 
 def test_a_head_is_refused_if_damaged_or_of_a_newer_layout() -> None:
-    head = Head(7, 3, 4, b"x" * 16)
-    data = pack_head(head) + bytes(4 * SLOT_BYTES)
-    assert unpack_head(data) == head and head.first == 13 and slot_offset(head, 13) == HEAD_BYTES
+    header = SegmentHeader(7, 3, 4, b"x" * 16)
+    data = pack_header(header) + bytes(4 * SLOT_BYTES)
+    assert unpack_header(data) == header and header.first == 13 and slot_offset(header, 13) == HEADER_BYTES
     with pytest.raises(SegmentError, match="checksum"):
-        unpack_head(data[:9] + b"\xff" + data[10:])
-    with pytest.raises(SegmentError, match="shorter than its head says"):
-        unpack_head(data[:-1])
+        unpack_header(data[:9] + b"\xff" + data[10:])
+    with pytest.raises(SegmentError, match="shorter than its header says"):
+        unpack_header(data[:-1])
     with pytest.raises(SegmentError, match="not a segment"):
-        unpack_head(bytes(100))
+        unpack_header(bytes(100))
 
 
 def _journal(slots: int) -> tuple[Journal, VirtualFiles]:
-    files, head = VirtualFiles(Disk(random.Random(1))), Head(1, 0, slots, b"n" * 16)
-    area = perform(files, Create(head))
+    files, header = VirtualFiles(Disk(random.Random(1))), SegmentHeader(1, 0, slots, b"n" * 16)
+    area = perform(files, Create(header))
     assert area is not None and not isinstance(area, Scan | FolderContents)
-    return Journal(head, area), files
+    return Journal(header, area), files
 
 
 def test_what_is_not_committed_never_fills_more_than_a_segment() -> None:
     journal, files = _journal(4)
     assert [journal.append(_payload(n)) for n in range(6)] == [True] * 4 + [False] * 2
-    spare = perform(files, Create(journal.head(1)))
+    spare = perform(files, Create(journal.header(1)))
     assert spare is not None and not isinstance(spare, Scan | FolderContents)
-    assert journal.needed_segment() == journal.head(1)
+    assert journal.needed_segment() == journal.header(1)
     journal.add_segment(spare)
     assert not journal.append(_payload(9)), "four are not committed yet"
     commit = journal.next_commit()
@@ -131,7 +131,7 @@
         commit = journal.next_commit()
         assert commit is not None
         journal.commit_done(commit)
-    found = perform(files, Read(journal.head(0), 1, 4 * MARK_EVERY))
+    found = perform(files, Read(journal.header(0), 1, 4 * MARK_EVERY))
     assert isinstance(found, Scan)
     assert len(found.payloads) == 2 * MARK_EVERY and found.last == journal.next - 1 > 2 * MARK_EVERY
     assert MARK_EVERY <= found.marked < found.last
@@ -142,14 +142,16 @@
     with pytest.raises(OSError) as caught:
         Directory(tmp_path / "use")
     assert caught.value.errno == errno.EWOULDBLOCK
-    head = Head(1, 0, 4, os.urandom(16))
-    area = perform(files, Create(head))
+    header = SegmentHeader(1, 0, 4, os.urandom(16))
+    area = perform(files, Create(header))
     assert area is not None and not isinstance(area, Scan | FolderContents)
-    area.write(slot_offset(head, 1), pack_slot(_payload(1), checksum_seed(head.nonce), 1))
+    area.write(slot_offset(header, 1), pack_slot(_payload(1), checksum_seed(header.nonce), 1))
     area.sync()
     found = perform(files, InspectFolder(("a", "b"), 4096))
     assert (
-        isinstance(found, FolderContents) and found.segments == {(1, 0): (head, 1)} and len(found.areas) == 2
+        isinstance(found, FolderContents)
+        and found.segments == {(1, 0): (header, 1)}
+        and len(found.areas) == 2
     )
     perform(files, Save(found.areas[0], b"one\n"))
     perform(files, Replace("sum", b"two"))
@@ -159,7 +161,7 @@
     again = Directory(tmp_path / "use")
     assert again.load("sum") == b"two" and again.load("none") is None
     assert again.names() == ["a", "b", "sum", segment_name(1, 0)]
-    read = perform(Directory(tmp_path / "use", view=True), Read(head, 1, 4))
+    read = perform(Directory(tmp_path / "use", view=True), Read(header, 1, 4))
     assert isinstance(read, Scan) and read.payloads == {1: _payload(1)}
     again.close()
 
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -45,9 +45,9 @@
 from trackspread.usage.batch import Reply, decode, encode
 from trackspread.usage.control import AREAS, Names
 from trackspread.usage.exporter import Post
-from trackspread.usage.host import UseHost, export_all
+from trackspread.usage.host import UsageHost, export_all
 from trackspread.usage.ledger import Bounds, State
-from trackspread.usage.record import NANO, Ending
+from trackspread.usage.record import NANO_PER_UNIT, Ending
 from trackspread.usage.totals import SegmentTotals, TotalsRow
 
 from ..helpers import settings
@@ -95,7 +95,7 @@
     use: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     found, told = audit(Directory(use, view=True)), json.loads((DATA / "use_totals.json").read_bytes())
-    assert found.wrong == [] and not found.newer and found.segments == 4
+    assert found.problems == [] and not found.newer and found.segments == 4
     assert _lines(found.journal) == told["journal"] and _lines(found.exported) == told["exported"]
     assert [[s.epoch, s.records, s.length, s.stream.acked, s.live] for s in found.streams] == told["streams"]
     assert main(["use", "verify", str(use)]) == 0
@@ -114,7 +114,7 @@
 
     async def body() -> None:
         names = Names("n0", ("look up", "charge"), ("team", "solo"))
-        host = UseHost(use, Bounds(64, 12, 1_000_000, 10_000_000, "fold"), names, time.monotonic_ns, sender)
+        host = UsageHost(use, Bounds(64, 12, 1_000_000, 10_000_000, "fold"), names, time.monotonic_ns, sender)
         host.start()
         while host.ledger.state is not State.LIVE:
             await asyncio.sleep(0.005)
@@ -125,7 +125,7 @@
 
     uvloop.run(asyncio.wait_for(body(), MOST))
     found = audit(Directory(use, view=True))
-    assert found.wrong == [] and found.control is not None and found.control.epoch == 4
+    assert found.problems == [] and found.control is not None and found.control.epoch == 4
     assert reconcile([found], sender.received()) == []
     before = {
         tuple(line[:3]): line[3:] for line in json.loads((DATA / "use_totals.json").read_bytes())["journal"]
@@ -134,7 +134,7 @@
     assert now.total() == sum(held[0] for held in before.values()) + 100
     assert {key: list(found.journal.rows[key]) for key in before} == before
     fresh = {key[0]: held for key, held in found.journal.rows.items() if key not in before}
-    assert fresh == {6: (50, 75 * NANO), 7: (50, 75 * NANO)}
+    assert fresh == {6: (50, 75 * NANO_PER_UNIT), 7: (50, 75 * NANO_PER_UNIT)}
 
 
 @pytest.mark.parametrize("name", AREAS)
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -23,17 +23,17 @@
     newest,
     pack,
 )
-from trackspread.usage.exporter import Exporter, forked
+from trackspread.usage.exporter import Exporter, continuation_stream_id
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.meter import Meter, month_start
-from trackspread.usage.record import NANO, Ending, Kind, UsageRecord, nano, unpack
+from trackspread.usage.record import NANO_PER_UNIT, Ending, Kind, UsageRecord, to_nano_units, unpack
 from trackspread.usage.record import pack as pack_use
 from trackspread.testing.virtual.usage.world import MILLISECOND, SECOND, World
 from trackspread.testing.virtual.usage.schedules import ENDS, FAULTS, make, play
 from trackspread.testing.virtual.usage.disk import Disk
 
 BOUNDS = Bounds(16, 8, 10 * MILLISECOND, 100 * MILLISECOND, "fold")
-USE = UsageRecord(Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, nano(2.25))
+USE = UsageRecord(Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, to_nano_units(2.25))
 
 
 def _ms(text: str) -> int:
@@ -62,8 +62,8 @@
 def test_a_record_is_exact_and_an_unknown_one_is_none() -> None:
     assert unpack(pack_use(*USE)) == USE and len(pack_use(*USE)) == 40
     assert unpack(pack_use(*USE._replace(kind=9))) is None
-    assert nano(0.1) + nano(0.2) == nano(0.3) == 300_000_000
-    assert nano(999_999.123456789) == 999_999_123_456_789
+    assert to_nano_units(0.1) + to_nano_units(0.2) == to_nano_units(0.3) == 300_000_000
+    assert to_nano_units(999_999.123456789) == 999_999_123_456_789
 
 
 def test_a_clock_set_back_across_a_months_end_opens_no_month_again() -> None:
@@ -135,7 +135,7 @@
 
 
 def _batch(first: int, last: int, length: int | None = None, stream: str = "s", base: int = 0) -> bytes:
-    scan = Scan({n: pack_use(*USE._replace(nano_units=n * NANO)) for n in range(first, last + 1)})
+    scan = Scan({n: pack_use(*USE._replace(nano_units=n * NANO_PER_UNIT)) for n in range(first, last + 1)})
     held = rows(scan, Names("n0", ("look", "charge"), ("a", "b", "c")))
     return encode(Batch("p", "n0", 1, stream, base, first, last, length, held, 0))
 
@@ -186,8 +186,8 @@
     assert billing.post(_batch(7, 6, 6)).sealed == 6
     fenced = billing.post(_batch(5, 8))
     assert fenced.fenced and fenced.sealed == 6 and billing.reply_counts["fenced"] == 1
-    assert billing.post(_batch(7, 8, stream=forked("s", 7), base=6)).taken == 8
-    assert [int(row.units) // NANO for row in memory.rows] == list(range(1, 9))
+    assert billing.post(_batch(7, 8, stream=continuation_stream_id("s", 7), base=6)).taken == 8
+    assert [int(row.units) // NANO_PER_UNIT for row in memory.rows] == list(range(1, 9))
     first = memory.rows[0]
     assert first.cls == "charge" and first.customer == "00000001ffffffff"
 
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -18,13 +18,13 @@
 from trackspread.testing.standins.billing_server import BillingServer, take_dropped_files
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.directory import Directory
-from trackspread.storage.slots import HEAD_BYTES, SLOT_BYTES
+from trackspread.storage.slots import HEADER_BYTES, SLOT_BYTES
 from trackspread.usage.batch import Batch, Reply, digest, encode
 from trackspread.usage.control import Names
 from trackspread.usage.exporter import Post
-from trackspread.usage.host import UseHost, export_all
+from trackspread.usage.host import UsageHost, export_all
 from trackspread.usage.ledger import Bounds, State
-from trackspread.usage.record import DAY_MS, NANO, Ending
+from trackspread.usage.record import DAY_MS, NANO_PER_UNIT, Ending
 from trackspread.usage.senders import FileSender, SendError, Target, make_sender
 
 pytestmark = pytest.mark.processes
@@ -61,7 +61,7 @@
         server.answer_loss = server.unavailable_share = 0.0
         for name in ("n0", "n1"):
             ledger = await export_all(folder / name, make_sender(Target(server.url, SECRET)), MOST)
-            assert ledger.is_all_exported, ledger.exporter.trouble
+            assert ledger.is_all_exported, ledger.exporter.last_error
         told = compare(fleet.ledger.entries, server.database.totals())
     assert server.billing.reply_counts["again"] > 0 and server.billing.reply_counts["conflict"] == 0
     assert told.served > 0 and (told.lost, told.doubled) == (0, 0)
@@ -73,12 +73,12 @@
     uvloop.run(asyncio.wait_for(_killed(tmp_path), MOST))
 
 
-def _host(folder: Path) -> UseHost:
+def _host(folder: Path) -> UsageHost:
     bounds = Bounds(64, 4, 1_000_000, 1_000_000, "fold")
-    return UseHost(folder, bounds, Names("n0", ("a",), ("p",)), time.monotonic_ns, None)
+    return UsageHost(folder, bounds, Names("n0", ("a",), ("p",)), time.monotonic_ns, None)
 
 
-async def _until(host: UseHost, state: State) -> None:
+async def _until(host: UsageHost, state: State) -> None:
     async with asyncio.timeout(MOST):
         while host.ledger.state is not state:
             await asyncio.sleep(0.005)
@@ -90,7 +90,7 @@
     await _until(first, State.LIVE)
     second.start()
     async with asyncio.timeout(MOST):
-        while "another process's" not in second.ledger.trouble:
+        while "another process's" not in second.ledger.last_error:
             await asyncio.sleep(0.005)
     second.count(Ending.SERVED, 0, 0, 0, 7, 1.0, 1)
     assert second.ledger.folded == 1, "what the second counts is kept as sums until the folder is free"
@@ -111,10 +111,10 @@
         host = _host(tmp_path / "file" / "use")
         host.start()
         async with asyncio.timeout(MOST):
-            while not host.ledger.trouble:
+            while not host.ledger.last_error:
                 await asyncio.sleep(0.005)
         host.count(Ending.SERVED, 0, 0, 0, 7, 1.0, 1)
-        assert host.ledger.folded == 1 and host.ledger.trouble == "Not a directory"
+        assert host.ledger.folded == 1 and host.ledger.last_error == "Not a directory"
         await host.abandon()
 
     uvloop.run(asyncio.wait_for(body(), MOST))
@@ -215,7 +215,7 @@
     rows = billing.store.rows  # type: ignore[attr-defined]
     day = rows[0].time // DAY_MS
     assert len(rows) == 40 and {row.time // DAY_MS for row in rows} == {day}
-    lines = [(f"{member:016x}", day, 1, 20, str(10 * NANO)) for member in (7, 8)]
+    lines = [(f"{member:016x}", day, 1, 20, str(10 * NANO_PER_UNIT)) for member in (7, 8)]
     received.write_bytes(msgspec.json.encode(lines))
     status, told = _words(capsys, "reconcile", str(folder), "--received", str(received))
     assert status == 0 and "40 requests, 20.000 units in the journals: no differences" in told
@@ -246,7 +246,7 @@
     assert "40 records check" in _words(capsys, "verify", str(folder))[1]
     segment = next(folder.glob("use-*.log"))
     data = bytearray(segment.read_bytes())
-    data[HEAD_BYTES + 3 * SLOT_BYTES + 9] ^= 1
+    data[HEADER_BYTES + 3 * SLOT_BYTES + 9] ^= 1
     segment.write_bytes(data)
     status, told = _words(capsys, "verify", str(folder))
     assert status == 1 and "epoch 1: 1 records are damaged, the first at place 4" in told
--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -25,7 +25,7 @@
 from ..usage.control import AREA_SIZE, AREAS, Control, Names, pack
 from ..usage.host import export_all
 from ..usage.ledger import UsageLedger
-from ..usage.record import NANO, Ending
+from ..usage.record import NANO_PER_UNIT, Ending
 from ..usage.totals import Amount
 
 MAX_DIFFERENCES = 40  # that are printed; the rest is counted
@@ -67,7 +67,7 @@
 
 
 def _format_units(nano_units: int) -> str:
-    return f"{nano_units / NANO:.3f}"
+    return f"{nano_units / NANO_PER_UNIT:.3f}"
 
 
 def _format_amount(amount: Amount) -> str:
@@ -77,8 +77,8 @@
 def _show(found: Audit) -> int:
     control = found.control
     if control is None:
-        print("; ".join(found.wrong) or "nothing was recorded here yet")
-        return 1 if found.wrong else 0
+        print("; ".join(found.problems) or "nothing was recorded here yet")
+        return 1 if found.problems else 0
     print(f"producer {control.producer}: {found.segments} segments, {found.bytes / BYTES_PER_MB:.1f} MB")
     _print_streams(found, control)
     for ending in Ending:
@@ -89,7 +89,7 @@
             print(f"{ending.name.lower()}: {requests} requests, {_format_units(units)} units")
     for reason, number in control.lost.items():
         print(f"lost, {reason}: {number} records")
-    for text in found.wrong:
+    for text in found.problems:
         print(f"look at: {text}")
     return 0
 
@@ -113,13 +113,13 @@
     damaged = sum(len(each.damaged) for each in found.streams)
     missing = sum(each.missing for each in found.streams)
     torn = sum(len(each.torn) for each in found.streams)
-    for text in found.wrong:
+    for text in found.problems:
         print(text)
     print(
         f"{records} records check, {damaged} are damaged, "
         f"{missing} are missing; {torn} were torn by a loss of power"
     )
-    return 1 if found.wrong else 0
+    return 1 if found.problems else 0
 
 
 def _export(options: argparse.Namespace) -> int:
@@ -149,7 +149,7 @@
 
 
 def _fault(ledger: UsageLedger) -> str:
-    return ledger.exporter.trouble or ledger.trouble
+    return ledger.exporter.last_error or ledger.last_error
 
 
 def _received(source: str) -> list[Received]:
@@ -186,7 +186,7 @@
 def _difference_line(difference: Difference) -> str:
     day = datetime.fromtimestamp(difference.day * SECONDS_PER_DAY, UTC).date()
     return (
-        f"{difference.customer:016x} {day} {Ending(difference.ending).name.lower():<8} "
+        f"{difference.tenant:016x} {day} {Ending(difference.ending).name.lower():<8} "
         f"journal {_format_amount(difference.journal)}, "
         f"exported {_format_amount(difference.exported)}, "
         f"received {_format_amount(difference.received)}: {difference.kind}"
--- a/trackspread/node/usage_part.py
+++ b/trackspread/node/usage_part.py
@@ -14,7 +14,7 @@
 from ..config.platform import Config
 from ..storage.slots import SLOT_BYTES
 from ..usage.control import Names
-from ..usage.host import UseHost
+from ..usage.host import UsageHost
 from ..usage.ledger import Bounds
 from ..usage.record import Ending
 from ..usage.senders import Sender, make_configured_sender
@@ -59,7 +59,7 @@
 
     def __init__(self, config: Config, use: Use, now: Callable[[], int]) -> None:
         """`now`: the gateway's clock, in ns. Raises `ConfigError`."""
-        self.host = UseHost(
+        self.host = UsageHost(
             Path(use.folder), ledger_bounds(use), record_names(config), now, billing_sender(use)
         )
 
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -10,16 +10,16 @@
 
 from .interfaces import Area, Files
 from .slots import (
-    HEAD_BYTES,
+    HEADER_BYTES,
     SLOT_BYTES,
-    Head,
+    SegmentHeader,
     Scan,
     SegmentError,
     count_written_slots,
-    pack_head,
+    pack_header,
     scan,
     slot_offset,
-    unpack_head,
+    unpack_header,
 )
 
 
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """Creates a segment with its head; the result is its `Area`."""
+    """Creates a segment with its header; the result is its `Area`."""
 
-    head: Head
+    header: SegmentHeader
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     The result is a `Scan`, or None if the segment no longer exists.
     """
 
-    head: Head
+    header: SegmentHeader
     first: int
     last: int
     area: Area | None = None
@@ -97,7 +97,7 @@
 class FoundSegment(NamedTuple):
     """A readable segment and its number of written slots."""
 
-    head: Head
+    header: SegmentHeader
     written_slots: int
 
 
@@ -150,8 +150,8 @@
 def perform(files: Files, call: Call) -> Result:
     """Performs one call and returns its result; raises `OSError`."""
     match call:
-        case Create(head):
-            return _create(files, head)
+        case Create(header):
+            return _create(files, header)
         case Read():
             return _read(files, call)
         case InspectFolder():
@@ -177,9 +177,9 @@
             _refresh(files, call)
 
 
-def _create(files: Files, head: Head) -> Area:
-    area = files.create(segment_name(head.epoch, head.index), head.size)
-    area.write(0, pack_head(head))
+def _create(files: Files, header: SegmentHeader) -> Area:
+    area = files.create(segment_name(header.epoch, header.index), header.size)
+    area.write(0, pack_header(header))
     area.sync()
     return area
 
@@ -201,17 +201,17 @@
 
 
 def _read(files: Files, call: Read) -> Scan | None:
-    head = call.head
-    offset = slot_offset(head, call.first)
+    header = call.header
+    offset = slot_offset(header, call.first)
     size = (call.last - call.first + 1) * SLOT_BYTES
     if call.area is not None:
-        return scan(call.area.read(offset, size), head, call.first)
+        return scan(call.area.read(offset, size), header, call.first)
     try:
-        area = files.open(segment_name(head.epoch, head.index))
+        area = files.open(segment_name(header.epoch, header.index))
     except FileNotFoundError:
         return None
     try:
-        return scan(area.read(offset, size), head, call.first)
+        return scan(area.read(offset, size), header, call.first)
     finally:
         area.close()
 
@@ -235,12 +235,12 @@
         return
     data = area.read()
     area.close()
-    written_slots = count_written_slots(data[HEAD_BYTES:])
+    written_slots = count_written_slots(data[HEADER_BYTES:])
     try:
-        head = unpack_head(data)
-        if (head.epoch, head.index) != segment:
-            raise SegmentError(f"its head says epoch {head.epoch}, part {head.index}")
-        found.segments[segment] = FoundSegment(head, written_slots)
+        header = unpack_header(data)
+        if (header.epoch, header.index) != segment:
+            raise SegmentError(f"its header says epoch {header.epoch}, part {header.index}")
+        found.segments[segment] = FoundSegment(header, written_slots)
     except SegmentError as error:
         found.broken[name] = str(error)
         found.written_in_broken[name] = written_slots
--- a/trackspread/storage/journal.py
+++ b/trackspread/storage/journal.py
@@ -15,7 +15,7 @@
 
 from .calls import Sync
 from .interfaces import Area
-from .slots import Head, checksum_seed, pack_mark, pack_slot, slot_offset
+from .slots import SegmentHeader, checksum_seed, pack_mark, pack_slot, slot_offset
 
 MARK_EVERY = 256  # slots between marks; behind the last mark, damage can't be told from a torn write
 ALLOCATE_AT_FREE_FRACTION = 0.5  # of the current segment: the next one is allocated from there on
@@ -36,24 +36,24 @@
     and `pending` holds the payloads behind it, marks included.
     """
 
-    def __init__(self, head: Head, area: Area) -> None:
-        self.epoch = head.epoch
-        self.nonce = head.nonce
-        self.slots = head.slots
+    def __init__(self, header: SegmentHeader, area: Area) -> None:
+        self.epoch = header.epoch
+        self.nonce = header.nonce
+        self.slots = header.slots
         self.next = 1
         self.committed = 0
         self.pending: deque[bytes] = deque()
-        self._seed = checksum_seed(head.nonce)
+        self._seed = checksum_seed(header.nonce)
         self._marked = 0  # `committed` as the last mark states it
-        self._head = head
+        self._head = header
         self._area = area
         self._final_mark_written = False
         self._spare: Area | None = None
         self._dirty: dict[int, Area] = {0: area}  # by segment index: what the next commit has to sync
 
-    def head(self, index: int) -> Head:
-        """Returns the head of this stream's segment number `index`."""
-        return Head(self.epoch, index, self.slots, self.nonce)
+    def header(self, index: int) -> SegmentHeader:
+        """Returns the header of this stream's segment number `index`."""
+        return SegmentHeader(self.epoch, index, self.slots, self.nonce)
 
     @property
     def index(self) -> int:
@@ -65,11 +65,11 @@
         allocated = self._free_in_segment() + (self.slots if self._spare is not None else 0)
         return min(allocated, self.slots - len(self.pending))
 
-    def needed_segment(self) -> Head | None:
-        """Returns the head of the segment that should be allocated now, or None."""
+    def needed_segment(self) -> SegmentHeader | None:
+        """Returns the header of the segment that should be allocated now, or None."""
         if self._spare is not None or self._free_in_segment() > self.slots * ALLOCATE_AT_FREE_FRACTION:
             return None
-        return self.head(self.index + 1)
+        return self.header(self.index + 1)
 
     def _free_in_segment(self) -> int:
         return self._head.last - self.next + 1
@@ -107,7 +107,7 @@
     def _write_slot(self, payload: bytes) -> None:
         if self.next > self._head.last:
             assert self._spare is not None
-            self._head = self.head(self.index + 1)
+            self._head = self.header(self.index + 1)
             self._area = self._spare
             self._spare = None
         self._area.write(slot_offset(self._head, self.next), pack_slot(payload, self._seed, self.next))
@@ -127,7 +127,7 @@
             self.committed += 1
             self.pending.popleft()
         earlier = [index for index in self._dirty if index < self.index]
-        full = [index for index in earlier if self.committed >= self.head(index).last]
+        full = [index for index in earlier if self.committed >= self.header(index).last]
         return [self._dirty.pop(index) for index in full]
 
     def areas(self) -> list[Area]:
@@ -137,8 +137,8 @@
             areas.append(self._spare)
         return areas
 
-    def area(self, head: Head) -> Area | None:
-        """Returns the open file of segment `head`, or None if it is not open or of another stream."""
-        if head.epoch != self.epoch:
+    def area(self, header: SegmentHeader) -> Area | None:
+        """Returns the open file of segment `header`, or None if it is not open or of another stream."""
+        if header.epoch != self.epoch:
             return None
-        return self._area if head.index == self.index else self._dirty.get(head.index)
+        return self._area if header.index == self.index else self._dirty.get(header.index)
--- a/trackspread/storage/slots.py
+++ b/trackspread/storage/slots.py
@@ -1,4 +1,4 @@
-"""Layout of a journal segment: a head, then slots of one size, each with its own checksum.
+"""Layout of a journal segment: a header, then slots of one size, each with its own checksum.
 
 - A slot's checksum covers its stream and its sequence number, so a slot of another stream or another place in
   the file is never accepted.
@@ -17,12 +17,12 @@
 
 PAYLOAD_BYTES = 40
 SLOT_BYTES = PAYLOAD_BYTES + 4  # with the checksum
-HEAD_BYTES = 48  # with the checksum
+HEADER_BYTES = 48  # with the checksum
 MARK = 0xFF  # first byte of a mark's payload; other payloads begin with 1 to 254
 MAGIC = b"TSJL"
 LAYOUT = 1
-_HEAD = struct.Struct("<4sHHIIQ16s")
-_HEAD_CHECKSUM = struct.Struct("<Q")
+_HEADER = struct.Struct("<4sHHIIQ16s")
+_HEADER_CHECKSUM = struct.Struct("<Q")
 _SLOT_CHECKSUM = struct.Struct("<I")
 _MARK = struct.Struct("<B7xQ24x")
 _EMPTY_SLOT = bytes(SLOT_BYTES)
@@ -31,7 +31,7 @@
 
 
 class SegmentError(ValueError):
-    """A head that can't be read; `newer` is set if a newer version of the program wrote it."""
+    """A header that can't be read; `newer` is set if a newer version of the program wrote it."""
 
     def __init__(self, text: str, newer: bool = False) -> None:
         super().__init__(text)
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class SegmentHeader:
     """Identifies a segment: part `index` of stream `epoch`, with a number of `slots`.
 
     `nonce` is random and the same in all segments of the stream.
@@ -63,28 +63,28 @@
     @property
     def size(self) -> int:
         """The size of the file in bytes."""
-        return HEAD_BYTES + self.slots * SLOT_BYTES
+        return HEADER_BYTES + self.slots * SLOT_BYTES
 
 
-def pack_head(head: Head) -> bytes:
-    """Encodes a head with its checksum."""
-    body = _HEAD.pack(MAGIC, LAYOUT, SLOT_BYTES, head.epoch, head.index, head.slots, head.nonce)
-    return body + _HEAD_CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
+def pack_header(header: SegmentHeader) -> bytes:
+    """Encodes a header with its checksum."""
+    body = _HEADER.pack(MAGIC, LAYOUT, SLOT_BYTES, header.epoch, header.index, header.slots, header.nonce)
+    return body + _HEADER_CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
 
 
-def unpack_head(data: bytes) -> Head:
-    """Decodes the head of a complete segment; raises `SegmentError`."""
-    if len(data) < HEAD_BYTES or data[:4] != MAGIC:
+def unpack_header(data: bytes) -> SegmentHeader:
+    """Decodes the header of a complete segment; raises `SegmentError`."""
+    if len(data) < HEADER_BYTES or data[:4] != MAGIC:
         raise SegmentError("not a segment")
-    body = data[: _HEAD.size]
-    _, layout, slot, epoch, index, slots, nonce = _HEAD.unpack(body)
-    if _HEAD_CHECKSUM.unpack_from(data, _HEAD.size)[0] != xxhash.xxh3_64_intdigest(body):
-        raise SegmentError("the head's checksum does not fit")
+    body = data[: _HEADER.size]
+    _, layout, slot, epoch, index, slots, nonce = _HEADER.unpack(body)
+    if _HEADER_CHECKSUM.unpack_from(data, _HEADER.size)[0] != xxhash.xxh3_64_intdigest(body):
+        raise SegmentError("the header's checksum does not fit")
     if layout > LAYOUT:
         raise SegmentError(f"found layout {layout}, which a newer program wrote, wanted {LAYOUT}", newer=True)
-    if slot != SLOT_BYTES or len(data) < HEAD_BYTES + slots * SLOT_BYTES:
-        raise SegmentError("the segment is shorter than its head says")
-    return Head(epoch, index, slots, nonce)
+    if slot != SLOT_BYTES or len(data) < HEADER_BYTES + slots * SLOT_BYTES:
+        raise SegmentError("the segment is shorter than its header says")
+    return SegmentHeader(epoch, index, slots, nonce)
 
 
 def checksum_seed(nonce: bytes) -> int:
@@ -118,10 +118,10 @@
     marked: int = 0
 
 
-def scan(data: bytes, head: Head, first: int) -> Scan:
+def scan(data: bytes, header: SegmentHeader, first: int) -> Scan:
     """Decodes the slots in `data`, of which the first has sequence number `first`."""
     found = Scan()
-    seed = checksum_seed(head.nonce)
+    seed = checksum_seed(header.nonce)
     for offset in range(0, len(data) - SLOT_BYTES + 1, SLOT_BYTES):
         slot = data[offset : offset + SLOT_BYTES]
         sequence = first + offset // SLOT_BYTES
@@ -139,10 +139,10 @@
 
 
 def count_written_slots(data: bytes) -> int:
-    """Returns the number of slots up to the last written one; `data` is a segment without its head."""
+    """Returns the number of slots up to the last written one; `data` is a segment without its header."""
     return -(-len(data.rstrip(b"\0")) // SLOT_BYTES)
 
 
-def slot_offset(head: Head, sequence: int) -> int:
+def slot_offset(header: SegmentHeader, sequence: int) -> int:
     """Returns where slot `sequence` begins in its segment, in bytes."""
-    return HEAD_BYTES + (sequence - head.first) * SLOT_BYTES
+    return HEADER_BYTES + (sequence - header.first) * SLOT_BYTES
--- a/trackspread/testing/harness/billing_check.py
+++ b/trackspread/testing/harness/billing_check.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ...usage.record import Ending, nano
+from ...usage.record import Ending, to_nano_units
 from ..judge.ledger import ClientDisconnected, ConnectionLost, Entry, ReplyReceived, RequestSent
 from ..standins.billing_database import UsageTotals
 
@@ -47,7 +47,7 @@
         ending = endings.get(request, "unknown")
         if ending in ("served", "unknown"):
             counts = served if ending == "served" else uncertain
-            counts[f"{sent.tenant:016x}"] += nano(sent.units)
+            counts[f"{sent.tenant:016x}"] += to_nano_units(sent.units)
     billed = Counter[str]()
     for (tenant, _, record_ending), (_, units) in totals.items():
         billed[tenant] += units * (record_ending == Ending.SERVED)
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -14,7 +14,7 @@
 from ....storage.calls import Refresh, Result, Sync
 from ....storage.journal import Journal
 from ....storage.interfaces import Files
-from ....storage.slots import Head, Scan
+from ....storage.slots import Scan, SegmentHeader
 from ....usage import exporter, stream_writer
 from ....usage.batch import Reply
 from ....usage.checkpoint import CheckpointStore
@@ -53,10 +53,10 @@
 def _nonce_used_again() -> list[Any]:
     """Every incarnation writes a stream with the same nonce."""
 
-    def mutant(epoch: int, index: int, slots: int, nonce: bytes) -> Head:
-        return Head(epoch, index, slots, bytes(16))
+    def mutant(epoch: int, index: int, slots: int, nonce: bytes) -> SegmentHeader:
+        return SegmentHeader(epoch, index, slots, bytes(16))
 
-    return [patch.object(stream_writer, "Head", mutant)]
+    return [patch.object(stream_writer, "SegmentHeader", mutant)]
 
 
 def _epoch_used_again() -> list[Any]:
@@ -207,7 +207,11 @@
 def _fork_names_differ() -> list[Any]:
     """Each copy of a folder gives the records after a seal another name."""
     numbers = count()
-    return [patch.object(exporter, "forked", lambda stream, first: f"{stream}:{first}:{next(numbers)}")]
+    return [
+        patch.object(
+            exporter, "continuation_stream_id", lambda stream, first: f"{stream}:{first}:{next(numbers)}"
+        )
+    ]
 
 
 def _length_sent_while_live() -> list[Any]:
--- a/trackspread/testing/virtual/usage/schedules.py
+++ b/trackspread/testing/virtual/usage/schedules.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from ....storage.slots import HEAD_BYTES, SLOT_BYTES
+from ....storage.slots import HEADER_BYTES, SLOT_BYTES
 from ....usage.ledger import Bounds, State
 from ....usage.record import Ending, Kind
 from .disk import Disk
@@ -270,7 +270,7 @@
             return
         name = self.rng.choice(names)
         data = disk.files[name].cached
-        slot = HEAD_BYTES + self.rng.randrange((len(data) - HEAD_BYTES) // SLOT_BYTES) * SLOT_BYTES
+        slot = HEADER_BYTES + self.rng.randrange((len(data) - HEADER_BYTES) // SLOT_BYTES) * SLOT_BYTES
         if data[slot] == Kind.USE:
             self._flipped = True
             disk.flip_bit(name, slot + self.rng.randrange(1, SLOT_BYTES))
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -17,16 +17,24 @@
 from ..storage.calls import parse_segment_name
 from ..storage.document import DocumentError
 from ..storage.interfaces import Files
-from ..storage.slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, scan, unpack_head
+from ..storage.slots import (
+    HEADER_BYTES,
+    Scan,
+    SegmentError,
+    SegmentHeader,
+    count_written_slots,
+    scan,
+    unpack_header,
+)
 from .control import AREAS, Control, Names, Part, Stream, newest
 from .record import unpack
 from .totals import NOTHING, SCHEMA, Amount, SegmentTotals, Totals
 
 
 class SegmentScan(NamedTuple):
-    """One segment's head and slots."""
+    """One segment's header and slots."""
 
-    head: Head
+    header: SegmentHeader
     scan: Scan
 
 
@@ -55,8 +63,8 @@
     """The audit of one folder.
 
     `newer`: a newer version of the program wrote here. `journal` has the totals of all that was recorded,
-    `exported` of what billing has acknowledged. `wrong` are lines about faults, for operators. `segments` and
-    `bytes` count what is on the disk.
+    `exported` of what billing has acknowledged. `problems` are lines for operators about faults. `segments`
+    and `bytes` count what is on the disk.
     """
 
     control: Control | None
@@ -64,7 +72,7 @@
     streams: list[StreamAudit] = field(default_factory=list)
     journal: Totals = field(default_factory=Totals)
     exported: Totals = field(default_factory=Totals)
-    wrong: list[str] = field(default_factory=list)
+    problems: list[str] = field(default_factory=list)
     segments: int = 0
     bytes: int = 0
 
@@ -74,18 +82,18 @@
     names = files.names()
     copies = [files.load(name) or b"" for name in AREAS]
     checkpoint = newest(copies)
-    result = Audit(checkpoint.control, checkpoint.newer, wrong=checkpoint.errors)
+    result = Audit(checkpoint.control, checkpoint.newer, problems=checkpoint.errors)
     control = checkpoint.control
     if control is None:
         if any(parse_segment_name(name) for name in names):
-            result.wrong.append("there are records, and no control that can be read")
+            result.problems.append("there are records, and no control that can be read")
         return result
     scans: dict[int, list[SegmentScan]] = {}
     for name in names:
         if (location := parse_segment_name(name)) is not None:
             segment = _scan_segment(result, files, control, name, location)
             if segment is not None:
-                scans.setdefault(segment.head.epoch, []).append(segment)
+                scans.setdefault(segment.header.epoch, []).append(segment)
     for epoch, stream in sorted(control.streams.items()):
         result.streams.append(_audit_stream(result, epoch, stream, scans.get(epoch, [])))
     for name in names:
@@ -106,11 +114,11 @@
     if stream is None:
         return None
     try:
-        unpack_head(data)
+        unpack_header(data)
     except SegmentError as error:
-        result.wrong.append(f"{name}: {error}")
-    head = Head(epoch, index, stream.slots, bytes.fromhex(stream.nonce))
-    return SegmentScan(head, scan(data[HEAD_BYTES:], head, head.first))
+        result.problems.append(f"{name}: {error}")
+    header = SegmentHeader(epoch, index, stream.slots, bytes.fromhex(stream.nonce))
+    return SegmentScan(header, scan(data[HEADER_BYTES:], header, header.first))
 
 
 def _audit_stream(result: Audit, epoch: int, stream: Stream, segments: list[SegmentScan]) -> StreamAudit:
@@ -120,14 +128,14 @@
     audited.length = stream.length if stream.length is not None else last_written
     for segment in segments:
         _audit_records(result, audited, segment.scan)
-    present = {segment.head.index for segment in segments}
+    present = {segment.header.index for segment in segments}
     segment_count = -(-audited.length // stream.slots)
     missing = [index for index in range(stream.first_segment, segment_count) if index not in present]
     if missing:
-        result.wrong.append(f"epoch {epoch}: segments {', '.join(map(str, missing))} are missing")
+        result.problems.append(f"epoch {epoch}: segments {', '.join(map(str, missing))} are missing")
         audited.missing += len(missing) * stream.slots
     if audited.damaged:
-        result.wrong.append(
+        result.problems.append(
             f"epoch {epoch}: {len(audited.damaged)} records are damaged, the first at place "
             f"{audited.damaged[0]}"
         )
@@ -153,7 +161,7 @@
     try:
         totals = SCHEMA.unpack(data, SegmentTotals)
     except DocumentError as error:
-        result.wrong.append(f"{name}: {error}")
+        result.problems.append(f"{name}: {error}")
         return
     result.journal.add_rows(totals.lines)
     result.exported.add_rows(totals.lines)
@@ -175,7 +183,7 @@
     """A tenant's day and ending for which journal, export and billing differ; each has requests and
     billionths of units."""
 
-    customer: int
+    tenant: int
     day: int
     ending: int
     journal: Amount
@@ -229,17 +237,17 @@
         epoch, index = location
         data = files.load(name) or b""
         try:
-            head = unpack_head(data)
+            header = unpack_header(data)
         except SegmentError as error:
             if error.newer:
                 raise DocumentError(f"{name}: {error}", newer=True) from None
             continue
-        nonce = head.nonce.hex()
-        new = Stream(nonce, head.slots, 0, [Part(1, nonce)], 0, 0, index)
+        nonce = header.nonce.hex()
+        new = Stream(nonce, header.slots, 0, [Part(1, nonce)], 0, 0, index)
         stream = control.streams.setdefault(epoch, new)
         if stream.nonce != nonce:
             raise DocumentError(f"{name}: it is of another life than the others of its epoch")
-        stream.length = max(stream.length or 0, head.first - 1 + count_written_slots(data[HEAD_BYTES:]))
+        stream.length = max(stream.length or 0, header.first - 1 + count_written_slots(data[HEADER_BYTES:]))
         stream.first_segment = min(stream.first_segment, index)
         control.epoch = max(control.epoch, epoch)
     control.streams = {epoch: stream for epoch, stream in control.streams.items() if stream.length}
--- a/trackspread/usage/context.py
+++ b/trackspread/usage/context.py
@@ -13,7 +13,7 @@
 from .disk_calls import DiskCalls, OnFailure, OnSuccess
 from .exporter import Exporter
 from .meter import Meter
-from .segments import Full, SegmentStore
+from .segments import FullPolicy, SegmentStore
 
 SECOND = 1_000_000_000
 ALARM_INTERVAL_NS = 60 * SECOND  # between two alarms about the same lack of room
@@ -58,7 +58,7 @@
     max_segments: int
     commit_delay_ns: int
     batch_delay_ns: int
-    when_full: Full
+    when_full: FullPolicy
 
 
 @dataclass(slots=True)
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from ..storage.calls import Read
-from ..storage.slots import Head, Scan
+from ..storage.slots import Scan, SegmentHeader
 from .batch import Batch, Reply, digest, encode, rows
 from .control import Control, Intent, Part, Stream
 
@@ -66,7 +66,7 @@
     last: int
 
 
-def forked(stream: str, first: int) -> str:
+def continuation_stream_id(stream: str, first: int) -> str:
     """The name under which a fenced stream continues from slot `first`. All who have a copy of these records
     derive the same name, so billing takes them once, whoever sends them."""
     name = f"{stream}:{first}".encode()
@@ -77,7 +77,7 @@
     """The state of the current batch.
 
     Where it changes the checkpoint it sets `dirty`, for the ledger to save it. `alarms` are lines for
-    operators. `trouble` is the error of the last attempt, empty after a success.
+    operators. `last_error` is the error of the last attempt, empty after a success.
     """
 
     def __init__(self, batch_delay_ns: int, rng: random.Random) -> None:
@@ -85,7 +85,7 @@
         self.stage = Stage.IDLE
         self.dirty = False
         self.alarms: list[str] = []
-        self.trouble = ""
+        self.last_error = ""
         self._batch_delay_ns = batch_delay_ns
         self._rng = rng
         self._range: SlotRange | None = None
@@ -112,8 +112,8 @@
         self.stage = Stage.READING
         stream = control.streams[slots.epoch]
         index = (slots.first - 1) // stream.slots
-        head = Head(slots.epoch, index, stream.slots, bytes.fromhex(stream.nonce))
-        return Read(head, slots.first, slots.last)
+        header = SegmentHeader(slots.epoch, index, stream.slots, bytes.fromhex(stream.nonce))
+        return Read(header, slots.first, slots.last)
 
     def _next_range(self, now: int, control: Control, committed: int) -> SlotRange | None:
         for epoch, stream in sorted(control.streams.items()):
@@ -175,15 +175,15 @@
         self._sent_at_ns = now
         return self._post
 
-    def send_failed(self, now: int, why: str, retry_after_ns: int = 0, final: bool = False) -> None:
+    def send_failed(self, now: int, reason: str, retry_after_ns: int = 0, final: bool = False) -> None:
         """The attempt failed: billing was not reached, did not answer, or answered with an error.
 
         `retry_after_ns` is the receiver's Retry-After; `final`: a retry can't resolve it.
         """
         self.stage = Stage.BACKING_OFF
-        if why != self.trouble:
-            self.alarms.append(f"export waits: {why}")
-        self.trouble = why
+        if reason != self.last_error:
+            self.alarms.append(f"export waits: {reason}")
+        self.last_error = reason
         if final:
             pause_ns = REJECTED_BACKOFF_NS
         else:
@@ -195,9 +195,9 @@
         """Billing's reply to the batch that was sent."""
         assert self._range is not None and control.intent is not None
         slots, stream = self._range, control.streams[self._range.epoch]
-        if self.trouble:
+        if self.last_error:
             self.alarms.append("export goes on")
-        self.trouble = ""
+        self.last_error = ""
         self._backoff_ns = MIN_BACKOFF_NS
         self.dirty = True
         if reply.conflict:
@@ -220,7 +220,7 @@
         """Another incarnation has sealed this stream before its end here: it is split at the seal."""
         sealed = reply.sealed if reply.sealed is not None else reply.taken
         part = stream.part(slots.first).part
-        name = forked(part.id, sealed + 1)
+        name = continuation_stream_id(part.id, sealed + 1)
         stream.parts.insert(stream.parts.index(part) + 1, Part(sealed + 1, name))
         stream.acked = min(stream.acked, sealed)
         self.alarms.append(
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -21,7 +21,7 @@
 from .control import Names
 from .exporter import Post, Stage
 from .ledger import Bounds, UsageLedger
-from .record import Ending, nano
+from .record import Ending, to_nano_units
 from .senders import Sender, SendError
 
 log = logging.getLogger(__name__)
@@ -45,7 +45,7 @@
     """What `export_all` calls by default."""
 
 
-class UseHost:
+class UsageHost:
     """One gateway's ledger on a real folder, with a real sender."""
 
     def __init__(
@@ -90,7 +90,15 @@
         without a record."""
         time_ms = time.time_ns() // NS_PER_MS
         self.ledger.count(
-            self._now(), time_ms, ending, request_class, plan, plan_version, tenant, nano(units), attempts
+            self._now(),
+            time_ms,
+            ending,
+            request_class,
+            plan,
+            plan_version,
+            tenant,
+            to_nano_units(units),
+            attempts,
         )
 
     def _poll(self) -> None:
@@ -195,7 +203,7 @@
     Calls `on_progress` once a second. Returns the ledger as it is at the end; its `is_all_exported` says
     whether all records were sent.
     """
-    host = UseHost(folder, EXPORT_BOUNDS, Names("", (), ()), time.monotonic_ns, sender, write=False)
+    host = UsageHost(folder, EXPORT_BOUNDS, Names("", (), ()), time.monotonic_ns, sender, write=False)
     host.start()
     deadline, next_report = time.monotonic() + timeout_s, 0.0
     ledger = host.ledger
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -32,15 +32,15 @@
 class UsageLedger:
     """One process's ledger on one folder.
 
-    `alarms` are lines for operators; the host takes them. `trouble` is the last error of the disk, empty once
-    a call has succeeded while records are written. `count` records a request: see `Recorder.count`.
+    `alarms` are lines for operators; the host takes them. `last_error` is the last error of the disk, empty
+    once a call has succeeded while records are written. `count` records a request: see `Recorder.count`.
     """
 
     def __init__(self, bounds: Bounds, names: Names, rng: random.Random, write: bool = True) -> None:
         """`names`: of this gateway. Without `write` nothing is recorded, and what earlier incarnations left
         is exported."""
         self.alarms: list[str] = []
-        self.trouble = ""
+        self.last_error = ""
         self.meter = Meter()
         self.exporter = Exporter(bounds.batch_delay_ns, rng)
         self.segment_store = SegmentStore(bounds.max_segments, bounds.when_full)
@@ -130,9 +130,9 @@
             pending.on_failure(now, result)
         else:
             pending.on_success(now, result)
-            if self.trouble and self.state is State.LIVE:
+            if self.last_error and self.state is State.LIVE:
                 self.alarms.append("use: the disk works again")
-                self.trouble = ""
+                self.last_error = ""
         self.alarms += [f"use: {text}" for text in self.exporter.alarms + self.segment_store.alarms]
         self.exporter.alarms.clear()
         self.segment_store.alarms.clear()
@@ -152,9 +152,9 @@
         return released
 
     def _disk_failed(self, error: OSError) -> None:
-        why = error.strerror or str(error)
-        if why != self.trouble:
-            self.alarms.append(f"use: the disk failed: {why}")
-        self.trouble = why
+        reason = error.strerror or str(error)
+        if reason != self.last_error:
+            self.alarms.append(f"use: the disk failed: {reason}")
+        self.last_error = reason
         if error.errno in (errno.ENOSPC, errno.EDQUOT):
             self.segment_store.disk_full = True
--- a/trackspread/usage/maintenance.py
+++ b/trackspread/usage/maintenance.py
@@ -55,8 +55,8 @@
         read = exporter.next_read(now, control, journal.committed if journal is not None else 0)
         if read is None:
             return None
-        if journal is not None and (area := journal.area(read.head)) is not None:
-            read = Read(read.head, read.first, read.last, area)
+        if journal is not None and (area := journal.area(read.header)) is not None:
+            read = Read(read.header, read.first, read.last, area)
 
         def records_read(now: int, scan: Result) -> None:
             assert scan is None or isinstance(scan, Scan)
--- a/trackspread/usage/record.py
+++ b/trackspread/usage/record.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-NANO = 1_000_000_000
+NANO_PER_UNIT = 1_000_000_000
 DAY_MS = 86_400_000
 MAX_REQUESTS = 0xFFFFFFFF
 MAX_NANO_UNITS = 0xFFFFFFFFFFFFFFFF
@@ -53,9 +53,9 @@
     nano_units: int
 
 
-def nano(units: float) -> int:
+def to_nano_units(units: float) -> int:
     """Units as billionths; a decimal number of up to 15 digits is converted exactly."""
-    return round(units * NANO)
+    return round(units * NANO_PER_UNIT)
 
 
 # Takes the fields of a `UsageRecord` in their order: no record is built for each request on the hot path.
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -27,13 +27,13 @@
     segment_name,
 )
 from ..storage.journal import Journal
-from ..storage.slots import Head, Scan
+from ..storage.slots import Scan, SegmentHeader
 from .control import Control, Stream
 from .record import unpack
 from .totals import SegmentTotals, Totals, pack, sum_name
 
 MAX_SUM_FILES = 1024  # one per segment, about 20 kB each at most; the oldest are removed first
-Full = Literal["fold", "drop"]
+FullPolicy = Literal["fold", "drop"]
 
 
 class Step(NamedTuple):
@@ -59,7 +59,7 @@
     `dirty`: the checkpoint was changed here and is to be saved. `alarms` are lines for operators.
     """
 
-    def __init__(self, max_segments: int, when_full: Full) -> None:
+    def __init__(self, max_segments: int, when_full: FullPolicy) -> None:
         self.saved_watermarks: dict[int, int] = {}
         self.disk_full = False
         self.dirty = False
@@ -80,8 +80,8 @@
             if (segment := parse_segment_name(name)) is not None and segment.epoch in control.streams
         }
         last_slots = {
-            segment: head.first - 1 + written
-            for segment, (head, written) in found.segments.items()
+            segment: header.first - 1 + written
+            for segment, (header, written) in found.segments.items()
             if written
         }
         for segment, written in broken.items():
@@ -150,13 +150,13 @@
         segment = removal.segment
         stream = control.streams[segment.epoch]
         if removal.totals is None:
-            head = Head(*segment, stream.slots, bytes.fromhex(stream.nonce))
+            header = SegmentHeader(*segment, stream.slots, bytes.fromhex(stream.nonce))
 
             def read(scan: Result) -> None:
                 assert scan is None or isinstance(scan, Scan)
                 removal.totals = segment_totals(segment, stream, scan)
 
-            return Step(Read(head, head.first, stream.last_slot(segment.number)), read)
+            return Step(Read(header, header.first, stream.last_slot(segment.number)), read)
         if not removal.totals_done:
 
             def saved(_: Result) -> None:
--- a/trackspread/usage/stream_writer.py
+++ b/trackspread/usage/stream_writer.py
@@ -13,7 +13,7 @@
 from ..storage.calls import Call, Create, Result
 from ..storage.journal import Commit, Journal
 from ..storage.interfaces import Area
-from ..storage.slots import MARK, Head
+from ..storage.slots import MARK, SegmentHeader
 from .context import ALARM_INTERVAL_NS, LedgerContext, State
 from .control import MAX_STREAMS, Part, Stream
 from .disk_calls import RETRY_NS, Purpose
@@ -71,17 +71,17 @@
         # An attempt that failed may have left files: its epoch is not used again.
         context.highest_epoch += 1
         nonce = context.rng.randbytes(NONCE_BYTES)
-        head = Head(context.highest_epoch, 0, context.bounds.segment_slots, nonce)
+        header = SegmentHeader(context.highest_epoch, 0, context.bounds.segment_slots, nonce)
 
         def created(now: int, area: Result) -> None:
-            self._new_journal = Journal(head, cast(Area, area))
+            self._new_journal = Journal(header, cast(Area, area))
             former = self._recorder.journal
             for payload in former.pending if former is not None else ():
                 if payload[0] != MARK:
                     self._new_journal.append(payload)
             context.state = State.COPYING
 
-        return context.calls.start(Create(head), created, self._abandon_new_stream)
+        return context.calls.start(Create(header), created, self._abandon_new_stream)
 
     def _copy(self, now: int) -> Call | None:
         """Commit what the new stream has taken over from the former one."""
@@ -163,7 +163,7 @@
     def _extend(self, now: int, journal: Journal) -> Call | None:
         """Create the next segment if the stream wants one and there is room."""
         context = self._context
-        if (head := journal.needed_segment()) is None or not context.segment_store.may_create():
+        if (header := journal.needed_segment()) is None or not context.segment_store.may_create():
             return None
         if not context.calls.may_start(Purpose.SEGMENT, now):
             return None
@@ -172,7 +172,7 @@
             journal.add_segment(cast(Area, area))
             context.segment_store.add(journal.epoch, journal.index + 1)
 
-        return context.calls.start(Create(head), created, context.calls.retry_later(Purpose.SEGMENT))
+        return context.calls.start(Create(header), created, context.calls.retry_later(Purpose.SEGMENT))
 
     def _end(self, now: int, journal: Journal) -> Call | None:
         """Save the length of the stream: all is committed and the ledger is closing."""
