--- a/trackspread/commands/quota.py
+++ b/trackspread/commands/quota.py
@@ -57,35 +57,36 @@
 
 def lines(report: TenantReport) -> list[str]:
     """Returns a report as lines for operators."""
-    replaced = f"; found replaced {report.replaced} time(s)" if report.replaced else ""
+    replaced = f"; found replaced {report.replacements} time(s)" if report.replacements else ""
     text = [
-        f"member {report.member}, partition {report.partition}",
+        f"member {report.tenant}, partition {report.partition}",
         f"  source of truth   {report.source} (state: {report.state}{replaced})",
     ]
     if not report.plan:
         return [*text, "  no request of this member came here of late: nothing is held"]
     text += [
         f"  plan              {report.plan}",
-        f"  quota here        {report.level:.2f} of {report.burst:.2f} units, {report.rate:.2f} a second "
-        f"({report.soft:.1%} of the whole)",
+        f"  quota here        {report.tokens:.2f} of {report.burst:.2f} units, {report.rate:.2f} a second "
+        f"({report.quota_share:.1%} of the whole)",
     ]
-    if report.ceiling_burst:
+    if report.hard_limit_burst:
         text.append(
-            f"  ceiling here      {report.ceiling:.2f} of {report.ceiling_burst:.2f} units "
-            f"({report.hard:.1%} of the whole)"
+            f"  ceiling here      {report.hard_limit_tokens:.2f} of {report.hard_limit_burst:.2f} units "
+            f"({report.hard_limit_share:.1%} of the whole)"
         )
-    if report.open_most:
-        text.append(f"  open attempts     {report.open} of {report.open_most}")
+    if report.concurrency_limit:
+        text.append(f"  open attempts     {report.in_flight} of {report.concurrency_limit}")
     text += [
-        f"  in flight         {report.open}, of a cap of {report.cap}",
-        f"  claimed, proven   {report.claimed:.1%}, {report.proven:.1%}; its even slice is {report.even:.1%}",
-        f"  asked for here    {report.want:.2f} units a second",
-        f"  last refused for  {report.refused_for or 'none was refused'}",
+        f"  in flight         {report.in_flight}, of a cap of {report.cap}",
+        f"  claimed, proven   {report.claimed_share:.1%}, {report.proven_share:.1%}; "
+        f"its even slice is {report.static_share:.1%}",
+        f"  asked for here    {report.demand_per_s:.2f} units a second",
+        f"  last refused for  {report.rejection_reason or 'none was refused'}",
     ]
     for other in report.others:
         seen = f"seen alive {other.seen_s:.1f} s ago" if other.seen_s >= 0 else "never seen alive"
         text.append(
-            f"  gateway {other.gateway:<9} claims {other.share:.1%}, asked for {other.want:.2f} a "
+            f"  gateway {other.gateway:<9} claims {other.share:.1%}, asked for {other.demand_per_s:.2f} a "
             f"second, {seen}"
         )
     return text
--- a/trackspread/counter/__init__.py
+++ b/trackspread/counter/__init__.py
@@ -1,2 +1,1 @@
-"""Leases of tenants' limits over a counter that all gateways share and that may be lost, split or
-replaced."""
+"""Leases tenants' limits to gateways over a shared counter that may fail, be partitioned or be replaced."""
--- a/trackspread/counter/fair_shares.py
+++ b/trackspread/counter/fair_shares.py
@@ -1,7 +1,8 @@
-"""Who should hold how much of a tenant's limits, by demand: max-min fair shares, and turns where few fit.
+"""Computes the max-min fair shares of a tenant's limits from the gateways' demands.
 
-Pure arithmetic; knows nothing of who holds what, nor of time but as a turn. All gateways that read the same
-claims come to the same shares; safety does not rest on that (`lease.py`).
+Where the limits hold requests of only a few gateways, the gateways take turns. The module is pure arithmetic:
+it does not know which shares are held, and sees time only as the number of a turn. All gateways that read the
+same claims compute the same shares, but safety does not depend on that (see `lease.py`).
 """
 
 from __future__ import annotations
@@ -13,8 +14,10 @@
 
 
 def desired_share(terms: LeaseTerms, demand_per_s: float, static_share: float) -> float:
-    """The share of the pool that fits a gateway's demand, in units a second; of its `static_share` it has the
-    guaranteed part in any case."""
+    """Returns the share of the pool that covers a gateway's demand, which is in units per second.
+
+    The guaranteed part of its `static_share` belongs to the gateway in any case and needs no share of the
+    pool."""
     if demand_per_s <= 0.0:
         return 0.0
     needed = HEADROOM * demand_per_s / terms.rate_per_s if terms.rate_per_s else 1.0
@@ -31,25 +34,27 @@
     budget: float,
     turn: int,
 ) -> dict[int, float]:
-    """Shares by gateway that sum to `budget` at most: the smallest demands first, complete; the rest alike.
-    Where a share would not hold a request, only as many are served as hold one, in an order that each turn
-    draws anew.
+    """Returns shares by gateway that sum to at most `budget`.
+
+    The smallest demands are met completely, and the others get equal shares. If there are more gateways than
+    shares that hold one request, only as many gateways as there are such shares get one; their order is drawn
+    anew for each turn.
     """
     desired = {
         gateway: desired_share(terms, demand, static_shares.get(gateway, 0.0))
         for gateway, demand in demands.items()
     }
-    wanted = {gateway: share for gateway, share in desired.items() if share}
-    fitting = 0
+    desired = {gateway: share for gateway, share in desired.items() if share}
+    max_holders = 0
     if budget >= terms.min_share - EPSILON:
-        fitting = max(1, int(budget / terms.min_share + EPSILON))
-    if len(wanted) > fitting:
-        ranked = sorted(wanted, key=lambda gateway: rank(tenant, gateway, turn))
-        wanted = {gateway: wanted[gateway] for gateway in ranked[:fitting]}
+        max_holders = max(1, int(budget / terms.min_share + EPSILON))
+    if len(desired) > max_holders:
+        ranked = sorted(desired, key=lambda gateway: rank(tenant, gateway, turn))
+        desired = {gateway: desired[gateway] for gateway in ranked[:max_holders]}
     shares: dict[int, float] = {}
-    rest = budget
-    smallest_first = sorted(wanted, key=lambda gateway: (wanted[gateway], gateway))
-    for remaining, gateway in zip(range(len(wanted), 0, -1), smallest_first, strict=True):
-        shares[gateway] = min(wanted[gateway], rest / remaining)
-        rest -= shares[gateway]
+    remaining_budget = budget
+    smallest_first = sorted(desired, key=lambda gateway: (desired[gateway], gateway))
+    for remaining, gateway in zip(range(len(desired), 0, -1), smallest_first, strict=True):
+        shares[gateway] = min(desired[gateway], remaining_budget / remaining)
+        remaining_budget -= shares[gateway]
     return shares
--- a/trackspread/counter/report.py
+++ b/trackspread/counter/report.py
@@ -1,4 +1,4 @@
-"""What one gateway reports to operators of one tenant: the JSON of `trackspread quota`. Decides nothing."""
+"""Builds the JSON of `trackspread quota`: one gateway's report on one tenant. It decides nothing."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from .lease_manager import LeaseManager
 from .lease_terms import TENANT_MASK, partition_of
 
-ROUNDING = 1e-6  # of attempts in flight: a limit times a share may fall just short of a whole number
-# Where the shares of each state of the failure detector come from, in the words of the command's page.
+# Attempts in flight: a limit multiplied by a share may fall just short of an integer.
+ROUNDING = 1e-6
+# Maps each state of the failure detector to the source of the shares, in the words of the command's page.
 SOURCES = {
     "sound": "the counter",
     "doubted": "the counter, as last heard",
@@ -23,62 +24,66 @@
 
 
 class OtherGateway(msgspec.Struct, frozen=True):
-    """Another gateway's claim, as last read. Field names are those of the JSON."""
+    """Another gateway's claim as it was last read; the stored names are those of the JSON.
+
+    `seen_s` is the time in seconds since the gateway was last known to be alive; a negative value means that
+    it was never seen."""
 
     gateway: int
     share: float
-    want: float
-    seen_s: float  # since it was known to live; negative: never seen
+    demand_per_s: float = msgspec.field(name="want")
+    seen_s: float
 
 
 class TenantReport(msgspec.Struct, frozen=True):
-    """Shares are of the whole limit; levels and bursts are in units, rates in units a second. Field names are
-    those of the JSON."""
+    """One gateway's report on one tenant; the names in the JSON are the fields' own unless one is given.
+
+    Shares are fractions of the complete limit. Tokens and bursts are in units, rates in units per second."""
 
-    member: str
+    tenant: str = msgspec.field(name="member")
     partition: int
     state: str
     source: str
-    replaced: int
-    held: bool
-    soft: float = 0.0
-    hard: float = 0.0
-    claimed: float = 0.0
-    proven: float = 0.0
-    even: float = 0.0
-    want: float = 0.0
+    replacements: int = msgspec.field(name="replaced")
+    is_leased: bool = msgspec.field(name="held")
+    quota_share: float = msgspec.field(default=0.0, name="soft")
+    hard_limit_share: float = msgspec.field(default=0.0, name="hard")
+    claimed_share: float = msgspec.field(default=0.0, name="claimed")
+    proven_share: float = msgspec.field(default=0.0, name="proven")
+    static_share: float = msgspec.field(default=0.0, name="even")
+    demand_per_s: float = msgspec.field(default=0.0, name="want")
     plan: str = ""
-    level: float = 0.0
+    tokens: float = msgspec.field(default=0.0, name="level")
     burst: float = 0.0
     rate: float = 0.0
-    ceiling: float = 0.0
-    ceiling_burst: float = 0.0
-    open: int = 0
-    open_most: int = 0
+    hard_limit_tokens: float = msgspec.field(default=0.0, name="ceiling")
+    hard_limit_burst: float = msgspec.field(default=0.0, name="ceiling_burst")
+    in_flight: int = msgspec.field(default=0, name="open")
+    concurrency_limit: int = msgspec.field(default=0, name="open_most")
     cap: int = 0
-    refused_for: str = ""
+    rejection_reason: str = msgspec.field(default="", name="refused_for")
     others: tuple[OtherGateway, ...] = ()
 
 
 def tenant_report(
     now: int, manager: LeaseManager, tenant: int, account: TenantAccount | None, cap: int
 ) -> TenantReport:
-    """The report of one tenant at `now`, ns.
+    """Returns the report on one tenant at `now`, which is in ns.
 
-    `account`: the decision module's, refilled until now; None where no request of the tenant came here.
-    `cap`: on the tenant's requests in flight."""
+    `account` is the decision module's, refilled up to now; it is None if the tenant sent no request to this
+    gateway. `cap` limits the tenant's requests in flight."""
     partition = partition_of(tenant, manager.partition_count)
     detector = manager.partition_states[partition].detector
     detector.review(now)
     state = detector.state(now)
     lease = manager.leases.get(tenant)
     report = TenantReport(
-        member=f"{tenant & TENANT_MASK:016x}",
+        tenant=f"{tenant & TENANT_MASK:016x}",
         partition=partition,
         state=state,
         source=SOURCES[state],
-        replaced=detector.replacements,
-        held=lease is not None,
+        replacements=detector.replacements,
+        is_leased=lease is not None,
     )
     if lease is not None:
         report = _with_lease(report, now, lease, detector)
@@ -90,17 +95,17 @@
         OtherGateway(
             gateway=gateway,
             share=claim.share,
-            want=claim.demand_per_s,
+            demand_per_s=claim.demand_per_s,
             seen_s=detector.age_ns(now, gateway) / SECOND if gateway in detector.observations else -1.0,
         )
         for gateway, claim in sorted(lease.other_claims.items())
     )
     return msgspec.structs.replace(
         report,
-        claimed=lease.claimed_share,
-        proven=lease.proven_share,
-        even=lease.static_share,
-        want=lease.demand_per_s,
+        claimed_share=lease.claimed_share,
+        proven_share=lease.proven_share,
+        static_share=lease.static_share,
+        demand_per_s=lease.demand_per_s,
         others=others,
     )
 
@@ -109,16 +114,16 @@
     plan = account.plan
     return msgspec.structs.replace(
         report,
-        soft=account.lease.quota_share,
-        hard=account.lease.hard_limit_share,
+        quota_share=account.lease.quota_share,
+        hard_limit_share=account.lease.hard_limit_share,
         plan=plan.name,
-        level=account.tokens,
+        tokens=account.tokens,
         burst=plan.burst_units * account.lease.quota_share,
         rate=plan.rate_per_s * account.lease.quota_share,
-        ceiling=account.hard_limit_tokens,
-        ceiling_burst=plan.hard_limit_burst_units * account.lease.hard_limit_share,
-        open=account.in_flight,
-        open_most=int(plan.concurrency_limit * account.lease.concurrency_share + ROUNDING),
+        hard_limit_tokens=account.hard_limit_tokens,
+        hard_limit_burst=plan.hard_limit_burst_units * account.lease.hard_limit_share,
+        in_flight=account.in_flight,
+        concurrency_limit=int(plan.concurrency_limit * account.lease.concurrency_share + ROUNDING),
         cap=cap,
-        refused_for=account.rejection_reason,
+        rejection_reason=account.rejection_reason,
     )
