--- a/trackspread/counter/calls.py
+++ b/trackspread/counter/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the counter, its replies, and the grants that follow from them. Plain values."""
+"""Defines the calls to the counter, its replies, and the grants that follow from them, as plain values."""
 
 from __future__ import annotations
 
@@ -7,8 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call to the counter: write `value` under this gateway's field (None: only read), then read the
-    complete key. `tenant` is None for the heartbeats of a partition."""
+    """Holds one call to the counter, which writes this gateway's field and then reads the complete key.
+
+    `value` is what is written; with None the call only reads. `tenant` is None for a partition's
+    heartbeats."""
 
     call_id: int
     partition: int
@@ -18,10 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What the counter answered to a call.
+    """Holds the counter's reply to a call.
 
-    `clock_ms`: the server's. `fields`: by gateway. `token`: which counter this is, with heartbeats.
-    `field_was_missing`: this gateway's field was not there before it was written now."""
+    `clock_ms` is the server's clock. `fields` are by gateway. `token` identifies the counter; it is set only
+    in replies about heartbeats. `field_was_missing` says that this gateway's field did not exist before the
+    call wrote it."""
 
     clock_ms: int
     fields: dict[int, bytes]
@@ -31,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Shares of a tenant's limits that may be used from now on: of the quota, the hard limit and the limit on
-    concurrent attempts.
+    """Holds the shares of a tenant's quota, hard limit and concurrency limit that may be used from now on.
 
-    `spent_elsewhere_units`: of the quota that others spent, to be taken off once. `tokens`: of the quota's
-    bucket as others know it, in place of what is known here; None where that stands. `more_expected`: the
-    first reply is on its way, so that it pays to queue a request."""
+    `spent_elsewhere_units` is what other gateways spent of the quota, to be subtracted once. `tokens` is the
+    level of the quota's token bucket as others know it, which replaces the level known here; with None the
+    level here stays. `more_expected` says that the first reply is pending, so that queueing a request is
+    worthwhile."""
 
     tenant: int
     quota_share: float
--- a/trackspread/counter/claims.py
+++ b/trackspread/counter/claims.py
@@ -1,4 +1,4 @@
-"""Claims and heartbeats: what gateways write to the counter, as values and as bytes of its fields."""
+"""Defines the claims and heartbeats that gateways write to the counter, and encodes them as its fields."""
 
 from __future__ import annotations
 
@@ -9,13 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a gateway says of a tenant: the share of its hard limit that it holds, its demand, and what it
-    knows of the quota's one token bucket.
+    """Holds a gateway's claim on a tenant: its share of the hard limit, its demand, and the quota's tokens.
 
-    `incarnation`: ms of its machine's clock when it started, so that of two the later is known. `sequence`
-    grows with each claim, also over a lease that was given up. `share`: of rate and burst. `demand_per_s`:
-    units. `spent_units`: of the quota, since this lease began. `tokens`: in the bucket, as known at
-    `clock_ms` of the counter's clock."""
+    `incarnation` is the time in ms of the gateway's clock at its start, so the later of two is known.
+    `sequence` grows with each claim, also across a lease that was released. `share` is a fraction of rate and
+    burst. `demand_per_s` is in units. `spent_units` is what the gateway spent of the quota since the lease
+    began. `tokens` is the level of the quota's token bucket as known at `clock_ms` of the counter's clock."""
 
     incarnation: int
     sequence: int
@@ -28,21 +27,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A gateway's sign of life in one partition; `clock_ms`: the counter's when it was sent, as its writer
-    reckons: one that was delayed on its way must not pass for fresh."""
+    """Holds a gateway's heartbeat in one partition.
+
+    `clock_ms` is the counter's clock at the time of sending, as the writer estimates it. It shows that a
+    delayed heartbeat is old."""
 
     incarnation: int
     sequence: int
     clock_ms: int
 
 
-MAX_SHARE = 1.0 + 1e-6  # shares are written as floats of four bytes
+MAX_SHARE = 1.0 + 1e-6  # allows for the rounding of shares, which are written as floats of four bytes
 _CLAIM = struct.Struct("<QQffdfQ")
 _HEARTBEAT = struct.Struct("<QQQ")
 
 
 def pack_claim(claim: Claim) -> bytes:
-    """The claim as bytes of a field on the counter."""
+    """Returns the claim as the bytes of a field on the counter."""
     return _CLAIM.pack(
         claim.incarnation,
         claim.sequence,
@@ -55,7 +56,7 @@
 
 
 def unpack_claim(data: bytes) -> Claim | None:
-    """None for anything that is no claim: others may use the same server."""
+    """Returns the claim in a field, or None for other bytes, as other programs may use the same server."""
     if len(data) != _CLAIM.size:
         return None
     claim = Claim(*_CLAIM.unpack(data))
@@ -66,10 +67,10 @@
 
 
 def pack_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """The heartbeat as bytes of a field on the counter."""
+    """Returns the heartbeat as the bytes of a field on the counter."""
     return _HEARTBEAT.pack(heartbeat.incarnation, heartbeat.sequence, heartbeat.clock_ms)
 
 
 def unpack_heartbeat(data: bytes) -> Heartbeat | None:
-    """None for anything that is no heartbeat."""
+    """Returns the heartbeat in a field, or None for other bytes."""
     return Heartbeat(*_HEARTBEAT.unpack(data)) if len(data) == _HEARTBEAT.size else None
--- a/trackspread/counter/connection.py
+++ b/trackspread/counter/connection.py
@@ -1,8 +1,8 @@
-"""One connection to one server of the counter: pipelined commands out, replies back in their order.
+"""Holds one connection to one server of the counter, which pipelines commands and returns replies in order.
 
-What is written in one turn of the event loop goes out together. While there is no connection, commands fail
-at once; it is made anew with backoff. It ends after a reply that can't be parsed, or none for
-`REPLY_TIMEOUT_S`.
+Commands that are sent in one turn of the event loop are written together. While there is no connection,
+commands fail at once, and the connection is made anew with backoff. A connection is closed after a reply that
+can't be parsed, or if no reply arrives for `REPLY_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -24,16 +24,19 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 1.0  # for TCP, TLS and the handshake
-MIN_BACKOFF_S = 0.05  # between attempts to connect; doubles after each, with jitter from half of it up
+# The backoff between attempts to connect doubles after each attempt; jitter draws from half of it up.
+MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
-MAX_PENDING_COMMANDS = 4096  # without a reply: a counter that is so far behind is of no use
-REPLY_TIMEOUT_S = 1.0  # without any reply while some are pending, after which a connection is given up
-ReplyCallback = Callable[[list[Any] | None], None]  # replies, or None where there will be none
+MAX_PENDING_COMMANDS = 4096  # commands without a reply; a counter that is further behind is of no use
+REPLY_TIMEOUT_S = 1.0  # longest time without any reply while some are pending
+ReplyCallback = Callable[[list[Any] | None], None]  # gets the replies, or None if the commands failed
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """How to authenticate at a server. `password_file` is read anew for each connection and never logged."""
+    """Holds the credentials for a server.
+
+    `password_file` is read anew for each connection, and the password is never logged."""
 
     user: str = ""
     password_file: str = ""
@@ -46,7 +49,7 @@
 
 @dataclass(slots=True)
 class _PendingReplies:
-    """The replies to commands that were sent together."""
+    """Collects the replies to commands that were sent together."""
 
     count: int
     callback: ReplyCallback
@@ -61,7 +64,7 @@
 
 
 class _Protocol(asyncio.Protocol):
-    """RESP on one transport: parses replies and hands them to their callbacks in order."""
+    """Parses RESP replies on one transport and passes them to their callbacks in order."""
 
     def __init__(self, connection: CounterConnection) -> None:
         self._connection = connection
@@ -69,7 +72,7 @@
         self.transport: asyncio.Transport | None = None
         self._pending: deque[_PendingReplies] = deque()
         self.pending_commands = 0
-        self._last_reply_s = 0.0  # on the loop's clock
+        self._last_reply_s = 0.0  # time on the event loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -82,8 +85,8 @@
         self.pending_commands += count
         self.transport.write(data)
 
-    def is_stuck(self, now_s: float) -> bool:
-        """Whether replies are pending and none has come for too long."""
+    def is_unresponsive(self, now_s: float) -> bool:
+        """Returns whether replies are pending and none has arrived for `REPLY_TIMEOUT_S`."""
         return bool(self._pending) and now_s - self._last_reply_s > REPLY_TIMEOUT_S
 
     def data_received(self, data: bytes) -> None:
@@ -91,14 +94,19 @@
         try:
             self.reader.feed(data)
             while (reply := self.reader.gets()) is not False:
-                self._take(reply)
+                self._on_reply(reply)
         except (hiredis.ProtocolError, IndexError) as error:
             host, port = self._connection.address
-            log.warning("counter: %s:%d: reply can't be parsed: %s", host, port, type(error).__name__)
+            log.warning(
+                "counter: %s:%d: connection closed: a reply can't be parsed: %s",
+                host,
+                port,
+                type(error).__name__,
+            )
             if self.transport is not None:
                 self.transport.abort()
 
-    def _take(self, reply: Any) -> None:
+    def _on_reply(self, reply: Any) -> None:
         first = self._pending[0]
         first.replies.append(ErrorReply(str(reply)) if isinstance(reply, hiredis.ReplyError) else reply)
         self.pending_commands -= 1
@@ -116,9 +124,9 @@
 
 
 class CounterConnection:
-    """A connection that is made anew whenever it ended, until `close`.
+    """Keeps a connection to one server and makes it anew whenever it is lost, until `close`.
 
-    `on_lost` is called whenever it was lost or could not be made."""
+    `on_lost` is called whenever the connection was lost or could not be made."""
 
     def __init__(
         self, address: tuple[str, int], credentials: Credentials, on_lost: Callable[[], None]
@@ -134,12 +142,12 @@
         self.connects = 0
 
     def start(self) -> None:
-        """Connect, and again whenever the connection is lost."""
+        """Starts to connect, which is repeated whenever the connection is lost."""
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._reconnect())
 
     async def close(self) -> None:
-        """End the connection for good."""
+        """Closes the connection permanently."""
         if self._task is not None:
             self._task.cancel()
         if self._protocol is not None and self._protocol.transport is not None:
@@ -147,15 +155,16 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether commands could be sent now."""
+        """Returns whether commands can be sent now."""
         return self._protocol is not None
 
     def send(self, commands: Sequence[Command], callback: ReplyCallback) -> None:
-        """Send the commands together. `callback` is called once with their replies, never within this
-        call."""
+        """Sends the commands together.
+
+        `callback` is called once with their replies, and never from within this call."""
         loop = asyncio.get_running_loop()
         protocol = self._protocol
-        if protocol is not None and protocol.transport is not None and protocol.is_stuck(loop.time()):
+        if protocol is not None and protocol.transport is not None and protocol.is_unresponsive(loop.time()):
             protocol.transport.abort()
             protocol = None
         if protocol is None or protocol.pending_commands + len(commands) > MAX_PENDING_COMMANDS:
@@ -173,14 +182,14 @@
             for each in batch:
                 each.callback(None)
             return
-        # One write for all: each of them alone would be a system call.
+        # The commands are joined into one write, as each write is a system call.
         data = b"".join(each.data for each in batch)
         for each in batch:
             self._protocol.send(data, each.count, each.callback)
             data = b""
 
     def on_connection_lost(self, protocol: asyncio.Protocol) -> None:
-        """The connection is lost: what was sent on it has failed."""
+        """Starts to reconnect after the connection was lost; the commands that were sent on it failed."""
         if self._protocol is protocol:
             self._protocol = None
             self._on_lost()
@@ -194,18 +203,19 @@
                     self._protocol = await self._connect()
                 self.connects += 1
                 if self._last_failure:
-                    log.warning("counter: %s:%d is reachable again", *self.address)
+                    log.warning("counter: %s:%d: connected again", *self.address)
                 self._last_failure = ""
                 return
             except (OSError, TimeoutError, ValueError) as error:
-                self._note_failure(str(error) or type(error).__name__)
+                self._log_failure(str(error) or type(error).__name__)
                 self._on_lost()
             await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
             backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
-    def _note_failure(self, reason: str) -> None:
+    def _log_failure(self, reason: str) -> None:
+        """Logs the reason why a connection failed, unless the previous attempt failed for the same reason."""
         if reason != self._last_failure:
-            log.warning("counter: %s:%d can't be reached: %s", *self.address, reason)
+            log.warning("counter: %s:%d: connection failed: %s", *self.address, reason)
         self._last_failure = reason
 
     async def _connect(self) -> _Protocol:
@@ -225,14 +235,14 @@
         return protocol
 
     async def _authenticate(self, protocol: _Protocol, password: bytes) -> None:
-        """The handshake of RESP3. Raises `ValueError` where the server rejects it."""
+        """Performs the RESP3 handshake; raises `ValueError` if the server rejects it."""
         user = self._credentials.user
         hello: list[bytes] = [b"HELLO", b"3"]
         if self._credentials.password_file:
             hello += [b"AUTH", (user or "default").encode(), password]
         reply = await self._call(protocol, tuple(hello))
         if isinstance(reply, ErrorReply) and reply.code in ("ERR", "NOPROTO"):
-            # A server from before HELLO, or without RESP3: it speaks RESP2 and knows AUTH alone.
+            # The server is older than HELLO or has no RESP3, so RESP2 and AUTH alone are used.
             reply = True
             if password:
                 arguments = (user.encode(), password) if user else (password,)
--- a/trackspread/counter/failure_detector.py
+++ b/trackspread/counter/failure_detector.py
@@ -1,16 +1,17 @@
-"""Which gateways are alive on the same counter, by heartbeats alone: the evidence that every lease rests on.
+"""Detects by heartbeats alone which gateways on the same counter are alive; every lease depends on this.
 
 Rules:
-- A heartbeat that changed was written after the read before the one that showed it: that read's sending is
-  the time from which its writer is known to have lived, by this process's own clock. Where the counter's
-  clock says that the heartbeat is older still, as it was delayed on its way, that holds.
-- A heartbeat may have arrived although its reply did not. So after a call that failed nothing is written
-  until a read was answered: the last heartbeat that others can have seen is never later than `sent_at_ns`.
-- A gateway that has not been seen for `LEASE_NS` may be in the other half of a partition; from `EXPIRY_NS` on
-  it has let go of all but its static share, and so have those that count on it. One that is seen again may
-  have crossed from one half to the other: those that it left count on its being there for as long again.
-
-No I/O; knows nothing of tenants or claims.
+- A changed heartbeat was written after the read before the one that returned it. The sending time of that
+  earlier read, on this process's own clock, is the time at which the writer is known to have been alive. If
+  the counter's clock shows that the heartbeat is older, because it was delayed, the older time counts.
+- A heartbeat may have arrived although its reply did not. So after a failed call nothing is written until a
+  read was answered, and the last heartbeat that others can have seen is never later than `sent_at_ns`.
+- A gateway that was not seen for `LEASE_NS` may be on the other side of a network partition. From `EXPIRY_NS`
+  on it has released all but its static share, and so have the gateways that rely on it. A gateway that is
+  seen again may have crossed from one side to the other, and the gateways on the side that it left rely on
+  its presence for the same time again.
+
+The module does no I/O and does not know tenants or claims.
 """
 
 from __future__ import annotations
@@ -22,13 +23,15 @@
 from .claims import Heartbeat, unpack_heartbeat
 from .timing import EXPIRY_NS, LEASE_NS, PROOF_NS
 
-NEVER = -(1 << 62)  # ns, before any time
-CHANGES_FOR_PROOF = 2  # heartbeats: the first may have been under way
+NEVER = -(1 << 62)  # earlier than any time, in ns
+CHANGES_FOR_PROOF = 2  # heartbeats seen since; the first of them may have been sent before
 
 
 @dataclass(slots=True)
 class Observation:
-    """One other gateway. `alive_since_ns`: the latest time at which it is known to have been alive."""
+    """Holds what is known of one other gateway.
+
+    `alive_since_ns` is the latest time at which the gateway is known to have been alive."""
 
     heartbeat: Heartbeat
     alive_since_ns: int
@@ -36,7 +39,15 @@
 
 
 class FailureDetector:
-    """One partition of the counter as this gateway sees it."""
+    """Holds one partition of the counter as this gateway sees it.
+
+    `sent_at_ns` is when this gateway's last heartbeat was sent; others can have seen none later, nor one of
+    an earlier incarnation. `acknowledged_at_ns` is when the last answered heartbeat was sent, `read_at_ns`
+    when the last answered read was sent. `token` identifies the counter that answered last, and
+    `replacements` counts how often another counter was found in its place. `may_write` allows heartbeats; it
+    is unset until the counter's clock was read. `unresponsive` gateways were not seen for `LEASE_NS`, and
+    `expired` ones not for `EXPIRY_NS`, at the last review. `returned` has the gateways that were seen again
+    and since when; they stay in it for `EXPIRY_NS`."""
 
     def __init__(self, gateway: int, gateway_count: int, incarnation: int, now: int) -> None:
         self.gateway = gateway
@@ -44,40 +55,39 @@
         self.incarnation = incarnation
         self.started_at_ns = now
         self.observations: dict[int, Observation] = {}
-        self.sequence = 0  # of this gateway's heartbeats
-        # Of the last heartbeat: others can have seen none later, nor one of a former incarnation.
+        self.sequence = 0  # number of this gateway's last heartbeat
         self.sent_at_ns = now
-        self.acknowledged_at_ns = NEVER  # sending of the last heartbeat that was answered
-        self.read_at_ns = NEVER  # sending of the last read that was answered
+        self.acknowledged_at_ns = NEVER
+        self.read_at_ns = NEVER
         self.first_read_at_ns = NEVER
-        self.token = b""  # of the counter that answered last
+        self.token = b""
         self.token_since_ns = now
-        self.replacements = 0  # times that another counter was found in its place
-        self.may_write = False  # heartbeats: the counter's clock is read first
+        self.replacements = 0
+        self.may_write = False
         self._counter_clock_ms = 0
-        self._counter_clock_read_at_ns = now  # not before
-        self.unresponsive: frozenset[int] = frozenset()  # not seen for `LEASE_NS`, at the last review
-        self.expired: frozenset[int] = frozenset()  # nor for `EXPIRY_NS`
-        self.returned: dict[int, int] = {}  # seen again, and since when: for `EXPIRY_NS`
-        self._raw_fields: dict[int, bytes] = {}  # as last read: most have not changed
-        self._next_review_ns = now  # until then nothing can have changed by time alone
+        self._counter_clock_read_at_ns = now  # latest possible time of the reading
+        self.unresponsive: frozenset[int] = frozenset()
+        self.expired: frozenset[int] = frozenset()
+        self.returned: dict[int, int] = {}
+        self._raw_fields: dict[int, bytes] = {}  # as last read; unchanged fields are not decoded again
+        self._next_review_ns = now  # before this time nothing can change by time alone
 
     def counter_clock_ms(self, now: int) -> int:
-        """The counter's clock at `now`, ms, as far as is known."""
+        """Returns the estimate of the counter's clock at `now`, in ms."""
         return self._counter_clock_ms + (now - self._counter_clock_read_at_ns) // MILLISECOND
 
     def next_heartbeat(self, now: int) -> Heartbeat:
-        """The next sign of life; to be written now."""
+        """Returns the next heartbeat, which is to be written now."""
         self.sequence += 1
         self.sent_at_ns = now
         return Heartbeat(self.incarnation, self.sequence, self.counter_clock_ms(now))
 
     def on_failure(self) -> None:
-        """A call on this partition's heartbeats had no reply: a read comes before the next write."""
+        """Requires a read before the next write, as a call on the partition's heartbeats had no reply."""
         self.may_write = False
 
     def on_reply(self, now: int, sent_at_ns: int, has_value: bool, reply: Reply) -> None:
-        """The reply to a call on this partition's heartbeats; `has_value`: it wrote one."""
+        """Handles the reply to a call on the partition's heartbeats; `has_value`: the call wrote one."""
         if sent_at_ns <= self.read_at_ns:
             return
         if self.first_read_at_ns == NEVER:
@@ -99,13 +109,14 @@
         self.read_at_ns = sent_at_ns
 
     def _observe(self, now: int, sent_at_ns: int, gateway: int, data: bytes, clock_ms: int) -> None:
-        """Take in a field that has changed."""
+        """Updates what is known of a gateway from its changed field."""
         heartbeat = unpack_heartbeat(data)
         if heartbeat is None or gateway == self.gateway or not 0 <= gateway < self.gateway_count:
             return
         known = self.observations.get(gateway)
         if known is None:
-            # It may have been written at any time, and come back with a heal: only changes are signs of life.
+            # The heartbeat may have been written at any time and may be visible again since a network
+            # partition healed, so only a change shows that the writer is alive.
             self.observations[gateway] = Observation(heartbeat, self.first_read_at_ns)
             self._next_review_ns = now
             return
@@ -118,29 +129,34 @@
             self._next_review_ns = now
 
     def _is_newer(self, gateway: int, heartbeat: Heartbeat, known: Heartbeat) -> bool:
-        """What a lagging replica or a healed half brings up again, also of a former incarnation, says nothing
-        new; but where none lived for long, an incarnation whose clock was set back is believed."""
+        """Returns whether a heartbeat is newer than the known one.
+
+        A lagging replica or a healed partition may return older heartbeats again, also of an earlier
+        incarnation; these are ignored. Only if the gateway has expired, an incarnation with a lower number is
+        accepted, as the gateway's clock may have been set back."""
         if (heartbeat.incarnation, heartbeat.sequence) > (known.incarnation, known.sequence):
             return True
         return gateway in self.expired and heartbeat.incarnation != known.incarnation
 
     def age_ns(self, now: int, gateway: int) -> int:
-        """Since the gateway is known to have lived; since the first read, for one never seen."""
+        """Returns the time in ns since the gateway was known to be alive.
+
+        For a gateway that was never seen it is the time since the first read."""
         known = self.observations.get(gateway)
         if known is not None:
             return now - known.alive_since_ns
         return now - self.first_read_at_ns if self.first_read_at_ns != NEVER else 0
 
     def is_known_alive(self, now: int) -> bool:
-        """Whether others can be taken to know that this gateway lives."""
+        """Returns whether the other gateways can be assumed to know that this gateway is alive."""
         return now - self.acknowledged_at_ns <= LEASE_NS
 
     def is_static_share_free(self, now: int) -> bool:
-        """Whether all others have let go of this gateway's static share."""
+        """Returns whether all other gateways have released this gateway's static share."""
         return now - self.sent_at_ns >= EXPIRY_NS
 
     def review(self, now: int) -> None:
-        """Note which gateways are unresponsive; to be called before anything is decided at `now`."""
+        """Updates which gateways are unresponsive; it is to be called before anything is decided at `now`."""
         if now < self._next_review_ns:
             return
         others = (gateway for gateway in range(self.gateway_count) if gateway != self.gateway)
@@ -161,12 +177,14 @@
         self._next_review_ns = now + 1 + min(changes, default=EXPIRY_NS)
 
     def heartbeat_counts(self) -> dict[int, int]:
-        """Heartbeats seen of each gateway, for `have_all_advanced_since`."""
+        """Returns the number of heartbeats seen of each gateway, for `have_all_advanced_since`."""
         return {gateway: known.heartbeats_seen for gateway, known in self.observations.items()}
 
     def have_all_advanced_since(self, heartbeat_counts: dict[int, int]) -> bool:
-        """Whether every other gateway has shown a heartbeat since, beyond the one that may have been under
-        way, or has been unresponsive for so long that it holds its static share at most."""
+        """Returns whether every other gateway has sent a heartbeat since `heartbeat_counts` were taken.
+
+        The first heartbeat since does not count, as it may have been sent before. A gateway that has expired
+        counts as advanced, because it holds at most its static share."""
         return all(
             self._has_advanced_since(gateway, heartbeat_counts)
             for gateway in range(self.gateway_count)
@@ -182,8 +200,9 @@
         return known.heartbeats_seen >= heartbeat_counts.get(gateway, 0) + CHANGES_FOR_PROOF
 
     def state(self, now: int) -> str:
-        """For operators: sound, doubted, split, rebuilding or lost; `lease.py` says what may be spent in
-        each."""
+        """Returns the state for operators: sound, doubted, split, rebuilding or lost.
+
+        `lease.py` defines what may be spent in each state."""
         if not self.is_known_alive(now):
             was_known = self.acknowledged_at_ns != NEVER
             return "lost" if was_known or now - self.started_at_ns > EXPIRY_NS else "rebuilding"
--- a/trackspread/counter/host.py
+++ b/trackspread/counter/host.py
@@ -1,5 +1,6 @@
-"""The quota client on sockets: calls to the counter's servers, ticks of the event loop, events to the
-decision module. Decides nothing.
+"""Runs the quota client on sockets: it sends calls to the counter's servers, ticks, and delivers events.
+
+The module decides nothing.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 log = logging.getLogger(__name__)
 
-MAP_REFRESH_S = 0.5  # at least, between requests for a cluster's map
-MIN_TICK_S = 0.001  # between ticks, whatever went wrong
-MAX_CONNECTIONS = 128  # a cluster that names more servers is not followed further
-MAX_REDIRECTS = 2  # of one call
+MAP_REFRESH_S = 0.5  # shortest time between requests for a cluster's map
+MIN_TICK_S = 0.001  # shortest time between ticks, also after an error
+MAX_CONNECTIONS = 128  # further servers that a cluster names are ignored
+MAX_REDIRECTS = 2  # redirects of one call
 ASKING: Command = (b"ASKING",)
 
 
 @dataclass(frozen=True, slots=True)
 class _SentCall:
-    """A call as it was sent to one server, after so many redirects."""
+    """Holds a call that was sent to one server, and the number of redirects before."""
 
     call: Call
     server: Server
@@ -40,7 +41,9 @@
 
 
 class CounterHost:
-    """Runs a quota client: `on_event` gets the events for the decision module, `now` is its clock, ns."""
+    """Runs a quota client.
+
+    `on_event` gets the events for the decision module; `now` is the decision module's clock in ns."""
 
     def __init__(
         self,
@@ -64,24 +67,25 @@
         self._map_requested_at_s = -MAP_REFRESH_S
 
     def start(self) -> None:
-        """Connect to the servers that are known, and begin to tick."""
+        """Connects to the configured servers and starts to tick."""
         for server in self.router.servers:
             self._connection(server)
         self._tick()
 
     async def close(self) -> None:
-        """End the ticks and all connections."""
+        """Stops the ticks and closes all connections."""
         if self._timer is not None:
             self._timer.cancel()
         for connection in self._connections.values():
             await connection.close()
 
     def carry_out(self, actions: list[Action]) -> None:
-        """Send the calls to the counter, hand the decision module its changed allocations."""
+        """Sends the calls to the counter and passes changed allocations to the decision module."""
         for action in actions:
             if isinstance(action, Call):
                 server = self.router.server(action.partition)
-                # For a counter that has none yet: another each time, or a new one would look like the old.
+                # The token is for a counter that has none yet. It is drawn anew each time, as a replaced
+                # counter would otherwise look like the old one.
                 token = secrets.token_hex(8).encode() if action.tenant is None else b""
                 commands = commands_for(action, self._key_prefix, self._gateway, token)
                 self._send(_SentCall(action, server, commands))
@@ -92,8 +96,8 @@
         loop = asyncio.get_running_loop()
         try:
             self.carry_out(self.client.tick(self._now()))
-        except Exception:  # the next one must come all the same, or leases would outlive their time
-            log.exception("counter: fault in a tick")
+        except Exception:  # without the next tick, leases would be used beyond their end
+            log.exception("counter: a tick failed")
         if self.router.is_stale and loop.time() - self._map_requested_at_s >= MAP_REFRESH_S:
             self._map_requested_at_s = loop.time()
             self._request_cluster_map()
@@ -143,7 +147,7 @@
             self.carry_out(self.client.on_reply(self._now(), sent.call.call_id, reply))
 
     def _redirect(self, sent: _SentCall, commands: list[Command], replies: list[Any]) -> bool:
-        """Send the call to the server that an error names; False where none is named."""
+        """Sends the call to the server that a reply redirects to, or returns False without a redirection."""
         error = next((each for each in replies if isinstance(each, ErrorReply)), None)
         if error is None or sent.redirects >= MAX_REDIRECTS:
             return False
--- a/trackspread/counter/lease.py
+++ b/trackspread/counter/lease.py
@@ -1,24 +1,25 @@
-"""The lease of one tenant at this gateway: what it claimed, what of that is usable, and until when.
+"""Holds the lease of one tenant at this gateway: the claimed share, its usable part, and when both change.
 
 Rules:
-- Claim, then read: a claim is written first and counts once the same reply shows that all claims fit. Of two
-  gateways that claim at once the later sees both claims. No transaction is needed.
+- A claim is written first and read afterwards, and it counts once the same reply shows that all claims fit.
+  If two gateways claim at the same time, the later one sees both claims, so no transaction is needed.
 - A share is lowered here first and announced afterwards; it is raised only after the reply. A call whose
   reply was lost changes nothing here, whatever it did on the counter.
-- A quota is soft: each gateway uses the whole bucket less the parts of unresponsive gateways, and takes off
-  what others say that they spent. Until it is notified, a gateway may spend what another has: a part of the
-  burst (`REPORT_AFTER_PART`), never twice.
-- A hard limit's raise counts only when it is proven: every other gateway has shown two heartbeats since, or
-  has been unresponsive until it can hold its static share alone, and a further read shows that all claims
-  still fit. By then whoever held something that the counter has lost has written it anew.
-- What others claimed is not forgotten because the counter forgot it: a claim that is gone, or that went back
-  to an older one, counts as it was for `EXPIRY_NS`. A gateway that lets go says so; no field just ends.
-- Where others are unresponsive, their static shares are theirs: all who are seen come down alike until it
-  fits.
-- Without a reply to a claim for `LEASE_NS` a gateway comes down to its static share; up to it only from
-  `EXPIRY_NS` on.
-
-No I/O; knows nothing of other tenants, nor of when calls are made.
+- A quota is soft: each gateway uses the complete token bucket less the parts of unresponsive gateways, and
+  subtracts what others report as spent. Before it is notified, a gateway may spend tokens that another has
+  spent too; this is limited to a part of the burst (`REPORT_AFTER_PART`) and never happens twice.
+- A raise of a hard limit's share counts only when it is proven: every other gateway has sent two heartbeats
+  since, or has been unresponsive for so long that it can hold only its static share, and a further read shows
+  that all claims still fit. By then every gateway whose claim the counter has lost has written it anew.
+- Claims of others stay in force although the counter has lost them: a claim that is missing, or that was
+  replaced by an older one, counts unchanged for `EXPIRY_NS`. A gateway that releases its share writes a claim
+  that says so; a field never just ends.
+- Unresponsive gateways keep their static shares: all gateways that are seen reduce theirs in proportion until
+  the sum fits.
+- Without a reply to a claim for `LEASE_NS` a gateway reduces its share to its static share. A gateway that
+  holds less may raise its share to the static share only from `EXPIRY_NS` on.
+
+The module does no I/O and does not know other tenants or when calls are made.
 """
 
 from __future__ import annotations
@@ -48,20 +49,21 @@
     TURN_MS,
 )
 
-DEMAND_MEMORY_NS = 6 * SECOND // 10  # time constant of the demand: followed within two renewals
-DEMAND_SAMPLE_NS = SECOND // 10  # least time over which requests are counted
-FOLLOW_UP_NS = CLAIM_RENEWAL_NS // 4  # between claims while more is wanted than is held
-MIN_CHANGE = 0.05  # of a share by which the fair one must differ before anything moves
-MAX_UNPROVEN_RAISES = 6  # that wait for their proof; more are one
-WRITTEN_PRECISION = 1e-6  # of a share: claims are written as floats of four bytes
-MIN_DEMAND_PER_S = 0.01  # units a second below which there is no demand
-NO_COUNT_UNITS = -1.0  # no count of the decision module was seen yet
+DEMAND_MEMORY_NS = 6 * SECOND // 10  # time constant of the demand, which is followed within two renewals
+DEMAND_SAMPLE_NS = SECOND // 10  # shortest time over which requests are counted
+FOLLOW_UP_NS = CLAIM_RENEWAL_NS // 4  # interval between claims while more is needed than is held
+MIN_CHANGE = 0.05  # relative difference between the held and the fair share from which the share is changed
+MAX_UNPROVEN_RAISES = 6  # raises that wait for their proof; further ones are merged with the last
+WRITTEN_PRECISION = 1e-6  # rounding of a written share, as claims are written with floats of four bytes
+MIN_DEMAND_PER_S = 0.01  # units per second; a lower demand counts as none
+NO_COUNT_UNITS = -1.0  # says that no count of the decision module was read yet
 
 
 @dataclass(slots=True)
 class UnprovenRaise:
-    """A raise of the claimed share up to `share` that is not proven yet, with the heartbeats seen until
-    then."""
+    """Holds a raise of the claimed share to `share` that is not proven yet.
+
+    `heartbeat_counts` has the heartbeats seen of each gateway at the time of the raise."""
 
     share: float
     claimed_at_ns: int
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsableShares:
-    """Shares of one tenant's limits that this gateway may use now, from 0 to 1."""
+    """Holds the shares of one tenant's limits that this gateway may use now, from 0 to 1."""
 
     quota: float
     hard_limit: float
@@ -78,8 +80,14 @@
 
 
 class Lease:
-    """`claimed_share` and `proven_share`: of a hard limit's pool, what was claimed and what may be used of
-    it."""
+    """Holds the lease of one tenant at this gateway.
+
+    `claimed_share` is the claimed share of the hard limit's pool, `proven_share` the part of it that may be
+    used, `announced_share` the share in the last written claim, and `share_under_proof` the share that the
+    pending call may prove. `due_ns` is when the next claim is due. `is_established` says that a claim of this
+    lease was answered. `spent_elsewhere_units` is what others spent, and `tokens` the level of the quota's
+    token bucket as others know it; both wait for the next grant to the decision module. `spent_units` is what
+    was spent here."""
 
     def __init__(self, tenant: int, terms: LeaseTerms, gateway: int, now: int) -> None:
         self.tenant = tenant
@@ -87,38 +95,36 @@
         self.change_terms(terms)
         self.claimed_share = 0.0
         self.proven_share = 0.0
-        self.announced_share = 0.0  # in the last claim that was written
-        self.share_under_proof = 0.0  # that the pending call may prove
-        self.other_claims: dict[int, Claim] = {}  # by gateway
-        self._claims_read_at_ns: dict[int, int] = {}  # when each was last read as it is
-        self._unproven_raises: deque[UnprovenRaise] = deque()  # the oldest first
+        self.announced_share = 0.0
+        self.share_under_proof = 0.0
+        self.other_claims: dict[int, Claim] = {}  # claims of other gateways, by gateway
+        self._claims_read_at_ns: dict[int, int] = {}  # last time at which each of these claims was read
+        self._unproven_raises: deque[UnprovenRaise] = deque()  # in order of time, the oldest first
         self._sequence = 0
         self.demand_per_s = 0.0
-        self.requested_units = 0.0  # since the demand was last measured
+        self.requested_units = 0.0  # units requested since the demand was last measured
         self.demand_measured_at_ns = now
         self.last_request_ns = now
-        self._unreported_units = 0.0  # requested since the last claim
+        self._unreported_units = 0.0  # units requested since the last claim
         self.counter_clock_ms = 0
         self.read_at_ns = -CLAIM_RENEWAL_NS
-        self.due_ns = now  # when the next claim is due
-        self.is_established = False  # whether a claim of this lease was answered
-        self.spent_elsewhere_units = 0.0  # by others, not handed over to the decision module yet
-        self.tokens: float | None = None  # of the quota's bucket as others know it, not handed over yet
-        self.spent_units = 0.0  # here
-        self._module_count_units = NO_COUNT_UNITS  # the decision module's own count of them
+        self.due_ns = now
+        self.is_established = False
+        self.spent_elsewhere_units = 0.0
+        self.tokens: float | None = None
+        self.spent_units = 0.0
+        self._module_count_units = NO_COUNT_UNITS  # the decision module's last count of spent units
 
     def change_terms(self, terms: LeaseTerms) -> None:
-        """Other limits from now on. The share stays: it is a share of whatever the limits are."""
+        """Replaces the limits; the share stays, as it is a fraction of whatever the limits are."""
         self.terms = terms
         self._static_shares = {each: static_share(self.tenant, terms, each) for each in terms.gateways}
         self.static_share = self._static_shares.get(self.gateway, 0.0)
-        # Of a quota, where others are unresponsive: by the demand that they last claimed.
+        # Shares of the quota by gateway while others are unresponsive; they follow the last claimed demands.
         self._fallback_shares = dict(self._static_shares)
 
-    # Demand.
-
     def record_request(self, now: int, units: float) -> None:
-        """A request of so many units has arrived."""
+        """Counts a request that has arrived."""
         self.requested_units += units
         self.last_request_ns = now
         self._unreported_units += units
@@ -126,13 +132,15 @@
             self.due_ns = min(self.due_ns, self.read_at_ns + FOLLOW_UP_NS)
 
     def measure_demand(self, now: int) -> float:
-        """Units a second requested here; a first request stands for one second of it."""
+        """Returns the demand here in units per second.
+
+        The first sample covers at least one second."""
         span = now - self.demand_measured_at_ns
         if span < DEMAND_SAMPLE_NS and self.demand_per_s:
             return self.demand_per_s
         sample_span = span if self.demand_per_s else max(span, SECOND)
         sample = self.requested_units * SECOND / sample_span
-        sample = min(sample, self.terms.rate_per_s)  # more would say no more, and be remembered for longer
+        sample = min(sample, self.terms.rate_per_s)  # a higher value would only be remembered longer
         weight = exp(-span / DEMAND_MEMORY_NS) if self.demand_per_s else 0.0
         demand = self.demand_per_s * weight + sample * (1.0 - weight)
         self.demand_per_s = 0.0 if demand < MIN_DEMAND_PER_S else demand
@@ -141,14 +149,13 @@
         return self.demand_per_s
 
     def is_idle(self, now: int) -> bool:
-        """Whether no request has arrived for so long that the lease is given back."""
+        """Returns whether no request has arrived for so long that the lease is to be released."""
         return now - self.last_request_ns > IDLE_NS
 
-    # What the claims of others leave.
-
     def share_of_unresponsive(self, detector: FailureDetector) -> float:
-        """The share of gateways that are not seen: the static one, or what they claimed while they may hold
-        it."""
+        """Returns the sum of the shares of gateways that are not seen.
+
+        Each counts with its static share, or with its claim if that is larger and may still be in use."""
         total = 0.0
         for gateway in detector.unresponsive:
             claim = self.other_claims.get(gateway)
@@ -161,8 +168,9 @@
         return total
 
     def share_of_others(self, detector: FailureDetector) -> float:
-        """The share claimed by gateways that are seen, whether or not the tenant's requests usually come
-        there."""
+        """Returns the sum of the shares claimed by gateways that are seen.
+
+        Gateways that the tenant's requests usually do not reach count too."""
         total = 0.0
         for gateway, claim in self.other_claims.items():
             known = detector.observations.get(gateway)
@@ -172,12 +180,13 @@
         return total
 
     def available_share(self, detector: FailureDetector) -> float:
-        """What this gateway may hold in all."""
+        """Returns the largest share that this gateway may hold."""
         return max(0.0, 1.0 - self.share_of_others(detector) - self.share_of_unresponsive(detector))
 
     def reduce_to_fit(self, detector: FailureDetector) -> None:
-        """Lower this gateway's share so that static shares of unresponsive ones fit; all that are seen do the
-        same."""
+        """Lowers this gateway's share until the static shares of unresponsive gateways fit.
+
+        All gateways that are seen do the same."""
         unresponsive = sum(
             share for gateway, share in self._static_shares.items() if gateway in detector.unresponsive
         )
@@ -197,7 +206,7 @@
         self._follow_reduction()
 
     def _follow_reduction(self) -> None:
-        """What is proven, and raises that wait for their proof, come down with the claimed share."""
+        """Limits the proven share and the unproven raises to the lowered claimed share."""
         self.proven_share = min(self.proven_share, self.claimed_share)
         raises = self._unproven_raises
         while raises and raises[-1].share > self.claimed_share + EPSILON:
@@ -205,10 +214,10 @@
             if not raises or raises[-1].share < self.claimed_share - EPSILON:
                 raises.append(UnprovenRaise(self.claimed_share, last.claimed_at_ns, last.heartbeat_counts))
                 break
-        self.due_ns = min(self.due_ns, self.read_at_ns)  # to be announced at once
+        self.due_ns = min(self.due_ns, self.read_at_ns)  # the reduction is announced at once
 
     def usable_shares(self, now: int, detector: FailureDetector) -> UsableShares:
-        """What may be used from now on, until anything changes."""
+        """Returns the shares that may be used from now on, until anything changes."""
         is_current = now - self.read_at_ns <= LEASE_NS or not self.claimed_share
         is_held = detector.is_known_alive(now) and is_current
         if is_held:
@@ -218,7 +227,7 @@
         elif detector.is_static_share_free(now):
             concurrency = self.static_share
             pooled = self.static_share
-        else:  # also where its own claim is too old: what vanished may be another's by now
+        else:  # also if this gateway's claim is too old: if the counter lost it, others may use its share
             concurrency = min(self.claimed_share, self.static_share)
             pooled = min(self.proven_share, self.static_share)
         hard_limit = GUARANTEED_PART * self.static_share + (1.0 - GUARANTEED_PART) * pooled
@@ -232,29 +241,27 @@
             return 1.0 - sum(share for gateway, share in shares if gateway in detector.unresponsive)
         return self._fallback_shares.get(self.gateway, 0.0)
 
-    # Claims written to the counter.
-
     def next_claim(
         self, now: int, detector: FailureDetector, module_count_units: float, tokens: float
     ) -> bytes:
-        """What to write now; it counts once it was answered.
+        """Returns the claim to write now, which counts once it was answered.
 
-        `module_count_units`: of the quota that the decision module has spent here, counted from whenever;
-        `tokens`: in its bucket."""
+        `module_count_units` is the decision module's count of units of the quota that were spent here, from
+        any starting point. `tokens` is the level of the decision module's token bucket."""
         self.due_ns = now + CLAIM_RENEWAL_NS
         self._unreported_units = 0.0
         self._count_spent(module_count_units)
         demand = 0.0 if self.is_idle(now) else self.measure_demand(now)
         if not detector.is_known_alive(now):
-            self._claim_what_is_used(now, detector)
+            self._claim_used_share(now, detector)
         else:
             self.reduce_to_fit(detector)
             self._choose_share(now, detector, demand)
-        self.share_under_proof = self._ripe_share(now, detector)
-        # By the clock, so that a lease that was given up and comes again goes on.
+        self.share_under_proof = self._provable_share(now, detector)
+        # The sequence follows the clock, so that it still grows if a lease is released and opened again.
         self._sequence = max(self._sequence + 1, now)
         if not self.is_established:
-            tokens = self.terms.burst_units  # nothing is known of the bucket here
+            tokens = self.terms.burst_units  # the level of the bucket is not known here yet
         clock_ms = detector.counter_clock_ms(now)
         return pack_claim(
             Claim(
@@ -271,15 +278,16 @@
     def _count_spent(self, module_count_units: float) -> None:
         last = self._module_count_units
         if last >= 0.0:
-            # A count that went back was begun anew, after the module had forgotten the tenant.
+            # A lower count was started anew, after the decision module had forgotten the tenant.
             self.spent_units += (
                 module_count_units - last if module_count_units >= last else module_count_units
             )
         self._module_count_units = module_count_units
 
-    def _claim_what_is_used(self, now: int, detector: FailureDetector) -> None:
-        """After a loss of the counter: claim what is used now, before others can see that this gateway is
-        alive."""
+    def _claim_used_share(self, now: int, detector: FailureDetector) -> None:
+        """Claims the share that is used now.
+
+        After a loss of the counter this comes before others can see that this gateway is alive."""
         if detector.is_static_share_free(now):
             share = self.static_share
         else:
@@ -289,42 +297,43 @@
         self.announced_share = share
         self._unproven_raises.clear()
 
-    def _ripe_share(self, now: int, detector: FailureDetector) -> float:
-        """The highest share whose proof the next reply may complete."""
-        ripe = [
+    def _provable_share(self, now: int, detector: FailureDetector) -> float:
+        """Returns the highest share whose proof the next reply may complete."""
+        provable = [
             each.share
             for each in self._unproven_raises
             if now - each.claimed_at_ns >= PROOF_NS
             and detector.have_all_advanced_since(each.heartbeat_counts)
         ]
-        return max(ripe, default=0.0)
+        return max(provable, default=0.0)
 
     def _choose_share(self, now: int, detector: FailureDetector, demand: float) -> None:
-        """The share that the next claim announces: the fair one, where it differs enough from what is
-        held."""
+        """Sets the share that the next claim announces.
+
+        It is the fair share if that differs enough from the held one, and the held share otherwise."""
         seen = {
             gateway: claim
             for gateway, claim in self.other_claims.items()
             if gateway not in detector.unresponsive
         }
         fair = self._fair_shares(detector, seen, demand)
-        mine = fair.get(self.gateway, 0.0) if demand else 0.0
+        own_fair_share = fair.get(self.gateway, 0.0) if demand else 0.0
         available = self.available_share(detector)
         held = self.claimed_share
         are_others_short = any(
             claim.share < fair.get(gateway, 0.0) * (1.0 - MIN_CHANGE) for gateway, claim in seen.items()
         )
-        if mine < held * (1.0 - MIN_CHANGE) and (are_others_short or not demand):
-            self.announced_share = mine
-            self._reduce_claim(mine)
+        if own_fair_share < held * (1.0 - MIN_CHANGE) and (are_others_short or not demand):
+            self.announced_share = own_fair_share
+            self._reduce_claim(own_fair_share)
             self.due_ns = now + CLAIM_RENEWAL_NS
-        elif mine > held * (1.0 + MIN_CHANGE):
-            self.announced_share = self._raised_share(mine, available)
+        elif own_fair_share > held * (1.0 + MIN_CHANGE):
+            self.announced_share = self._raised_share(own_fair_share, available)
         else:
             self.announced_share = held
-        least = self.terms.min_share - WRITTEN_PRECISION
-        if 0.0 < self.announced_share < least:
-            self.announced_share = held if held >= least else 0.0  # it would not hold a request
+        min_share = self.terms.min_share - WRITTEN_PRECISION
+        if 0.0 < self.announced_share < min_share:
+            self.announced_share = held if held >= min_share else 0.0  # less would not hold a request
         if self.announced_share < self.claimed_share:
             self._reduce_claim(self.announced_share)
             self.due_ns = now + CLAIM_RENEWAL_NS
@@ -332,7 +341,7 @@
     def _fair_shares(
         self, detector: FailureDetector, seen: Mapping[int, Claim], demand: float
     ) -> dict[int, float]:
-        """By gateway, as all that read the same claims compute them."""
+        """Returns the fair shares by gateway; all gateways that read the same claims compute the same."""
         budget = max(0.0, 1.0 - self.share_of_unresponsive(detector))
         demands = {gateway: claim.demand_per_s for gateway, claim in seen.items()}
         turn = self.counter_clock_ms // TURN_MS
@@ -340,19 +349,19 @@
             self.tenant, self.terms, self._static_shares, {**demands, self.gateway: demand}, budget, turn
         )
 
-    def _raised_share(self, mine: float, available: float) -> float:
+    def _raised_share(self, own_fair_share: float, available: float) -> float:
         held = self.claimed_share
-        if not self.other_claims and not held and available > mine:
-            # The first leaves some for who comes next.
+        if not self.other_claims and not held and available > own_fair_share:
+            # The first gateway leaves a part for the next one.
             return min(available, max(self.terms.min_share, FIRST_CLAIM_PART * available))
-        return max(held, min(mine, available))
+        return max(held, min(own_fair_share, available))
 
     def on_reply(
         self, now: int, sent_at_ns: int, claimed_share: float, reply: Reply, detector: FailureDetector
     ) -> None:
-        """The reply to a claim of `claimed_share` that was sent at `sent_at_ns`."""
+        """Handles the reply to a claim of `claimed_share` that was sent at `sent_at_ns`."""
         claims = self._claims_of_others(reply)
-        self._note_state_of_counter(now, reply, claims, detector)
+        self._check_counter_state(now, reply, claims, detector)
         self._merge_claims(sent_at_ns, claims, detector)
         self.counter_clock_ms = reply.clock_ms
         self.read_at_ns = sent_at_ns
@@ -363,7 +372,7 @@
         self._raise_claim(now, claimed_share, available, detector)
         self._accept_proof(available)
         if claimed_share > available + EPSILON and self.claimed_share > self.proven_share:
-            # More is claimed than there is: a gateway that has not proven its part gives way.
+            # The claims sum to more than the limit, so a gateway whose share is not proven reduces it.
             self._reduce_claim(max(self.proven_share, min(self.claimed_share, available)))
         if self.claimed_share < claimed_share - EPSILON:
             self.announced_share = self.claimed_share
@@ -379,16 +388,16 @@
             if gateway != self.gateway and (claim := unpack_claim(data)) is not None
         }
 
-    def _note_state_of_counter(
+    def _check_counter_state(
         self, now: int, reply: Reply, claims: dict[int, Claim], detector: FailureDetector
     ) -> None:
-        """What a first reply says of the quota's bucket; or whether the counter has lost what was written."""
+        """Takes the quota's tokens from a first reply, and checks later ones for lost claims."""
         if not self.is_established:
             self.is_established = True
             self.tokens = self._tokens_from_claims(now, reply, detector, claims)
             self.due_ns = min(self.due_ns, now + FOLLOW_UP_NS)
         elif reply.field_was_missing:
-            # Others' claims may be lost as well, and proofs begin anew.
+            # Others' claims may be lost too, so all proofs start anew.
             self._unproven_raises = deque(
                 UnprovenRaise(each.share, now, detector.heartbeat_counts()) for each in self._unproven_raises
             )
@@ -398,7 +407,7 @@
     def _raise_claim(
         self, now: int, claimed_share: float, available: float, detector: FailureDetector
     ) -> None:
-        """What was claimed counts as far as it is available, and begins its proof."""
+        """Raises the claimed share as far as it is available, and starts its proof."""
         before = self.claimed_share
         if claimed_share <= before + EPSILON:
             return
@@ -410,7 +419,7 @@
             self._unproven_raises.append(raised)
 
     def _accept_proof(self, available: float) -> None:
-        """What the answered call was to prove is proven, if all claims still fit."""
+        """Raises the proven share to the share under proof if all claims still fit."""
         share = min(self.claimed_share, self.share_under_proof)
         if share > available + EPSILON:
             return
@@ -420,8 +429,10 @@
             raises.popleft()
 
     def _update_fallback_shares(self, detector: FailureDetector) -> None:
-        """What each gateway would have of the quota if none were seen from now on: a part static, which new
-        ones have too, and the rest by demand. All know nearly the same demands."""
+        """Computes each gateway's share of the quota for the case that the others become unresponsive.
+
+        A part of it is static, so that new gateways have it too, and the rest is in proportion to demand. All
+        gateways know nearly the same demands."""
         if detector.unresponsive or not detector.may_write:
             return
         demands = {gateway: claim.demand_per_s for gateway, claim in self.other_claims.items()}
@@ -437,8 +448,10 @@
     def _tokens_from_claims(
         self, now: int, reply: Reply, detector: FailureDetector, claims: dict[int, Claim]
     ) -> float:
-        """The quota's tokens by the claims of gateways that knew them, refilled since; where none did, what
-        was refilled since this counter is known."""
+        """Returns the tokens of the quota's bucket, refilled up to the reply.
+
+        They come from the claims of gateways that knew the bucket. If there is no such claim, the tokens are
+        what was refilled since this counter is known."""
         own = reply.fields.get(self.gateway)
         known = list(claims.values())
         if own is not None and (claim := unpack_claim(own)) is not None:
@@ -453,17 +466,18 @@
         return max(-burst, min(burst, *tokens))
 
     def _merge_claims(self, sent_at_ns: int, claims: dict[int, Claim], detector: FailureDetector) -> None:
-        """Take in what others claim now, and what they spent since their last claims."""
+        """Updates the claims of others and adds what they spent since their last claims."""
         for gateway, claim in claims.items():
             known = self.other_claims.get(gateway)
             if self._is_outdated(gateway, claim, known, detector):
                 continue
             if known is not None and claim.incarnation == known.incarnation:
-                # A count that went back was begun anew, after that gateway had given the tenant up.
+                # A lower count was started anew, after that gateway had released the tenant's lease.
                 grown = claim.spent_units - known.spent_units
                 self.spent_elsewhere_units += grown if grown >= 0.0 else claim.spent_units
             elif self._claims_read_at_ns or self.tokens is None:
-                # Begun since the last claim; the tokens that were read cover what was before.
+                # This count started after the last claim that was read here; the tokens in that reply already
+                # account for what was spent before.
                 self.spent_elsewhere_units += claim.spent_units
             self.other_claims[gateway] = claim
             self._claims_read_at_ns[gateway] = sent_at_ns
@@ -474,8 +488,9 @@
 
     @staticmethod
     def _is_outdated(gateway: int, claim: Claim, known: Claim | None, detector: FailureDetector) -> bool:
-        """Whether a claim is older than what is known: a lagging replica or a healed half brings it up
-        again."""
+        """Returns whether a claim is older than the known one.
+
+        A lagging replica or a healed network partition may return older claims again."""
         seen = detector.observations.get(gateway)
         if seen is not None and claim.incarnation < seen.heartbeat.incarnation:
             return True
@@ -486,7 +501,7 @@
         return claim.incarnation < known.incarnation and gateway not in detector.expired
 
     def wants_more(self, now: int) -> bool:
-        """Whether more would be taken than is held."""
+        """Returns whether this gateway needs a larger share than it holds."""
         needed = desired_share(self.terms, self.demand_per_s, self.static_share)
         return (
             self.claimed_share < needed * (1.0 - MIN_CHANGE)
--- a/trackspread/counter/lease_manager.py
+++ b/trackspread/counter/lease_manager.py
@@ -1,14 +1,15 @@
-"""The leases of all tenants at one gateway: requests and replies in, calls to the counter and grants out.
+"""Manages the leases of all tenants at one gateway and turns requests and replies into calls and grants.
 
 Rules:
-- Nothing is waited for: a request gets at once what is usable, and more when the counter has answered.
-- One call on a key at a time; a call without a reply within `CALL_TIMEOUT_NS` has failed, whatever comes
-  later.
-- Before the first heartbeat after a loss all that is used here is written down (`Lease.next_claim`).
-- Calls are limited in rate: one that failed halves it, one that was answered raises it. Heartbeats come
+- Nothing blocks: a request gets at once what is usable, and more when the counter has answered.
+- There is one call on a key at a time. A call without a reply within `CALL_TIMEOUT_NS` has failed, and a
+  later reply is ignored.
+- Before the first heartbeat after a loss of the counter, claims are written for all that is used here
+  (`Lease.next_claim`).
+- The rate of calls is limited: a failed call halves it, an answered call raises it. Heartbeats are sent
   before claims.
 
-No I/O; knows nothing of sockets, the event loop or the decision module.
+The module does no I/O and does not know sockets, the event loop or the decision module.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
 from .lease_terms import LeaseTerms, partition_of, static_share
 from .timing import CALL_TIMEOUT_NS, EPSILON, GUARANTEED_PART, HEARTBEAT_NS, MAX_TENANTS, MINIMUM_PART
 
-TICK_NS = 50 * MILLISECOND  # between reviews: an eighth of a heartbeat interval
-MIN_CALLS_PER_S = 50.0  # of one gateway
+TICK_NS = 50 * MILLISECOND  # interval between reviews, an eighth of a heartbeat interval
+MIN_CALLS_PER_S = 50.0  # lowest rate of one gateway's calls
 MAX_CALLS_PER_S = 20_000.0
 INITIAL_CALLS_PER_S = 1_000.0  # doubles within some twenty replies
-RATE_RAISE = 1.05  # of the rate, for each reply
-BUDGET_S = 0.1  # of the rate that may be saved up, and so be called at once
+RATE_RAISE = 1.05  # factor on the rate for each reply
+BUDGET_S = 0.1  # time for which unused calls are saved, which limits how many are sent at once
 MAX_PENDING_CALLS = 512
-NOTABLE_CHANGE = 1e-4  # of a share that the decision module is notified of
-MAX_QUEUE_SURPLUS = 64  # outdated entries of the queue, beside four for each lease
+NOTABLE_CHANGE = 1e-4  # smallest raise of a share that the decision module is notified of
+MAX_QUEUE_SURPLUS = 64  # outdated entries that the queue may hold in addition to four for each lease
 
 Output = Call | Grant
-# Of a tenant: units spent here, tokens of the quota's bucket.
+# Returns the units that a tenant spent here and the tokens of its quota's bucket.
 UsageCount = Callable[[int], tuple[float, float]]
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call without a reply yet; `claimed_share`: what it claims, `has_value`: whether it writes."""
+    """Holds a call without a reply; `claimed_share` is what it claims, `has_value` says that it writes."""
 
     call: Call
     sent_at_ns: int
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Review:
-    """What a partition's failure detector says that any lease may depend on."""
+    """Holds the findings of a partition's failure detector that leases depend on."""
 
     is_known_alive: bool
     may_use_static_share: bool
@@ -65,8 +66,10 @@
 
 @dataclass(slots=True)
 class PartitionState:
-    """One partition. `unwritten_tenants`: whose use is to be written down before the next heartbeat, while
-    this gateway `is_returning` from a loss."""
+    """Holds the state of one partition.
+
+    `is_returning` says that this gateway returns from a loss of the counter. The claims of
+    `unwritten_tenants` are then to be written before the next heartbeat."""
 
     detector: FailureDetector
     heartbeat_due_ns: int
@@ -78,11 +81,11 @@
 
 
 class LeaseManager:
-    """All leases of one gateway.
+    """Holds all leases of one gateway.
 
-    Call `before_request` before each request, `on_shortage` where the decision module found too little,
-    `tick` when `due_ns` has come, `on_reply` and `on_failure` for each call. All return what is to be done,
-    in order."""
+    The caller calls `before_request` before each request, `on_shortage` for a request that the decision
+    module queued, `tick` at `due_ns`, and `on_reply` or `on_failure` for each call. All return the calls and
+    grants to carry out, in order."""
 
     def __init__(
         self,
@@ -108,21 +111,21 @@
         ]
         self.leases: dict[int, Lease] = {}
         self.due_ns = now
-        self.call_counts: Counter[str] = Counter()  # by kind: beats, members, failed
+        self.call_counts: Counter[str] = Counter()  # keys: beats, members, failed
         self.calls_per_s = INITIAL_CALLS_PER_S
         self._call_budget = INITIAL_CALLS_PER_S * BUDGET_S
         self._budget_updated_ns = now
         self._pending_calls: dict[int, PendingCall] = {}
-        self._tenants_in_call: set[int] = set()  # with a pending call
-        self._waiting_tenants: set[int] = set()  # for whom the decision module waits
-        self._last_shares: dict[int, UsableShares] = {}  # as last granted
-        self._due_queue: list[tuple[int, int]] = []  # ns when due, tenant; outdated ones are passed over
+        self._tenants_in_call: set[int] = set()  # tenants with a pending call
+        self._waiting_tenants: set[int] = set()  # tenants for whose grant the decision module waits
+        self._last_shares: dict[int, UsableShares] = {}  # the last granted shares by tenant
+        self._due_queue: list[tuple[int, int]] = []  # due time in ns and tenant; outdated entries are skipped
         self._last_call_id = 0
 
-    # From the decision module.
-
     def before_request(self, now: int, tenant: int, terms: LeaseTerms, units: float) -> list[Output]:
-        """A request has arrived; to be called before the decision module gets it."""
+        """Counts a request that has arrived and returns the calls and grants to carry out.
+
+        It is to be called before the decision module gets the request."""
         outputs: list[Output] = self.tick(now) if now >= self.due_ns else []
         lease = self.leases.get(tenant)
         if lease is None:
@@ -153,8 +156,9 @@
         )
 
     def on_shortage(self, now: int, tenant: int) -> list[Output]:
-        """The decision module has too little for a request that it queues: one `Grant` follows, now or with
-        the reply to the first claim on the tenant."""
+        """Answers a request that the decision module queued for lack of tokens.
+
+        One `Grant` follows, either now or with the reply to the first claim on the tenant."""
         lease = self.leases.get(tenant)
         if lease is None:
             return []
@@ -174,10 +178,8 @@
     def _partition_of(self, tenant: int) -> PartitionState:
         return self.partition_states[partition_of(tenant, self.partition_count)]
 
-    # From the clock.
-
     def tick(self, now: int) -> list[Output]:
-        """What is due at `now`, ns: calls without a reply fail, heartbeats and claims go out."""
+        """Fails calls without a reply and sends the heartbeats and claims due at `now`, which is in ns."""
         outputs: list[Output] = []
         self.due_ns = now + TICK_NS
         overdue = [
@@ -194,7 +196,7 @@
         return outputs + self._send_due_claims(now)
 
     def _review(self, now: int, partition: PartitionState) -> list[Output]:
-        """Which gateways are unresponsive, and what that changes for the tenants here."""
+        """Updates which gateways are unresponsive and returns the grants that change for it."""
         detector = partition.detector
         detector.review(now)
         is_known_alive = detector.is_known_alive(now)
@@ -225,12 +227,12 @@
         return self._start_call(now, index, None, value)
 
     def _may_claim(self, now: int, partition: PartitionState) -> bool:
-        """Whether claims are worth a call."""
+        """Returns whether a claim can have an effect now."""
         detector = partition.detector
         return detector.may_write and (detector.is_known_alive(now) or partition.is_returning)
 
     def _send_due_claims(self, now: int) -> list[Output]:
-        """Claims that are due, as the rate of calls allows."""
+        """Returns the claims that are due, as far as the rate of calls allows."""
         self._refill_call_budget(now)
         outputs: list[Output] = []
         while self._has_due_claim(now):
@@ -258,7 +260,7 @@
         self._budget_updated_ns = now
 
     def _has_due_claim(self, now: int) -> bool:
-        """Whether a claim is due that may be called now."""
+        """Returns whether a claim is due and another call may be sent now."""
         if not self._due_queue or self._due_queue[0][0] > now:
             return False
         return self._call_budget >= 1.0 and len(self._pending_calls) < MAX_PENDING_CALLS
@@ -277,13 +279,11 @@
             self._due_queue = [(each.due_ns, tenant) for tenant, each in self.leases.items()]
             heapify(self._due_queue)
 
-    # From the counter.
-
     def on_reply(self, now: int, call_id: int, reply: Reply) -> list[Output]:
-        """The counter's reply to a call."""
+        """Handles the counter's reply to a call."""
         pending = self._pending_calls.get(call_id)
         if pending is None or now - pending.sent_at_ns >= CALL_TIMEOUT_NS:
-            return self.on_failure(now, call_id)  # also after this process stood still: the reply is old
+            return self.on_failure(now, call_id)  # after a pause of this process the reply is old
         del self._pending_calls[call_id]
         self.calls_per_s = min(MAX_CALLS_PER_S, self.calls_per_s * RATE_RAISE)
         partition = self.partition_states[pending.call.partition]
@@ -328,8 +328,9 @@
         return outputs + self._send_due_claims(now)
 
     def _return_from_loss(self, now: int, partition: PartitionState) -> None:
-        """The counter answers again. What is used here is written first, if others may take this one for
-        dead."""
+        """Resumes writing after the counter answered again.
+
+        If others may assume that this gateway is dead, claims for what is used here are written first."""
         detector = partition.detector
         detector.may_write = True
         partition.is_returning = not detector.is_known_alive(now)
@@ -341,7 +342,7 @@
         partition.heartbeat_due_ns = min(partition.heartbeat_due_ns, now + TICK_NS)
 
     def on_failure(self, now: int, call_id: int) -> list[Output]:
-        """No reply, or one that can't be read: the call may have been carried out all the same."""
+        """Handles a call without a valid reply; the counter may have executed it all the same."""
         pending = self._pending_calls.pop(call_id, None)
         if pending is None:
             return []
@@ -363,22 +364,25 @@
         self._schedule(lease)
         return self._grant_changes(now, lease)
 
-    # To the decision module.
-
     def _grant_changes(self, now: int, lease: Lease) -> list[Output]:
-        """One `Grant` where anything has changed that the decision module acts on."""
+        """Returns one `Grant` if anything has changed that the decision module acts on."""
         partition = self._partition_of(lease.tenant)
         due_ns = lease.due_ns
         shares = lease.usable_shares(now, partition.detector)
         if lease.due_ns != due_ns and lease.tenant in self.leases:
             self._schedule(lease)
         more_expected = not lease.is_established and self._may_claim(now, partition)
-        is_waited_for = lease.tenant in self._waiting_tenants and not more_expected
-        is_same = _is_unchanged(self._last_shares.get(lease.tenant), shares)
-        if is_same and not lease.spent_elsewhere_units and lease.tokens is None and not is_waited_for:
+        is_grant_awaited = lease.tenant in self._waiting_tenants and not more_expected
+        is_unchanged = _is_unchanged(self._last_shares.get(lease.tenant), shares)
+        if (
+            is_unchanged
+            and not lease.spent_elsewhere_units
+            and lease.tokens is None
+            and not is_grant_awaited
+        ):
             return []
         self._last_shares[lease.tenant] = shares
-        if is_waited_for:
+        if is_grant_awaited:
             self._waiting_tenants.discard(lease.tenant)
         grant = Grant(
             tenant=lease.tenant,
@@ -394,14 +398,17 @@
         return [grant]
 
     def states(self, now: int) -> list[str]:
-        """Of each partition, for operators (`FailureDetector.state`)."""
+        """Returns each partition's state for operators (`FailureDetector.state`)."""
         for partition in self.partition_states:
             partition.detector.review(now)
         return [partition.detector.state(now) for partition in self.partition_states]
 
 
 def _is_unchanged(last: UsableShares | None, shares: UsableShares) -> bool:
-    """Less counts to the last bit, as the sum over all gateways rests on it; more counts once notable."""
+    """Returns whether the decision module need not be notified of `shares`.
+
+    Any reduction is notified, because the sum over all gateways depends on it; a raise is notified from
+    `NOTABLE_CHANGE` on."""
     if last is None:
         return False
     pairs = (
--- a/trackspread/counter/lease_terms.py
+++ b/trackspread/counter/lease_terms.py
@@ -1,4 +1,4 @@
-"""What the lease of one tenant covers, and the static shares of its gateways. Pure arithmetic."""
+"""Defines the limits that a tenant's lease covers, and computes the static shares of its gateways."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """One tenant's limits: rate and burst of its quota, or else of its hard limit.
+    """Holds one tenant's limits: rate and burst of its quota, or of its hard limit if it has no quota.
 
-    `min_share`: that holds one request. `gateways`: that its requests come to. `limits_concurrency`: whether
-    attempts in flight are limited, of which nothing is guaranteed."""
+    `min_share` is the smallest share that holds one request. `gateways` get the tenant's requests.
+    `limits_concurrency` says whether attempts in flight are limited; of these nothing is guaranteed."""
 
     rate_per_s: float
     burst_units: float
@@ -27,17 +27,20 @@
 
 
 def partition_of(tenant: int, partitions: int) -> int:
-    """Which partition a tenant's key is in."""
+    """Returns the partition of a tenant's key."""
     return xxhash.xxh3_64_intdigest(tenant.to_bytes(8, "little")) % partitions
 
 
 def rank(tenant: int, gateway: int, turn: int = 0) -> int:
-    """Rendezvous rank of a gateway for a tenant: the lowest come first."""
+    """Returns the rendezvous rank of a gateway for a tenant; the lowest ranks come first."""
     return xxhash.xxh3_64_intdigest(struct.pack("<QIQ", tenant & TENANT_MASK, gateway, turn))
 
 
 def static_share(tenant: int, terms: LeaseTerms, gateway: int) -> float:
-    """The gateway's even share. Where even shares of all would not hold a request, as many have one as do."""
+    """Returns the gateway's static share, which is equal for all gateways of the tenant.
+
+    If equal shares for all gateways would not hold a request, only as many gateways get a share as there are
+    shares that do."""
     if gateway not in terms.gateways:
         return 0.0
     count = max(1, min(len(terms.gateways), int(1.0 / terms.min_share + EPSILON)))
--- a/trackspread/counter/quota_client.py
+++ b/trackspread/counter/quota_client.py
@@ -1,7 +1,7 @@
-"""Between the decision module and the lease manager: requests in, calls and `AllocationChanged` out.
+"""Connects the decision module to the lease manager and turns requests into calls and `AllocationChanged`.
 
-The same object runs in a gateway and in simulation; its host sends the calls and hands the events to the
-decision module, in the order given. No I/O.
+The same object runs in a gateway and in simulation. Its host sends the calls and passes the events to the
+decision module, in the order given. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def terms_of(plan: Plan, largest_request_units: float, gateways: tuple[int, ...]) -> LeaseTerms | None:
-    """A plan's limits for the lease manager; None where it has none. `largest_request_units`: of one request.
+    """Returns a plan's limits for the lease manager, or None if the plan has no limits.
 
-    The smallest share holds one request in every bucket, and one attempt where those in flight are
-    limited."""
+    `largest_request_units` is the size of the largest request. The smallest share holds one such request in
+    every token bucket, and one attempt if attempts in flight are limited."""
     shares = []
     if plan.rate_per_s:
         shares.append(largest_request_units / plan.burst_units)
@@ -40,15 +40,15 @@
 
 
 class QuotaClient:
-    """One gateway's client of the shared counter.
+    """Is one gateway's client of the shared counter.
 
-    Call `before_request` before each request, `on_shortage` for each `RequestAllocation`, `tick` when
-    `due_ns` has come, `on_reply` and `on_failure` for each call."""
+    The host calls `before_request` before each request, `on_shortage` for each `RequestAllocation`, `tick` at
+    `due_ns`, and `on_reply` or `on_failure` for each call."""
 
     def __init__(
         self, settings: Settings, partitions: int, incarnation: int, seed: int, now: int, usage: UsageCount
     ) -> None:
-        """`usage`: of a tenant here, which is queried whenever a claim goes out."""
+        """Creates a client without leases; `usage` returns a tenant's usage here for each claim."""
         self._settings = settings
         self._plans = settings.plans
         self.manager = LeaseManager(
@@ -59,18 +59,18 @@
 
     @property
     def due_ns(self) -> int:
-        """When `tick` is to be called next, ns."""
+        """Returns the time in ns at which `tick` is to be called next."""
         return self.manager.due_ns
 
     def change_plans(self, plans: tuple[Plan, ...]) -> None:
-        """Other limits: taken up with each tenant's next request."""
+        """Replaces the plans; each tenant's new limits apply from its next request on."""
         self._plans = plans
         self._terms.clear()
 
     def before_request(
         self, now: int, tenant: int, plan: int, units: float, gateway_span: int, first_gateway: int
     ) -> list[Action]:
-        """To be called, and its actions carried out, before the decision module gets the request."""
+        """Returns the actions to carry out before the decision module gets the request."""
         key = plan, gateway_span, first_gateway
         if key not in self._terms:
             gateways = self._gateways_of(gateway_span, first_gateway)
@@ -83,26 +83,26 @@
         return self._actions(self.manager.before_request(now, tenant, terms, units))
 
     def _gateways_of(self, gateway_span: int, first_gateway: int) -> tuple[int, ...]:
-        """`gateway_span` gateways in a row from the first one on; 0: all of them."""
+        """Returns `gateway_span` consecutive gateways from the first one on, or all gateways for 0."""
         count = self._settings.gateway_count
         if gateway_span < 1:
             return tuple(range(count))
         return tuple((first_gateway + offset) % count for offset in range(min(gateway_span, count)))
 
     def on_shortage(self, now: int, tenant: int) -> list[Action]:
-        """The decision module has too little for a request of this tenant that it queues."""
+        """Returns the actions for a request that the decision module queued for lack of tokens."""
         return self._actions(self.manager.on_shortage(now, tenant))
 
     def tick(self, now: int) -> list[Action]:
-        """What is due at `now`, ns."""
+        """Returns the actions that are due at `now`, which is in ns."""
         return self._actions(self.manager.tick(now))
 
     def on_reply(self, now: int, call_id: int, reply: Reply) -> list[Action]:
-        """The counter's reply to a call."""
+        """Returns the actions that follow from the counter's reply to a call."""
         return self._actions(self.manager.on_reply(now, call_id, reply))
 
     def on_failure(self, now: int, call_id: int) -> list[Action]:
-        """A call had no reply, or none that can be read."""
+        """Returns the actions that follow from a call without a reply, or with one that can't be parsed."""
         return self._actions(self.manager.on_failure(now, call_id))
 
     def _actions(self, outputs: list[Output]) -> list[Action]:
