--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -64,12 +64,13 @@
     old = Schema("thing", 1).pack(Thing("a"))
     steps = {1: lambda body: body | {"size": 1}, 2: lambda body: body | {"size": body["size"] + 10}}
     assert Schema("thing", 3, steps).unpack(old, Thing) == Thing("a", 11)
-    with pytest.raises(DocumentError, match="found version 3, which a newer program wrote") as caught:
+    newer = "version must be at most 1, got 3, which a newer version of the program wrote"
+    with pytest.raises(DocumentError, match=newer) as caught:
         Schema("thing", 1).unpack(Schema("thing", 3, steps).pack(Thing("a")), Thing)
     assert caught.value.newer
-    with pytest.raises(DocumentError, match="of kind 'thing', wanted 'other'"):
+    with pytest.raises(DocumentError, match="kind: must be 'other', got 'thing'"):
         Schema("other", 1).unpack(old, Thing)
-    with pytest.raises(ValueError, match="no upgrade from version 2"):
+    with pytest.raises(ValueError, match="the upgrade from version 2 is missing"):
         Schema("thing", 3, {1: steps[1]})
 
 
@@ -95,7 +96,8 @@
     assert unpack_header(data) == header and header.first == 13 and slot_offset(header, 13) == HEADER_BYTES
     with pytest.raises(SegmentError, match="checksum"):
         unpack_header(data[:9] + b"\xff" + data[10:])
-    with pytest.raises(SegmentError, match="shorter than its header says"):
+    truncated = r"declares 4 slots of 44 bytes \(must be 44\), 224 bytes in all; the file has 223"
+    with pytest.raises(SegmentError, match=truncated):
         unpack_header(data[:-1])
     with pytest.raises(SegmentError, match="not a segment"):
         unpack_header(bytes(100))
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -224,7 +224,8 @@
         world.processes[0].count(Ending.SERVED)
         world.run(5 * MILLISECOND)
     ledger = world.processes[0].ledger
-    assert ledger.folded > 100 and any("no room" in text for text in world.processes[0].alarms)
+    alarms = world.processes[0].alarms
+    assert ledger.folded > 100 and any("the journal has no free slot" in text for text in alarms)
     assert len([name for name in disk.files if name.startswith("use-")]) == BOUNDS.max_segments
     world.network.down = False
     world.run(100 * SECOND)
@@ -245,7 +246,7 @@
     process.count(Ending.SERVED)
     assert process.ledger.state is State.STUCK and process.ledger.folded == 1
     assert {name: bytes(file.cached) for name, file in disk.files.items()} == before
-    assert any("a newer program wrote here" in text for text in process.alarms)
+    assert any("a newer version of the program wrote this folder" in text for text in process.alarms)
 
 
 def test_a_clock_set_back_across_a_month_and_members_past_the_bound_are_told_once(
@@ -262,7 +263,7 @@
         process.count(Ending.REFUSED)
     world.run(30 * SECOND)
     assert sum("clock was set back" in text for text in process.alarms) == 1
-    assert sum("nobody's" in text for text in process.alarms) == 1
+    assert sum("recorded without their tenants" in text for text in process.alarms) == 1
     kinds = [(row.kind, row.requests) for row in world.memory.rows]
     assert sum(n for _, n in kinds) == 4 and {kind for kind, _ in kinds} == {Kind.SUM, Kind.UNATTRIBUTED}
     assert len({row.time for row in world.memory.rows}) == 2 and min(
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -90,7 +90,7 @@
     await _until(first, State.LIVE)
     second.start()
     async with asyncio.timeout(MOST):
-        while "another process's" not in second.ledger.last_error:
+        while "is in use by another process" not in second.ledger.last_error:
             await asyncio.sleep(0.005)
     second.count(Ending.SERVED, 0, 0, 0, 7, 1.0, 1)
     assert second.ledger.folded == 1, "what the second counts is kept as sums until the folder is free"
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("url", ["ftp://x/y", "http:///use", "billing"])
 def test_a_way_to_billing_that_is_none_is_said_so(url: str) -> None:
-    with pytest.raises(ValueError, match="wanted http://HOST:PORT/PATH"):
+    with pytest.raises(ValueError, match="must be http://HOST:PORT/PATH"):
         make_sender(Target(url))
 
 
@@ -221,7 +221,7 @@
     assert status == 0 and "40 requests, 20.000 units in the journals: no differences" in told
     received.write_bytes(msgspec.json.encode(lines[:1]))
     status, told = _words(capsys, "reconcile", str(folder), "--received", str(received))
-    assert status == 1 and "0000000000000008" in told and "billing has less than it took" in told
+    assert status == 1 and "0000000000000008" in told and "billing has less than it acknowledged" in told
 
 
 def test_a_flipped_bit_is_found_and_a_lost_control_is_made_anew(
@@ -241,7 +241,7 @@
     for name in ("control-a", "control-b"):
         (folder / name).write_bytes(b"?" * 65_536)
     status, told = _words(capsys, "verify", str(folder))
-    assert status == 1 and "no control that can be read" in told
+    assert status == 1 and "the folder has records but no readable checkpoint" in told
     assert "1 lives are known again, 41 places" in _words(capsys, "repair", str(folder))[1]
     assert "40 records check" in _words(capsys, "verify", str(folder))[1]
     segment = next(folder.glob("use-*.log"))
@@ -249,7 +249,7 @@
     data[HEADER_BYTES + 3 * SLOT_BYTES + 9] ^= 1
     segment.write_bytes(data)
     status, told = _words(capsys, "verify", str(folder))
-    assert status == 1 and "epoch 1: 1 records are damaged, the first at place 4" in told
+    assert status == 1 and "epoch 1: 1 records are damaged, the first at slot 4" in told
     assert "39 records check, 1 are damaged" in told, "the mark of a clean end lies behind it"
     assert _words(capsys, "verify", str(tmp_path / "none")) == (
         2,
--- a/trackspread/storage/__init__.py
+++ b/trackspread/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of one process: files, an append-only journal of slots, and versioned documents."""
+"""Stores the durable state of one process in files, an append-only journal of slots, and documents."""
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -1,6 +1,6 @@
-"""Disk operations as values: decision code creates a call, and a thread (or a simulated disk) performs it.
+"""Represents disk operations as values, which decision code creates and a thread or simulated disk performs.
 
-One call is in progress at a time, so calls take effect in the order in which they were made.
+One call is in progress at a time, so calls take effect in the order in which they were created.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class SegmentId(NamedTuple):
-    """A segment, by the epoch of its stream and its number in it, from 0."""
+    """Identifies a segment by the epoch of its stream and its number in the stream, from 0."""
 
     epoch: int
     number: int
@@ -48,7 +48,7 @@
 class Save:
     """Overwrites an area with a document and forces it to the disk; the result is None.
 
-    It needs no further disk space but may be torn, so callers alternate between two areas.
+    The write needs no further disk space but may be torn, so callers alternate between two areas.
     """
 
     area: Area
@@ -95,7 +95,7 @@
 
 
 class FoundSegment(NamedTuple):
-    """A readable segment and its number of written slots."""
+    """Holds a readable segment's header and its number of written slots."""
 
     header: SegmentHeader
     written_slots: int
@@ -103,9 +103,9 @@
 
 @dataclass(slots=True)
 class FolderContents:
-    """What `InspectFolder` found.
+    """Holds the result of `InspectFolder`.
 
-    `areas` are the documents, in the order asked for. `broken` has the files that can't be read, with the
+    `areas` are the documents, in the order of the call. `broken` has the files that can't be read, with the
     reason, and `written_in_broken` the number of written slots of those whose bytes could be read.
     """
 
@@ -118,9 +118,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """Rewrites and syncs what an earlier process may not have got to the disk; the result is None.
+    """Rewrites and syncs what an earlier process may not have synced; the result is None.
 
-    A sync alone is not enough: after one that failed, the operating system treats the pages as written.
+    A sync alone is not enough, because after a failed sync the operating system treats the pages as written.
     """
 
     areas: tuple[Area, ...]
@@ -137,7 +137,7 @@
 
 
 def parse_segment_name(name: str) -> SegmentId | None:
-    """Returns the segment that a file holds, or None for any other file."""
+    """Returns the segment in a file of this name, or None for any other file."""
     parts = name.removesuffix(".log").split("-")
     if not name.endswith(".log") or len(parts) != 3:
         return None
@@ -239,7 +239,10 @@
     try:
         header = unpack_header(data)
         if (header.epoch, header.index) != segment:
-            raise SegmentError(f"its header says epoch {header.epoch}, part {header.index}")
+            raise SegmentError(
+                f"the header must have epoch {segment.epoch} and index {segment.number}, as the file name, "
+                f"got epoch {header.epoch} and index {header.index}"
+            )
         found.segments[segment] = FoundSegment(header, written_slots)
     except SegmentError as error:
         found.broken[name] = str(error)
--- a/trackspread/storage/directory.py
+++ b/trackspread/storage/directory.py
@@ -1,4 +1,4 @@
-"""Storage in a real folder: memory-mapped files, atomic replacement, one owner process by `flock`."""
+"""Stores files in a real folder, with memory mapping, atomic replacement and one owner process by `flock`."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from contextlib import suppress
 from pathlib import Path
 
-LOCK_NAME = "owner.lock"  # locked while the process runs
-TEMPORARY_SUFFIX = ".new"  # of files that `replace` has not finished
+LOCK_NAME = "owner.lock"  # file that is locked while the process runs
+TEMPORARY_SUFFIX = ".new"  # suffix of files that `replace` has not finished
 OWNER_ONLY_FOLDER = 0o700
 OWNER_ONLY_FILE = 0o600
 
 
 class MappedFile:
-    """An allocated file mapped into memory. Writes go to the page cache and survive the process."""
+    """Holds an allocated file that is mapped into memory.
+
+    Writes go to the page cache and survive the process."""
 
     def __init__(self, descriptor: int, size: int) -> None:
         self._descriptor = descriptor
@@ -33,7 +35,7 @@
 
     def sync(self) -> None:
         """Forces all earlier writes to the disk, without blocking other threads; raises `OSError`."""
-        # Covers pages changed through the map; the size never changes, so metadata need not be synced.
+        # This covers pages changed through the map; the size never changes, so metadata need not be synced.
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -43,14 +45,14 @@
 
 
 class ReadOnlyFile:
-    """The content of a file, read once; for inspecting a folder without write access."""
+    """Holds the content of a file that was read once, for inspecting a folder without write access."""
 
     def __init__(self, path: Path) -> None:
         self._data = path.read_bytes()
 
     def write(self, at: int, data: bytes) -> None:
-        """Always raises `OSError`."""
-        raise OSError(errno.EROFS, "only read")
+        """Raises `OSError` in any case."""
+        raise OSError(errno.EROFS, "the folder is open for reading only")
 
     def read(self, at: int = 0, size: int | None = None) -> bytes:
         """Returns `size` bytes from byte `at` on, or all up to the end."""
@@ -64,9 +66,9 @@
 
 
 class Directory:
-    """`Files` on a real folder.
+    """Implements `Files` on a real folder.
 
-    With `view` nothing is locked, created or written, for inspecting a folder that may be in use. Raises
+    With `view` nothing is locked, created or written, so that a folder in use can be inspected. Raises
     `OSError`, with EWOULDBLOCK if another process owns the folder.
     """
 
@@ -107,7 +109,7 @@
             return MappedFile(descriptor, size)
         except BaseException:
             os.close(descriptor)
-            with suppress(OSError):  # frees what was allocated before the disk was full
+            with suppress(OSError):  # removing the file frees what was allocated before the disk was full
                 os.unlink(self.path / name)
             raise
 
@@ -120,7 +122,7 @@
             return MappedFile(descriptor, os.fstat(descriptor).st_size)
         except (OSError, ValueError):  # an empty file can't be mapped
             os.close(descriptor)
-            raise OSError(errno.EIO, "cannot be mapped", name) from None
+            raise OSError(errno.EIO, "the file can't be mapped into memory", name) from None
 
     def load(self, name: str) -> bytes | None:
         """Returns the content of a file, or None if it does not exist."""
@@ -164,7 +166,7 @@
 
 
 def write_atomically(folder: Path, name: str, data: bytes) -> None:
-    """Write a file atomically and sync it; a file of this name is replaced. Raises `OSError`."""
+    """Writes a file atomically and syncs it; replaces a file of this name. Raises `OSError`."""
     folder.mkdir(parents=True, exist_ok=True)
     descriptor, temporary = tempfile.mkstemp(prefix=".", dir=folder)
     try:
--- a/trackspread/storage/document.py
+++ b/trackspread/storage/document.py
@@ -1,4 +1,4 @@
-"""Versioned documents: kind, schema version, checksum and body, as one line of JSON.
+"""Encodes versioned documents of kind, schema version, checksum and body as one line of JSON.
 
 Documents of older versions are upgraded when read; those of newer versions are rejected.
 """
@@ -12,11 +12,11 @@
 import xxhash
 
 Body = TypeVar("Body")
-Upgrade = Callable[[dict[str, Any]], dict[str, Any]]  # turns a body of one version into one of the next
+Upgrade = Callable[[dict[str, Any]], dict[str, Any]]  # converts a body of one version to the next version
 
 
 class DocumentError(ValueError):
-    """A document that can't be used; `newer` is set if a newer version of the program wrote it."""
+    """Reports a document that can't be used; `newer` is set if a newer version of the program wrote it."""
 
     def __init__(self, text: str, newer: bool = False) -> None:
         super().__init__(text)
@@ -31,9 +31,9 @@
 
 
 class Schema:
-    """The format of one kind of document.
+    """Defines the format of one kind of document.
 
-    `upgrades` maps each version below `version` to the function that turns its body into one of the next;
+    `upgrades` maps each version below `version` to the function that converts its body to the next version;
     raises `ValueError` if one is missing.
     """
 
@@ -42,10 +42,10 @@
         self.version = version
         self._upgrades = dict(upgrades or {})
         if missing := [v for v in range(1, version) if v not in self._upgrades]:
-            raise ValueError(f"{kind}: no upgrade from version {missing[0]}")
+            raise ValueError(f"{kind}: the upgrade from version {missing[0]} is missing")
 
     def pack(self, value: msgspec.Struct) -> bytes:
-        """Encodes a document of the current version, with a line end."""
+        """Encodes a document of the current version, with a newline at its end."""
         body = msgspec.json.encode(value)
         envelope = _Envelope(self.kind, self.version, xxhash.xxh3_64_hexdigest(body), msgspec.Raw(body))
         return msgspec.json.encode(envelope) + b"\n"
@@ -53,23 +53,23 @@
     def unpack(self, data: bytes, type: type[Body]) -> Body:
         """Decodes a document and upgrades it to the current version; raises `DocumentError`.
 
-        Only the first line is read: the rest of an area may be left from a longer document.
+        Only the first line is read, because the rest of an area may be left from a longer document.
         """
         try:
             envelope = msgspec.json.decode(data.partition(b"\n")[0], type=_Envelope)
         except msgspec.DecodeError as error:
             raise DocumentError(f"not a document: {error}") from None
         if envelope.kind != self.kind:
-            raise DocumentError(f"found a document of kind {envelope.kind!r}, wanted {self.kind!r}")
+            raise DocumentError(f"kind: must be {self.kind!r}, got {envelope.kind!r}")
         if envelope.version > self.version:
             raise DocumentError(
-                f"{self.kind}: found version {envelope.version}, which a newer program "
-                f"wrote; this one reads up to {self.version}",
+                f"{self.kind}: version must be at most {self.version}, got {envelope.version}, which a newer "
+                "version of the program wrote",
                 newer=True,
             )
         body = bytes(envelope.body)
         if xxhash.xxh3_64_hexdigest(body) != envelope.check:
-            raise DocumentError(f"{self.kind}: the checksum does not fit what is written")
+            raise DocumentError(f"{self.kind}: the checksum does not match the body")
         try:
             if envelope.version == self.version:
                 return msgspec.json.decode(body, type=type, strict=True)
--- a/trackspread/storage/interfaces.py
+++ b/trackspread/storage/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces to the disk: files of a fixed size and the folder that holds them.
+"""Defines the interfaces to the disk, which are files of a fixed size and the folder that holds them.
 
 `directory.py` implements them on a real folder; `testing/virtual/usage/disk.py` simulates a disk that loses
 and tears writes and that fills up. Every call except `Area.write` may block, so it must not run on the event
@@ -11,13 +11,13 @@
 
 
 class Area(Protocol):
-    """One file of a fixed size that is written in place.
+    """Represents one file of a fixed size that is written in place.
 
     Written data survives the end of the process at once, and a crash of the machine after `sync`.
     """
 
     def write(self, at: int, data: bytes) -> None:
-        """Writes `data` from byte `at` on. Never blocks and never fails: the space is already allocated."""
+        """Writes `data` from byte `at` on; never blocks or fails, as the space is already allocated."""
 
     def read(self, at: int = 0, size: int | None = None) -> bytes:
         """Returns `size` bytes from byte `at` on, or all up to the end of the file."""
@@ -25,8 +25,8 @@
     def sync(self) -> None:
         """Forces all earlier writes to the disk.
 
-        After an `OSError` nothing is known about any of these writes, and a second call does not help: the
-        operating system marks pages as clean even if writing them failed.
+        After an `OSError` nothing is known about any of these writes. A second call does not help, because
+        the operating system marks pages as clean even if writing them failed.
         """
 
     def close(self) -> None:
@@ -34,7 +34,7 @@
 
 
 class Files(Protocol):
-    """One folder, owned by one process."""
+    """Represents one folder, which one process owns."""
 
     def names(self) -> list[str]:
         """Returns the names of all files but the lock, sorted."""
--- a/trackspread/storage/journal.py
+++ b/trackspread/storage/journal.py
@@ -1,11 +1,11 @@
-"""The writer of one journal stream: sequence numbers, segments allocated in advance, and group commits.
+"""Writes one journal stream, with sequence numbers, segments allocated in advance, and group commits.
 
 - Each process writes one new stream and never reopens an older one, so a sequence number is used only once.
 - A record is in the page cache when `append` returns, so it survives the process. It survives the machine
   once it is committed; only committed records are sent to other machines.
 - Records that are not committed stay in memory too. After a failed sync the content of the disk is unknown:
   the stream ends at its last committed record, and the caller writes the pending records to a new stream.
-- `append` never waits: it returns False if there is no free slot.
+- `append` never blocks; it returns False if there is no free slot.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from .interfaces import Area
 from .slots import SegmentHeader, checksum_seed, pack_mark, pack_slot, slot_offset
 
-MARK_EVERY = 256  # slots between marks; behind the last mark, damage can't be told from a torn write
-ALLOCATE_AT_FREE_FRACTION = 0.5  # of the current segment: the next one is allocated from there on
+MARK_EVERY = 256  # slots between marks; behind the last mark, damage looks like a torn write
+ALLOCATE_AT_FREE_FRACTION = 0.5  # free fraction of the current segment at which the next one is allocated
 
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """One group of records: the disk call that commits it, and the sequence number of its last slot."""
+    """Holds the disk call that commits one group of records, and the sequence number of its last slot."""
 
     call: Sync
     last_slot: int
 
 
 class Journal:
-    """The writer of one stream.
+    """Writes one stream.
 
     `next` is the sequence number of the next slot, `committed` that of the last slot known to be on the disk,
     and `pending` holds the payloads behind it, marks included.
@@ -44,12 +44,12 @@
         self.committed = 0
         self.pending: deque[bytes] = deque()
         self._seed = checksum_seed(header.nonce)
-        self._marked = 0  # `committed` as the last mark states it
+        self._marked = 0  # value of `committed` in the last mark
         self._head = header
         self._area = area
         self._final_mark_written = False
         self._spare: Area | None = None
-        self._dirty: dict[int, Area] = {0: area}  # by segment index: what the next commit has to sync
+        self._dirty: dict[int, Area] = {0: area}  # files that the next commit has to sync, by segment index
 
     def header(self, index: int) -> SegmentHeader:
         """Returns the header of this stream's segment number `index`."""
@@ -57,11 +57,11 @@
 
     @property
     def index(self) -> int:
-        """The number of the segment that is being written."""
+        """Returns the number of the segment that is being written."""
         return self._head.index
 
     def free_slots(self) -> int:
-        """Returns how many slots can be written now. Pending slots are limited to one segment's number."""
+        """Returns how many slots can be written now; pending slots never exceed the size of one segment."""
         allocated = self._free_in_segment() + (self.slots if self._spare is not None else 0)
         return min(allocated, self.slots - len(self.pending))
 
@@ -75,11 +75,11 @@
         return self._head.last - self.next + 1
 
     def add_segment(self, area: Area) -> None:
-        """Takes the file that was created for `needed_segment`."""
+        """Adds the file that was created for `needed_segment`."""
         self._spare = area
 
     def append(self, payload: bytes) -> bool:
-        """Writes one record. Returns False, with nothing written, if there is no free slot."""
+        """Writes one record; returns False and writes nothing if there is no free slot."""
         mark_due = self.next - self._marked > MARK_EVERY and self.committed > self._marked
         if self.free_slots() < 1 + mark_due:
             return False
@@ -89,10 +89,10 @@
         return True
 
     def write_final_mark(self) -> bool:
-        """Ends the stream with a mark that covers all records; to be called while nothing is pending.
+        """Ends the stream with a mark that covers all records; it is to be called while nothing is pending.
 
-        Returns False if the mark was written just now and has to be committed, True if there is nothing left
-        to do: it was written before, there are no records, or there is no free slot.
+        Returns False if the mark was written just now and has to be committed. Returns True if the mark was
+        written before, there are no records, or there is no free slot.
         """
         if self._final_mark_written or not self.committed or self.free_slots() < 1:
             return True
@@ -116,13 +116,15 @@
         self.next += 1
 
     def next_commit(self) -> Commit | None:
-        """Returns the next group to commit, or None if nothing is pending. One group at a time is in work."""
+        """Returns the next group to commit, or None if nothing is pending.
+
+        One group is in progress at a time."""
         if not self.pending:
             return None
         return Commit(Sync(tuple(self._dirty.values())), self.next - 1)
 
     def commit_done(self, commit: Commit) -> list[Area]:
-        """Records that a group is on the disk. Returns the full segments, which the caller closes."""
+        """Marks a group as committed and returns the full segments, which the caller closes."""
         while self.committed < commit.last_slot:
             self.committed += 1
             self.pending.popleft()
--- a/trackspread/usage/__init__.py
+++ b/trackspread/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage records and their export to billing, exactly once; only `host.py` and `senders.py` do I/O."""
+"""Records usage and exports it to billing exactly once; only `host.py` and `senders.py` do I/O."""
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -1,9 +1,9 @@
-"""The audit of a folder of usage records: its contents, what is damaged, and what billing should have.
+"""Audits a folder of usage records: what it contains, what is damaged, and what billing should have.
 
-Nothing here writes; `rebuild_control` only returns the checkpoint that `use repair` saves.
+Nothing here writes; `rebuild_control` only returns the checkpoint that `trackspread use repair` saves.
 
 - A slot with an invalid checksum is damaged if a mark or the watermark shows that it was committed. Otherwise
-  it is torn: the machine lost power before the commit.
+  it is torn, which means that the machine lost power before the commit.
 - Billing should have the totals of removed segments, and records up to the watermark.
 """
 
@@ -32,7 +32,7 @@
 
 
 class SegmentScan(NamedTuple):
-    """One segment's header and slots."""
+    """Holds one segment's header and slots."""
 
     header: SegmentHeader
     scan: Scan
@@ -40,11 +40,11 @@
 
 @dataclass(slots=True)
 class StreamAudit:
-    """The audit of one stream.
+    """Holds the audit of one stream.
 
-    `live`: the stream was not ended. `records` can be read. `length` is the last slot that was written,
-    `committed` the last that is known to have been committed. `damaged` and `torn` are slots, `missing` is
-    the number of slots in missing segments.
+    `live` says that the stream was not ended. `records` counts the readable records. `length` is the last
+    slot that was written, `committed` the last that is known to have been committed. `damaged` and `torn` are
+    slots; `missing` is the number of slots in missing segments.
     """
 
     epoch: int
@@ -60,11 +60,11 @@
 
 @dataclass(slots=True)
 class Audit:
-    """The audit of one folder.
+    """Holds the audit of one folder.
 
-    `newer`: a newer version of the program wrote here. `journal` has the totals of all that was recorded,
-    `exported` of what billing has acknowledged. `problems` are lines for operators about faults. `segments`
-    and `bytes` count what is on the disk.
+    `newer` says that a newer version of the program wrote the folder. `journal` has the totals of all
+    records, `exported` those of the records that billing has acknowledged. `problems` are lines for operators
+    about faults. `segments` and `bytes` count what is on the disk.
     """
 
     control: Control | None
@@ -78,7 +78,7 @@
 
 
 def audit(files: Files) -> Audit:
-    """Read the complete folder; raises `OSError`."""
+    """Reads the complete folder and returns its audit; raises `OSError`."""
     names = files.names()
     copies = [files.load(name) or b"" for name in AREAS]
     checkpoint = newest(copies)
@@ -86,7 +86,7 @@
     control = checkpoint.control
     if control is None:
         if any(parse_segment_name(name) for name in names):
-            result.problems.append("there are records, and no control that can be read")
+            result.problems.append("the folder has records but no readable checkpoint")
         return result
     scans: dict[int, list[SegmentScan]] = {}
     for name in names:
@@ -105,7 +105,7 @@
 def _scan_segment(
     result: Audit, files: Files, control: Control, name: str, location: tuple[int, int]
 ) -> SegmentScan | None:
-    """One segment, None if it is of a stream that was never declared. `location`: its epoch and index."""
+    """Returns one segment, or None if its stream was never declared; `location` is its epoch and index."""
     result.segments += 1
     data = files.load(name) or b""
     result.bytes += len(data)
@@ -136,14 +136,14 @@
         audited.missing += len(missing) * stream.slots
     if audited.damaged:
         result.problems.append(
-            f"epoch {epoch}: {len(audited.damaged)} records are damaged, the first at place "
+            f"epoch {epoch}: {len(audited.damaged)} records are damaged, the first at slot "
             f"{audited.damaged[0]}"
         )
     return audited
 
 
 def _audit_records(result: Audit, audited: StreamAudit, slots: Scan) -> None:
-    """Add one segment's records to the totals, and sort its invalid slots."""
+    """Adds one segment's records to the totals, and classifies its invalid slots as damaged or torn."""
     records = {
         slot: record
         for slot, payload in slots.payloads.items()
@@ -157,7 +157,7 @@
 
 
 def _add_sum(result: Audit, name: str, data: bytes) -> None:
-    """Add the totals of a removed segment, which was exported or dropped."""
+    """Adds the totals of a removed segment, which was exported or dropped."""
     try:
         totals = SCHEMA.unpack(data, SegmentTotals)
     except DocumentError as error:
@@ -168,8 +168,9 @@
 
 
 class Received(msgspec.Struct, frozen=True, array_like=True):
-    """A row of billing's own totals: customer in hexadecimal, day since 1970-01-01, ending, requests, and
-    billionths of units."""
+    """Holds a row of billing's own totals.
+
+    `customer` is the tenant in hexadecimal, `day` counts from 1970-01-01, `units` are billionths."""
 
     customer: str
     day: int
@@ -180,8 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A tenant's day and ending for which journal, export and billing differ; each has requests and
-    billionths of units."""
+    """Holds the amounts of a tenant, day and ending for which journal, export and billing differ."""
 
     tenant: int
     day: int
@@ -192,16 +192,18 @@
 
     @property
     def kind(self) -> str:
-        """What the difference means, for operators."""
+        """Returns what the difference means, for operators."""
         if self.received == self.journal:
-            return "billing has it all, the gateway does not know yet"
+            return "billing has all of it, but the gateway has no acknowledgement yet"
         if self.received == self.exported:
             return "not exported yet"
-        return "billing has less than it took" if self.received < self.exported else "billing has more"
+        if self.received < self.exported:
+            return "billing has less than it acknowledged"
+        return "billing has more than it acknowledged"
 
 
 def reconcile(audits: list[Audit], received: list[Received]) -> list[Difference]:
-    """Where journals, exports and billing differ, by tenant, day and ending; empty if they agree."""
+    """Returns the differences between journals, exports and billing; the list is empty if they agree."""
     journal, exported, billing = Totals(), Totals(), Totals()
     for each in audits:
         _add_all(journal, each.journal)
@@ -227,9 +229,11 @@
 
 
 def rebuild_control(files: Files, names: Names, producer: str) -> Control:
-    """A checkpoint for segments whose own is lost. Nothing counts as exported: billing takes each slot once,
-    and its replies set the watermarks. Raises `DocumentError` where a newer version of the program wrote, or
-    segments do not belong together."""
+    """Returns a new checkpoint for segments whose checkpoint is lost.
+
+    Nothing counts as exported, because billing accepts each slot once and its replies set the watermarks.
+    Raises `DocumentError` if a newer version of the program wrote a segment, or if segments of one epoch have
+    different nonces."""
     control = Control(producer, names=[names])
     for name in files.names():
         if (location := parse_segment_name(name)) is None:
@@ -246,7 +250,9 @@
         new = Stream(nonce, header.slots, 0, [Part(1, nonce)], 0, 0, index)
         stream = control.streams.setdefault(epoch, new)
         if stream.nonce != nonce:
-            raise DocumentError(f"{name}: it is of another life than the others of its epoch")
+            raise DocumentError(
+                f"{name}: nonce: must be {stream.nonce}, as in other segments of epoch {epoch}, got {nonce}"
+            )
         stream.length = max(stream.length or 0, header.first - 1 + count_written_slots(data[HEADER_BYTES:]))
         stream.first_segment = min(stream.first_segment, index)
         control.epoch = max(control.epoch, epoch)
--- a/trackspread/usage/batch.py
+++ b/trackspread/usage/batch.py
@@ -1,4 +1,4 @@
-"""The batch that is sent to billing, one JSON object, and billing's reply.
+"""Defines the batch that is sent to billing as one JSON object, and billing's reply.
 
 A batch has the same bytes each time it is sent. Digests are SHA-256, signatures HMAC-SHA-256 (RFC 2104).
 """
@@ -16,10 +16,11 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One record, with names in place of indexes.
+    """Holds one record, with names in place of indexes.
 
-    `time` is Unix time in ms, `customer` 16 hexadecimal digits, `cls` the request class, `version` that of
-    the plan. `units` are billionths as a decimal string, as JSON numbers are exact only up to 2^53.
+    `time` is Unix time in ms, `customer` the tenant as 16 hexadecimal digits, `cls` the request class, and
+    `version` the plan's version. `units` are billionths as a decimal string, because JSON numbers are exact
+    only up to 2^53.
     """
 
     sequence: int
@@ -36,11 +37,11 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Slots `first` to `last` of a stream.
+    """Holds slots `first` to `last` of a stream.
 
-    `producer` names the folder, `name` the gateway, `epoch` the incarnation of the process. `base` is the
-    slot before the stream's first. `length` is the stream's last slot, None while it is written. `holes`
-    counts slots that can no longer be read.
+    `producer` identifies the folder, `name` the gateway, `epoch` the incarnation of the process. `base` is
+    the slot before the stream's first. `length` is the stream's last slot, or None while it is written.
+    `holes` counts slots that can no longer be read.
     """
 
     producer: str
@@ -56,16 +57,16 @@
 
     @property
     def key(self) -> str:
-        """The idempotency key: what is sent again under it has the same bytes."""
+        """Returns the idempotency key; a batch that is sent again under it has the same bytes."""
         return f"{self.stream}:{self.first}-{self.last}"
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Billing's acknowledgement.
+    """Holds billing's acknowledgement.
 
     `taken` is the last slot of the stream that billing has stored. `sealed` is the stream's last slot, once
-    billing knows it. `fenced`: the sender was replaced, no slot after `sealed` will be accepted. `conflict`:
-    billing has other records for these slots.
+    billing knows it. `fenced` says that the sender was replaced, so that no slot after `sealed` will be
+    accepted. `conflict` says that billing has other records for these slots.
     """
 
     taken: int
@@ -75,7 +76,7 @@
 
 
 def rows(scan: Scan, names: Names) -> tuple[Row, ...]:
-    """The rows of a batch in order of slots; slots that can't be read have none."""
+    """Returns the rows of a batch in order of slots; slots that can't be read have none."""
     return tuple(
         _row(sequence, record, names)
         for sequence, payload in sorted(scan.payloads.items())
@@ -104,25 +105,25 @@
 
 
 def encode(batch: Batch) -> bytes:
-    """The body of the request to billing."""
+    """Returns the body of the request to billing."""
     return msgspec.json.encode(batch)
 
 
 def decode(body: bytes) -> Batch:
-    """The batch in a body; raises `msgspec.DecodeError`."""
+    """Returns the batch in a body; raises `msgspec.DecodeError`."""
     return msgspec.json.decode(body, type=Batch, strict=True)
 
 
 def digest(body: bytes) -> str:
-    """SHA-256 of the body, in hexadecimal digits."""
+    """Returns the SHA-256 of the body in hexadecimal digits."""
     return hashlib.sha256(body).hexdigest()
 
 
 def signature(body: bytes, key: str, secret: bytes) -> str:
-    """Signature of a body together with its idempotency key, in hexadecimal digits."""
+    """Returns the signature of a body together with its idempotency key, in hexadecimal digits."""
     return hmac.new(secret, key.encode() + b"\n" + body, hashlib.sha256).hexdigest()
 
 
 def signed(body: bytes, key: str, secret: bytes, received: str) -> bool:
-    """Whether `received` is the body's signature; compares in constant time."""
+    """Returns whether `received` is the body's signature; the comparison takes constant time."""
     return hmac.compare_digest(signature(body, key, secret).encode(), received.encode())
--- a/trackspread/usage/checkpoint.py
+++ b/trackspread/usage/checkpoint.py
@@ -1,6 +1,6 @@
-"""The checkpoint on the disk: two areas that are written in turn.
+"""Stores the checkpoint on the disk, in two areas that are written in turn.
 
-The area that was last saved is never the one that is written, so that one valid copy is left at any time.
+The area that was last saved is never overwritten, so that a valid copy exists at any time.
 """
 
 from __future__ import annotations
@@ -13,36 +13,37 @@
 from .control import AREA_SIZE, Control, pack
 from .disk_calls import DiskCalls, OnFailure, OnSuccess
 
-OnSaved = Callable[[dict[int, int]], None]  # with the watermarks that were saved, by epoch
+OnSaved = Callable[[dict[int, int]], None]  # gets the watermarks that were saved, by epoch
 
 
 class CheckpointStore:
-    """The checkpoint in memory (`control`) and its areas. `areas` are in the order of `AREAS`."""
+    """Holds the checkpoint in memory (`control`) and its areas, which are in the order of `AREAS`."""
 
     def __init__(self, control: Control, calls: DiskCalls, alarms: list[str]) -> None:
-        """`alarms` takes lines for operators."""
+        """Creates a store without areas; `alarms` takes lines for operators."""
         self.control = control
         self.areas: list[Area] = []
         self._calls = calls
         self._alarms = alarms
-        self._valid_area = 0  # index of the one that was last saved
+        self._valid_area = 0  # index of the area that was last saved
 
     def open(self, areas: list[Area], valid_area: int) -> None:
-        """Take up the areas; `valid_area` is the index of the one with the newest valid copy."""
+        """Takes the areas; `valid_area` is the index of the one with the newest valid copy."""
         self.areas = areas
         self._valid_area = valid_area
 
     @property
     def valid_area(self) -> Area:
-        """The area that was last saved."""
+        """Returns the area that was last saved."""
         return self.areas[self._valid_area]
 
     def save(
         self, now: int, month_start_ms: int, on_saved: OnSaved, on_success: OnSuccess, on_failure: OnFailure
     ) -> Call | None:
-        """The call that saves the checkpoint as it is now; None, after `on_failure`, if it is too large.
+        """Returns the call that saves the checkpoint as it is now.
 
-        `month_start_ms`: the start of the newest month that was begun.
+        If the checkpoint is too large, calls `on_failure` and returns None. `month_start_ms` is the start of
+        the newest month that has begun.
         """
         control = self.control
         target = 1 - self._valid_area
@@ -52,10 +53,10 @@
         data = pack(control)
         if len(data) > AREA_SIZE:
             self._alarms.append(
-                f"use: the control has outgrown {AREA_SIZE} bytes: long names of classes, or "
-                "too many lives that wait for their export"
+                f"use: the checkpoint has {len(data)} bytes, the limit is {AREA_SIZE}: the names of classes "
+                "are too long, or too many streams wait for their export"
             )
-            on_failure(now, OSError(errno.EFBIG, "control too large"))
+            on_failure(now, OSError(errno.EFBIG, "checkpoint too large"))
             return None
 
         def saved(now: int, result: Result) -> None:
--- a/trackspread/usage/context.py
+++ b/trackspread/usage/context.py
@@ -1,4 +1,4 @@
-"""What the components of one ledger share: its settings, its state, and each other's data."""
+"""Defines what the components of one ledger share: its settings, its state, and each other's data."""
 
 from __future__ import annotations
 
@@ -16,17 +16,22 @@
 from .segments import FullPolicy, SegmentStore
 
 SECOND = 1_000_000_000
-ALARM_INTERVAL_NS = 60 * SECOND  # between two alarms about the same lack of room
+ALARM_INTERVAL_NS = 60 * SECOND  # interval between two alarms about the same lack of space
 
 
 class State(Enum):
-    """The state of a ledger.
-
-    NEW: nothing is known of the folder. SCANNING: it is being read. REFRESHING: what earlier incarnations
-    wrote is written and synced again. NO_STREAM: the checkpoint is known, a stream will be created. CREATING:
-    its first segment is being created. COPYING: records that a failed commit left in doubt are committed to
-    it. DECLARING: the checkpoint that names it is being saved. LIVE: records are written. CLOSED: all is
-    committed and the stream has ended. STUCK: an operator has to intervene.
+    """Names the state of a ledger.
+
+    - NEW: the folder was not read yet.
+    - SCANNING: the folder is being read.
+    - REFRESHING: what earlier incarnations wrote is written and synced again.
+    - NO_STREAM: the checkpoint is known, and a stream will be created.
+    - CREATING: the stream's first segment is being created.
+    - COPYING: records that a failed commit left in doubt are committed to the new stream.
+    - DECLARING: the checkpoint that names the stream is being saved.
+    - LIVE: records are written.
+    - CLOSED: all records are committed and the stream has ended.
+    - STUCK: an operator has to intervene.
     """
 
     NEW = "new"
@@ -41,17 +46,17 @@
     STUCK = "stuck"
 
 
-# The checkpoint is known and the export runs, whatever happens to the stream that is written.
+# In these states the checkpoint is known and the export runs, whatever the state of the written stream is.
 OPENED = frozenset({State.NO_STREAM, State.CREATING, State.COPYING, State.DECLARING, State.LIVE})
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Sizes and times of a ledger.
+    """Holds the sizes and times of a ledger.
 
-    `segment_slots`: slots of one segment. `max_segments`: on the disk, 4 at least. `commit_delay_ns`: from a
-    record to its commit, without the time that the disk takes. `batch_delay_ns`: for how long a batch that is
-    not full waits for more records. `when_full`: what happens at `max_segments`.
+    `segment_slots` is the number of slots in one segment, `max_segments` the limit of segments on the disk,
+    at least 4. `commit_delay_ns` is the time from a record to the start of its commit. `batch_delay_ns` is
+    how long a batch that is not full waits for more records. `when_full` is the policy at `max_segments`.
     """
 
     segment_slots: int
@@ -63,11 +68,11 @@
 
 @dataclass(slots=True)
 class LedgerContext:
-    """The shared data of one ledger.
+    """Holds the shared data of one ledger.
 
-    `highest_epoch` is the highest that a stream was ever created under, declared or not. `closing`: no more
-    requests are counted. `alarms` are lines for operators, `released_areas` are to be closed; the host takes
-    both.
+    `highest_epoch` is the highest epoch of any created stream, declared or not. `closing` says that no more
+    requests are counted. `alarms` are lines for operators, `released_areas` are areas to be closed; the host
+    takes both.
     """
 
     bounds: Bounds
@@ -85,7 +90,9 @@
     closing: bool = False
 
     def save_checkpoint(self, now: int, on_success: OnSuccess, on_failure: OnFailure) -> Call | None:
-        """The call that saves the checkpoint; None, after `on_failure`, if it can't be saved."""
+        """Returns the call that saves the checkpoint.
+
+        If the checkpoint is too large, calls `on_failure` and returns None."""
         month_start_ms = self.meter.month_start_ms
         return self.checkpoint.save(now, month_start_ms, self._checkpoint_saved, on_success, on_failure)
 
--- a/trackspread/usage/control.py
+++ b/trackspread/usage/control.py
@@ -1,7 +1,7 @@
-"""The checkpoint of a usage folder: its streams, how far each is exported, and the batch in progress.
+"""Defines the checkpoint of a usage folder: its streams, their watermarks, and the batch in progress.
 
-It is written to two areas in turn, so that a torn write leaves the other one; the newest valid copy counts.
-The JSON keys are the stored ones, also where a field has another name here.
+The checkpoint is written to two areas in turn, so that a torn write leaves the other area intact; the newest
+valid copy counts. Where a field has another name here, the stored JSON key is given.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from ..storage.document import DocumentError, Schema
 
 AREAS = ("control-a", "control-b")
-AREA_SIZE = 65_536  # bytes each; over three times what `MAX_STREAMS` streams take
-MAX_STREAMS = 128  # that are not exported yet; each start of a process adds one
+AREA_SIZE = 65_536  # bytes of one area, over three times what `MAX_STREAMS` streams take
+MAX_STREAMS = 128  # limit of streams that are not exported yet; each start of a process adds one
 SCHEMA = Schema("use-control", 1)
 
 
 class Part(msgspec.Struct, frozen=True):
-    """From slot `first` on the stream is exported under the name `id`."""
+    """Says that the stream is exported under the name `id` from slot `first` on."""
 
     first: int
     id: str
 
 
 class Names(msgspec.Struct, frozen=True):
-    """The gateway that wrote a stream, and the names of the classes and plans that its records index."""
+    """Holds the gateway that wrote a stream and the names of the classes and plans that its records index."""
 
     gateway: str
     classes: tuple[str, ...]
@@ -34,18 +34,18 @@
 
 
 class PartBounds(NamedTuple):
-    """A part of a stream and its last slot, None while the part has no end."""
+    """Holds a part of a stream and its last slot, which is None while the part has no end."""
 
     part: Part
     last: int | None
 
 
 class Stream(msgspec.Struct):
-    """The records of one incarnation of the process.
+    """Describes the stream of records of one incarnation of the process.
 
-    `names` is an index into `Control.names`. `length` is the last slot, None while the stream is written.
-    `acked` is the watermark: the last slot that billing has acknowledged. `first_segment` is the index of the
-    first segment on the disk. `sealed`: billing has acknowledged the length.
+    `names` is an index into `Control.names`. `length` is the last slot, or None while the stream is written.
+    `acked` is the watermark, which is the last slot that billing has acknowledged. `first_segment` is the
+    index of the first segment on the disk. `sealed` says that billing has acknowledged the length.
     """
 
     nonce: str
@@ -58,25 +58,25 @@
     sealed: bool = False
 
     def part(self, sequence: int) -> PartBounds:
-        """The part that a slot belongs to."""
+        """Returns the part that a slot belongs to."""
         index = max(i for i, part in enumerate(self.parts) if part.first <= sequence)
         is_last = index + 1 == len(self.parts)
         return PartBounds(self.parts[index], self.length if is_last else self.parts[index + 1].first - 1)
 
     def last_slot(self, index: int) -> int:
-        """The last slot of a segment, which is the stream's last if that comes first."""
+        """Returns the last slot of a segment, or the stream's last slot if that comes first."""
         last = (index + 1) * self.slots
         return last if self.length is None else min(last, self.length)
 
     def is_exported(self) -> bool:
-        """Whether billing has acknowledged all records and the length."""
+        """Returns whether billing has acknowledged all records and the length."""
         return self.length is not None and self.sealed and self.acked >= self.length
 
 
 class Intent(msgspec.Struct, frozen=True):
-    """A batch that may have been sent: it is sent again with the same bytes until billing replies.
+    """Describes a batch that may have been sent and is sent again with the same bytes until billing replies.
 
-    `length` is the one in the batch, also if the stream has ended since.
+    `length` is the one in the batch, even if the stream has ended since.
     """
 
     epoch: int
@@ -87,10 +87,10 @@
 
 
 class Control(msgspec.Struct):
-    """The checkpoint.
+    """Holds the checkpoint.
 
-    `producer` names the folder. `generation` counts the writes of the checkpoint. `epoch` is the highest
-    number of a stream, `streams` are by epoch. `month_start_ms` is the start of the newest month that was
+    `producer` identifies the folder. `generation` counts the writes of the checkpoint. `epoch` is the highest
+    epoch of a stream, `streams` are by epoch. `month_start_ms` is the start of the newest month that has
     begun. `lost` counts records that were removed before they were exported, by reason.
     """
 
@@ -104,7 +104,7 @@
     lost: dict[str, int] = {}
 
     def names_index(self, names: Names) -> int:
-        """The index of `names`, which are added if need be; names without a stream are removed."""
+        """Returns the index of `names`, which are added if missing; names without a stream are removed."""
         used = sorted({stream.names for stream in self.streams.values()})
         new_index = {old: new for new, old in enumerate(used)}
         self.names = [self.names[old] for old in used]
@@ -116,10 +116,10 @@
 
 
 class NewestCopy(NamedTuple):
-    """The newest valid copy of the checkpoint and its area, by the index in `AREAS`.
+    """Holds the newest valid copy of the checkpoint and the index of its area in `AREAS`.
 
-    `errors` has a line for each invalid copy. `newer`: a newer version of the program wrote one of them, and
-    nothing may be changed.
+    `errors` has a line for each invalid copy. `newer` says that a newer version of the program wrote one of
+    the copies, so that nothing may be changed.
     """
 
     control: Control | None
@@ -129,13 +129,14 @@
 
 
 def pack(control: Control) -> bytes:
-    """The bytes of the stored document."""
+    """Returns the bytes of the stored document."""
     return SCHEMA.pack(control)
 
 
 def newest(copies: list[bytes]) -> NewestCopy:
-    """The newest valid one of the copies, which are in the order of `AREAS`. Without any copy the folder is
-    new, which is no error."""
+    """Returns the newest valid copy; the copies are in the order of `AREAS`.
+
+    Without any copy the folder is new, which is no error."""
     best: Control | None = None
     area, errors, newer = 0, list[str](), False
     for index, data in enumerate(copies):
--- a/trackspread/usage/disk_calls.py
+++ b/trackspread/usage/disk_calls.py
@@ -1,4 +1,4 @@
-"""The ledger's calls to the disk: one at a time, each with what follows it, and pauses after failures."""
+"""Tracks the ledger's disk calls, of which one is in progress at a time, and pauses after failures."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from ..storage.calls import Call, Result
 
 SECOND = 1_000_000_000
-RETRY_NS = 2 * SECOND  # from a failed call to the next one for the same purpose
-OnSuccess = Callable[[int, Result], None]  # with the time in ns and what the call returned
-OnFailure = Callable[[int, OSError], None]  # with the time in ns
+RETRY_NS = 2 * SECOND  # pause between a failed call and the next one for the same purpose
+OnSuccess = Callable[[int, Result], None]  # gets the time in ns and the call's result
+OnFailure = Callable[[int, OSError], None]  # gets the time in ns and the error
 
 
 class Purpose(Enum):
-    """What a call is for; each purpose has its own pause after a failure."""
+    """Names the purpose of a call; each purpose has its own pause after a failure."""
 
-    SCAN = auto()  # the folder is listed and its segments are read
-    REFRESH = auto()  # what an earlier incarnation wrote is written and synced again
-    STREAM = auto()  # a stream is created, or its records are committed
-    SEGMENT = auto()  # the stream gets its next segment
-    END = auto()  # the stream is ended
-    SAVE = auto()  # the checkpoint is saved for the export or for retention
-    RETENTION = auto()  # a segment is removed
-    READ = auto()  # records are read for the export
+    SCAN = auto()  # lists the folder and reads its segments
+    REFRESH = auto()  # writes and syncs again what an earlier incarnation wrote
+    STREAM = auto()  # creates a stream or commits its records
+    SEGMENT = auto()  # creates the stream's next segment
+    END = auto()  # ends the stream
+    SAVE = auto()  # saves the checkpoint for the export or for retention
+    RETENTION = auto()  # removes a segment
+    READ = auto()  # reads records for the export
 
 
 class PendingCall(NamedTuple):
-    """What follows the call in progress."""
+    """Holds the handlers for the end of the call in progress."""
 
     on_success: OnSuccess
     on_failure: OnFailure
 
 
 class DiskCalls:
-    """The call in progress, and when each purpose may be tried again."""
+    """Holds the call in progress and the time at which each purpose may be retried."""
 
     def __init__(self) -> None:
         self._pending: PendingCall | None = None
@@ -43,30 +43,30 @@
 
     @property
     def in_progress(self) -> bool:
-        """Whether a call is in progress; no other may be started then."""
+        """Returns whether a call is in progress, during which no other may be started."""
         return self._pending is not None
 
     def start(self, call: Call, on_success: OnSuccess, on_failure: OnFailure) -> Call:
-        """Take a call as started; returns it, for the host to perform."""
+        """Marks a call as in progress and returns it for the host to perform."""
         self._pending = PendingCall(on_success, on_failure)
         return call
 
     def finish(self) -> PendingCall:
-        """The call in progress has ended; returns what follows it."""
+        """Ends the call in progress and returns its handlers."""
         assert self._pending is not None
         pending, self._pending = self._pending, None
         return pending
 
     def may_start(self, purpose: Purpose, now: int) -> bool:
-        """Whether a call for this purpose may be started at `now`, in ns."""
+        """Returns whether a call for this purpose may be started at `now`, which is in ns."""
         return now >= self._not_before_ns.get(purpose, 0)
 
     def postpone(self, purpose: Purpose, until_ns: int) -> None:
-        """Start no call for this purpose before `until_ns`."""
+        """Prevents calls for this purpose before `until_ns`."""
         self._not_before_ns[purpose] = until_ns
 
     def retry_later(self, purpose: Purpose) -> OnFailure:
-        """A failure handler that does nothing but postpone the purpose by `RETRY_NS`."""
+        """Returns a failure handler that only postpones the purpose by `RETRY_NS`."""
 
         def on_failure(now: int, _: OSError) -> None:
             self.postpone(purpose, now + RETRY_NS)
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -1,14 +1,15 @@
-"""Which batch is sent to billing next, and what billing's replies mean.
+"""Selects the batch that is sent to billing next, and acts on billing's replies.
 
 - Only committed records are sent, in order of slots, one batch at a time, the oldest stream first.
-- The intent to send a batch is on the disk before the batch is first sent: until billing replies the same
-  slots are sent again, after a crash too.
+- The intent to send a batch is on the disk before the batch is first sent. The same slots are sent again,
+  also after a crash, until billing replies.
 - Only `Reply.taken` moves the watermark; it moves back if billing has lost records.
 - The length of a closed stream is sent with its last batch, or alone. Only the reply to a batch that has the
-  length seals the stream; from then on nobody can add to it.
-- A stream that billing has fenced is sent as before up to the seal, as the same slots have the same records
-  in every copy of the folder. What follows the seal is exported as a new stream under a derived name.
-- A rejection that a retry can't resolve raises an alarm, and is retried all the same, after a long pause.
+  length seals the stream, and a sealed stream can't be extended.
+- A stream that billing has fenced is sent as before up to the seal, because the same slots have the same
+  records in every copy of the folder. The records after the seal are exported as a new stream under a derived
+  name.
+- A rejection that a retry can't resolve raises an alarm. It is retried all the same, after a long pause.
 """
 
 from __future__ import annotations
@@ -25,20 +26,23 @@
 from .control import Control, Intent, Part, Stream
 
 SECOND = 1_000_000_000
-BATCH_SLOTS = 1024  # at most: about 120 kB of JSON, and two or three milliseconds of the event loop
+BATCH_SLOTS = 1024  # limit for one batch: about 120 kB of JSON and two or three ms of the event loop
 MIN_BACKOFF_NS = SECOND // 4
 MAX_BACKOFF_NS = 60 * SECOND
-REJECTED_BACKOFF_NS = 60 * SECOND  # after a reply that a retry can't resolve
-MIN_JITTER = 0.5  # part of the backoff
+REJECTED_BACKOFF_NS = 60 * SECOND  # pause after a reply that a retry can't resolve
+MIN_JITTER = 0.5  # lowest factor on the backoff
 STREAM_ID_BYTES = 16
 
 
 class Stage(Enum):
-    """What happens to the current batch.
-
-    IDLE: there is none. READING: its records are being read. SAVING_INTENT: the intent to send it is not on
-    the disk yet. READY: it may be sent. SENT: the reply is awaited. BACKING_OFF: it failed and is retried
-    later.
+    """Names the stage of the current batch.
+
+    - IDLE: there is no batch.
+    - READING: its records are being read.
+    - SAVING_INTENT: the intent to send it is not on the disk yet.
+    - READY: it may be sent.
+    - SENT: billing's reply is pending.
+    - BACKING_OFF: the attempt failed and is retried later.
     """
 
     IDLE = "idle"
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Post:
-    """An encoded batch, with its idempotency key and the SHA-256 of the body."""
+    """Holds an encoded batch with its idempotency key and the SHA-256 of the body."""
 
     key: str
     body: bytes
@@ -59,7 +63,7 @@
 
 
 class SlotRange(NamedTuple):
-    """Slots `first` to `last` of a stream."""
+    """Identifies slots `first` to `last` of a stream."""
 
     epoch: int
     first: int
@@ -67,21 +71,23 @@
 
 
 def continuation_stream_id(stream: str, first: int) -> str:
-    """The name under which a fenced stream continues from slot `first`. All who have a copy of these records
-    derive the same name, so billing takes them once, whoever sends them."""
+    """Returns the name under which a fenced stream continues from slot `first`.
+
+    All processes that have a copy of these records derive the same name, so billing accepts the records once,
+    from whichever process they come."""
     name = f"{stream}:{first}".encode()
     return hashlib.blake2b(name, digest_size=STREAM_ID_BYTES).hexdigest()
 
 
 class Exporter:
-    """The state of the current batch.
+    """Holds the state of the current batch.
 
-    Where it changes the checkpoint it sets `dirty`, for the ledger to save it. `alarms` are lines for
+    It sets `dirty` when it changes the checkpoint, so that the ledger saves it. `alarms` are lines for
     operators. `last_error` is the error of the last attempt, empty after a success.
     """
 
     def __init__(self, batch_delay_ns: int, rng: random.Random) -> None:
-        """`batch_delay_ns`: for how long a batch that is not full waits for more records."""
+        """Creates an idle exporter; a batch that is not full waits `batch_delay_ns` for more records."""
         self.stage = Stage.IDLE
         self.dirty = False
         self.alarms: list[str] = []
@@ -95,7 +101,7 @@
         self._sent_at_ns = 0
 
     def next_read(self, now: int, control: Control, committed: int) -> Read | None:
-        """The records to read for a new batch, None if none is due.
+        """Returns the read of the records for a new batch, or None if none is due.
 
         `now` is in ns; `committed` is the last committed slot of the stream that is written.
         """
@@ -124,7 +130,7 @@
             part_end = stream.part(first).last
             segment_end = ((first - 1) // stream.slots + 1) * stream.slots
             last = min(end, first + BATCH_SLOTS - 1, segment_end, part_end or end)
-            if stream.length is None:  # the one that is written, which comes last
+            if stream.length is None:  # the stream that is written, which comes last
                 is_full = last - first + 1 >= BATCH_SLOTS
                 if last < first or (not is_full and now - self._sent_at_ns < self._batch_delay_ns):
                     return None
@@ -132,7 +138,7 @@
         return None
 
     def records_read(self, control: Control, scan: Scan | None) -> None:
-        """The records of the batch were read; `scan` is None if their segment is gone."""
+        """Builds the batch from the records that were read; `scan` is None if their segment is missing."""
         assert self._range is not None and self.stage is Stage.READING
         slots, previous = self._range, control.intent
         is_repeat = previous is not None and (previous.epoch, previous.first, previous.last) == slots
@@ -148,25 +154,25 @@
             return
         if is_repeat:
             self.alarms.append(
-                f"batch {batch.key} has other bytes than when it was first sent: "
-                f"{batch.holes} of its places can't be read"
+                f"batch {batch.key} differs from when it was first sent: "
+                f"{batch.holes} of its slots can't be read"
             )
         control.intent = intent
         self.dirty = True
         self.stage = Stage.SAVING_INTENT
 
     def read_failed(self) -> None:
-        """The disk did not return the records: they are to be read again."""
+        """Returns to the idle stage, as the records could not be read and are to be read again."""
         self.stage = Stage.IDLE
         self._range = None
 
     def checkpoint_saved(self) -> None:
-        """The checkpoint is on the disk as it was when `dirty` was last cleared."""
+        """Notes that the checkpoint is on the disk as it was when `dirty` was last cleared."""
         if self.stage is Stage.SAVING_INTENT and not self.dirty:
             self.stage = Stage.READY
 
     def next_post(self, now: int) -> Post | None:
-        """The batch if it is to be sent now, once per attempt; `now` is in ns."""
+        """Returns the batch if it is to be sent now, once per attempt; `now` is in ns."""
         if self.stage is Stage.BACKING_OFF and now >= self._retry_at_ns:
             self.stage = Stage.READY
         if self.stage is not Stage.READY:
@@ -176,13 +182,14 @@
         return self._post
 
     def send_failed(self, now: int, reason: str, retry_after_ns: int = 0, final: bool = False) -> None:
-        """The attempt failed: billing was not reached, did not answer, or answered with an error.
+        """Starts the backoff after a failed attempt.
 
-        `retry_after_ns` is the receiver's Retry-After; `final`: a retry can't resolve it.
+        Billing was not reached, did not reply, or replied with an error. `retry_after_ns` is the receiver's
+        Retry-After; `final` says that a retry can't resolve the error.
         """
         self.stage = Stage.BACKING_OFF
         if reason != self.last_error:
-            self.alarms.append(f"export waits: {reason}")
+            self.alarms.append(f"export paused: {reason}")
         self.last_error = reason
         if final:
             pause_ns = REJECTED_BACKOFF_NS
@@ -192,18 +199,18 @@
         self._backoff_ns = min(MAX_BACKOFF_NS, 2 * self._backoff_ns)
 
     def reply_received(self, control: Control, reply: Reply) -> None:
-        """Billing's reply to the batch that was sent."""
+        """Handles billing's reply to the batch that was sent."""
         assert self._range is not None and control.intent is not None
         slots, stream = self._range, control.streams[self._range.epoch]
         if self.last_error:
-            self.alarms.append("export goes on")
+            self.alarms.append("export resumed")
         self.last_error = ""
         self._backoff_ns = MIN_BACKOFF_NS
         self.dirty = True
         if reply.conflict:
             self.alarms.append(
-                f"billing has other bytes for places {slots.first} to {slots.last} of epoch "
-                f"{slots.epoch}: compare with `use reconcile`"
+                f"billing has other records for slots {slots.first} to {slots.last} of epoch "
+                f"{slots.epoch}: compare with `trackspread use reconcile`"
             )
         if reply.fenced:
             self._fence(slots, stream, reply)
@@ -217,31 +224,33 @@
         self.stage = Stage.IDLE
 
     def _fence(self, slots: SlotRange, stream: Stream, reply: Reply) -> None:
-        """Another incarnation has sealed this stream before its end here: it is split at the seal."""
+        """Splits the stream at the seal, as another incarnation has sealed it before its end here."""
         sealed = reply.sealed if reply.sealed is not None else reply.taken
         part = stream.part(slots.first).part
         name = continuation_stream_id(part.id, sealed + 1)
         stream.parts.insert(stream.parts.index(part) + 1, Part(sealed + 1, name))
         stream.acked = min(stream.acked, sealed)
         self.alarms.append(
-            f"epoch {slots.epoch} was taken over by another life, up to place {sealed}: two "
-            f"gateways have copies of one folder. What was counted here goes on as {name}"
+            f"another process sealed epoch {slots.epoch} at slot {sealed}: two gateways use copies of one "
+            f"folder; later records of this one are exported as stream {name}"
         )
 
     def _rewind(self, control: Control, slots: SlotRange, taken: int) -> None:
-        """Billing has lost records, perhaps by a restore from a backup. All streams are checked with it
-        again, and this one from its first slot, as an earlier part of it may have another end by now."""
+        """Moves the watermark back, as billing has lost records, for example by a restore from a backup.
+
+        All streams are checked with billing again, and this one from its first slot, because an earlier part
+        of it may have another end by now."""
         control.streams[slots.epoch].acked = 0
         for stream in control.streams.values():
             stream.sealed = False
         self.alarms.append(
-            f"billing has forgotten places {taken + 1} to {slots.first - 1} of epoch "
-            f"{slots.epoch}: what is still here is sent again"
+            f"billing has lost slots {taken + 1} to {slots.first - 1} of epoch {slots.epoch}: the records "
+            "that are still here are sent again"
         )
 
 
 def _batch(control: Control, slots: SlotRange, length: int | None, scan: Scan | None) -> Batch:
-    """The batch with the records in `scan`; without them all of its slots are holes."""
+    """Returns the batch with the records in `scan`; without a scan all of its slots are holes."""
     stream = control.streams[slots.epoch]
     names = control.names[stream.names]
     part = stream.part(slots.first).part
@@ -261,9 +270,9 @@
 
 
 def _acknowledge(stream: Stream, slots: SlotRange, intent: Intent, taken: int) -> None:
-    """Billing has the stream's slots up to `taken`: advance the watermark, and seal a complete stream."""
+    """Advances the watermark to `taken`, up to which billing has the slots, and seals a complete stream."""
     part_end = stream.part(slots.first).last
-    # After a rewind this batch may lie ahead of slots that are checked with billing again.
+    # After a rewind this batch may be ahead of slots that are checked with billing again.
     if stream.acked >= slots.first - 1:
         stream.acked = max(stream.acked, min(taken, slots.last if part_end is None else part_end))
     # A batch that was first sent while the stream was written is sent again without the length.
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -1,7 +1,7 @@
-"""The host of a running gateway's ledger: a thread for the disk, a task for billing, and the clock.
+"""Runs a gateway's ledger with a thread for the disk, a task for billing, and the clock.
 
-The ledger's calls are performed one at a time in a thread of their own, so that a slow disk never blocks the
-event loop.
+The ledger's disk calls are performed one at a time in a thread of their own, so that a slow disk never blocks
+the event loop.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 log = logging.getLogger(__name__)
 
-MIN_POLL_S = 0.01  # between two polls of the ledger for its next call
+MIN_POLL_S = 0.01  # shortest interval between two polls of the ledger for its next call
 MAX_POLL_S = 0.25
 POLLS_PER_COMMIT = 2
-STOP_TIMEOUT_S = 5.0  # for the last commit of a gateway that stops
-PROGRESS_S = 1.0  # between two reports of an export
+STOP_TIMEOUT_S = 5.0  # limit for the last commit of a gateway that stops
+PROGRESS_S = 1.0  # interval between two reports on the progress of an export
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-EXPORT_BOUNDS = Bounds(64, 4, 0, 0, "fold")  # of a ledger that records nothing
+EXPORT_BOUNDS = Bounds(64, 4, 0, 0, "fold")  # bounds of a ledger that records nothing
 
 
 def _close(areas: list[Area]) -> None:
@@ -42,11 +42,11 @@
 
 
 def _ignore_progress(ledger: UsageLedger) -> None:
-    """What `export_all` calls by default."""
+    """Does nothing; this is the default of `export_all`."""
 
 
 class UsageHost:
-    """One gateway's ledger on a real folder, with a real sender."""
+    """Runs one gateway's ledger on a real folder, with a real sender."""
 
     def __init__(
         self,
@@ -57,7 +57,10 @@
         sender: Sender | None,
         write: bool = True,
     ) -> None:
-        """`now`: a clock in ns. Without a `sender` nothing is exported; without `write` nothing recorded."""
+        """Creates a host that does nothing before `start`.
+
+        `now` is a clock in ns. Without a `sender` nothing is exported; without `write` nothing is
+        recorded."""
         self.ledger = UsageLedger(bounds, names, random.SystemRandom(), write)
         self._folder = folder
         self._now = now
@@ -73,7 +76,7 @@
         self._poll_s = min(MAX_POLL_S, max(MIN_POLL_S, poll_s))
 
     def start(self) -> None:
-        """Begin to poll the ledger."""
+        """Starts to poll the ledger."""
         self._poll()
 
     def count(
@@ -86,8 +89,9 @@
         units: float,
         attempts: int,
     ) -> None:
-        """Record one request's final answer. To be called before the answer is written, so that no answer is
-        without a record."""
+        """Records one request's final answer.
+
+        It is to be called before the answer is written, so that no answer is without a record."""
         time_ms = time.time_ns() // NS_PER_MS
         self.ledger.count(
             self._now(),
@@ -107,7 +111,7 @@
             self._timer = self._loop.call_later(self._poll_s, self._poll)
 
     def _advance(self) -> None:
-        """Begin whatever can be begun now."""
+        """Starts the next disk call and the next batch if they are due, and logs the alarms."""
         ledger, now = self.ledger, self._now()
         if (call := ledger.next_call(now)) is not None:
             self._disk.submit(self._perform, call)
@@ -120,20 +124,20 @@
             self._stopped.set()
 
     def _perform(self, call: Call) -> None:
-        """In the disk's thread: perform a call and pass its result to the loop."""
+        """Performs a call in the disk's thread and passes its result to the event loop."""
         result: Result | OSError
         try:
             if self._files is None:
                 if not isinstance(call, InspectFolder):
-                    raise OSError(errno.EBADF, "the folder is closed")
+                    raise OSError(errno.EBADF, "the folder is not open")
                 self._files = Directory(self._folder)
             result = perform(self._files, call)
         except OSError as error:
             if error.errno == errno.EWOULDBLOCK:
-                error = OSError(errno.EWOULDBLOCK, f"{self._folder} is another process's")
+                error = OSError(errno.EWOULDBLOCK, f"{self._folder} is in use by another process")
             result = error
         except Exception as error:  # the ledger must get a result in any case
-            log.exception("fault in %s", type(call).__name__)
+            log.exception("use: the disk call %s failed", type(call).__name__)
             result = OSError(errno.EIO, str(error))
         self._loop.call_soon_threadsafe(self._call_done, result)
 
@@ -143,7 +147,7 @@
         self.ledger.call_done(self._now(), result)
         if areas := self.ledger.take_released_areas():
             self._disk.submit(_close, areas)
-        # The next call does not wait for the next poll: recovery is a chain of calls.
+        # The next call does not wait for the next poll, because recovery is a chain of calls.
         self._advance()
 
     async def _send(self, sender: Sender, post: Post) -> None:
@@ -153,11 +157,11 @@
         except SendError as error:
             exporter.send_failed(self._now(), str(error), error.retry_after_ns, error.final)
         except TimeoutError:
-            exporter.send_failed(self._now(), "billing does not answer")
+            exporter.send_failed(self._now(), "billing did not reply in time")
         except OSError as error:
             exporter.send_failed(self._now(), f"billing can't be reached: {error.strerror or error}")
         except Exception as error:
-            log.exception("fault in sending to billing")
+            log.exception("use: sending a batch to billing failed")
             exporter.send_failed(self._now(), str(error))
         else:
             if exporter.stage is Stage.SENT:
@@ -165,7 +169,7 @@
                 self._advance()
 
     async def stop(self) -> None:
-        """Commit every record, within `STOP_TIMEOUT_S`, and close; what could not be committed is logged."""
+        """Commits every record within `STOP_TIMEOUT_S` and closes; logs what could not be committed."""
         self.ledger.close()
         self._advance()
         try:
@@ -174,14 +178,14 @@
         except TimeoutError:
             journal = self.ledger.journal
             log.error(
-                "use: the disk took no more: %d records not committed, sums of %d members lost",
+                "use: the last commit did not end in time: %d records are not committed, %d sums are lost",
                 len(journal.pending) if journal is not None else 0,
                 len(self.ledger.meter.sums),
             )
         await self.abandon()
 
     async def abandon(self) -> None:
-        """Leave everything as it is, as a crash would; the folder is unlocked on return."""
+        """Stops without a commit, as a crash would; the folder is unlocked on return."""
         self._abandoned = True
         if self._timer is not None:
             self._timer.cancel()
@@ -198,7 +202,7 @@
     timeout_s: float,
     on_progress: Callable[[UsageLedger], None] = _ignore_progress,
 ) -> UsageLedger:
-    """Export what a gateway left in its folder, while the gateway does not run.
+    """Exports what a gateway left in its folder, while the gateway does not run.
 
     Calls `on_progress` once a second. Returns the ledger as it is at the end; its `is_all_exported` says
     whether all records were sent.
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger of usage records: what is counted, written, committed, exported and removed.
+"""Implements the ledger of usage records, which counts, writes, commits, exports and removes them.
 
-It has no threads, sockets or clock. The host passes in the time, performs one call to the disk and sends one
-batch at a time, and passes back how each has ended. Every public method returns at once.
+It has no threads, sockets or clock. The host passes in the time, performs one disk call and sends one batch
+at a time, and passes back the result of each. Every public method returns at once.
 """
 
 from __future__ import annotations
@@ -30,15 +30,18 @@
 
 
 class UsageLedger:
-    """One process's ledger on one folder.
+    """Holds one process's ledger on one folder.
 
-    `alarms` are lines for operators; the host takes them. `last_error` is the last error of the disk, empty
-    once a call has succeeded while records are written. `count` records a request: see `Recorder.count`.
+    `alarms` are lines for operators, which the host takes. `last_error` is the last error of the disk; it is
+    emptied once a call has succeeded while records are written. `count` records a request (see
+    `Recorder.count`).
     """
 
     def __init__(self, bounds: Bounds, names: Names, rng: random.Random, write: bool = True) -> None:
-        """`names`: of this gateway. Without `write` nothing is recorded, and what earlier incarnations left
-        is exported."""
+        """Creates a ledger that knows nothing of its folder yet.
+
+        `names` are this gateway's. Without `write` nothing is recorded, and the records of earlier
+        incarnations are exported."""
         self.alarms: list[str] = []
         self.last_error = ""
         self.meter = Meter()
@@ -66,32 +69,36 @@
 
     @property
     def state(self) -> State:
-        """What the ledger is doing with its folder."""
+        """Returns the state of the ledger's work on its folder."""
         return self._context.state
 
     @property
     def control(self) -> Control:
-        """The checkpoint as it is in memory."""
+        """Returns the checkpoint as it is in memory."""
         return self._checkpoint.control
 
     @property
     def journal(self) -> Journal | None:
-        """The stream that is written; after a failed commit the former one until the next is declared."""
+        """Returns the stream that is written.
+
+        After a failed commit it is the former stream until the next one is declared."""
         return self._recorder.journal
 
     @property
     def recorded(self) -> int:
-        """Requests with a record of their own."""
+        """Returns the number of requests with a record of their own."""
         return self._recorder.recorded
 
     @property
     def folded(self) -> int:
-        """Requests that were added to sums."""
+        """Returns the number of requests that were added to sums."""
         return self._recorder.folded
 
     @property
     def is_all_exported(self) -> bool:
-        """Whether billing has acknowledged all that earlier incarnations left, and the disk has that."""
+        """Returns whether billing has acknowledged all that earlier incarnations left.
+
+        The acknowledgement must be on the disk too."""
         is_saved = not (self.exporter.dirty or self.segment_store.dirty)
         is_idle = self.exporter.stage is Stage.IDLE and is_saved and not self._calls.in_progress
         streams = self.control.streams.values()
@@ -99,22 +106,22 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether `close` was called."""
+        """Returns whether `close` was called."""
         return self._context.closing
 
     @property
     def is_stopped(self) -> bool:
-        """Whether nothing is left to be written, or nothing can be."""
+        """Returns whether nothing is left to be written or nothing can be written."""
         return self.state in (State.CLOSED, State.STUCK)
 
     def close(self) -> None:
-        """Count no more, and commit all that was counted; the next incarnation exports what is left."""
+        """Stops counting and commits all that was counted; the next incarnation exports the rest."""
         self._context.closing = True
 
     def next_call(self, now: int) -> Call | None:
-        """The next call to the disk, None if none is due or one is in progress; `now` is in ns.
+        """Returns the next disk call, or None if none is due or one is in progress.
 
-        The host passes its result to `call_done`.
+        `now` is in ns. The host passes the call's result to `call_done`.
         """
         if self._calls.in_progress:
             return None
@@ -123,7 +130,7 @@
         return self._writer.next_call(now) or self._maintenance.next_call(now, self.journal)
 
     def call_done(self, now: int, result: Result | OSError) -> None:
-        """The call in progress has ended with this result or error; `now` is in ns."""
+        """Handles the result or error with which the call in progress has ended; `now` is in ns."""
         pending = self._calls.finish()
         if isinstance(result, OSError):
             self._disk_failed(result)
@@ -131,7 +138,7 @@
         else:
             pending.on_success(now, result)
             if self.last_error and self.state is State.LIVE:
-                self.alarms.append("use: the disk works again")
+                self.alarms.append("use: disk calls succeed again")
                 self.last_error = ""
         self.alarms += [f"use: {text}" for text in self.exporter.alarms + self.segment_store.alarms]
         self.exporter.alarms.clear()
@@ -139,14 +146,14 @@
         self._recorder.raise_meter_alarms()
 
     def next_post(self, now: int) -> Post | None:
-        """The batch to send to billing now, None if none is due; `now` is in ns.
+        """Returns the batch to send to billing now, or None if none is due; `now` is in ns.
 
         The host passes the result to `exporter.reply_received` or `exporter.send_failed`.
         """
         return self.exporter.next_post(now) if self.state in OPENED else None
 
     def take_released_areas(self) -> list[Area]:
-        """Areas that are no longer used since the last call; the host closes them."""
+        """Returns the areas that fell out of use since the last call; the host closes them."""
         released = self._context.released_areas
         self._context.released_areas = []
         return released
@@ -154,7 +161,7 @@
     def _disk_failed(self, error: OSError) -> None:
         reason = error.strerror or str(error)
         if reason != self.last_error:
-            self.alarms.append(f"use: the disk failed: {reason}")
+            self.alarms.append(f"use: a disk call failed: {reason}")
         self.last_error = reason
         if error.errno in (errno.ENOSPC, errno.EDQUOT):
             self.segment_store.disk_full = True
--- a/trackspread/usage/maintenance.py
+++ b/trackspread/usage/maintenance.py
@@ -1,4 +1,4 @@
-"""Calls that serve the export and retention while records are written: saves, removals and reads."""
+"""Schedules the disk calls for export and retention, which are saves, removals and reads."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 
 class Maintenance:
-    """Saves the checkpoint where it was changed, removes segments, and reads records to export."""
+    """Saves the checkpoint after changes, removes segments, and reads records to export."""
 
     def __init__(self, context: LedgerContext) -> None:
         self._context = context
 
     def next_call(self, now: int, journal: Journal | None) -> Call | None:
-        """The next call, None if none is due. `now` is in ns; `journal`: the stream that is written."""
+        """Returns the next call, or None if none is due.
+
+        `now` is in ns; `journal` is the stream that is written."""
         context = self._context
         is_dirty = context.exporter.dirty or context.segment_store.dirty
         if is_dirty and context.calls.may_start(Purpose.SAVE, now):
--- a/trackspread/usage/meter.py
+++ b/trackspread/usage/meter.py
@@ -1,7 +1,8 @@
-"""Metering: sums of requests that get no record of their own, and the time that a record is stamped with.
+"""Sums requests that get no record of their own, and determines the time with which a record is stamped.
 
 - Each request is counted once: in its own record, in a sum, or, past `MAX_SUMS`, in an unattributed sum.
-- Rejected requests are always summed: a flood of them costs one record per tenant and `REJECTED_FLUSH_MS`.
+- Rejected requests are always summed, so a flood of them costs one record per tenant and
+  `REJECTED_FLUSH_MS`.
 - A clock set back across the end of a month does not reopen the month: records are stamped with the start of
   the newest month. Within a month the clock is followed in both directions.
 """
@@ -14,15 +15,15 @@
 
 from .record import DAY_MS, MAX_ATTEMPTS, MAX_NANO_UNITS, MAX_REQUESTS, Kind, UsageRecord
 
-MAX_SUMS = 4096  # about 300 bytes each in memory
-REJECTED_FLUSH_MS = 10_000  # between two writes of the sums to the journal
-UNATTRIBUTED = -1  # in place of a tenant
+MAX_SUMS = 4096  # sums in memory, at about 300 bytes each
+REJECTED_FLUSH_MS = 10_000  # interval between two writes of the sums to the journal
+UNATTRIBUTED = -1  # stands in place of a tenant
 MS_PER_S = 1000
-DAYS_INTO_NEXT_MONTH = 32  # from the start of any month
+DAYS_INTO_NEXT_MONTH = 32  # leads from the start of any month into the next one
 
 
 class SumKey(NamedTuple):
-    """The requests that share a sum; `tenant` may be `UNATTRIBUTED`, `day` counts from 1970-01-01."""
+    """Identifies a sum; `tenant` may be `UNATTRIBUTED`, `day` counts from 1970-01-01."""
 
     ending: int
     request_class: int
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class Sum:
-    """Requests folded together; `time_ms` is the time of the first."""
+    """Holds requests that are counted together; `time_ms` is the time of the first."""
 
     requests: int
     nano_units: int
@@ -43,24 +44,26 @@
 
 
 def month_start(time_ms: int) -> int:
-    """The start of the month, UTC, in Unix milliseconds."""
+    """Returns the start of the month in UTC, in Unix milliseconds."""
     day = datetime.fromtimestamp(time_ms // MS_PER_S, UTC)
     return int(day.replace(day=1, hour=0, minute=0, second=0).timestamp()) * MS_PER_S
 
 
 class Meter:
-    """Sums and time stamps of one process. `unattributed` and `clamped` count requests for alarms:
-    those past `MAX_SUMS`, and those stamped with the start of the month."""
+    """Holds the sums of one process and stamps its records.
+
+    `month_start_ms` is the start of the newest month that has begun. For alarms, `unattributed` counts the
+    requests past `MAX_SUMS`, and `clamped` those that were stamped with the start of the month."""
 
     def __init__(self) -> None:
-        self.month_start_ms = 0  # of the newest month that was begun
+        self.month_start_ms = 0
         self.sums: dict[SumKey, Sum] = {}
         self.unattributed = 0
         self.clamped = 0
-        self._next_month_ms = 0  # no month has to be computed before this time
+        self._next_month_ms = 0  # start of the next month, before which no month has to be computed
 
     def stamp(self, time_ms: int) -> int:
-        """The time to record for a request that ended at `time_ms`."""
+        """Returns the time to record for a request that ended at `time_ms`."""
         if time_ms < self.month_start_ms:
             self.clamped += 1
             return self.month_start_ms
@@ -70,8 +73,9 @@
         return time_ms
 
     def fold(self, record: UsageRecord) -> None:
-        """Add a record to its sum. Past `MAX_SUMS` a record without a sum of its own keeps only its class,
-        plan, ending and day."""
+        """Adds a record to its sum.
+
+        Past `MAX_SUMS`, a record without a sum of its own keeps only its class, plan, ending and day."""
         day = record.time_ms // DAY_MS
         key = SumKey(
             record.ending, record.request_class, record.plan, record.plan_version, record.tenant, day
@@ -85,7 +89,7 @@
         total.attempts += record.attempts
 
     def oldest_sum(self) -> UsageRecord | None:
-        """The oldest sum, or as much of it as one record holds; None if there is none."""
+        """Returns the oldest sum, or the part of it that one record holds, or None without sums."""
         if not self.sums:
             return None
         key, total = next(iter(self.sums.items()))
@@ -103,8 +107,9 @@
         )
 
     def subtract_written(self, record: UsageRecord) -> None:
-        """Subtract a record that `oldest_sum` returned from its sum: it is in the journal. Attempts beyond
-        `MAX_ATTEMPTS` are not recorded."""
+        """Subtracts a record that `oldest_sum` returned from its sum, as it is in the journal now.
+
+        Attempts beyond `MAX_ATTEMPTS` are not recorded."""
         key = next(iter(self.sums))
         total = self.sums[key]
         total.requests -= record.requests
--- a/trackspread/usage/record.py
+++ b/trackspread/usage/record.py
@@ -1,6 +1,7 @@
-"""One usage record: what a client was answered, in the forty bytes of a journal slot.
+"""Defines the usage record, which holds the answer to a client in the forty bytes of a journal slot.
 
-Units are integers of a billionth each, so that sums are exact in any order; a client can state nine decimals.
+Units are stored as integers of a billionth each, so that sums are exact in any order; a client can state nine
+decimals.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 
 class Kind(IntEnum):
-    """What a record stands for; 0 and 255 are reserved by the journal."""
+    """Names what a record stands for; the journal reserves 0 and 255."""
 
     USE = 1  # one request
-    SUM = 2  # several requests: rejected ones, or ones that found no room in the journal
+    SUM = 2  # several requests that were rejected or found no free slot in the journal
     UNATTRIBUTED = 3  # several requests whose tenants are not known
 
 
 class Ending(IntEnum):
-    """The final answer to a request; LEFT: the client disconnected before it."""
+    """Names the final answer to a request; LEFT means that the client disconnected before it."""
 
     SERVED = 1
     FAILED = 2
@@ -35,10 +36,11 @@
 
 
 class UsageRecord(NamedTuple):
-    """One request, or a sum of requests that are alike; the fields are in the order of the bytes.
+    """Holds one request, or a sum of requests of the same kind; the fields are in the order of the bytes.
 
-    `request_class` and `plan` are indexes into the stream's `Names`. `attempts` counts those begun at
-    backends, hedged ones too. `plan_version` is the one in force. `nano_units` are of all requests together.
+    `request_class` and `plan` are indexes into the stream's `Names`. `attempts` counts the attempts that were
+    started at backends, hedged ones included. `plan_version` is the one in force. `nano_units` is the sum of
+    all requests.
     """
 
     kind: int
@@ -54,16 +56,16 @@
 
 
 def to_nano_units(units: float) -> int:
-    """Units as billionths; a decimal number of up to 15 digits is converted exactly."""
+    """Returns units as billionths; a decimal number of up to 15 digits is converted exactly."""
     return round(units * NANO_PER_UNIT)
 
 
-# Takes the fields of a `UsageRecord` in their order: no record is built for each request on the hot path.
+# `pack` takes the fields of a `UsageRecord` in order, so that the hot path builds no record for each request.
 pack = _PAYLOAD.pack
 
 
 def unpack(payload: bytes) -> UsageRecord | None:
-    """The record in a slot's payload, None if its kind or ending is unknown to this version."""
+    """Returns the record in a slot's payload, or None if its kind or ending is unknown to this version."""
     record = UsageRecord._make(_PAYLOAD.unpack(payload))
     known = Kind.USE <= record.kind <= Kind.UNATTRIBUTED and Ending.SERVED <= record.ending <= Ending.LEFT
     return record if known else None
--- a/trackspread/usage/recorder.py
+++ b/trackspread/usage/recorder.py
@@ -1,4 +1,4 @@
-"""Requests to records: each is appended to the journal, or added to a sum until the journal has room."""
+"""Records requests: each is appended to the journal, or added to a sum until the journal has free slots."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from .record import MAX_ATTEMPTS, Ending, Kind, UsageRecord, pack
 
 NS_PER_MS = 1_000_000
-MIN_FREE_DIVISOR = 4  # a quarter of a segment has to be free before sums are written early
+MIN_FREE_DIVISOR = 4  # sums are written early only if a quarter of a segment is free
 
 
 class Recorder:
-    """Counts requests. Never blocks: an append writes to memory that outlives the process.
+    """Counts requests and never blocks, because an append writes to memory that outlives the process.
 
     `journal` is the stream that is written; after a failed commit it is the former one until the next is
-    declared. `recorded` and `folded` count requests with a record of their own and requests in sums.
-    `uncommitted_since_ns` is when the oldest uncommitted record was appended.
+    declared. `recorded` counts requests with a record of their own, and `folded` those that were added to
+    sums. `uncommitted_since_ns` is when the oldest uncommitted record was appended.
     """
 
     def __init__(self, context: LedgerContext) -> None:
@@ -25,11 +25,11 @@
         self.folded = 0
         self.uncommitted_since_ns = 0
         self._context = context
-        self._has_deferred = False  # sums have requests that would have had a record of their own
+        self._has_deferred = False  # the sums contain requests that should have had a record of their own
         self._flushed_at_ns = 0
         self._journal_full_alarm_ns = -ALARM_INTERVAL_NS
-        self._unattributed_alarm = False  # raised once
-        self._clamped_alarm = False  # raised once
+        self._unattributed_alarm = False  # the alarm was raised, which happens once
+        self._clamped_alarm = False  # the alarm was raised, which happens once
 
     def count(
         self,
@@ -43,7 +43,7 @@
         nano_units: int,
         attempts: int,
     ) -> None:
-        """Record one request's final answer. `now`: the host's clock, ns; `time_ms`: Unix time."""
+        """Records one request's final answer; `now` is the host's clock in ns, `time_ms` Unix time."""
         context = self._context
         time_ms = context.meter.stamp(time_ms)
         attempts = min(attempts, MAX_ATTEMPTS)
@@ -57,13 +57,15 @@
         context.meter.fold(UsageRecord(*row))
 
     def stream_declared(self, journal: Journal) -> None:
-        """Records go to this stream from now on."""
+        """Directs records to this stream from now on."""
         self.journal = journal
         self._has_deferred = bool(self._context.meter.sums)
 
     def flush_if_due(self, now: int, journal: Journal) -> None:
-        """Write the sums to the journal if the ledger closes, if they have waited long enough, or if requests
-        that would have had a record of their own find room again."""
+        """Writes the sums to the journal if the ledger closes or if they have waited long enough.
+
+        They are also written if they contain requests that should have had a record of their own and the
+        journal has enough free slots again."""
         context = self._context
         if not context.meter.sums:
             return
@@ -73,23 +75,23 @@
             self._flush(now)
 
     def raise_meter_alarms(self) -> None:
-        """Raise each of the meter's alarms once; the records have the details."""
+        """Raises each of the meter's alarms once; the records have the details."""
         meter, alarms = self._context.meter, self._context.alarms
         if meter.unattributed and not self._unattributed_alarm:
             self._unattributed_alarm = True
             alarms.append(
-                f"use: sums of more than {MAX_SUMS} members and plans: what is past them is "
-                "recorded as nobody's"
+                f"use: there are {MAX_SUMS} sums of tenants and plans, the limit: further requests are "
+                "recorded without their tenants"
             )
         if meter.clamped and not self._clamped_alarm:
             self._clamped_alarm = True
             alarms.append(
-                "use: the clock was set back across a month's end: records are booked on the "
-                "first moment of the month that was begun"
+                "use: the clock was set back across the end of a month: records are stamped with the start "
+                "of the newest month"
             )
 
     def _append(self, now: int, payload: bytes) -> bool:
-        """Whether the journal had room for the record."""
+        """Appends a record and returns whether the journal had a free slot for it."""
         journal = self.journal
         assert journal is not None
         if not journal.pending:
@@ -99,11 +101,13 @@
         if now - self._journal_full_alarm_ns >= ALARM_INTERVAL_NS:
             self._journal_full_alarm_ns = now
             when_full = self._context.bounds.when_full
-            self._context.alarms.append(f"use: no room for records, by choice '{when_full}': they are summed")
+            self._context.alarms.append(
+                f"use: the journal has no free slot (when_full = {when_full!r}): requests are summed"
+            )
         return False
 
     def _flush(self, now: int) -> None:
-        """Write sums to the journal, oldest first, as far as it has room."""
+        """Writes sums to the journal, oldest first, as long as it has free slots."""
         assert self.journal is not None
         meter = self._context.meter
         self._flushed_at_ns = now
--- a/trackspread/usage/recovery.py
+++ b/trackspread/usage/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of a usage folder: what earlier incarnations left is read, checked and made durable.
+"""Recovers a usage folder: reads and checks what earlier incarnations left, and makes it durable.
 
-A folder that a newer version of the program wrote, or whose checkpoint can't be read, is not changed: the
-ledger sums in memory, and an alarm says so.
+A folder that a newer version of the program wrote, or whose checkpoint can't be read, is not changed. The
+ledger then sums requests in memory, and an alarm reports it.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class FolderRecovery:
-    """Drives the states from NEW to NO_STREAM, or to STUCK."""
+    """Takes the ledger from the state NEW to NO_STREAM, or to STUCK."""
 
     def __init__(self, context: LedgerContext) -> None:
         self._context = context
 
     def next_call(self, now: int) -> Call | None:
-        """The next call for the recovery, None if none is due; `now` is in ns."""
+        """Returns the next call for the recovery, or None if none is due; `now` is in ns."""
         match self._context.state:
             case State.NEW:
                 return self._scan(now)
@@ -48,10 +48,12 @@
             for epoch, index in found.segments
             if copy.control is None or epoch not in copy.control.streams
         }
-        if why := _why_stuck(copy, found, undeclared):
+        if reason := _stuck_reason(copy, found, undeclared):
             context.state = State.STUCK
             context.released_areas += found.areas
-            context.alarms.append(f"use: {why}: nothing is written or exported, sums are kept in memory")
+            context.alarms.append(
+                f"use: {reason}: no record is written or exported, and requests are summed in memory"
+            )
             return
         checkpoint.open(found.areas, copy.area)
         context.state = State.REFRESHING
@@ -59,7 +61,7 @@
         if copy.control is not None:
             checkpoint.control = copy.control
         context.segment_store.load(checkpoint.control, found, undeclared)
-        # Epochs of streams that were never declared are not used again: their files are still to be removed.
+        # Epochs of streams that were never declared are not reused, as their files are still to be removed.
         context.highest_epoch = max([checkpoint.control.epoch, *(epoch for epoch, _ in found.segments)])
         meter = context.meter
         meter.month_start_ms = max(meter.month_start_ms, checkpoint.control.month_start_ms)
@@ -77,11 +79,11 @@
         self._context.state = State.NO_STREAM
 
 
-def _why_stuck(copy: NewestCopy, found: FolderContents, undeclared: set[SegmentId]) -> str:
-    """Why the folder must not be changed, empty if it may be."""
+def _stuck_reason(copy: NewestCopy, found: FolderContents, undeclared: set[SegmentId]) -> str:
+    """Returns why the folder must not be changed, or an empty text if it may be changed."""
     if copy.newer:
-        return "a newer program wrote here"
+        return "a newer version of the program wrote this folder"
     has_records = any(found.segments[segment].written_slots for segment in undeclared)
     if copy.control is None and has_records:
-        return "there are records, and no control that can be read (`trackspread use repair` makes one)"
+        return "the folder has records but no readable checkpoint (`trackspread use repair` makes one)"
     return ""
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -1,12 +1,12 @@
-"""Which segments are on the disk, and which may be removed.
-
-- A segment is removed once the watermark on the disk is past it, and a document with its totals is saved:
-  reconciliation needs no record that billing has. Such segments stay while they take no more than half of the
-  limit, in case billing loses records.
-- At the limit the operator's choice applies. `fold`: no segment is created, and requests are summed in memory
-  until billing has taken what is here. `drop`: the oldest segment is removed, its records count as lost, and
-  billing is told of the hole.
-- A disk that is full below the limit counts as the limit.
+"""Tracks the segments on the disk and selects those to remove.
+
+- A segment is removed once the watermark on the disk is past it and a document with its totals is saved,
+  because reconciliation needs no record that billing has. Such segments stay as long as they take no more
+  than half of the limit, in case billing loses records.
+- At the limit the operator's choice applies. With `fold` no segment is created, and requests are summed in
+  memory until billing has accepted the records here. With `drop` the oldest segment is removed, its records
+  count as lost, and the batch to billing states the hole.
+- A disk that is full below the limit is treated like the limit.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from .record import unpack
 from .totals import SegmentTotals, Totals, pack, sum_name
 
-MAX_SUM_FILES = 1024  # one per segment, about 20 kB each at most; the oldest are removed first
+MAX_SUM_FILES = 1024  # one per segment, each of up to about 20 kB; the oldest are removed first
 FullPolicy = Literal["fold", "drop"]
 
 
 class Step(NamedTuple):
-    """A call to the disk, and what to do with its result."""
+    """Holds a disk call and the handler for its result."""
 
     call: Call
     on_success: Callable[[Result], None]
@@ -45,18 +45,19 @@
 
 @dataclass(slots=True)
 class Removal:
-    """A segment that is being removed: its records are read, their totals saved, its file removed."""
+    """Tracks the removal of a segment: its records are read, their totals saved, and its file removed."""
 
     segment: SegmentId
     totals: SegmentTotals | None = None
-    totals_done: bool = False  # they are saved, or the disk has no space for them
+    totals_done: bool = False  # the totals are saved, or the disk has no space for them
 
 
 class SegmentStore:
-    """The segments in the folder.
+    """Holds the segments in the folder.
 
-    `saved_watermarks` are those on the disk, by epoch. `disk_full`: the last attempt found no space there.
-    `dirty`: the checkpoint was changed here and is to be saved. `alarms` are lines for operators.
+    `saved_watermarks` are the watermarks on the disk, by epoch. `disk_full` says that the last attempt found
+    no space there. `dirty` says that the checkpoint was changed here and is to be saved. `alarms` are lines
+    for operators.
     """
 
     def __init__(self, max_segments: int, when_full: FullPolicy) -> None:
@@ -68,12 +69,12 @@
         self._when_full = when_full
         self._segments: set[SegmentId] = set()
         self._sum_files: list[str] = []
-        self._leftover_files: list[str] = []  # of streams that were never declared, or have no records
-        self._last_written: dict[int, int] = {}  # slot, by epoch: what earlier incarnations wrote
+        self._leftover_files: list[str] = []  # files of streams that were never declared or have no records
+        self._last_written: dict[int, int] = {}  # last slot that earlier incarnations wrote, by epoch
         self._removal: Removal | None = None
 
     def load(self, control: Control, found: FolderContents, undeclared: set[SegmentId]) -> None:
-        """Take up the folder as earlier incarnations left it. `undeclared`: segments without a stream."""
+        """Loads the folder as earlier incarnations left it; `undeclared` segments have no stream."""
         broken = {
             segment: found.written_in_broken.get(name, 0)
             for name in found.broken
@@ -96,7 +97,7 @@
         }
 
     def open_stream_files(self, control: Control) -> tuple[str, ...]:
-        """Files of streams that have no end yet."""
+        """Returns the files of streams that have no end yet."""
         return tuple(
             segment_name(*segment)
             for segment in sorted(self._segments)
@@ -104,7 +105,7 @@
         )
 
     def end_streams(self, control: Control) -> None:
-        """What `load` took up is on the disk: each stream without an end ends with its last written slot."""
+        """Ends each stream that has no end with its last written slot, now that these slots are synced."""
         for epoch, stream in list(control.streams.items()):
             if stream.length is None:
                 stream.length = self._last_written[epoch]
@@ -113,8 +114,8 @@
                 self._leftover_files += [segment_name(*segment) for segment in self._of(epoch)]
                 self._segments -= set(self._of(epoch))
                 continue
-            # Each incarnation checks once whether billing still has all records; a stream of several parts is
-            # checked from its first slot.
+            # Each incarnation checks once whether billing still has all records. A stream with several parts
+            # is checked from its first slot.
             stream.sealed = False
             if len(stream.parts) > 1:
                 stream.acked = 0
@@ -123,20 +124,22 @@
         self.saved_watermarks = {epoch: stream.acked for epoch, stream in control.streams.items()}
 
     def add(self, epoch: int, index: int) -> None:
-        """A segment was created."""
+        """Adds a segment that was created."""
         self._segments.add(SegmentId(epoch, index))
 
     def may_create(self) -> bool:
-        """Whether another segment may be created."""
+        """Returns whether another segment may be created."""
         return len(self._segments) < self._max_segments and not self.disk_full
 
     def next_step(self, control: Control, journal: Journal | None) -> Step | None:
-        """The next call that makes room, None if none is needed. `journal`: the stream that is written."""
+        """Returns the next step that frees space, or None if none is needed.
+
+        `journal` is the stream that is written."""
         if self._leftover_files:
             return self._remove_oldest(self._leftover_files)
         if len(self._sum_files) > MAX_SUM_FILES:
             return self._remove_oldest(self._sum_files)
-        if self._removal is None and (segment := self._choose(control, journal)) is not None:
+        if self._removal is None and (segment := self._select_removable(control, journal)) is not None:
             self._removal = Removal(segment)
         return self._removal_step(control, self._removal) if self._removal is not None else None
 
@@ -174,17 +177,22 @@
         self.disk_full = False
 
     def step_failed(self) -> None:
-        """The call of the last step failed. Without space for the totals the segment is removed without them;
-        any other step is retried."""
+        """Handles the failure of the last step's call.
+
+        If the disk has no space for the totals, the segment is removed without them; any other step is
+        retried."""
         removal = self._removal
         if removal is None or removal.totals is None or removal.totals_done:
             return
         if self.disk_full:
             removal.totals_done = True
-            self.alarms.append("no room for the sums of a segment that goes: it can't be reconciled any more")
+            self.alarms.append(
+                f"the disk has no space for the totals of {segment_name(*removal.segment)}: the segment is "
+                "removed without them and can no longer be reconciled"
+            )
 
-    def _choose(self, control: Control, journal: Journal | None) -> SegmentId | None:
-        """The segment to remove, None if none has to be or may be."""
+    def _select_removable(self, control: Control, journal: Journal | None) -> SegmentId | None:
+        """Returns the segment to remove, or None if none has to be or may be removed."""
         self._forget_exported(control)
         max_segments = self._max_segments
         needs_space = self.disk_full or 2 * len(self._segments) > max_segments
@@ -204,7 +212,7 @@
         return None
 
     def _forget_exported(self, control: Control) -> None:
-        """Remove exported streams without segments from the checkpoint."""
+        """Removes exported streams without segments from the checkpoint."""
         exported = [epoch for epoch, stream in control.streams.items() if stream.is_exported()]
         for epoch in exported:
             length = control.streams[epoch].length or 0
@@ -213,7 +221,7 @@
                 self.dirty = True
 
     def _is_complete(self, segment: SegmentId, journal: Journal | None) -> bool:
-        """Whether nothing more will be written to the segment, and all that was written is committed."""
+        """Returns whether nothing more will be written to the segment and all of it is committed."""
         if journal is None or segment.epoch != journal.epoch:
             return journal is None or segment.epoch < journal.epoch
         return segment.number < min(journal.committed // journal.slots, journal.index)
@@ -222,27 +230,28 @@
         return [segment for segment in self._segments if segment.epoch == epoch]
 
     def _is_exported(self, stream: Stream, segment: SegmentId) -> bool:
-        """Whether billing has acknowledged the segment, also by the checkpoint on the disk."""
+        """Returns whether billing has acknowledged the segment and the checkpoint on the disk says so."""
         last = stream.last_slot(segment.number)
         is_tail = stream.length is not None and last >= stream.length
-        # Billing that loses records moves the watermark back, before the disk has it.
+        # If billing loses records, the watermark moves back in memory before it does on the disk.
         watermark = min(self.saved_watermarks.get(segment.epoch, 0), stream.acked)
         return watermark >= last and (stream.sealed or not is_tail)
 
     def _drop(self, control: Control, segment: SegmentId) -> None:
-        """Count the records of a segment that is removed before it is exported."""
+        """Counts the records of a segment that is removed before it is exported."""
         stream = control.streams[segment.epoch]
         lost = stream.last_slot(segment.number) - stream.acked
         if lost > 0:
             control.lost["dropped"] = control.lost.get("dropped", 0) + lost
             self.dirty = True
             self.alarms.append(
-                f"no room: up to {lost} records of epoch {segment.epoch} go before billing had them"
+                f"the limit of segments is reached: up to {lost} records of epoch {segment.epoch} are "
+                "removed before their export"
             )
 
 
 def segment_totals(segment: SegmentId, stream: Stream, scan: Scan | None) -> SegmentTotals:
-    """The totals of one segment; `scan` is None if its file is gone."""
+    """Returns the totals of one segment; `scan` is None if its file is missing."""
     totals = Totals()
     first = segment.number * stream.slots + 1
     if scan is not None:
--- a/trackspread/usage/senders.py
+++ b/trackspread/usage/senders.py
@@ -1,6 +1,6 @@
-"""Senders of batches to billing: by HTTP with idempotency keys, or by files that billing picks up.
+"""Sends batches to billing, by HTTP with idempotency keys or by files that billing picks up.
 
-Every failure is raised, the exporter retries. `docs/use-export.md` specifies both protocols.
+Every failure is raised, and the exporter retries. `docs/use-export.md` specifies both protocols.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from .exporter import Post
 
 SECOND = 1_000_000_000
-MAX_REPLY_BYTES = 65_536  # a valid reply has less than two hundred
-SEND_TIMEOUT_S = 10.0  # of one attempt, from connecting to the end of the reply
-REPLY_POLL_S = 0.2  # between two looks for the reply to a file
+MAX_REPLY_BYTES = 65_536  # limit of a reply; a valid one has fewer than two hundred bytes
+SEND_TIMEOUT_S = 10.0  # limit for one attempt, from connecting to the end of the reply
+REPLY_POLL_S = 0.2  # interval between two checks for the reply to a file
 HTTP_PORT = 80
 HTTPS_PORT = 443
 HTTP_OK = 200
@@ -31,9 +31,10 @@
 
 
 class SendError(Exception):
-    """An attempt to send that failed.
+    """Reports a failed attempt to send.
 
-    `retry_after_ns` is the receiver's Retry-After, 0 for none; `final`: a retry can't resolve it.
+    `retry_after_ns` is the receiver's Retry-After, or 0 for none. `final` says that a retry can't resolve the
+    error.
     """
 
     def __init__(self, text: str, retry_after_ns: int = 0, final: bool = False) -> None:
@@ -43,16 +44,17 @@
 
 
 class Sender(Protocol):
-    """What sends batches to billing."""
+    """Sends batches to billing."""
 
     async def send(self, post: Post) -> Reply:
-        """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
+        """Sends a batch and returns billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Billing's URL, the secret for signatures, and the file with its certificate authority; from the
-    operator's file."""
+    """Holds billing's address from the operator's file.
+
+    `secret` signs the batches; `ca` is the file with billing's certificate authority."""
 
     url: str
     secret: bytes = b""
@@ -60,24 +62,26 @@
 
 
 def make_sender(target: Target) -> Sender:
-    """The sender for a target's URL; raises `ValueError` that says which URLs are accepted."""
+    """Returns the sender for a target's URL; raises `ValueError` with the accepted URLs."""
     parts = urlsplit(target.url)
     if parts.scheme == "file":
         return FileSender(Path(parts.path))
     if parts.scheme not in ("http", "https") or not parts.hostname:
-        raise ValueError("wanted http://HOST:PORT/PATH, https://HOST:PORT/PATH or file:///FOLDER")
+        raise ValueError("must be http://HOST:PORT/PATH, https://HOST:PORT/PATH or file:///FOLDER")
     return HttpSender(target)
 
 
 def make_configured_sender(url: str, secret: str, ca: str) -> Sender:
-    """The sender for the operator's settings; `secret` and `ca` are paths, or empty. Raises `OSError` and
-    `ValueError`."""
+    """Returns the sender for the operator's settings; raises `OSError` and `ValueError`.
+
+    `secret` and `ca` are paths, or empty."""
     return make_sender(Target(url, Path(secret).read_bytes().strip() if secret else b"", ca))
 
 
 class HttpSender:
-    """Sends each batch by POST on a connection of its own: batches are rare, and a restart leaves no
-    connection half open."""
+    """Sends each batch by POST on a connection of its own.
+
+    Batches are rare, and a restart then leaves no connection half open."""
 
     def __init__(self, target: Target) -> None:
         parts = urlsplit(target.url)
@@ -88,7 +92,7 @@
         self._tls = ssl.create_default_context(cafile=target.ca or None) if parts.scheme == "https" else None
 
     async def send(self, post: Post) -> Reply:
-        """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
+        """Sends a batch and returns billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
         async with asyncio.timeout(SEND_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(self._host, self._port, ssl=self._tls)
             try:
@@ -133,22 +137,22 @@
             case h11.Data():
                 body += event.data
                 if len(body) > MAX_REPLY_BYTES:
-                    raise SendError("billing's answer is too long", final=True)
+                    raise SendError(f"billing's reply has more than {MAX_REPLY_BYTES} bytes", final=True)
             case h11.EndOfMessage():
                 return _check_status(status, retry_after_ns, body)
             case h11.ConnectionClosed() | h11.PAUSED:
-                raise SendError("billing hung up")
+                raise SendError("billing closed the connection before the end of its reply")
 
 
 def _retry_after_ns(value: bytes) -> int:
-    """Retry-After in seconds (RFC 9110, 10.2.3) as ns; 0 for a date, which is not supported."""
+    """Returns a Retry-After in seconds (RFC 9110, 10.2.3) as ns, or 0 for a date, which is not supported."""
     return int(value) * SECOND if value.isdigit() and len(value) <= MAX_RETRY_AFTER_DIGITS else 0
 
 
 def _check_status(status: int, retry_after_ns: int, body: bytes) -> Reply:
     if status == HTTP_OK:
         return _decode_reply(body)
-    text = f"billing answers {status}"
+    text = f"billing replied with status {status}"
     raise SendError(text, retry_after_ns, final=status not in RETRYABLE_STATUS)
 
 
@@ -156,7 +160,7 @@
     try:
         return msgspec.json.decode(body, type=Reply, strict=True)
     except msgspec.DecodeError as error:
-        raise SendError(f"billing's answer is no reply: {error}", final=True) from None
+        raise SendError(f"billing's reply is invalid: {error}", final=True) from None
 
 
 class FileSender:
@@ -167,7 +171,7 @@
         self._out = folder / "out"
 
     async def send(self, post: Post) -> Reply:
-        """Billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
+        """Writes a batch and returns billing's reply; raises `SendError`, `TimeoutError` and `OSError`."""
         name = post.key.replace(":", "_") + ".json"
         await asyncio.to_thread(write_atomically, self._in, name, post.body)
         async with asyncio.timeout(SEND_TIMEOUT_S):
--- a/trackspread/usage/stream_writer.py
+++ b/trackspread/usage/stream_writer.py
@@ -1,9 +1,9 @@
-"""The stream that is written: its creation, its commits, and its end.
+"""Creates, commits and ends the stream that is written.
 
 - Each incarnation writes a stream of its own: first its first segment, then the checkpoint that names it,
   then records.
-- After a failed sync nothing is known of what it was for. The stream ends with what was committed, the rest
-  is copied to a new stream, and one save of the checkpoint does both.
+- After a failed sync the state of its records on the disk is unknown. The stream ends with what was
+  committed, the rest is copied to a new stream, and one save of the checkpoint does both.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from .recorder import Recorder
 
 NONCE_BYTES = 16
-COMMIT_PENDING = 2  # half of a segment that is not committed is committed at once
+COMMIT_PENDING = 2  # divisor: uncommitted records that fill half of a segment are committed at once
 
 
 class StreamWriter:
-    """Drives the states from NO_STREAM to CLOSED."""
+    """Takes the ledger from the state NO_STREAM to CLOSED."""
 
     def __init__(self, context: LedgerContext, recorder: Recorder, write: bool) -> None:
-        """`write`: whether to create a stream at all."""
+        """Creates a writer without a stream; without `write` it never creates one."""
         self._context = context
         self._recorder = recorder
         self._write = write
-        self._new_journal: Journal | None = None  # not declared yet
+        self._new_journal: Journal | None = None  # a stream that is not declared yet
 
     def next_call(self, now: int) -> Call | None:
-        """The next call for the stream, None if none is due; `now` is in ns."""
+        """Returns the next call for the stream, or None if none is due; `now` is in ns."""
         match self._context.state:
             case State.NO_STREAM:
                 return self._create_if_allowed(now)
@@ -47,7 +47,7 @@
         return None
 
     def _abandon_new_stream(self, now: int, _: OSError) -> None:
-        """Something failed: start anew with another stream, after a pause."""
+        """Gives up the new stream after an error; another one is created after a pause."""
         context = self._context
         context.calls.postpone(Purpose.STREAM, now + RETRY_NS)
         context.state = State.NO_STREAM
@@ -61,14 +61,16 @@
             return None
         if len(context.checkpoint.control.streams) < MAX_STREAMS:
             return self._create()
-        context.alarms.append(f"use: {MAX_STREAMS} lives wait for their export: sums are kept")
+        context.alarms.append(
+            f"use: {MAX_STREAMS} streams wait for their export, the limit: requests are summed in memory"
+        )
         context.calls.postpone(Purpose.STREAM, now + ALARM_INTERVAL_NS)
         return None
 
     def _create(self) -> Call:
         context = self._context
         context.state = State.CREATING
-        # An attempt that failed may have left files: its epoch is not used again.
+        # A failed attempt may have left files, so its epoch is not reused.
         context.highest_epoch += 1
         nonce = context.rng.randbytes(NONCE_BYTES)
         header = SegmentHeader(context.highest_epoch, 0, context.bounds.segment_slots, nonce)
@@ -84,7 +86,7 @@
         return context.calls.start(Create(header), created, self._abandon_new_stream)
 
     def _copy(self, now: int) -> Call | None:
-        """Commit what the new stream has taken over from the former one."""
+        """Commits the records that were copied from the former stream to the new one."""
         journal = self._new_journal
         assert journal is not None
         if (commit := journal.next_commit()) is None:
@@ -97,7 +99,7 @@
         return self._context.calls.start(commit.call, copied, self._abandon_new_stream)
 
     def _declare(self, now: int) -> Call | None:
-        """One save ends the former stream, if a failed commit left it in doubt, and names the new one."""
+        """Saves a checkpoint that names the new stream and ends a former one that a failed commit left."""
         context, new, former = self._context, self._new_journal, self._recorder.journal
         control = context.checkpoint.control
         assert new is not None
@@ -116,7 +118,7 @@
             self._new_journal = None
             context.state = State.LIVE
             context.segment_store.add(new.epoch, 0)
-            context.exporter.dirty = True  # the checkpoint's other area is to name the stream as well
+            context.exporter.dirty = True  # the checkpoint's other area must name the stream too
             self._recorder.stream_declared(new)
 
         def failed(now: int, error: OSError) -> None:
@@ -138,7 +140,7 @@
             )
         if context.closing and not journal.pending and not context.meter.sums:
             if not journal.write_final_mark():
-                return self._write_live(now)  # commits the last mark
+                return self._write_live(now)  # this commits the last mark
             return self._end(now, journal) if context.calls.may_start(Purpose.END, now) else None
         return self._extend(now, journal)
 
@@ -154,14 +156,12 @@
         self._recorder.uncommitted_since_ns = now
 
     def _commit_failed(self, now: int, error: OSError) -> None:
-        """No more is written to this stream, and a new one takes over what is not committed."""
-        self._context.alarms.append(
-            "use: a commit failed; what it was for is written anew, into a new stream"
-        )
+        """Stops writing to the stream; its uncommitted records are copied to a new one."""
+        self._context.alarms.append("use: a commit failed: its records are written to a new stream")
         self._abandon_new_stream(now, error)
 
     def _extend(self, now: int, journal: Journal) -> Call | None:
-        """Create the next segment if the stream wants one and there is room."""
+        """Returns the call that creates the next segment if the stream needs one and the limit allows it."""
         context = self._context
         if (header := journal.needed_segment()) is None or not context.segment_store.may_create():
             return None
@@ -175,7 +175,7 @@
         return context.calls.start(Create(header), created, context.calls.retry_later(Purpose.SEGMENT))
 
     def _end(self, now: int, journal: Journal) -> Call | None:
-        """Save the length of the stream: all is committed and the ledger is closing."""
+        """Saves the length of the stream, as all is committed and the ledger is closing."""
         context = self._context
         checkpoint = context.checkpoint
         checkpoint.control.streams[journal.epoch].length = journal.committed
