--- a/tests/counter/test_counter_leases.py
+++ b/tests/counter/test_counter_leases.py
@@ -1,4 +1,4 @@
-"""The shared counter's leases: its rules by themselves, and in virtual time under seeded faults."""
+"""Tests the shared counter's leases: single rules, and seeded faults in deterministic simulation."""
 
 from __future__ import annotations
 
@@ -34,67 +34,79 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_shares_and_ceilings_hold_under_seeded_faults(seed: int) -> None:
+def test_shares_and_hard_limits_hold_under_seeded_faults(seed: int) -> None:
+    """Guards against shares or hard limits that are exceeded at any step of a seeded fault schedule."""
     world = play(make(seed))
     assert not world.broken, (str(make(seed)), world.broken)
     assert sum(count.sent for count in world.counts.values()) > 0
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_after_each_fault_members_are_served_again(name: str) -> None:
-    """What was served in a calm second half is most of what one store would have let pass."""
+def test_tenants_are_served_again_after_each_fault(name: str) -> None:
+    """Guards against shares that stay too small after a fault.
+
+    In the calm second half, tenants must get most of what a single token bucket would have granted."""
     world = World(Plant(5, asked=2.0))
     world.run(4 * SECOND)
     world.clock.after(0, partial(FAULTS[name], world, random.Random(f"one fault:{name}")))
     if name == "lossy":
         world.clock.after(8 * SECOND, partial(FAULTS["calm"], world, random.Random(1)))
     world.run(16 * SECOND)
-    before = {member: (count.sent, count.inside) for member, count in world.counts.items()}
+    before = {tenant: (count.sent, count.inside) for tenant, count in world.counts.items()}
     world.run(6 * SECOND)
     assert not world.broken
-    for member, count in world.counts.items():
-        sent, inside = count.sent - before[member][0], count.inside - before[member][1]
-        assert sent > 0.7 * inside, (hex(member), sent, inside)
+    for tenant, count in world.counts.items():
+        sent, inside = count.sent - before[tenant][0], count.inside - before[tenant][1]
+        assert sent > 0.7 * inside, (hex(tenant), sent, inside)
 
 
-def test_shares_never_sum_to_more_than_there_is_and_the_least_of_wants_are_met_whole() -> None:
+def test_fair_shares_fit_the_budget_and_meet_small_demands() -> None:
+    """Guards against shares that sum to more than the budget, and against unmet smallest demands."""
     shares = fair_shares(7, TERMS, {}, {0: 0.5, 1: 9.0, 2: 9.0, 3: 0.0}, 1.0, 1)
     assert shares == {0: pytest.approx(0.1), 1: pytest.approx(0.45), 2: pytest.approx(0.45)}
     assert sum(fair_shares(7, TERMS, {}, dict.fromkeys(range(30), 9.0), 1.0, 1).values()) <= 1.0 + 1e-9
 
 
-def test_where_few_shares_hold_a_request_turns_bring_everybody_to_one() -> None:
+def test_gateways_take_turns_where_few_shares_fit() -> None:
+    """Guards against gateways that never get a share when only two shares hold a request each."""
     narrow = LeaseTerms(10.0, 1.0, 0.5, (0, 1, 2))
     served = [set(fair_shares(7, narrow, {}, dict.fromkeys(range(5), 9.0), 1.0, turn)) for turn in range(40)]
     assert all(len(each) == 2 for each in served) and set.union(*served) == set(range(5))
 
 
-def test_even_slices_sum_to_the_whole_also_where_few_hold_a_request() -> None:
-    for least in (0.01, 0.2, 0.4, 1.0):
-        terms = LeaseTerms(10.0, 1.0, least, tuple(range(7)))
-        slices = [static_share(99, terms, slot) for slot in range(9)]
-        assert sum(slices) == pytest.approx(1.0) and min(s for s in slices if s) >= min(least, 1 / 7)
+def test_static_shares_sum_to_one() -> None:
+    """Guards against static shares that exceed the limit or leave a part of it unused.
+
+    The sum must be right too if equal shares of all gateways would not hold a request."""
+    for min_share in (0.01, 0.2, 0.4, 1.0):
+        terms = LeaseTerms(10.0, 1.0, min_share, tuple(range(7)))
+        shares = [static_share(99, terms, gateway) for gateway in range(9)]
+        assert sum(shares) == pytest.approx(1.0) and min(s for s in shares if s) >= min(min_share, 1 / 7)
 
 
-def test_terms_hold_one_request_in_every_store_and_one_place() -> None:
+def test_smallest_share_holds_one_request_and_one_attempt() -> None:
+    """Guards against a smallest share too small for one request in every bucket or for one attempt."""
     plan = Plan("p", 10.0, 20.0, 4, 1.0, 0.0, 1.0, 20.0, 40.0, 0.0)
     assert terms_of(plan, 2.0, (0,)) == LeaseTerms(10.0, 20.0, 0.25, (0,), True)
     assert terms_of(Plan("p", 0.0, 0.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0), 2.0, (0,)) is None
 
 
-def _read(detector: FailureDetector, now: int, number: int, late: int = 0, wrote: bool = True) -> None:
-    """A read at `now` that shows gateway 1's beat, which lay `late` ns on its way."""
-    clock = now // MILLISECOND
-    beat = pack_heartbeat(Heartbeat(5, number, clock - late // MILLISECOND))
-    detector.on_reply(now, now, wrote, Reply(clock, {1: beat}, b"x"))
+def _read(detector: FailureDetector, now: int, sequence: int, delay: int = 0, wrote: bool = True) -> None:
+    """Reads gateway 1's heartbeat at `now`, which was delayed by `delay` ns."""
+    clock_ms = now // MILLISECOND
+    heartbeat = pack_heartbeat(Heartbeat(5, sequence, clock_ms - delay // MILLISECOND))
+    detector.on_reply(now, now, wrote, Reply(clock_ms, {1: heartbeat}, b"x"))
     detector.review(now)
 
 
-def test_a_gateway_is_seen_by_beats_that_change_and_from_the_read_before() -> None:
+def test_changed_heartbeat_counts_from_the_previous_read() -> None:
+    """Guards against a gateway that counts as alive for longer than its heartbeats prove.
+
+    A changed heartbeat was written after the previous read, so its writer was alive at that time at least."""
     detector = FailureDetector(0, 2, 9, SECOND)
     _read(detector, SECOND, 1)
-    for number in range(2, 6):
-        _read(detector, number * SECOND // 2 + SECOND, number)
+    for sequence in range(2, 6):
+        _read(detector, sequence * SECOND // 2 + SECOND, sequence)
     last = 3 * SECOND + SECOND // 2
     assert detector.observations[1].alive_since_ns == last - SECOND // 2 and not detector.unresponsive
     detector.review(last - SECOND // 2 + LEASE_NS + 1)
@@ -103,66 +115,80 @@
     assert detector.expired == {1}
 
 
-def test_a_beat_that_lay_on_its_way_is_as_old_as_the_counters_clock_says() -> None:
+def test_delayed_heartbeat_does_not_extend_known_life() -> None:
+    """Guards against a delayed heartbeat that is taken for a recent one.
+
+    By the counter's clock the heartbeat is ten seconds old when it is read."""
     detector = FailureDetector(0, 2, 9, 100 * SECOND)
-    for number in range(1, 5):
-        _read(detector, 100 * SECOND + number * HEARTBEAT_NS, number)
+    for sequence in range(1, 5):
+        _read(detector, 100 * SECOND + sequence * HEARTBEAT_NS, sequence)
     since = detector.observations[1].alive_since_ns
-    _read(detector, 100 * SECOND + 5 * HEARTBEAT_NS, 5, late=SECOND * 10)
+    _read(detector, 100 * SECOND + 5 * HEARTBEAT_NS, 5, delay=SECOND * 10)
     assert detector.observations[1].alive_since_ns == since
 
 
-def test_what_a_healed_half_brings_up_again_is_no_sign_of_life() -> None:
+def test_older_heartbeat_is_ignored() -> None:
+    """Guards against an older heartbeat, returned after a network partition healed, that counts as new."""
     detector = FailureDetector(0, 2, 9, 100 * SECOND)
-    for number in range(1, 5):
-        _read(detector, 100 * SECOND + number * HEARTBEAT_NS, number)
+    for sequence in range(1, 5):
+        _read(detector, 100 * SECOND + sequence * HEARTBEAT_NS, sequence)
     seen = detector.observations[1]
     _read(detector, 100 * SECOND + 6 * HEARTBEAT_NS, 2)
     assert detector.observations[1] == seen
 
 
-def test_claims_that_are_none_are_passed_over() -> None:
-    whole = pack_claim(Claim(1, 2, 0.5, 3.0, 4.0, 5.0, 6))
-    assert unpack_claim(whole) == Claim(1, 2, 0.5, 3.0, 4.0, 5.0, 6)
-    assert unpack_claim(whole[:-1]) is None and unpack_claim(b"") is None
+def test_invalid_claims_are_ignored() -> None:
+    """Guards against bytes of other programs on the same server that are taken for claims."""
+    packed = pack_claim(Claim(1, 2, 0.5, 3.0, 4.0, 5.0, 6))
+    assert unpack_claim(packed) == Claim(1, 2, 0.5, 3.0, 4.0, 5.0, 6)
+    assert unpack_claim(packed[:-1]) is None and unpack_claim(b"") is None
     assert unpack_claim(pack_claim(Claim(1, 2, 2.0, 3.0, 4.0, 5.0, 6))) is None
     assert unpack_claim(pack_claim(Claim(1, 2, 0.5, float("nan"), 4.0, 5.0, 6))) is None
 
 
-def test_a_reply_is_read_whole_or_not_at_all() -> None:
+def test_malformed_reply_is_rejected_completely() -> None:
+    """Guards against a malformed reply or an error of which a part is used all the same."""
     call = Call(1, 0, 7, b"v")
     good = [1, [b"0", b"v", b"id", b"t", b"junk", b"x"], 1, [b"12", b"345000"]]
     assert parse_reply(call, good) == Reply(12_345, {0: b"v"}, b"t", True)
     assert not parse_reply(call, [0, *good[1:]]).field_was_missing
-    for wrong in ([1, [b"0"], 1, [b"1", b"2"]], [1, None, 1, [b"1", b"2"]], [1, [], 1, [b"x", b"2"]], []):
+    for malformed in (
+        [1, [b"0"], 1, [b"1", b"2"]],
+        [1, None, 1, [b"1", b"2"]],
+        [1, [], 1, [b"x", b"2"]],
+        [],
+    ):
         with pytest.raises(CounterError):
-            parse_reply(call, wrong)
+            parse_reply(call, malformed)
     with pytest.raises(CounterError, match="LOADING"):
         parse_reply(call, [ErrorReply("LOADING later"), *good[1:]])
 
 
-def test_all_names_of_a_partition_lie_in_one_slot() -> None:
-    names = [key_of("ts", 3, member) for member in (None, 1, 2, -5)]
-    assert len({slot_of(name) for name in names}) == 1 and len(set(names)) == 4
-    # From the cluster specification: the reference value of its CRC16.
+def test_keys_of_a_partition_share_one_hash_slot() -> None:
+    """Guards against keys of one partition that a cluster puts on different servers."""
+    keys = [key_of("ts", 3, tenant) for tenant in (None, 1, 2, -5)]
+    assert len({slot_of(key) for key in keys}) == 1 and len(set(keys)) == 4
+    # This is the reference value of the CRC16 in the cluster specification.
     assert slot_of(b"123456789") == 0x31C3 % 16384
 
 
-def test_the_stand_in_sends_away_what_lies_elsewhere() -> None:
+def test_counter_standin_redirects_keys_of_other_shards() -> None:
+    """Guards against a stand-in whose MOVED and ASK differ from those of a Redis cluster."""
     cluster = Cluster(2)
-    name = key_of("ts", 0, None)
-    owner = cluster.shards[cluster.owner[slot_of(name)]]
+    key = key_of("ts", 0, None)
+    owner = cluster.shards[cluster.owner[slot_of(key)]]
     other = cluster.shards[1 - owner.number]
-    words = commands_for(Call(1, 0, None, b"v"), "ts", 0, b"t")[1]
-    assert owner.execute(0, words, 0) == 1
-    assert str(other.execute(0, words, 0)).startswith("MOVED ")
-    cluster.migrating[slot_of(name)] = other.number
-    assert owner.execute(0, (b"HGETALL", name), 0) == [b"0", b"v"]
-    assert str(owner.execute(0, (b"HGETALL", name + b"x"), 0)).startswith("ASK ")
-    assert other.execute(0, (b"HGETALL", name + b"x"), 0, asking=True) == []
+    command = commands_for(Call(1, 0, None, b"v"), "ts", 0, b"t")[1]
+    assert owner.execute(0, command, 0) == 1
+    assert str(other.execute(0, command, 0)).startswith("MOVED ")
+    cluster.migrating[slot_of(key)] = other.number
+    assert owner.execute(0, (b"HGETALL", key), 0) == [b"0", b"v"]
+    assert str(owner.execute(0, (b"HGETALL", key + b"x"), 0)).startswith("ASK ")
+    assert other.execute(0, (b"HGETALL", key + b"x"), 0, asking=True) == []
 
 
-def test_a_promoted_replica_has_lost_the_last_writes_and_names_end() -> None:
+def test_standin_promotion_loses_writes_and_keys_expire() -> None:
+    """Guards against a stand-in that keeps writes which a promoted replica would not have."""
     shard = Shard(0)
     shard.execute(0, (b"HSET", b"n", b"0", b"old"), 1000)
     shard.execute(0, (b"PEXPIRE", b"n", b"5000"), 1000)
@@ -176,23 +202,31 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_what_one_lets_go_no_other_takes_too_soon(seed: int) -> None:
+def test_released_share_is_not_used_too_soon(seed: int) -> None:
+    """Guards against a share that one gateway releases too late or another one uses too early.
+
+    A tenant's complete limit is held by one gateway when a fault occurs and its traffic moves elsewhere."""
     assert tight_world(seed) == []
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_while_nobody_hears_quotas_go_over_by_what_each_knew_of_at_most(seed: int) -> None:
+def test_quota_excess_is_bounded_without_the_counter(seed: int) -> None:
+    """Guards against unbounded use of a quota while no gateway reaches the counter.
+
+    The gateways' shares by last demand sum to 1, so the excess is at most the tokens that each gateway knew
+    of, once."""
     assert deaf_world(seed) == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_calm_worlds_serve_what_is_due_and_keep_quotas(seed: int) -> None:
+def test_quotas_are_served_and_kept_without_faults(seed: int) -> None:
+    """Guards against rejected requests within the quota, and against use beyond it, without faults."""
     assert calm_world(seed) == []
 
 
-# The first world that shows each; the whole list is played by `benchmarks.counter`, whose last run says which
-# are not shown by any.
-SHOWN = {
+# The first kind of world and seed that detects each mutant. `benchmarks.counter` runs the complete list; its
+# last run says which mutants no world detects.
+DETECTING_WORLDS = {
     "proof-not-awaited": ("tight", 12),
     "proof-without-beats": ("tight", 12),
     "not-fitted": ("tight", 13),
@@ -209,7 +243,8 @@
 }
 
 
-@pytest.mark.parametrize("name", SHOWN)
-def test_a_planted_fault_is_shown(name: str) -> None:
-    kind, seed = SHOWN[name]
+@pytest.mark.parametrize("name", DETECTING_WORLDS)
+def test_mutant_is_detected(name: str) -> None:
+    """Guards against simulations that no longer detect a broken rule of the lease protocol."""
+    kind, seed = DETECTING_WORLDS[name]
     assert not KINDS[kind](seed) and shows(name, kind, seed)
