--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -102,8 +102,8 @@
     assert router.server(0) == by
     assert router.redirect_target(0, ErrorReply("MOVED 5 :7002"), by) == (("127.0.0.1", 7002), False)
     assert router.server(0) == ("127.0.0.1", 7002) and router.is_stale
-    for malformed in ("MOVED 5 elsewhere.example:7000", "MOVED 5", "MOVED 5 x", "ERR no", "MOVED 5 127.0.0.1:x"):
-        assert router.redirect_target(0, ErrorReply(malformed), by) is None
+    for text in ("MOVED 5 elsewhere.example:7000", "MOVED 5", "MOVED 5 x", "ERR no", "MOVED 5 127.0.0.1:x"):
+        assert router.redirect_target(0, ErrorReply(text), by) is None
     assert not Router([by], True, "ts", 2).update_cluster_map([[0, "x", []]])
 
 
@@ -284,7 +284,10 @@
             await inject_fault(fleet, server, 2.0)
         tenant = fleet.clients.population.tenants[0].number
         report = json.loads(await asyncio.to_thread(ask, str(folder / "n1"), tenant))
-        assert report["state"] in ("sound", "doubted", "split", "lost", "rebuilding") and report["replaced"] >= 1
+        assert (
+            report["state"] in ("sound", "doubted", "split", "lost", "rebuilding")
+            and report["replaced"] >= 1
+        )
         status = await asyncio.to_thread(main, ["quota", f"{tenant:x}", "--socket", str(folder / "n1")])
         assert status == 0 and "source of truth" in capsys.readouterr().out
         await fleet.settle()
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -1,4 +1,4 @@
-"""Use records: what is counted, kept and exported, under seeded crashes and faults in virtual time."""
+"""Tests how usage records are counted, stored and exported under seeded crashes and faults in simulation."""
 
 from __future__ import annotations
 
@@ -27,91 +27,104 @@
 from trackspread.usage.ledger import Bounds, State
 from trackspread.usage.meter import Meter, month_start
 from trackspread.usage.record import NANO_PER_UNIT, Ending, Kind, UsageRecord, to_nano_units, unpack
-from trackspread.usage.record import pack as pack_use
+from trackspread.usage.record import pack as pack_record
 from trackspread.testing.virtual.usage.world import MILLISECOND, SECOND, World
 from trackspread.testing.virtual.usage.schedules import ENDS, FAULTS, make, play
 from trackspread.testing.virtual.usage.disk import Disk
 
 BOUNDS = Bounds(16, 8, 10 * MILLISECOND, 100 * MILLISECOND, "fold")
-USE = UsageRecord(Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, to_nano_units(2.25))
+RECORD = UsageRecord(
+    Kind.USE, Ending.SERVED, 1, 2, 3, 4, 1, 1_700_000_000_123, 0x1FFFFFFFF, to_nano_units(2.25)
+)
 
 
 def _ms(text: str) -> int:
     return int(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp() * 1000)
 
 
-# The last ones: a batch of a former life that hid what billing was being asked about once more.
+# With the last seed, a batch of an earlier incarnation hid the slots that billing was asked about again.
 @pytest.mark.parametrize("seed", [*range(60), 1_000_431])
-def test_billing_has_each_request_once_and_none_is_missing_without_a_reason(seed: int) -> None:
+def test_billing_gets_each_request_exactly_once(seed: int) -> None:
+    """Guards against requests that billing has twice, or that are missing without a permitted reason."""
     schedule = make(seed)
     assert play(schedule)[0] == [], str(schedule)
 
 
-def test_schedules_bring_every_end_and_every_trouble() -> None:
-    made = [make(seed) for seed in range(200)]
-    assert {end for each in made for end in each.ends} == set(ENDS)
-    assert {name for each in made for faults in each.faults for name in faults} == set(FAULTS)
-    assert {each.bounds.when_full for each in made} == {"fold", "drop"}
+def test_schedules_cover_every_end_and_every_fault() -> None:
+    """Guards against an end of a process, a fault or a policy that no schedule contains."""
+    schedules = [make(seed) for seed in range(200)]
+    assert {end for each in schedules for end in each.ends} == set(ENDS)
+    assert {name for each in schedules for faults in each.faults for name in faults} == set(FAULTS)
+    assert {each.bounds.when_full for each in schedules} == {"fold", "drop"}
 
 
-def test_the_same_seed_plays_the_same_lives() -> None:
+def test_simulation_is_deterministic_for_a_seed() -> None:
+    """Guards against schedules that can't be repeated from their seed."""
     first, second = (play(make(12))[1] for _ in range(2))
     assert first.memory.rows == second.memory.rows != [] and first.alarms == second.alarms
 
 
-def test_a_record_is_exact_and_an_unknown_one_is_none() -> None:
-    assert unpack(pack_use(*USE)) == USE and len(pack_use(*USE)) == 40
-    assert unpack(pack_use(*USE._replace(kind=9))) is None
+def test_record_round_trip_is_exact() -> None:
+    """Guards against rounded units, and against records of unknown kinds that are accepted."""
+    assert unpack(pack_record(*RECORD)) == RECORD and len(pack_record(*RECORD)) == 40
+    assert unpack(pack_record(*RECORD._replace(kind=9))) is None
     assert to_nano_units(0.1) + to_nano_units(0.2) == to_nano_units(0.3) == 300_000_000
     assert to_nano_units(999_999.123456789) == 999_999_123_456_789
 
 
-def test_a_clock_set_back_across_a_months_end_opens_no_month_again() -> None:
+def test_clock_set_back_does_not_reopen_a_month() -> None:
+    """Guards against records in a month that has ended, after the clock was set back across its end.
+
+    Within a month the clock is followed in both directions."""
     meter, end = Meter(), _ms("2026-11-01")
     assert meter.stamp(end - 1) == end - 1 and meter.stamp(end + 5000) == end + 5000
     assert meter.stamp(end - 1) == end == month_start(end + 5000) and meter.clamped == 1
     assert meter.stamp(end + 4000) == end + 4000, "within the month the clock is followed"
     later = Meter()
-    later.month_start_ms = end  # as a former life's control says
+    later.month_start_ms = end  # as the checkpoint of an earlier incarnation states it
     assert later.stamp(end - 60_000) == end
     assert month_start(_ms("2028-03-01") - 1) == _ms("2028-02-01")
 
 
-def test_sums_are_bounded_and_what_is_past_the_bound_is_nobodys(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_past_the_limit_of_sums_are_unattributed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against unlimited memory for sums, and against requests past the limit that are not counted."""
     monkeypatch.setattr(meters, "MAX_SUMS", 2)
     meter = Meter()
-    for customer in (1, 2, 3, 3, 1):
-        meter.fold(USE._replace(tenant=customer))
-    made = []
-    while (use := meter.oldest_sum()) is not None:
-        made.append((use.kind, use.tenant, use.requests, use.nano_units))
-        meter.subtract_written(use)
-    one = USE.nano_units
-    assert made == [(Kind.SUM, 1, 2, 2 * one), (Kind.SUM, 2, 1, one), (Kind.UNATTRIBUTED, 0, 2, 2 * one)]
+    for tenant in (1, 2, 3, 3, 1):
+        meter.fold(RECORD._replace(tenant=tenant))
+    written = []
+    while (record := meter.oldest_sum()) is not None:
+        written.append((record.kind, record.tenant, record.requests, record.nano_units))
+        meter.subtract_written(record)
+    one = RECORD.nano_units
+    assert written == [(Kind.SUM, 1, 2, 2 * one), (Kind.SUM, 2, 1, one), (Kind.UNATTRIBUTED, 0, 2, 2 * one)]
     assert meter.unattributed == 2 and not meter.sums
 
 
-def test_a_sum_past_what_a_record_holds_is_written_as_several() -> None:
+def test_large_sum_is_written_as_several_records() -> None:
+    """Guards against a sum that overflows the fields of one record."""
     meter = Meter()
     for _ in range(3):
-        meter.fold(USE._replace(nano_units=0xFFFFFFFFFFFFFFFF))
+        meter.fold(RECORD._replace(nano_units=0xFFFFFFFFFFFFFFFF))
     total, parts = 0, 0
-    while (use := meter.oldest_sum()) is not None:
-        total, parts = total + use.nano_units, parts + 1
-        meter.subtract_written(use)
+    while (record := meter.oldest_sum()) is not None:
+        total, parts = total + record.nano_units, parts + 1
+        meter.subtract_written(record)
     assert total == 3 * 0xFFFFFFFFFFFFFFFF and parts == 3
 
 
-def test_of_two_copies_of_the_control_the_newest_that_checks_counts() -> None:
+def test_newest_valid_copy_of_the_checkpoint_is_used() -> None:
+    """Guards against a torn or older copy of the checkpoint that is preferred to a valid newer one."""
     old, new = Control("p", generation=4), Control("p", generation=5)
-    best, at, wrong, newer = newest([pack(new), pack(old)])
-    assert best == new and (at, wrong, newer) == (0, [], False)
-    best, at, wrong, _ = newest([pack(new)[:-9], pack(old)])
-    assert best == old and at == 1 and len(wrong) == 1
+    best, index, errors, newer = newest([pack(new), pack(old)])
+    assert best == new and (index, errors, newer) == (0, [], False)
+    best, index, errors, _ = newest([pack(new)[:-9], pack(old)])
+    assert best == old and index == 1 and len(errors) == 1
     assert newest([bytes(100), bytes(100)]) == (None, 0, [], False)
 
 
-def test_the_control_fits_its_area_with_every_stream_that_may_wait() -> None:
+def test_largest_checkpoint_fits_its_area() -> None:
+    """Guards against a checkpoint that is too large to save when `MAX_STREAMS` streams wait for export."""
     names = [Names("gateway", ("c" * 40,) * 10, ("p" * 40,) * 10)] * 16
     stream = Stream("f" * 32, 65536, 15, [Part(1, "f" * 32)] * 2, 10**9, 10**9, 10**5, False)
     control = Control(
@@ -127,7 +140,8 @@
     assert len(pack(control)) < AREA_SIZE
 
 
-def test_names_that_no_stream_uses_go() -> None:
+def test_unused_names_are_removed_from_the_checkpoint() -> None:
+    """Guards against a checkpoint that grows with names of removed streams."""
     control = Control("p", names=[Names("a", (), ()), Names("b", (), ())])
     control.streams[1] = Stream("", 1, 1, [])
     assert control.names_index(Names("c", (), ())) == 1 and control.streams[1].names == 0
@@ -135,9 +149,11 @@
 
 
 def _batch(first: int, last: int, length: int | None = None, stream: str = "s", base: int = 0) -> bytes:
-    scan = Scan({n: pack_use(*USE._replace(nano_units=n * NANO_PER_UNIT)) for n in range(first, last + 1)})
-    held = rows(scan, Names("n0", ("look", "charge"), ("a", "b", "c")))
-    return encode(Batch("p", "n0", 1, stream, base, first, last, length, held, 0))
+    scan = Scan(
+        {n: pack_record(*RECORD._replace(nano_units=n * NANO_PER_UNIT)) for n in range(first, last + 1)}
+    )
+    batch_rows = rows(scan, Names("n0", ("look", "charge"), ("a", "b", "c")))
+    return encode(Batch("p", "n0", 1, stream, base, first, last, length, batch_rows, 0))
 
 
 def _restarted(control: Control) -> Exporter:
@@ -155,19 +171,23 @@
     return post.body
 
 
-def test_a_stream_is_sealed_only_by_a_batch_that_named_its_length() -> None:
+def test_stream_is_sealed_only_by_batch_with_length() -> None:
+    """Guards against a stream that counts as exported although billing never got its length.
+
+    A batch is first sent while the stream is written, its reply is lost, and the gateway is killed. The next
+    incarnation sends the same bytes again, which have no length."""
     billing = Billing(MemoryStore())
-    scan = Scan({n: pack_use(*USE) for n in range(1, 4)})
+    scan = Scan({n: pack_record(*RECORD) for n in range(1, 4)})
     control = Control("p", names=[Names("n0", ("look", "charge"), ("a", "b", "c"))])
     stream = control.streams[1] = Stream("00" * 16, 16, 0, [Part(1, "s")])
     live = Exporter(SECOND, random.Random(1))
     assert live.next_read(10 * SECOND, control, 3) is not None
     lost = _sent(live, control, scan)
-    assert billing.post(lost).taken == 3, "its answer is lost, and the gateway is killed"
-    stream.length = 3  # as the next life finds it
+    assert billing.post(lost).taken == 3, "billing stores the batch, and its reply is lost"
+    stream.length = 3  # the recovery of the next incarnation ends the stream
     exporter = _restarted(control)
     again = _sent(exporter, control, scan)
-    assert again == lost, "the same bytes, without the length"
+    assert again == lost, "the batch has the same bytes, without the length"
     exporter.reply_received(control, billing.post(again))
     assert stream.acked == 3 and not stream.is_exported()
     assert exporter.next_read(11 * SECOND, control, 0) is not None
@@ -176,13 +196,14 @@
     assert reply.sealed == 3 and stream.is_exported()
 
 
-def test_billing_takes_places_once_in_order_and_up_to_the_seal() -> None:
+def test_billing_accepts_slots_once_in_order_until_sealed() -> None:
+    """Guards against a stand-in of billing that accepts slots twice, with gaps, or after the seal."""
     memory = MemoryStore()
     billing = Billing(memory)
     assert billing.post(_batch(1, 4)).taken == 4
     assert billing.post(_batch(1, 4)).taken == 4 and billing.reply_counts["again"] == 1
-    assert billing.post(_batch(3, 6)).taken == 6, "a batch that was cut otherwise gives what is new in it"
-    assert billing.post(_batch(9, 9)).taken == 6, "nothing is left out"
+    assert billing.post(_batch(3, 6)).taken == 6, "only the new slots of an overlapping batch are stored"
+    assert billing.post(_batch(9, 9)).taken == 6, "a batch after a gap is not stored"
     assert billing.post(_batch(7, 6, 6)).sealed == 6
     fenced = billing.post(_batch(5, 8))
     assert fenced.fenced and fenced.sealed == 6 and billing.reply_counts["fenced"] == 1
@@ -192,7 +213,8 @@
     assert first.cls == "charge" and first.customer == "00000001ffffffff"
 
 
-def test_other_records_under_places_that_were_taken_are_told() -> None:
+def test_different_records_for_stored_slots_are_a_conflict() -> None:
+    """Guards against a stand-in of billing that does not report changed records for stored slots."""
     billing = Billing(MemoryStore())
     billing.post(_batch(1, 2))
     batch = decode(_batch(1, 2))
@@ -200,12 +222,13 @@
     assert billing.post(changed).conflict and not billing.post(_batch(1, 2)).conflict
 
 
-def test_a_signature_holds_for_its_own_key_and_bytes_alone() -> None:
+def test_signature_covers_idempotency_key_and_body() -> None:
+    """Guards against a signature that is valid for another key, body or secret."""
     body = _batch(1, 2)
-    told = signature(body, "s:1-2", b"secret")
-    assert signed(body, "s:1-2", b"secret", told)
-    assert not signed(body, "s:1-3", b"secret", told) and not signed(body + b" ", "s:1-2", b"secret", told)
-    assert not signed(body, "s:1-2", b"other", told) and not signed(body, "s:1-2", b"secret", "é")
+    valid = signature(body, "s:1-2", b"secret")
+    assert signed(body, "s:1-2", b"secret", valid)
+    assert not signed(body, "s:1-3", b"secret", valid) and not signed(body + b" ", "s:1-2", b"secret", valid)
+    assert not signed(body, "s:1-2", b"other", valid) and not signed(body, "s:1-2", b"secret", "é")
     assert digest(body) == digest(_batch(1, 2))
 
 
@@ -216,7 +239,10 @@
     return world
 
 
-def test_a_full_share_is_folded_and_nothing_is_lost_while_billing_is_down_for_long() -> None:
+def test_full_folder_loses_nothing_during_billing_outage() -> None:
+    """Guards against lost requests when the limit of segments is reached because billing is down.
+
+    With `fold` the requests are summed in memory and exported once billing is back."""
     world, disk = World(BOUNDS, 1), Disk(random.Random(1))
     _live(world, disk)
     world.network.down = True
@@ -233,7 +259,10 @@
     assert sum(row.requests for row in world.memory.rows) == 400
 
 
-def test_what_a_newer_program_wrote_is_left_alone() -> None:
+def test_folder_of_a_newer_version_is_not_changed() -> None:
+    """Guards against a downgraded program that overwrites data that it can't read.
+
+    The ledger sums requests in memory instead, and an alarm reports it."""
     world, disk = World(BOUNDS, 2), Disk(random.Random(1))
     _live(world, disk)
     world.end_process(world.processes[0])
@@ -249,9 +278,8 @@
     assert any("a newer version of the program wrote this folder" in text for text in process.alarms)
 
 
-def test_a_clock_set_back_across_a_month_and_members_past_the_bound_are_told_once(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_meter_alarms_are_raised_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against repeated alarms about a clock that was set back and tenants past the limit of sums."""
     monkeypatch.setattr(meters, "MAX_SUMS", 1)
     world, disk = World(BOUNDS, 3), Disk(random.Random(1))
     _live(world, disk)
--- a/tests/usage/test_usage_mutants.py
+++ b/tests/usage/test_usage_mutants.py
@@ -1,4 +1,4 @@
-"""Planted faults of the ledger of use records, put to its schedules."""
+"""Tests that the simulated schedules detect mutants of the ledger of usage records."""
 
 from __future__ import annotations
 
@@ -8,5 +8,6 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_schedules_convict_every_mutant(name: str) -> None:
+def test_schedules_detect_every_mutant(name: str) -> None:
+    """Guards against schedules that no longer detect a broken rule of the ledger."""
     assert convict(name, iter(range(600))) is not None
