--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -1,4 +1,4 @@
-"""State that outlives a process: documents, slots, journals and the real folder."""
+"""Tests the state that outlives a process: documents, slots, journals and the real folder."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 from trackspread.testing.virtual.usage.disk import Disk, VirtualFiles
 
 
-class Thing(msgspec.Struct):
+class Example(msgspec.Struct):
     name: str
     size: int = 0
 
@@ -51,38 +51,42 @@
     return b"\x01" + number.to_bytes(8, "little") + bytes(PAYLOAD_BYTES - 9)
 
 
-def test_a_document_comes_back_and_a_changed_one_does_not() -> None:
+def test_document_round_trip_detects_any_changed_bit() -> None:
+    """Guards against a damaged document that is accepted."""
     schema = Schema("thing", 1)
-    data = schema.pack(Thing("a", 3))
-    assert schema.unpack(data + b"rest of a longer one", Thing) == Thing("a", 3)
+    data = schema.pack(Example("a", 3))
+    assert schema.unpack(data + b"rest of a longer one", Example) == Example("a", 3)
     for at in range(len(data) - 1):
         with pytest.raises(DocumentError):
-            schema.unpack(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], Thing)
+            schema.unpack(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], Example)
 
 
-def test_older_documents_are_upgraded_step_by_step_and_newer_ones_refused() -> None:
-    old = Schema("thing", 1).pack(Thing("a"))
+def test_older_documents_are_upgraded_and_newer_ones_rejected() -> None:
+    """Guards against a skipped upgrade, and against documents of newer versions that are accepted."""
+    old = Schema("thing", 1).pack(Example("a"))
     steps = {1: lambda body: body | {"size": 1}, 2: lambda body: body | {"size": body["size"] + 10}}
-    assert Schema("thing", 3, steps).unpack(old, Thing) == Thing("a", 11)
+    assert Schema("thing", 3, steps).unpack(old, Example) == Example("a", 11)
     newer = "version must be at most 1, got 3, which a newer version of the program wrote"
     with pytest.raises(DocumentError, match=newer) as caught:
-        Schema("thing", 1).unpack(Schema("thing", 3, steps).pack(Thing("a")), Thing)
+        Schema("thing", 1).unpack(Schema("thing", 3, steps).pack(Example("a")), Example)
     assert caught.value.newer
     with pytest.raises(DocumentError, match="kind: must be 'other', got 'thing'"):
-        Schema("other", 1).unpack(old, Thing)
+        Schema("other", 1).unpack(old, Example)
     with pytest.raises(ValueError, match="the upgrade from version 2 is missing"):
         Schema("thing", 3, {1: steps[1]})
 
 
-def test_each_slot_stands_for_itself_and_for_its_place_and_stream() -> None:
+def test_slots_are_checked_by_stream_and_sequence_number() -> None:
+    """Guards against slots of another stream or position that are accepted.
+
+    A damaged slot must not affect the others."""
     header, seed = SegmentHeader(1, 0, 8, b"n" * 16), checksum_seed(b"n" * 16)
     data = bytearray(8 * SLOT_BYTES)
     for number in (1, 2, 4):
         data[(number - 1) * SLOT_BYTES : number * SLOT_BYTES] = pack_slot(_payload(number), seed, number)
-    data[SLOT_BYTES + 7] ^= 4  # the second is damaged
-    data[5 * SLOT_BYTES : 6 * SLOT_BYTES] = pack_slot(
-        _payload(4), seed, 4
-    )  # the fourth once more, in the sixth place
+    data[SLOT_BYTES + 7] ^= 4  # damages the second slot
+    # The fourth slot is copied to the position of the sixth.
+    data[5 * SLOT_BYTES : 6 * SLOT_BYTES] = pack_slot(_payload(4), seed, 4)
     found = scan(bytes(data), header, 1)
     assert sorted(found.payloads) == [1, 4] and found.bad == [2, 6] and found.last == 6
     other = scan(bytes(data), SegmentHeader(1, 0, 8, b"m" * 16), 1)
@@ -90,7 +94,8 @@
     assert count_written_slots(bytes(data)) == 6 and count_written_slots(bytes(SLOT_BYTES)) == 0
 
 
-def test_a_head_is_refused_if_damaged_or_of_a_newer_layout() -> None:
+def test_invalid_segment_header_is_rejected() -> None:
+    """Guards against damaged, truncated or foreign files that are read as segments."""
     header = SegmentHeader(7, 3, 4, b"x" * 16)
     data = pack_header(header) + bytes(4 * SLOT_BYTES)
     assert unpack_header(data) == header and header.first == 13 and slot_offset(header, 13) == HEADER_BYTES
@@ -110,14 +115,15 @@
     return Journal(header, area), files
 
 
-def test_what_is_not_committed_never_fills_more_than_a_segment() -> None:
+def test_pending_records_never_exceed_one_segment() -> None:
+    """Guards against an unlimited number of uncommitted records, and against segments that stay open."""
     journal, files = _journal(4)
     assert [journal.append(_payload(n)) for n in range(6)] == [True] * 4 + [False] * 2
     spare = perform(files, Create(journal.header(1)))
     assert spare is not None and not isinstance(spare, Scan | FolderContents)
     assert journal.needed_segment() == journal.header(1)
     journal.add_segment(spare)
-    assert not journal.append(_payload(9)), "four are not committed yet"
+    assert not journal.append(_payload(9)), "four records are not committed yet"
     commit = journal.next_commit()
     assert commit is not None and commit.last_slot == 4
     assert journal.commit_done(commit) == [] and journal.committed == 4 and not journal.pending
@@ -126,7 +132,8 @@
     assert commit is not None and len(journal.commit_done(commit)) == 1, "the full segment can be closed"
 
 
-def test_marks_tell_how_far_the_stream_was_on_the_disk() -> None:
+def test_marks_state_the_committed_part_of_the_stream() -> None:
+    """Guards against missing marks, without which damage can't be distinguished from a torn write."""
     journal, files = _journal(4 * MARK_EVERY)
     for number in range(2 * MARK_EVERY):
         assert journal.append(_payload(number))
@@ -139,7 +146,8 @@
     assert MARK_EVERY <= found.marked < found.last
 
 
-def test_a_real_folder_keeps_what_it_was_told_and_has_one_owner(tmp_path: Path) -> None:
+def test_real_folder_stores_files_and_has_one_owner(tmp_path: Path) -> None:
+    """Guards against lost files, leftovers of unfinished replacements, and two owners of one folder."""
     files = Directory(tmp_path / "use")
     with pytest.raises(OSError) as caught:
         Directory(tmp_path / "use")
@@ -168,13 +176,15 @@
     again.close()
 
 
-def test_names_of_segments_are_told_from_others() -> None:
+def test_segment_names_are_parsed_and_other_names_ignored() -> None:
+    """Guards against other files in the folder that are taken for segments."""
     assert parse_segment_name(segment_name(12, 3)) == (12, 3)
     others = "control-a", "use-1.log", "use-x-y.log", "sum-1-2.json"
     assert [parse_segment_name(name) for name in others] == [None] * 4
 
 
-def test_a_full_real_disk_says_so_when_the_segment_is_made_not_when_it_is_written(tmp_path: Path) -> None:
+def test_full_disk_fails_when_a_file_is_created(tmp_path: Path) -> None:
+    """Guards against a full disk that fails only when a mapped file is written; no file may be left."""
     files = Directory(tmp_path)
     with pytest.raises(OSError) as caught:
         files.create("huge", 1 << 60)
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -244,7 +244,7 @@
 def test_verify_finds_damage_and_repair_rebuilds_checkpoint(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Guards against a flipped bit that `verify` misses, and a lost checkpoint that `repair` can't rebuild."""
+    """Guards against a flipped bit that `verify` misses, and a lost checkpoint that stays unusable."""
     folder = tmp_path / "n0"
 
     async def record() -> None:
