--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -210,7 +210,9 @@
     data = (DATA / "plans.json").read_bytes()
     registry = load_registry(DATA / "plans.json")
     assert REGISTRY.pack(registry) == data
-    versions = [(v.number, v.since - CREATED, v.withdrawn and v.withdrawn - CREATED) for v in registry.versions]
+    versions = [
+        (v.number, v.since - CREATED, v.withdrawn and v.withdrawn - CREATED) for v in registry.versions
+    ]
     assert versions == [
         (1, 60_000, 0),
         (2, 120_000, 10_000),
@@ -461,8 +463,10 @@
     broker = _restore_broker(state)
     attempts = _attempts_in_flight(state)
     assert len(attempts) == len(state.decision_state["out"]) == state.backend_descriptors > 0
-    assert broker.requests.attempts.keys() == attempts.keys()
-    assert broker.requests.in_flight == len(attempts)
+    assert (
+        broker.requests.attempts.keys() == attempts.keys()
+        and broker.requests.in_flight == len(attempts)
+    )
     written = wire.decode(wire.encode(snapshot.export_state(broker, NAMES, attempts)), dict)
     assert written == state.decision_state
     handover_state = HandoverState(
