--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -39,7 +39,7 @@
 from trackspread.storage.directory import Directory
 from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.standins.billing import Billing, MemoryStore, StreamState
-from trackspread.usage import control as checkpoint
+from trackspread.usage import control as checkpoints
 from trackspread.usage import totals as stored_totals
 from trackspread.usage.audit import Received, audit, reconcile
 from trackspread.usage.batch import Reply, decode, encode
@@ -128,7 +128,7 @@
 
     uvloop.run(asyncio.wait_for(body(), TIMEOUT_S))
     found = audit(Directory(usage_folder, view=True))
-    assert found.problems == [] and found.control is not None and found.control.epoch == 4
+    assert found.problems == [] and found.checkpoint is not None and found.checkpoint.epoch == 4
     assert reconcile([found], sender.received()) == []
     before = {
         tuple(line[:3]): line[3:] for line in json.loads((DATA / "use_totals.json").read_bytes())["journal"]
@@ -144,19 +144,19 @@
 def test_checkpoint_is_written_with_the_same_bytes(name: str) -> None:
     """Guards against a stored checkpoint that changes when it is read and written again."""
     line = (DATA / "use" / name).read_bytes().partition(b"\n")[0] + b"\n"
-    control = checkpoint.SCHEMA.unpack(line, checkpoint.Control)
-    assert checkpoint.pack(control) == line
+    checkpoint = checkpoints.SCHEMA.unpack(line, checkpoints.Checkpoint)
+    assert checkpoints.pack(checkpoint) == line
 
 
 def test_newest_checkpoint_keeps_its_keys() -> None:
     """Guards against renamed keys in the stored checkpoint."""
-    control, _, errors, newer = checkpoint.newest([(DATA / "use" / name).read_bytes() for name in AREAS])
-    assert control is not None and not errors and not newer
-    body = json.loads(checkpoint.pack(control))["body"]
+    checkpoint, _, errors, newer = checkpoints.newest([(DATA / "use" / name).read_bytes() for name in AREAS])
+    assert checkpoint is not None and not errors and not newer
+    body = json.loads(checkpoints.pack(checkpoint))["body"]
     assert list(body) == ["producer", "generation", "epoch", "month", "names", "streams", "intent", "lost"]
     assert list(body["names"][0]) == ["gateway", "classes", "plans"]
     stream = ["nonce", "slots", "names", "parts", "length", "acked", "kept", "sealed"]
-    assert [list(each) for each in body["streams"].values()] == [stream] * len(control.streams) != []
+    assert [list(each) for each in body["streams"].values()] == [stream] * len(checkpoint.streams) != []
     assert {key for each in body["streams"].values() for part in each["parts"] for key in part} == {
         "first",
         "id",
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -15,7 +15,7 @@
 from trackspread.usage.control import (
     AREA_SIZE,
     MAX_STREAMS,
-    Control,
+    Checkpoint,
     Intent,
     Names,
     Part,
@@ -115,7 +115,7 @@
 
 def test_newest_valid_copy_of_the_checkpoint_is_used() -> None:
     """Guards against a torn or older copy of the checkpoint that is preferred to a valid newer one."""
-    old, new = Control("p", generation=4), Control("p", generation=5)
+    old, new = Checkpoint("p", generation=4), Checkpoint("p", generation=5)
     best, index, errors, newer = newest([pack(new), pack(old)])
     assert best == new and (index, errors, newer) == (0, [], False)
     best, index, errors, _ = newest([pack(new)[:-9], pack(old)])
@@ -127,7 +127,7 @@
     """Guards against a checkpoint that is too large to save when `MAX_STREAMS` streams wait for export."""
     names = [Names("gateway", ("c" * 40,) * 10, ("p" * 40,) * 10)] * 16
     stream = Stream("f" * 32, 65536, 15, [Part(1, "f" * 32)] * 2, 10**9, 10**9, 10**5, False)
-    control = Control(
+    checkpoint = Checkpoint(
         "f" * 32,
         10**9,
         10**7,
@@ -137,15 +137,15 @@
         Intent(10**7, 10**9, 10**9, None, "f" * 64),
         {"dropped": 10**9},
     )
-    assert len(pack(control)) < AREA_SIZE
+    assert len(pack(checkpoint)) < AREA_SIZE
 
 
 def test_unused_names_are_removed_from_the_checkpoint() -> None:
     """Guards against a checkpoint that grows with names of removed streams."""
-    control = Control("p", names=[Names("a", (), ()), Names("b", (), ())])
-    control.streams[1] = Stream("", 1, 1, [])
-    assert control.names_index(Names("c", (), ())) == 1 and control.streams[1].names == 0
-    assert [names.gateway for names in control.names] == ["b", "c"]
+    checkpoint = Checkpoint("p", names=[Names("a", (), ()), Names("b", (), ())])
+    checkpoint.streams[1] = Stream("", 1, 1, [])
+    assert checkpoint.names_index(Names("c", (), ())) == 1 and checkpoint.streams[1].names == 0
+    assert [names.gateway for names in checkpoint.names] == ["b", "c"]
 
 
 def _batch(first: int, last: int, length: int | None = None, stream: str = "s", base: int = 0) -> bytes:
@@ -156,14 +156,14 @@
     return encode(Batch("p", "n0", 1, stream, base, first, last, length, batch_rows, 0))
 
 
-def _restarted(control: Control) -> Exporter:
+def _restarted(checkpoint: Checkpoint) -> Exporter:
     exporter = Exporter(SECOND, random.Random(1))
-    assert exporter.next_read(10 * SECOND, control, 0) is not None
+    assert exporter.next_read(10 * SECOND, checkpoint, 0) is not None
     return exporter
 
 
-def _sent(exporter: Exporter, control: Control, scan: Scan | None) -> bytes:
-    exporter.records_read(control, scan)
+def _sent(exporter: Exporter, checkpoint: Checkpoint, scan: Scan | None) -> bytes:
+    exporter.records_read(checkpoint, scan)
     exporter.dirty = False
     exporter.checkpoint_saved()
     post = exporter.next_post(10 * SECOND)
@@ -178,21 +178,21 @@
     incarnation sends the same bytes again, which have no length."""
     billing = Billing(MemoryStore())
     scan = Scan({n: pack_record(*RECORD) for n in range(1, 4)})
-    control = Control("p", names=[Names("n0", ("look", "charge"), ("a", "b", "c"))])
-    stream = control.streams[1] = Stream("00" * 16, 16, 0, [Part(1, "s")])
+    checkpoint = Checkpoint("p", names=[Names("n0", ("look", "charge"), ("a", "b", "c"))])
+    stream = checkpoint.streams[1] = Stream("00" * 16, 16, 0, [Part(1, "s")])
     live = Exporter(SECOND, random.Random(1))
-    assert live.next_read(10 * SECOND, control, 3) is not None
-    lost = _sent(live, control, scan)
+    assert live.next_read(10 * SECOND, checkpoint, 3) is not None
+    lost = _sent(live, checkpoint, scan)
     assert billing.post(lost).taken == 3, "billing stores the batch, and its reply is lost"
     stream.length = 3  # the recovery of the next incarnation ends the stream
-    exporter = _restarted(control)
-    again = _sent(exporter, control, scan)
+    exporter = _restarted(checkpoint)
+    again = _sent(exporter, checkpoint, scan)
     assert again == lost, "the batch has the same bytes, without the length"
-    exporter.reply_received(control, billing.post(again))
+    exporter.reply_received(checkpoint, billing.post(again))
     assert stream.acked == 3 and not stream.is_exported()
-    assert exporter.next_read(11 * SECOND, control, 0) is not None
-    reply = billing.post(_sent(exporter, control, None))
-    exporter.reply_received(control, reply)
+    assert exporter.next_read(11 * SECOND, checkpoint, 0) is not None
+    reply = billing.post(_sent(exporter, checkpoint, None))
+    exporter.reply_received(checkpoint, reply)
     assert reply.sealed == 3 and stream.is_exported()
 
 
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -100,8 +100,8 @@
     await first.stop()
     await _wait_for_state(second, State.LIVE)
     await second.stop()
-    assert second.ledger.state is State.CLOSED and second.ledger.control.epoch == 2
-    assert second.ledger.control.streams[2].length == 2, "the stream has the record and the final mark"
+    assert second.ledger.state is State.CLOSED and second.ledger.checkpoint.epoch == 2
+    assert second.ledger.checkpoint.streams[2].length == 2, "the stream has the record and the final mark"
 
 
 def test_second_process_waits_without_losing_requests(tmp_path: Path) -> None:
@@ -183,7 +183,7 @@
 
     async def body() -> None:
         ledger = await export_all(tmp_path, FileSender(tmp_path / "drop"), 1.0)
-        assert ledger.is_all_exported and msgspec.to_builtins(ledger.control)["streams"] == {}
+        assert ledger.is_all_exported and msgspec.to_builtins(ledger.checkpoint)["streams"] == {}
         Directory(tmp_path).close()
 
     uvloop.run(asyncio.wait_for(body(), TIMEOUT_S))
--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -21,8 +21,8 @@
 from ..storage.directory import Directory
 from ..storage.document import DocumentError
 from ..usage import senders
-from ..usage.audit import Audit, Difference, Received, audit, rebuild_control, reconcile
-from ..usage.control import AREA_SIZE, AREAS, Control, Names, pack
+from ..usage.audit import Audit, Difference, Received, audit, rebuild_checkpoint, reconcile
+from ..usage.control import AREA_SIZE, AREAS, Checkpoint, Names, pack
 from ..usage.host import export_all
 from ..usage.ledger import UsageLedger
 from ..usage.record import NANO_PER_UNIT, Ending
@@ -75,7 +75,7 @@
 
 
 def _show(found: Audit) -> int:
-    control = found.control
+    control = found.checkpoint
     if control is None:
         print("; ".join(found.problems) or "nothing was recorded here yet")
         return 1 if found.problems else 0
@@ -94,7 +94,7 @@
     return 0
 
 
-def _print_streams(found: Audit, control: Control) -> None:
+def _print_streams(found: Audit, control: Checkpoint) -> None:
     print(
         f"{'life':>6} {'gateway':<16} {'state':<8} {'places':>10} {'records':>10} {'billing has':>12} "
         f"{'to go':>10}"
@@ -142,7 +142,7 @@
 
 
 def _print_progress(ledger: UsageLedger) -> None:
-    streams = ledger.control.streams.values()
+    streams = ledger.checkpoint.streams.values()
     left = sum((stream.length or 0) - stream.acked for stream in streams)
     fault = _fault(ledger)
     print(f"{left} places to go{f', waiting: {fault}' if fault else ''}", file=sys.stderr, flush=True)
@@ -196,7 +196,7 @@
 def _folders_by_gateway(audits: list[Audit]) -> dict[str, int]:
     folders: dict[str, int] = {}
     for found in audits:
-        control = found.control
+        control = found.checkpoint
         if control is None:
             continue
         for name in {control.names[each.stream.names].gateway for each in found.streams}:
@@ -206,7 +206,7 @@
 
 def _repair(folder: Path, config: str | None) -> int:
     found = _audit(folder)
-    if found.control is not None:
+    if found.checkpoint is not None:
         print("the control can be read: there is nothing to repair")
         return 0
     names = Names("", (), ())
@@ -214,7 +214,7 @@
         names = record_names(platform.load({**os.environ, "ROUTER_CONFIG": config}))
     files = Directory(folder)
     try:
-        control = rebuild_control(files, names, os.urandom(16).hex())
+        control = rebuild_checkpoint(files, names, os.urandom(16).hex())
         data = pack(control)
         for name in AREAS:
             files.replace(name, data.ljust(AREA_SIZE, b"\0"))
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -18,7 +18,7 @@
 from ....usage import exporter, stream_writer
 from ....usage.batch import Reply
 from ....usage.checkpoint import CheckpointStore
-from ....usage.control import Control, Stream
+from ....usage.control import Checkpoint, Stream
 from ....usage.exporter import Exporter, SlotRange, Stage
 from ....usage.meter import Meter
 from ....usage.record import UsageRecord, pack
@@ -65,7 +65,7 @@
 
     def mutant(self: FolderRecovery, now: int, found: Result) -> None:
         real(self, now, found)
-        self._context.highest_epoch = self._context.checkpoint.control.epoch
+        self._context.highest_epoch = self._context.checkpoint_store.checkpoint.epoch
 
     return [patch.object(FolderRecovery, "_scanned", mutant)]
 
@@ -79,7 +79,7 @@
     """A batch is sent before its intent is on the disk."""
     real = Exporter.records_read
 
-    def mutant(self: Exporter, control: Control, scan: Scan | None) -> None:
+    def mutant(self: Exporter, control: Checkpoint, scan: Scan | None) -> None:
         real(self, control, scan)
         if self.stage is Stage.SAVING_INTENT:
             self.stage = Stage.READY
@@ -127,7 +127,7 @@
 
     def mutant(self: StreamWriter, now: int) -> Any:
         call = real(self, now)
-        journal, streams = self._recorder.journal, self._context.checkpoint.control.streams
+        journal, streams = self._recorder.journal, self._context.checkpoint_store.checkpoint.streams
         if journal is not None and journal.epoch in streams:
             streams[journal.epoch].length = journal.next - 1
         return call
@@ -162,7 +162,7 @@
     """The stream of a killed process ends at the watermark."""
     real = SegmentStore.end_streams
 
-    def mutant(self: SegmentStore, control: Control) -> None:
+    def mutant(self: SegmentStore, control: Checkpoint) -> None:
         for stream in control.streams.values():
             if stream.length is None:
                 stream.length = stream.acked
@@ -185,8 +185,8 @@
         was_sent = self.ledger.exporter.stage is Stage.SENT and number == self._posts
         real(self, number)
         if was_sent and slots is not None and self.alive:
-            self.ledger.control.streams[slots.epoch].acked = slots.last
-            self.ledger.control.intent = None
+            self.ledger.checkpoint.streams[slots.epoch].acked = slots.last
+            self.ledger.checkpoint.intent = None
 
     return [
         patch.object(Exporter, "send_failed", mutant),
@@ -218,7 +218,7 @@
     """The length of a stream is sent while it is still written."""
     real = Exporter.records_read
 
-    def mutant(self: Exporter, control: Control, scan: Scan | None) -> None:
+    def mutant(self: Exporter, control: Checkpoint, scan: Scan | None) -> None:
         assert self._range is not None
         stream = control.streams[self._range.epoch]
         if stream.length is not None:
@@ -236,7 +236,7 @@
     """A stream counts as sealed once billing has all its records, even if the length was never sent."""
     real = Exporter.reply_received
 
-    def mutant(self: Exporter, control: Control, reply: Reply) -> None:
+    def mutant(self: Exporter, control: Checkpoint, reply: Reply) -> None:
         assert self._range is not None
         stream = control.streams[self._range.epoch]
         real(self, control, reply)
@@ -248,7 +248,7 @@
 def _lost_records_not_resent() -> list[Any]:
     """Billing that has lost records is not sent them again."""
 
-    def mutant(self: Exporter, control: Control, slots: SlotRange, taken: int) -> None:
+    def mutant(self: Exporter, control: Checkpoint, slots: SlotRange, taken: int) -> None:
         control.streams[slots.epoch].acked = slots.last
 
     return [patch.object(Exporter, "_rewind", mutant)]
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -172,7 +172,7 @@
     def _reply(self, number: int, body: bytes, reply: Reply) -> None:
         if self._awaits_reply(number):
             self.world.acknowledged(body)
-            self.ledger.exporter.reply_received(self.ledger.control, reply)
+            self.ledger.exporter.reply_received(self.ledger.checkpoint, reply)
 
     def _reply_timeout(self, number: int) -> None:
         if self._awaits_reply(number):
@@ -199,7 +199,7 @@
             return False
         return ledger.exporter.stage is Stage.IDLE and all(
             stream.is_exported() if epoch != journal.epoch else stream.acked >= journal.committed
-            for epoch, stream in ledger.control.streams.items()
+            for epoch, stream in ledger.checkpoint.streams.items()
         )
 
 
@@ -277,7 +277,7 @@
         for key, total in ledger.meter.sums.items():
             expected.in_memory[key.ending] += total.requests
             expected.in_memory_units += total.nano_units
-        expected.dropped += ledger.control.lost.get("dropped", 0)
+        expected.dropped += ledger.checkpoint.lost.get("dropped", 0)
         uncommitted = self._uncommitted.setdefault(id(disk), [])
         if ledger.state in OPENED | {State.CLOSED}:
             uncommitted.clear()  # this process has synced what earlier ones left
@@ -367,7 +367,7 @@
         open_parts = {
             part.id
             for process in self.processes
-            for stream in process.ledger.control.streams.values()
+            for stream in process.ledger.checkpoint.streams.values()
             if stream.length is None
             for part in stream.parts
         }
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -1,6 +1,6 @@
 """Audits a folder of usage records: what it contains, what is damaged, and what billing should have.
 
-Nothing here writes; `rebuild_control` only returns the checkpoint that `trackspread use repair` saves.
+Nothing here writes; `rebuild_checkpoint` only returns the checkpoint that `trackspread use repair` saves.
 
 - A slot with an invalid checksum is damaged if a mark or the watermark shows that it was committed. Otherwise
   it is torn, which means that the machine lost power before the commit.
@@ -26,7 +26,7 @@
     scan,
     unpack_header,
 )
-from .control import AREAS, Control, Names, Part, Stream, newest
+from .control import AREAS, Checkpoint, Names, Part, Stream, newest
 from .record import unpack
 from .totals import NOTHING, SCHEMA, Amount, SegmentTotals, Totals
 
@@ -67,7 +67,7 @@
     about faults. `segments` and `bytes` count what is on the disk.
     """
 
-    control: Control | None
+    checkpoint: Checkpoint | None
     newer: bool
     streams: list[StreamAudit] = field(default_factory=list)
     journal: Totals = field(default_factory=Totals)
@@ -81,20 +81,20 @@
     """Reads the complete folder and returns its audit; raises `OSError`."""
     names = files.names()
     copies = [files.load(name) or b"" for name in AREAS]
-    checkpoint = newest(copies)
-    result = Audit(checkpoint.control, checkpoint.newer, problems=checkpoint.errors)
-    control = checkpoint.control
-    if control is None:
+    newest_copy = newest(copies)
+    result = Audit(newest_copy.checkpoint, newest_copy.newer, problems=newest_copy.errors)
+    checkpoint = newest_copy.checkpoint
+    if checkpoint is None:
         if any(parse_segment_name(name) for name in names):
             result.problems.append("the folder has records but no readable checkpoint")
         return result
     scans: dict[int, list[SegmentScan]] = {}
     for name in names:
         if (location := parse_segment_name(name)) is not None:
-            segment = _scan_segment(result, files, control, name, location)
+            segment = _scan_segment(result, files, checkpoint, name, location)
             if segment is not None:
                 scans.setdefault(segment.header.epoch, []).append(segment)
-    for epoch, stream in sorted(control.streams.items()):
+    for epoch, stream in sorted(checkpoint.streams.items()):
         result.streams.append(_audit_stream(result, epoch, stream, scans.get(epoch, [])))
     for name in names:
         if name.startswith("sum-"):
@@ -103,14 +103,14 @@
 
 
 def _scan_segment(
-    result: Audit, files: Files, control: Control, name: str, location: tuple[int, int]
+    result: Audit, files: Files, checkpoint: Checkpoint, name: str, location: tuple[int, int]
 ) -> SegmentScan | None:
     """Returns one segment, or None if its stream was never declared; `location` is its epoch and index."""
     result.segments += 1
     data = files.load(name) or b""
     result.bytes += len(data)
     epoch, index = location
-    stream = control.streams.get(epoch)
+    stream = checkpoint.streams.get(epoch)
     if stream is None:
         return None
     try:
@@ -228,13 +228,13 @@
         totals.add(*key, amount.requests, amount.nano_units)
 
 
-def rebuild_control(files: Files, names: Names, producer: str) -> Control:
+def rebuild_checkpoint(files: Files, names: Names, producer: str) -> Checkpoint:
     """Returns a new checkpoint for segments whose checkpoint is lost.
 
     Nothing counts as exported, because billing accepts each slot once and its replies set the watermarks.
     Raises `DocumentError` if a newer version of the program wrote a segment, or if segments of one epoch have
     different nonces."""
-    control = Control(producer, names=[names])
+    checkpoint = Checkpoint(producer, names=[names])
     for name in files.names():
         if (location := parse_segment_name(name)) is None:
             continue
@@ -248,13 +248,13 @@
             continue
         nonce = header.nonce.hex()
         new = Stream(nonce, header.slots, 0, [Part(1, nonce)], 0, 0, index)
-        stream = control.streams.setdefault(epoch, new)
+        stream = checkpoint.streams.setdefault(epoch, new)
         if stream.nonce != nonce:
             raise DocumentError(
                 f"{name}: nonce: must be {stream.nonce}, as in other segments of epoch {epoch}, got {nonce}"
             )
         stream.length = max(stream.length or 0, header.first - 1 + count_written_slots(data[HEADER_BYTES:]))
         stream.first_segment = min(stream.first_segment, index)
-        control.epoch = max(control.epoch, epoch)
-    control.streams = {epoch: stream for epoch, stream in control.streams.items() if stream.length}
-    return control
+        checkpoint.epoch = max(checkpoint.epoch, epoch)
+    checkpoint.streams = {epoch: stream for epoch, stream in checkpoint.streams.items() if stream.length}
+    return checkpoint
--- a/trackspread/usage/checkpoint.py
+++ b/trackspread/usage/checkpoint.py
@@ -10,18 +10,18 @@
 
 from ..storage.calls import Call, Result, Save
 from ..storage.interfaces import Area
-from .control import AREA_SIZE, Control, pack
+from .control import AREA_SIZE, Checkpoint, pack
 from .disk_calls import DiskCalls, OnFailure, OnSuccess
 
 OnSaved = Callable[[dict[int, int]], None]  # gets the watermarks that were saved, by epoch
 
 
 class CheckpointStore:
-    """Holds the checkpoint in memory (`control`) and its areas, which are in the order of `AREAS`."""
+    """Holds the checkpoint in memory (`checkpoint`) and its areas, which are in the order of `AREAS`."""
 
-    def __init__(self, control: Control, calls: DiskCalls, alarms: list[str]) -> None:
+    def __init__(self, checkpoint: Checkpoint, calls: DiskCalls, alarms: list[str]) -> None:
         """Creates a store without areas; `alarms` takes lines for operators."""
-        self.control = control
+        self.checkpoint = checkpoint
         self.areas: list[Area] = []
         self._calls = calls
         self._alarms = alarms
@@ -45,12 +45,12 @@
         If the checkpoint is too large, calls `on_failure` and returns None. `month_start_ms` is the start of
         the newest month that has begun.
         """
-        control = self.control
+        checkpoint = self.checkpoint
         target = 1 - self._valid_area
-        control.generation += 1
-        control.month_start_ms = max(control.month_start_ms, month_start_ms)
-        watermarks = {epoch: stream.acked for epoch, stream in control.streams.items()}
-        data = pack(control)
+        checkpoint.generation += 1
+        checkpoint.month_start_ms = max(checkpoint.month_start_ms, month_start_ms)
+        watermarks = {epoch: stream.acked for epoch, stream in checkpoint.streams.items()}
+        data = pack(checkpoint)
         if len(data) > AREA_SIZE:
             self._alarms.append(
                 f"use: the checkpoint has {len(data)} bytes, the limit is {AREA_SIZE}: the names of classes "
--- a/trackspread/usage/context.py
+++ b/trackspread/usage/context.py
@@ -81,7 +81,7 @@
     meter: Meter
     exporter: Exporter
     segment_store: SegmentStore
-    checkpoint: CheckpointStore
+    checkpoint_store: CheckpointStore
     calls: DiskCalls
     alarms: list[str]
     released_areas: list[Area] = field(default_factory=list)
@@ -94,7 +94,7 @@
 
         If the checkpoint is too large, calls `on_failure` and returns None."""
         month_start_ms = self.meter.month_start_ms
-        return self.checkpoint.save(now, month_start_ms, self._checkpoint_saved, on_success, on_failure)
+        return self.checkpoint_store.save(now, month_start_ms, self._checkpoint_saved, on_success, on_failure)
 
     def _checkpoint_saved(self, watermarks: dict[int, int]) -> None:
         self.segment_store.saved_watermarks = watermarks
--- a/trackspread/usage/control.py
+++ b/trackspread/usage/control.py
@@ -43,9 +43,9 @@
 class Stream(msgspec.Struct):
     """Describes the stream of records of one incarnation of the process.
 
-    `names` is an index into `Control.names`. `length` is the last slot, or None while the stream is written.
-    `acked` is the watermark, which is the last slot that billing has acknowledged. `first_segment` is the
-    index of the first segment on the disk. `sealed` says that billing has acknowledged the length.
+    `names` is an index into `Checkpoint.names`. `length` is the last slot, or None while the stream is
+    written. `acked` is the watermark, which is the last slot that billing has acknowledged. `first_segment`
+    is the index of the first segment on the disk. `sealed` says that billing has acknowledged the length.
     """
 
     nonce: str
@@ -86,7 +86,7 @@
     digest: str
 
 
-class Control(msgspec.Struct):
+class Checkpoint(msgspec.Struct):
     """Holds the checkpoint.
 
     `producer` identifies the folder. `generation` counts the writes of the checkpoint. `epoch` is the highest
@@ -122,32 +122,32 @@
     the copies, so that nothing may be changed.
     """
 
-    control: Control | None
+    checkpoint: Checkpoint | None
     area: int
     errors: list[str]
     newer: bool
 
 
-def pack(control: Control) -> bytes:
+def pack(checkpoint: Checkpoint) -> bytes:
     """Returns the bytes of the stored document."""
-    return SCHEMA.pack(control)
+    return SCHEMA.pack(checkpoint)
 
 
 def newest(copies: list[bytes]) -> NewestCopy:
     """Returns the newest valid copy; the copies are in the order of `AREAS`.
 
     Without any copy the folder is new, which is no error."""
-    best: Control | None = None
+    best: Checkpoint | None = None
     area, errors, newer = 0, list[str](), False
     for index, data in enumerate(copies):
         if not data.strip(b"\0"):
             continue
         try:
-            control = SCHEMA.unpack(data, Control)
+            checkpoint = SCHEMA.unpack(data, Checkpoint)
         except DocumentError as error:
             errors.append(f"{AREAS[index]}: {error}")
             newer |= error.newer
             continue
-        if best is None or control.generation > best.generation:
-            best, area = control, index
+        if best is None or checkpoint.generation > best.generation:
+            best, area = checkpoint, index
     return NewestCopy(best, area, errors, newer)
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -23,7 +23,7 @@
 from ..storage.calls import Read
 from ..storage.slots import Scan, SegmentHeader
 from .batch import Batch, Reply, digest, encode, rows
-from .control import Control, Intent, Part, Stream
+from .control import Checkpoint, Intent, Part, Stream
 
 SECOND = 1_000_000_000
 BATCH_SLOTS = 1024  # limit for one batch: about 120 kB of JSON and two or three ms of the event loop
@@ -100,29 +100,29 @@
         self._backoff_ns = MIN_BACKOFF_NS
         self._sent_at_ns = 0
 
-    def next_read(self, now: int, control: Control, committed: int) -> Read | None:
+    def next_read(self, now: int, checkpoint: Checkpoint, committed: int) -> Read | None:
         """Returns the read of the records for a new batch, or None if none is due.
 
         `now` is in ns; `committed` is the last committed slot of the stream that is written.
         """
         if self.stage is not Stage.IDLE:
             return None
-        intent = control.intent
-        if intent is not None and intent.epoch in control.streams:
+        intent = checkpoint.intent
+        if intent is not None and intent.epoch in checkpoint.streams:
             slots: SlotRange | None = SlotRange(intent.epoch, intent.first, intent.last)
         else:
-            slots = self._next_range(now, control, committed)
+            slots = self._next_range(now, checkpoint, committed)
         if slots is None:
             return None
         self._range = slots
         self.stage = Stage.READING
-        stream = control.streams[slots.epoch]
+        stream = checkpoint.streams[slots.epoch]
         index = (slots.first - 1) // stream.slots
         header = SegmentHeader(slots.epoch, index, stream.slots, bytes.fromhex(stream.nonce))
         return Read(header, slots.first, slots.last)
 
-    def _next_range(self, now: int, control: Control, committed: int) -> SlotRange | None:
-        for epoch, stream in sorted(control.streams.items()):
+    def _next_range(self, now: int, checkpoint: Checkpoint, committed: int) -> SlotRange | None:
+        for epoch, stream in sorted(checkpoint.streams.items()):
             if stream.is_exported():
                 continue
             end = committed if stream.length is None else stream.length
@@ -137,15 +137,15 @@
             return SlotRange(epoch, first, last)
         return None
 
-    def records_read(self, control: Control, scan: Scan | None) -> None:
+    def records_read(self, checkpoint: Checkpoint, scan: Scan | None) -> None:
         """Builds the batch from the records that were read; `scan` is None if their segment is missing."""
         assert self._range is not None and self.stage is Stage.READING
-        slots, previous = self._range, control.intent
+        slots, previous = self._range, checkpoint.intent
         is_repeat = previous is not None and (previous.epoch, previous.first, previous.last) == slots
-        length = control.streams[slots.epoch].part(slots.first).last
+        length = checkpoint.streams[slots.epoch].part(slots.first).last
         if is_repeat and previous is not None:
             length = previous.length
-        batch = _batch(control, slots, length, scan)
+        batch = _batch(checkpoint, slots, length, scan)
         body = encode(batch)
         self._post = Post(batch.key, body, digest(body))
         intent = Intent(slots.epoch, slots.first, slots.last, length, self._post.digest)
@@ -157,7 +157,7 @@
                 f"batch {batch.key} differs from when it was first sent: "
                 f"{batch.holes} of its slots can't be read"
             )
-        control.intent = intent
+        checkpoint.intent = intent
         self.dirty = True
         self.stage = Stage.SAVING_INTENT
 
@@ -198,10 +198,10 @@
         self._retry_at_ns = now + pause_ns
         self._backoff_ns = min(MAX_BACKOFF_NS, 2 * self._backoff_ns)
 
-    def reply_received(self, control: Control, reply: Reply) -> None:
+    def reply_received(self, checkpoint: Checkpoint, reply: Reply) -> None:
         """Handles billing's reply to the batch that was sent."""
-        assert self._range is not None and control.intent is not None
-        slots, stream = self._range, control.streams[self._range.epoch]
+        assert self._range is not None and checkpoint.intent is not None
+        slots, stream = self._range, checkpoint.streams[self._range.epoch]
         if self.last_error:
             self.alarms.append("export resumed")
         self.last_error = ""
@@ -215,10 +215,10 @@
         if reply.fenced:
             self._fence(slots, stream, reply)
         elif reply.taken < slots.first - 1:
-            self._rewind(control, slots, reply.taken)
+            self._rewind(checkpoint, slots, reply.taken)
         else:
-            _acknowledge(stream, slots, control.intent, reply.taken)
-        control.intent = None
+            _acknowledge(stream, slots, checkpoint.intent, reply.taken)
+        checkpoint.intent = None
         self._range = None
         self._post = None
         self.stage = Stage.IDLE
@@ -235,13 +235,13 @@
             f"folder; later records of this one are exported as stream {name}"
         )
 
-    def _rewind(self, control: Control, slots: SlotRange, taken: int) -> None:
+    def _rewind(self, checkpoint: Checkpoint, slots: SlotRange, taken: int) -> None:
         """Moves the watermark back, as billing has lost records, for example by a restore from a backup.
 
         All streams are checked with billing again, and this one from its first slot, because an earlier part
         of it may have another end by now."""
-        control.streams[slots.epoch].acked = 0
-        for stream in control.streams.values():
+        checkpoint.streams[slots.epoch].acked = 0
+        for stream in checkpoint.streams.values():
             stream.sealed = False
         self.alarms.append(
             f"billing has lost slots {taken + 1} to {slots.first - 1} of epoch {slots.epoch}: the records "
@@ -249,14 +249,14 @@
         )
 
 
-def _batch(control: Control, slots: SlotRange, length: int | None, scan: Scan | None) -> Batch:
+def _batch(checkpoint: Checkpoint, slots: SlotRange, length: int | None, scan: Scan | None) -> Batch:
     """Returns the batch with the records in `scan`; without a scan all of its slots are holes."""
-    stream = control.streams[slots.epoch]
-    names = control.names[stream.names]
+    stream = checkpoint.streams[slots.epoch]
+    names = checkpoint.names[stream.names]
     part = stream.part(slots.first).part
     slot_count = slots.last - slots.first + 1
     return Batch(
-        control.producer,
+        checkpoint.producer,
         names.gateway,
         slots.epoch,
         part.id,
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -165,7 +165,7 @@
             exporter.send_failed(self._now(), str(error))
         else:
             if exporter.stage is Stage.SENT:
-                exporter.reply_received(self.ledger.control, reply)
+                exporter.reply_received(self.ledger.checkpoint, reply)
                 self._advance()
 
     async def stop(self) -> None:
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -14,7 +14,7 @@
 from ..storage.interfaces import Area
 from .checkpoint import CheckpointStore
 from .context import OPENED, Bounds, LedgerContext, State
-from .control import Control, Names
+from .control import Checkpoint, Names
 from .disk_calls import DiskCalls
 from .exporter import Exporter, Post, Stage
 from .maintenance import Maintenance
@@ -47,9 +47,9 @@
         self.meter = Meter()
         self.exporter = Exporter(bounds.batch_delay_ns, rng)
         self.segment_store = SegmentStore(bounds.max_segments, bounds.when_full)
-        control = Control(f"{rng.getrandbits(PRODUCER_BITS):032x}")
+        checkpoint = Checkpoint(f"{rng.getrandbits(PRODUCER_BITS):032x}")
         self._calls = DiskCalls()
-        self._checkpoint = CheckpointStore(control, self._calls, self.alarms)
+        self._checkpoint_store = CheckpointStore(checkpoint, self._calls, self.alarms)
         self._context = LedgerContext(
             bounds,
             names,
@@ -57,7 +57,7 @@
             self.meter,
             self.exporter,
             self.segment_store,
-            self._checkpoint,
+            self._checkpoint_store,
             self._calls,
             self.alarms,
         )
@@ -73,9 +73,9 @@
         return self._context.state
 
     @property
-    def control(self) -> Control:
+    def checkpoint(self) -> Checkpoint:
         """Returns the checkpoint as it is in memory."""
-        return self._checkpoint.control
+        return self._checkpoint_store.checkpoint
 
     @property
     def journal(self) -> Journal | None:
@@ -101,7 +101,7 @@
         The acknowledgement must be on the disk too."""
         is_saved = not (self.exporter.dirty or self.segment_store.dirty)
         is_idle = self.exporter.stage is Stage.IDLE and is_saved and not self._calls.in_progress
-        streams = self.control.streams.values()
+        streams = self.checkpoint.streams.values()
         return self.state in OPENED and is_idle and all(stream.is_exported() for stream in streams)
 
     @property
--- a/trackspread/usage/maintenance.py
+++ b/trackspread/usage/maintenance.py
@@ -39,7 +39,7 @@
         context = self._context
         if not context.calls.may_start(Purpose.RETENTION, now):
             return None
-        step = context.segment_store.next_step(context.checkpoint.control, journal)
+        step = context.segment_store.next_step(context.checkpoint_store.checkpoint, journal)
         if step is None:
             return None
         on_success = step.on_success
@@ -53,8 +53,8 @@
         context = self._context
         if not context.calls.may_start(Purpose.READ, now):
             return None
-        exporter, control = context.exporter, context.checkpoint.control
-        read = exporter.next_read(now, control, journal.committed if journal is not None else 0)
+        exporter, checkpoint = context.exporter, context.checkpoint_store.checkpoint
+        read = exporter.next_read(now, checkpoint, journal.committed if journal is not None else 0)
         if read is None:
             return None
         if journal is not None and (area := journal.area(read.header)) is not None:
@@ -62,7 +62,7 @@
 
         def records_read(now: int, scan: Result) -> None:
             assert scan is None or isinstance(scan, Scan)
-            exporter.records_read(control, scan)
+            exporter.records_read(checkpoint, scan)
 
         return context.calls.start(read, records_read, self._read_failed)
 
--- a/trackspread/usage/recovery.py
+++ b/trackspread/usage/recovery.py
@@ -40,13 +40,13 @@
 
     def _scanned(self, now: int, found: Result) -> None:
         assert isinstance(found, FolderContents)
-        context, checkpoint = self._context, self._context.checkpoint
+        context, store = self._context, self._context.checkpoint_store
         copy = newest([area.read() for area in found.areas])
         context.alarms += [f"use: {text}" for text in copy.errors]
         undeclared = {
             SegmentId(epoch, index)
             for epoch, index in found.segments
-            if copy.control is None or epoch not in copy.control.streams
+            if copy.checkpoint is None or epoch not in copy.checkpoint.streams
         }
         if reason := _stuck_reason(copy, found, undeclared):
             context.state = State.STUCK
@@ -55,27 +55,27 @@
                 f"use: {reason}: no record is written or exported, and requests are summed in memory"
             )
             return
-        checkpoint.open(found.areas, copy.area)
+        store.open(found.areas, copy.area)
         context.state = State.REFRESHING
         context.alarms += [f"use: {name}: {error}" for name, error in found.broken.items()]
-        if copy.control is not None:
-            checkpoint.control = copy.control
-        context.segment_store.load(checkpoint.control, found, undeclared)
+        if copy.checkpoint is not None:
+            store.checkpoint = copy.checkpoint
+        context.segment_store.load(store.checkpoint, found, undeclared)
         # Epochs of streams that were never declared are not reused, as their files are still to be removed.
-        context.highest_epoch = max([checkpoint.control.epoch, *(epoch for epoch, _ in found.segments)])
+        context.highest_epoch = max([store.checkpoint.epoch, *(epoch for epoch, _ in found.segments)])
         meter = context.meter
-        meter.month_start_ms = max(meter.month_start_ms, checkpoint.control.month_start_ms)
+        meter.month_start_ms = max(meter.month_start_ms, store.checkpoint.month_start_ms)
 
     def _refresh(self, now: int) -> Call | None:
-        context, checkpoint = self._context, self._context.checkpoint
+        context, store = self._context, self._context.checkpoint_store
         if not context.calls.may_start(Purpose.REFRESH, now):
             return None
-        names = context.segment_store.open_stream_files(checkpoint.control)
-        call = Refresh((checkpoint.valid_area,), names)
+        names = context.segment_store.open_stream_files(store.checkpoint)
+        call = Refresh((store.valid_area,), names)
         return context.calls.start(call, self._refreshed, context.calls.retry_later(Purpose.REFRESH))
 
     def _refreshed(self, now: int, _: Result) -> None:
-        self._context.segment_store.end_streams(self._context.checkpoint.control)
+        self._context.segment_store.end_streams(self._context.checkpoint_store.checkpoint)
         self._context.state = State.NO_STREAM
 
 
@@ -84,6 +84,6 @@
     if copy.newer:
         return "a newer version of the program wrote this folder"
     has_records = any(found.segments[segment].written_slots for segment in undeclared)
-    if copy.control is None and has_records:
+    if copy.checkpoint is None and has_records:
         return "the folder has records but no readable checkpoint (`trackspread use repair` makes one)"
     return ""
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -28,7 +28,7 @@
 )
 from ..storage.journal import Journal
 from ..storage.slots import Scan, SegmentHeader
-from .control import Control, Stream
+from .control import Checkpoint, Stream
 from .record import unpack
 from .totals import SegmentTotals, Totals, pack, sum_name
 
@@ -73,12 +73,12 @@
         self._last_written: dict[int, int] = {}  # last slot that earlier incarnations wrote, by epoch
         self._removal: Removal | None = None
 
-    def load(self, control: Control, found: FolderContents, undeclared: set[SegmentId]) -> None:
+    def load(self, checkpoint: Checkpoint, found: FolderContents, undeclared: set[SegmentId]) -> None:
         """Loads the folder as earlier incarnations left it; `undeclared` segments have no stream."""
         broken = {
             segment: found.written_in_broken.get(name, 0)
             for name in found.broken
-            if (segment := parse_segment_name(name)) is not None and segment.epoch in control.streams
+            if (segment := parse_segment_name(name)) is not None and segment.epoch in checkpoint.streams
         }
         last_slots = {
             segment: header.first - 1 + written
@@ -87,30 +87,30 @@
         }
         for segment, written in broken.items():
             if written:
-                last_slots[segment] = segment.number * control.streams[segment.epoch].slots + written
+                last_slots[segment] = segment.number * checkpoint.streams[segment.epoch].slots + written
         self._segments = (set(found.segments) - undeclared) | set(broken)
         self._leftover_files = [segment_name(*segment) for segment in sorted(undeclared)]
         self._sum_files = [name for name in found.names if name.startswith("sum-")]
         self._last_written = {
             epoch: max([stream.acked, *(last for each, last in last_slots.items() if each.epoch == epoch)])
-            for epoch, stream in control.streams.items()
+            for epoch, stream in checkpoint.streams.items()
         }
 
-    def open_stream_files(self, control: Control) -> tuple[str, ...]:
+    def open_stream_files(self, checkpoint: Checkpoint) -> tuple[str, ...]:
         """Returns the files of streams that have no end yet."""
         return tuple(
             segment_name(*segment)
             for segment in sorted(self._segments)
-            if control.streams[segment.epoch].length is None
+            if checkpoint.streams[segment.epoch].length is None
         )
 
-    def end_streams(self, control: Control) -> None:
+    def end_streams(self, checkpoint: Checkpoint) -> None:
         """Ends each stream that has no end with its last written slot, now that these slots are synced."""
-        for epoch, stream in list(control.streams.items()):
+        for epoch, stream in list(checkpoint.streams.items()):
             if stream.length is None:
                 stream.length = self._last_written[epoch]
             if not stream.length:
-                del control.streams[epoch]
+                del checkpoint.streams[epoch]
                 self._leftover_files += [segment_name(*segment) for segment in self._of(epoch)]
                 self._segments -= set(self._of(epoch))
                 continue
@@ -121,7 +121,7 @@
                 stream.acked = 0
             numbers = [segment.number for segment in self._of(epoch)]
             stream.first_segment = min(numbers, default=-(-stream.length // stream.slots))
-        self.saved_watermarks = {epoch: stream.acked for epoch, stream in control.streams.items()}
+        self.saved_watermarks = {epoch: stream.acked for epoch, stream in checkpoint.streams.items()}
 
     def add(self, epoch: int, index: int) -> None:
         """Adds a segment that was created."""
@@ -131,7 +131,7 @@
         """Returns whether another segment may be created."""
         return len(self._segments) < self._max_segments and not self.disk_full
 
-    def next_step(self, control: Control, journal: Journal | None) -> Step | None:
+    def next_step(self, checkpoint: Checkpoint, journal: Journal | None) -> Step | None:
         """Returns the next step that frees space, or None if none is needed.
 
         `journal` is the stream that is written."""
@@ -139,9 +139,9 @@
             return self._remove_oldest(self._leftover_files)
         if len(self._sum_files) > MAX_SUM_FILES:
             return self._remove_oldest(self._sum_files)
-        if self._removal is None and (segment := self._select_removable(control, journal)) is not None:
+        if self._removal is None and (segment := self._select_removable(checkpoint, journal)) is not None:
             self._removal = Removal(segment)
-        return self._removal_step(control, self._removal) if self._removal is not None else None
+        return self._removal_step(checkpoint, self._removal) if self._removal is not None else None
 
     def _remove_oldest(self, files: list[str]) -> Step:
         def removed(_: Result) -> None:
@@ -149,9 +149,9 @@
 
         return Step(Remove((files[0],)), removed)
 
-    def _removal_step(self, control: Control, removal: Removal) -> Step:
+    def _removal_step(self, checkpoint: Checkpoint, removal: Removal) -> Step:
         segment = removal.segment
-        stream = control.streams[segment.epoch]
+        stream = checkpoint.streams[segment.epoch]
         if removal.totals is None:
             header = SegmentHeader(*segment, stream.slots, bytes.fromhex(stream.nonce))
 
@@ -191,33 +191,33 @@
                 "removed without them and can no longer be reconciled"
             )
 
-    def _select_removable(self, control: Control, journal: Journal | None) -> SegmentId | None:
+    def _select_removable(self, checkpoint: Checkpoint, journal: Journal | None) -> SegmentId | None:
         """Returns the segment to remove, or None if none has to be or may be removed."""
-        self._forget_exported(control)
+        self._forget_exported(checkpoint)
         max_segments = self._max_segments
         needs_space = self.disk_full or 2 * len(self._segments) > max_segments
-        if not needs_space and len(control.streams) <= max_segments:
+        if not needs_space and len(checkpoint.streams) <= max_segments:
             return None
         complete = sorted(
             segment
             for segment in self._segments
-            if self._is_complete(segment, journal) and segment.epoch in control.streams
+            if self._is_complete(segment, journal) and segment.epoch in checkpoint.streams
         )
         for segment in complete:
-            if self._is_exported(control.streams[segment.epoch], segment):
+            if self._is_exported(checkpoint.streams[segment.epoch], segment):
                 return segment
         if self._when_full == "drop" and complete and not self.may_create():
-            self._drop(control, complete[0])
+            self._drop(checkpoint, complete[0])
             return complete[0]
         return None
 
-    def _forget_exported(self, control: Control) -> None:
+    def _forget_exported(self, checkpoint: Checkpoint) -> None:
         """Removes exported streams without segments from the checkpoint."""
-        exported = [epoch for epoch, stream in control.streams.items() if stream.is_exported()]
+        exported = [epoch for epoch, stream in checkpoint.streams.items() if stream.is_exported()]
         for epoch in exported:
-            length = control.streams[epoch].length or 0
+            length = checkpoint.streams[epoch].length or 0
             if not self._of(epoch) and self.saved_watermarks.get(epoch, -1) >= length:
-                del control.streams[epoch]
+                del checkpoint.streams[epoch]
                 self.dirty = True
 
     def _is_complete(self, segment: SegmentId, journal: Journal | None) -> bool:
@@ -237,12 +237,12 @@
         watermark = min(self.saved_watermarks.get(segment.epoch, 0), stream.acked)
         return watermark >= last and (stream.sealed or not is_tail)
 
-    def _drop(self, control: Control, segment: SegmentId) -> None:
+    def _drop(self, checkpoint: Checkpoint, segment: SegmentId) -> None:
         """Counts the records of a segment that is removed before it is exported."""
-        stream = control.streams[segment.epoch]
+        stream = checkpoint.streams[segment.epoch]
         lost = stream.last_slot(segment.number) - stream.acked
         if lost > 0:
-            control.lost["dropped"] = control.lost.get("dropped", 0) + lost
+            checkpoint.lost["dropped"] = checkpoint.lost.get("dropped", 0) + lost
             self.dirty = True
             self.alarms.append(
                 f"the limit of segments is reached: up to {lost} records of epoch {segment.epoch} are "
--- a/trackspread/usage/stream_writer.py
+++ b/trackspread/usage/stream_writer.py
@@ -59,7 +59,7 @@
         context = self._context
         if not self._write or not context.calls.may_start(Purpose.STREAM, now):
             return None
-        if len(context.checkpoint.control.streams) < MAX_STREAMS:
+        if len(context.checkpoint_store.checkpoint.streams) < MAX_STREAMS:
             return self._create()
         context.alarms.append(
             f"use: {MAX_STREAMS} streams wait for their export, the limit: requests are summed in memory"
@@ -101,16 +101,16 @@
     def _declare(self, now: int) -> Call | None:
         """Saves a checkpoint that names the new stream and ends a former one that a failed commit left."""
         context, new, former = self._context, self._new_journal, self._recorder.journal
-        control = context.checkpoint.control
+        checkpoint = context.checkpoint_store.checkpoint
         assert new is not None
         context.state = State.DECLARING
-        epoch_before = control.epoch
+        epoch_before = checkpoint.epoch
         if former is not None:
-            control.streams[former.epoch].length = former.committed
-        control.epoch = new.epoch
+            checkpoint.streams[former.epoch].length = former.committed
+        checkpoint.epoch = new.epoch
         nonce = new.nonce.hex()
-        names_index = control.names_index(context.names)
-        control.streams[new.epoch] = Stream(nonce, new.slots, names_index, [Part(1, nonce)])
+        names_index = checkpoint.names_index(context.names)
+        checkpoint.streams[new.epoch] = Stream(nonce, new.slots, names_index, [Part(1, nonce)])
 
         def declared(now: int, _: Result) -> None:
             if former is not None:
@@ -122,10 +122,10 @@
             self._recorder.stream_declared(new)
 
         def failed(now: int, error: OSError) -> None:
-            del control.streams[new.epoch]
-            control.epoch = epoch_before
+            del checkpoint.streams[new.epoch]
+            checkpoint.epoch = epoch_before
             if former is not None:
-                control.streams[former.epoch].length = None
+                checkpoint.streams[former.epoch].length = None
             self._abandon_new_stream(now, error)
 
         return context.save_checkpoint(now, declared, failed)
@@ -177,11 +177,11 @@
     def _end(self, now: int, journal: Journal) -> Call | None:
         """Saves the length of the stream, as all is committed and the ledger is closing."""
         context = self._context
-        checkpoint = context.checkpoint
-        checkpoint.control.streams[journal.epoch].length = journal.committed
+        store = context.checkpoint_store
+        store.checkpoint.streams[journal.epoch].length = journal.committed
 
         def ended(now: int, _: Result) -> None:
             context.state = State.CLOSED
-            context.released_areas += [*journal.areas(), *checkpoint.areas]
+            context.released_areas += [*journal.areas(), *store.areas]
 
         return context.save_checkpoint(now, ended, context.calls.retry_later(Purpose.END))
