--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -11,7 +11,7 @@
 from trackspread.testing.standins.billing import Billing, MemoryStore
 from trackspread.storage.slots import Scan
 from trackspread.usage import meter as meters
-from trackspread.usage.batch import Batch, decode, digest, encode, rows, signature, signed
+from trackspread.usage.batch import Batch, decode, digest, encode, is_signature_valid, rows, signature
 from trackspread.usage.control import (
     AREA_SIZE,
     MAX_STREAMS,
@@ -226,9 +226,15 @@
     """Guards against a signature that is valid for another key, body or secret."""
     body = _batch(1, 2)
     valid = signature(body, "s:1-2", b"secret")
-    assert signed(body, "s:1-2", b"secret", valid)
-    assert not signed(body, "s:1-3", b"secret", valid) and not signed(body + b" ", "s:1-2", b"secret", valid)
-    assert not signed(body, "s:1-2", b"other", valid) and not signed(body, "s:1-2", b"secret", "é")
+    assert is_signature_valid(body, "s:1-2", b"secret", valid)
+    assert (
+        not is_signature_valid(body, "s:1-3", b"secret", valid)
+        and not is_signature_valid(body + b" ", "s:1-2", b"secret", valid)
+    )
+    assert (
+        not is_signature_valid(body, "s:1-2", b"other", valid)
+        and not is_signature_valid(body, "s:1-2", b"secret", "é")
+    )
     assert digest(body) == digest(_batch(1, 2))
 
 
--- a/trackspread/counter/lease.py
+++ b/trackspread/counter/lease.py
@@ -378,7 +378,7 @@
             self.announced_share = self.claimed_share
             self.due_ns = now + FOLLOW_UP_NS
         self.share_under_proof = 0.0
-        if self.wants_more(now):
+        if self.needs_more(now):
             self.due_ns = min(self.due_ns, now + FOLLOW_UP_NS)
 
     def _claims_of_others(self, reply: Reply) -> dict[int, Claim]:
@@ -500,7 +500,7 @@
             return claim.sequence < known.sequence
         return claim.incarnation < known.incarnation and gateway not in detector.expired
 
-    def wants_more(self, now: int) -> bool:
+    def needs_more(self, now: int) -> bool:
         """Returns whether this gateway needs a larger share than it holds."""
         needed = desired_share(self.terms, self.demand_per_s, self.static_share)
         return (
--- a/trackspread/testing/standins/billing_server.py
+++ b/trackspread/testing/standins/billing_server.py
@@ -10,7 +10,7 @@
 import h11
 import msgspec
 
-from ...usage.batch import signed
+from ...usage.batch import is_signature_valid
 from ...storage.directory import write_atomically
 from .billing import Billing
 from .billing_database import BillingDatabase
@@ -106,7 +106,7 @@
             return _Response(UNAVAILABLE, b"busy")
         key = request.headers.get(b"idempotency-key", b"").decode()
         signature = request.headers.get(b"signature", b"").decode()
-        if self._secret and not signed(request.body, key, self._secret, signature):
+        if self._secret and not is_signature_valid(request.body, key, self._secret, signature):
             return _Response(FORBIDDEN, b"the signature does not fit")
         try:
             return _Response(OK, msgspec.json.encode(self.billing.post(request.body)))
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -26,7 +26,7 @@
 from ....usage.batch import Reply, decode
 from ....usage.control import Names
 from ....usage.exporter import Post, Stage
-from ....usage.ledger import OPENED, Bounds, State, UsageLedger
+from ....usage.ledger import OPEN_STATES, Bounds, State, UsageLedger
 from ....usage.record import Ending, Kind, unpack
 from ..clock import START, Clock
 from .disk import Crash, Disk, VirtualFiles
@@ -279,7 +279,7 @@
             expected.in_memory_units += total.nano_units
         expected.dropped += ledger.checkpoint.lost.get("dropped", 0)
         uncommitted = self._uncommitted.setdefault(id(disk), [])
-        if ledger.state in OPENED | {State.CLOSED}:
+        if ledger.state in OPEN_STATES | {State.CLOSED}:
             uncommitted.clear()  # this process has synced what earlier ones left
         uncommitted += process.uncommitted
         disk.crash_at_call = 0
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -28,7 +28,7 @@
 )
 from .control import AREAS, Checkpoint, Names, Part, Stream, newest
 from .record import unpack
-from .totals import NOTHING, SCHEMA, Amount, SegmentTotals, Totals
+from .totals import ZERO_AMOUNT, SCHEMA, Amount, SegmentTotals, Totals
 
 
 class SegmentScan(NamedTuple):
@@ -214,9 +214,9 @@
     compared = [
         Difference(
             *key,
-            journal.rows.get(key, NOTHING),
-            exported.rows.get(key, NOTHING),
-            billing.rows.get(key, NOTHING),
+            journal.rows.get(key, ZERO_AMOUNT),
+            exported.rows.get(key, ZERO_AMOUNT),
+            billing.rows.get(key, ZERO_AMOUNT),
         )
         for key in keys
     ]
--- a/trackspread/usage/batch.py
+++ b/trackspread/usage/batch.py
@@ -124,6 +124,6 @@
     return hmac.new(secret, key.encode() + b"\n" + body, hashlib.sha256).hexdigest()
 
 
-def signed(body: bytes, key: str, secret: bytes, received: str) -> bool:
+def is_signature_valid(body: bytes, key: str, secret: bytes, received: str) -> bool:
     """Returns whether `received` is the body's signature; the comparison takes constant time."""
     return hmac.compare_digest(signature(body, key, secret).encode(), received.encode())
--- a/trackspread/usage/context.py
+++ b/trackspread/usage/context.py
@@ -47,7 +47,7 @@
 
 
 # In these states the checkpoint is known and the export runs, whatever the state of the written stream is.
-OPENED = frozenset({State.NO_STREAM, State.CREATING, State.COPYING, State.DECLARING, State.LIVE})
+OPEN_STATES = frozenset({State.NO_STREAM, State.CREATING, State.COPYING, State.DECLARING, State.LIVE})
 
 
 @dataclass(frozen=True, slots=True)
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -13,7 +13,7 @@
 from ..storage.journal import Journal
 from ..storage.interfaces import Area
 from .checkpoint import CheckpointStore
-from .context import OPENED, Bounds, LedgerContext, State
+from .context import OPEN_STATES, Bounds, LedgerContext, State
 from .control import Checkpoint, Names
 from .disk_calls import DiskCalls
 from .exporter import Exporter, Post, Stage
@@ -24,7 +24,7 @@
 from .segments import SegmentStore
 from .stream_writer import StreamWriter
 
-__all__ = ["OPENED", "Bounds", "State", "UsageLedger"]
+__all__ = ["OPEN_STATES", "Bounds", "State", "UsageLedger"]
 
 PRODUCER_BITS = 128
 
@@ -102,7 +102,7 @@
         is_saved = not (self.exporter.dirty or self.segment_store.dirty)
         is_idle = self.exporter.stage is Stage.IDLE and is_saved and not self._calls.in_progress
         streams = self.checkpoint.streams.values()
-        return self.state in OPENED and is_idle and all(stream.is_exported() for stream in streams)
+        return self.state in OPEN_STATES and is_idle and all(stream.is_exported() for stream in streams)
 
     @property
     def is_closing(self) -> bool:
@@ -125,7 +125,7 @@
         """
         if self._calls.in_progress:
             return None
-        if self.state not in OPENED:
+        if self.state not in OPEN_STATES:
             return self._recovery.next_call(now)
         return self._writer.next_call(now) or self._maintenance.next_call(now, self.journal)
 
@@ -150,7 +150,7 @@
 
         The host passes the result to `exporter.reply_received` or `exporter.send_failed`.
         """
-        return self.exporter.next_post(now) if self.state in OPENED else None
+        return self.exporter.next_post(now) if self.state in OPEN_STATES else None
 
     def take_released_areas(self) -> list[Area]:
         """Returns the areas that fell out of use since the last call; the host closes them."""
--- a/trackspread/usage/stream_writer.py
+++ b/trackspread/usage/stream_writer.py
@@ -20,7 +20,7 @@
 from .recorder import Recorder
 
 NONCE_BYTES = 16
-COMMIT_PENDING = 2  # divisor: uncommitted records that fill half of a segment are committed at once
+COMMIT_PENDING_DIVISOR = 2  # uncommitted records that fill half a segment are committed at once
 
 
 class StreamWriter:
@@ -147,7 +147,7 @@
     def _commit_is_due(self, now: int, journal: Journal) -> bool:
         context = self._context
         has_waited = now - self._recorder.uncommitted_since_ns >= context.bounds.commit_delay_ns
-        return context.closing or has_waited or len(journal.pending) > journal.slots // COMMIT_PENDING
+        return context.closing or has_waited or len(journal.pending) > journal.slots // COMMIT_PENDING_DIVISOR
 
     def _committed(self, now: int, commit: Commit) -> None:
         journal = self._recorder.journal
--- a/trackspread/usage/totals.py
+++ b/trackspread/usage/totals.py
@@ -45,7 +45,7 @@
     nano_units: int
 
 
-NOTHING = Amount(0, 0)
+ZERO_AMOUNT = Amount(0, 0)
 
 
 class Totals:
@@ -57,7 +57,7 @@
     def add(self, tenant: int, day: int, ending: int, requests: int, nano_units: int) -> None:
         """Adds requests and billionths of units to one row."""
         key = tenant, day, ending
-        amount = self.rows.get(key, NOTHING)
+        amount = self.rows.get(key, ZERO_AMOUNT)
         self.rows[key] = Amount(amount.requests + requests, amount.nano_units + nano_units)
 
     def add_records(self, records: Iterable[UsageRecord]) -> Totals:
