--- a/trackspread/counter/lease.py
+++ b/trackspread/counter/lease.py
@@ -196,16 +196,16 @@
         proven = self.proven_share
         if proven and proven + others > 1.0 - unresponsive + EPSILON:
             self.proven_share = proven * max(0.0, 1.0 - unresponsive) / (proven + others)
-            self._follow_reduction()
+            self._limit_to_claimed_share()
         claimed = self.claimed_share
         if claimed and claimed + others > 1.0 - unresponsive + EPSILON:
             self._reduce_claim(claimed * max(0.0, 1.0 - unresponsive) / (claimed + others))
 
     def _reduce_claim(self, share: float) -> None:
         self.claimed_share = share
-        self._follow_reduction()
+        self._limit_to_claimed_share()
 
-    def _follow_reduction(self) -> None:
+    def _limit_to_claimed_share(self) -> None:
         """Limits the proven share and the unproven raises to the lowered claimed share."""
         self.proven_share = min(self.proven_share, self.claimed_share)
         raises = self._unproven_raises
--- a/trackspread/counter/report.py
+++ b/trackspread/counter/report.py
@@ -11,7 +11,7 @@
 from .lease_manager import LeaseManager
 from .lease_terms import TENANT_MASK, partition_of
 
-# Attempts in flight: a limit multiplied by a share may fall just short of an integer.
+# Tolerance for attempts in flight: a limit multiplied by a share may fall just short of an integer.
 ROUNDING = 1e-6
 # Maps each state of the failure detector to the source of the shares, in the words of the command's page.
 SOURCES = {
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -28,7 +28,7 @@
 )
 from .control import AREAS, Checkpoint, Names, Part, Stream, newest
 from .record import unpack
-from .totals import ZERO_AMOUNT, SCHEMA, Amount, SegmentTotals, Totals
+from .totals import SCHEMA, ZERO_AMOUNT, Amount, SegmentTotals, Totals
 
 
 class SegmentScan(NamedTuple):
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -111,15 +111,15 @@
                 stream.length = self._last_written[epoch]
             if not stream.length:
                 del checkpoint.streams[epoch]
-                self._leftover_files += [segment_name(*segment) for segment in self._of(epoch)]
-                self._segments -= set(self._of(epoch))
+                self._leftover_files += [segment_name(*segment) for segment in self._segments_of(epoch)]
+                self._segments -= set(self._segments_of(epoch))
                 continue
             # Each incarnation checks once whether billing still has all records. A stream with several parts
             # is checked from its first slot.
             stream.sealed = False
             if len(stream.parts) > 1:
                 stream.acked = 0
-            numbers = [segment.number for segment in self._of(epoch)]
+            numbers = [segment.number for segment in self._segments_of(epoch)]
             stream.first_segment = min(numbers, default=-(-stream.length // stream.slots))
         self.saved_watermarks = {epoch: stream.acked for epoch, stream in checkpoint.streams.items()}
 
@@ -216,7 +216,7 @@
         exported = [epoch for epoch, stream in checkpoint.streams.items() if stream.is_exported()]
         for epoch in exported:
             length = checkpoint.streams[epoch].length or 0
-            if not self._of(epoch) and self.saved_watermarks.get(epoch, -1) >= length:
+            if not self._segments_of(epoch) and self.saved_watermarks.get(epoch, -1) >= length:
                 del checkpoint.streams[epoch]
                 self.dirty = True
 
@@ -226,7 +226,7 @@
             return journal is None or segment.epoch < journal.epoch
         return segment.number < min(journal.committed // journal.slots, journal.index)
 
-    def _of(self, epoch: int) -> list[SegmentId]:
+    def _segments_of(self, epoch: int) -> list[SegmentId]:
         return [segment for segment in self._segments if segment.epoch == epoch]
 
     def _is_exported(self, stream: Stream, segment: SegmentId) -> bool:
