--- a/trackspread/commands/use.py
+++ b/trackspread/commands/use.py
@@ -21,11 +21,11 @@
 from ..storage.directory import Directory
 from ..storage.document import DocumentError
 from ..usage import senders
-from ..usage.audit import Audit, Difference, Received, audit, rebuild_control, reconcile
-from ..usage.control import AREA_SIZE, AREAS, Control, Names, pack
+from ..usage.audit import Audit, Difference, Received, audit, rebuild_checkpoint, reconcile
+from ..usage.control import AREA_SIZE, AREAS, Checkpoint, Names, pack
 from ..usage.host import export_all
 from ..usage.ledger import UsageLedger
-from ..usage.record import NANO, Ending
+from ..usage.record import NANO_PER_UNIT, Ending
 from ..usage.totals import Amount
 
 MAX_DIFFERENCES = 40  # that are printed; the rest is counted
@@ -67,7 +67,7 @@
 
 
 def _format_units(nano_units: int) -> str:
-    return f"{nano_units / NANO:.3f}"
+    return f"{nano_units / NANO_PER_UNIT:.3f}"
 
 
 def _format_amount(amount: Amount) -> str:
@@ -75,10 +75,10 @@
 
 
 def _show(found: Audit) -> int:
-    control = found.control
+    control = found.checkpoint
     if control is None:
-        print("; ".join(found.wrong) or "nothing was recorded here yet")
-        return 1 if found.wrong else 0
+        print("; ".join(found.problems) or "nothing was recorded here yet")
+        return 1 if found.problems else 0
     print(f"producer {control.producer}: {found.segments} segments, {found.bytes / BYTES_PER_MB:.1f} MB")
     _print_streams(found, control)
     for ending in Ending:
@@ -89,12 +89,12 @@
             print(f"{ending.name.lower()}: {requests} requests, {_format_units(units)} units")
     for reason, number in control.lost.items():
         print(f"lost, {reason}: {number} records")
-    for text in found.wrong:
+    for text in found.problems:
         print(f"look at: {text}")
     return 0
 
 
-def _print_streams(found: Audit, control: Control) -> None:
+def _print_streams(found: Audit, control: Checkpoint) -> None:
     print(
         f"{'life':>6} {'gateway':<16} {'state':<8} {'places':>10} {'records':>10} {'billing has':>12} "
         f"{'to go':>10}"
@@ -113,13 +113,13 @@
     damaged = sum(len(each.damaged) for each in found.streams)
     missing = sum(each.missing for each in found.streams)
     torn = sum(len(each.torn) for each in found.streams)
-    for text in found.wrong:
+    for text in found.problems:
         print(text)
     print(
         f"{records} records check, {damaged} are damaged, "
         f"{missing} are missing; {torn} were torn by a loss of power"
     )
-    return 1 if found.wrong else 0
+    return 1 if found.problems else 0
 
 
 def _export(options: argparse.Namespace) -> int:
@@ -142,14 +142,14 @@
 
 
 def _print_progress(ledger: UsageLedger) -> None:
-    streams = ledger.control.streams.values()
+    streams = ledger.checkpoint.streams.values()
     left = sum((stream.length or 0) - stream.acked for stream in streams)
     fault = _fault(ledger)
     print(f"{left} places to go{f', waiting: {fault}' if fault else ''}", file=sys.stderr, flush=True)
 
 
 def _fault(ledger: UsageLedger) -> str:
-    return ledger.exporter.trouble or ledger.trouble
+    return ledger.exporter.last_error or ledger.last_error
 
 
 def _received(source: str) -> list[Received]:
@@ -186,7 +186,7 @@
 def _difference_line(difference: Difference) -> str:
     day = datetime.fromtimestamp(difference.day * SECONDS_PER_DAY, UTC).date()
     return (
-        f"{difference.customer:016x} {day} {Ending(difference.ending).name.lower():<8} "
+        f"{difference.tenant:016x} {day} {Ending(difference.ending).name.lower():<8} "
         f"journal {_format_amount(difference.journal)}, "
         f"exported {_format_amount(difference.exported)}, "
         f"received {_format_amount(difference.received)}: {difference.kind}"
@@ -196,7 +196,7 @@
 def _folders_by_gateway(audits: list[Audit]) -> dict[str, int]:
     folders: dict[str, int] = {}
     for found in audits:
-        control = found.control
+        control = found.checkpoint
         if control is None:
             continue
         for name in {control.names[each.stream.names].gateway for each in found.streams}:
@@ -206,7 +206,7 @@
 
 def _repair(folder: Path, config: str | None) -> int:
     found = _audit(folder)
-    if found.control is not None:
+    if found.checkpoint is not None:
         print("the control can be read: there is nothing to repair")
         return 0
     names = Names("", (), ())
@@ -214,7 +214,7 @@
         names = record_names(platform.load({**os.environ, "ROUTER_CONFIG": config}))
     files = Directory(folder)
     try:
-        control = rebuild_control(files, names, os.urandom(16).hex())
+        control = rebuild_checkpoint(files, names, os.urandom(16).hex())
         data = pack(control)
         for name in AREAS:
             files.replace(name, data.ljust(AREA_SIZE, b"\0"))
--- a/trackspread/storage/calls.py
+++ b/trackspread/storage/calls.py
@@ -1,6 +1,6 @@
-"""Disk operations as values: decision code creates a call, and a thread (or a simulated disk) performs it.
+"""Represents disk operations as values, which decision code creates and a thread or simulated disk performs.
 
-One call is in progress at a time, so calls take effect in the order in which they were made.
+One call is in progress at a time, so calls take effect in the order in which they were created.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 from .interfaces import Area, Files
 from .slots import (
-    HEAD_BYTES,
+    HEADER_BYTES,
     SLOT_BYTES,
-    Head,
+    SegmentHeader,
     Scan,
     SegmentError,
     count_written_slots,
-    pack_head,
+    pack_header,
     scan,
     slot_offset,
-    unpack_head,
+    unpack_header,
 )
 
 
 class SegmentId(NamedTuple):
-    """A segment, by the epoch of its stream and its number in it, from 0."""
+    """Identifies a segment by the epoch of its stream and its number in the stream, from 0."""
 
     epoch: int
     number: int
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """Creates a segment with its head; the result is its `Area`."""
+    """Creates a segment with its header; the result is its `Area`."""
 
-    head: Head
+    header: SegmentHeader
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 class Save:
     """Overwrites an area with a document and forces it to the disk; the result is None.
 
-    It needs no further disk space but may be torn, so callers alternate between two areas.
+    The write needs no further disk space but may be torn, so callers alternate between two areas.
     """
 
     area: Area
@@ -70,7 +70,7 @@
     The result is a `Scan`, or None if the segment no longer exists.
     """
 
-    head: Head
+    header: SegmentHeader
     first: int
     last: int
     area: Area | None = None
@@ -95,17 +95,17 @@
 
 
 class FoundSegment(NamedTuple):
-    """A readable segment and its number of written slots."""
+    """Holds a readable segment's header and its number of written slots."""
 
-    head: Head
+    header: SegmentHeader
     written_slots: int
 
 
 @dataclass(slots=True)
 class FolderContents:
-    """What `InspectFolder` found.
+    """Holds the result of `InspectFolder`.
 
-    `areas` are the documents, in the order asked for. `broken` has the files that can't be read, with the
+    `areas` are the documents, in the order of the call. `broken` has the files that can't be read, with the
     reason, and `written_in_broken` the number of written slots of those whose bytes could be read.
     """
 
@@ -118,9 +118,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refresh:
-    """Rewrites and syncs what an earlier process may not have got to the disk; the result is None.
+    """Rewrites and syncs what an earlier process may not have synced; the result is None.
 
-    A sync alone is not enough: after one that failed, the operating system treats the pages as written.
+    A sync alone is not enough, because after a failed sync the operating system treats the pages as written.
     """
 
     areas: tuple[Area, ...]
@@ -137,7 +137,7 @@
 
 
 def parse_segment_name(name: str) -> SegmentId | None:
-    """Returns the segment that a file holds, or None for any other file."""
+    """Returns the segment in a file of this name, or None for any other file."""
     parts = name.removesuffix(".log").split("-")
     if not name.endswith(".log") or len(parts) != 3:
         return None
@@ -150,8 +150,8 @@
 def perform(files: Files, call: Call) -> Result:
     """Performs one call and returns its result; raises `OSError`."""
     match call:
-        case Create(head):
-            return _create(files, head)
+        case Create(header):
+            return _create(files, header)
         case Read():
             return _read(files, call)
         case InspectFolder():
@@ -177,9 +177,9 @@
             _refresh(files, call)
 
 
-def _create(files: Files, head: Head) -> Area:
-    area = files.create(segment_name(head.epoch, head.index), head.size)
-    area.write(0, pack_head(head))
+def _create(files: Files, header: SegmentHeader) -> Area:
+    area = files.create(segment_name(header.epoch, header.index), header.size)
+    area.write(0, pack_header(header))
     area.sync()
     return area
 
@@ -201,17 +201,17 @@
 
 
 def _read(files: Files, call: Read) -> Scan | None:
-    head = call.head
-    offset = slot_offset(head, call.first)
+    header = call.header
+    offset = slot_offset(header, call.first)
     size = (call.last - call.first + 1) * SLOT_BYTES
     if call.area is not None:
-        return scan(call.area.read(offset, size), head, call.first)
+        return scan(call.area.read(offset, size), header, call.first)
     try:
-        area = files.open(segment_name(head.epoch, head.index))
+        area = files.open(segment_name(header.epoch, header.index))
     except FileNotFoundError:
         return None
     try:
-        return scan(area.read(offset, size), head, call.first)
+        return scan(area.read(offset, size), header, call.first)
     finally:
         area.close()
 
@@ -235,12 +235,15 @@
         return
     data = area.read()
     area.close()
-    written_slots = count_written_slots(data[HEAD_BYTES:])
+    written_slots = count_written_slots(data[HEADER_BYTES:])
     try:
-        head = unpack_head(data)
-        if (head.epoch, head.index) != segment:
-            raise SegmentError(f"its head says epoch {head.epoch}, part {head.index}")
-        found.segments[segment] = FoundSegment(head, written_slots)
+        header = unpack_header(data)
+        if (header.epoch, header.index) != segment:
+            raise SegmentError(
+                f"the header must have epoch {segment.epoch} and index {segment.number}, as the file name, "
+                f"got epoch {header.epoch} and index {header.index}"
+            )
+        found.segments[segment] = FoundSegment(header, written_slots)
     except SegmentError as error:
         found.broken[name] = str(error)
         found.written_in_broken[name] = written_slots
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -1,9 +1,9 @@
-"""The audit of a folder of usage records: its contents, what is damaged, and what billing should have.
+"""Audits a folder of usage records: what it contains, what is damaged, and what billing should have.
 
-Nothing here writes; `rebuild_control` only returns the checkpoint that `use repair` saves.
+Nothing here writes; `rebuild_checkpoint` only returns the checkpoint that `trackspread use repair` saves.
 
 - A slot with an invalid checksum is damaged if a mark or the watermark shows that it was committed. Otherwise
-  it is torn: the machine lost power before the commit.
+  it is torn, which means that the machine lost power before the commit.
 - Billing should have the totals of removed segments, and records up to the watermark.
 """
 
@@ -17,26 +17,34 @@
 from ..storage.calls import parse_segment_name
 from ..storage.document import DocumentError
 from ..storage.interfaces import Files
-from ..storage.slots import HEAD_BYTES, Head, Scan, SegmentError, count_written_slots, scan, unpack_head
-from .control import AREAS, Control, Names, Part, Stream, newest
+from ..storage.slots import (
+    HEADER_BYTES,
+    Scan,
+    SegmentError,
+    SegmentHeader,
+    count_written_slots,
+    scan,
+    unpack_header,
+)
+from .control import AREAS, Checkpoint, Names, Part, Stream, newest
 from .record import unpack
-from .totals import NOTHING, SCHEMA, Amount, SegmentTotals, Totals
+from .totals import SCHEMA, ZERO_AMOUNT, Amount, SegmentTotals, Totals
 
 
 class SegmentScan(NamedTuple):
-    """One segment's head and slots."""
+    """Holds one segment's header and slots."""
 
-    head: Head
+    header: SegmentHeader
     scan: Scan
 
 
 @dataclass(slots=True)
 class StreamAudit:
-    """The audit of one stream.
+    """Holds the audit of one stream.
 
-    `live`: the stream was not ended. `records` can be read. `length` is the last slot that was written,
-    `committed` the last that is known to have been committed. `damaged` and `torn` are slots, `missing` is
-    the number of slots in missing segments.
+    `live` says that the stream was not ended. `records` counts the readable records. `length` is the last
+    slot that was written, `committed` the last that is known to have been committed. `damaged` and `torn` are
+    slots; `missing` is the number of slots in missing segments.
     """
 
     epoch: int
@@ -52,41 +60,41 @@
 
 @dataclass(slots=True)
 class Audit:
-    """The audit of one folder.
+    """Holds the audit of one folder.
 
-    `newer`: a newer version of the program wrote here. `journal` has the totals of all that was recorded,
-    `exported` of what billing has acknowledged. `wrong` are lines about faults, for operators. `segments` and
-    `bytes` count what is on the disk.
+    `newer` says that a newer version of the program wrote the folder. `journal` has the totals of all
+    records, `exported` those of the records that billing has acknowledged. `problems` are lines for operators
+    about faults. `segments` and `bytes` count what is on the disk.
     """
 
-    control: Control | None
+    checkpoint: Checkpoint | None
     newer: bool
     streams: list[StreamAudit] = field(default_factory=list)
     journal: Totals = field(default_factory=Totals)
     exported: Totals = field(default_factory=Totals)
-    wrong: list[str] = field(default_factory=list)
+    problems: list[str] = field(default_factory=list)
     segments: int = 0
     bytes: int = 0
 
 
 def audit(files: Files) -> Audit:
-    """Read the complete folder; raises `OSError`."""
+    """Reads the complete folder and returns its audit; raises `OSError`."""
     names = files.names()
     copies = [files.load(name) or b"" for name in AREAS]
-    checkpoint = newest(copies)
-    result = Audit(checkpoint.control, checkpoint.newer, wrong=checkpoint.errors)
-    control = checkpoint.control
-    if control is None:
+    newest_copy = newest(copies)
+    result = Audit(newest_copy.checkpoint, newest_copy.newer, problems=newest_copy.errors)
+    checkpoint = newest_copy.checkpoint
+    if checkpoint is None:
         if any(parse_segment_name(name) for name in names):
-            result.wrong.append("there are records, and no control that can be read")
+            result.problems.append("the folder has records but no readable checkpoint")
         return result
     scans: dict[int, list[SegmentScan]] = {}
     for name in names:
         if (location := parse_segment_name(name)) is not None:
-            segment = _scan_segment(result, files, control, name, location)
+            segment = _scan_segment(result, files, checkpoint, name, location)
             if segment is not None:
-                scans.setdefault(segment.head.epoch, []).append(segment)
-    for epoch, stream in sorted(control.streams.items()):
+                scans.setdefault(segment.header.epoch, []).append(segment)
+    for epoch, stream in sorted(checkpoint.streams.items()):
         result.streams.append(_audit_stream(result, epoch, stream, scans.get(epoch, [])))
     for name in names:
         if name.startswith("sum-"):
@@ -95,22 +103,22 @@
 
 
 def _scan_segment(
-    result: Audit, files: Files, control: Control, name: str, location: tuple[int, int]
+    result: Audit, files: Files, checkpoint: Checkpoint, name: str, location: tuple[int, int]
 ) -> SegmentScan | None:
-    """One segment, None if it is of a stream that was never declared. `location`: its epoch and index."""
+    """Returns one segment, or None if its stream was never declared; `location` is its epoch and index."""
     result.segments += 1
     data = files.load(name) or b""
     result.bytes += len(data)
     epoch, index = location
-    stream = control.streams.get(epoch)
+    stream = checkpoint.streams.get(epoch)
     if stream is None:
         return None
     try:
-        unpack_head(data)
+        unpack_header(data)
     except SegmentError as error:
-        result.wrong.append(f"{name}: {error}")
-    head = Head(epoch, index, stream.slots, bytes.fromhex(stream.nonce))
-    return SegmentScan(head, scan(data[HEAD_BYTES:], head, head.first))
+        result.problems.append(f"{name}: {error}")
+    header = SegmentHeader(epoch, index, stream.slots, bytes.fromhex(stream.nonce))
+    return SegmentScan(header, scan(data[HEADER_BYTES:], header, header.first))
 
 
 def _audit_stream(result: Audit, epoch: int, stream: Stream, segments: list[SegmentScan]) -> StreamAudit:
@@ -120,22 +128,22 @@
     audited.length = stream.length if stream.length is not None else last_written
     for segment in segments:
         _audit_records(result, audited, segment.scan)
-    present = {segment.head.index for segment in segments}
+    present = {segment.header.index for segment in segments}
     segment_count = -(-audited.length // stream.slots)
     missing = [index for index in range(stream.first_segment, segment_count) if index not in present]
     if missing:
-        result.wrong.append(f"epoch {epoch}: segments {', '.join(map(str, missing))} are missing")
+        result.problems.append(f"epoch {epoch}: segments {', '.join(map(str, missing))} are missing")
         audited.missing += len(missing) * stream.slots
     if audited.damaged:
-        result.wrong.append(
-            f"epoch {epoch}: {len(audited.damaged)} records are damaged, the first at place "
+        result.problems.append(
+            f"epoch {epoch}: {len(audited.damaged)} records are damaged, the first at slot "
             f"{audited.damaged[0]}"
         )
     return audited
 
 
 def _audit_records(result: Audit, audited: StreamAudit, slots: Scan) -> None:
-    """Add one segment's records to the totals, and sort its invalid slots."""
+    """Adds one segment's records to the totals, and classifies its invalid slots as damaged or torn."""
     records = {
         slot: record
         for slot, payload in slots.payloads.items()
@@ -149,19 +157,20 @@
 
 
 def _add_sum(result: Audit, name: str, data: bytes) -> None:
-    """Add the totals of a removed segment, which was exported or dropped."""
+    """Adds the totals of a removed segment, which was exported or dropped."""
     try:
         totals = SCHEMA.unpack(data, SegmentTotals)
     except DocumentError as error:
-        result.wrong.append(f"{name}: {error}")
+        result.problems.append(f"{name}: {error}")
         return
     result.journal.add_rows(totals.lines)
     result.exported.add_rows(totals.lines)
 
 
 class Received(msgspec.Struct, frozen=True, array_like=True):
-    """A row of billing's own totals: customer in hexadecimal, day since 1970-01-01, ending, requests, and
-    billionths of units."""
+    """Holds a row of billing's own totals.
+
+    `customer` is the tenant in hexadecimal, `day` counts from 1970-01-01, `units` are billionths."""
 
     customer: str
     day: int
@@ -172,10 +181,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A tenant's day and ending for which journal, export and billing differ; each has requests and
-    billionths of units."""
+    """Holds the amounts of a tenant, day and ending for which journal, export and billing differ."""
 
-    customer: int
+    tenant: int
     day: int
     ending: int
     journal: Amount
@@ -184,16 +192,18 @@
 
     @property
     def kind(self) -> str:
-        """What the difference means, for operators."""
+        """Returns what the difference means, for operators."""
         if self.received == self.journal:
-            return "billing has it all, the gateway does not know yet"
+            return "billing has all of it, but the gateway has no acknowledgement yet"
         if self.received == self.exported:
             return "not exported yet"
-        return "billing has less than it took" if self.received < self.exported else "billing has more"
+        if self.received < self.exported:
+            return "billing has less than it acknowledged"
+        return "billing has more than it acknowledged"
 
 
 def reconcile(audits: list[Audit], received: list[Received]) -> list[Difference]:
-    """Where journals, exports and billing differ, by tenant, day and ending; empty if they agree."""
+    """Returns the differences between journals, exports and billing; the list is empty if they agree."""
     journal, exported, billing = Totals(), Totals(), Totals()
     for each in audits:
         _add_all(journal, each.journal)
@@ -204,9 +214,9 @@
     compared = [
         Difference(
             *key,
-            journal.rows.get(key, NOTHING),
-            exported.rows.get(key, NOTHING),
-            billing.rows.get(key, NOTHING),
+            journal.rows.get(key, ZERO_AMOUNT),
+            exported.rows.get(key, ZERO_AMOUNT),
+            billing.rows.get(key, ZERO_AMOUNT),
         )
         for key in keys
     ]
@@ -218,29 +228,33 @@
         totals.add(*key, amount.requests, amount.nano_units)
 
 
-def rebuild_control(files: Files, names: Names, producer: str) -> Control:
-    """A checkpoint for segments whose own is lost. Nothing counts as exported: billing takes each slot once,
-    and its replies set the watermarks. Raises `DocumentError` where a newer version of the program wrote, or
-    segments do not belong together."""
-    control = Control(producer, names=[names])
+def rebuild_checkpoint(files: Files, names: Names, producer: str) -> Checkpoint:
+    """Returns a new checkpoint for segments whose checkpoint is lost.
+
+    Nothing counts as exported, because billing accepts each slot once and its replies set the watermarks.
+    Raises `DocumentError` if a newer version of the program wrote a segment, or if segments of one epoch have
+    different nonces."""
+    checkpoint = Checkpoint(producer, names=[names])
     for name in files.names():
         if (location := parse_segment_name(name)) is None:
             continue
         epoch, index = location
         data = files.load(name) or b""
         try:
-            head = unpack_head(data)
+            header = unpack_header(data)
         except SegmentError as error:
             if error.newer:
                 raise DocumentError(f"{name}: {error}", newer=True) from None
             continue
-        nonce = head.nonce.hex()
-        new = Stream(nonce, head.slots, 0, [Part(1, nonce)], 0, 0, index)
-        stream = control.streams.setdefault(epoch, new)
+        nonce = header.nonce.hex()
+        new = Stream(nonce, header.slots, 0, [Part(1, nonce)], 0, 0, index)
+        stream = checkpoint.streams.setdefault(epoch, new)
         if stream.nonce != nonce:
-            raise DocumentError(f"{name}: it is of another life than the others of its epoch")
-        stream.length = max(stream.length or 0, head.first - 1 + count_written_slots(data[HEAD_BYTES:]))
+            raise DocumentError(
+                f"{name}: nonce: must be {stream.nonce}, as in other segments of epoch {epoch}, got {nonce}"
+            )
+        stream.length = max(stream.length or 0, header.first - 1 + count_written_slots(data[HEADER_BYTES:]))
         stream.first_segment = min(stream.first_segment, index)
-        control.epoch = max(control.epoch, epoch)
-    control.streams = {epoch: stream for epoch, stream in control.streams.items() if stream.length}
-    return control
+        checkpoint.epoch = max(checkpoint.epoch, epoch)
+    checkpoint.streams = {epoch: stream for epoch, stream in checkpoint.streams.items() if stream.length}
+    return checkpoint
--- a/trackspread/usage/maintenance.py
+++ b/trackspread/usage/maintenance.py
@@ -1,4 +1,4 @@
-"""Calls that serve the export and retention while records are written: saves, removals and reads."""
+"""Schedules the disk calls for export and retention, which are saves, removals and reads."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 
 class Maintenance:
-    """Saves the checkpoint where it was changed, removes segments, and reads records to export."""
+    """Saves the checkpoint after changes, removes segments, and reads records to export."""
 
     def __init__(self, context: LedgerContext) -> None:
         self._context = context
 
     def next_call(self, now: int, journal: Journal | None) -> Call | None:
-        """The next call, None if none is due. `now` is in ns; `journal`: the stream that is written."""
+        """Returns the next call, or None if none is due.
+
+        `now` is in ns; `journal` is the stream that is written."""
         context = self._context
         is_dirty = context.exporter.dirty or context.segment_store.dirty
         if is_dirty and context.calls.may_start(Purpose.SAVE, now):
@@ -37,7 +39,7 @@
         context = self._context
         if not context.calls.may_start(Purpose.RETENTION, now):
             return None
-        step = context.segment_store.next_step(context.checkpoint.control, journal)
+        step = context.segment_store.next_step(context.checkpoint_store.checkpoint, journal)
         if step is None:
             return None
         on_success = step.on_success
@@ -51,16 +53,16 @@
         context = self._context
         if not context.calls.may_start(Purpose.READ, now):
             return None
-        exporter, control = context.exporter, context.checkpoint.control
-        read = exporter.next_read(now, control, journal.committed if journal is not None else 0)
+        exporter, checkpoint = context.exporter, context.checkpoint_store.checkpoint
+        read = exporter.next_read(now, checkpoint, journal.committed if journal is not None else 0)
         if read is None:
             return None
-        if journal is not None and (area := journal.area(read.head)) is not None:
-            read = Read(read.head, read.first, read.last, area)
+        if journal is not None and (area := journal.area(read.header)) is not None:
+            read = Read(read.header, read.first, read.last, area)
 
         def records_read(now: int, scan: Result) -> None:
             assert scan is None or isinstance(scan, Scan)
-            exporter.records_read(control, scan)
+            exporter.records_read(checkpoint, scan)
 
         return context.calls.start(read, records_read, self._read_failed)
 
