--- a/tests/cells/test_cells_file.py
+++ b/tests/cells/test_cells_file.py
@@ -82,11 +82,16 @@
 
 
 def test_names_that_contradict_the_file_give_one_line_errors() -> None:
-    with pytest.raises(ConfigError, match=r"NAME: found 'c9', wanted a control machine's: c1, c2$"):
+    with pytest.raises(
+        ConfigError, match=r"NAME: must be a control machine in fleet.control \(c1, c2\), got 'c9'$"
+    ):
         make_host("c9", fleet(IN_ZONE + control(1) + control(2)))
-    with pytest.raises(ConfigError, match=r"name: found 'c1', which fleet.control has too"):
+    with pytest.raises(ConfigError, match=r"name: must differ from every name in fleet.control, got 'c1'"):
         CellPart("c1", fleet(IN_ZONE + control(1)), lambda: 0)
-    with pytest.raises(ConfigError, match=r"fleet.region: found nothing, wanted this gateway's"):
+    with pytest.raises(
+        ConfigError,
+        match=r"fleet.region: must be this gateway's region when fleet.control is set, got nothing",
+    ):
         CellPart("g", fleet(GATEWAY + control(1)), lambda: 0)
 
 
--- a/tests/handover/test_handover_process.py
+++ b/tests/handover/test_handover_process.py
@@ -27,7 +27,7 @@
     served,
     soon,
 )
-from ..control.test_control import CHECK, STATS, asked, figures, status
+from ..control.test_control import CHECK, STATS, counters, exchange, status
 from .test_handover import platform
 
 pytestmark = pytest.mark.processes
@@ -65,7 +65,7 @@
             # An id that is open at the old process is open at the new one.
             other.send(call("charge", 1, body=b"b"))
             assert "is open" in str(await other.next())
-            assert (await figures(new_admin_port))["served.look up"] == 3
+            assert (await counters(new_admin_port))["served.look up"] == 3
             second.send(served(b"two"))
             first.send(served(b"one"))
             assert [await busy.next(), await busy.next()] == [b"one", b"two"]
@@ -74,7 +74,7 @@
             connection.send(served(b"six"))
             assert await busy.next() == b"six"
             assert await soon(old.wait()) == 0  # the old process ends by itself after its last answer
-            assert (await figures(new_admin_port))["served.look up"] == 4 and new.returncode is None
+            assert (await counters(new_admin_port))["served.look up"] == 4 and new.returncode is None
 
     run(test)
 
@@ -149,7 +149,7 @@
             connection.send(served(b"v"))
             assert await client.next() == b"v"
             assert await soon(old.wait()) == 0
-            assert (await figures(new_admin_port))["served.look up"] == 1
+            assert (await counters(new_admin_port))["served.look up"] == 1
 
     run(test)
 
@@ -199,9 +199,9 @@
             p.agent.tell(changed)
             new, new_admin_port = await starting
             new.send_signal(signal.SIGHUP)
-            while (await figures(new_admin_port))["reloads_ok"] < 1:
+            while (await counters(new_admin_port))["reloads_ok"] < 1:
                 await asyncio.sleep(0.01)
-            assert (await figures(new_admin_port))["backends_excluded"] == 1
+            assert (await counters(new_admin_port))["backends_excluded"] == 1
             client.send(call("submit", 3, body=b"b").replace(b"c=submit", b"c=fresh!"))  # of the same length
             connection, arguments = await second.command()
             assert arguments[2] == b"%016x" % 3
@@ -210,6 +210,6 @@
             # The old process's request keeps the class that it arrived with, though the class has moved.
             held.abort()
             assert "failed" in str(await busy.next())
-            assert "router.served.fresh!=1" in (await asked(new_admin_port, STATS)).decode()
+            assert "router.served.fresh!=1" in (await exchange(new_admin_port, STATS)).decode()
 
     run(test)
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -258,7 +258,7 @@
         self._serving = False
         self.clients.begin_handover()
         self._peer_descriptor = self.peers.detach()
-        self.parts.close_fleet(detach=False)  # the successor is the same gateway in the fleet
+        self.parts.close_fleet(leave=False)  # the successor is the same gateway in the fleet
         return os.dup(self._peer_descriptor) if self._peer_descriptor is not None else None
 
     def retire(self, exporter: StateExporter) -> None:
