--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -78,7 +78,7 @@
 
     def mutant(self: Gateway, call: Any, slot: Any, waited: float) -> None:
         real(self, call, slot, waited)
-        if next(self._numbers) > REQUESTS_UNTIL_CRASH:
+        if next(self._request_numbers) > REQUESTS_UNTIL_CRASH:
             os._exit(CRASH_STATUS)
 
     return [patch.object(Gateway, "take", mutant)]
