--- a/tests/decide/test_broker.py
+++ b/tests/decide/test_broker.py
@@ -111,7 +111,9 @@
     for i in range(100):
         now = i * 300 * MS
         for attempt in started_attempts(broker.handle(now, arrival(i, now))):
-            retries += len(started_attempts(broker.handle(now + MS, ended(i, attempt.backend, Outcome.ERROR))))
+            retries += len(
+                started_attempts(broker.handle(now + MS, ended(i, attempt.backend, Outcome.ERROR)))
+            )
     assert 0 < retries <= 20
 
 
@@ -244,9 +246,13 @@
             for attempt in started_attempts(broker.handle(now, arrival(number, now, customer=number))):
                 broker.handle(now, ended(number, attempt.backend))
         broker.handle(now, TimerFired(TICK_TIMER))
-        sizes.append((len(broker.quota.accounts), len(broker.load_balancer.backends), len(broker.commitments.active)))
+        sizes.append(
+            (len(broker.quota.accounts), len(broker.load_balancer.backends), len(broker.commitments.active))
+        )
     assert max(sizes[120:]) <= max(sizes[60:120]) and sizes[-1][1] <= 6
-    assert not broker.requests.open_requests and not broker.requests.attempts and broker.requests.in_flight == 0
+    assert (
+        not broker.requests.open_requests and not broker.requests.attempts and broker.requests.in_flight == 0
+    )
 
 
 def test_malformed_peer_messages_are_ignored() -> None:
@@ -324,7 +330,9 @@
 
     def run(self, steps: list[tuple[str, int, Outcome, int, int]]) -> None:
         now = 0
-        self.handle(now, full_list(*(backend(i, cell=i % 2) for i in range(4)), kind=EndpointUpdateKind.CACHED))
+        self.handle(
+            now, full_list(*(backend(i, cell=i % 2) for i in range(4)), kind=EndpointUpdateKind.CACHED)
+        )
         for number, (step, choice, outcome, delay_ms, cls) in enumerate(steps):
             now += delay_ms * MS
             if step == "arrive":
@@ -342,7 +350,8 @@
             elif step == "endpoints":
                 health = list(Health)[choice % 3]
                 self.handle(
-                    now, full_list(backend(choice % 5, health, booted=now * cls), kind=EndpointUpdateKind.DELTA)
+                    now,
+                    full_list(backend(choice % 5, health, booted=now * cls), kind=EndpointUpdateKind.DELTA),
                 )
             elif step == "message":
                 self.handle(now, PeerMessage(1, bytes([choice]) * (4 + 11 * (delay_ms % 3))))
@@ -468,7 +477,9 @@
     With 40 gateways and a limit of 4, requests were rejected while 3 were in flight at one gateway."""
     broker = new_broker(gateway_count=gateways, may_gossip=False)
     broker.model.concurrency_limit = 4
-    sent = [bool(started_attempts(broker.handle(SECOND, arrival(i, SECOND, customer=i)))) for i in range(1, 20)]
+    sent = [
+        bool(started_attempts(broker.handle(SECOND, arrival(i, SECOND, customer=i)))) for i in range(1, 20)
+    ]
     assert sent == [True] * most + [False] * (19 - most)
 
 
--- a/tests/decide/test_competing_commitments.py
+++ b/tests/decide/test_competing_commitments.py
@@ -45,7 +45,9 @@
 def computed_directly(commitment: Commitment, commitments: list[Commitment]) -> CompetingLoad:
     """Computes the load directly from every other commitment."""
     busy = [c for c in commitments if c is not commitment and c.mean_in_flight.value > MIN_IN_FLIGHT]
-    max_response_times = [c.cap * SECOND / max(c.min_throughput_per_s, MIN_THROUGHPUT_PER_S) for c in busy if c.cap > 1]
+    max_response_times = [
+        c.cap * SECOND / max(c.min_throughput_per_s, MIN_THROUGHPUT_PER_S) for c in busy if c.cap > 1
+    ]
     return CompetingLoad(
         sum(c.mean_in_flight.value if c.cap > 1 else min(1.0, c.mean_in_flight.value) for c in busy),
         min((c.max_wait_ns for c in busy), default=inf),
--- a/tests/decide/test_concurrency_limits.py
+++ b/tests/decide/test_concurrency_limits.py
@@ -43,7 +43,11 @@
         self.gateways: list[Broker] = []
         for number in range(gateways):
             broker = Broker(
-                settings(gateway_count=gateways, gateway_index=number, **{"plans": (CONCURRENCY_LIMITED,), **changes}),
+                settings(
+                    gateway_count=gateways,
+                    gateway_index=number,
+                    **{"plans": (CONCURRENCY_LIMITED,), **changes},
+                ),
                 number + 7,
                 0,
             )
@@ -223,7 +227,9 @@
 def test_requests_without_time_for_query_leak_no_attempts(gateways: int) -> None:
     fleet = SimulatedFleet(gateways)
     for request in range(1, 30):
-        arrival_near_deadline = arrival(request, 0, customer=TENANT, gateway_span=gateways, expires_at_ns=3 * TICK)
+        arrival_near_deadline = arrival(
+            request, 0, customer=TENANT, gateway_span=gateways, expires_at_ns=3 * TICK
+        )
         fleet.handle_event(0, 1, arrival_near_deadline)
         fleet.deliver(MS)
         if request in fleet.sent:
--- a/tests/decide/test_extreme_settings.py
+++ b/tests/decide/test_extreme_settings.py
@@ -120,7 +120,9 @@
         finished = outcome is Outcome.OK or request not in self.open_requests
         if outcome is Outcome.OK:
             self.open_requests.discard(request)
-        self.handle_event(ended(request, backend_id, outcome, index, self.rng.choice((1, 100 * MS, 5 * SECOND)), finished))
+        self.handle_event(
+            ended(request, backend_id, outcome, index, self.rng.choice((1, 100 * MS, 5 * SECOND)), finished)
+        )
 
     def run(self, steps: int) -> None:
         for number in range(steps):
@@ -128,7 +130,10 @@
             step = self.rng.random()
             if step < 0.5:
                 self.open_requests.add(number)
-                cls, plan = self.rng.randrange(len(self.settings.classes)), self.rng.randrange(len(self.settings.plans))
+                cls, plan = (
+                    self.rng.randrange(len(self.settings.classes)),
+                    self.rng.randrange(len(self.settings.plans)),
+                )
                 gateway_span = self.rng.choice((1, self.settings.gateway_count))
                 self.handle_event(
                     arrival(
--- a/tests/decide/test_generated_settings.py
+++ b/tests/decide/test_generated_settings.py
@@ -1,8 +1,8 @@
 """Tests the real program with generated settings, over the branches that settings open.
 
 Each example is a deployment of its own. The program is started, serves requests, and is terminated and
-restarted while requests are open. Nodes are replaced by new ones that have to warm up, and at the end the program is stopped. The
-judge decides from the record."""
+restarted while requests are open. Nodes are replaced by new ones that have to warm up, and at the end the
+program is stopped. The judge decides from the record."""
 
 from __future__ import annotations
 
@@ -42,7 +42,9 @@
         weight = draw(st.sampled_from([1.0, 3.0, 8.0]))
         # Names contain blanks and characters that the command's own list uses, as operators may choose them.
         name = draw(st.sampled_from(["look up", "gate-release", "x", "Buchung.7"])) + f" {number}"
-        generated.append(ScenarioClass(name, idempotency, scope, 1.0, work, latency_objective, deadline, weight))
+        generated.append(
+            ScenarioClass(name, idempotency, scope, 1.0, work, latency_objective, deadline, weight)
+        )
     return tuple(generated)
 
 
@@ -52,7 +54,15 @@
     for number in range(draw(st.integers(1, 3))):
         rate, seconds = draw(st.sampled_from([0.5, 2.0, 8.0])), draw(st.sampled_from([1.0, 5.0]))
         hard_limit_factor = draw(st.sampled_from([0.0, 1.5, 3.0]))
-        hard_limit = (rate * hard_limit_factor, rate * hard_limit_factor * seconds, rate * hard_limit_factor * seconds * 0.2) if hard_limit_factor else (0, 0, 0)
+        hard_limit = (
+            (
+                rate * hard_limit_factor,
+                rate * hard_limit_factor * seconds,
+                rate * hard_limit_factor * seconds * 0.2,
+            )
+            if hard_limit_factor
+            else (0, 0, 0)
+        )
         generated[f"plan {number}"] = PlanRule(rate, max(2.0, rate * seconds), *map(float, hard_limit))
     return generated
 
--- a/tests/decide/test_hard_limits.py
+++ b/tests/decide/test_hard_limits.py
@@ -38,7 +38,9 @@
         self.transfers, self.duplicates, self.loss = transfers, duplicates, loss
         self.brokers = [
             Broker(
-                settings(plans=(limits,), gateway_count=GATEWAYS, gateway_index=p, peer_messages_per_s=120.0), p, 0
+                settings(plans=(limits,), gateway_count=GATEWAYS, gateway_index=p, peer_messages_per_s=120.0),
+                p,
+                0,
             )
             for p in range(GATEWAYS)
         ]
@@ -74,7 +76,9 @@
         if isinstance(action, StartAttempt):
             self.sent, self.exact_tokens = self.sent + 1, self.exact_tokens - 1.0
             self.max_overdraft = max(self.max_overdraft, -self.exact_tokens)
-            self.handle(gateway_index, AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MS, 0, ()))
+            self.handle(
+                gateway_index, AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MS, 0, ())
+            )
         elif isinstance(action, SendToPeers) and (self.transfers or not is_quota_message(action.data)):
             message = unpack_quota_message(action.data)
             if self.duplicates and message is not None and message.kind == QuotaMessageKind.TRANSFER:
@@ -101,7 +105,9 @@
 
 def flooded_fleet(seed: int, duplicates: bool) -> SimulatedFleet:
     """Simulates far more requests than the hard limit allows, most of them at one gateway at a time."""
-    fleet = SimulatedFleet(seed, replace(HARD_LIMITED, rate_per_s=60.0, burst_units=200.0), duplicates=duplicates)
+    fleet = SimulatedFleet(
+        seed, replace(HARD_LIMITED, rate_per_s=60.0, burst_units=200.0), duplicates=duplicates
+    )
     while fleet.now < 30 * SECOND:
         fleet.step()
         for gateway_index in range(GATEWAYS):
@@ -114,7 +120,10 @@
     # Without transfers the gateway has a third of the hard limit, plus its initial units.
     assert mostly_through_one_gateway(1, transfers=False).sent < 0.55 * 8 * 30
     with_transfers = mostly_through_one_gateway(1)
-    assert with_transfers.sent > 0.9 * 8 * 29 and with_transfers.max_overdraft <= HARD_LIMITED.hard_limit_slack_units
+    assert (
+        with_transfers.sent > 0.9 * 8 * 29
+        and with_transfers.max_overdraft <= HARD_LIMITED.hard_limit_slack_units
+    )
 
 
 @pytest.mark.parametrize("loss", [0.07, 0.5])
@@ -124,7 +133,10 @@
 
 
 def test_mutant_that_duplicates_transferred_units_is_detected() -> None:
-    assert max(flooded_fleet(seed, duplicates=False).max_overdraft for seed in range(3)) <= HARD_LIMITED.hard_limit_slack_units
+    assert (
+        max(flooded_fleet(seed, duplicates=False).max_overdraft for seed in range(3))
+        <= HARD_LIMITED.hard_limit_slack_units
+    )
     assert flooded_fleet(0, duplicates=True).max_overdraft > HARD_LIMITED.hard_limit_slack_units
 
 
@@ -139,7 +151,9 @@
         fleet.step()
         fleet.send_request(0)
     transfer = next(
-        m for m in fleet.undelivered if (d := unpack_quota_message(m[2].data)) and d.kind == QuotaMessageKind.TRANSFER
+        m
+        for m in fleet.undelivered
+        if (d := unpack_quota_message(m[2].data)) and d.kind == QuotaMessageKind.TRANSFER
     )
     account = fleet.brokers[0].quota.accounts[1]
     account.hard_limit_tokens = 0.0
--- a/tests/decide/test_isolated_gateways.py
+++ b/tests/decide/test_isolated_gateways.py
@@ -35,7 +35,9 @@
     limits = plan(rate_per_s=RATE, burst_units=BURST, overage_cost=cost)
     fleet = []
     for gateway_index in range(gateways):
-        own_settings = settings(gateway_count=gateways, gateway_index=gateway_index, plans=(limits,), may_gossip=False)
+        own_settings = settings(
+            gateway_count=gateways, gateway_index=gateway_index, plans=(limits,), may_gossip=False
+        )
         fleet.append(Broker(own_settings, rng.getrandbits(40), 0))
         fleet[-1].handle(0, full_list(backend(1)))
     demands_by_tenant = [demand for demand, count in demands.items() for _ in range(count)]
@@ -44,7 +46,11 @@
         for tenant, demand in enumerate(demands_by_tenant)
         for _ in range(int(demand * RATE * seconds))
     )
-    exact_tokens, ideal_tokens, refilled_at_s = [BURST] * len(demands_by_tenant), [BURST] * len(demands_by_tenant), [0.0] * len(demands_by_tenant)
+    exact_tokens, ideal_tokens, refilled_at_s = (
+        [BURST] * len(demands_by_tenant),
+        [BURST] * len(demands_by_tenant),
+        [0.0] * len(demands_by_tenant),
+    )
     within = beyond = offered = 0
     for number, (at_s, tenant) in enumerate(arrivals):
         refill = RATE * (at_s - refilled_at_s[tenant])
@@ -66,9 +72,7 @@
 
 @pytest.mark.parametrize(("gateways", "least"), [(6, 0.85), (30, 0.5), (200, 0.45)])
 @pytest.mark.parametrize("cost", [0.5, 1.3, 2.0])
-def test_use_within_and_beyond_quotas_is_bounded(
-    gateways: int, least: float, cost: float
-) -> None:
+def test_use_within_and_beyond_quotas_is_bounded(gateways: int, least: float, cost: float) -> None:
     """Guards against shares that are too small for any request.
 
     Each of 200 gateways had a share of a few hundredths of a unit, and together they served 0.03 of the
@@ -119,7 +123,11 @@
 
 def test_admission_probability_falls_with_overage_cost() -> None:
     probabilities = [overdraft_chance(cost, OVERAGE_PRICE) for cost in (0.0, 0.1, 0.5, 1.0, 2.0, 8.0)]
-    assert probabilities[0] == 1.0 and probabilities == sorted(probabilities, reverse=True) and 0.2 < probabilities[-1] < 0.3
+    assert (
+        probabilities[0] == 1.0
+        and probabilities == sorted(probabilities, reverse=True)
+        and 0.2 < probabilities[-1] < 0.3
+    )
 
 
 def test_gateway_with_fleet_view_is_not_uninformed() -> None:
--- a/tests/decide/test_late_use_reports.py
+++ b/tests/decide/test_late_use_reports.py
@@ -116,12 +116,14 @@
         self.forwarded = 0.0  # units that the other gateway forwarded, without an answer or with a grant
 
     def request_unit(self, after: float, forwarded: float = 0.0) -> float:
-        """Makes the other gateway request a unit `after` seconds later; returns the tokens before the grant."""
+        """Makes the other gateway request a unit after `after` s; returns the tokens before the grant."""
         self.now += int(after * SECOND)
         self.forwarded += forwarded
         age = (self.now - 100 * SECOND) * 10 // SECOND
         request = QuotaMessage(QuotaMessageKind.REQUEST, 12, 0, 1.0, 5, age, round(4 * self.forwarded))
-        _, _, answers = self.quota.receive_quota_message(self.now, PeerMessage(1, pack_quota_message(request)))
+        _, _, answers = self.quota.receive_quota_message(
+            self.now, PeerMessage(1, pack_quota_message(request))
+        )
         assert len(answers) == 1
         granted = self.account.owner_record.unsettled_grants[1][1] == self.now
         self.forwarded += granted
@@ -132,7 +134,9 @@
     owner = OwnerWithGateway()
     assert owner.request_unit(1.0) == 6.0
     assert owner.request_unit(10.0, forwarded=9.0) == 6.0, "the bucket was full for most of the ten seconds"
-    assert owner.request_unit(5.0, forwarded=20.0) == pytest.approx(0.0, abs=0.01), "both gateways spent it, without debt"
+    assert owner.request_unit(5.0, forwarded=20.0) == pytest.approx(0.0, abs=0.01), (
+        "both gateways spent it, without debt"
+    )
 
 
 def test_owner_deducts_ungranted_use_of_responsive_gateway() -> None:
--- a/tests/decide/test_limits_follow_membership.py
+++ b/tests/decide/test_limits_follow_membership.py
@@ -64,15 +64,18 @@
     quota.change_fleet(START, view(6))
     receive_empty_totals(quota, START, *range(11, 16))
     tenant_of_two, tenant_of_all = quota.account(START, 1, 0, 2, 0), quota.account(START, 2, 0, 6, 0)
-    assert (quota.static_shares.share(START, tenant_of_two), quota.static_shares.share(START, tenant_of_all)) == pytest.approx(
-        (0.5, 1 / 6), abs=0.01
-    )
+    assert (
+        quota.static_shares.share(START, tenant_of_two),
+        quota.static_shares.share(START, tenant_of_all),
+    ) == pytest.approx((0.5, 1 / 6), abs=0.01)
     assert quota.local_share(START, tenant_of_two) == quota.local_share(START, tenant_of_all) == 1.0
     # Half of the fleet becomes unresponsive. The other gateway of `tenant_of_two` still responds, so its full
     # limit stays here; of `tenant_of_all` only half stays.
     later = START + UNRESPONSIVE_NS
     receive_empty_totals(quota, later, 11, 12)
-    assert quota.local_share(later, tenant_of_two) == 1.0 and quota.local_share(later, tenant_of_all) == pytest.approx(0.5, abs=0.01)
+    assert quota.local_share(later, tenant_of_two) == 1.0 and quota.local_share(
+        later, tenant_of_all
+    ) == pytest.approx(0.5, abs=0.01)
 
 
 def test_gateway_without_valid_slots_rejects_limited_requests() -> None:
@@ -116,7 +119,9 @@
     assert set(before) == set(range(10, 22))
     quota.change_fleet(START, view(12, gone=(5,)))
     moved = [
-        (old_owner, quota.owner_of(a)) for old_owner, a in zip(before, accounts, strict=True) if quota.owner_of(a) != old_owner
+        (old_owner, quota.owner_of(a))
+        for old_owner, a in zip(before, accounts, strict=True)
+        if quota.owner_of(a) != old_owner
     ]
     assert {old_owner for old_owner, _ in moved} == {15} and len({owner for _, owner in moved}) > 5
     slow = view(12, quota_owners=tuple(n for n in range(10, 22) if n != 13))
@@ -156,7 +161,10 @@
 
 def test_new_owner_takes_over_former_bucket_once() -> None:
     quota, gateway_index = quota_of_tenant_7()
-    quota.change_fleet(START, view(12, gateway_index, quota_owners=tuple(n for n in range(10, 22) if n != 10 + gateway_index)))
+    quota.change_fleet(
+        START,
+        view(12, gateway_index, quota_owners=tuple(n for n in range(10, 22) if n != 10 + gateway_index)),
+    )
     account = quota.account(START, 7, 0)
     assert not quota.is_local(account)
     quota.change_fleet(START, view(12, gateway_index))
@@ -171,7 +179,9 @@
     message = unpack_quota_message(answer.data)
     assert message is not None and message.kind == QuotaMessageKind.GRANT
     # The bucket of another former owner, in another part of a partitioned fleet, is added as well.
-    quota.receive_quota_message(START, unit_request(START, quota, sender=13, tokens=4.0, tokens_reported_by=98))
+    quota.receive_quota_message(
+        START, unit_request(START, quota, sender=13, tokens=4.0, tokens_reported_by=98)
+    )
     assert account.tokens == pytest.approx(3.0 + 4.0 - 1.0)
 
 
@@ -185,7 +195,11 @@
         _, action = quota.query(START + age, account, 1.0, QuotaMessageKind.REQUEST)
         assert isinstance(action, SendToPeers)
         message = unpack_quota_message(action.data)
-        assert message is not None and (message.first_gateway, message.gateway_span, message.tokens_reported_by) == (
+        assert message is not None and (
+            message.first_gateway,
+            message.gateway_span,
+            message.tokens_reported_by,
+        ) == (
             3,
             2,
             tokens_reported_by,
--- a/tests/decide/test_many_gateways.py
+++ b/tests/decide/test_many_gateways.py
@@ -50,7 +50,9 @@
 
     def start(self, gateway_index: int, now: int) -> Broker:
         broker = Broker(settings(gateway_index=gateway_index, **self.changes), gateway_index + 7, now)
-        self.apply(now, gateway_index, broker.handle(now, full_list(*self.backends, kind=EndpointUpdateKind.CACHED)))
+        self.apply(
+            now, gateway_index, broker.handle(now, full_list(*self.backends, kind=EndpointUpdateKind.CACHED))
+        )
         return broker
 
     def deliver(self, now: int, gateway_index: int, event: Event) -> None:
@@ -76,7 +78,9 @@
             self.deliver(now, gateway_index, CounterAnswered(0, Outcome.TIMEOUT, call.key, 0.0))
             return
         self.counter_values[call.key] = self.counter_values.get(call.key, 0.0) + call.amount
-        self.deliver(now, gateway_index, CounterAnswered(0, Outcome.OK, call.key, self.counter_values[call.key]))
+        self.deliver(
+            now, gateway_index, CounterAnswered(0, Outcome.OK, call.key, self.counter_values[call.key])
+        )
 
     def flood(self, seconds: float, per_s: int, start: int = 0, **changes: Any) -> None:
         """Sends one tenant's requests through random gateways; each attempt is answered at once."""
@@ -148,13 +152,20 @@
 def test_attempt_counted_for_disconnected_client_is_released() -> None:
     broker = Broker(
         settings(
-            gateway_count=MANY_GATEWAYS, may_gossip=False, has_shared_counter=True, plans=(plan(concurrency_limit=3),)
+            gateway_count=MANY_GATEWAYS,
+            may_gossip=False,
+            has_shared_counter=True,
+            plans=(plan(concurrency_limit=3),),
         ),
         7,
         0,
     )
     broker.handle(0, full_list(backend(1)))
-    (call,) = [a for a in broker.handle(MS, arrival(1, MS, gateway_span=MANY_GATEWAYS)) if isinstance(a, AddToCounter)]
+    (call,) = [
+        a
+        for a in broker.handle(MS, arrival(1, MS, gateway_span=MANY_GATEWAYS))
+        if isinstance(a, AddToCounter)
+    ]
     broker.requests.open_requests.pop(1)
     actions = broker.handle(2 * MS, CounterAnswered(MS, Outcome.OK, call.key, call.amount))
     assert [a.amount for a in actions if isinstance(a, AddToCounter) and a.amount == -UNITS_PER_ATTEMPT] == [
@@ -165,13 +176,20 @@
 def test_lost_release_is_repeated() -> None:
     broker = Broker(
         settings(
-            gateway_count=MANY_GATEWAYS, may_gossip=False, has_shared_counter=True, plans=(plan(concurrency_limit=3),)
+            gateway_count=MANY_GATEWAYS,
+            may_gossip=False,
+            has_shared_counter=True,
+            plans=(plan(concurrency_limit=3),),
         ),
         7,
         0,
     )
     broker.handle(0, full_list(backend(1)))
-    (call,) = [a for a in broker.handle(MS, arrival(1, MS, gateway_span=MANY_GATEWAYS)) if isinstance(a, AddToCounter)]
+    (call,) = [
+        a
+        for a in broker.handle(MS, arrival(1, MS, gateway_span=MANY_GATEWAYS))
+        if isinstance(a, AddToCounter)
+    ]
     broker.handle(2 * MS, CounterAnswered(MS, Outcome.OK, call.key, call.amount))
     (release,) = [a for a in broker.handle(3 * MS, ended(1, 1)) if isinstance(a, AddToCounter)]
     broker.handle(4 * MS, CounterAnswered(MS, Outcome.REJECTED, release.key, 0.0))
@@ -198,7 +216,10 @@
             fleet.gateways[gateway_index] = fleet.start(gateway_index, second * SECOND + SECOND)
     balance, at = HARD_LIMITED.hard_limit_burst_units, 0
     for now, _ in fleet.sent:
-        balance, at = min(HARD_LIMITED.hard_limit_burst_units, balance + 20.0 * (now - at) / SECOND) - 1.0, now
+        balance, at = (
+            min(HARD_LIMITED.hard_limit_burst_units, balance + 20.0 * (now - at) / SECOND) - 1.0,
+            now,
+        )
         assert balance >= -HARD_LIMITED.hard_limit_slack_units
     assert fleet.sent
 
@@ -216,7 +237,9 @@
 def test_unresponsive_owner_delays_requests_only_shortly() -> None:
     broker = Broker(settings(gateway_count=MANY_GATEWAYS, peer_messages_per_s=40.0), 7, 0)
     broker.handle(0, full_list(backend(1)))
-    first_actions = [a for i in range(5) for a in broker.handle(MS, arrival(i, MS, customer=i, gateway_span=MANY_GATEWAYS))]
+    first_actions = [
+        a for i in range(5) for a in broker.handle(MS, arrival(i, MS, customer=i, gateway_span=MANY_GATEWAYS))
+    ]
     queued = len(broker.admission.queued)
     assert queued == sum(isinstance(a, SendToPeers) for a in first_actions) > 0
     after = broker.handle(MS + ANSWER_TIMEOUT_NS, TimerFired(TICK_TIMER))
@@ -238,7 +261,11 @@
         now = MS + i * 2 * MS
         gateway_index = i % MANY_GATEWAYS
         before = len(fleet.sent)
-        fleet.deliver(now, gateway_index, arrival(i, now, customer=gateway_index, gateway_span=1, first_gateway=gateway_index))
+        fleet.deliver(
+            now,
+            gateway_index,
+            arrival(i, now, customer=gateway_index, gateway_span=1, first_gateway=gateway_index),
+        )
         for _, attempt in fleet.sent[before:]:
             fleet.deliver(now + MS, gateway_index, ended(attempt.request, attempt.backend))
     relative_load = sum(attempt.backend == 99 for _, attempt in fleet.sent) / (len(fleet.sent) / 9)
@@ -277,7 +304,9 @@
     (second,) = [a for a in again if isinstance(a, StartAttempt)]
     assert 0 < second.timeout_ns < SECOND
     assert second.backend != first.backend
-    (non_idempotent,) = [a for a in broker.handle(SECOND, arrival(2, SECOND, UNSAFE)) if isinstance(a, StartAttempt)]
+    (non_idempotent,) = [
+        a for a in broker.handle(SECOND, arrival(2, SECOND, UNSAFE)) if isinstance(a, StartAttempt)
+    ]
     assert non_idempotent.timeout_ns == 0
 
 
@@ -287,7 +316,9 @@
     Without any answer, requests of a tenant with many requests here are admitted less often."""
     admitted_counts = []
     for requests in (1, 20):
-        broker = Broker(settings(gateway_count=MANY_GATEWAYS, may_gossip=False, has_shared_counter=True), 7, 0)
+        broker = Broker(
+            settings(gateway_count=MANY_GATEWAYS, may_gossip=False, has_shared_counter=True), 7, 0
+        )
         admitted = 0
         for tenant in range(200):
             account = broker.quota.account(0, tenant, 0, MANY_GATEWAYS, 0)
@@ -304,7 +335,11 @@
     broker = Broker(settings(gateway_count=MANY_GATEWAYS, may_gossip=False, has_shared_counter=True), 7, 0)
     broker.handle(0, full_list(backend(1)))
     broker.quota.counter_call_rate = 0.5
-    calls = [a for i in range(20) for a in broker.handle(MS, arrival(i, MS, customer=i, gateway_span=MANY_GATEWAYS))]
+    calls = [
+        a
+        for i in range(20)
+        for a in broker.handle(MS, arrival(i, MS, customer=i, gateway_span=MANY_GATEWAYS))
+    ]
     amounts = {a.amount for a in calls if isinstance(a, AddToCounter)}
     assert amounts == {2.0}
 
@@ -318,7 +353,9 @@
 
 def test_malformed_messages_to_owner_are_ignored() -> None:
     for gateway_index in range(3):
-        broker = Broker(settings(gateway_count=MANY_GATEWAYS, peer_messages_per_s=1.0, gateway_index=gateway_index), 7, 0)
+        broker = Broker(
+            settings(gateway_count=MANY_GATEWAYS, peer_messages_per_s=1.0, gateway_index=gateway_index), 7, 0
+        )
         for data in malformed_messages():
             assert not any(isinstance(a, StartAttempt) for a in broker.handle(MS, PeerMessage(5000, data)))
 
@@ -328,7 +365,9 @@
     assert unpack_quota_message(pack_quota_message(request)) == request
 
 
-@pytest.mark.parametrize(("gateway_span", "first"), [(0, 0), (MANY_GATEWAYS + 50, 3), (1, 17), (3, MANY_GATEWAYS - 1), (-4, -9)])
+@pytest.mark.parametrize(
+    ("gateway_span", "first"), [(0, 0), (MANY_GATEWAYS + 50, 3), (1, 17), (3, MANY_GATEWAYS - 1), (-4, -9)]
+)
 def test_invalid_gateway_spans_do_not_lift_quota(gateway_span: int, first: int) -> None:
     broker = Broker(settings(gateway_count=MANY_GATEWAYS, may_gossip=False), 7, 0)
     broker.handle(0, full_list(backend(1)))
@@ -387,7 +426,9 @@
     """Returns the owner's answer to gateway 5, which has `forwarded` quarter units in all."""
     request = QuotaMessage(kind, OWNED_TENANT, 0, units, 9, 0, forwarded)
     messages = [
-        a for a in owner.handle(now, PeerMessage(5, pack_quota_message(request))) if isinstance(a, SendToPeers)
+        a
+        for a in owner.handle(now, PeerMessage(5, pack_quota_message(request)))
+        if isinstance(a, SendToPeers)
     ]
     if kind is QuotaMessageKind.SPENT:
         return kind
@@ -403,7 +444,10 @@
     """Returns the owner of a tenant with a bucket of 20 units that is hardly refilled."""
     return Broker(
         settings(
-            gateway_count=MANY_GATEWAYS, peer_messages_per_s=1.0, gateway_index=1, plans=(plan(rate_per_s=0.001),)
+            gateway_count=MANY_GATEWAYS,
+            peer_messages_per_s=1.0,
+            gateway_index=1,
+            plans=(plan(rate_per_s=0.001),),
         ),
         7,
         0,
@@ -415,9 +459,9 @@
     assert answer_to_request(owner, 0, 1.0, 0) is QuotaMessageKind.GRANT
     # 16 more units were forwarded without an answer while answers were lost. Of the 20 units, 1 + 16 are
     # used, so 3 are left.
-    assert [answer_to_request(owner, i, 1.0, 4 * (17 + i)) for i in range(4)] == [QuotaMessageKind.GRANT] * 3 + [
-        QuotaMessageKind.DENY
-    ]
+    assert [answer_to_request(owner, i, 1.0, 4 * (17 + i)) for i in range(4)] == [
+        QuotaMessageKind.GRANT
+    ] * 3 + [QuotaMessageKind.DENY]
 
 
 def test_grant_with_lost_answer_is_counted_once() -> None:
@@ -425,9 +469,9 @@
     assert all(
         answer_to_request(owner, i, 1.0, 0) is QuotaMessageKind.GRANT for i in range(10)
     )  # the answers are lost, and the gateway forwards the 10 units without them
-    assert [answer_to_request(owner, 20 + i, 1.0, 4 * (10 + i)) for i in range(11)] == [QuotaMessageKind.GRANT] * 10 + [
-        QuotaMessageKind.DENY
-    ]
+    assert [answer_to_request(owner, 20 + i, 1.0, 4 * (10 + i)) for i in range(11)] == [
+        QuotaMessageKind.GRANT
+    ] * 10 + [QuotaMessageKind.DENY]
 
 
 def test_unused_grant_returns_to_bucket() -> None:
@@ -461,7 +505,11 @@
     With 40 gateways, owners of tenants far over their quota got more queries than a gateway accepts. They
     left half of them unanswered, including those of other tenants."""
     broker = Broker(
-        settings(gateway_count=MANY_GATEWAYS, peer_messages_per_s=1.0, plans=(plan(rate_per_s=2.0, burst_units=4.0),)),
+        settings(
+            gateway_count=MANY_GATEWAYS,
+            peer_messages_per_s=1.0,
+            plans=(plan(rate_per_s=2.0, burst_units=4.0),),
+        ),
         3,
         0,
     )
@@ -475,9 +523,13 @@
     query = unpack_quota_message(next(a for a in first if isinstance(a, SendToPeers)).data)
     assert query is not None
     answer = pack_quota_message(QuotaMessage(QuotaMessageKind.DENY, tenant, 0, 0.0, query.query, 0))
-    assert [type(a) for a in broker.handle(SECOND + 20 * MS, PeerMessage(OWNED_TENANT % MANY_GATEWAYS, answer))] == [Reject]
+    assert [
+        type(a) for a in broker.handle(SECOND + 20 * MS, PeerMessage(OWNED_TENANT % MANY_GATEWAYS, answer))
+    ] == [Reject]
     assert [type(a) for a in send_request(2, SECOND + 200 * MS)] == [Reject]  # at most 0.36 units
-    assert [type(a) for a in send_request(3, SECOND + 600 * MS)] == [SendToPeers]  # a unit may be available again
+    assert [type(a) for a in send_request(3, SECOND + 600 * MS)] == [
+        SendToPeers
+    ]  # a unit may be available again
 
 
 def _lowest_hard_limit_balance(pays_overage: bool) -> float:
@@ -494,14 +546,21 @@
     balance, lowest, at = 16.0, 16.0, 0
     for start_number in range(6):
         owner = Broker(
-            settings(gateway_count=MANY_GATEWAYS, peer_messages_per_s=1.0, plans=(limits,), gateway_index=OWNED_TENANT),
+            settings(
+                gateway_count=MANY_GATEWAYS,
+                peer_messages_per_s=1.0,
+                plans=(limits,),
+                gateway_index=OWNED_TENANT,
+            ),
             start_number,
             at,
         )
         for _ in range(50):
             at += 20 * MS
             balance = min(16.0, balance + 6.0 * 0.02)
-            request = pack_quota_message(QuotaMessage(QuotaMessageKind.REQUEST, OWNED_TENANT, 0, 1.0, at // MS, 0))
+            request = pack_quota_message(
+                QuotaMessage(QuotaMessageKind.REQUEST, OWNED_TENANT, 0, 1.0, at // MS, 0)
+            )
             messages = [a for a in owner.handle(at, PeerMessage(5, request)) if isinstance(a, SendToPeers)]
             answer = unpack_quota_message(messages[0].data)
             balance -= answer is not None and answer.kind == QuotaMessageKind.GRANT
--- a/tests/decide/test_model.py
+++ b/tests/decide/test_model.py
@@ -50,7 +50,10 @@
 
 
 def test_higher_latency_lowers_limit() -> None:
-    moderate, severe = loaded_model(500 * MS, 20).concurrency_limit, loaded_model(900 * MS, 20).concurrency_limit
+    moderate, severe = (
+        loaded_model(500 * MS, 20).concurrency_limit,
+        loaded_model(900 * MS, 20).concurrency_limit,
+    )
     assert moderate is not None and severe is not None
     assert severe < moderate
 
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -261,8 +261,7 @@
         return actions + self.admission.release(now, request)
 
     def _retry_or_finish(self, now: int, request: OpenRequest) -> list[Action]:
-        """Starts another attempt if class, deadline and retry budget allow it; else gives the final answer.
-        """
+        """Starts another attempt if class, deadline and budget allow it; else gives the final answer."""
         if self.retry_policy.may_retry(request):
             attempt = self.requests.start_attempt(now, request)
             if attempt is not None:
--- a/trackspread/decide/concurrency_model.py
+++ b/trackspread/decide/concurrency_model.py
@@ -120,8 +120,7 @@
         self.concurrency_limit = max(2, within - 1)  # level 0 is counted, too
 
     def headroom_ns(self, request_class: int) -> float:
-        """Returns how long a request of the class may wait: its latency objective less the shortest latency.
-        """
+        """Returns how long a request of the class may wait: its objective less the shortest latency."""
         objective_ns = self.latency_objectives_ns[request_class]
         return max(objective_ns - self.shortest_ns[request_class], objective_ns * MIN_HEADROOM)
 
--- a/trackspread/decide/load_balancer.py
+++ b/trackspread/decide/load_balancer.py
@@ -130,8 +130,7 @@
     def attempt_ended(
         self, now: int, event: AttemptEnded, class_and_plan: ClassAndPlan, relative_latency: float
     ) -> None:
-        """Records the end of an attempt; `relative_latency` is its latency divided by the mean of its class.
-        """
+        """Records the end of an attempt; `relative_latency` is its latency divided by its class's mean."""
         state = self.backends.get(event.backend)
         if state is None:
             return
--- a/trackspread/decide/load_shedding.py
+++ b/trackspread/decide/load_shedding.py
@@ -67,8 +67,7 @@
         return counted >= limit * (LOWEST_PRIORITY_LIMIT + part)
 
     def log_line(self, now: int, in_flight: int) -> str | None:
-        """Returns a log line while requests may be shed, at most once per `LOG_INTERVAL_NS`; otherwise None.
-        """
+        """Returns a log line while requests may be shed, at most one per `LOG_INTERVAL_NS`, or None."""
         limit = self._model.concurrency_limit
         if limit is None or in_flight < LOWEST_PRIORITY_LIMIT * limit:
             return None
--- a/trackspread/decide/outlier_ejection.py
+++ b/trackspread/decide/outlier_ejection.py
@@ -49,8 +49,7 @@
         class_and_plan: ClassAndPlan,
         relative_latency: float,
     ) -> None:
-        """Records how an attempt ended; `relative_latency` is its latency divided by the mean of its class.
-        """
+        """Records how an attempt ended; `relative_latency` is its latency divided by its class's mean."""
         outcome = event.outcome
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
             unanswered = 1.0 if outcome is Outcome.TIMEOUT else 0.0
--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -147,8 +147,7 @@
 
 
 def pack_usage_totals(incarnation: int, age_tenths_s: int, totals: Iterable[tuple[int, int, int]]) -> bytes:
-    """Encodes tenant, running total in quarter units and attempts in flight of at most `MAX_TOTALS` tenants.
-    """
+    """Encodes number, total in quarter units and attempts in flight of at most `MAX_TOTALS` tenants."""
     header = _TOTALS_HEADER.pack(incarnation, _u16(age_tenths_s))
     return header + b"".join(
         _TOTAL.pack(tenant, forwarded & MAX_U16, min(MAX_TOTAL_IN_FLIGHT, in_flight))
--- a/trackspread/decide/quota/capacity.py
+++ b/trackspread/decide/quota/capacity.py
@@ -20,8 +20,7 @@
 
 
 def exceeded_limit(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> str:
-    """Returns the limit that rejects a request of this many units, as named in the interface for operators.
-    """
+    """Returns the limit that rejects a request of this many units, by its name for operators."""
     if sharing.state.static_shares.is_isolated(now):
         return "fleet"
     if account.plan.hard_limit_per_s and account.hard_limit_tokens < units:
--- a/trackspread/decide/quota/concurrency_limit.py
+++ b/trackspread/decide/quota/concurrency_limit.py
@@ -46,7 +46,6 @@
 
 
 def has_free_leased_attempt(now: int, account: TenantAccount) -> bool:
-    """Returns whether one more attempt is within the part of the limit that the host leases to this gateway.
-    """
+    """Returns whether one more attempt is within the part of the limit that is leased to this gateway."""
     limit = int(account.plan.concurrency_limit * account.lease.concurrency_share + LEASE_TOLERANCE)
     return account.in_flight + (attempts_elsewhere(now, account) or 0) < limit
--- a/trackspread/decide/quota/gossip_sharing.py
+++ b/trackspread/decide/quota/gossip_sharing.py
@@ -58,8 +58,7 @@
     def count_overflow(
         self, account: TenantAccount, share: float, elapsed_s: float, before: float, limit: float
     ) -> None:
-        """Counts lost refill while a part is reserved for unresponsive peers, because they may have used it.
-        """
+        """Counts lost refill while a part is reserved for unresponsive peers, as they may have used it."""
         if share < 1.0:
             account.overflow_units += account.plan.rate_per_s * elapsed_s - (account.tokens - before)
 
--- a/trackspread/decide/quota/owner_sharing.py
+++ b/trackspread/decide/quota/owner_sharing.py
@@ -15,8 +15,7 @@
 
 
 class OwnerSharing(QuotaSharing):
-    """Shares quotas among gateways that are too many to gossip in time; all of them ask the tenant's owner.
-    """
+    """Shares quotas among gateways that are too many to gossip in time; all ask the tenant's owner."""
 
     has_owned_buckets = True
     static_part_of_hard_limit = 1.0 - hard_limit.OWNER_PART
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -40,8 +40,7 @@
 
 
 class CounterCall(NamedTuple):
-    """Holds a call to the shared counter that has not been answered; `query` is 0 if no request waits for it.
-    """
+    """Holds an unanswered call to the shared counter; `query` is 0 if no request waits for it."""
 
     query: int
     units: float  # without the correction
--- a/trackspread/decide/quota/static_shares.py
+++ b/trackspread/decide/quota/static_shares.py
@@ -96,8 +96,7 @@
         return self.share_of_slots(account, self.own_slots(now))
 
     def share_or_all(self, now: int, account: TenantAccount) -> float:
-        """Returns the share of the slots held here; as the view names all holders, it never defaults to 1.0.
-        """
+        """Returns the share of the slots held here; a view names all holders, so there is no default."""
         return self.share_of_slots(account, self.own_slots(now))
 
     def is_isolated(self, now: int) -> bool:
--- a/trackspread/decide/quota/static_sharing.py
+++ b/trackspread/decide/quota/static_sharing.py
@@ -1,5 +1,4 @@
-"""Shares quotas statically: no peer reports anything, and each gateway stays within its part of every limit.
-"""
+"""Shares quotas statically: no peer reports use, and each gateway stays within its part of every limit."""
 
 from __future__ import annotations
 
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -43,8 +43,7 @@
 
 
 def unavailable_backends(module: Module, now: int) -> int:
-    """Returns the number of listed backends that get no attempts now, because they are draining or ejected.
-    """
+    """Returns the number of listed backends that get no attempts now: those draining or ejected."""
     return sum(_unavailable(broker, now) for broker in brokers(module))
 
 
@@ -55,8 +54,7 @@
 
 
 def quota_units(quota: Quota, tenant: int) -> tuple[float, float]:
-    """Returns the units of the tenant's quota used here so far and its tokens here, for the shared counter.
-    """
+    """Returns the units of the tenant's quota used here and its tokens here, for the shared counter."""
     account = quota.accounts.get(tenant)
     if account is None:
         return 0.0, 0.0
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -81,8 +81,7 @@
 
 
 class AttemptElsewhere(NamedTuple):
-    """Describes an attempt that another process of this gateway has in flight, with names of class and plan.
-    """
+    """Describes an attempt that another process of this gateway has in flight, by class and plan name."""
 
     request: int
     attempt: int
