--- a/tests/fronts/test_client_bounds.py
+++ b/tests/fronts/test_client_bounds.py
@@ -178,9 +178,7 @@
 @pytest.mark.parametrize(
     "sent", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
 )
-def test_client_without_a_complete_command_is_closed(
-    sent: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_client_without_a_complete_command_is_closed(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     assert DEFAULTS.clients.mute_s + clients.TIMEOUT_CHECK_S < 3.0
     operator = Operator(clients=ClientBounds(mute_s=0.02))
     monkeypatch.setattr(clients, "TIMEOUT_CHECK_S", 0.01)
--- a/tests/fronts/test_client_left_process.py
+++ b/tests/fronts/test_client_left_process.py
@@ -142,9 +142,7 @@
 
 @pytest.mark.parametrize("how", HOW)
 @pytest.mark.parametrize("answer", ANSWERS)
-def test_failed_attempt_is_not_retried_after_client_left(
-    tmp_path: Path, answer: str, how: str
-) -> None:
+def test_failed_attempt_is_not_retried_after_client_left(tmp_path: Path, answer: str, how: str) -> None:
     async def test() -> None:
         async with gateway(tmp_path) as process:
             await open_idle_connections(process, 2)
@@ -175,9 +173,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_nothing_is_written_when_client_left_during_connect(
-    tmp_path: Path, how: str
-) -> None:
+def test_nothing_is_written_when_client_left_during_connect(tmp_path: Path, how: str) -> None:
     """The backend's connection is established in the same turn in which the client's end arrives."""
 
     async def test() -> None:
@@ -242,9 +238,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_held_command_is_dropped_when_client_left(
-    tmp_path: Path, how: str
-) -> None:
+def test_held_command_is_dropped_when_client_left(tmp_path: Path, how: str) -> None:
     """An answer makes place in the pipeline in the same turn in which the client's end arrives."""
 
     async def test() -> None:
@@ -293,11 +287,8 @@
 
 @pytest.mark.parametrize("how", HOW)
 @pytest.mark.parametrize("granted", [True, False], ids=["granted", "no answer"])
-def test_quota_owner_reply_starts_nothing_after_client_left(
-    tmp_path: Path, granted: bool, how: str
-) -> None:
-    """The request waits for the grant of its quota owner, which arrives or times out after the client left.
-    """
+def test_quota_owner_reply_starts_nothing_after_client_left(tmp_path: Path, granted: bool, how: str) -> None:
+    """The request waits for a grant of its quota owner, which arrives or times out after the client left."""
 
     async def test() -> None:
         own, owner = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
@@ -343,9 +334,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_counter_reply_starts_nothing_after_client_left(
-    tmp_path: Path, how: str
-) -> None:
+def test_counter_reply_starts_nothing_after_client_left(tmp_path: Path, how: str) -> None:
     """The request waits for the shared counter, whose answer arrives after the client left."""
 
     async def test() -> None:
--- a/tests/fronts/test_clients.py
+++ b/tests/fronts/test_clients.py
@@ -188,9 +188,7 @@
                 connection, words = await w.backend.command()
                 by_id[words[2]] = connection
             by_id[b"%016x" % 2].send(served(b"two"))
-            await until(
-                lambda: w.node.backends.idle_connections() == 1
-            )  # the second answer was read
+            await until(lambda: w.node.backends.idle_connections() == 1)  # the second answer was read
             by_id[b"%016x" % 1].send(served(b"one"))
             assert [await client.next() for _ in range(3)] == [b"one", b"two", b"PONG"]
 
--- a/tests/fronts/test_endings_clients.py
+++ b/tests/fronts/test_endings_clients.py
@@ -138,9 +138,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_held_commands_are_dropped_when_the_pipeline_frees(
-    how: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_held_commands_are_dropped_when_the_pipeline_frees(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The periodic check for clients that left is switched off: the end is seen before the next command is
     processed.
     """
--- a/tests/fronts/test_long_values.py
+++ b/tests/fronts/test_long_values.py
@@ -194,8 +194,7 @@
 
 @pytest.mark.parametrize("misses_beginning", [False, True])
 def test_no_retry_after_an_answer_has_begun(misses_beginning: bool) -> None:
-    """`misses_beginning` plants the fault: a decision module that is not notified of the beginning retries.
-    """
+    """`misses_beginning` plants the fault: without the notice of the beginning, the module retries."""
     module, now = Broker(settings(max_attempts=4), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     (sent,) = [a for a in module.handle(now, arrival(1, now)) if isinstance(a, StartAttempt)]
--- a/tests/handover/test_handover_process.py
+++ b/tests/handover/test_handover_process.py
@@ -27,7 +27,7 @@
     served,
     soon,
 )
-from ..control.test_control import CHECK, STATS, asked, figures, status
+from ..control.test_control import CHECK, STATS, exchange, counters, status
 from .test_handover import home
 
 pytestmark = pytest.mark.processes
@@ -63,7 +63,7 @@
             # An id that is open at the old process is open at the new one.
             midway.send(call("charge", 1, body=b"b"))
             assert "is open" in str(await midway.next())
-            assert (await figures(new_door))["served.look up"] == 3
+            assert (await counters(new_door))["served.look up"] == 3
             second.send(served(b"two"))
             owed.send(served(b"one"))
             assert [await busy.next(), await busy.next()] == [b"one", b"two"]
@@ -72,7 +72,7 @@
             connection.send(served(b"six"))
             assert await busy.next() == b"six"
             assert await soon(old.wait()) == 0  # left by itself, as nothing is owed there any more
-            assert (await figures(new_door))["served.look up"] == 4 and new.returncode is None
+            assert (await counters(new_door))["served.look up"] == 4 and new.returncode is None
 
     run(test)
 
@@ -143,7 +143,7 @@
             connection.send(served(b"v"))
             assert await client.next() == b"v"
             assert await soon(old.wait()) == 0
-            assert (await figures(new_door))["served.look up"] == 1
+            assert (await counters(new_door))["served.look up"] == 1
 
     run(test)
 
@@ -189,9 +189,9 @@
             h.agent.tell(changed)
             new, new_door = await starting
             new.send_signal(signal.SIGHUP)
-            while (await figures(new_door))["reloads_ok"] < 1:
+            while (await counters(new_door))["reloads_ok"] < 1:
                 await asyncio.sleep(0.01)
-            assert (await figures(new_door))["backends_excluded"] == 1
+            assert (await counters(new_door))["backends_excluded"] == 1
             client.send(call("submit", 3, body=b"b").replace(b"c=submit", b"c=fresh!"))  # of the same length
             connection, words = await second.command()
             assert words[2] == b"%016x" % 3
@@ -200,6 +200,6 @@
             # What the old process holds goes on by the class that it came with, whatever its place is now.
             owed.abort()
             assert "failed" in str(await busy.next())
-            assert "router.served.fresh!=1" in (await asked(new_door, STATS)).decode()
+            assert "router.served.fresh!=1" in (await exchange(new_door, STATS)).decode()
 
     run(test)
--- a/tests/lists/test_discovery_polls.py
+++ b/tests/lists/test_discovery_polls.py
@@ -67,8 +67,7 @@
 @pytest.mark.parametrize("gateways", [1, 4, 200])
 @pytest.mark.parametrize("grace", [0.25, 1.0, 2.0])
 def test_next_watch_opens_within_a_drains_grace_time(gateways: int, grace: float) -> None:
-    """Changes at an agent that pushes count as notified while no watch is open, however often watches broke.
-    """
+    """Pushed changes count as notified while no watch is open, however often watches broke before."""
     timing = PollTiming(gateways, random.Random(1), grace)
     waits = [timing.next_wait_s(False) for _ in range(500)]
     assert MIN_WAIT_S / 2 <= max(waits) <= GRACE_FRACTION * grace
@@ -76,9 +75,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 4, 25, 200, 10_000])
 @pytest.mark.parametrize("grace", [0.25, 1.0, 10.0])
-def test_next_call_is_answered_before_a_change_is_due(
-    gateways: int, grace: float
-) -> None:
+def test_next_call_is_answered_before_a_change_is_due(gateways: int, grace: float) -> None:
     """This holds for any end of the call before: the wait leaves a second for the call, and a silence is part
     of the wait.
     """
--- a/tests/lists/test_lists.py
+++ b/tests/lists/test_lists.py
@@ -243,11 +243,8 @@
 
 
 @pytest.mark.parametrize("how", ["moved", "late", "closed"])
-def test_cancelled_connect_leaves_no_watch_open(
-    how: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Its connection may still be established, and would stay open at an agent that is not followed any more.
-    """
+def test_cancelled_connect_leaves_no_watch_open(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its connection may still be established, and would stay open at an agent that is not followed."""
     monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.05 if how == "late" else 20.0)
 
     async def test() -> None:
--- a/trackspread/lists/source.py
+++ b/trackspread/lists/source.py
@@ -21,9 +21,7 @@
 
     __slots__ = ("addresses", "is_old", "topology")
 
-    def __init__(
-        self, topology: EndpointUpdate, addresses: dict[int, Address], is_old: bool = False
-    ) -> None:
+    def __init__(self, topology: EndpointUpdate, addresses: dict[int, Address], is_old: bool = False) -> None:
         """Creates an update; `is_old` marks one that discovery may have notified others of long ago.
 
         That is the first update of a call. It counts as notified from that earlier time.
