--- a/tests/cells/test_directory.py
+++ b/tests/cells/test_directory.py
@@ -247,9 +247,7 @@
     entry = next(iter(fleet.directory.entries.values()))
     entry.cell = cell(entry.cell.name, (17, 1, 400), closing=True)
     directory, now = fleet.directory, fleet.now
-    assert directory.tick(now + ROUND_INTERVAL_NS, LIVE) == [], (
-        "the target cell has no view yet"
-    )
+    assert directory.tick(now + ROUND_INTERVAL_NS, LIVE) == [], "the target cell has no view yet"
     fleet.report()
     now += ROUND_INTERVAL_NS
     first = directory.tick(now + ROUND_INTERVAL_NS, LIVE)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -78,9 +78,7 @@
 
 
 @given(
-    st.lists(
-        st.tuples(st.one_of(gossip_updates, st.none()), st.integers(0, GONE_RETENTION_NS)), max_size=25
-    )
+    st.lists(st.tuples(st.one_of(gossip_updates, st.none()), st.integers(0, GONE_RETENTION_NS)), max_size=25)
 )
 def test_cached_present_members_match_the_table_after_changes(
     updates: list[tuple[GossipUpdate | None, int]],
@@ -249,9 +247,7 @@
     """Contact with a seed that knows of the lease extends it, up to the end of the grant."""
     lease = SlotLease()
     assert lease.start_request((1, 0)) and lease.accept(0, 0, (1, 0), 1, 50, 10 * RENEWAL_SPAN_NS)
-    assert (
-        lease.usable_slots(CONTACT_TIMEOUT_NS - 1) == 50 and lease.usable_slots(CONTACT_TIMEOUT_NS) == 0
-    )
+    assert lease.usable_slots(CONTACT_TIMEOUT_NS - 1) == 50 and lease.usable_slots(CONTACT_TIMEOUT_NS) == 0
     lease.extend_contact(RENEWAL_SPAN_NS)
     assert (
         lease.usable_slots(RENEWAL_SPAN_NS + CONTACT_TIMEOUT_NS - 1) == 50
