--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -109,6 +109,7 @@
 
 def test_slot_migration_in_a_cluster_fails_no_call() -> None:
     """Guards against calls that fail, or gateways that lose the counter, while hash slots migrate."""
+
     async def work() -> None:
         cluster = Cluster(3)
         server = CounterServer(cluster.shards, 2, cluster)
@@ -145,6 +146,7 @@
     """Guards against a gateway that uses more than its static share without the counter.
 
     Once the counter is reachable again the gateway must get its former shares back."""
+
     async def work() -> None:
         server = CounterServer([Shard(0)], 2)
         await server.start()
@@ -172,6 +174,7 @@
 
 def test_password_is_read_anew_for_each_connection(tmp_path: Path) -> None:
     """Guards against a connection with a wrong password, and against a changed password that is not read."""
+
     async def work() -> None:
         shard = Shard(0)
         shard.password = b"right"
@@ -285,8 +288,7 @@
         tenant = fleet.clients.population.tenants[0].number
         report = json.loads(await asyncio.to_thread(ask, str(folder / "n1"), tenant))
         assert (
-            report["state"] in ("sound", "doubted", "split", "lost", "rebuilding")
-            and report["replaced"] >= 1
+            report["state"] in ("sound", "doubted", "split", "lost", "rebuilding") and report["replaced"] >= 1
         )
         status = await asyncio.to_thread(main, ["quota", f"{tenant:x}", "--socket", str(folder / "n1")])
         assert status == 0 and "source of truth" in capsys.readouterr().out
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -463,10 +463,7 @@
     broker = _restore_broker(state)
     attempts = _attempts_in_flight(state)
     assert len(attempts) == len(state.decision_state["out"]) == state.backend_descriptors > 0
-    assert (
-        broker.requests.attempts.keys() == attempts.keys()
-        and broker.requests.in_flight == len(attempts)
-    )
+    assert broker.requests.attempts.keys() == attempts.keys() and broker.requests.in_flight == len(attempts)
     written = wire.decode(wire.encode(snapshot.export_state(broker, NAMES, attempts)), dict)
     assert written == state.decision_state
     handover_state = HandoverState(
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -227,13 +227,11 @@
     body = _batch(1, 2)
     valid = signature(body, "s:1-2", b"secret")
     assert is_signature_valid(body, "s:1-2", b"secret", valid)
-    assert (
-        not is_signature_valid(body, "s:1-3", b"secret", valid)
-        and not is_signature_valid(body + b" ", "s:1-2", b"secret", valid)
+    assert not is_signature_valid(body, "s:1-3", b"secret", valid) and not is_signature_valid(
+        body + b" ", "s:1-2", b"secret", valid
     )
-    assert (
-        not is_signature_valid(body, "s:1-2", b"other", valid)
-        and not is_signature_valid(body, "s:1-2", b"secret", "é")
+    assert not is_signature_valid(body, "s:1-2", b"other", valid) and not is_signature_valid(
+        body, "s:1-2", b"secret", "é"
     )
     assert digest(body) == digest(_batch(1, 2))
 
--- a/trackspread/counter/lease_manager.py
+++ b/trackspread/counter/lease_manager.py
@@ -374,12 +374,7 @@
         more_expected = not lease.is_established and self._may_claim(now, partition)
         is_grant_awaited = lease.tenant in self._waiting_tenants and not more_expected
         is_unchanged = _is_unchanged(self._last_shares.get(lease.tenant), shares)
-        if (
-            is_unchanged
-            and not lease.spent_elsewhere_units
-            and lease.tokens is None
-            and not is_grant_awaited
-        ):
+        if is_unchanged and not lease.spent_elsewhere_units and lease.tokens is None and not is_grant_awaited:
             return []
         self._last_shares[lease.tenant] = shares
         if is_grant_awaited:
