--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -187,7 +187,9 @@
             late = await p.client()
             late.send(call())
             await soon(late.writer.drain())
-            await asyncio.sleep(DRAIN_QUIET_S + 0.1)  # the time after which the listener closes passes meanwhile
+            await asyncio.sleep(
+                DRAIN_QUIET_S + 0.1
+            )  # the time after which the listener closes passes meanwhile
             p.process.send_signal(signal.SIGCONT)
             connection, _ = await p.backend.command()
             connection.send(served(b"v"))
