--- a/tests/decide/test_generated_settings.py
+++ b/tests/decide/test_generated_settings.py
@@ -11,7 +11,7 @@
 
 import pytest
 import uvloop
-from hypothesis import HealthCheck, Phase, given
+from hypothesis import HealthCheck, Phase, given, seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
@@ -27,6 +27,8 @@
 SCOPES: tuple[DeduplicationScope, ...] = ("all", "zone", "cell")
 EXAMPLES = 5  # each takes about 8 s
 MIN_SERVED = 0.1  # part of the attempts: the program must serve requests under any settings
+# Hypothesis would derive the seed from the text of the test, so that any rewording changed the examples.
+SEED = 0x4A1B6365521C58DCFE243A4BE76035D1B8D8D102032051C3762FCCA63B7510621DA8BF187874E591AABAA40D471A853C
 MAX_VOID_RUNS = 3  # repetitions of an example while the test machine was too slow
 
 
@@ -108,6 +110,7 @@
         return fleet.verdict()
 
 
+@seed(SEED)
 @hypothesis_settings(
     derandomize=True,
     deadline=None,
