--- a/tests/cells/test_cells_file.py
+++ b/tests/cells/test_cells_file.py
@@ -32,39 +32,55 @@
 @pytest.mark.parametrize(
     "text, expected",
     [
-        ('[fleet]\nregion = "r"', "fleet.name: found nothing, wanted a name: fleet.region is set"),
-        (f"[fleet]\n{control(1)}", "fleet.name: found nothing, wanted a name: fleet.control is set"),
-        (IN_ZONE, "fleet.control: found nothing, wanted control machines: fleet.region or fleet.zone is set"),
+        ('[fleet]\nregion = "r"', "fleet.name: must be a name when fleet.region is set, got nothing"),
+        (f"[fleet]\n{control(1)}", "fleet.name: must be a name when fleet.control is set, got nothing"),
+        (
+            IN_ZONE,
+            "fleet.control: must name control machines when fleet.region or fleet.zone is set, got nothing",
+        ),
         (
             IN_ZONE.replace('listen = "127.0.0.1:7400"', "") + control(1),
-            "fleet.listen: found nothing, wanted host",
+            "fleet.listen: must be host:port when fleet.name is set, got nothing",
+        ),
+        (
+            f'{IN_ZONE}seeds = ["127.0.0.1:1"]\n{control(1)}',
+            "fleet.seeds: must be empty when fleet.control is set, because the control machines are the "
+            "cells' seeds, got 1",
+        ),
+        (
+            IN_ZONE + control(1) + control(1, 2),
+            "fleet.control[1].name: must differ between control machines, got 'c1' twice",
         ),
-        (f'{IN_ZONE}seeds = ["127.0.0.1:1"]\n{control(1)}', "fleet.seeds: found 1, wanted none: the control"),
-        (IN_ZONE + control(1) + control(1, 2), "fleet.control[1].name: found 'c1' twice, wanted once each"),
         (
             IN_ZONE + control(1) + control(2, 1),
-            "fleet.control[1].address: found '127.0.0.1:1' twice, wanted once each",
+            "fleet.control[1].address: must differ between control machines, got '127.0.0.1:1' twice",
+        ),
+        (IN_ZONE + control(1, 0), "fleet.control[0].address: must have a port from 1 to 65535, got port 0"),
+        (
+            IN_ZONE + control(1).replace("127.0.0.1", "0.0.0.0"),
+            "must be an address that others can reach, got '0.0.0.0:1'",
         ),
-        (IN_ZONE + control(1, 0), "fleet.control[0].address: found port 0, wanted 1 to 65535"),
-        (IN_ZONE + control(1).replace("127.0.0.1", "0.0.0.0"), "wanted an address that others can reach"),
         (
             IN_ZONE + control(1).replace("127.0.0.1", "control"),
-            "wanted an address and a port, as 127.0.0.1:7500",
+            "must be an IP address and a port, such as 127.0.0.1:7500",
         ),
         (
             IN_ZONE + control(1, region=""),
-            "fleet.control[0].region: found nothing, wanted the region that it is in",
+            "fleet.control[0].region: must be the region of the control machine, got nothing",
         ),
         (
             IN_ZONE + control(1, region="s"),
-            "fleet.region: found 'r', wanted one that has control machines: s",
+            "fleet.region: must be a region with control machines (s), got 'r'",
         ),
         (
             IN_ZONE.replace('zone = "z"\n', "") + control(1),
-            "fleet.zone: found nothing, wanted the zone that this",
+            "fleet.zone: must be the zone of this gateway, got nothing",
+        ),
+        (
+            IN_ZONE + control(1, zone="z z"),
+            "fleet.control[0].zone: must be str matching regex '^[A-Za-z0-9_-]{0,24}$', got 'z z'",
         ),
-        (IN_ZONE + control(1, zone="z z"), "fleet.control[0].zone: found 'z z'"),
-        (f"{IN_ZONE}gateways = 1\n{control(1)}", "fleet.gateways: found 1, wanted int >= 2"),
+        (f"{IN_ZONE}gateways = 1\n{control(1)}", "fleet.gateways: must be int >= 2, got 1"),
     ],
 )
 def test_invalid_table_gives_a_one_line_error(text: str, expected: str) -> None:
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -31,27 +31,30 @@
 @pytest.mark.parametrize(
     ("text", "line"),
     [
-        ("pipelin = 3", "pipelin: found an unknown key, wanted one of role, listeners, list, clients"),
-        ("[clients]\npipelin = 3", "clients.pipelin: found an unknown key, did you mean pipeline?"),
-        ("[clients]\npipeline = 0", "clients.pipeline: found 0, wanted int >= 1"),
-        ("[clients]\npipeline = 4096", "clients.pipeline: found 4096, wanted int <= 1024"),
-        ("[clients]\nidle_s = 'long'", "clients.idle_s: found 'long', wanted float"),
-        ("[clients]\nidle_s = nan", "clients.idle_s: found nan, wanted float >= 0.05"),
-        ("[backends]\ndescriptor_part = true", "backends.descriptor_part: found True, wanted float"),
-        ("role = 'relay'", "role: found 'relay', wanted one of 'gateway'"),
-        ("[log]\nlevel = 'loud'", "log.level: found 'loud', wanted one of 'debug', 'error', 'info'"),
-        ("clients = 3", "clients: found 3, wanted object"),
-        ("[[listeners]]\nprotocol = 'resp'", "listeners[0].address: found nothing, wanted a value"),
-        ("[[listeners]]\naddress = 'here'", "listeners[0].address: found 'here', wanted host:port"),
+        ("pipelin = 3", "pipelin: unknown key; valid keys are role, listeners, list, clients"),
+        ("[clients]\npipelin = 3", "clients.pipelin: unknown key; did you mean pipeline?"),
+        ("[clients]\npipeline = 0", "clients.pipeline: must be int >= 1, got 0"),
+        ("[clients]\npipeline = 4096", "clients.pipeline: must be int <= 1024, got 4096"),
+        ("[clients]\nidle_s = 'long'", "clients.idle_s: must be float, got 'long'"),
+        ("[clients]\nidle_s = nan", "clients.idle_s: must be float >= 0.05, got nan"),
+        ("[backends]\ndescriptor_part = true", "backends.descriptor_part: must be float, got True"),
+        ("role = 'relay'", "role: must be one of 'gateway', got 'relay'"),
+        (
+            "[log]\nlevel = 'loud'",
+            "log.level: must be one of 'debug', 'error', 'info', 'warning', got 'loud'",
+        ),
+        ("clients = 3", "clients: must be object, got 3"),
+        ("[[listeners]]\nprotocol = 'resp'", "listeners[0].address: must be set, got nothing"),
+        ("[[listeners]]\naddress = 'here'", "listeners[0].address: must be host:port, got 'here'"),
         (
             "[[listeners]]\naddress = 'a:1'\nprotocol = 'grpc'",
-            "listeners[0].protocol: found 'grpc', wanted one of 'resp'",
+            "listeners[0].protocol: must be one of 'resp', got 'grpc'",
         ),
         (
             "[[listeners]]\naddress = 'a:1'\n[[listeners]]\naddress = 'a:1'",
-            "listeners[1].address: found 'a:1' twice, wanted once each",
+            "listeners[1].address: must differ between listeners, got 'a:1' twice",
         ),
-        ("[clients", "not TOML: "),
+        ("[clients", "must be valid TOML: "),
     ],
 )
 def test_a_mistake_is_one_line_with_file_key_found_and_wanted(text: str, line: str) -> None:
@@ -78,7 +81,7 @@
     assert capsys.readouterr().out.count(": ok: ") == 2
     listen = json.loads(platform.read_text())["listen"]
     for text, word in (
-        ("[clients]\npipeline = -8", "clients.pipeline: found -8"),
+        ("[clients]\npipeline = -8", "clients.pipeline: must be int >= 1, got -8"),
         (f"[[listeners]]\naddress = '{listen}'", "is already the listen address"),
     ):
         own.write_text(text)
--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -244,14 +244,15 @@
     [
         (
             'servers = ["counter.example:6379"]',
-            "counter.servers[0]: found 'counter.example:6379', wanted an a",
+            "counter.servers[0]: must be an IP address and a port, such as 127.0.0.1:6379, because names are "
+            "not resolved, got 'counter.example:6379'",
         ),
-        ('servers = ["127.0.0.1:0"]', "counter.servers[0]: found port 0"),
-        ('servers = ["127.0.0.1:1", "127.0.0.1:1"]', "counter.servers: found one twice"),
-        ('ca = "x"', "counter.ca: found a file, wanted none or counter.tls = true"),
-        ('user = "x"', "counter.password: found nothing, wanted a file"),
-        ("partitions = 0", "counter.partitions: found 0"),
-        ('prefix = "a b"', "counter.prefix: found 'a b'"),
+        ('servers = ["127.0.0.1:0"]', "counter.servers[0]: must have a port from 1 to 65535, got port 0"),
+        ('servers = ["127.0.0.1:1", "127.0.0.1:1"]', "counter.servers: must not contain a value twice"),
+        ('ca = "x"', "counter.ca: must be empty if counter.tls is false, got a file"),
+        ('user = "x"', "counter.password: must be a file if counter.user is set, got nothing"),
+        ("partitions = 0", "counter.partitions: must be int >= 1, got 0"),
+        ('prefix = "a b"', "counter.prefix: must be str matching regex '^[A-Za-z0-9_.-]{1,32}$', got 'a b'"),
     ],
 )
 def test_invalid_counter_settings_are_reported_in_one_line(text: str, wanted: str) -> None:
--- a/tests/distribution/test_configuration.py
+++ b/tests/distribution/test_configuration.py
@@ -31,18 +31,40 @@
 @pytest.mark.parametrize(
     ("text", "line"),
     [
-        ("listen = '127.0.0.1:1'", "configuration.replicas: found nothing, wanted addresses: "),
-        ("replicas = ['here:1']", "configuration.replicas[0]: found 'here:1', wanted an address and a port"),
-        ("replicas = ['127.0.0.1:0']", "configuration.replicas[0]: found port 0, wanted 1 to 65535"),
-        ("replicas = ['0.0.0.0:1']", "configuration.replicas[0]: found '0.0.0.0:1', wanted an address that"),
-        ("replicas = ['127.0.0.1:1', '127.0.0.1:1']", "configuration.replicas: found one twice, wanted once"),
-        ("replicas = ['127.0.0.1:1']\nnear = ['127.0.0.1:2']", "configuration.near[0]: found '127.0.0.1:2'"),
+        (
+            "listen = '127.0.0.1:1'",
+            "configuration.replicas: must be addresses when configuration.listen is set, got nothing",
+        ),
+        (
+            "replicas = ['here:1']",
+            "configuration.replicas[0]: must be an IP address and a port, such as 127.0.0.1:7600, because "
+            "names are not resolved, got 'here:1'",
+        ),
+        (
+            "replicas = ['127.0.0.1:0']",
+            "configuration.replicas[0]: must have a port from 1 to 65535, got port 0",
+        ),
+        (
+            "replicas = ['0.0.0.0:1']",
+            "configuration.replicas[0]: must be an address that others can reach, got '0.0.0.0:1'",
+        ),
+        (
+            "replicas = ['127.0.0.1:1', '127.0.0.1:1']",
+            "configuration.replicas: must not contain a value twice",
+        ),
+        (
+            "replicas = ['127.0.0.1:1']\nnear = ['127.0.0.1:2']",
+            "configuration.near[0]: must be one of configuration.replicas, got '127.0.0.1:2'",
+        ),
         (
             f"replicas = ['127.0.0.1:1', '127.0.0.1:2']\n{CONTROL}",
-            "configuration.replicas: found 2, wanted 1: one for each of fleet.control",
+            "configuration.replicas: must have one entry for each of fleet.control (1), in its order, got 2",
         ),
-        ("replicas = ['127.0.0.1:1']\nservices = ['a', 'a']", "configuration.services: found one twice"),
-        ("replicas = ['127.0.0.1:1']\nservice = 3", "configuration.service: found an unknown key, did"),
+        (
+            "replicas = ['127.0.0.1:1']\nservices = ['a', 'a']",
+            "configuration.services: must not contain a value twice",
+        ),
+        ("replicas = ['127.0.0.1:1']\nservice = 3", "configuration.service: unknown key; did"),
     ],
 )
 def test_a_mistake_is_one_line_with_file_key_found_and_wanted(text: str, line: str) -> None:
@@ -53,7 +75,10 @@
 
 
 def test_it_wants_the_fleet_s_name_and_is_off_without_replicas() -> None:
-    with pytest.raises(ConfigError, match=r"own.toml: fleet.name: found nothing, wanted a name: conf"):
+    with pytest.raises(
+        ConfigError,
+        match=r"own.toml: fleet.name: must be a name when configuration.replicas is set, got nothing",
+    ):
         parse("[configuration]\nreplicas = ['127.0.0.1:1']", "own.toml")
     assert not DEFAULTS.configuration.listen
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -392,22 +392,35 @@
 @pytest.mark.parametrize(
     "text, expected",
     [
-        ('listen = "127.0.0.1:1"', "fleet.name: found nothing, wanted a name"),
-        ('name = "a b"', "fleet.name: found 'a b'"),
-        ('name = "f"', "fleet.listen: found nothing, wanted host:port"),
-        ('name = "f"\nlisten = "127.0.0.1:1"', "fleet.seeds: found 0, wanted 1 to 9"),
+        ('listen = "127.0.0.1:1"', "fleet.name: must be a name when fleet.listen is set, got nothing"),
+        ('name = "a b"', "fleet.name: must be str matching regex '^[A-Za-z0-9_.-]{0,64}$', got 'a b'"),
+        ('name = "f"', "fleet.listen: must be host:port when fleet.name is set, got nothing"),
+        (
+            'name = "f"\nlisten = "127.0.0.1:1"',
+            "fleet.seeds: must be 1 to 9 addresses, preferably 3 or 5, got 0",
+        ),
         (
             'name = "f"\nlisten = "127.0.0.1:1"\nseeds = ["no.example:1"]',
-            "fleet.seeds[0]: found 'no.example:1'",
+            "fleet.seeds[0]: must be an IP address and a port, such as 127.0.0.1:7400, because names are not "
+            "resolved, got 'no.example:1'",
+        ),
+        (
+            'name = "f"\nlisten = "127.0.0.1:0"\nseeds = ["127.0.0.1:1"]',
+            "fleet.listen: must have a port from 1 to 65535, got port 0",
         ),
-        ('name = "f"\nlisten = "127.0.0.1:0"\nseeds = ["127.0.0.1:1"]', "fleet.listen: found port 0"),
         (
             'name = "f"\nlisten = "0.0.0.0:7"\nseeds = ["127.0.0.1:1"]',
-            "wanted an address that others can reach",
+            "must be an address that others can reach, got '0.0.0.0:7'",
+        ),
+        (
+            'name = "f"\nlisten = "127.0.0.1:1"\nseeds = ["127.0.0.1:1", "127.0.0.1:1"]',
+            "fleet.seeds: must not contain a value twice",
+        ),
+        (
+            'name = "f"\nlisten = "127.0.0.1:1"\nseeds = ["127.0.0.1:1"]\nprevious = "x"',
+            "fleet.key: must be a file when fleet.previous is set, got nothing",
         ),
-        ('name = "f"\nlisten = "127.0.0.1:1"\nseeds = ["127.0.0.1:1", "127.0.0.1:1"]', "found one twice"),
-        ('name = "f"\nlisten = "127.0.0.1:1"\nseeds = ["127.0.0.1:1"]\nprevious = "x"', "fleet.key: found"),
-        ("period_ms = 0", "fleet.period_ms: found 0"),
+        ("period_ms = 0", "fleet.period_ms: must be float >= 50.0, got 0"),
     ],
 )
 def test_invalid_fleet_table_gives_a_one_line_error(text: str, expected: str) -> None:
--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -266,7 +266,7 @@
             own = tmp_path / "own.toml"
             own.write_text("[clients]\npipeline = 'many'")
             p.process.send_signal(signal.SIGHUP)
-            await p.logged(b"own.toml: clients.pipeline: found 'many', wanted int")
+            await p.logged(b"own.toml: clients.pipeline: must be int, got 'many'")
             own.write_text("[backends]\ngrace_part = 0.5\n[clients]\npipeline = 1")
             p.process.send_signal(signal.SIGHUP)
             await p.logged(b"a restart is needed for backends")
--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -140,7 +140,7 @@
         (_broken(limits__maxAttempts="4"), "maxAttempts"),
         (_broken(limits__maxAttempts=float("inf")), "maxAttempts"),
         (_broken(classes=[]), "classes"),
-        (_broken(classes=2 * nested_settings()["classes"]), "a name stands twice"),
+        (_broken(classes=2 * nested_settings()["classes"]), "must not contain a name twice"),
     ],
 )
 def test_unusable_file_is_rejected_entirely(tmp_path: Path, raw: Any, text: str) -> None:
--- a/tests/node/test_services.py
+++ b/tests/node/test_services.py
@@ -449,18 +449,18 @@
     [
         (
             '[services]\nclasses = {a = ["x"], b = ["x"]}',
-            "services.classes.b: found 'x', which is of 'a', wanted each class in one service",
+            "services.classes.b: must not contain a class of another service, got 'x', which belongs to 'a'",
         ),
-        ("[services]\nclasses = {a = []}", "services.classes.a: found nothing, wanted classes of request"),
-        ('[services]\nclasses = {"" = ["x"]}', "services.classes: found one without a name, wanted a name"),
-        ('[services]\ncarries = ["a"]', "services.carries[0]: found 'a', wanted one of services.classes"),
+        ("[services]\nclasses = {a = []}", "services.classes.a: must list request classes, got nothing"),
+        ('[services]\nclasses = {"" = ["x"]}', "services.classes: must name each service, got an empty name"),
+        ('[services]\ncarries = ["a"]', "services.carries[0]: must be one of services.classes, got 'a'"),
         (
             '[services]\ncarries = ["a", "a"]\nclasses = {a = ["x"]}',
-            "services.carries: found one twice, wanted once each",
+            "services.carries: must not contain a value twice",
         ),
         (
             "[services]\nclasses = {" + ", ".join(f'a{n} = ["x{n}"]' for n in range(256)) + "}",
-            "services.carries: found 256 services, wanted 255 at most",
+            "services.carries: must be at most 255 services, got 256",
         ),
     ],
 )
--- a/trackspread/config/__init__.py
+++ b/trackspread/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of a gateway: the platform's, and the operator's file with what this project adds."""
+"""Reads the configuration of a gateway: that of the platform, and the operator's file, which adds to it."""
--- a/trackspread/config/operator.py
+++ b/trackspread/config/operator.py
@@ -1,7 +1,7 @@
-"""The operator's file: this project's additions to the platform's configuration, as a validated schema.
+"""Reads and validates the operator's file, which holds settings that the platform's configuration lacks.
 
-Without the file, or with an empty one, each value is its default. An invalid file gives one line with the
-file, the key, what was found and what is wanted. Only `load` does I/O.
+Without the file, or with an empty one, each value is its default. The error of an invalid file is one line
+that names the file, the key, the valid values and the given value. Only `load` does I/O.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class Operator(Table, frozen=True):
-    """All tables of the file."""
+    """Holds all tables of the file."""
 
     role: Literal["gateway"] = "gateway"
     listeners: tuple[Listener, ...] = ()
@@ -72,7 +72,7 @@
 
 
 DEFAULTS = Operator()
-LIVE = frozenset({"clients", "log"})  # tables that a running gateway reloads
+LIVE = frozenset({"clients", "log"})  # the tables that a running gateway reloads
 
 
 def needs_restart(old: Operator, new: Operator) -> list[str]:
@@ -89,7 +89,7 @@
     try:
         text = path.read_bytes().decode()
     except (OSError, UnicodeDecodeError) as error:
-        reason = (error.strerror if isinstance(error, OSError) else None) or "not UTF-8 text"
+        reason = (error.strerror if isinstance(error, OSError) else None) or "must be UTF-8 text"
         raise ConfigError(f"{path}: {reason}") from None
     return parse(text, str(path))
 
@@ -99,7 +99,7 @@
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ConfigError(f"{file_name}: not TOML: {error}") from None
+        raise ConfigError(f"{file_name}: must be valid TOML: {error}") from None
     try:
         operator = msgspec.convert(raw, Operator, strict=True)
     except msgspec.ValidationError as error:
--- a/trackspread/config/platform.py
+++ b/trackspread/config/platform.py
@@ -1,6 +1,6 @@
-"""The platform's configuration: environment variables and a JSON file as typed values.
+"""Reads the platform's configuration from environment variables and a JSON file into typed values.
 
-The settings of the decision module are parsed as those of the simulator's start message are.
+The settings of the decision module are parsed in the same way as those of the simulator's start message.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 
 LIVE = frozenset({"discovery", "seed", "known", "classes"})  # reloaded, or used at the start only
-LIVE_SETTINGS = frozenset({"classes", "max_attempts"})  # reloaded by a running gateway
+LIVE_SETTINGS = frozenset({"classes", "max_attempts"})  # settings that a running gateway reloads
+JSON_TYPE_NAMES = {dict: "an object", list: "an array", (int, float): "a number"}
 REQUIRED_AT_RELOAD = ("name", "listen", "discovery", "limits", "settings")
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 64
@@ -27,11 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The platform's configuration of one gateway.
+    """Holds the platform's configuration of one gateway.
 
     `sockets` limits the file descriptors and `memory` the bytes. `control` is the address of the admin
-    server, `accept_fd` an inherited listening socket, and `meeting` the folder in which a new process finds
-    an old one, or empty. `known` is an endpoint list from before the start. Time-outs are in nanoseconds.
+    server, `accept_fd` an inherited listening socket, and `handover_folder` the folder in which a new process finds
+    its predecessor, or empty. `known` is an endpoint list from before the start. Time-outs are in
+    nanoseconds.
     """
 
     name: str
@@ -45,7 +47,7 @@
     peers_all: Address | None
     control: Address | None
     accept_fd: int | None
-    meeting: str
+    handover_folder: str
     known: dict[str, Any] | None
     settings: Settings
     classes: tuple[bytes, ...]
@@ -57,7 +59,7 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[str]:
-    """Yields nested settings as the `path=value` lines of the simulator's start message."""
+    """Yields nested settings as `path=value` lines, as in the simulator's start message."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -80,10 +82,10 @@
     return str(value)
 
 
-def _required(table: Any, key: str, kind: type | tuple[type, ...], prefix: str) -> Any:
+def _required(table: Any, key: str, valid_type: type | tuple[type, ...], prefix: str) -> Any:
     value = table.get(key)
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(f"{prefix}{key}: missing or of the wrong type")
+    if not isinstance(value, valid_type) or isinstance(value, bool):
+        raise ConfigError(f"{prefix}{key}: must be {JSON_TYPE_NAMES[valid_type]}, got {value!r:.40}")
     return value
 
 
@@ -91,7 +93,7 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
-        raise ConfigError(f"ROUTER_ACCEPT_FD: {text!r} is no descriptor")
+        raise ConfigError(f"ROUTER_ACCEPT_FD: must be a file descriptor, got {text!r}")
     try:
         os.fstat(int(text))
     except OSError as error:
@@ -106,17 +108,17 @@
 def _name_keys(settings: dict[str, Any], key: str) -> tuple[bytes, ...]:
     names = tuple(str(item.get("name")).encode() for item in _required(settings, key, list, "settings."))
     if len(set(names)) < len(names):
-        raise ConfigError(f"settings.{key}: a name stands twice")
+        raise ConfigError(f"settings.{key}: must not contain a name twice")
     return names
 
 
 def _check_numbers(settings: dict[str, Any]) -> None:
-    """Raises `ConfigError` for strings and booleans that the start message would read as numbers."""
+    """Raises `ConfigError` for strings and booleans that the start message's parser would read as numbers."""
     limits = _required(settings, "limits", dict, "settings.")
     _required(limits, "maxAttempts", (int, float), "settings.limits.")
     for number, entry in enumerate(_required(settings, "classes", list, "settings.")):
         if not isinstance(entry, dict):
-            raise ConfigError(f"settings.classes.{number}: missing or of the wrong type")
+            raise ConfigError(f"settings.classes.{number}: must be an object, got {entry!r:.40}")
         _required(entry, "deadline", (int, float), f"settings.classes.{number}.")
 
 
@@ -138,12 +140,13 @@
 def reload(environment: Mapping[str, str]) -> Config:
     """Returns the current configuration for a running gateway; raises `ConfigError`.
 
-    The file's `discovery` takes precedence over the environment, which is as old as the process.
+    The file's `discovery` takes precedence over the environment, which stays as it was at the process's
+    start.
     """
     raw = _read(environment)
     for key in REQUIRED_AT_RELOAD:
         if key not in raw:
-            raise ConfigError(f"{key}: missing or of the wrong type")
+            raise ConfigError(f"{key}: must be set, got nothing")
     return parse(raw, {key: value for key, value in environment.items() if key != "ROUTER_DISCOVERY"})
 
 
@@ -158,13 +161,13 @@
 def _read(environment: Mapping[str, str]) -> dict[str, Any]:
     path = environment.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigError("ROUTER_CONFIG is not set")
+        raise ConfigError("ROUTER_CONFIG: must be the path of the platform's configuration, got nothing")
     try:
         raw = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
         raise ConfigError(f"ROUTER_CONFIG: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("ROUTER_CONFIG: not a JSON object")
+        raise ConfigError("ROUTER_CONFIG: must name a file with a JSON object")
     return raw
 
 
@@ -197,10 +200,10 @@
         peers=peers,
         peers_all=address(peers_all, "peers_all") if peers_all else None,
         accept_fd=_descriptor(environment.get("ROUTER_ACCEPT_FD")),
-        meeting=environment.get("TMPDIR", "") if environment.get("ROUTER_ACCEPT_FD") else "",
+        handover_folder=environment.get("TMPDIR", "") if environment.get("ROUTER_ACCEPT_FD") else "",
         control=address(control, "control") if control else None,
         known=known if isinstance(known, dict) else None,
-        # The simulator's counter does not exist on real sockets.
+        # The simulator's shared counter does not exist on real sockets.
         settings=replace(
             settings, has_shared_counter=False, may_gossip=settings.may_gossip and bool(peer_listen)
         ),
@@ -230,4 +233,4 @@
             memory=int(raw.get("limits", {}).get("memory_mb", DEFAULT_MEMORY_MB)) << 20,
         )
     except (AttributeError, TypeError, ValueError):
-        raise ConfigError("seed or limits: not a number") from None
+        raise ConfigError("seed, limits.sockets or limits.memory_mb: must be a number") from None
--- a/trackspread/config/roster.py
+++ b/trackspread/config/roster.py
@@ -1,7 +1,7 @@
-"""The numbers of request classes over reloads that add, remove and change classes.
+"""Assigns numbers to request classes across reloads that add, remove and change classes.
 
-A number keeps its meaning while a request uses it: a class that is removed or changed keeps its rules for
-open requests, and its number is reused only when no request has it any more.
+A number refers to the same class while a request uses it. A class that is removed or changed keeps its rules
+for open requests, and its number is reused only when no request uses it any more.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Roster:
-    """Names and rules of request classes by number; `named` are the numbers that clients can use now."""
+    """Holds the names and rules of request classes by number; clients can use the numbers in `named`."""
 
     names: tuple[bytes, ...]
     rules: tuple[RequestClass, ...]
@@ -36,9 +36,9 @@
     def follow(
         self, names: Sequence[bytes], rules: Sequence[RequestClass], in_use: Set[int]
     ) -> tuple[Roster, tuple[int, ...]]:
-        """Returns the roster of another configuration, and the predecessor of each number.
+        """Returns the roster after a reload, and the predecessor of each number.
 
-        `in_use` are the numbers of open requests. A predecessor is the number whose statistics a number
+        `in_use` holds the numbers of open requests. A predecessor is the number whose statistics a number
         continues, or `NO_PREDECESSOR`.
         """
         all_names = list(self.names)
@@ -71,5 +71,5 @@
 
 
 def change(roster: Roster, predecessors: tuple[int, ...], max_attempts: int) -> ClassesChanged:
-    """Returns the event that gives a roster to the decision module."""
+    """Returns the event that passes a roster to the decision module."""
     return ClassesChanged(roster.rules, roster.named, predecessors, max_attempts)
--- a/trackspread/config/service_tables.py
+++ b/trackspread/config/service_tables.py
@@ -1,4 +1,4 @@
-"""Tables for serving requests: listeners, clients, backends, discovery, services and the log."""
+"""Defines the tables for listeners, clients, backends, service discovery, services and the log."""
 
 from __future__ import annotations
 
@@ -9,51 +9,53 @@
 from .addresses import Address, ConfigError, address
 from .table import Fraction, Seconds, Table, check_once_each
 
-MAX_CARRIED_SERVICES = 256  # at one gateway, the default service included; each has its own model
+MAX_CARRIED_SERVICES = 256  # of one gateway, with the default service; each has a model of its own
 
 
 class Listener(Table, frozen=True):
-    """A further address on which clients are served."""
+    """Configures a further address on which clients are served."""
 
     address: str
     protocol: Literal["resp"] = "resp"
 
 
 class List(Table, frozen=True):
-    """Where the endpoint list comes from; `agent` is the platform's discovery agent."""
+    """Names the source of the endpoint list; `agent` is the platform's discovery agent."""
 
     source: Literal["agent"] = "agent"
 
 
 class ClientBounds(Table, frozen=True):
-    """Limits on one client connection."""
+    """Holds the limits on one client connection."""
 
-    pipeline: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 32  # unanswered requests; more stay unread
-    idle_s: Seconds = 25.0  # without a request after the last answer; under the usual 30 s of other proxies
-    mute_s: Seconds = 2.6  # until a request is complete, from its first byte or from connecting
-    unread_s: Seconds = 2.0  # in which the client reads nothing of what is queued for it
+    pipeline: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 32  # unanswered requests; others stay unread
+    idle_s: Seconds = 25.0  # from the last answer without a request; below the usual 30 s of proxies
+    mute_s: Seconds = 2.6  # time limit for a complete request, from its first byte or from the connect
+    unread_s: Seconds = 2.0  # time-out of a client that reads nothing of its queued answers
 
 
 class BackendBounds(Table, frozen=True):
-    """Limits on the connections to backends."""
+    """Holds the limits on the connections to backends."""
 
-    descriptor_part: Fraction = 0.5  # of the file descriptors; a request needs at most one on either side
-    grace_part: Fraction = 0.8  # of a draining backend's grace time, in which late connections still write
+    descriptor_part: Fraction = 0.5  # share of the descriptors; a request needs at most one on either side
+    grace_part: Fraction = 0.8  # share of a draining backend's grace time for late connections to write
 
 
 class Services(Table, frozen=True):
-    """Several services behind one gateway, each with its own backends; disabled without `classes`.
+    """Configures several services behind one gateway, each with its own backends.
 
-    Request classes that no service lists belong to the default service, whose name is empty and which every
-    gateway carries.
+    They are disabled without `classes`. Request classes that no service lists belong to the default service,
+    whose name is empty and which every gateway carries.
     """
 
     classes: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)  # request classes by service
-    carries: tuple[str, ...] = ()  # services that this gateway accepts requests for; empty: all
+    carries: tuple[str, ...] = ()  # services whose requests this gateway accepts; all if empty
 
     def carried(self) -> tuple[str, ...]:
-        """Returns the default service and then the others, in the order of the file; empty while several
-        services are disabled."""
+        """Returns the default service and then the others in the order of the file.
+
+        The result is empty if several services are disabled.
+        """
         return ("", *(self.carries or self.classes)) if self.classes else ()
 
     def service_of(self, cls: str) -> str:
@@ -62,23 +64,25 @@
 
 
 class Log(Table, frozen=True):
-    """The log on standard error."""
+    """Configures the log on standard error."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
-    tally_s: Seconds = 10.0  # between two summaries of how attempts ended
+    tally_s: Seconds = 10.0  # interval between two summaries of how attempts ended
 
 
 def check_listeners(listeners: tuple[Listener, ...], file_name: str) -> None:
-    """Raises `ConfigError` for an invalid address and for one that occurs twice."""
+    """Raises `ConfigError` if an address is invalid or occurs twice."""
     seen: set[Address] = set()
     for number, listener in enumerate(listeners):
         key = f"listeners[{number}].address"
         try:
             listen_address = address(listener.address, key)
         except ConfigError:
-            raise ConfigError(f"{file_name}: {key}: found {listener.address!r}, wanted host:port") from None
+            raise ConfigError(f"{file_name}: {key}: must be host:port, got {listener.address!r}") from None
         if listen_address in seen:
-            raise ConfigError(f"{file_name}: {key}: found {listener.address!r} twice, wanted once each")
+            raise ConfigError(
+                f"{file_name}: {key}: must differ between listeners, got {listener.address!r} twice"
+            )
         seen.add(listen_address)
 
 
@@ -88,13 +92,13 @@
     for number, service in enumerate(services.carries):
         if service not in services.classes:
             raise ConfigError(
-                f"{file_name}: services.carries[{number}]: found {service!r}, wanted one of services.classes"
+                f"{file_name}: services.carries[{number}]: must be one of services.classes, got {service!r}"
             )
     check_once_each(file_name, "services.carries", services.carries)
     if len(services.carried()) > MAX_CARRIED_SERVICES:
         raise ConfigError(
-            f"{file_name}: services.carries: found {len(services.carried()) - 1} services, wanted "
-            f"{MAX_CARRIED_SERVICES - 1} at most"
+            f"{file_name}: services.carries: must be at most {MAX_CARRIED_SERVICES - 1} services, got "
+            f"{len(services.carried()) - 1}"
         )
 
 
@@ -103,13 +107,13 @@
     for service, classes in services.classes.items():
         key = f"services.classes.{service}"
         if not service:
-            raise ConfigError(f"{file_name}: services.classes: found one without a name, wanted a name")
+            raise ConfigError(f"{file_name}: services.classes: must name each service, got an empty name")
         if not classes:
-            raise ConfigError(f"{file_name}: {key}: found nothing, wanted classes of request")
+            raise ConfigError(f"{file_name}: {key}: must list request classes, got nothing")
         for cls in classes:
             if cls in service_of:
                 raise ConfigError(
-                    f"{file_name}: {key}: found {cls!r}, which is of {service_of[cls]!r}, wanted each "
-                    "class in one service"
+                    f"{file_name}: {key}: must not contain a class of another service, got {cls!r}, which "
+                    f"belongs to {service_of[cls]!r}"
                 )
             service_of[cls] = service
--- a/trackspread/config/table.py
+++ b/trackspread/config/table.py
@@ -1,4 +1,4 @@
-"""What the tables of the operator's file share: their base class, value types and checks of addresses."""
+"""Defines the base class, the value types and the checks that the tables of the operator's file share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file; field names are its keys, and an unknown key is an error."""
+    """Is the base class of the file's tables; field names are its keys, and an unknown key is an error."""
 
 
 def literal_address(file_name: str, key: str, text: str, example: str) -> Address:
@@ -25,20 +25,20 @@
         ip_address(host)
     except ValueError:
         raise ConfigError(
-            f"{file_name}: {key}: found {text!r}, wanted an address and a port, as {example}: names "
-            "are not looked up"
+            f"{file_name}: {key}: must be an IP address and a port, such as {example}, because names are "
+            f"not resolved, got {text!r}"
         ) from None
     if not port:
-        raise ConfigError(f"{file_name}: {key}: found port 0, wanted 1 to 65535")
+        raise ConfigError(f"{file_name}: {key}: must have a port from 1 to 65535, got port 0")
     return host, port
 
 
 def is_unspecified(host: str) -> bool:
-    """Returns whether the IP address `host` stands for all interfaces, as 0.0.0.0 does."""
+    """Returns whether the IP address `host` stands for all interfaces, such as 0.0.0.0."""
     return ip_address(host).is_unspecified
 
 
 def check_once_each(file_name: str, key: str, values: tuple[str, ...]) -> None:
     """Raises `ConfigError` if a value occurs twice."""
     if len(set(values)) < len(values):
-        raise ConfigError(f"{file_name}: {key}: found one twice, wanted once each")
+        raise ConfigError(f"{file_name}: {key}: must not contain a value twice")
--- a/trackspread/node/gateway.py
+++ b/trackspread/node/gateway.py
@@ -222,7 +222,7 @@
 
         A handover needs a folder and a listening socket that the platform keeps for all processes.
         """
-        if not self.config.meeting:
+        if not self.config.handover_folder:
             return None
         if self.parts.usage is not None or self.parts.quota_counter is not None or self.services.classes:
             log.warning(
@@ -230,7 +230,7 @@
             )
             return None
         try:
-            return HandoverSocket(Path(self.config.meeting), self.config.name)
+            return HandoverSocket(Path(self.config.handover_folder), self.config.name)
         except OSError as error:
             log.warning("handover: the folder in TMPDIR cannot be used: %s, starting cold", error.strerror)
             return None
