--- a/tests/node/test_reload.py
+++ b/tests/node/test_reload.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from trackspread.config.roster import Roster, change
+from trackspread.config.roster import Roster, classes_changed
 from trackspread.decide.broker import Broker
 from trackspread.decide.actions import Action, Fail, Reject, StartAttempt
 from trackspread.decide.events import AttemptEnded, Outcome
@@ -25,20 +25,20 @@
 
 def test_class_number_is_reused_only_after_its_last_request() -> None:
     """Guards against open requests that continue under another class's rules."""
-    first = Roster.first(NAMES, CLASSES)
+    first = Roster.initial(NAMES, CLASSES)
     other = replace(CLASSES[0], name="other", latency_objective_ns=5)
-    without, predecessors = first.follow((b"charge", b"read"), (CLASSES[2], CLASSES[0]), {KEYED})
+    without, predecessors = first.reload((b"charge", b"read"), (CLASSES[2], CLASSES[0]), {KEYED})
     # The order of the classes has no effect.
     assert without.numbers() == {b"charge": UNSAFE, b"read": SAFE} and predecessors == (0, 1, 2)
-    held, predecessors = without.follow((b"other", b"read"), (other, CLASSES[0]), {KEYED, UNSAFE})
+    held, predecessors = without.reload((b"other", b"read"), (other, CLASSES[0]), {KEYED, UNSAFE})
     assert held.numbers() == {b"other": 3, b"read": SAFE} and predecessors == (0, 1, 2, -1)
     assert held.rules[KEYED] == CLASSES[KEYED]  # the requests that use it keep its rules
-    free, predecessors = held.follow((b"submit", b"read", b"other"), (CLASSES[1], CLASSES[0], other), set())
+    free, predecessors = held.reload((b"submit", b"read", b"other"), (CLASSES[1], CLASSES[0], other), set())
     assert free.numbers() == {b"submit": 1, b"read": SAFE, b"other": 3} and predecessors == (0, -1, 2, 3)
 
 
 def test_changed_class_gets_a_new_number_and_keeps_statistics() -> None:
-    roster, predecessors = Roster.first(NAMES, CLASSES).follow(
+    roster, predecessors = Roster.initial(NAMES, CLASSES).reload(
         NAMES, (replace(CLASSES[0], idempotency=Idempotency.NOT_IDEMPOTENT), *CLASSES[1:]), set()
     )
     assert roster.numbers()[b"read"] == 3 and predecessors == (0, 1, 2, 0)
@@ -56,10 +56,13 @@
     module, now = Broker(settings(max_attempts=4), 1, 0), SECOND
     module.handle(now, full_list(*(backend(n) for n in range(4))))
     before = module.handle(now, arrival(1, now, SAFE))
-    roster = Roster.first(NAMES, CLASSES)
-    change_event, unsafe_now = change(*roster.follow(NAMES[:0:-1], CLASSES[:0:-1], {SAFE}), 1), UNSAFE
+    roster = Roster.initial(NAMES, CLASSES)
+    change_event, unsafe_now = (
+        classes_changed(*roster.reload(NAMES[:0:-1], CLASSES[:0:-1], {SAFE}), 1),
+        UNSAFE,
+    )
     if shifted:
-        change_event, unsafe_now = change(Roster.first(NAMES[:0:-1], CLASSES[:0:-1]), (2, 1), 1), 0
+        change_event, unsafe_now = classes_changed(Roster.initial(NAMES[:0:-1], CLASSES[:0:-1]), (2, 1), 1), 0
     module.handle(now, change_event)
     lost = module.handle(now + 30 * MS, ended(before, 1, 0, Outcome.RESET))
     # The request is idempotent and has at most four attempts.
--- a/trackspread/config/platform.py
+++ b/trackspread/config/platform.py
@@ -31,9 +31,9 @@
     """Holds the platform's configuration of one gateway.
 
     `sockets` limits the file descriptors and `memory` the bytes. `control` is the address of the admin
-    server, `accept_fd` an inherited listening socket, and `handover_folder` the folder in which a new process finds
-    its predecessor, or empty. `known` is an endpoint list from before the start. Time-outs are in
-    nanoseconds.
+    server and `accept_fd` an inherited listening socket. `handover_folder` is the folder in which a new
+    process finds its predecessor, or empty. `known` is an endpoint list from before the start. Time-outs are
+    in nanoseconds.
     """
 
     name: str
--- a/trackspread/config/roster.py
+++ b/trackspread/config/roster.py
@@ -25,7 +25,7 @@
     named: frozenset[int]
 
     @classmethod
-    def first(cls, names: Sequence[bytes], rules: Sequence[RequestClass]) -> Roster:
+    def initial(cls, names: Sequence[bytes], rules: Sequence[RequestClass]) -> Roster:
         """Returns the roster at the start, with numbers in the order of the configuration."""
         return cls(tuple(names), tuple(rules), frozenset(range(len(rules))))
 
@@ -33,7 +33,7 @@
         """Returns the number of each class that clients can use."""
         return {self.names[number]: number for number in sorted(self.named)}
 
-    def follow(
+    def reload(
         self, names: Sequence[bytes], rules: Sequence[RequestClass], in_use: Set[int]
     ) -> tuple[Roster, tuple[int, ...]]:
         """Returns the roster after a reload, and the predecessor of each number.
@@ -70,6 +70,6 @@
         return Roster(tuple(all_names), tuple(all_rules), frozenset(named)), tuple(predecessors)
 
 
-def change(roster: Roster, predecessors: tuple[int, ...], max_attempts: int) -> ClassesChanged:
+def classes_changed(roster: Roster, predecessors: tuple[int, ...], max_attempts: int) -> ClassesChanged:
     """Returns the event that passes a roster to the decision module."""
     return ClassesChanged(roster.rules, roster.named, predecessors, max_attempts)
--- a/trackspread/node/request_handler.py
+++ b/trackspread/node/request_handler.py
@@ -70,7 +70,7 @@
         self._loop = asyncio.get_running_loop()
         self.now = Clock()
         self.decision_module = self._make_decision_module()
-        self.roster = Roster.first(config.classes, config.settings.classes)
+        self.roster = Roster.initial(config.classes, config.settings.classes)
         self.counters = RequestCounters(config.classes)
         self.requests: dict[int, Request] = {}
         self.open_request_ids: set[bytes] = set()  # requests without their final answer
