--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -26,7 +26,7 @@
 from trackspread.testing.harness.billing_check import BillingComparison, compare
 from trackspread.testing.harness.fleet import Fleet
 from trackspread.testing.judge.ledger import ReplyReceived, RequestSent
-from trackspread.plans.registry import SCHEMA, Figures, PlanRegistry, Version
+from trackspread.plans.registry import SCHEMA, PlanLimits, PlanRegistry, Version
 from trackspread.testing.standins.billing_server import BillingServer
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.storage.calls import InspectFolder, perform
@@ -252,7 +252,7 @@
         async with Fleet(scenario, operator_file=lambda name: f'[plans]\nbook = "{path}"\n') as fleet:
             fleet.start_clients()
             now = time.time_ns() // 1_000_000
-            version = Version(1, now + AHEAD_MS, now, "", {plan: Figures(10.0, 20.0)})
+            version = Version(1, now + AHEAD_MS, now, "", {plan: PlanLimits(10.0, 20.0)})
             write_atomically(path.parent, path.name, SCHEMA.pack(PlanRegistry((version,))))
             await asyncio.sleep(AHEAD_MS / 1000 + 0.5)
             taken = []
--- a/tests/plans/__init__.py
+++ b/tests/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `plans`."""
+"""Tests the package `plans`."""
--- a/tests/plans/test_calendar.py
+++ b/tests/plans/test_calendar.py
@@ -1,4 +1,4 @@
-"""Allowance reserved ahead: what the model admits, what is honoured, and what others keep."""
+"""Tests reservations: their admission, the limits in service, and the `reserve` command."""
 
 from __future__ import annotations
 
@@ -35,73 +35,83 @@
 FLEET = Fleet(delay_ms=20.0, demand_ms=1.0, aim_ms=50.0, kept=300.0)
 
 
-def test_the_model_says_what_the_fleet_gives_within_the_aim() -> None:
-    whole = capacity_per_s(FLEET)
-    assert 900 < whole < 1000, "a queue of 1 ms a unit gives 1,000 a second at most"
-    assert capacity_per_s(msgspec.structs.replace(FLEET, aim_ms=25.0)) < whole
-    assert capacity_per_s(msgspec.structs.replace(FLEET, aim_ms=20.5)) == 0.0, "one alone is later than that"
+def test_model_gives_the_capacity_within_the_latency_objective() -> None:
+    capacity = capacity_per_s(FLEET)
+    assert 900 < capacity < 1000, "a queue with 1 ms per unit serves at most 1,000 units per second"
+    assert capacity_per_s(msgspec.structs.replace(FLEET, aim_ms=25.0)) < capacity
+    assert capacity_per_s(msgspec.structs.replace(FLEET, aim_ms=20.5)) == 0.0, "a single request takes longer"
 
 
-def test_what_does_not_fit_is_refused_with_what_would() -> None:
-    fits = available_per_s(FLEET, (), NOW, NOW + 1)
-    made = admit_reservation(FLEET, (), 7, fits - 10, NOW + NOTICE_MS, NOW + 60_000, NOW, "")
-    with pytest.raises(PlanError, match="found 20 units a second, of which 10 would fit over the whole span"):
-        admit_reservation(FLEET, (made,), 8, 20.0, NOW + 30_000, NOW + 90_000, NOW, "")
-    after = admit_reservation(FLEET, (made,), 8, 20.0, NOW + 60_000, NOW + 90_000, NOW, "")
-    assert after.number == 2 and change_times((made, after)) == [NOW + 5_000, NOW + 60_000, NOW + 90_000]
+def test_rejected_reservation_names_the_rate_that_fits() -> None:
+    available = available_per_s(FLEET, (), NOW, NOW + 1)
+    first = admit_reservation(FLEET, (), 7, available - 10, NOW + NOTICE_MS, NOW + 60_000, NOW, "")
+    with pytest.raises(
+        PlanError, match=r"at most 10 units per second, which is available over the complete span .* got 20$"
+    ):
+        admit_reservation(FLEET, (first,), 8, 20.0, NOW + 30_000, NOW + 90_000, NOW, "")
+    second = admit_reservation(FLEET, (first,), 8, 20.0, NOW + 60_000, NOW + 90_000, NOW, "")
+    assert second.number == 2 and change_times((first, second)) == [NOW + 5_000, NOW + 60_000, NOW + 90_000]
 
 
 @pytest.mark.parametrize(
     ("rate", "start", "end", "line"),
     [
-        (1.0, NOW, NOW + 9_000, "from: found a moment 0.0 s from now, wanted at least 5 s"),
-        (1.0, NOW + 9_000, NOW + 9_000, "to: found a span of 0 s"),
-        (1.0, NOW + 9_000, NOW + 9_001 + MAX_SPAN_MS, "to: found a span of"),
-        (0.0, NOW + 9_000, NOW + 10_000, "rate: found 0, wanted more than 0"),
-        (float("nan"), NOW + 9_000, NOW + 10_000, "rate: found nan, wanted more than 0"),
+        (
+            1.0,
+            NOW,
+            NOW + 9_000,
+            "from: must be at least 5 s from now, because gateways read it first, got 0.0 s",
+        ),
+        (1.0, NOW + 9_000, NOW + 9_000, "to: must be after the start by at most 92 days, got 0 s"),
+        (1.0, NOW + 9_000, NOW + 9_001 + MAX_SPAN_MS, "to: must be after the start by at most 92 days, got"),
+        (0.0, NOW + 9_000, NOW + 10_000, "rate: must be greater than 0, got 0"),
+        (float("nan"), NOW + 9_000, NOW + 10_000, "rate: must be greater than 0, got nan"),
     ],
 )
-def test_a_reservation_that_cannot_be_meant_is_one_line(rate: float, start: int, end: int, line: str) -> None:
+def test_invalid_reservation_gives_a_one_line_error(rate: float, start: int, end: int, line: str) -> None:
     with pytest.raises(PlanError) as caught:
         admit_reservation(FLEET, (), 7, rate, start, end, NOW, "")
     assert str(caught.value).startswith(line)
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_at_no_moment_is_more_reserved_than_the_model_allows(seed: int) -> None:
-    rng, held, refused = random.Random(f"calendar:{seed}"), tuple[Reservation, ...](), 0
+def test_reserved_rates_never_exceed_the_modelled_capacity(seed: int) -> None:
+    """Guards against overlapping reservations that add up to more than the fleet can serve."""
+    rng, reservations, rejected = random.Random(f"calendar:{seed}"), tuple[Reservation, ...](), 0
     now = NOW
     for _ in range(60):
         now += rng.randint(0, 20_000)
         start = now + rng.randint(NOTICE_MS, 90_000)
         try:
-            if rng.random() < 0.25 and held:
-                held = cancel_reservation(held, rng.choice(held).number, now)
+            if rng.random() < 0.25 and reservations:
+                reservations = cancel_reservation(reservations, rng.choice(reservations).number, now)
             else:
                 rate, end = rng.uniform(1, 500), start + rng.randint(1, 120_000)
-                held = (*held, admit_reservation(FLEET, held, rng.randrange(5), rate, start, end, now, ""))
+                admitted = admit_reservation(FLEET, reservations, rng.randrange(5), rate, start, end, now, "")
+                reservations = (*reservations, admitted)
         except PlanError:
-            refused += 1
+            rejected += 1
         limit = capacity_per_s(FLEET) - FLEET.kept
-        for moment in change_times(held):
-            assert sum(reserved_rates(held, moment).values()) <= limit * (1 + 1e-9)
-    assert refused and len(held) > 5
+        for time_ms in change_times(reservations):
+            assert sum(reserved_rates(reservations, time_ms).values()) <= limit * (1 + 1e-9)
+    assert rejected and len(reservations) > 5
 
 
-def test_a_cancelled_one_gives_its_rate_back_from_then_on() -> None:
-    made = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
-    early, late = cancel_reservation((made,), 1, NOW + 1), cancel_reservation((made,), 1, NOW + 20_000)
+def test_cancelled_reservation_frees_its_rate_from_then_on() -> None:
+    reservation = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
+    early = cancel_reservation((reservation,), 1, NOW + 1)
+    late = cancel_reservation((reservation,), 1, NOW + 20_000)
     assert reserved_rates(early, NOW + 15_000) == {}
     assert reserved_rates(late, NOW + 15_000) == {7: 100.0} and reserved_rates(late, NOW + 20_000) == {}
-    for again in (early, (made,)):
-        with pytest.raises(PlanError, match="wanted one that stands and is not over"):
-            cancel_reservation(again, 1, NOW + 70_000)
+    for reservations in (early, (reservation,)):
+        with pytest.raises(PlanError, match="reservation: 1 does not exist, was cancelled or has ended"):
+            cancel_reservation(reservations, 1, NOW + 70_000)
 
 
-def test_uptake_begins_and_ends_a_reservation_at_its_moments_and_after_a_restart() -> None:
-    made = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
+def test_follower_applies_reservations_on_time_and_after_restart() -> None:
+    reservation = admit_reservation(FLEET, (), 7, 100.0, NOW + 10_000, NOW + 60_000, NOW, "")
     follower = VersionFollower()
-    follower.set_registry(PlanRegistry(reservations=(made,)))
+    follower.set_registry(PlanRegistry(reservations=(reservation,)))
     assert follower.take_changed_reservations(NOW) is None and follower.ms_until_next_change(NOW) == 10_000
     assert (
         follower.take_changed_reservations(NOW + 10_000) == {7: 100.0}
@@ -111,74 +121,78 @@
         follower.take_changed_reservations(NOW + 11_000) is None
         and follower.take_changed_reservations(NOW + 60_000) == {}
     )
-    fresh = VersionFollower()
-    fresh.set_registry(PlanRegistry(reservations=(made,)))
-    assert fresh.take_changed_reservations(NOW + 30_000) == {7: 100.0}
+    restarted = VersionFollower()
+    restarted.set_registry(PlanRegistry(reservations=(reservation,)))
+    assert restarted.take_changed_reservations(NOW + 30_000) == {7: 100.0}
 
 
-def test_a_registry_of_the_first_schema_is_upgraded() -> None:
+def test_registry_of_the_first_schema_is_upgraded() -> None:
     class Old(msgspec.Struct):
         versions: tuple[int, ...] = ()
 
     assert SCHEMA.unpack(Schema("plan-book", 1).pack(Old()), PlanRegistry) == PlanRegistry()
 
 
-def _sent(module: Broker, customer: int, begin: int, seconds: int, rate: int) -> int:
-    """Requests sent on at a steady rate, each answered at once."""
-    sent, number = 0, begin * 1000 + customer * 100_000_000
+def _forwarded(module: Broker, tenant: int, begin: int, seconds: int, rate: int) -> int:
+    """Returns how many requests of a steady rate are forwarded; each is answered at once."""
+    forwarded, number = 0, begin * 1000 + tenant * 100_000_000
     for at in range(begin * SECOND, (begin + seconds) * SECOND, SECOND // rate):
         number += 1
-        actions = module.handle(at, arrival(number, at, customer=customer))
+        actions = module.handle(at, arrival(number, at, customer=tenant))
         for action in actions:
             if isinstance(action, StartAttempt):
-                sent += 1
+                forwarded += 1
                 module.handle(at + MS, ended(number, action.backend, elapsed=MS))
-    return sent
+    return forwarded
 
 
-def test_a_reservation_is_honoured_on_top_of_the_plan_and_others_keep_theirs() -> None:
+def test_reservation_adds_to_its_plan_and_spares_other_tenants() -> None:
+    """Guards against a reserved rate that is not served in full, or that reduces another tenant's quota."""
     plans = (plan(rate_per_s=10.0, burst_units=10.0),)
     module = Broker(settings(plans=plans, gateway_count=1, may_gossip=False), 7, 0)
     module.handle(0, full_list(backend(1), backend(2), kind=EndpointUpdateKind.CACHED))
-    _sent(module, 1, 1, 4, 50), _sent(module, 2, 1, 4, 50)
-    calm = _sent(module, 1, 5, 10, 50), _sent(module, 2, 5, 10, 50)
+    _forwarded(module, 1, 1, 4, 50), _forwarded(module, 2, 1, 4, 50)
+    before = _forwarded(module, 1, 5, 10, 50), _forwarded(module, 2, 5, 10, 50)
     module.handle(15 * SECOND, PlansChanged(plans, ((1, 20.0, 40.0),)))
-    held = _sent(module, 1, 15, 10, 50), _sent(module, 2, 15, 10, 50)
+    during = _forwarded(module, 1, 15, 10, 50), _forwarded(module, 2, 15, 10, 50)
     module.handle(25 * SECOND, PlansChanged(plans))
-    after = _sent(module, 1, 40, 10, 50)
-    assert calm[0] == pytest.approx(100, abs=12) and held[0] >= 0.99 * 300
-    assert abs(held[1] - calm[1]) <= 12 and after <= 115
+    after = _forwarded(module, 1, 40, 10, 50)
+    assert before[0] == pytest.approx(100, abs=12) and during[0] >= 0.99 * 300
+    assert abs(during[1] - before[1]) <= 12 and after <= 115
 
 
-def test_an_operator_reserves_lists_and_cancels(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    def words(*given: str) -> tuple[int, str]:
-        status = main(["reserve", *given])
-        caught = capsys.readouterr()
-        return status, caught.out + caught.err
+def test_reserve_command_adds_lists_and_cancels(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    def run_reserve(*arguments: str) -> tuple[int, str]:
+        status = main(["reserve", *arguments])
+        captured = capsys.readouterr()
+        return status, captured.out + captured.err
 
-    book, member = str(tmp_path / "plans.json"), "00000000b4d65521"
+    registry, tenant = str(tmp_path / "plans.json"), "00000000b4d65521"
     span = ("--from", "+60", "--to", "+120")
-    assert "fleet: found nothing, wanted its figures" in words("add", book, member, "--rate", "5", *span)[1]
-    told = words("fleet", book, "--delay-ms", "20", "--demand-ms", "1", "--aim-ms", "0", "--kept", "300")[1]
-    assert told.startswith("trackspread: reserve fleet: Expected `float` > 0.0")
-    figures = "--delay-ms", "20", "--demand-ms", "1", "--aim-ms", "50", "--kept", "300"
-    status, told = words("fleet", book, *figures)
-    assert status == 0 and "units a second within 50 ms, 300 of them kept" in told
-    status, told = words("add", book, member, "--units", "600", *span, "--note", "weekend")
-    assert status == 0 and told.startswith(f"reservation 1: 10 units a second for {member} from ")
-    status, told = words("add", book, member, "--rate", "5000", *span)
-    assert status == 2 and "would fit over the whole span" in told
-    assert "to come weekend" in words("list", book)[1]
-    assert words("cancel", book, "1") == (0, "reservation 1 is given back\n")
-    assert "given back weekend" in words("list", book)[1]
-    assert words("add", book, "x", "--rate", "5", *span)[0] == 2
+    output = run_reserve("add", registry, tenant, "--rate", "5", *span)[1]
+    assert "fleet: must be described first with `trackspread reserve fleet`, got nothing" in output
+    output = run_reserve(
+        "fleet", registry, "--delay-ms", "20", "--demand-ms", "1", "--aim-ms", "0", "--kept", "300"
+    )[1]
+    assert output.startswith("trackspread: reserve fleet: Expected `float` > 0.0")
+    fleet = "--delay-ms", "20", "--demand-ms", "1", "--aim-ms", "50", "--kept", "300"
+    status, output = run_reserve("fleet", registry, *fleet)
+    assert status == 0 and "units per second within 50 ms, of which 300 are kept" in output
+    status, output = run_reserve("add", registry, tenant, "--units", "600", *span, "--note", "weekend")
+    assert status == 0 and output.startswith(f"reservation 1: 10 units per second for {tenant} from ")
+    status, output = run_reserve("add", registry, tenant, "--rate", "5000", *span)
+    assert status == 2 and "which is available over the complete span" in output
+    assert "pending weekend" in run_reserve("list", registry)[1]
+    assert run_reserve("cancel", registry, "1") == (0, "reservation 1 is cancelled\n")
+    assert "cancelled weekend" in run_reserve("list", registry)[1]
+    assert run_reserve("add", registry, "x", "--rate", "5", *span)[0] == 2
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_changes_under_load_are_never_a_gift_and_take_nothing_away(seed: int) -> None:
+def test_changes_under_load_neither_add_nor_remove_tokens(seed: int) -> None:
     assert play(seed) == []
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_store_worked_out_apart_convicts_every_mutant(name: str) -> None:
+def test_reference_bucket_detects_every_mutant(name: str) -> None:
     assert convict(name, iter(range(30))) is not None
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -35,7 +35,7 @@
 from trackspread.node.handover_state import HandoverState, Progress
 from trackspread.plans.calendar import Fleet, Reservation, cancel_reservation
 from trackspread.plans.registry import SCHEMA as REGISTRY
-from trackspread.plans.registry import Figures, add_version, in_force
+from trackspread.plans.registry import PlanLimits, add_version, in_force
 from trackspread.storage.directory import Directory
 from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.standins.billing import Billing, MemoryStore, StreamState
@@ -202,7 +202,7 @@
 
 
 CREATED = 1_790_000_000_000  # Unix time in ms
-TEAM = Figures(10.0, 20.0, 3, 20.0, 40.0, 4.0)
+TEAM = PlanLimits(10.0, 20.0, 3, 20.0, 40.0, 4.0)
 
 
 def test_plan_registry_is_read_and_written_unchanged() -> None:
@@ -218,7 +218,7 @@
         (2, 120_000, 10_000),
         (3, 180_000, 0),
     ]
-    assert registry.versions[0].plans == {"team": TEAM, "solo": Figures(2.5, 5.0)}
+    assert registry.versions[0].plans == {"team": TEAM, "solo": PlanLimits(2.5, 5.0)}
     assert registry.versions[2].note == "für alle"
     assert registry.fleet == Fleet(40.0, 2.0, 200.0, 50.0)
     assert registry.reservations == (
--- a/trackspread/commands/__init__.py
+++ b/trackspread/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The sub-commands of the command line, one module for each group."""
+"""Implements the sub-commands of the command line, with one module for each group."""
--- a/trackspread/commands/admin_client.py
+++ b/trackspread/commands/admin_client.py
@@ -1,4 +1,4 @@
-"""Requests to the admin servers of gateways (`control` in their configuration)."""
+"""Sends requests to the admin servers of gateways (`control` in their configuration)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def fetch(admin_address: str, path: str, key: str) -> bytes:
     """Returns the body of a gateway's response; raises `ConfigError`.
 
-    `key` is the operator's key without which a gateway does not serve `path`; the error names it.
+    `key` is the key of the operator's file without which a gateway does not serve `path`. The error names it.
     """
     host, port = address(admin_address, "HOST:PORT")
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
@@ -28,14 +28,13 @@
         body = response.read()
     except (OSError, http.client.HTTPException) as error:
         raise ConfigError(
-            f"{admin_address}: {error}; wanted the door (control) of a gateway that runs"
+            f"{admin_address}: must be the admin server (control) of a running gateway: {error}"
         ) from None
     finally:
         connection.close()
     if response.status == HTTPStatus.NOT_FOUND:
-        what = "view" if path == "/fleet" else path.removeprefix("/")
         raise ConfigError(
-            f"{admin_address}: keeps no {what}, wanted a gateway with {key} in its operator's file"
+            f"{admin_address}: must be a gateway with {key} in its operator's file, got 404 for {path}"
         )
     if response.status != HTTPStatus.OK:
         raise ConfigError(f"{admin_address}: {body.decode(errors='replace').strip()}")
@@ -43,8 +42,8 @@
 
 
 def decode(admin_address: str, body: bytes, report_type: type[Report]) -> Report:
-    """Decodes a report in JSON; raises `ConfigError`."""
+    """Decodes a report in JSON; raises `ConfigError` if it is invalid."""
     try:
         return msgspec.json.decode(body, type=report_type)
     except msgspec.DecodeError as error:
-        raise ConfigError(f"{admin_address}: not a gateway's answer: {error}") from None
+        raise ConfigError(f"{admin_address}: must answer with a gateway's report: {error}") from None
--- a/trackspread/commands/plans.py
+++ b/trackspread/commands/plans.py
@@ -1,4 +1,4 @@
-"""`trackspread plans`: shows the plan registry's history, compares a file with it, and changes it.
+"""Implements `trackspread plans`, which shows, compares and changes the versions of the plan registry.
 
 An error of the operator is one line (`ConfigError`).
 """
@@ -83,15 +83,15 @@
 
 def _history(registry: PlanRegistry, now_ms: int) -> int:
     current = in_force(registry, now_ms)
-    before: Plans = {}
+    previous_plans: Plans = {}
     if not registry.versions:
-        print("no versions: the platform's figures hold")
+        print("no versions: the platform's limits are in force")
     for version in registry.versions:
         state = _state(version, current, now_ms)
         print(f"{version.number:>4} from {format_time(version.since)} {state:<9} {version.note}".rstrip())
-        for line in plan_differences(before, version.plans):
+        for line in plan_differences(previous_plans, version.plans):
             print(f"       {line}")
-        before = before if version.withdrawn else version.plans
+        previous_plans = previous_plans if version.withdrawn else version.plans
     return 0
 
 
@@ -100,11 +100,11 @@
         return "withdrawn"
     if version is current:
         return "in force"
-    return "to come" if version.since > now_ms else "past"
+    return "pending" if version.since > now_ms else "past"
 
 
 def _diff(registry: PlanRegistry, plans: Plans, now_ms: int) -> int:
-    """Prints what `plans` would change; the exit status is 1 if there is anything, as that of `diff`."""
+    """Prints what `plans` would change; returns 1 if there are changes, as `diff` does, and otherwise 0."""
     current = in_force(registry, now_ms)
     lines = plan_differences(current.plans if current is not None else {}, plans)
     print("\n".join(lines) or "nothing would change")
--- a/trackspread/commands/registry_file.py
+++ b/trackspread/commands/registry_file.py
@@ -1,7 +1,7 @@
-"""The file of the plan registry, and times on the command line.
+"""Reads and changes the file of the plan registry, and parses times of the command line.
 
-The file is replaced atomically under a lock, so that concurrent changes follow one another. An error of the
-operator is one line (`ConfigError`).
+The file is replaced atomically under a lock, so that no concurrent change is lost. An error of the operator
+is one line (`ConfigError`).
 """
 
 from __future__ import annotations
@@ -52,19 +52,21 @@
 
 
 def parse_time(text: str, now_ms: int, option: str = "--from") -> int:
-    """Returns a time in Unix ms, in UTC if `text` names no zone; raises `ConfigError`."""
+    """Returns a Unix time in ms, read as UTC if `text` names no time zone; raises `ConfigError`."""
     try:
         if text.startswith("+"):
             return now_ms + int(float(text[1:]) * MS_PER_S)
         parsed = datetime.fromisoformat(text)
     except ValueError:
-        raise ConfigError(f"{option}: found {text!r}, wanted +SECONDS or 2026-12-05T00:00:00Z") from None
+        raise ConfigError(
+            f"{option}: must be +SECONDS or a time such as 2026-12-05T00:00:00Z, got {text!r}"
+        ) from None
     if not parsed.tzinfo:
         parsed = parsed.replace(tzinfo=UTC)
     return int(parsed.timestamp() * MS_PER_S)
 
 
 def format_time(time_ms: int) -> str:
-    """Returns a time in Unix ms in ISO 8601, in UTC."""
+    """Formats a Unix time in ms as ISO 8601 in UTC."""
     text = datetime.fromtimestamp(time_ms / MS_PER_S, UTC).isoformat(timespec="milliseconds")
     return text.replace("+00:00", "Z")
--- a/trackspread/commands/reserve.py
+++ b/trackspread/commands/reserve.py
@@ -1,4 +1,4 @@
-"""`trackspread reserve`: adds, cancels and lists reservations in the plan registry's calendar.
+"""Implements `trackspread reserve`, which adds, cancels and lists reservations of the plan registry.
 
 An error of the operator is one line (`ConfigError`).
 """
@@ -47,14 +47,15 @@
         return msgspec.structs.replace(registry, reservations=reservations)
 
     change_registry(options.book, change)
-    print(f"reservation {options.number} is given back")
+    print(f"reservation {options.number} is cancelled")
 
 
 def _describe_fleet(options: argparse.Namespace) -> None:
     fleet = _fleet(options)
     change_registry(options.book, lambda registry: msgspec.structs.replace(registry, fleet=fleet))
     print(
-        f"{capacity_per_s(fleet):.6g} units a second within {fleet.aim_ms:g} ms, {fleet.kept:g} of them kept"
+        f"{capacity_per_s(fleet):.6g} units per second within {fleet.aim_ms:g} ms, of which {fleet.kept:g} "
+        "are kept"
     )
 
 
@@ -68,7 +69,7 @@
 
 def _add(options: argparse.Namespace, now_ms: int) -> None:
     if not _TENANT.fullmatch(options.member):
-        raise ConfigError(f"reserve add: found member {options.member!r}, wanted 16 hexadecimal digits")
+        raise ConfigError(f"MEMBER: must be 16 hexadecimal digits, got {options.member!r}")
     start_ms = parse_time(options.since, now_ms)
     end_ms = parse_time(options.until, now_ms, "--to")
     rate = options.rate
@@ -84,7 +85,7 @@
 
     added = change_registry(options.book, change).reservations[-1]
     print(
-        f"reservation {added.number}: {added.rate:.6g} units a second for {added.customer:016x} from "
+        f"reservation {added.number}: {added.rate:.6g} units per second for {added.tenant:016x} from "
         f"{format_time(start_ms)} to {format_time(end_ms)}"
     )
 
@@ -92,20 +93,20 @@
 def _list(registry: PlanRegistry, now_ms: int) -> None:
     for each in registry.reservations:
         print(
-            f"{each.number:>4} {each.customer:016x} {each.rate:.6g}/s {format_time(each.start)} to "
+            f"{each.number:>4} {each.tenant:016x} {each.rate:.6g}/s {format_time(each.start)} to "
             f"{format_time(each.end)} {_state(each, now_ms)} {each.note}".rstrip()
         )
     if registry.fleet is None:
-        print("the fleet is not described: nothing can be reserved (`trackspread reserve fleet`)")
+        print("no reservation is possible until `trackspread reserve fleet` describes the fleet")
         return
     available = available_per_s(registry.fleet, registry.reservations, now_ms, now_ms + 1)
     capacity = capacity_per_s(registry.fleet)
-    print(f"the fleet gives {capacity:.6g} units a second; {available:.6g} can be reserved now")
+    print(f"the fleet serves {capacity:.6g} units per second, of which {available:.6g} can be reserved now")
 
 
 def _state(reservation: Reservation, now_ms: int) -> str:
     if reservation.cancelled:
-        return "given back"
+        return "cancelled"
     if reservation.end <= now_ms:
-        return "over"
-    return "in force" if reservation.start <= now_ms else "to come"
+        return "ended"
+    return "in force" if reservation.start <= now_ms else "pending"
--- a/trackspread/plans/registry.py
+++ b/trackspread/plans/registry.py
@@ -1,10 +1,11 @@
-"""The plan registry: every version of the plans' limits, the time from which each is in force, and why.
+"""Keeps the plan registry, which holds every version of the plans' limits.
 
-- A version is never changed or deleted. One that is not in force yet may be withdrawn; it stays recorded.
-- Numbers count up by one; times strictly increase over the versions that were not withdrawn.
+- A version has the time from which it is in force, and a note that says why. It is never changed or deleted.
+  A version that is not in force yet may be withdrawn, and stays recorded.
+- Numbers increase by one. Times strictly increase over the versions that were not withdrawn.
 - A version is added at least `NOTICE_MS` before it is in force, so that all gateways have read it by then and
-  change over at the same time. A gateway that reads it later logs how late it is.
-- Version 0 is the platform's settings; they also hold for plans that the registry does not name.
+  apply it at the same time. A gateway that reads it later logs how late it is.
+- Version 0 is the platform's settings. They also apply to plans that the registry does not name.
 """
 
 from __future__ import annotations
@@ -17,16 +18,17 @@
 from .calendar import MS_PER_S, Fleet, Reservation, change_times, reserved_rates
 from .notice import NOTICE_MS, PlanError
 
-MAX_VERSIONS = 1_000  # in one registry: about three years of a change each day
+MAX_VERSIONS = 1_000  # limit for one registry; enough for a change each day in about three years
 SCHEMA = Schema("plan-book", 2, {1: lambda body: body | {"fleet": None, "reservations": []}})
 Limit = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
 
 
-class Figures(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One plan's limits for each tenant over all gateways; the plans' file and the store use the field names.
+class PlanLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Holds one plan's limits for each tenant over all gateways.
 
-    Rates are in units per second, bursts and slack in units, and `open_limit` in attempts in flight; 0 stands
-    for no limit.
+    The plans' file and the stored registry use the field names. Rates are in units per second, bursts and
+    slack in units, and `open_limit` in attempts in flight; 0 stands for no limit. The `ceiling_` fields are
+    the hard limit.
     """
 
     rate: Limit
@@ -37,13 +39,14 @@
     ceiling_slack: Limit = 0.0
 
 
-Plans = dict[str, Figures]
+Plans = dict[str, PlanLimits]
 
 
 class Version(msgspec.Struct, frozen=True):
-    """One version of all plans that the registry names, changed or not; the field names are stored.
+    """Describes one version of all plans that the registry names, changed or not.
 
-    `since`, `made` and `withdrawn` are Unix times in ms; `withdrawn` is 0 for a valid version.
+    The field names are stored. `since`, `made` and `withdrawn` are Unix times in ms; `withdrawn` is 0 for a
+    valid version.
     """
 
     number: int
@@ -55,7 +58,7 @@
 
 
 class PlanRegistry(msgspec.Struct, frozen=True):
-    """The stored document; without a `fleet` no reservation can be admitted."""
+    """Holds the stored document; no reservation can be admitted without a `fleet`."""
 
     versions: tuple[Version, ...] = ()
     fleet: Fleet | None = None
@@ -63,14 +66,14 @@
 
 
 def valid_versions(registry: PlanRegistry) -> list[Version]:
-    """Returns the versions that were not withdrawn, in order."""
+    """Returns the versions that were not withdrawn, in the order of their numbers."""
     return [version for version in registry.versions if not version.withdrawn]
 
 
 def in_force(registry: PlanRegistry, now_ms: int) -> Version | None:
-    """Returns the version in force at `now_ms`, or None for version 0."""
-    begun = [version for version in valid_versions(registry) if version.since <= now_ms]
-    return begun[-1] if begun else None
+    """Returns the version in force at `now_ms`; None stands for version 0."""
+    started = [version for version in valid_versions(registry) if version.since <= now_ms]
+    return started[-1] if started else None
 
 
 def next_version(registry: PlanRegistry, now_ms: int) -> Version | None:
@@ -86,38 +89,44 @@
     note: str,
     known_plans: set[str] | None = None,
 ) -> PlanRegistry:
-    """Returns the registry with a further version, in force from `since_ms` on; raises `PlanError`.
+    """Returns the registry with a further version that is in force from `since_ms` on.
 
-    `known_plans` are the names of the platform's plans, or None if they are not known.
+    `known_plans` holds the names of the platform's plans, or is None if they are not known. Raises
+    `PlanError` for invalid limits or a time that is too early.
     """
     check_plans(plans, known_plans)
     last_ms = max([version.since for version in valid_versions(registry)], default=0)
     if since_ms < now_ms + NOTICE_MS:
         raise PlanError(
-            f"from: found a moment {(since_ms - now_ms) / MS_PER_S:.1f} s from now, wanted at least "
-            f"{NOTICE_MS / MS_PER_S:g} s: gateways have to read it first"
+            f"from: must be at least {NOTICE_MS / MS_PER_S:g} s from now, because gateways read it first, "
+            f"got {(since_ms - now_ms) / MS_PER_S:.1f} s"
         )
     if since_ms <= last_ms:
         raise PlanError(
-            "from: found a moment before that of a version that stands, wanted a later one "
-            "(or withdraw that one)"
+            "from: must be later than the time of every version that was not withdrawn, got an earlier time "
+            "or the same"
         )
     if len(registry.versions) >= MAX_VERSIONS:
-        raise PlanError(f"found {MAX_VERSIONS} versions, wanted a new registry")
+        raise PlanError(
+            f"versions: must be at most {MAX_VERSIONS}, got {MAX_VERSIONS + 1}; start a new registry"
+        )
     number = max([version.number for version in registry.versions], default=0) + 1
     version = Version(number, since_ms, now_ms, note, plans)
     return msgspec.structs.replace(registry, versions=(*registry.versions, version))
 
 
 def withdraw_version(registry: PlanRegistry, number: int, now_ms: int) -> PlanRegistry:
-    """Returns the registry with a version withdrawn that is not in force yet; raises `PlanError`."""
+    """Returns the registry, in which `number` is withdrawn.
+
+    Raises `PlanError` if that version does not exist, or is or soon will be in force.
+    """
     version = next((each for each in registry.versions if each.number == number), None)
     if version is None or version.withdrawn:
-        raise PlanError(f"version: found {number}, wanted one that stands")
+        raise PlanError(f"version: {number} does not exist or was withdrawn")
     if version.since < now_ms + NOTICE_MS:
         raise PlanError(
-            f"version: {number} is in force within {NOTICE_MS / MS_PER_S:g} s or already, wanted a "
-            "later one: apply the former figures anew"
+            f"version: must not be in force within {NOTICE_MS / MS_PER_S:g} s or already, got {number}; "
+            "apply the former limits as a new version instead"
         )
     changed = msgspec.structs.replace(version, withdrawn=now_ms)
     versions = tuple(changed if each is version else each for each in registry.versions)
@@ -125,72 +134,75 @@
 
 
 def check_plans(plans: Plans, known_plans: set[str] | None) -> None:
-    """Raises `PlanError`, with the key, for unknown plans and limits that can't hold together."""
+    """Raises `PlanError`, which names the key, for unknown plans and limits that contradict one another."""
     if not plans:
-        raise PlanError("plans: found none, wanted at least one")
-    for name, figures in plans.items():
+        raise PlanError("plans: must have at least one plan, got none")
+    for name, limits in plans.items():
         if known_plans is not None and name not in known_plans:
             raise PlanError(
-                f"plans.{name}: found an unknown plan, wanted one of {', '.join(sorted(known_plans))}"
+                f"plans.{name}: must be one of the plans {', '.join(sorted(known_plans))}, got {name!r}"
             )
-        _check_figures(name, figures)
+        _check_limits(name, limits)
 
 
-def _check_figures(name: str, figures: Figures) -> None:
-    if (figures.rate > 0.0) != (figures.burst > 0.0):
+def _check_limits(name: str, limits: PlanLimits) -> None:
+    if (limits.rate > 0.0) != (limits.burst > 0.0):
         raise PlanError(
-            f"plans.{name}: found rate {figures.rate:g} and burst {figures.burst:g}, wanted "
-            "both over 0, or both 0 for no quota"
+            f"plans.{name}: rate and burst must both be greater than 0, or both 0 for no quota, got "
+            f"{limits.rate:g} and {limits.burst:g}"
         )
-    if (figures.ceiling_rate > 0.0) != (figures.ceiling_burst > 0.0):
+    if (limits.ceiling_rate > 0.0) != (limits.ceiling_burst > 0.0):
         raise PlanError(
-            f"plans.{name}: found ceiling_rate {figures.ceiling_rate:g} and ceiling_burst "
-            f"{figures.ceiling_burst:g}, wanted both over 0, or both 0 for no ceiling"
+            f"plans.{name}: ceiling_rate and ceiling_burst must both be greater than 0, or both 0 for no "
+            f"hard limit, got {limits.ceiling_rate:g} and {limits.ceiling_burst:g}"
         )
-    if figures.ceiling_slack > figures.ceiling_burst:
+    if limits.ceiling_slack > limits.ceiling_burst:
         raise PlanError(
-            f"plans.{name}.ceiling_slack: found {figures.ceiling_slack:g}, wanted at most "
-            f"ceiling_burst, {figures.ceiling_burst:g}"
+            f"plans.{name}.ceiling_slack: must be at most ceiling_burst ({limits.ceiling_burst:g}), got "
+            f"{limits.ceiling_slack:g}"
         )
 
 
 def plan_differences(old: Plans, new: Plans) -> list[str]:
-    """Returns a line for each limit that `new` changes, for the operators."""
+    """Returns a line for operators on each limit that `new` changes."""
     lines: list[str] = []
     for name in sorted(old.keys() | new.keys()):
         before, after = old.get(name), new.get(name)
         if before is None or after is None:
-            lines.append(f"{name}: {'named' if after else 'not named any more'}")
+            lines.append(f"{name}: {'added' if after else 'removed'}")
             continue
         lines += [
             f"{name}.{field}: {getattr(before, field):g} -> {getattr(after, field):g}"
-            for field in Figures.__struct_fields__
+            for field in PlanLimits.__struct_fields__
             if getattr(before, field) != getattr(after, field)
         ]
     return lines
 
 
 class DueVersion(NamedTuple):
-    """A change to `version`, or to the platform's own limits if it is None, and how late it is."""
+    """Holds a version that has come into force and by how many ms it is late.
+
+    A `version` of None stands for version 0.
+    """
 
     version: Version | None
     late_ms: int
 
 
 class VersionFollower:
-    """One gateway's state: the version and the reservations in force here. All times are Unix ms."""
+    """Holds the version and the reservations in force at one gateway; all times are Unix times in ms."""
 
     def __init__(self) -> None:
         self.registry = PlanRegistry()
         self.version_number = 0
-        self.reserved_per_s: dict[int, float] = {}  # units, by tenant
+        self.reserved_per_s: dict[int, float] = {}  # units per second, by tenant
 
     def set_registry(self, registry: PlanRegistry) -> None:
-        """Takes the registry as it was just read."""
+        """Replaces the registry by the one that was just read."""
         self.registry = registry
 
     def take_due(self, now_ms: int) -> DueVersion | None:
-        """Puts the version that is due in force and returns it; None if nothing changes."""
+        """Puts the version that is due in force and returns it; returns None if nothing changes."""
         version = in_force(self.registry, now_ms)
         number = version.number if version is not None else 0
         if number == self.version_number:
@@ -199,8 +211,10 @@
         return DueVersion(version, max(0, now_ms - version.since) if version is not None else 0)
 
     def take_changed_reservations(self, now_ms: int) -> dict[int, float] | None:
-        """Puts the rates reserved now in force and returns them, in units per second by tenant; None if
-        nothing changes."""
+        """Puts the rates reserved at `now_ms` in force and returns them.
+
+        They are in units per second, by tenant. Returns None if nothing changes.
+        """
         rates = reserved_rates(self.registry.reservations, now_ms)
         if rates == self.reserved_per_s:
             return None
@@ -208,7 +222,7 @@
         return rates
 
     def ms_until_next_change(self, now_ms: int) -> int | None:
-        """Returns the ms until the next version or reservation begins or ends, or None."""
+        """Returns the ms until the next version or reservation begins or a reservation ends, or None."""
         times_ms = [time_ms for time_ms in change_times(self.registry.reservations) if time_ms > now_ms]
         version = next_version(self.registry, now_ms)
         if version is not None:
