--- a/tests/cells/test_cells_file.py
+++ b/tests/cells/test_cells_file.py
@@ -119,8 +119,11 @@
     assert main(["fleet", "cells", "--file", str(file)]) == 2
     assert "fleet.control: no leader answered" in capsys.readouterr().err
     assert main(["fleet", "forget", "g", "--file", str(file)]) == 2
-    assert "wanted a fleet without cells" in capsys.readouterr().err
+    assert "fleet.control: must be empty, as of a fleet without cells" in capsys.readouterr().err
     file.write_text("")
     assert main(["fleet", "cells", "--file", str(file)]) == 2
-    assert "fleet.control: found nothing, wanted a fleet's that has cells" in capsys.readouterr().err
+    assert (
+        "fleet.control: must name the control machines of a fleet with cells, got nothing"
+        in capsys.readouterr().err
+    )
     assert main(["check", str(file)]) == 0
--- a/tests/config/__init__.py
+++ b/tests/config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `config`."""
+"""Tests the package `config`."""
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's own file, and the commands that read it."""
+"""Tests the operator's file and the commands that read it."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 SAMPLE = Path(__file__).parents[2] / "deploy" / "gateway.toml"
 
 
-def test_sample_names_every_key_with_its_default() -> None:
+def test_sample_file_has_every_key_with_its_default() -> None:
+    """Guards against a key that is added, removed or changed without the sample file."""
     raw = tomllib.loads(SAMPLE.read_text())
-    told = msgspec.json.decode(msgspec.json.encode(DEFAULTS))
-    assert told.pop("listeners") == [] and raw == told
+    defaults = msgspec.json.decode(msgspec.json.encode(DEFAULTS))
+    assert defaults.pop("listeners") == [] and raw == defaults
     assert parse(SAMPLE.read_text(), "f") == DEFAULTS == parse("", "f")
 
 
@@ -57,20 +58,21 @@
         ("[clients", "must be valid TOML: "),
     ],
 )
-def test_a_mistake_is_one_line_with_file_key_found_and_wanted(text: str, line: str) -> None:
+def test_invalid_file_gives_a_one_line_error(text: str, line: str) -> None:
+    """Guards against errors that do not name the file, the key, what is valid and what was given."""
     with pytest.raises(ConfigError) as caught:
         parse(text, "own.toml")
-    told = str(caught.value)
-    assert told.startswith(f"own.toml: {line}") and "\n" not in told
+    message = str(caught.value)
+    assert message.startswith(f"own.toml: {line}") and "\n" not in message
 
 
-def test_what_needs_a_restart_is_told_by_table() -> None:
+def test_changes_that_need_a_restart_are_named_by_table() -> None:
     changed = parse("[backends]\ngrace_part = 0.5\n[clients]\npipeline = 4\n[log]\nlevel = 'error'", "f")
     assert needs_restart(DEFAULTS, changed) == ["backends"]
     assert set(Operator.__struct_fields__) > LIVE
 
 
-def test_check_names_both_files_or_the_mistake(
+def test_check_command_names_valid_files_or_the_error(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("ROUTER_CONFIG", raising=False)
@@ -80,24 +82,24 @@
     assert main(["check", str(own), "--config", str(platform)]) == 0
     assert capsys.readouterr().out.count(": ok: ") == 2
     listen = json.loads(platform.read_text())["listen"]
-    for text, word in (
+    for text, expected in (
         ("[clients]\npipeline = -8", "clients.pipeline: must be int >= 1, got -8"),
         (f"[[listeners]]\naddress = '{listen}'", "is already the listen address"),
     ):
         own.write_text(text)
         assert main(["check", str(own), "--config", str(platform)]) == 2
-        told = capsys.readouterr().err
-        assert word in told and told.count("\n") == 1
+        output = capsys.readouterr().err
+        assert expected in output and output.count("\n") == 1
     assert main(["check", str(tmp_path / "none.toml")]) == 2
     assert "No such file" in capsys.readouterr().err
     assert main(["check"]) == 2
     assert "nothing to check" in capsys.readouterr().err
 
 
-@pytest.mark.parametrize("words", [[], ["run"], ["run", "--file", "none.toml"]])
-def test_start_without_a_configuration_is_one_plain_line(words: list[str], tmp_path: Path) -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "trackspread", *words],
+@pytest.mark.parametrize("arguments", [[], ["run"], ["run", "--file", "none.toml"]])
+def test_start_without_configuration_gives_a_one_line_error(arguments: list[str], tmp_path: Path) -> None:
+    completed = subprocess.run(
+        [sys.executable, "-m", "trackspread", *arguments],
         capture_output=True,
         text=True,
         check=False,
@@ -105,17 +107,20 @@
         cwd=SAMPLE.parent.parent,
         timeout=60,
     )
-    assert done.returncode == 2 and done.stderr.startswith("trackspread: ") and done.stderr.count("\n") == 1
+    assert completed.returncode == 2 and completed.stderr.startswith("trackspread: ")
+    assert completed.stderr.count("\n") == 1
 
 
-def test_help_tells_of_every_command(capsys: pytest.CaptureFixture[str]) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_help_names_commands_and_environment(capsys: pytest.CaptureFixture[str]) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         main(["--help"])
-    told = capsys.readouterr().out
-    assert ended.value.code == 0 and all(word in told for word in ("run", "check", "ROUTER_CONFIG"))
+    output = capsys.readouterr().out
+    assert exit_info.value.code == 0 and all(word in output for word in ("run", "check", "ROUTER_CONFIG"))
 
 
-def test_every_listener_serves_and_live_bounds_are_taken_up() -> None:
+def test_every_listener_serves_and_client_limits_reload() -> None:
+    """Guards against a further listener that is not served, and a reload that keeps the old limits."""
+
     async def test() -> None:
         async with world(parse("[[listeners]]\naddress = '127.0.0.1:0'", "f")) as w:
             for number, server in enumerate(w.node.clients._servers):
@@ -126,8 +131,8 @@
                 connection.send(served(b"V"))
                 assert await client.next() == b"V"
             assert number == 1
-            fresh = parse("[clients]\npipeline = 1\n[log]\ntally_s = 3", "f")
-            w.node.reconfigure(w.node.config, fresh)
+            reloaded = parse("[clients]\npipeline = 1\n[log]\ntally_s = 3", "f")
+            w.node.reconfigure(w.node.config, reloaded)
             client = await w.client()
             client.send(call(number=7) + call(number=8))
             connection, words = await w.backend.command()
--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -330,4 +330,4 @@
     assert main(["quota", "7", "--socket", str(tmp_path / "none")]) == 2
     assert main(["quota", "x y", "--socket", str(tmp_path / "none")]) == 2
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 2 and "counter.status" in lines[0] and "wanted 16 hexadecimal digits" in lines[1]
+    assert len(lines) == 2 and "counter.status" in lines[0] and "must be 16 hexadecimal digits" in lines[1]
--- a/tests/distribution/test_configuration.py
+++ b/tests/distribution/test_configuration.py
@@ -163,9 +163,12 @@
     path = str(tmp_path / "own.toml")
     (tmp_path / "off.toml").write_text("")
     for words, line in (
-        (["put", "s", "k", "v" * 641, "--file", path], "VALUE: found 641 bytes, wanted 640 at most"),
-        (["put", "", "k", "v", "--file", path], "SERVICE: found 0 characters, wanted 1 to 128"),
-        (["show", "--file", path], "configuration.replicas: none of them answers, wanted one that runs"),
+        (["put", "s", "k", "v" * 641, "--file", path], "VALUE: must be at most 640 bytes, got 641"),
+        (["put", "", "k", "v", "--file", path], "SERVICE: must be 1 to 128 characters without NUL, got 0"),
+        (
+            ["show", "--file", path],
+            "configuration.replicas: at least one replica must run, got no answer from any of them",
+        ),
         (["show", "--file", str(tmp_path / "off.toml")], f"{tmp_path / 'off.toml'}: configuration.replicas"),
         (["put", "s", "k", "v", "--file", path], f"{path}: configuration.replicas: no replica that"),
         (["show", f"{LOCAL}:9", "--file", path], f"{LOCAL}:9: "),
--- a/tests/membership/test_membership_process.py
+++ b/tests/membership/test_membership_process.py
@@ -109,7 +109,7 @@
     async def work(fleet: Fleet) -> None:
         admin_addresses = ["{}:{}".format(*fleet.control_addresses[name]) for name in NAMES]
         status, out = await command("fleet", "view", *admin_addresses, "--wait", "5")
-        assert status == 0 and out.count("settled, view") == GATEWAYS and "amiss" not in out
+        assert status == 0 and out.count("settled, view") == GATEWAYS and "problem" not in out
         status, out = await command("fleet", "view", admin_addresses[3], "--json")
         report = json.loads(out)
         assert (status, report["name"], report["standing"], report["differ"]) == (0, "n3", "settled", [])
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -100,7 +100,7 @@
     assert streams == expected["streams"]
     assert main(["use", "verify", str(usage_folder)]) == 0
     records = sum(stream[1] for stream in expected["streams"])
-    assert f"{records} records check, 0 are damaged, 0 are missing" in capsys.readouterr().out
+    assert f"{records} records are valid, 0 are damaged, 0 are missing" in capsys.readouterr().out
 
 
 def test_stored_folder_differs_from_billing_by_unexported_records(usage_folder: Path) -> None:
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -253,23 +253,26 @@
     uvloop.run(record())
     assert _run_command(capsys, "verify", str(folder)) == (
         0,
-        "40 records check, 0 are damaged, 0 are missing; 0 were torn by a loss of power\n",
+        "40 records are valid, 0 are damaged, 0 are missing; 0 were torn by a loss of power\n",
     )
     assert "nothing to repair" in _run_command(capsys, "repair", str(folder))[1]
     for name in ("control-a", "control-b"):
         (folder / name).write_bytes(b"?" * 65_536)
     status, output = _run_command(capsys, "verify", str(folder))
     assert status == 1 and "the folder has records but no readable checkpoint" in output
-    assert "1 lives are known again, 41 places" in _run_command(capsys, "repair", str(folder))[1]
-    assert "40 records check" in _run_command(capsys, "verify", str(folder))[1]
+    assert (
+        "the checkpoint is rebuilt with 1 incarnations and 41 slots"
+        in _run_command(capsys, "repair", str(folder))[1]
+    )
+    assert "40 records are valid" in _run_command(capsys, "verify", str(folder))[1]
     segment = next(folder.glob("use-*.log"))
     data = bytearray(segment.read_bytes())
     data[HEADER_BYTES + 3 * SLOT_BYTES + 9] ^= 1
     segment.write_bytes(data)
     status, output = _run_command(capsys, "verify", str(folder))
     assert status == 1 and "epoch 1: 1 records are damaged, the first at slot 4" in output
-    assert "39 records check, 1 are damaged" in output, "the final mark shows that the slot was committed"
+    assert "39 records are valid, 1 are damaged" in output, "the final mark shows that the slot was committed"
     assert _run_command(capsys, "verify", str(tmp_path / "none")) == (
         2,
-        f"trackspread: {tmp_path / 'none'}: found no folder, wanted a gateway's use.folder\n",
+        f"trackspread: {tmp_path / 'none'}: must be a gateway's use.folder, but no such folder exists\n",
     )
--- a/trackspread/commands/configuration.py
+++ b/trackspread/commands/configuration.py
@@ -1,4 +1,4 @@
-"""`trackspread configuration`: changes and shows the configuration that control replicas distribute.
+"""Implements `trackspread configuration`, which changes and shows the distributed configuration.
 
 An error of the operator is one line (`ConfigError`).
 """
@@ -27,7 +27,9 @@
     loaded = operator.load(path)
     replicas = loaded.configuration.addresses()
     if not replicas:
-        raise ConfigError(f"{path}: configuration.replicas: found nothing, wanted the replicas' addresses")
+        raise ConfigError(
+            f"{path}: configuration.replicas: must be the addresses of the replicas, got nothing"
+        )
     client = ReplicaClient(Wire(loaded.fleet.name, read_keys(loaded.fleet)), replicas)
     try:
         return _act(options, client, loaded.configuration.replicas)
@@ -35,8 +37,8 @@
         raise ConfigError(f"KEY: {error}") from None
     except LeaderUnavailable as error:
         raise ConfigError(
-            f"{path}: configuration.replicas: {error}; wanted a majority of them up, with the "
-            "fleet's key, and a history begun"
+            f"{path}: configuration.replicas: {error}; a majority of them must run with the fleet's key, and "
+            "a history must have begun"
         ) from None
 
 
@@ -45,7 +47,7 @@
         case "put":
             value = options.value.encode()
             if len(value) > MAX_VALUE_BYTES:
-                raise ConfigError(f"VALUE: found {len(value)} bytes, wanted {MAX_VALUE_BYTES} at most")
+                raise ConfigError(f"VALUE: must be at most {MAX_VALUE_BYTES} bytes, got {len(value)}")
             _check_names(options.service, options.key)
             print(f"version {format_version(client.put(options.service, options.key, value))}")
         case "delete":
@@ -53,8 +55,8 @@
             print(f"version {format_version(client.put(options.service, options.key, None))}")
         case "begin":
             print(f"history {client.begin().history}")
-        case _ if options.door:
-            return show_gateways(options.door)
+        case _ if options.admin_address:
+            return show_gateways(options.admin_address)
         case _:
             return show_replicas(client, replicas, options.key)
     return 0
@@ -63,11 +65,13 @@
 def _check_names(service: str, key: str) -> None:
     for option, name in (("SERVICE", service), ("KEY", key)):
         if not 0 < len(name) <= MAX_NAME_CHARACTERS or "\0" in name:
-            raise ConfigError(f"{option}: found {len(name)} characters, wanted 1 to {MAX_NAME_CHARACTERS}")
+            raise ConfigError(
+                f"{option}: must be 1 to {MAX_NAME_CHARACTERS} characters without NUL, got {len(name)}"
+            )
 
 
 def format_version(version: Version) -> str:
-    """Returns a version as operators read it."""
+    """Formats a version for operators."""
     return _format_version(version.history, version.epoch, version.sequence)
 
 
@@ -78,15 +82,17 @@
 def show_replicas(client: ReplicaClient, replicas: Sequence[str], entry_name: str) -> int:
     """Prints each replica's state; raises `ConfigError` if none of them answers.
 
-    `entry_name` is SERVICE/KEY of a value to print too, or empty. The exit status is 0 if all replicas
-    answer, have committed the same version and one of them is the leader.
+    `entry_name` is the SERVICE/KEY of a value that is printed too, or empty. The exit status is 0 if all
+    replicas answer, all have committed the same version and exactly one is the leader; otherwise it is 1.
     """
     service, _, key = entry_name.partition("/")
     if entry_name:
         _check_names(service, key)
     answers = [client.show(number, service, key) for number in range(len(replicas))]
     if not any(answers):
-        raise ConfigError("configuration.replicas: none of them answers, wanted one that runs")
+        raise ConfigError(
+            "configuration.replicas: at least one replica must run, got no answer from any of them"
+        )
     for address, answer in zip(replicas, answers, strict=True):
         print(f"{address:<24} {_replica_line(answer) if answer is not None else 'does not answer'}")
     states = [answer for answer in answers if answer is not None]
@@ -112,7 +118,10 @@
 
 
 def show_gateways(admin_addresses: Sequence[str]) -> int:
-    """Prints each gateway's version; the exit status is 0 if all have the same. Raises `ConfigError`."""
+    """Prints each gateway's version; raises `ConfigError`.
+
+    The exit status is 0 if all have the same version, and otherwise 1.
+    """
     reports = []
     for each in admin_addresses:
         body = admin_client.fetch(each, "/configuration", "configuration.listen")
@@ -122,8 +131,8 @@
         version = _format_version(report.history, report.epoch, report.sequence)
         print(
             f"{report.name:<20} version {version}, {report.keys} keys "
-            f"of {report.services} services ({report.values}), surely the newest {age}, "
-            f"asks {report.replica}"
+            f"of {report.services} services ({report.values}), confirmed as the newest {age}, "
+            f"polls {report.replica}"
         )
     versions = {(report.history, report.epoch, report.sequence) for report in reports}
     return 0 if len(versions) == 1 else 1
--- a/trackspread/commands/fleet_queries.py
+++ b/trackspread/commands/fleet_queries.py
@@ -1,4 +1,4 @@
-"""`trackspread fleet cells` and `fleet forget`: requests to the fleet's leaders by datagrams.
+"""Implements `trackspread fleet cells` and `fleet forget`, which send datagrams to the leaders of the fleet.
 
 An error of the operator is one line (`ConfigError`).
 """
@@ -21,18 +21,20 @@
 from ..node.cell_part import control_machines
 from ..node.fleet_keys import read_keys
 
-TIMEOUT_S = 3.0  # until a request has failed
+TIMEOUT_S = 3.0  # time-out of a request
 RESEND_INTERVAL_S = 0.2
 
 
 def cells(file: Path) -> int:
-    """Prints the cells that the directory's leader knows and returns the exit status; raises `ConfigError`.
+    """Prints the cells in the directory of its leader and returns the exit status; raises `ConfigError`.
 
     `file` is the operator's file of any process of the fleet.
     """
     fleet = operator.load(file).fleet
     if not fleet.control:
-        raise ConfigError(f"{file}: fleet.control: found nothing, wanted a fleet's that has cells")
+        raise ConfigError(
+            f"{file}: fleet.control: must name the control machines of a fleet with cells, got nothing"
+        )
     wire = CellsWire(fleet.name, read_keys(fleet), fleet.most)
     rows: list[CellRow] = []
     rejected_requests = 0
@@ -45,8 +47,8 @@
             response = _request_page(datagrams, wire, destinations, page)
             if response is None or response.leader is None:
                 raise ConfigError(
-                    f"{file}: fleet.control: no leader answered within {TIMEOUT_S:.0f} s; "
-                    "wanted a majority of the control machines up, and the fleet's key"
+                    f"{file}: fleet.control: no leader answered within {TIMEOUT_S:.0f} s; a "
+                    "majority of the control machines must run, with the fleet's key"
                 )
             rows += response.rows
             destinations = [response.leader]
@@ -55,7 +57,7 @@
             rejected_requests = response.rejected_requests
     gateways = sum(row.gateways for row in rows)
     print(
-        f"fleet {fleet.name}: {len(rows)} cells, {gateways} gateways, {rejected_requests} questions refused"
+        f"fleet {fleet.name}: {len(rows)} cells, {gateways} gateways, {rejected_requests} rejected requests"
     )
     for row in rows:
         print(f"  {row.name:<40} {row.gateways:>4} gateways{', closing' if row.closing else ''}")
@@ -65,7 +67,7 @@
 def _request_page(
     datagrams: socket.socket, wire: CellsWire, destinations: Sequence[Address], page: int
 ) -> DirectoryPage | None:
-    """Returns a page of the directory, or None after the time-out."""
+    """Requests a page of the directory until the time-out; returns None if it does not arrive."""
     request = wire.pack_message(CellsMessage(wire.fleet, "", 0, DirectoryRequest(page)))
     deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
@@ -75,7 +77,7 @@
         while time.monotonic() < resend_at:
             try:
                 message = wire.read(datagrams.recv(MAX_DATAGRAM_BYTES))
-            except OSError:  # no response yet, or nobody listens at one of the addresses
+            except OSError:  # no response yet, or no process listens at one of the addresses
                 continue
             body = message.body if isinstance(message, CellsMessage) else None
             if isinstance(body, DirectoryPage) and body.page == page and body.pages:
@@ -84,22 +86,24 @@
 
 
 def forget(name: str, file: Path) -> int:
-    """Has the coordinator forget a member and returns the exit status; raises `ConfigError`.
+    """Makes the coordinator forget a member and returns the exit status; raises `ConfigError`.
 
-    The request goes to all seeds, of which the coordinator responds. `file` is the operator's file of any
-    gateway of the fleet.
+    The request goes to all seeds, and the coordinator among them responds. `file` is the operator's file of
+    any gateway of the fleet.
     """
     fleet = operator.load(file).fleet
     if not fleet.name:
-        raise ConfigError(f"{file}: fleet.name: found nothing, wanted a gateway's that keeps a view")
+        raise ConfigError(f"{file}: fleet.name: must be the name of a fleet, got nothing")
     if fleet.control:
-        raise ConfigError(f"{file}: fleet.control: found control machines, wanted a fleet without cells")
+        raise ConfigError(
+            f"{file}: fleet.control: must be empty, as of a fleet without cells, got control machines"
+        )
     wire = Wire(fleet.name, read_keys(fleet), fleet.most)
     response = _request_forgetting(wire, name, fleet.seed_addresses())
     if response is None:
         raise ConfigError(
-            f"{file}: fleet.seeds: no coordinator answered within {TIMEOUT_S:.0f} s; wanted a "
-            "majority of them up, and the fleet's key"
+            f"{file}: fleet.seeds: no coordinator answered within {TIMEOUT_S:.0f} s; a "
+            "majority of the seeds must run, with the fleet's key"
         )
     return _print_forgotten(response)
 
@@ -114,7 +118,7 @@
                 datagrams.sendto(request, seed)
             try:
                 message = wire.unpack(datagrams.recv(MAX_DATAGRAM_BYTES))
-            except OSError:  # no response yet, or nobody listens at one of the addresses
+            except OSError:  # no response yet, or no process listens at one of the addresses
                 continue
             if message is not None and isinstance(message.body, ForgetResponse) and message.body.name == name:
                 return message.body
@@ -123,10 +127,10 @@
 
 def _print_forgotten(response: ForgetResponse) -> int:
     if response.is_running:
-        print(f"{response.name} is in the fleet, nothing is forgotten: end it, or wait until it is DEAD")
+        print(f"{response.name} is in the fleet and is not forgotten: stop it, or wait until it is DEAD")
         return 1
-    freed = "it held nothing known of"
+    freed = "it held no known slots"
     if response.freed_slots:
-        freed = f"{response.freed_slots} of {SLOT_COUNT} slots are free"
+        freed = f"{response.freed_slots} of {SLOT_COUNT} slots are freed"
     print(f"{response.name} is forgotten: {freed}")
     return 0
