--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -309,7 +309,7 @@
     [
         (None, "ROUTER_CONFIG"),
         ("no json", "ROUTER_CONFIG"),
-        ([], "not a JSON object"),
+        ([], "must name a file with a JSON object"),
         (_without("settings"), "settings"),
         (_without("listen"), "listen"),
         (raw_config(1) | {"seed": "zz"}, "seed"),
--- a/trackspread/commands/quota.py
+++ b/trackspread/commands/quota.py
@@ -76,7 +76,7 @@
             f"({report.hard_limit_share:.1%} of the limit)"
         )
     if report.concurrency_limit:
-        text.append(f"  attempts          {report.in_flight} of {report.concurrency_limit}")
+        text.append(f"  concurrency       {report.in_flight} of {report.concurrency_limit} attempts")
     text += [
         f"  in flight         {report.in_flight} of a cap of {report.cap}",
         f"  claimed, proven   {report.claimed_share:.1%}, {report.proven_share:.1%}; "
--- a/trackspread/config/table.py
+++ b/trackspread/config/table.py
@@ -34,7 +34,7 @@
 
 
 def is_unspecified(host: str) -> bool:
-    """Returns whether the IP address `host` stands for all interfaces, such as 0.0.0.0."""
+    """Returns whether the IP address `host` means all interfaces, as 0.0.0.0 does."""
     return ip_address(host).is_unspecified
 
 
--- a/trackspread/plans/calendar.py
+++ b/trackspread/plans/calendar.py
@@ -135,7 +135,7 @@
     if rate > available:
         raise PlanError(
             f"rate: must be at most {available:.6g} units per second, which is available over the complete "
-            f"span besides reservations and {fleet.kept:g} kept for others, got {rate:g}"
+            f"span besides existing reservations and {fleet.kept:g} kept for others, got {rate:g}"
         )
     number = max((each.number for each in reservations), default=0) + 1
     return Reservation(number, tenant, rate, start_ms, end_ms, now_ms, note)
