--- a/tests/distribution/test_configuration.py
+++ b/tests/distribution/test_configuration.py
@@ -31,18 +31,40 @@
 @pytest.mark.parametrize(
     ("text", "line"),
     [
-        ("listen = '127.0.0.1:1'", "configuration.replicas: found nothing, wanted addresses: "),
-        ("replicas = ['here:1']", "configuration.replicas[0]: found 'here:1', wanted an address and a port"),
-        ("replicas = ['127.0.0.1:0']", "configuration.replicas[0]: found port 0, wanted 1 to 65535"),
-        ("replicas = ['0.0.0.0:1']", "configuration.replicas[0]: found '0.0.0.0:1', wanted an address that"),
-        ("replicas = ['127.0.0.1:1', '127.0.0.1:1']", "configuration.replicas: found one twice, wanted once"),
-        ("replicas = ['127.0.0.1:1']\nnear = ['127.0.0.1:2']", "configuration.near[0]: found '127.0.0.1:2'"),
+        (
+            "listen = '127.0.0.1:1'",
+            "configuration.replicas: must be addresses when configuration.listen is set, got nothing",
+        ),
+        (
+            "replicas = ['here:1']",
+            "configuration.replicas[0]: must be an IP address and a port, such as 127.0.0.1:7600, because "
+            "names are not resolved, got 'here:1'",
+        ),
+        (
+            "replicas = ['127.0.0.1:0']",
+            "configuration.replicas[0]: must have a port from 1 to 65535, got port 0",
+        ),
+        (
+            "replicas = ['0.0.0.0:1']",
+            "configuration.replicas[0]: must be an address that others can reach, got '0.0.0.0:1'",
+        ),
+        (
+            "replicas = ['127.0.0.1:1', '127.0.0.1:1']",
+            "configuration.replicas: must not contain a value twice",
+        ),
+        (
+            "replicas = ['127.0.0.1:1']\nnear = ['127.0.0.1:2']",
+            "configuration.near[0]: must be one of configuration.replicas, got '127.0.0.1:2'",
+        ),
         (
             f"replicas = ['127.0.0.1:1', '127.0.0.1:2']\n{CONTROL}",
-            "configuration.replicas: found 2, wanted 1: one for each of fleet.control",
+            "configuration.replicas: must have one entry for each of fleet.control (1), in its order, got 2",
+        ),
+        (
+            "replicas = ['127.0.0.1:1']\nservices = ['a', 'a']",
+            "configuration.services: must not contain a value twice",
         ),
-        ("replicas = ['127.0.0.1:1']\nservices = ['a', 'a']", "configuration.services: found one twice"),
-        ("replicas = ['127.0.0.1:1']\nservice = 3", "configuration.service: found an unknown key, did"),
+        ("replicas = ['127.0.0.1:1']\nservice = 3", "configuration.service: unknown key; did"),
     ],
 )
 def test_a_mistake_is_one_line_with_file_key_found_and_wanted(text: str, line: str) -> None:
@@ -53,7 +75,10 @@
 
 
 def test_it_wants_the_fleet_s_name_and_is_off_without_replicas() -> None:
-    with pytest.raises(ConfigError, match=r"own.toml: fleet.name: found nothing, wanted a name: conf"):
+    with pytest.raises(
+        ConfigError,
+        match=r"own.toml: fleet.name: must be a name when configuration.replicas is set, got nothing",
+    ):
         parse("[configuration]\nreplicas = ['127.0.0.1:1']", "own.toml")
     assert not DEFAULTS.configuration.listen
 
@@ -138,9 +163,12 @@
     path = str(tmp_path / "own.toml")
     (tmp_path / "off.toml").write_text("")
     for words, line in (
-        (["put", "s", "k", "v" * 641, "--file", path], "VALUE: found 641 bytes, wanted 640 at most"),
-        (["put", "", "k", "v", "--file", path], "SERVICE: found 0 characters, wanted 1 to 128"),
-        (["show", "--file", path], "configuration.replicas: none of them answers, wanted one that runs"),
+        (["put", "s", "k", "v" * 641, "--file", path], "VALUE: must be at most 640 bytes, got 641"),
+        (["put", "", "k", "v", "--file", path], "SERVICE: must be 1 to 128 characters without NUL, got 0"),
+        (
+            ["show", "--file", path],
+            "configuration.replicas: at least one replica must run, got no answer from any of them",
+        ),
         (["show", "--file", str(tmp_path / "off.toml")], f"{tmp_path / 'off.toml'}: configuration.replicas"),
         (["put", "s", "k", "v", "--file", path], f"{path}: configuration.replicas: no replica that"),
         (["show", f"{LOCAL}:9", "--file", path], f"{LOCAL}:9: "),
--- a/tests/node/test_gateway_process.py
+++ b/tests/node/test_gateway_process.py
@@ -266,7 +266,7 @@
             own = tmp_path / "own.toml"
             own.write_text("[clients]\npipeline = 'many'")
             p.process.send_signal(signal.SIGHUP)
-            await p.logged(b"own.toml: clients.pipeline: found 'many', wanted int")
+            await p.logged(b"own.toml: clients.pipeline: must be int, got 'many'")
             own.write_text("[backends]\ngrace_part = 0.5\n[clients]\npipeline = 1")
             p.process.send_signal(signal.SIGHUP)
             await p.logged(b"a restart is needed for backends")
@@ -309,7 +309,7 @@
     [
         (None, "ROUTER_CONFIG"),
         ("no json", "ROUTER_CONFIG"),
-        ([], "not a JSON object"),
+        ([], "must name a file with a JSON object"),
         (_without("settings"), "settings"),
         (_without("listen"), "listen"),
         (raw_config(1) | {"seed": "zz"}, "seed"),
--- a/trackspread/config/roster.py
+++ b/trackspread/config/roster.py
@@ -1,7 +1,7 @@
-"""The numbers of request classes over reloads that add, remove and change classes.
+"""Assigns numbers to request classes across reloads that add, remove and change classes.
 
-A number keeps its meaning while a request uses it: a class that is removed or changed keeps its rules for
-open requests, and its number is reused only when no request has it any more.
+A number refers to the same class while a request uses it. A class that is removed or changed keeps its rules
+for open requests, and its number is reused only when no request uses it any more.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Roster:
-    """Names and rules of request classes by number; `named` are the numbers that clients can use now."""
+    """Holds the names and rules of request classes by number; clients can use the numbers in `named`."""
 
     names: tuple[bytes, ...]
     rules: tuple[RequestClass, ...]
     named: frozenset[int]
 
     @classmethod
-    def first(cls, names: Sequence[bytes], rules: Sequence[RequestClass]) -> Roster:
+    def initial(cls, names: Sequence[bytes], rules: Sequence[RequestClass]) -> Roster:
         """Returns the roster at the start, with numbers in the order of the configuration."""
         return cls(tuple(names), tuple(rules), frozenset(range(len(rules))))
 
@@ -33,12 +33,12 @@
         """Returns the number of each class that clients can use."""
         return {self.names[number]: number for number in sorted(self.named)}
 
-    def follow(
+    def reload(
         self, names: Sequence[bytes], rules: Sequence[RequestClass], in_use: Set[int]
     ) -> tuple[Roster, tuple[int, ...]]:
-        """Returns the roster of another configuration, and the predecessor of each number.
+        """Returns the roster after a reload, and the predecessor of each number.
 
-        `in_use` are the numbers of open requests. A predecessor is the number whose statistics a number
+        `in_use` holds the numbers of open requests. A predecessor is the number whose statistics a number
         continues, or `NO_PREDECESSOR`.
         """
         all_names = list(self.names)
@@ -70,6 +70,6 @@
         return Roster(tuple(all_names), tuple(all_rules), frozenset(named)), tuple(predecessors)
 
 
-def change(roster: Roster, predecessors: tuple[int, ...], max_attempts: int) -> ClassesChanged:
-    """Returns the event that gives a roster to the decision module."""
+def classes_changed(roster: Roster, predecessors: tuple[int, ...], max_attempts: int) -> ClassesChanged:
+    """Returns the event that passes a roster to the decision module."""
     return ClassesChanged(roster.rules, roster.named, predecessors, max_attempts)
