--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -296,7 +296,7 @@
 def test_the_status_path_must_not_hide_a_file(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     path.write_text("of somebody")
-    with pytest.raises(ConfigError, match="counter.status: must be a socket or an unused path"):
+    with pytest.raises(ConfigError, match=r"counter.status: must be a socket or an unused path"):
         _remove_stale_socket(str(path))
     assert path.read_text() == "of somebody"
     _remove_stale_socket(str(tmp_path / "none"))
