--- a/tests/plans/test_plans.py
+++ b/tests/plans/test_plans.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
@@ -38,6 +38,8 @@
 from ..fakes import run, until, world
 from ..helpers import MS, arrival, backend, ended, full_list, plan, settings
 
+# Hypothesis would derive the seed from the text of the test, so that any rewording changed the examples.
+SEED = 0x845AB18C233FE94FF916C4C91EC516062D91AC57BB016EDBED736D4764F4E1A1989B0DB71CC2366FF0B57D8239324DC1
 NOW = 1_000_000_000
 LATE = NOW + 70_000
 FULL: dict[str, PlanLimits] = {"full": PlanLimits(10.0, 20.0)}
@@ -136,6 +138,7 @@
             assert max(times) - min(times) <= 1_050 and min(times) >= version.since - 500
 
 
+@seed(SEED)
 @hypothesis_settings(derandomize=True)
 @given(st.floats(-50, 50), st.floats(0.1, 100), st.floats(0.1, 100))
 def test_plan_change_adds_no_tokens_and_respects_the_burst(level: float, old: float, new: float) -> None:
