--- a/tests/distribution/test_configuration.py
+++ b/tests/distribution/test_configuration.py
@@ -142,7 +142,10 @@
         (["put", "", "k", "v", "--file", path], "SERVICE: found 0 characters, wanted 1 to 128"),
         (["show", "--file", path], "configuration.replicas: none of them answers, wanted one that runs"),
         (["show", "--file", str(tmp_path / "off.toml")], f"{tmp_path / 'off.toml'}: configuration.replicas"),
-        (["put", "s", "k", "v", "--file", path], f"{path}: configuration.replicas: no replica that"),
+        (
+            ["put", "s", "k", "v", "--file", path],
+            f"{path}: configuration.replicas: no leader among the replicas",
+        ),
         (["show", f"{LOCAL}:9", "--file", path], f"{LOCAL}:9: "),
     ):
         assert main(["configuration", *words]) == 2
--- a/trackspread/distribution/__init__.py
+++ b/trackspread/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration distributed from control replicas to gateways: a replicated log, and subscriptions to it."""
+"""Distributes configuration from control replicas to gateways by a replicated log and subscriptions to it."""
--- a/trackspread/distribution/actions.py
+++ b/trackspread/distribution/actions.py
@@ -1,4 +1,4 @@
-"""What the cores want done: messages to send, and events for the log and the record."""
+"""Defines the actions that the cores return: messages to send, and events for the log and the event log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Send(NamedTuple):
-    """Send this body."""
+    """Asks the host to send this body to the recipient."""
 
     recipient: Address
     body: MessageBody
--- a/trackspread/distribution/client.py
+++ b/trackspread/distribution/client.py
@@ -1,6 +1,6 @@
-"""An operator's client of the replicas: a change, a new history, what each of them holds.
+"""Sends operators' commands to the replicas: changes, the beginning of a new history, and inspections.
 
-Blocking, for commands and tests alone.
+The client blocks; only commands and tests use it.
 """
 
 from __future__ import annotations
@@ -26,22 +26,24 @@
 from .wire import Wire
 from .wire import MAX_DATAGRAM_BYTES
 
-COMMIT_TIMEOUT_S = 5.0  # for a change to be committed
-REPLY_TIMEOUT_S = 0.4  # for one answer
-PAUSE_S = 0.1  # before the next replica is tried, where none leads
+COMMIT_TIMEOUT_S = 5.0  # until a change has to be committed
+REPLY_TIMEOUT_S = 0.4  # until one answer has to arrive
+PAUSE_S = 0.1  # between two replicas, after one has answered that it does not lead
 
 
 class LeaderUnavailable(Exception):
-    """No replica that leads has answered in time."""
+    """Reports that no leader has answered in time."""
 
 
 class KeyLimitReached(Exception):
-    """No more keys are accepted; the text says how many have a value."""
+    """Reports that no more keys are accepted; the text names how many have a value."""
 
 
 class ReplicaClient:
-    """One command's client. A change that is sent again, as its answer was lost, may get two versions with
-    the same value."""
+    """Calls the replicas for one command.
+
+    A change whose answer was lost is sent again and may get two versions with the same value.
+    """
 
     def __init__(
         self,
@@ -50,7 +52,7 @@
         timeout_s: float = COMMIT_TIMEOUT_S,
         first: int | None = None,
     ) -> None:
-        """`first`: the replica that is called first; any, where it is left out."""
+        """Takes in `first` the replica that is called first; None selects one at random."""
         self._first = first
         self._wire = wire
         self._replicas = replicas
@@ -58,17 +60,23 @@
         self._random = random.SystemRandom()
 
     def put(self, service: str, key: str, value: bytes | None) -> Version:
-        """The version under which a change is committed; raises `LeaderUnavailable`, `KeyLimitReached`."""
+        """Puts a change and returns the version under which it is committed.
+
+        Raises `LeaderUnavailable` or `KeyLimitReached`.
+        """
         number = self._random.getrandbits(40)
         return self._call_leader(Put(number, service, key, value), number)
 
     def begin(self) -> Version:
-        """Have a new history begun, if none goes on; raises `LeaderUnavailable`."""
+        """Requests a new history and returns its version, or the present one where a leader still commits.
+
+        Raises `LeaderUnavailable`.
+        """
         number = self._random.getrandbits(40)
         return self._call_leader(BeginHistory(number), number)
 
     def show(self, replica: int, service: str = "", key: str = "") -> Inspected | None:
-        """What one replica holds; None where it does not answer."""
+        """Returns what one replica holds, or None where it does not answer."""
         number = self._random.getrandbits(40)
         with self._socket() as udp_socket:
             for _ in range(3):
@@ -83,8 +91,11 @@
         return udp_socket
 
     def _call_leader(self, body: Put | BeginHistory, number: int) -> Version:
-        """Call replicas until the leader has done it. One that gives no answer, or does not lead yet, may be
-        followed by a minority alone: others are tried in turn before it is tried again."""
+        """Calls replicas until the leader has committed the command, and returns its version.
+
+        A replica that does not answer, or is not established yet, may be followed by a minority alone: the
+        others are tried in turn before it is named as leader again.
+        """
         deadline_s = time.monotonic() + self._timeout_s
         unresponsive = set[int]()
         replica = self._first if self._first is not None else self._random.randrange(len(self._replicas))
@@ -96,7 +107,7 @@
                         return answer.version
                     case TooManyKeys(_, keys):
                         raise KeyLimitReached(
-                            f"found {keys} keys with a value, wanted fewer before one more is put"
+                            f"{keys} keys have a value, which is the maximum; delete one to put another"
                         )
                     case NotLeader(_, leader) if (
                         self._is_other(leader, replica) and leader not in unresponsive
@@ -107,12 +118,12 @@
                         time.sleep(retry_after_ms / 1000)
                         continue
                 if answer is None or (isinstance(answer, NotLeader) and answer.leader == replica):
-                    unresponsive.add(replica)  # unreachable, or not established yet
+                    unresponsive.add(replica)  # It is unreachable, or not established yet.
                 replica = (replica + 1) % len(self._replicas)
                 if not replica:
                     unresponsive.clear()
                 time.sleep(PAUSE_S if answer is not None else 0.0)
-        raise LeaderUnavailable(f"no replica that leads answered within {self._timeout_s:g} s")
+        raise LeaderUnavailable(f"no leader among the replicas answered within {self._timeout_s:g} s")
 
     def _is_other(self, leader: int, replica: int) -> bool:
         return 0 <= leader < len(self._replicas) and leader != replica
@@ -125,7 +136,7 @@
         while time.monotonic() < deadline_s:
             try:
                 message = self._wire.unpack(udp_socket.recv(MAX_DATAGRAM_BYTES))
-            except OSError:  # unreachable, or no answer in time
+            except OSError:  # The replica is unreachable, or did not answer in time.
                 return None
             answer = message.body if message is not None else None
             if (
--- a/trackspread/distribution/host.py
+++ b/trackspread/distribution/host.py
@@ -1,7 +1,8 @@
-"""Replicas and subscribers on sockets: datagrams at one address, timers, the log and the records.
+"""Runs replicas and subscribers on sockets: datagrams at one address, timers, log lines and event logs.
 
-Decides nothing. All that comes is bounded by the wire. A fault in the handling of one message must cost that
-message alone. Hundreds of gateways may share a process: each is a socket and one timer.
+The module decides nothing, and the wire bounds everything that is received. An exception while one message
+is handled must cost that message alone. Hundreds of gateways may share a process: each has one socket and one
+timer.
 """
 
 from __future__ import annotations
@@ -29,17 +30,19 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-LOG_TEXTS = {  # by kind of event of a replica, for those that are logged
-    "leads": "leads and takes changes:",
-    "outdone": "no longer leads, a newer epoch is known:",
-    "whole": "is complete, counts for majorities again:",
-    "forgot": "starts anew, as an operator has begun another history",
-    "installed": "has installed a snapshot:",
+LOG_TEXTS = {  # of the events of a replica that are logged, by kind
+    "leads": "became the leader and accepts changes:",
+    "outdone": "no longer leads because a newer epoch is known:",
+    "whole": "became complete and counts for majorities again:",
+    "forgot": "dropped its log and recovers because an operator began another history",
+    "installed": "installed a snapshot:",
 }
-RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket: a snapshot's pieces come in bursts
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the socket, as the pieces of a snapshot arrive in bursts
 
 
 class _Datagrams(asyncio.DatagramProtocol):
+    """Passes the datagrams of a socket to its endpoint."""
+
     def __init__(self, host: Endpoint) -> None:
         self._host = host
 
@@ -47,11 +50,14 @@
         self._host.on_datagram(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """A dead replica's port answers with an ICMP error; datagrams may be lost anyway."""
+        """Ignores the ICMP error that the port of a stopped replica answers with.
+
+        Datagrams may be lost anyway.
+        """
 
 
 class Endpoint:
-    """A socket and a timer for a core; `counts`: datagrams and bytes, sent and received."""
+    """Gives a core a socket and a timer; `counts` counts datagrams and bytes, sent and received."""
 
     def __init__(
         self,
@@ -63,8 +69,10 @@
         now: Callable[[], int],
         record: Path | None = None,
     ) -> None:
-        """`replica`: the core's number, -1 for a gateway; `now`: the core's clock, ns. Raises `OSError` where
-        the record can't be written."""
+        """Takes the core's number in `replica`, -1 for a gateway, and its clock in nanoseconds in `now`.
+
+        Raises `OSError` where the event log can't be written.
+        """
         self.name = name
         self.wire = wire
         self.now = now
@@ -78,14 +86,14 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens: as bound, once it has been started."""
+        """Returns the address of the endpoint: the bound one once the endpoint has been started."""
         if self._transport is None:
             return self._listen
         host, port = self._transport.get_extra_info("sockname")[:2]
         return str(host), int(port)
 
     async def start(self) -> None:
-        """Listen and begin to tick. Raises `OSError` where the address can't be bound."""
+        """Binds the socket and begins to tick; raises `OSError` where the address can't be bound."""
         datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             datagram_socket.setblocking(False)
@@ -101,7 +109,7 @@
         self.tick()
 
     def close(self) -> None:
-        """End the socket, the timer and the record."""
+        """Closes the socket and the event log and cancels the timer."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -112,7 +120,7 @@
             self._recorder = None
 
     def on_datagram(self, data: bytes, source: Address) -> None:
-        """A datagram was received."""
+        """Decodes a received datagram and executes the actions that the core returns for it."""
         self.counts["received"] += 1
         self.counts["bytes received"] += len(data)
         message = self.wire.unpack(data)
@@ -120,19 +128,19 @@
             self.carry_out(lambda: self.on_message(message, source))
 
     def carry_out(self, call: Callable[[], Iterable[Action]]) -> None:
-        """Carry out what a call to the core wants done; a fault is logged."""
+        """Executes the actions that a call to the core returns; an exception is logged."""
         try:
             for action in call():
                 match action:
                     case Send(to, body):
                         self.send(to, body)
                     case StatusEvent():
-                        self.on_notice(action)
+                        self.on_event(action)
         except Exception:
-            log.exception("configuration: fault in %s", self.name)
+            log.exception("configuration: %s failed to handle a message or a tick", self.name)
 
     def send(self, to: Address, body: MessageBody) -> None:
-        """Send one datagram, where the socket is open."""
+        """Sends one datagram if the socket is open."""
         if self._transport is None:
             return
         data = self.wire.pack(Message(self.wire.fleet, self._replica, self._incarnation, body))
@@ -141,32 +149,32 @@
         self._transport.sendto(data, to)
 
     def record(self, kind: str, details: dict[str, object]) -> None:
-        """Write a line to the record, if one is kept."""
+        """Writes a line to the event log, if there is one."""
         if self._recorder is not None:
             self._recorder.write(kind, details)
 
     def schedule_tick(self, due_ns: int) -> None:
-        """Call `tick` at `due_ns` of the core's clock, in place of any time that was scheduled before."""
+        """Schedules `tick` for `due_ns` of the core's clock, in place of the tick scheduled before."""
         if self._timer is not None:
             self._timer.cancel()
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(max(0.0, (due_ns - self.now()) / SECOND), self.tick)
 
     def tick(self) -> None:
-        """Call the core and schedule the next tick."""
+        """Calls the core and schedules the next tick."""
         raise NotImplementedError
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
-        """Hand a message to the core; returns what it wants done."""
+        """Passes a message to the core and returns its actions."""
         raise NotImplementedError
 
-    def on_notice(self, event: StatusEvent) -> None:
-        """Log and record an event of the core."""
+    def on_event(self, event: StatusEvent) -> None:
+        """Logs and records an event of the core."""
         raise NotImplementedError
 
 
 class ReplicaHost(Endpoint):
-    """A replica on a socket."""
+    """Runs a replica on a socket."""
 
     def __init__(
         self,
@@ -179,9 +187,11 @@
         on_superseded: Callable[[Epoch], None] = lambda epoch: None,
         record: Path | None = None,
     ) -> None:
-        """`current_epoch`: the epoch that this replica is elected for at this instant, queried before each
-        call to the core; `on_superseded`: called with a newer epoch than the elected one, once that is
-        known."""
+        """Takes the callbacks that connect the replica to the election.
+
+        `current_epoch` returns the epoch that this replica is elected for, and is called before each call to
+        the core. `on_superseded` is called with an epoch newer than the elected one, once one is known.
+        """
         name = f"replica {settings.number}"
         super().__init__(name, settings.number, settings.incarnation, listen, wire, now, record)
         self.core = Replica(settings, now(), seed)
@@ -189,20 +199,20 @@
         self._on_superseded = on_superseded
 
     def tick(self) -> None:
-        """Call the core and schedule the next tick."""
+        """Calls the core and schedules the next tick."""
         now = self.now()
         self.carry_out(lambda: self.core.set_leadership(now, self._current_epoch()))
         self.carry_out(lambda: self.core.tick(self.now()))
         self.schedule_tick(now + TICK_NS)
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
-        """Hand a message to the core; returns what it wants done."""
+        """Passes a message to the core and returns its actions."""
         now = self.now()
         actions = self.core.set_leadership(now, self._current_epoch())
         return actions + self.core.on_message(now, message.replica, message.incarnation, message.body, source)
 
-    def on_notice(self, event: StatusEvent) -> None:
-        """Log and record an event of the core."""
+    def on_event(self, event: StatusEvent) -> None:
+        """Logs and records an event of the core; a newer epoch is reported to `on_superseded`."""
         self.record(event.kind, event.details)
         if (text := LOG_TEXTS.get(event.kind)) is not None:
             details = ", ".join(f"{key} {value}" for key, value in event.details.items())
@@ -212,7 +222,7 @@
 
 
 class SubscriberHost(Endpoint):
-    """A gateway's subscription on a socket."""
+    """Runs a gateway's subscription on a socket."""
 
     def __init__(
         self,
@@ -223,22 +233,22 @@
         seed: int,
         incarnation: int,
         now: Callable[[], int],
-        changed: Callable[[], None] = lambda: None,
+        on_change: Callable[[], None] = lambda: None,
         record: Path | None = None,
     ) -> None:
-        """`changed`: called after other values have come into force."""
+        """Takes in `on_change` the callback that is called after other values have come into force."""
         super().__init__(name, -1, incarnation, listen, wire, now, record)
         self.core = Subscriber(settings, now(), seed)
-        self._on_change = changed
+        self._on_change = on_change
         self._scheduled_ns = -1
 
     def change_services(self, services: frozenset[str]) -> None:
-        """Subscribe to other services from now on."""
+        """Subscribes to other services from now on."""
         self.core.change_services(self.now(), services)
         self._reschedule()
 
     def tick(self) -> None:
-        """Call the core and schedule the next tick."""
+        """Calls the core and schedules the next tick."""
         self.carry_out(lambda: self.core.tick(self.now()))
         self._reschedule(True)
 
@@ -248,13 +258,13 @@
             self.schedule_tick(self._scheduled_ns)
 
     def on_message(self, message: Message, source: Address) -> Iterable[Action]:
-        """Hand a message to the core; returns what it wants done."""
+        """Passes a message to the core and returns its actions."""
         actions = self.core.on_message(self.now(), message.body, source)
         self._reschedule()
         return actions
 
-    def on_notice(self, event: StatusEvent) -> None:
-        """Log and record an event of the core."""
+    def on_event(self, event: StatusEvent) -> None:
+        """Records an event of the core with a digest of the values in force, and calls `on_change`."""
         if self._recorder is not None:
             self.record(event.kind, event.details | {"values": fingerprint(self.core.snapshot)})
         self._on_change()
--- a/trackspread/distribution/leader.py
+++ b/trackspread/distribution/leader.py
@@ -1,24 +1,24 @@
-"""What the leader of one epoch does: learns what may be committed, then numbers, replicates and commits.
+"""Leads one epoch: learns what may be committed, then numbers changes, replicates and commits them.
 
 Rules:
-- The epoch is the lease election's ballot: one process alone ever leads under it. Nothing here needs the
+- The epoch is the ballot of the lease election: only one process ever leads under it. Nothing here needs the
   lease to be exclusive: a leader has the promises of a majority, and each replica keeps to the newest epoch
-  that it has promised. Of two that both believe they lead, one commits.
-- Replicas have no disk. One that started anew may have forgotten a promise that it was counted for, so a
-  majority of promises is requested a second time: a promise counts whose process still runs after all of them
-  were actions (a crash-consistent quorum: Michael and others, DISC 2017).
-- The longest log of a majority, by its last version, has all that may be committed; it is taken over
+  that it has promised. Of two replicas that both act as leader, only one can commit.
+- Replicas have no disk. A replica that restarted may have lost a promise that it was counted for, so a
+  majority of promises is requested a second time: a promise counts only if its process still runs after all
+  of them were given (a crash-consistent quorum: Michael and others, DISC 2017).
+- The longest log of a majority, by its last version, has all that may be committed; the leader adopts it
   completely.
 - An entry is committed once a majority of complete replicas has it, and it or one behind it is of this epoch.
 
-| step | requests to | goes on when |
+| step | requests | ends when |
 | --- | --- | --- |
-| promises | all, for promises | a majority has promised |
-| confirming | these, once more | the same processes of a majority have answered |
-| adopting | the one with the longest log, for what is missing here | nothing is missing |
-| leading | all, to accept | for as long as it leads |
+| promises | promises from all replicas | a majority has promised |
+| confirming | the same again from those that promised | the same processes of a majority have answered |
+| adopting | the missing entries from the replica with the longest log | nothing is missing |
+| leading | all replicas to accept entries | the replica no longer leads |
 
-No I/O; knows nothing of the election or of gateways.
+The module does no I/O and knows nothing of the election or of gateways.
 """
 
 from __future__ import annotations
@@ -49,36 +49,36 @@
 from ..membership.identifiers import Address, Epoch
 
 RETRY_NS = 200 * MILLISECOND  # between requests of one step
-STEP_TIMEOUT_NS = 3 * SECOND  # for confirming or adopting; then all begins anew
-PIPELINED_DATAGRAMS = 16  # that are sent to one replica before it answers
-RESEND_NS = 300 * MILLISECOND  # without an answer after which entries are sent again
+STEP_TIMEOUT_NS = 3 * SECOND  # for confirming or adopting, before the leader restarts from the first step
+PIPELINED_DATAGRAMS = 16  # sent to one replica before it answers
+RESEND_NS = 300 * MILLISECOND  # without an answer before entries are sent again
 HEARTBEAT_NS = 500 * MILLISECOND  # between messages to a replica that has everything
-UNRESPONSIVE_NS = 5 * SECOND  # after which a replica that does not answer gets heartbeats only
-RETRY_AFTER_MS = 200  # for an operator's command, where too much is pending
+UNRESPONSIVE_NS = 5 * SECOND  # without an answer before a replica gets heartbeats only
+RETRY_AFTER_MS = 200  # for an operator's command while too many entries are pending
 
 
 @dataclass(slots=True)
 class Follower:
-    """What the leader knows of one replica.
+    """Holds what the leader knows of one replica.
 
-    `matched_version`: up to which its log is the leader's, as far as is known; `acknowledged_version`: up to
-    which it counts for a majority; `incarnation`: which process said so; `is_awaiting_reply`: entries were
-    sent, and not answered yet; `is_pipelined`: its last answer was that they fit, so several are sent
-    ahead."""
+    Up to `matched_version` its log is known to equal the leader's; up to `acknowledged_version` it counts for
+    a majority, as the process `incarnation` answered. `is_awaiting_reply` means that entries were sent and
+    not answered yet. `is_pipelined` means that the last entries matched, so several datagrams are sent ahead.
+    """
 
     matched_version: Version
-    sent_version: Version = NO_VERSION  # the last that was sent
+    sent_version: Version = NO_VERSION  # the newest that was sent
     acknowledged_version: Version = NO_VERSION
     incarnation: int = 0
     sent_at_ns: int = 0
-    heard_at_ns: int = 0
+    replied_at_ns: int = 0
     is_awaiting_reply: bool = False
     is_pipelined: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingCommand:
-    """An operator's command that is answered when its change is committed."""
+    """Holds an operator's command that is answered once its change is committed."""
 
     recipient: Address
     number: int
@@ -86,8 +86,10 @@
 
 
 class Leader:
-    """The leader of one epoch. `is_established`: it numbers changes; `begins_history`: an operator wants a
-    new history."""
+    """Leads one epoch.
+
+    `is_established` means that it numbers changes, `begins_history` that an operator requested a new history.
+    """
 
     def __init__(
         self, settings: ReplicaSettings, log: Log, epoch: Epoch, now: int, is_complete: bool
@@ -98,34 +100,34 @@
         self.is_complete = is_complete
         self.begins_history = False
         self.is_established = False
-        self.adopted_replica: int | None = None  # the replica whose log is taken over
+        self.adopted_replica: int | None = None  # the replica whose log is adopted
         self._round = 1
         self._requested_at_ns = now - RETRY_NS
         self._step_began_ns = now
         self._promises: dict[int, tuple[int, Promise]] = {}  # by replica: its incarnation and promise
         self._confirmed: dict[int, tuple[int, Promise]] = {}
-        self._target_version = NO_VERSION  # the last version of the log that is taken over
-        self._adopted_version = NO_VERSION  # up to where it is here
-        self._has_base = is_complete  # whether the log here is one that the tail can follow
-        self._is_new_history = False  # whether a new history begins
+        self._target_version = NO_VERSION  # the last version of the adopted log
+        self._adopted_version = NO_VERSION  # up to which the adopted log is present here
+        self._has_base = is_complete  # whether the tail can follow the log here
+        self._is_new_history = False  # whether this leader begins a new history
         self._followers: dict[int, Follower] = {}
         self._waiting_commands: list[WaitingCommand] = []
 
     @property
     def other_replicas(self) -> list[int]:
-        """Their numbers."""
+        """Returns the numbers of the other replicas."""
         return [n for n in range(len(self.settings.replicas)) if n != self.settings.number]
 
     @property
     def _is_confirming(self) -> bool:
-        """Odd rounds request promises, even ones have them confirmed."""
+        """Returns whether this round confirms promises: odd rounds request them, even ones confirm them."""
         return self._round % 2 == 0
 
     def _send_to(self, number: int, body: MessageBody) -> Send:
         return Send(self.settings.replicas[number], body)
 
     def tick(self, now: int) -> list[Action]:
-        """What is due; to be called several times in `RETRY_NS`."""
+        """Returns the actions that are due; has to be called several times in `RETRY_NS`."""
         if self.is_established:
             return self._replicate(now)
         if self._is_confirming and now - self._step_began_ns > STEP_TIMEOUT_NS:
@@ -142,21 +144,21 @@
         return actions + self._advance(now)
 
     def _restart(self, now: int) -> None:
-        """Begin with the first step again; answers to former rounds no longer count."""
-        self._round += 1 if self._is_confirming else 2  # the next odd one
+        """Restarts from the first step; answers to former rounds no longer count."""
+        self._round += 1 if self._is_confirming else 2  # The next odd round requests promises.
         self._step_began_ns = now
         self.adopted_replica = None
         self._promises = {}
         self._confirmed = {}
 
     def request_new_history(self, now: int) -> None:
-        """An operator wants a new history begun."""
+        """Restarts the steps to begin a new history, as an operator requested it."""
         if not self.begins_history and not self.is_established:
             self.begins_history = True
             self._restart(now)
 
     def on_promise(self, now: int, replica: int, incarnation: int, promise: Promise) -> list[Action]:
-        """An answer to `Prepare`."""
+        """Counts an answer to `Prepare` and returns the actions of the next step."""
         if self.is_established or self.adopted_replica is not None or promise.round != self._round:
             return []
         if not self._is_confirming:
@@ -166,7 +168,7 @@
         return self._advance(now)
 
     def _count_complete(self, answers: dict[int, tuple[int, Promise]]) -> int:
-        """Complete replicas among the answers, this one too; all of them where a new history begins."""
+        """Counts the complete replicas, this one included; all that answered where a new history begins."""
         if self.begins_history:
             return 1 + len(answers)
         return sum([self.is_complete, *(promise.is_complete for _, promise in answers.values())])
@@ -188,7 +190,7 @@
         return self._choose_log(now)
 
     def _choose_log(self, now: int) -> list[Action]:
-        """Choose the log that is taken over: the longest of the complete replicas."""
+        """Chooses the log to adopt: the longest among the complete replicas."""
         complete = sum([self.is_complete, *(promise.is_complete for _, promise in self._confirmed.values())])
         self._is_new_history = self.begins_history and complete < self.settings.majority
         logs = {n: p.last for n, (_, p) in self._confirmed.items() if p.is_complete}
@@ -203,7 +205,7 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether the log that is taken over is needed from its beginning."""
+        """Returns whether the adopted log is needed from its beginning."""
         return self.adopted_replica is not None and not self._has_base
 
     def _request_tail(self) -> list[Action]:
@@ -212,8 +214,10 @@
         return [self._send_to(self.adopted_replica, ReadTail(self.epoch, self._adopted_version))]
 
     def on_tail_entries(self, now: int, replica: int, message: TailEntries) -> list[Action]:
-        """Take a part of the log that is taken over. What was accepted here stays until that log replaces
-        it."""
+        """Accepts a part of the adopted log and requests the next part, or establishes this leader.
+
+        Entries that were accepted here before stay until the adopted log replaces them.
+        """
         if replica != self.adopted_replica or not self._has_base or message.last != self._target_version:
             return []
         if message.after != self._adopted_version or not self.log.accept(message.after, message.entries):
@@ -224,11 +228,11 @@
         return self._establish(now) if self._adopted_version == self._target_version else self._request_tail()
 
     def is_adopting(self, replica: int, epoch: Epoch) -> bool:
-        """Whether this replica's log is taken over."""
+        """Returns whether this replica's log is being adopted."""
         return epoch == self.epoch and replica == self.adopted_replica
 
     def on_progress(self, now: int) -> None:
-        """Some of the log that is taken over has come."""
+        """Restarts the timeout of the step, as a part of the adopted log was received."""
         self._step_began_ns = now
 
     def on_snapshot_installed(self, now: int) -> None:
@@ -244,7 +248,7 @@
         self.is_established = True
         self.is_complete = True
         self.adopted_replica = None
-        self._followers = {n: Follower(self.log.last, heard_at_ns=now) for n in self.other_replicas}
+        self._followers = {n: Follower(self.log.last, replied_at_ns=now) for n in self.other_replicas}
         self._append_entry(history, "", "", None)
         return [StatusEvent("leads", {"epoch": self.epoch, "history": history}), *self._replicate(now)]
 
@@ -253,8 +257,6 @@
         self.log.append(Entry(version, service, key, value))
         return version
 
-    # Established.
-
     def put(
         self,
         now: int,
@@ -264,11 +266,11 @@
         key: str,
         value: bytes | None,
     ) -> list[Action]:
-        """Number a change; its sender is answered once it is committed."""
+        """Numbers a change; its sender is answered once it is committed."""
         if not self.is_established:
             return [Send(source, NotLeader(number, -1))]
         if any(each.recipient == source and each.number == number for each in self._waiting_commands):
-            return []  # sent again, as no answer has come yet
+            return []  # The sender repeats it, as it has no answer yet.
         if len(self.log.pending) >= self.settings.max_pending_entries:
             return [Send(source, Rejected(number, RETRY_AFTER_MS))]
         if self._adds_key(service, key, value) and len(self.log) >= self.settings.max_keys:
@@ -288,16 +290,19 @@
         return actions + self._commit(now)
 
     def _is_due(self, now: int, follower: Follower) -> bool:
-        """Whether the follower gets an `Append` now."""
+        """Returns whether the follower gets an `Append` now."""
         if now - follower.sent_at_ns >= HEARTBEAT_NS:
             return True
-        if now - follower.heard_at_ns > UNRESPONSIVE_NS or follower.matched_version == self.log.last:
+        if now - follower.replied_at_ns > UNRESPONSIVE_NS or follower.matched_version == self.log.last:
             return False
         return not follower.is_awaiting_reply or now - follower.sent_at_ns >= RESEND_NS
 
     def _append_to(self, now: int, number: int, follower: Follower) -> list[Action]:
-        """What the replica lacks: one datagram, or several where its log is known to match."""
-        if follower.is_awaiting_reply:  # what was sent is lost, or its answer is
+        """Sends the entries that the replica lacks.
+
+        They go in one datagram, or in several ahead of the answers where its log is known to match.
+        """
+        if follower.is_awaiting_reply:  # The last datagram or its answer was lost.
             follower.is_pipelined = False
         follower.sent_at_ns = now
         entries = (
@@ -323,15 +328,15 @@
         return actions
 
     def on_accepted(self, now: int, replica: int, incarnation: int, message: Accepted) -> list[Action]:
-        """A replica's answer to `Append`."""
+        """Applies a replica's answer to `Append` and returns the actions that follow."""
         follower = self._followers.get(replica)
         if follower is None or incarnation < follower.incarnation:
             return []
-        if incarnation > follower.incarnation:  # what a former process answered no longer holds
+        if incarnation > follower.incarnation:  # Answers of the former process no longer hold.
             follower.incarnation = incarnation
             follower.acknowledged_version = NO_VERSION
             follower.is_pipelined = False
-        follower.heard_at_ns = now
+        follower.replied_at_ns = now
         if message.is_matched and message.version >= follower.matched_version:
             follower.matched_version = message.version
             follower.is_pipelined = True
@@ -340,7 +345,7 @@
             )
         elif not message.is_matched and not (
             follower.is_pipelined and follower.is_awaiting_reply
-        ):  # else it comes out of order
+        ):  # While datagrams are sent ahead, such an answer is only out of order.
             follower.matched_version = message.version
             follower.is_awaiting_reply = False
             follower.is_pipelined = False
@@ -349,23 +354,23 @@
         return self._replicate(now)
 
     def in_touch_at_ns(self, now: int) -> int:
-        """When a majority was last in touch, this replica included."""
-        heard = sorted((f.heard_at_ns for f in self._followers.values()), reverse=True)
-        return heard[self.settings.majority - 2] if self.settings.majority > 1 else now
+        """Returns the time at which a majority, this replica included, was last in touch."""
+        replied_at = sorted((f.replied_at_ns for f in self._followers.values()), reverse=True)
+        return replied_at[self.settings.majority - 2] if self.settings.majority > 1 else now
 
     def _commit(self, now: int) -> list[Action]:
-        """Commit what a majority has; all are notified at once."""
+        """Commits the entries that a majority has; all replicas are notified at once."""
         versions = sorted(
             (self.log.last, *(f.acknowledged_version for f in self._followers.values())), reverse=True
         )
-        upto = versions[self.settings.majority - 1]
-        if upto.epoch != self.epoch or upto <= self.log.committed:
+        up_to = versions[self.settings.majority - 1]
+        if up_to.epoch != self.epoch or up_to <= self.log.committed:
             return []
-        actions: list[Action] = [StatusEvent("committed", {"entries": tuple(self.log.commit(upto))})]
-        done = [each for each in self._waiting_commands if each.version <= upto]
-        self._waiting_commands = [each for each in self._waiting_commands if each.version > upto]
+        actions: list[Action] = [StatusEvent("committed", {"entries": tuple(self.log.commit(up_to))})]
+        done = [each for each in self._waiting_commands if each.version <= up_to]
+        self._waiting_commands = [each for each in self._waiting_commands if each.version > up_to]
         actions += [Send(each.recipient, Committed(each.number, each.version)) for each in done]
         for number, follower in self._followers.items():
-            if not follower.is_awaiting_reply and now - follower.heard_at_ns <= UNRESPONSIVE_NS:
+            if not follower.is_awaiting_reply and now - follower.replied_at_ns <= UNRESPONSIVE_NS:
                 actions += self._append_to(now, number, follower)
         return actions
--- a/trackspread/distribution/log.py
+++ b/trackspread/distribution/log.py
@@ -1,13 +1,13 @@
-"""The log of one replica: a snapshot of what is committed, the recent committed entries, and what is pending.
+"""Holds the log of one replica: a snapshot of committed values, recent committed entries, pending entries.
 
 Rules:
-- Entries lie in the order of their sequence without gaps; along a log versions only grow. Two logs that have
-  one version in common are the same up to it (as in Raft: an entry is accepted only behind the one that its
-  leader has before it).
-- What is committed is never taken back; what is pending may be replaced by another leader's.
-- Both lists are bounded: a reader of an entry that is no longer there takes a snapshot.
+- Entries are in the order of their sequence without gaps, and versions only grow along a log. Two logs that
+  have one version in common are the same up to it (as in Raft: an entry is accepted only after the one that
+  precedes it in its leader's log).
+- Committed entries are never taken back; pending entries may be replaced by those of another leader.
+- Both lists are bounded: a reader of an entry that is no longer in them takes a snapshot.
 
-No I/O; knows nothing of replicas, gateways or time.
+The module does no I/O and knows nothing of replicas, gateways or time.
 """
 
 from __future__ import annotations
@@ -26,26 +26,29 @@
 
 
 class Log:
-    """One replica's log. `committed` and `last`: versions of the newest committed entry and of the newest at
-    all."""
+    """Holds one replica's log.
+
+    `committed` is the version of the newest committed entry, `last` that of the newest entry, committed or
+    pending.
+    """
 
     def __init__(self, recent: int) -> None:
         self.committed = NO_VERSION
         self.last = NO_VERSION
         self.snapshot: Snapshot = {}
         self.pending: deque[Entry] = deque()
-        self._recent: deque[Entry] = deque()  # committed ones behind `_oldest_version`
+        self._recent: deque[Entry] = deque()  # the committed entries after `_oldest_version`
         self._max_recent = recent
         self._oldest_version = NO_VERSION
-        self._sorted_services: list[str] | None = None  # None: to be sorted anew
-        self._sorted_keys: dict[str, list[str]] = {}  # by service, as far as they are sorted
+        self._sorted_services: list[str] | None = None  # None while they have to be sorted again
+        self._sorted_keys: dict[str, list[str]] = {}  # by service, where they are sorted already
 
     def __len__(self) -> int:
-        """Keys that have a value."""
+        """Returns the number of keys that have a value."""
         return sum(map(len, self.snapshot.values()))
 
     def holds(self, version: Version) -> bool:
-        """Whether this log has that version, as far back as it goes."""
+        """Returns whether this log has that version, as far back as the log reaches."""
         if version.sequence > self.committed.sequence:
             place = version.sequence - self.committed.sequence - 1
             return place < len(self.pending) and self.pending[place].version == version
@@ -55,29 +58,34 @@
         return version == self._oldest_version
 
     def entries_after(self, version: Version) -> list[Entry] | None:
-        """All entries behind this version, pending ones too; None where the log does not reach back to it."""
+        """Returns all entries after this version, committed and pending.
+
+        None is returned if the log does not reach back to the version.
+        """
         if version.sequence >= self.committed.sequence:
             return list(islice(self.pending, version.sequence - self.committed.sequence, None))
         recent = self.committed_after(version)
         return [*recent, *self.pending] if recent is not None else None
 
     def committed_after(self, version: Version) -> list[Entry] | None:
-        """The committed entries behind this version; None where the log does not reach back to it."""
+        """Returns the committed entries after this version, or None if the log does not reach back to it."""
         behind = self.committed.sequence - version.sequence
         if behind > len(self._recent):
             return None
         return [self._recent[-place] for place in range(behind, 0, -1)]
 
     def append(self, entry: Entry) -> None:
-        """Add a pending entry; raises `ValueError` for one that does not follow the last."""
+        """Appends a pending entry; raises `ValueError` for one that does not follow the last."""
         if entry.version.sequence != self.last.sequence + 1 or entry.version <= self.last:
             raise ValueError(f"{entry.version} does not follow {self.last}")
         self.pending.append(entry)
         self.last = entry.version
 
     def accept(self, previous: Version, entries: Iterable[Entry]) -> bool:
-        """Take a leader's entries behind `previous`; False where this log does not have that. Pending entries
-        that differ are replaced."""
+        """Accepts a leader's entries after `previous`; returns False if this log does not have `previous`.
+
+        Pending entries that differ are replaced.
+        """
         if not self.holds(previous):
             return False
         for entry in entries:
@@ -89,10 +97,10 @@
             self.append(entry)
         return True
 
-    def commit(self, upto: Version) -> list[Entry]:
-        """Commit up to a version, or to the last entry; returns what is newly committed, in order."""
+    def commit(self, up_to: Version) -> list[Entry]:
+        """Commits up to a version, or to the last entry; returns the newly committed entries in order."""
         committed = []
-        while self.pending and self.pending[0].version.sequence <= upto.sequence:
+        while self.pending and self.pending[0].version.sequence <= up_to.sequence:
             entry = self.pending.popleft()
             self._apply(entry)
             committed.append(entry)
@@ -120,8 +128,11 @@
         keys[entry.key] = entry
 
     def install(self, snapshot: Snapshot, version: Version) -> None:
-        """Take over what was committed elsewhere up to this version. Pending entries behind it stay; where
-        this log does not have the version, everything is replaced."""
+        """Installs a snapshot of what another replica had committed up to this version.
+
+        Pending entries after the version stay; if this log does not have the version, the snapshot replaces
+        everything.
+        """
         if self.holds(version):
             self.commit(version)
             return
@@ -134,10 +145,8 @@
         self._sorted_services = None
         self._sorted_keys = {}
 
-    # Snapshots in pieces.
-
     def next_piece(self, cursor: Cursor, wanted: Callable[[str], bool]) -> tuple[tuple[Entry, ...], bool]:
-        """Entries behind the cursor that fit one datagram, and whether nothing follows them."""
+        """Returns the entries after the cursor that fit one datagram, and whether nothing follows them."""
         entries = list[Entry]()
         size = 0
         for entry in self._entries_after_cursor(cursor, wanted):
@@ -167,13 +176,13 @@
 
 
 def fingerprint(snapshot: Snapshot) -> str:
-    """A digest of all values, the same in all processes."""
+    """Returns a digest of all values, which is the same in all processes."""
     entries = [snapshot[service][key] for service in sorted(snapshot) for key in sorted(snapshot[service])]
     return hashlib.blake2b(msgspec.msgpack.encode(entries), digest_size=8).hexdigest()
 
 
 def entries_that_fit(entries: Iterable[Entry]) -> tuple[tuple[Entry, ...], bool]:
-    """Entries from the first on that fit one datagram, and whether others follow."""
+    """Returns the entries, from the first on, that fit one datagram, and whether others follow."""
     fitting = list[Entry]()
     size = 0
     for entry in entries:
--- a/trackspread/distribution/messages.py
+++ b/trackspread/distribution/messages.py
@@ -1,7 +1,7 @@
-"""Messages between replicas, gateways and operators' commands: the body of one datagram each.
+"""Defines the messages between replicas, gateways and operators' commands; each is the body of one datagram.
 
-Times never travel, only lengths do. A body is known on the wire by its tag and its values by their order; the
-tags are those of earlier versions.
+Messages carry durations and never times, as clocks differ between machines. On the wire a body is identified
+by its tag and its values by their order; the tags are those of earlier versions.
 """
 
 from __future__ import annotations
@@ -13,12 +13,15 @@
 
 
 class Body(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The body of one datagram."""
+    """Is the base of all bodies of datagrams."""
 
 
 class Prepare(Body, frozen=True):
-    """A new leader queries what may be committed. `round` comes back with the answer. `begins_history`: an
-    operator has a new history begun, empty replicas count as well."""
+    """Requests a promise for a new leader, which learns what may be committed.
+
+    `round` is returned with the answer. `begins_history` means that an operator requested a new history, for
+    which empty replicas count as well.
+    """
 
     epoch: Epoch
     round: int
@@ -26,8 +29,11 @@
 
 
 class Promise(Body, frozen=True):
-    """Nothing of an older epoch is accepted from now on. `is_complete`: the sender has lost nothing that it
-    ever accepted (it did not restart, or has caught up since)."""
+    """Promises that the sender accepts nothing of an older epoch from now on.
+
+    `is_complete` means that the sender has lost nothing that it ever accepted: it did not restart, or has
+    caught up since.
+    """
 
     epoch: Epoch
     round: int
@@ -37,20 +43,20 @@
 
 
 class StaleEpoch(Body, frozen=True, tag="Stale"):
-    """The sender has promised a newer epoch."""
+    """Answers a leader that the sender has promised a newer epoch."""
 
     promised: Epoch
 
 
 class ReadTail(Body, frozen=True, tag="Tail"):
-    """The leader requests what follows a version in a log that is longer than its own."""
+    """Requests the entries that follow a version in a log that is longer than the leader's own."""
 
     epoch: Epoch
     after: Version
 
 
 class TailEntries(Body, frozen=True):
-    """The answer to `ReadTail`: a part of it; `last`: of the complete log."""
+    """Answers `ReadTail` with a part of the entries; `last` is the last version of the complete log."""
 
     epoch: Epoch
     after: Version
@@ -59,8 +65,11 @@
 
 
 class Append(Body, frozen=True):
-    """The leader's log from `previous` on; without entries it is a heartbeat. `age_ms`: since the leader
-    heard a majority: another one may have committed something since."""
+    """Carries the leader's log from `previous` on; without entries it is a heartbeat.
+
+    `age_ms` is the time since the leader was in touch with a majority: another leader may have committed
+    something since.
+    """
 
     epoch: Epoch
     previous: Version
@@ -71,8 +80,11 @@
 
 
 class Accepted(Body, frozen=True):
-    """The sender's log is the leader's up to `version`. `is_matched` False: it does not have `previous`, and
-    `version` is what it has committed. `is_complete`: as in `Promise`."""
+    """Answers `Append`: the sender's log equals the leader's up to `version`.
+
+    If `is_matched` is False, the sender does not have `previous`, and `version` is its newest committed one.
+    `is_complete` is as in `Promise`.
+    """
 
     epoch: Epoch
     is_matched: bool
@@ -81,20 +93,26 @@
 
 
 class LogCompacted(Body, frozen=True, tag="Behind"):
-    """The leader's log does not reach back to `version`, which the receiver has as far as is known. It is to
-    take a snapshot, or to say what it has."""
+    """Reports that the leader's log does not reach back to `version`.
+
+    That is the newest version that the receiver is known to have. The receiver has to take a
+    snapshot, or to answer with the version that it has.
+    """
 
     epoch: Epoch
     version: Version
 
 
 class Recover(Body, frozen=True):
-    """A replica that restarted queries what the others have promised."""
+    """Requests the state of the other replicas for a replica that restarted."""
 
 
 class ReplicaState(Body, frozen=True, tag="Standing"):
-    """The answer to `Recover`, of complete replicas only. `incarnation`: of the receiver; `is_leader`: of the
-    established leader alone, whose log ends with `last`."""
+    """Answers `Recover`; only complete replicas send it.
+
+    `incarnation` is the receiver's. `is_leader` is set by the established leader alone, whose log ends with
+    `last`.
+    """
 
     incarnation: int
     promised: Epoch
@@ -103,7 +121,7 @@
 
 
 class Subscribe(Body, frozen=True):
-    """A part of the services that a gateway subscribes to, by the digest of all of them."""
+    """Carries a part of the services that a gateway subscribes to, with the digest of all of them."""
 
     subscription: int
     part: int
@@ -112,8 +130,10 @@
 
 
 class Poll(Body, frozen=True):
-    """Requests what is newer than `version`. `cursor`: requests the next pieces of a snapshot.
-    `subscription`: a digest; 0 stands for all services."""
+    """Requests the changes that are newer than `version`, or the next pieces of a snapshot after `cursor`.
+
+    `subscription` is a digest; 0 stands for all services.
+    """
 
     number: int
     version: Version
@@ -122,8 +142,11 @@
 
 
 class Delta(Body, frozen=True):
-    """The changes that follow the poll's version, complete up to `version`; `has_more`: others follow.
-    `age_ms`: since the replica had all that its leader had committed."""
+    """Carries the changes that follow the poll's version, complete up to `version`.
+
+    `has_more` means that others follow. `age_ms` is the time since the replica had all that its leader had
+    committed.
+    """
 
     number: int
     version: Version
@@ -133,8 +156,11 @@
 
 
 class SnapshotPiece(Body, frozen=True, tag="Piece"):
-    """One of the `parts` pieces that answer one poll: what follows a cursor. `committed`: what the replica
-    had committed; `is_last`: nothing follows the last of them."""
+    """Carries one of the `parts` pieces of a snapshot that answer one poll with the entries after its cursor.
+
+    `committed` is the newest version that the replica had committed. `is_last` means that no entries follow
+    the last of these pieces.
+    """
 
     number: int
     part: int
@@ -145,27 +171,30 @@
 
 
 class NeedSnapshot(Body, frozen=True):
-    """The log does not reach back to the poll's version, or that is of another history."""
+    """Reports that the log does not reach back to the poll's version, or that it is of another history."""
 
     number: int
 
 
 class NeedSubscription(Body, frozen=True):
-    """The replica does not know the poll's subscription."""
+    """Reports that the replica does not know the poll's subscription."""
 
     number: int
 
 
 class Rejected(Body, frozen=True, tag="Refused"):
-    """Rejected for now. `retry_after_ms`: until the same replica may be polled again; 0: another replica is
-    to be polled, this one is behind, or may have lost what it had."""
+    """Rejects a poll or a command for now.
+
+    `retry_after_ms` is the time until the same replica may be called again. 0 means that another replica has
+    to be polled, as this one is behind, or may have lost what it had.
+    """
 
     number: int
     retry_after_ms: int
 
 
 class Put(Body, frozen=True):
-    """An operator's change. `number` comes back with the answer."""
+    """Carries an operator's change; `number` is returned with the answer."""
 
     number: int
     service: str
@@ -174,35 +203,37 @@
 
 
 class Committed(Body, frozen=True, tag="Done"):
-    """The change is committed under this version."""
+    """Reports that the change is committed under this version."""
 
     number: int
     version: Version
 
 
 class TooManyKeys(Body, frozen=True, tag="Full"):
-    """So many keys have a value already, and no more are accepted."""
+    """Reports that `keys` keys have a value already, and that no more are accepted."""
 
     number: int
     keys: int
 
 
 class NotLeader(Body, frozen=True):
-    """This replica can't take a change. `leader`: its number where one is known, -1 where not."""
+    """Reports that this replica does not lead; `leader` is the number of the leader, -1 if none is known."""
 
     number: int
     leader: int
 
 
 class BeginHistory(Body, frozen=True, tag="Begin"):
-    """An operator has a new history begun with the best log that is left; nothing else ever does. Answered
-    once a majority has it, or where a leader goes on in the present one."""
+    """Requests that a new history begins with the longest log that is left; only an operator sends it.
+
+    It is answered once a majority has the new history, or if a leader still commits in the present one.
+    """
 
     number: int
 
 
 class Inspect(Body, frozen=True, tag="Show"):
-    """Queries what this replica holds. With a key: its entry too."""
+    """Requests the state of this replica, and with a key that key's entry too."""
 
     number: int
     service: str
@@ -210,7 +241,7 @@
 
 
 class Inspected(Body, frozen=True, tag="Shown"):
-    """The answer to `Inspect`. `role`: `leader`, `follower`, `establishing` or `recovering`."""
+    """Answers `Inspect`; `role` is `leader`, `follower`, `establishing` or `recovering`."""
 
     number: int
     role: str
@@ -250,8 +281,11 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram. `replica`: the sender's number, -1 for a gateway or a command; `incarnation`: which
-    process of that number, wall clock at its start in ms."""
+    """Holds one datagram's values.
+
+    `replica` is the sender's number, -1 for a gateway or a command. `incarnation` identifies the process of
+    that number by the wall clock at its start, in milliseconds.
+    """
 
     fleet: str
     replica: int
--- a/trackspread/distribution/poll_server.py
+++ b/trackspread/distribution/poll_server.py
@@ -1,9 +1,9 @@
-"""How one replica answers polls of gateways: deltas from its log, snapshots in pieces, and rejections when it
-is busy.
+"""Answers gateways' polls with deltas from the log, snapshots in pieces, or rejections under load.
 
 An answer to a gateway that is up to date costs the same whatever the fleet's size. Datagrams with entries are
-limited in rate: a poll beyond that is rejected with a time to retry after, which is later the more there are.
-What fits one datagram is always answered, so that a change is not delayed by gateways that catch up. No I/O.
+limited in rate: a poll beyond the rate is rejected with a time to retry after, which grows with each rejected
+poll. Changes that fit one datagram are always sent, so that gateways that catch up do not delay a change for
+the others. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -27,38 +27,38 @@
 from .versions import MAX_ENTRIES_BYTES, MAX_SERVICES, Cursor, Entry
 from ..membership.identifiers import Address
 
-MAX_PIECES = 12  # that answer one poll: a burst that sockets' buffers hold
-MAX_PIECES_ALL_SERVICES = 48  # likewise for all services: a replica that catches up
-MAX_SUBSCRIPTIONS = 8192  # that are cached; one that was dropped is requested again
-MAX_PARTIAL_SUBSCRIPTIONS = 256  # of which parts are still missing
+MAX_PIECES = 12  # in the answer to one poll: a burst that the buffers of sockets hold
+MAX_PIECES_ALL_SERVICES = 48  # the same for a poll of all services, by a replica that catches up
+MAX_SUBSCRIPTIONS = 8192  # cached; one that was dropped is requested again
+MAX_PARTIAL_SUBSCRIPTIONS = 256  # with parts that are still missing
 MIN_RETRY_AFTER_MS = 200
 MAX_RETRY_AFTER_MS = 10_000
 
-ALL_SERVICES = 0  # the digest that stands for them
+ALL_SERVICES = 0  # the digest that stands for all services
 
 
 def subscription_digest(services: Iterable[str]) -> int:
-    """The digest that a subscription is known by: the same in all processes, never `ALL_SERVICES`."""
+    """Returns a subscription's digest, which is the same in all processes and never `ALL_SERVICES`."""
     joined = "\0".join(sorted(services)).encode()
     return int.from_bytes(hashlib.blake2b(joined, digest_size=7).digest()) or 1
 
 
 class Subscriptions:
-    """The services that gateways subscribe to, by digest; the least recently used are dropped first."""
+    """Caches the services that gateways subscribe to, by digest; drops the least recently used first."""
 
     def __init__(self) -> None:
         self._known: OrderedDict[int, frozenset[str]] = OrderedDict()
         self._partial: OrderedDict[tuple[Address, int], dict[int, tuple[str, ...]]] = OrderedDict()
 
     def find(self, subscription: int) -> frozenset[str] | None:
-        """Its services; None where it is not known."""
+        """Returns the services of a subscription, or None if it is not known."""
         found = self._known.get(subscription)
         if found is not None:
             self._known.move_to_end(subscription)
         return found
 
     def add_part(self, source: Address, message: Subscribe) -> None:
-        """One part of a subscription, which is known once all parts have come."""
+        """Adds one part of a subscription, which is known once all parts have been received."""
         if not 0 <= message.part < message.parts <= MAX_SERVICES:
             return
         parts = self._partial.setdefault((source, message.subscription), {})
@@ -78,23 +78,26 @@
 
 
 class PollServer:
-    """One replica's answers to polls."""
+    """Answers the polls that one replica receives."""
 
     def __init__(self, log: Log, pieces: int) -> None:
-        """`pieces`: datagrams with entries that gateways are sent in a second, at most."""
+        """Takes in `pieces` the datagrams with entries that gateways are sent in a second, at most."""
         self._log = log
         self._ns_per_piece = SECOND // pieces
-        self._budget_free_at_ns = 0  # when the rate allows the next datagram
-        self._retry_promised_at_ns = 0  # the latest time that a rejected gateway was given
+        self._budget_free_at_ns = 0  # when the rate limit admits the next datagram
+        self._retry_promised_at_ns = 0  # the latest time at which a rejected gateway may retry
         self.subscriptions = Subscriptions()
 
     def replace_log(self, log: Log) -> None:
-        """Answer from another log from now on."""
+        """Answers from another log from now on."""
         self._log = log
 
     def answer(self, now: int, poll: Poll, in_touch_at_ns: int, bounded: bool = True) -> list[MessageBody]:
-        """The answer to a poll. `in_touch_at_ns`: when this replica last had everything that its leader had
-        committed; `bounded`: whether the rate limit of datagrams applies to the sender."""
+        """Returns the answer to a poll.
+
+        `in_touch_at_ns` is the time at which this replica last had everything that its leader had committed;
+        `bounded` says whether the rate limit of datagrams applies to the sender.
+        """
         log = self._log
         if poll.version > log.committed:
             return [Rejected(poll.number, 0)]
@@ -114,7 +117,7 @@
         return [answer]
 
     def _spend(self, now: int, poll: Poll, datagrams: int) -> None:
-        """Use up the rate; what replicas pull is not under it."""
+        """Counts datagrams against the rate limit; those to replicas that pull a snapshot are exempt."""
         if poll.subscription != ALL_SERVICES:
             self._budget_free_at_ns = max(self._budget_free_at_ns, now) + datagrams * self._ns_per_piece
 
@@ -150,9 +153,9 @@
         cursor: Cursor,
         wanted: Callable[[str], bool],
     ) -> list[MessageBody]:
-        most = MAX_PIECES_ALL_SERVICES if poll.subscription == ALL_SERVICES else MAX_PIECES
+        max_pieces = MAX_PIECES_ALL_SERVICES if poll.subscription == ALL_SERVICES else MAX_PIECES
         found, end = list[tuple[Entry, ...]](), False
-        while not end and len(found) < most:
+        while not end and len(found) < max_pieces:
             entries, end = self._log.next_piece(cursor, wanted)
             found.append(entries)
             if entries:
@@ -164,7 +167,7 @@
         ]
 
     def _retry_after_ms(self, now: int) -> int:
-        """Each gateway that is rejected gets a later time than the one before it."""
+        """Returns the time to retry after: each rejected gateway gets a later one than the gateway before."""
         latest = now + MAX_RETRY_AFTER_MS * MILLISECOND
         self._retry_promised_at_ns = min(
             latest, max(self._retry_promised_at_ns, self._budget_free_at_ns) + MAX_PIECES * self._ns_per_piece
--- a/trackspread/distribution/replica.py
+++ b/trackspread/distribution/replica.py
@@ -1,16 +1,17 @@
-"""One replica: follows the newest epoch that it has promised, leads when it is elected, and answers gateways.
+"""Runs one replica: follows the newest epoch that it promised, leads when elected, and answers gateways.
 
 Rules:
-- Who leads is decided outside, by the lease election of the control tier (`set_leadership`).
-- A replica accepts entries of the newest epoch that it has promised alone, and behind what its leader has
-  before them.
-- There is no lasting disk. A replica that starts is not complete: it counts for no majority until it has the
-  promises of a majority of complete others, has the state of a leader that is no older than any of them, and
-  its log has reached all that this leader had when it was queried.
-- Where fewer than a majority is complete, nothing is committed and none becomes complete any more: what the
-  complete ones hold is still served, and an operator begins a new history with the best that is left.
-
-Knows its own clock, and messages in any order, any number of times. No I/O.
+- The lease election of the control tier decides which replica leads (`set_leadership`).
+- A replica accepts only entries of the newest epoch that it has promised, and only after the entry that
+  precedes them in its leader's log.
+- There is no persistent disk. A replica that starts is not complete: it counts for no majority until it has
+  the promises of a majority of complete others, has the state of a leader that is no older than any of them,
+  and its log has reached all that this leader had when it was queried.
+- While fewer than a majority are complete, nothing is committed and no replica becomes complete any more:
+  the complete replicas still serve what they hold, and an operator begins a new history with the longest log
+  that is left.
+
+A replica knows its own clock and accepts messages in any order, any number of times. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -51,20 +52,23 @@
 from ..membership.actions import StatusEvent
 from ..membership.identifiers import NO_EPOCH, Address, Epoch
 
-RECOVERY_RETRY_NS = 300 * MILLISECOND  # between queries of a replica that is not complete
-MAX_EARLY_APPENDS = 2 * PIPELINED_DATAGRAMS  # from the leader that came too early and are cached
-NEVER_NS = 3600 * SECOND  # ago: nothing was ever received
+RECOVERY_RETRY_NS = 300 * MILLISECOND  # between the requests of a replica that is not complete
+MAX_EARLY_APPENDS = 2 * PIPELINED_DATAGRAMS  # cached, each received before the one that it follows
+NEVER_NS = 3600 * SECOND  # before now, for a replica that was never in touch
 
 
 class _CatchUpGoal(NamedTuple):
-    """What a replica needs to become complete: the state of the leader of `epoch` up to `version`."""
+    """Holds what a replica needs to become complete: the state of the leader of `epoch` up to `version`."""
 
     epoch: Epoch
     version: Version
 
 
 class Replica:
-    """`is_complete`: it has lost nothing that it ever accepted or promised, or has caught up since."""
+    """Follows, leads and answers polls on one replica's log.
+
+    `is_complete` means that it has lost nothing that it ever accepted or promised, or has caught up since.
+    """
 
     def __init__(self, settings: ReplicaSettings, now: int, seed: int) -> None:
         self.settings = settings
@@ -74,26 +78,28 @@
         self.promised: Epoch = NO_EPOCH
         self.is_complete = False
         self.leadership: Leader | None = None
-        self.leader_number = -1  # the replica that leads, as far as is known
-        self._last_led_epoch = NO_EPOCH  # the epoch under which this one was elected last
-        self._in_touch_at_ns = now - NEVER_NS  # when it last had all that the leader had committed then
-        self._begun_epoch: Epoch | None = None  # in which this process has promised to begin a new history
-        self._early_appends: dict[Version, Append] = {}  # by what they follow
-        self._promised_by_others: dict[int, Epoch] = {}  # by replica, what complete others have promised
+        self.leader_number = -1  # the replica that leads, -1 while unknown
+        self._last_led_epoch = NO_EPOCH  # the epoch under which this replica was elected last
+        self._in_touch_at_ns = now - NEVER_NS  # when it last had all that its leader had committed
+        self._new_history_epoch: Epoch | None = None  # in which this process promised to begin a new history
+        self._early_appends: dict[Version, Append] = {}  # by the version that they follow
+        self._promised_by_others: dict[int, Epoch] = {}  # by replica, as complete replicas answered
         self._catch_up_goal: _CatchUpGoal | None = None
         self._snapshot_pull: Subscriber | None = None  # takes a snapshot from another replica
         self._recovery_requested_ns = now - RECOVERY_RETRY_NS
 
     @property
     def role(self) -> str:
-        """`leader`, `establishing`, `follower` or `recovering`."""
+        """Returns `leader`, `establishing`, `follower` or `recovering`."""
         if self.leadership is not None:
             return "leader" if self.leadership.is_established else "establishing"
         return "follower" if self.is_complete else "recovering"
 
     def set_leadership(self, now: int, epoch: Epoch | None) -> list[Action]:
-        """Take the election's result: the epoch that this replica leads, or None. To be called whenever it
-        may have changed."""
+        """Applies the result of the election: the epoch that this replica leads, or None.
+
+        It has to be called whenever the result may have changed.
+        """
         if epoch is None or (epoch < self.promised and epoch == self._last_led_epoch):
             self.leadership = None
             return []
@@ -109,7 +115,7 @@
         return self.leadership.tick(now)
 
     def tick(self, now: int) -> list[Action]:
-        """What is due at `now`, ns."""
+        """Returns the actions that are due at `now`, in nanoseconds."""
         actions: list[Action] = []
         if self.leadership is not None:
             actions += self._after_leadership(now, self.leadership.tick(now))
@@ -126,7 +132,7 @@
         return [at for n, at in enumerate(self.settings.replicas) if n != self.settings.number]
 
     def _after_leadership(self, now: int, actions: list[Action]) -> list[Action]:
-        """What the leader wants done; an established one is complete, and in touch with itself."""
+        """Returns the leader's actions; an established leader is complete, and in touch with itself."""
         if self.leadership is not None and self.leadership.is_established:
             if not self.is_complete:
                 self._become_complete()
@@ -143,8 +149,11 @@
     def on_message(
         self, now: int, replica: int, incarnation: int, body: MessageBody, source: Address
     ) -> list[Action]:
-        """`replica`: the sender's number, -1 for a gateway or a command; `incarnation`: which process of
-        that number."""
+        """Handles a message and returns the actions that follow.
+
+        `replica` is the sender's number, -1 for a gateway or a command; `incarnation` identifies the process
+        of that number.
+        """
         match body:
             case Poll():
                 return [Send(source, each) for each in self._answer_poll(now, body, replica >= 0)]
@@ -195,7 +204,7 @@
         return self._reply_to_leader(now, replica, incarnation, body)
 
     def _reply_to_leader(self, now: int, replica: int, incarnation: int, body: MessageBody) -> list[Action]:
-        """An answer to what this replica sent as leader of its epoch."""
+        """Handles an answer to a message that this replica sent as leader of its epoch."""
         if self.leadership is None:
             return []
         match body:
@@ -209,8 +218,6 @@
                 return self.leadership.on_accepted(now, replica, incarnation, body)
         return []
 
-    # Following.
-
     def _on_prepare(self, message: Prepare, source: Address) -> list[Action]:
         if message.epoch < self.promised:
             return [Send(source, StaleEpoch(self.promised))]
@@ -219,7 +226,7 @@
             self.leader_number = -1
             self.leadership = None
         if message.begins_history and not self.is_complete:
-            self._begun_epoch = message.epoch
+            self._new_history_epoch = message.epoch
         return [
             Send(
                 source,
@@ -228,7 +235,7 @@
         ]
 
     def _follow(self, replica: int, epoch: Epoch) -> bool:
-        """Whether another replica is the leader to be followed; if so, it is from now on."""
+        """Follows another replica from now on if it leads the newest epoch; returns whether it does."""
         if epoch < self.promised:
             return False
         if epoch > self.promised:
@@ -251,25 +258,25 @@
         if not self.log.accept(message.previous, message.entries):
             self._cache_early_append(message)
             return [Send(source, Accepted(message.epoch, False, self.is_complete, self.log.committed))]
-        upto = message.entries[-1].version if message.entries else message.previous
-        while (early := self._early_appends.pop(upto, None)) is not None and early.epoch == message.epoch:
-            self.log.accept(upto, early.entries)
-            upto = early.entries[-1].version
+        up_to = message.entries[-1].version if message.entries else message.previous
+        while (early := self._early_appends.pop(up_to, None)) is not None and early.epoch == message.epoch:
+            self.log.accept(up_to, early.entries)
+            up_to = early.entries[-1].version
         actions: list[Action] = []
-        done = self.log.commit(min(upto, message.committed))
+        done = self.log.commit(min(up_to, message.committed))
         if self.log.committed >= message.committed:
             self._in_touch_at_ns = max(self._in_touch_at_ns, now - message.age_ms * MILLISECOND)
         if done:
             actions.append(StatusEvent("committed", {"entries": tuple(done)}))
         if self.is_complete:
-            self._snapshot_pull = None  # nothing is missing here
-        if self._catch_up_goal is not None and not self.is_complete and upto >= self._catch_up_goal.version:
+            self._snapshot_pull = None  # No entry is missing here.
+        if self._catch_up_goal is not None and not self.is_complete and up_to >= self._catch_up_goal.version:
             self._become_complete()
-            actions.append(StatusEvent("whole", {"version": upto}))
-        return [*actions, Send(source, Accepted(message.epoch, True, self.is_complete, upto))]
+            actions.append(StatusEvent("whole", {"version": up_to}))
+        return [*actions, Send(source, Accepted(message.epoch, True, self.is_complete, up_to))]
 
     def _cache_early_append(self, message: Append) -> None:
-        """Cache entries that came before those that they follow."""
+        """Caches entries that were received before those that they follow."""
         if any(each.epoch != message.epoch for each in self._early_appends.values()):
             self._early_appends.clear()
         if message.entries and len(self._early_appends) < MAX_EARLY_APPENDS:
@@ -287,18 +294,18 @@
         return self._start_pull(now, source)
 
     def _forget_history(self, now: int) -> list[Action]:
-        """Another history has begun: this replica starts anew."""
+        """Drops the log and recovers again, as another history has begun."""
         self.is_complete = False
         self._recovery_requested_ns = now - RECOVERY_RETRY_NS
         self.log = Log(self.settings.max_recent_entries)
         self.poll_server.replace_log(self.log)
         self._promised_by_others.clear()
         self._catch_up_goal = None
-        self._begun_epoch = self.promised
+        self._new_history_epoch = self.promised
         return [StatusEvent("forgot", {})]
 
     def _on_read_tail(self, message: ReadTail, source: Address) -> list[Action]:
-        """Answer a new leader, whose log is shorter."""
+        """Answers a new leader, whose log is shorter."""
         if message.epoch != self.promised or not self.is_complete:
             return []
         entries = self.log.entries_after(message.after) if self.log.holds(message.after) else None
@@ -307,8 +314,6 @@
         fit, _ = entries_that_fit(entries)
         return [Send(source, TailEntries(message.epoch, message.after, fit, self.log.last))]
 
-    # Becoming complete.
-
     def _own_state(self, incarnation: int) -> ReplicaState:
         leads = self.leadership is not None and self.leadership.is_established
         return ReplicaState(incarnation, self.promised, leads, self.log.last)
@@ -323,7 +328,8 @@
         self._promised_by_others[replica] = message.promised
         self.promised = max(self.promised, message.promised)
         enough = (
-            len(self._promised_by_others) >= self.settings.majority or self._begun_epoch == message.promised
+            len(self._promised_by_others) >= self.settings.majority
+            or self._new_history_epoch == message.promised
         )
         if not message.is_leader or message.promised != self.promised or not enough:
             return []
@@ -334,14 +340,14 @@
         return []
 
     def _start_pull(self, now: int, source: Address) -> list[Action]:
-        """Take a snapshot from another replica, unless one is being taken."""
+        """Starts to pull a snapshot from another replica, unless one is being pulled from there."""
         if self._snapshot_pull is not None and self._snapshot_pull.settings.replicas == (source,):
             return []
         self._snapshot_pull = Subscriber(SubscriberSettings((source,), None), now, self._seed)
         return self._snapshot_pull.tick(now)
 
     def _after_pull(self, now: int, actions: list[Action]) -> list[Action]:
-        """What the snapshot's subscriber wants done; a complete snapshot is installed in the log."""
+        """Returns the actions of the snapshot's subscriber; installs a complete snapshot in the log."""
         pull = self._snapshot_pull
         if pull is None or pull.fresh_at_ns is None:
             if actions and self.leadership is not None and pull is not None and pull.answered_at_ns == now:
@@ -358,8 +364,6 @@
             actions = [Send(self.settings.replicas[self.leader_number], reply)]
         return [*actions, StatusEvent("installed", {"version": pull.version, "keys": len(self.log)})]
 
-    # For operators.
-
     def _on_command(self, now: int, body: Put | BeginHistory | Inspect, source: Address) -> list[Action]:
         if isinstance(body, Inspect):
             return [Send(source, self._inspect(body))]
@@ -370,7 +374,7 @@
                 return [Send(source, Committed(body.number, self.log.committed))]
             self.leadership.request_new_history(now)
             return [Send(source, NotLeader(body.number, self.settings.number))]
-        if not _fits(body):
+        if not _is_within_bounds(body):
             return []
         return self.leadership.put(now, source, body.number, body.service, body.key, body.value)
 
@@ -381,7 +385,7 @@
         )
 
 
-def _fits(put: Put) -> bool:
-    """Whether a change is within the bounds of an entry."""
+def _is_within_bounds(put: Put) -> bool:
+    """Returns whether a change is within the bounds of an entry."""
     names = all(0 < len(each) <= MAX_NAME_CHARACTERS and "\0" not in each for each in (put.service, put.key))
     return names and len(put.value or b"") <= MAX_VALUE_BYTES
--- a/trackspread/distribution/report.py
+++ b/trackspread/distribution/report.py
@@ -1,4 +1,7 @@
-"""What one gateway has of the configuration that is distributed, as JSON for operators. Decides nothing."""
+"""Reports one gateway's subscription to the distributed configuration as JSON for operators.
+
+The module decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,11 @@
 
 
 class SubscriptionReport(msgspec.Struct, frozen=True):
-    """Field names are those of the JSON. `age_s`: for how long replicas may have had something newer; None
-    where nothing was ever received. `values`: a digest, the same at all gateways with the same services and
-    version."""
+    """Holds the report of one gateway; the field names are those of the JSON.
+
+    `age_s` is the time for which replicas may have had something newer, or None if nothing was ever received.
+    `values` is a digest, which is the same at all gateways with the same services and version.
+    """
 
     name: str
     history: int
@@ -29,7 +34,7 @@
 
 
 def subscription_report(now: int, host: SubscriberHost) -> SubscriptionReport:
-    """The report of one gateway at `now`, ns."""
+    """Returns the report of one gateway at `now`, in nanoseconds."""
     core = host.core
     age_ns = core.age_ns(now)
     return SubscriptionReport(
--- a/trackspread/distribution/subscriber.py
+++ b/trackspread/distribution/subscriber.py
@@ -1,24 +1,25 @@
-"""What one gateway has of the configuration, and how it keeps that current: it polls one replica.
+"""Holds a gateway's copy of the configuration and keeps it current by polling one replica.
 
 Rules:
-- One poll is under way at a time, about once a period; one that is not answered goes to another replica.
-- A delta is complete up to the version that it names, and taken over at once. A snapshot comes in pieces
-  while changes go on: it is staged, and acted on only after a delta from the oldest of its pieces on.
-- What is acted on never becomes older: a replica that is behind is given up for another.
-- While no replica answers, the configuration stays in force; `fresh_at_ns` says how old it may be.
+- One poll is pending at a time, about once a period; a poll that is not answered goes to another replica.
+- A delta is complete up to the version that it names, and is applied at once. A snapshot arrives in pieces
+  while changes continue: it is staged, and comes into force only after a delta from the oldest piece on.
+- The version in force never becomes older: a replica that is behind is replaced by another.
+- While no replica answers, the configuration stays in force; `fresh_at_ns` gives its possible age.
 
-| answer | then |
+| answer | reaction |
 | --- | --- |
-| delta, more follows | taken over, polled at once |
-| delta | taken over, polled after a period |
-| delta of a replica out of touch with its leader | applied; another replica is polled |
-| need snapshot | staging begins, first pieces are requested at once |
-| pieces | staged; the next are requested at once, or after the last a delta |
-| need subscription | services are sent, polled after a tick |
+| delta with more to follow | it is applied; the replica is polled again at once |
+| delta | it is applied; the replica is polled again after a period |
+| delta of a replica out of touch with its leader | it is applied; another replica is polled |
+| snapshot needed | staging begins; the first pieces are requested at once |
+| pieces | they are staged; the next pieces, or after the last a delta, are requested at once |
+| subscription needed | the services are sent; the replica is polled again after a tick |
 | rejected with a time | another replica of the region is polled after that time |
-| rejected without a time | another replica is polled at once, after two of them only in the next period |
+| rejected without a time | another replica is polled at once; after two rejections only in the next period |
 
-Knows its own clock, and answers in any order, any number of times. No I/O.
+A subscriber knows its own clock and accepts answers in any order, any number of times. The module does no
+I/O.
 """
 
 from __future__ import annotations
@@ -45,18 +46,19 @@
 from ..membership.actions import StatusEvent
 from ..membership.identifiers import Address
 
-JITTER = 0.1  # part of a wait: gateways that began together don't stay in step
-OUT_OF_TOUCH_NS = 3 * SECOND  # of a replica with its leader, after which another is polled as well
-RETURN_TO_REGION_NS = 30 * SECOND  # after which replicas of the own region are tried again
-# Replicas that are asked one after the other in a period, where one has nothing to say.
+JITTER = 0.1  # part of a wait, so that gateways that started together do not poll together
+OUT_OF_TOUCH_NS = 3 * SECOND  # age of a delta from which another replica is polled as well
+RETURN_TO_REGION_NS = 30 * SECOND  # until a replica of the own region is tried again
+# Replicas that are polled one after the other in a period, while they have no newer version.
 MAX_REPLICAS_A_PERIOD = 2
 
 
 class StagedSnapshot:
-    """A snapshot that is being received.
+    """Holds a snapshot that is being received.
 
-    `cursor`: up to where it is complete; None: to its end. `oldest_version`: of its pieces, from which on a
-    delta is requested; `newest_version`: of its pieces, which the delta has to reach."""
+    `cursor` is the entry up to which it is complete, or None once all of it is. A delta is requested from
+    `oldest_version` on, the oldest of the pieces, and has to reach `newest_version`, the newest of them.
+    """
 
     def __init__(self) -> None:
         self.snapshot: Snapshot = {}
@@ -65,7 +67,7 @@
         self.newest_version = NO_VERSION
 
     def add(self, piece: SnapshotPiece) -> None:
-        """Stage one piece."""
+        """Stages one piece."""
         self.oldest_version = (
             piece.committed if self.oldest_version is None else min(self.oldest_version, piece.committed)
         )
@@ -77,10 +79,11 @@
 
 
 class Subscriber:
-    """One gateway's subscription.
+    """Polls replicas for one gateway's subscription.
 
-    `snapshot`, `version`: what is in force; `fresh_at_ns`: when it was surely the newest that a replica in
-    touch with its leader had, None where it never was."""
+    `snapshot` and `version` are in force. `fresh_at_ns` is the last time at which they were known to be the
+    newest that a replica in touch with its leader had, or None if they never were.
+    """
 
     def __init__(self, settings: SubscriberSettings, now: int, seed: int) -> None:
         self.settings = settings
@@ -92,16 +95,16 @@
             subscription_digest(settings.services) if settings.services is not None else ALL_SERVICES
         )
         self._staged: StagedSnapshot | None = None
-        self._number = self._rng.getrandbits(30)  # of the last poll
+        self._number = self._rng.getrandbits(30)  # of the newest poll
         self._polled_at_ns: int | None = None  # when the pending poll was sent
         self.answered_at_ns = now  # when a poll was last answered
         self._next_poll_ns = now + int(settings.period_ns * self._rng.random() / 2)
         self._regional_replicas = self._shuffled(settings.replicas or settings.other_replicas)
         self._other_replicas = self._shuffled(settings.other_replicas if settings.replicas else ())
-        # Of the polled replica: those of the region first, then the others.
+        # The index of the polled replica; replicas of the region come first, then the others.
         self._replica_index = 0
-        self._replicas_tried = 0  # in this period, because one had nothing new
-        self._regional_since_ns = now  # when a replica of the region last answered, or was tried
+        self._replicas_tried = 0  # in this period, as those before had no newer version
+        self._regional_since_ns = now  # when a replica of the region last answered, or was selected
         self._pieces: dict[int, SnapshotPiece] = {}
 
     def _select_next_replica(self) -> None:
@@ -116,17 +119,17 @@
 
     @property
     def replica(self) -> Address:
-        """The replica that is polled."""
-        near = len(self._regional_replicas)
+        """Returns the replica that is polled."""
+        regional_count = len(self._regional_replicas)
         return (
             self._regional_replicas[self._replica_index]
-            if self._replica_index < near
-            else self._other_replicas[self._replica_index - near]
+            if self._replica_index < regional_count
+            else self._other_replicas[self._replica_index - regional_count]
         )
 
     @property
     def due_ns(self) -> int:
-        """When `tick` is to be called next."""
+        """Returns the time at which `tick` has to be called next."""
         return (
             self._next_poll_ns
             if self._polled_at_ns is None
@@ -134,16 +137,16 @@
         )
 
     def age_ns(self, now: int) -> int | None:
-        """For how long replicas may have had something newer; None where nothing was ever received."""
+        """Returns how long replicas may have had something newer, or None if nothing was ever received."""
         return now - self.fresh_at_ns if self.fresh_at_ns is not None else None
 
     def value(self, service: str, key: str) -> bytes | None:
-        """The value that is in force; None where there is none."""
+        """Returns the value that is in force, or None if there is none."""
         entry = self.snapshot.get(service, {}).get(key)
         return entry.value if entry is not None else None
 
     def change_services(self, now: int, services: frozenset[str]) -> None:
-        """Subscribe to other services; the snapshot stays in force until all of these have come."""
+        """Subscribes to other services; the snapshot stays in force until all of these were received."""
         if services == self.settings.services:
             return
         self.settings = self.settings._replace(services=services)
@@ -152,14 +155,12 @@
         self._polled_at_ns = None
         self._next_poll_ns = now
 
-    # Polls.
-
     def tick(self, now: int) -> list[Action]:
-        """The poll that is due at `now`, ns, if any."""
+        """Returns the poll that is due at `now`, in nanoseconds, if any."""
         if self._polled_at_ns is not None:
             if now - self._polled_at_ns < self.settings.timeout_ns:
                 return []
-            self._stage_pieces()  # those that came are staged
+            self._stage_pieces()  # Pieces that were received before the timeout are used.
             self._select_next_replica()
             return [self._poll(now)]
         return [self._poll(now)] if now >= self._next_poll_ns else []
@@ -178,26 +179,24 @@
         return Send(self.replica, body)
 
     def _schedule_poll(self, now: int, span: int) -> list[Action]:
-        """Schedule the next poll, after about `span` ns."""
+        """Schedules the next poll after about `span` nanoseconds."""
         self._polled_at_ns = None
         self._next_poll_ns = now + int(span * (1.0 + JITTER * self._rng.uniform(-1.0, 1.0)))
         return []
 
-    # Answers.
-
     def on_message(self, now: int, body: MessageBody, source: Address) -> list[Action]:
-        """Take in a message; what does not answer the pending poll is ignored."""
+        """Handles a message; one that does not answer the pending poll is ignored."""
         match body:
             case Delta() | SnapshotPiece() | NeedSnapshot() | NeedSubscription() | Rejected():
-                asked_at = self._polled_at_ns
-                if asked_at is None or body.number != self._number or source != self.replica:
+                polled_at_ns = self._polled_at_ns
+                if polled_at_ns is None or body.number != self._number or source != self.replica:
                     return []
                 self.answered_at_ns = now
             case _:
                 return []
         match body:
             case Delta():
-                return self._on_delta(now, body, asked_at)
+                return self._on_delta(now, body, polled_at_ns)
             case SnapshotPiece():
                 return self._on_piece(now, body)
             case NeedSnapshot():
@@ -225,13 +224,13 @@
 
     def _on_rejected(self, now: int, message: Rejected) -> list[Action]:
         if message.retry_after_ms:
-            # One with less load, maybe.
+            # Another replica of the region may have less load.
             self._replica_index = (self._replica_index + 1) % len(self._regional_replicas)
             return self._schedule_poll(now, message.retry_after_ms * MILLISECOND)
         return self._try_next_replica(now)
 
     def _try_next_replica(self, now: int) -> list[Action]:
-        """Poll another replica, at once or after a period."""
+        """Polls another replica, at once or after a period."""
         self._select_next_replica()
         self._replicas_tried += 1
         if self._replicas_tried < MAX_REPLICAS_A_PERIOD:
@@ -241,7 +240,7 @@
 
     def _on_piece(self, now: int, message: SnapshotPiece) -> list[Action]:
         if any(each.committed != message.committed for each in self._pieces.values()):
-            return []  # the poll was duplicated, and something was committed in between
+            return []  # The poll was duplicated, and something was committed between both.
         self._pieces[message.part] = message
         if len(self._pieces) < message.parts:
             return []
@@ -249,7 +248,7 @@
         return [self._poll(now)]
 
     def _stage_pieces(self) -> None:
-        """Stage the pieces that follow the cursor without a gap."""
+        """Stages the pieces that follow the cursor without a gap."""
         part = 0
         while self._staged is not None and (piece := self._pieces.get(part)) is not None:
             self._staged.add(piece)
@@ -258,7 +257,7 @@
                 self._staged.cursor = None
         self._pieces = {}
 
-    def _on_delta(self, now: int, message: Delta, asked_at: int) -> list[Action]:
+    def _on_delta(self, now: int, message: Delta, polled_at_ns: int) -> list[Action]:
         staged = self._staged
         if staged is not None:
             if staged.cursor is not None:
@@ -279,7 +278,7 @@
             actions.append(StatusEvent("acts", {"version": message.version, "changes": len(message.entries)}))
         if message.has_more:
             return [*actions, self._poll(now)]
-        self.fresh_at_ns = max(self.fresh_at_ns or 0, asked_at - message.age_ms * MILLISECOND)
+        self.fresh_at_ns = max(self.fresh_at_ns or 0, polled_at_ns - message.age_ms * MILLISECOND)
         if message.age_ms * MILLISECOND > OUT_OF_TOUCH_NS:
             return actions + self._try_next_replica(now)
         self._replicas_tried = 0
@@ -287,7 +286,7 @@
         return actions + self._schedule_poll(now, self.settings.period_ns)
 
     def _return_to_region(self, now: int) -> None:
-        """Leave a replica of another region, now and then."""
+        """Selects a replica of the own region again after `RETURN_TO_REGION_NS` with other replicas."""
         if self._replica_index < len(self._regional_replicas):
             self._regional_since_ns = now
         elif now - self._regional_since_ns > RETURN_TO_REGION_NS:
@@ -295,7 +294,7 @@
             self._replica_index = self._rng.randrange(len(self._regional_replicas))
 
     def _continue_staging(self, now: int, message: Delta) -> list[Action]:
-        """The staged snapshot is not complete yet, or older than what is in force."""
+        """Polls on while the staged snapshot is not complete yet, or is older than the one in force."""
         if message.has_more:
             return [self._poll(now)]
         return self._try_next_replica(now)
--- a/trackspread/distribution/wire.py
+++ b/trackspread/distribution/wire.py
@@ -1,9 +1,8 @@
-"""Messages of the configuration's distribution as datagrams, each with a digest, keyed where the fleet has a
-key.
+"""Encodes messages of the configuration's distribution as datagrams with a digest.
 
-A datagram is a magic number, a digest of what follows, and the message (MessagePack), as those of the
-membership are. Whatever does not fit its digest, its types or the fleet's name is counted and dropped. No
-I/O.
+A datagram is a magic number, a digest of what follows, and the message (MessagePack), as in the membership.
+The digest is keyed if the fleet has a key. A datagram that does not match its digest, its types or the
+fleet's name is counted and dropped. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,8 +15,8 @@
 from ..membership.wire import DIGEST_BYTES
 from .messages import Message
 
-MAGIC = b"td\x01"  # and the version of what follows
-MAX_DATAGRAM_BYTES = 1_400  # bytes at most: one packet on any network
+MAGIC = b"td\x01"  # the last byte is the version of the format
+MAX_DATAGRAM_BYTES = 1_400  # one packet on any network
 _HEAD = len(MAGIC) + DIGEST_BYTES
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -25,7 +24,7 @@
 
 
 class _DroppedDatagram(Exception):
-    """A datagram that is not believed, for a reason that is counted under its name."""
+    """Rejects a datagram for a reason, under which it is counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -33,7 +32,7 @@
 
 
 class Wire:
-    """The codec of one process; `dropped` counts datagrams that were dropped, by reason."""
+    """Encodes and decodes the datagrams of one process; `dropped` counts those dropped, by reason."""
 
     def __init__(self, fleet: str, keys: Keys) -> None:
         self.fleet = fleet
@@ -41,12 +40,12 @@
         self.dropped: Counter[str] = Counter()
 
     def pack(self, message: Message) -> bytes:
-        """The message as one datagram."""
+        """Returns the message as one datagram."""
         payload = _encode(message)
         return MAGIC + self.keys.sign(payload) + payload
 
     def unpack(self, data: bytes) -> Message | None:
-        """The message of a datagram; None where that is dropped."""
+        """Returns the message of a datagram, or None if the datagram is dropped."""
         try:
             return self._decode(data)
         except _DroppedDatagram as dropped:
--- a/trackspread/planning/__init__.py
+++ b/trackspread/planning/__init__.py
@@ -1,3 +1,4 @@
-"""The lease election, which membership uses too, and leases on tenants' limits that planners grant to
-forwarders, which no role uses yet. No I/O.
+"""Holds the lease election and the leases on tenants' limits that planners grant to forwarders.
+
+The membership uses the election too; no role uses the leases on limits yet. The package does no I/O.
 """
--- a/trackspread/planning/forwarder.py
+++ b/trackspread/planning/forwarder.py
@@ -1,8 +1,9 @@
-"""One forwarder's side of planning: its lease holders, and which planner it sends requests for which slot.
+"""Holds a forwarder's leases and selects the planner that gets its requests for each slot.
 
-A planner that does not answer by the next heartbeat, or declines as it does not own the slot, is followed by
-the next in rank; one that answers is kept. What is held serves on meanwhile. A tenant without requests is
-forgotten once its lease has expired. No I/O; knows nothing of who is alive.
+A planner that does not answer by the next heartbeat, or declines as it does not own the slot, is replaced by
+the next in rank; a planner that answers is kept. The present leases are used meanwhile. The state of a tenant
+without requests is dropped once its lease has expired. The module does no I/O and knows nothing of failure
+detection.
 """
 
 from __future__ import annotations
@@ -16,17 +17,19 @@
 from .placement import ranked_planners, slot_of
 from .timing import LEASE_NS
 
-FORGET_NS = 4 * LEASE_NS  # without a request after which a tenant's state goes: its lease expired long before
-StaticParts = Callable[[int], Sequence[float]]  # of a tenant's limits, what lies here and needs no planner
-AddressedRequests = list[tuple[int, LeaseRequest]]  # each with the planner that it goes to
+# Without a request for this long a tenant's state is dropped; its lease expired long before.
+FORGET_NS = 4 * LEASE_NS
+StaticParts = Callable[[int], Sequence[float]]  # the static shares here, one for each of a tenant's limits
+AddressedRequests = list[tuple[int, LeaseRequest]]  # each with the planner that receives it
 
 
 @dataclass(slots=True)
 class TenantState:
-    """One tenant here: a holder for each of its limits.
+    """Holds one tenant's state at this forwarder, with a lease holder for each of its limits.
 
-    `declines`: by planners, since the last heartbeat. `acknowledged_cuts`: limits that were lowered and
-    acknowledged since then: once is enough."""
+    `declines` counts those of planners since the last heartbeat. `acknowledged_cuts` are the limits whose
+    reduction was acknowledged since then; one acknowledgement is enough.
+    """
 
     holders: list[LeaseHolder]
     last_request_ns: int
@@ -36,8 +39,11 @@
 
 
 class Forwarder:
-    """Call `admit` for each request, `heartbeat` once in `HEARTBEAT_NS`, `on_grant` and `on_decline` for what
-    planners answer."""
+    """Admits requests by the leases that planners grant, and requests those leases.
+
+    The host calls `admit` for each request, `heartbeat` once in `HEARTBEAT_NS`, and `on_grant` or
+    `on_decline` for each answer of a planner.
+    """
 
     def __init__(
         self,
@@ -53,10 +59,10 @@
         self._limits_of = limits_of
         self._static_parts_of = static_parts_of
         self.tenants: dict[int, TenantState] = {}
-        self._planner_offsets: dict[int, int] = {}  # by slot: the rank of the planner that gets its requests
+        self._planner_offsets: dict[int, int] = {}  # by slot, the rank of the planner that gets its requests
 
     def admit(self, now: int, tenant: int, units: float) -> bool:
-        """Whether a request may be forwarded, by all limits of its tenant; if so, its units are spent."""
+        """Returns whether all limits of the tenant admit a request; if so, its units are spent."""
         state = self.tenants.get(tenant)
         if state is None:
             limits_and_parts = zip(self._limits_of(tenant), self._static_parts_of(tenant), strict=True)
@@ -64,10 +70,10 @@
             state = TenantState(holders, now)
             self.tenants[tenant] = state
         state.last_request_ns = now
-        # Each is asked, as each counts the demand.
+        # Every holder is called, as each counts the demand.
         if not all([holder.may_spend(now, units) for holder in state.holders]):
             for holder in state.holders:
-                # At all of them: a turn that waits for another limit's lease is kept.
+                # It is set at every holder, to keep a turn that waits for another limit's lease.
                 holder.waiting_units = units
             return False
         for holder in state.holders:
@@ -90,7 +96,7 @@
         ]
 
     def heartbeat(self, now: int) -> AddressedRequests:
-        """The requests of this heartbeat."""
+        """Returns the requests of this heartbeat and drops tenants without requests."""
         for slot in {slot_of(tenant) for tenant, state in self.tenants.items() if not state.is_answered}:
             self._try_next_planner(slot)
         requests: AddressedRequests = []
@@ -105,7 +111,7 @@
         return requests
 
     def on_grant(self, now: int, grant: Grant) -> AddressedRequests:
-        """Take up a grant, or leave it; what was taken back is acknowledged at once."""
+        """Applies a grant unless it is stale; a reduced limit is acknowledged at once."""
         state = self.tenants.get(grant.tenant)
         if state is None or not 0 <= grant.limit_index < len(state.holders):
             return []
@@ -121,7 +127,7 @@
         return [(self._planner_of(grant.tenant), request)]
 
     def on_decline(self, now: int, planner: int, tenant: int) -> AddressedRequests:
-        """A planner does not own this tenant's slot: the next one is tried at once, each once a heartbeat."""
+        """Tries the next planner at once where one does not own the slot, each planner once a heartbeat."""
         state = self.tenants.get(tenant)
         is_outdated = self._planner_of(tenant) != planner
         if state is None or state.is_answered or is_outdated or state.declines >= self._planners - 1:
--- a/trackspread/planning/lease_table.py
+++ b/trackspread/planning/lease_table.py
@@ -1,19 +1,17 @@
-"""One limit of one tenant at its planner: leases that are outstanding never sum to more than the limit.
+"""Grants leases on one limit of one tenant; outstanding leases never sum to more than the limit.
 
 Rules:
-- What may be outstanding counts as outstanding: of all grants to one holder since the newest that it is known
-  to have, the greatest rate and burst, each until `OUTSTANDING_NS` after it was granted.
-- Refill: the rates that are outstanding and the rate at which the table's own tokens refill sum to the
-  planned rate.
-- Tokens: the bursts that are outstanding and the table's own tokens sum to the planned burst at most. A
-  grant's tokens come from the table's alone; what a holder loses with a lease that expires comes back by the
-  refill.
-- Learning: a table that knows nothing renews what holders say they hold and grants nothing else, until all
-  that a planner before it granted has expired.
-- Turns (`rotation.py`): where the burst is too small to give each holder a complete request's, those that
-  have a turn share the rate.
-
-Knows its own clock and requests in the order in which they come; knows nothing of other tenants.
+- A lease that may be in use counts as outstanding: for each holder, the greatest rate and burst of all grants
+  since the newest that it is known to have, each until `OUTSTANDING_NS` after it was granted.
+- Refill: the outstanding rates and the rate at which the table's own tokens refill sum to the planned rate.
+- Tokens: the outstanding bursts and the table's own tokens sum to the planned burst at most. A grant's tokens
+  are taken from the table's only; tokens that a holder loses with an expired lease return by the refill.
+- Learning: a new table renews the leases that holders report and grants nothing else, until all that a
+  planner before it granted has expired.
+- Turns (`rotation.py`): where the burst is too small to give each holder the units of one complete request,
+  the holders that have a turn share the rate.
+
+A table knows its own clock and handles requests in the order of arrival; it knows nothing of other tenants.
 """
 
 from __future__ import annotations
@@ -28,17 +26,17 @@
 from .timing import CLOCK_DRIFT, HEARTBEAT_NS, LEASE_NS
 
 OUTSTANDING_NS = int(LEASE_NS * (1.0 + 2 * CLOCK_DRIFT))  # of a grant, on a clock that may run fast
-# Of an even share that every holder with demand gets: it can start at once when that grows.
+# Fraction of an even share that every holder with demand gets, to start at once when its demand grows.
 MIN_SHARE_PART = 0.1
-PLAN_INTERVAL_NS = HEARTBEAT_NS // 4  # for which shares stay as they were computed
-# Over the rate that refills one request in a lease: rounding must not leave it short.
+PLAN_INTERVAL_NS = HEARTBEAT_NS // 4  # between two computations of the shares
+# Factor on the rate that refills one request in a lease, so that rounding does not leave too little.
 SPARE_FOR_REQUEST = 1.01
 NO_LIMIT = Limit(0.0, 0.0)
-IDLE_PER_S = 0.02  # units a second under which a holder without a waiting request needs no rate
+IDLE_PER_S = 0.02  # units a second; with less, a holder without a waiting request gets no rate
 
 
 class _Outstanding(NamedTuple):
-    """One grant that may still be in use."""
+    """Holds one grant that may still be in use."""
 
     lease: LeaseNumber
     limit: Limit
@@ -47,11 +45,11 @@
 
 @dataclass(slots=True)
 class _HolderState:
-    """One incarnation of one forwarder; `greatest`: rate and burst of what is outstanding there."""
+    """Holds the state of one forwarder's incarnation; `greatest` is its outstanding rate and burst."""
 
     sequence: int = -1
     demand_per_s: float = 0.0
-    waiting_units: float = 0.0  # of a request that waits there
+    waiting_units: float = 0.0  # of a client's request that waits there
     last_request_ns: int = 0
     outstanding: list[_Outstanding] = field(default_factory=list)
     greatest: Limit = NO_LIMIT
@@ -74,7 +72,7 @@
 
 
 class LeaseTable:
-    """The leases on one limit of one tenant, under one epoch."""
+    """Holds the leases on one limit of one tenant under one epoch."""
 
     def __init__(
         self,
@@ -85,8 +83,11 @@
         learns_until_ns: int,
         rotation: Rotation | None = None,
     ) -> None:
-        """`min_units`: of the largest request. `rotation`: the tenant's, which all its tables share. A table
-        starts without tokens: what others granted before it may still be spent."""
+        """Creates a table without tokens, as tokens that others granted before may still be spent.
+
+        `min_units` are the units of the largest request. `rotation` is the tenant's, which all its tables
+        share.
+        """
         rate, burst = tenant_limit.limit
         planned_part = tenant_limit.planned_part
         self.limit = Limit(rate * planned_part / (1.0 + CLOCK_DRIFT), burst * planned_part)
@@ -111,11 +112,11 @@
         self._surplus_factor = 0.0
 
     def outstanding_limit(self) -> Limit:
-        """The sum of what may be outstanding."""
+        """Returns the sum of the rates and bursts that may be outstanding."""
         return Limit(self._outstanding_per_s, self._outstanding_units)
 
     def _set_outstanding(self, holder: _HolderState, outstanding: list[_Outstanding]) -> None:
-        """Another list of what may be outstanding at a holder; the sums follow."""
+        """Replaces a holder's list of outstanding grants and updates the sums."""
         greatest = Limit(
             max((each.limit.rate_per_s for each in outstanding), default=0.0),
             max((each.limit.burst_units for each in outstanding), default=0.0),
@@ -127,7 +128,10 @@
         self._next_expiry_ns = min([self._next_expiry_ns, *(each.until_ns for each in outstanding)])
 
     def refill(self, now: int) -> None:
-        """Refill the tokens, then drop what has expired: what it leaves was not there to refill before."""
+        """Refills the tokens, then drops expired grants.
+
+        The order matters: the rate of an expired grant was not free to refill tokens before.
+        """
         if now > self.learns_until_ns:
             span = (now - max(self.refilled_at_ns, self.learns_until_ns)) / SECOND
             self._set_tokens(self.tokens + max(0.0, self.limit.rate_per_s - self._outstanding_per_s) * span)
@@ -140,21 +144,21 @@
         for key, holder in list(self.holders.items()):
             self._set_outstanding(holder, [each for each in holder.outstanding if each.until_ns > now])
             if not holder.outstanding:
-                # Without a request for longer than its lease: what it requested is no demand any more.
+                # It sent no request for longer than a lease lasts, so its last demand no longer counts.
                 holder.demand_per_s = 0.0
                 holder.waiting_units = 0.0
                 self._planned_at_ns = -PLAN_INTERVAL_NS
                 if now - holder.last_request_ns > 4 * OUTSTANDING_NS:
                     del self.holders[key]
-        # Sums of floats drift; from here they start anew.
+        # Sums of floats drift, so they are computed again here.
         self._outstanding_per_s = sum(holder.greatest.rate_per_s for holder in self.holders.values())
         self._outstanding_units = sum(holder.greatest.burst_units for holder in self.holders.values())
 
     def on_request(self, now: int, request: LeaseRequest) -> Grant | None:
-        """The grant that answers a request; None where it is older than one that was answered."""
+        """Returns the grant that answers a request, or None if a newer request was answered before."""
         self.refill(now)
-        who = request.forwarder, request.incarnation
-        holder = self.holders.setdefault(who, _HolderState())
+        forwarder = request.forwarder, request.incarnation
+        holder = self.holders.setdefault(forwarder, _HolderState())
         if request.sequence <= holder.sequence:
             return None
         holder.sequence = request.sequence
@@ -164,7 +168,7 @@
         until_ns = now + OUTSTANDING_NS
         outstanding = [each for each in holder.outstanding if each.lease >= request.base_lease]
         if request.base_lease[0] < self.epoch and request.held_limit.burst_units > 0.0:
-            # Granted under an epoch before: it counts as outstanding, whichever planner granted it.
+            # A lease of an earlier epoch counts as outstanding, whichever planner granted it.
             outstanding.append(_Outstanding(request.base_lease, request.held_limit, until_ns))
         self._set_outstanding(holder, outstanding)
         self.leases_granted += 1
@@ -174,7 +178,7 @@
             self._set_outstanding(holder, [*holder.outstanding, renewed])
             return _grant(request, lease, request.held_limit, 0.0)
         self._set_tokens(self.tokens + request.returned_tokens)
-        limit = self._share_for(now, holder, who)
+        limit = self._share_for(now, holder, forwarder)
         self._set_outstanding(holder, [*holder.outstanding, _Outstanding(lease, limit, until_ns)])
         tokens = min(self.tokens, max(0.0, limit.burst_units - request.tokens))
         self._set_tokens(self.tokens - tokens)
@@ -183,8 +187,8 @@
     def _set_tokens(self, tokens: float) -> None:
         self.tokens = min(tokens, max(0.0, self.limit.burst_units - self._outstanding_units))
 
-    def _share_for(self, now: int, holder: _HolderState, who: ForwarderStart) -> Limit:
-        """By demand, as far as what the others may hold leaves capacity."""
+    def _share_for(self, now: int, holder: _HolderState, forwarder: ForwarderStart) -> Limit:
+        """Returns a holder's share by its demand, as far as the outstanding leases of others allow."""
         if not (holder.wants_share() and self.limit.rate_per_s):
             return NO_LIMIT
         if now - self._planned_at_ns >= PLAN_INTERVAL_NS or len(self.holders) != self._planned_holders:
@@ -200,14 +204,14 @@
                 self._rotation.add_limit(self._parts, self._is_fully_planned)
                 rate = self.limit.rate_per_s / min(self._parts, self._rotation.concurrent_turns)
                 is_waiting = holder.waiting_units > 0.0
-                if not self._rotation.has_turn(now, who, is_waiting, holder.demand_per_s >= rate):
+                if not self._rotation.has_turn(now, forwarder, is_waiting, holder.demand_per_s >= rate):
                     return NO_LIMIT
                 rate = max(0.0, min(available.rate_per_s, rate))
         burst = min(burst, available.burst_units)
         return Limit(rate, burst) if burst >= self.min_units else NO_LIMIT
 
     def _available_to(self, holder: _HolderState) -> Limit:
-        """What the other holders leave of the limit."""
+        """Returns the part of the limit that the other holders leave."""
         own = holder.greatest
         return Limit(
             self.limit.rate_per_s - (self._outstanding_per_s - own.rate_per_s),
@@ -215,8 +219,11 @@
         )
 
     def _plan_shares(self, now: int) -> None:
-        """Max-min: no holder gets more than its demand while another gets less than its part; what is left
-        when all have theirs goes to all by demand. Computed some times a heartbeat, not for every request."""
+        """Computes max-min fair shares, several times a heartbeat instead of for every request.
+
+        No holder gets more than its demand while another gets less than its fair part; a rest that is left
+        when all demands are met goes to all by demand.
+        """
         wanting = [holder for holder in self.holders.values() if holder.wants_share()]
         self._planned_at_ns = now
         self._planned_holders = len(self.holders)
@@ -235,8 +242,10 @@
         self._surplus_factor = self.limit.rate_per_s / max(1e-9, self.limit.rate_per_s - left)
 
     def _smallest_share(self) -> float:
-        """Units a second that every holder with demand gets: one request's, where half of the rate is
-        left."""
+        """Returns the units a second that every holder with demand gets.
+
+        They suffice for one request in a lease if that takes no more than half of the rate for all holders.
+        """
         limit = self.limit
         one_request = SPARE_FOR_REQUEST * limit.rate_per_s * self.min_units
         one_request /= max(self.min_units, limit.burst_units)
--- a/trackspread/planning/limits.py
+++ b/trackspread/planning/limits.py
@@ -1,35 +1,38 @@
-"""Limits of a tenant over all forwarders, and how far they can be divided. Pure arithmetic."""
+"""Defines the limits of a tenant over all forwarders and computes how far they can be divided."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-ROUNDING = 1e-9  # of parts: a burst of 3 x 0.2 units among three is not under 0.2 for a float's sake
+# Tolerance for parts: the float quotient of a burst of 3 x 0.2 units by 0.2 may fall short of 3.
+ROUNDING = 1e-9
 
 
 class Limit(NamedTuple):
-    """A token bucket's rate and burst."""
+    """Holds the rate and the burst of a token bucket."""
 
     rate_per_s: float
     burst_units: float
 
 
 class TenantLimit(NamedTuple):
-    """One limit of a tenant over all forwarders.
+    """Holds one limit of a tenant over all forwarders.
 
-    `planned_part`: of it that planners hand out; the rest lies in static shares that need no planner. A soft
-    limit (a quota) goes on as in the last lease where no planner answers; a hard limit is never passed."""
+    `planned_part` is the fraction that planners grant; the rest is in static shares that need no planner. If
+    no planner answers, a soft limit (a quota) continues as in the last lease; a hard limit is never exceeded.
+    """
 
     limit: Limit
     planned_part: float
     is_soft: bool
 
     def fitted(self, min_units: float, forwarders: int) -> TenantLimit:
-        """The same with parts that can serve: a part in which no complete request fits would lie idle.
+        """Returns the limit with parts that each hold a complete request, as a smaller part would be unused.
 
-        `min_units`: of the largest request. The planned part is widened to one of these; where what is left
-        for static shares holds none, all is planned. Planners and forwarders must use the same limits. Raises
-        `ValueError` where the burst holds no request."""
+        `min_units` are the units of the largest request. The planned part is increased to hold one; if the
+        rest for static shares holds none, all is planned. Planners and forwarders must use the same limits.
+        Raises `ValueError` if the burst holds no request.
+        """
         burst = self.limit.burst_units
         if burst < min_units:
             raise ValueError(f"a burst of {burst:g} units holds no request of {min_units:g}")
@@ -39,5 +42,5 @@
 
 
 def max_parts(burst_units: float, min_units: float, forwarders: int) -> int:
-    """Among how many forwarders a burst can be divided so that each part holds a request of `min_units`."""
+    """Returns among how many forwarders a burst can be divided if each part holds `min_units`."""
     return min(forwarders, int(burst_units / min_units + ROUNDING))
--- a/trackspread/planning/messages.py
+++ b/trackspread/planning/messages.py
@@ -1,6 +1,6 @@
-"""What forwarders and planners send one another about leases.
+"""Defines the messages about leases between forwarders and planners.
 
-Only lengths of time travel, as each process has a clock of its own. Numbers of leases only grow.
+Messages carry no points in time, as each process has a clock of its own. The numbers of leases only grow.
 """
 
 from __future__ import annotations
@@ -9,17 +9,19 @@
 
 from .limits import Limit
 
-LeaseNumber = tuple[int, int]  # epoch and count: of two the later is the newer
+LeaseNumber = tuple[int, int]  # epoch and count; the greater number is the newer lease
 NO_LEASE: LeaseNumber = (0, 0)
 
 
 class LeaseRequest(NamedTuple):
-    """A forwarder's request for a lease on one limit of one tenant, at each heartbeat.
+    """Requests a lease on one limit of one tenant; a forwarder sends it at each heartbeat.
 
-    `limit_index`: of the tenant's limits. `incarnation`: new with each start. `sequence`: grows with each
-    request. `base_lease`: the newest lease that the forwarder has, `held_limit` what it grants (nothing once
-    it has expired), `tokens` what is left of it, `returned_tokens` given up since the request before.
-    `demand_per_s`: in units, here. `waiting_units`: of a client's request that waits for a lease, or 0."""
+    `limit_index` selects one of the tenant's limits. `incarnation` is new with each start, and `sequence`
+    grows with each request. `base_lease` is the newest lease that the forwarder has, `held_limit` its rate
+    and burst (0 once it has expired), and `tokens` are those left of it; `returned_tokens` were given up
+    since the request before. `demand_per_s` is the forwarder's demand in units. `waiting_units` are those of
+    a client's request that waits for a lease, or 0.
+    """
 
     forwarder: int
     incarnation: int
@@ -35,7 +37,7 @@
 
 
 class Grant(NamedTuple):
-    """A planner's answer: `lease` on `limit`, in place of `base_lease`; `tokens` come with it once."""
+    """Grants `lease` on `limit` in place of `base_lease`; `tokens` are added once."""
 
     epoch: int
     tenant: int
--- a/trackspread/planning/placement.py
+++ b/trackspread/planning/placement.py
@@ -1,6 +1,6 @@
-"""Which slot a tenant is in, and in what order forwarders try its planners. Pure functions of numbers.
+"""Maps tenants to slots, orders the planners of a slot, and places static shares, by hashes of numbers.
 
-Rendezvous hashing (Thaler and Ravishankar 1996): a planner that joins or leaves moves its own part alone.
+With rendezvous hashing (Thaler and Ravishankar 1996) a planner that joins or leaves moves only its own part.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from .limits import TenantLimit, max_parts
 
-SLOTS = 16  # of tenants, each with an owner of its own: several times the planners, so that work spreads
+SLOTS = 16  # of tenants, each with its own owner; several times the planners, so that the load is spread
 
 
 def _hash(*parts: int) -> int:
@@ -18,23 +18,24 @@
 
 
 def slot_of(tenant: int) -> int:
-    """The slot that a tenant is in."""
+    """Returns the slot of a tenant."""
     return _hash(tenant) % SLOTS
 
 
 def ranked_planners(slot: int, planners: int) -> list[int]:
-    """All planners, the preferred owner of the slot first."""
+    """Returns all planners, the preferred owner of the slot first."""
     return sorted(range(planners), key=lambda planner: _hash(slot, planner), reverse=True)
 
 
 def static_part(
     tenant: int, forwarder: int, forwarders: Sequence[int], limit: TenantLimit, min_units: float
 ) -> float:
-    """What of a limit lies with one of a tenant's forwarders and needs no planner, as a part of the whole.
+    """Returns the fraction of a limit that is a forwarder's static share and needs no planner.
 
-    Even shares; but where they would not hold a request of `min_units`, some forwarders, drawn by the tenant,
-    have one that does, and the others none. Over all of them the parts sum to what is not planned, at
-    most."""
+    Shares are even. If an even share would not hold a request of `min_units`, some forwarders, selected by a
+    hash with the tenant, have a share that does, and the others have none. The shares of all forwarders sum
+    to the part that is not planned, at most.
+    """
     unplanned = 1.0 - limit.planned_part
     count = max_parts(limit.limit.burst_units * unplanned, min_units, len(forwarders))
     if count == 0 or forwarder not in forwarders:
--- a/trackspread/planning/planner.py
+++ b/trackspread/planning/planner.py
@@ -1,8 +1,8 @@
-"""One planner: for each slot that it owns by a majority's lease, the lease tables of the slot's tenants.
+"""Runs one planner, which holds the lease tables of the tenants in each slot that it owns.
 
-A table lives as long as its planner owns the slot without a break; under a new epoch it starts anew and
-learns until all that may have been granted before has expired. Without ownership no request is answered. No
-I/O.
+It owns a slot by a majority's lease. A table is valid while its planner owns the slot without a break; under
+a new epoch it is created again and learns until all that may have been granted before has expired. Without
+ownership no request is answered. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -21,19 +21,22 @@
 from .messages import Grant, LeaseRequest
 from .rotation import Rotation
 
-# By which each next in rank waits before it first proposes itself for a slot.
+# The delay for each rank before a planner first proposes itself for a slot.
 RANK_DELAY_NS = 300 * MILLISECOND
 LimitsOf = Callable[[int], tuple[TenantLimit, ...]]
 
 
 class Planner:
-    """Call `tick` several times in a term, `on_message` for messages of planners (its own too), `on_request`
-    for forwarders' requests."""
+    """Grants leases on the limits of the tenants in the slots that it owns.
+
+    The host calls `tick` several times in a term, `on_message` for messages of planners (its own included),
+    and `on_request` for forwarders' requests.
+    """
 
     def __init__(
         self, planner: int, planners: int, limits_of: LimitsOf, min_units: float, now: int, seed: int
     ) -> None:
-        """`min_units`: of the largest request."""
+        """Takes in `min_units` the units of the largest request."""
         rng = random.Random(f"planner:{seed}")
         self.planner = planner
         self._limits_of = limits_of
@@ -50,15 +53,15 @@
         self._rotations: dict[int, Rotation] = {}  # by tenant
 
     def tick(self, now: int) -> list[tuple[int, Outbox]]:
-        """Messages to send, by slot."""
+        """Returns the messages to send, by slot."""
         return [(n, out) for n, each in enumerate(self.elections) if (out := each.tick(now))]
 
     def on_message(self, now: int, sender: int, slot: int, message: ElectionMessage) -> Outbox:
-        """Messages to send in answer to one of another planner on a slot."""
+        """Handles a planner's message about a slot and returns the answers."""
         return self.elections[slot].on_message(now, sender, message)
 
     def on_request(self, now: int, request: LeaseRequest) -> Grant | None:
-        """The grant, or None where this planner does not own the tenant's slot."""
+        """Returns the grant, or None if this planner does not own the slot or the limit does not exist."""
         slot = slot_of(request.tenant)
         election = self.elections[slot]
         if request.base_lease[0] > election.epoch:
