--- a/tests/distribution/__init__.py
+++ b/tests/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `distribution`."""
+"""Tests the package `distribution`."""
--- a/tests/distribution/test_configuration.py
+++ b/tests/distribution/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration that replicas hand down: the operator's file, the command, and a gateway that takes it."""
+"""Tests the distributed configuration: the operator's file, the command, and a gateway that subscribes."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
         ("replicas = ['127.0.0.1:1']\nservice = 3", "configuration.service: found an unknown key, did"),
     ],
 )
-def test_a_mistake_is_one_line_with_file_key_found_and_wanted(text: str, line: str) -> None:
+def test_invalid_file_gives_one_line_with_file_and_key(text: str, line: str) -> None:
     fleet = FLEET.replace("seeds = ['127.0.0.1:7400']\n", "") if "control" in text else FLEET
     with pytest.raises(ConfigError) as caught:
         parse(f"{fleet}[configuration]\n{text}", "own.toml")
     assert str(caught.value).startswith(f"own.toml: {line}") and "\n" not in str(caught.value)
 
 
-def test_it_wants_the_fleet_s_name_and_is_off_without_replicas() -> None:
+def test_configuration_needs_fleet_name_and_is_off_without_replicas() -> None:
     with pytest.raises(ConfigError, match=r"own.toml: fleet.name: found nothing, wanted a name: conf"):
         parse("[configuration]\nreplicas = ['127.0.0.1:1']", "own.toml")
     assert not DEFAULTS.configuration.listen
@@ -65,8 +65,8 @@
 
 
 @asynccontextmanager
-async def replica() -> AsyncIterator[ReplicaHost]:
-    """The only one, which leads."""
+async def running_replica() -> AsyncIterator[ReplicaHost]:
+    """Runs the only replica, which leads."""
     address = Ports().udp()
     settings = ReplicaSettings(0, time.time_ns() // 1_000_000, (address,))
     host = ReplicaHost(settings, address, Wire("f", Keys(KEY)), 1, time.monotonic_ns, lambda: (1, 0))
@@ -77,8 +77,8 @@
         host.close()
 
 
-def operators_file(folder: Path, host: ReplicaHost) -> Path:
-    """Of a gateway that takes part."""
+def write_operators_file(folder: Path, host: ReplicaHost) -> Path:
+    """Writes the file of a gateway that subscribes, and returns its path."""
     (folder / "key").write_bytes(KEY)
     ports, path = Ports(), folder / "own.toml"
     fleet = "{}:{}".format(*ports.udp())
@@ -90,18 +90,18 @@
     return path
 
 
-def test_a_change_is_put_taken_by_a_gateway_and_shown(
+def test_change_is_put_applied_by_a_gateway_and_shown(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    async def command(*words: str) -> tuple[int, str, str]:
+    async def command(*arguments: str) -> tuple[int, str, str]:
         own = str(tmp_path / "own.toml")
-        status = await asyncio.to_thread(main, ["configuration", *words, "--file", own])
+        status = await asyncio.to_thread(main, ["configuration", *arguments, "--file", own])
         return status, *capsys.readouterr()
 
     async def test() -> None:
-        async with replica() as host:
-            operator = parse(operators_file(tmp_path, host).read_text(), "own.toml")
+        async with running_replica() as host:
+            operator = parse(write_operators_file(tmp_path, host).read_text(), "own.toml")
             status, out, _ = await command("show")
             assert (status, "establishing" in out) == (1, True)
             assert await command("begin") == (0, "history 1\n", "")
@@ -110,34 +110,36 @@
             status, out, _ = await command("show", "--key", "rating/route-1")
             assert status == 0 and "leader" in out and "rating/route-1 = 'a=1', since version 1.1.0.2" in out
             async with world(operator) as w:
-                taken = w.node.parts.configuration
-                assert isinstance(taken, ConfigurationPart) and taken.host is not None
-                await until(lambda: taken.host is not None and taken.host.core.version.sequence == 3)
-                assert taken.host.core.value("rating", "route-1") == b"a=1"
-                assert taken.host.core.value("unwanted", "route-2") is None
-                status, text = taken.answer()
-                told = json.loads(text)
-                assert (status, told["sequence"], told["keys"], told["services"]) == (200, 3, 1, 1)
-                assert told["age_s"] < 5.0
+                configuration = w.node.parts.configuration
+                assert isinstance(configuration, ConfigurationPart) and configuration.host is not None
+                await until(
+                    lambda: configuration.host is not None and configuration.host.core.version.sequence == 3
+                )
+                assert configuration.host.core.value("rating", "route-1") == b"a=1"
+                assert configuration.host.core.value("unwanted", "route-2") is None
+                status, text = configuration.answer()
+                report = json.loads(text)
+                assert (status, report["sequence"], report["keys"], report["services"]) == (200, 3, 1, 1)
+                assert report["age_s"] < 5.0
                 assert (await command("delete", "rating", "route-1"))[0] == 0
-                await until(lambda: taken.host is not None and not taken.host.core.snapshot)
-                taken.close()
-                assert taken.answer()[0] == 503
+                await until(lambda: configuration.host is not None and not configuration.host.core.snapshot)
+                configuration.close()
+                assert configuration.answer()[0] == 503
                 assert w.node.parts.membership is not None
                 w.node.parts.membership.close()
 
     run(test)
 
 
-def test_an_operator_s_error_is_one_plain_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_invalid_command_gives_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
-        async with replica() as host:
-            operators_file(tmp_path, host)
+        async with running_replica() as host:
+            write_operators_file(tmp_path, host)
 
     run(test)
     path = str(tmp_path / "own.toml")
     (tmp_path / "off.toml").write_text("")
-    for words, line in (
+    for arguments, line in (
         (["put", "s", "k", "v" * 641, "--file", path], "VALUE: found 641 bytes, wanted 640 at most"),
         (["put", "", "k", "v", "--file", path], "SERVICE: found 0 characters, wanted 1 to 128"),
         (["show", "--file", path], "configuration.replicas: none of them answers, wanted one that runs"),
@@ -148,6 +150,6 @@
         ),
         (["show", f"{LOCAL}:9", "--file", path], f"{LOCAL}:9: "),
     ):
-        assert main(["configuration", *words]) == 2
-        told = capsys.readouterr().err
-        assert told.startswith(f"trackspread: {line}") and told.count("\n") == 1
+        assert main(["configuration", *arguments]) == 2
+        error = capsys.readouterr().err
+        assert error.startswith(f"trackspread: {line}") and error.count("\n") == 1
--- a/tests/distribution/test_configuration_process.py
+++ b/tests/distribution/test_configuration_process.py
@@ -1,4 +1,4 @@
-"""Control machines as processes of the program: who leads them leads what they hand down."""
+"""Tests control machines as processes: the elected one leads the replicas of the configuration."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 pytestmark = pytest.mark.processes
 
 MACHINES = 3
-LED = 20.0  # s until a leader is there; a cold tier waits for the longest lease first
-IN_FORCE = 9.0  # s
+LEADER_TIMEOUT_S = 20.0  # until a leader is elected; machines that start wait for the longest lease first
+IN_FORCE_TIMEOUT_S = 9.0
 KEY = b"a key of many bytes"
-SOCKETS = 512  # descriptors of one process
+MAX_DESCRIPTORS = 512  # of one process
 
 
-class Tier:
-    """Control machines, and one subscription as a gateway has it."""
+class ControlTier:
+    """Runs control machines as processes, and one subscription as a gateway has it."""
 
     def __init__(self, folder: Path) -> None:
         self._folder, ports = folder, Ports()
@@ -58,7 +58,7 @@
                 sys.executable,
                 "-c",
                 EXEC_WITH_LIMITS,
-                str(SOCKETS),
+                str(MAX_DESCRIPTORS),
                 sys.executable,
                 "-m",
                 "trackspread",
@@ -71,9 +71,9 @@
                 env={**os.environ},
             )
 
-    async def end(self, number: int, how: int) -> int:
+    async def end(self, number: int, signal_number: int) -> int:
         process = self._running.pop(number)
-        process.send_signal(how)
+        process.send_signal(signal_number)
         return await process.wait()
 
     async def close(self) -> None:
@@ -81,14 +81,14 @@
         for number in list(self._running):
             await self.end(number, signal.SIGKILL)
 
-    async def command(self, *words: str) -> tuple[int, str]:
-        """Exit status and what it prints of `trackspread configuration`."""
+    async def command(self, *arguments: str) -> tuple[int, str]:
+        """Runs `trackspread configuration`; returns its exit status and its output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "trackspread",
             "configuration",
-            *words,
+            *arguments,
             "--file",
             str(self.file),
             stdout=asyncio.subprocess.PIPE,
@@ -98,50 +98,53 @@
         assert process.returncode is not None
         return process.returncode, out.decode()
 
-    async def done(self, *words: str) -> str:
-        """Asked for until it is done."""
-        end = time.monotonic() + LED
-        while (answer := await self.command(*words))[0]:
+    async def retry_command(self, *arguments: str) -> str:
+        """Repeats a command until it succeeds; returns its output."""
+        end = time.monotonic() + LEADER_TIMEOUT_S
+        while (answer := await self.command(*arguments))[0]:
             assert time.monotonic() < end, answer
         return answer[1]
 
-    async def in_force(self, value: bytes | None) -> Version:
-        end = time.monotonic() + IN_FORCE
+    async def wait_in_force(self, value: bytes | None) -> Version:
+        """Waits until the gateway has the value; returns its version."""
+        end = time.monotonic() + IN_FORCE_TIMEOUT_S
         while self.gateway.core.value("rating", "route") != value:
             assert time.monotonic() < end
             await asyncio.sleep(0.05)
         return self.gateway.core.version
 
     async def leader(self) -> int:
-        """The number of the one that `show` calls so."""
-        found: list[str] = []
-        while not found:
-            found = re.findall(r"127\S+:7600 +(\w+)", (await self.command("show"))[1])
-            found = found if "leader" in found else []
-        return found.index("leader")
+        """Returns the number of the machine that `show` reports as leader."""
+        roles: list[str] = []
+        while not roles:
+            roles = re.findall(r"127\S+:7600 +(\w+)", (await self.command("show"))[1])
+            roles = roles if "leader" in roles else []
+        return roles.index("leader")
 
 
-def test_who_leads_the_control_machines_leads_the_configuration(tmp_path: Path) -> None:
+def test_elected_control_machine_leads_the_configuration_replicas(tmp_path: Path) -> None:
+    """After the leader is killed or stopped, the next elected machine goes on with the same history."""
+
     async def test() -> None:
-        tier = Tier(tmp_path)
+        tier = ControlTier(tmp_path)
         try:
             for number in range(MACHINES):
                 await tier.start(number)
             await tier.gateway.start()
-            await tier.done("begin")
-            assert (await tier.done("put", "rating", "route", "first")).startswith("version ")
-            first = await tier.in_force(b"first")
+            await tier.retry_command("begin")
+            assert (await tier.retry_command("put", "rating", "route", "first")).startswith("version ")
+            first = await tier.wait_in_force(b"first")
             leader = await tier.leader()
             await tier.end(leader, signal.SIGKILL)
-            await tier.done("put", "rating", "route", "second")
-            second = await tier.in_force(b"second")
+            await tier.retry_command("put", "rating", "route", "second")
+            second = await tier.wait_in_force(b"second")
             assert second.epoch > first.epoch and second.history == first.history
             await tier.start(leader)
-            await tier.done("show")
+            await tier.retry_command("show")
             other = await tier.leader()
             assert await tier.end(other, signal.SIGTERM) == 0
-            await tier.done("delete", "rating", "route")
-            assert await tier.in_force(None) > second
+            await tier.retry_command("delete", "rating", "route")
+            assert await tier.wait_in_force(None) > second
         finally:
             await tier.close()
 
--- a/tests/distribution/test_distribution_process.py
+++ b/tests/distribution/test_distribution_process.py
@@ -1,4 +1,4 @@
-"""Replicas and gateways as processes, with SIGKILL, SIGSTOP and cuts, decided from their records."""
+"""Tests replicas and gateways as processes with SIGKILL, SIGSTOP and partitions, by their event logs."""
 
 from __future__ import annotations
 
@@ -18,159 +18,168 @@
 
 pytestmark = pytest.mark.processes
 
-IN_FORCE = 9.0  # s
-MOST = 110.0  # s: only a hang reaches it
+IN_FORCE_TIMEOUT_S = 9.0
+RUN_TIMEOUT_S = 110.0  # only a hang reaches it
 
-Work = Callable[[ConfigurationFleet], Awaitable[None]]
+Scenario = Callable[[ConfigurationFleet], Awaitable[None]]
 
 
-def play(work: Work, folder: Path, gateways: int = 30, mutant: str = "", recent: int = 8192) -> None:
-    """The records are decided on after it."""
+def run_scenario(
+    scenario: Scenario, folder: Path, gateways: int = 30, mutant: str = "", recent: int = 8192
+) -> None:
+    """Runs a scenario and then checks the event logs."""
 
     async def once() -> None:
         async with ConfigurationFleet(
             folder, gateways=gateways, mutant=mutant, recent_entries=recent
         ) as fleet:
-            await work(fleet)
+            await scenario(fleet)
             fleet.judge()
 
-    uvloop.run(asyncio.wait_for(once(), MOST))
+    uvloop.run(asyncio.wait_for(once(), RUN_TIMEOUT_S))
 
 
-async def burst(
+async def put_burst(
     fleet: ConfigurationFleet,
     count: int,
     name: str = "key",
-    patience: float = 5.0,
+    timeout_s: float = 5.0,
     first: tuple[int, ...] | None = None,
 ) -> list[Version]:
-    """So many changes at once; those that were committed. `first`: whom they ask first, by turns."""
-    made = await asyncio.gather(
+    """Puts `count` changes at once; returns the versions of those that were committed.
+
+    `first` are the replicas that are called first, in turns.
+    """
+    versions = await asyncio.gather(
         *(
             fleet.put(
                 fleet.services[n % len(fleet.services)],
                 f"{name}-{n % 37}",
                 f"{name} {n} ".encode() * 12,
-                patience,
+                timeout_s,
                 first[n % len(first)] if first else None,
             )
             for n in range(count)
         )
     )
-    return [each for each in made if each is not None]
+    return [each for each in versions if each is not None]
 
 
-async def settled(fleet: ConfigurationFleet, version: Version | None) -> None:
-    """All gateways act on it in time."""
+async def check_in_force(fleet: ConfigurationFleet, version: Version | None) -> None:
+    """Checks that the version is in force at all gateways in time."""
     if version is None:
         raise InvariantViolated("not committed")
-    if await fleet.in_force(version, IN_FORCE) is None:
-        raise InvariantViolated(f"{version} is not in force everywhere after {IN_FORCE} s")
+    if await fleet.in_force(version, IN_FORCE_TIMEOUT_S) is None:
+        raise InvariantViolated(f"{version} is not in force everywhere after {IN_FORCE_TIMEOUT_S} s")
 
 
 async def put(fleet: ConfigurationFleet, value: bytes) -> Version | None:
     return await fleet.put(fleet.services[0], "one", value)
 
 
-async def a_leader_is_killed(fleet: ConfigurationFleet) -> None:
-    """In the middle of a burst."""
-    under_way = asyncio.create_task(burst(fleet, 100, patience=9.0))
+async def kill_leader(fleet: ConfigurationFleet) -> None:
+    """Kills the leader during a burst of changes."""
+    pending = asyncio.create_task(put_burst(fleet, 100, timeout_s=9.0))
     await asyncio.sleep(0.05)
     await fleet.replicas[0].kill()
     await asyncio.sleep(0.5)
     fleet.elect(1)
-    made = await under_way
-    if len(made) < 100:
-        raise InvariantViolated(f"{len(made)} of 100 changes are committed")
-    await settled(fleet, max(made))
+    versions = await pending
+    if len(versions) < 100:
+        raise InvariantViolated(f"{len(versions)} of 100 changes are committed")
+    await check_in_force(fleet, max(versions))
     await fleet.replicas[0].start()
-    await settled(fleet, await put(fleet, b"after"))
-    await becomes(fleet, 0, "follower")
+    await check_in_force(fleet, await put(fleet, b"after"))
+    await wait_for_role(fleet, 0, "follower")
 
 
-async def becomes(fleet: ConfigurationFleet, number: int, role: str) -> None:
-    """Within `IN_FORCE`."""
-    end = time.monotonic() + IN_FORCE
+async def wait_for_role(fleet: ConfigurationFleet, number: int, role: str) -> None:
+    """Waits until a replica has this role, at most `IN_FORCE_TIMEOUT_S`."""
+    end = time.monotonic() + IN_FORCE_TIMEOUT_S
     while (shown := await fleet.show(number)) is None or shown.role != role:
         if time.monotonic() > end:
             raise InvariantViolated(f"replica {number} is {shown and shown.role}, not {role}")
         await asyncio.sleep(0.1)
 
 
-async def two_lead(fleet: ConfigurationFleet) -> None:
-    """The older one does not hear the newer one; both are asked."""
+async def elect_second_leader(fleet: ConfigurationFleet) -> None:
+    """Elects a leader whose messages do not reach the older leader; changes are put to both."""
     fleet.cut([2], [0], both=False)
     fleet.elect(2, notify_former=False)
     for turn in range(4):
-        await burst(fleet, 10, f"turn-{turn}", patience=2.0, first=(0, 2))
+        await put_burst(fleet, 10, f"turn-{turn}", timeout_s=2.0, first=(0, 2))
     fleet.heal()
-    await settled(fleet, await put(fleet, b"one leader"))
+    await check_in_force(fleet, await put(fleet, b"one leader"))
 
 
-async def an_old_leader_wakes(fleet: ConfigurationFleet) -> None:
-    """It stood still for 3 s, and goes on by the lease that it had."""
-    under_way = asyncio.create_task(burst(fleet, 60, patience=9.0))
+async def resume_old_leader(fleet: ConfigurationFleet) -> None:
+    """Stops the leader for 3 s, after which it still acts on the lease that it had."""
+    pending = asyncio.create_task(put_burst(fleet, 60, timeout_s=9.0))
     await asyncio.sleep(0.05)
     fleet.replicas[0].signal(signal.SIGSTOP)
     fleet.elect(3, notify_former=False)
     await asyncio.sleep(3.0)
     fleet.replicas[0].signal(signal.SIGCONT)
-    await under_way
-    await settled(fleet, await put(fleet, b"woken"))
+    await pending
+    await check_in_force(fleet, await put(fleet, b"woken"))
 
 
-async def a_minority_goes_on(fleet: ConfigurationFleet) -> None:
-    """The leader and one follower, cut off from the other three, one of which is elected."""
+async def isolate_leader_minority(fleet: ConfigurationFleet) -> None:
+    """Cuts the leader and one follower off from the other three, one of which is elected."""
     fleet.cut([0, 1], [2, 3, 4])
-    assert await burst(fleet, 10, "lost", patience=1.0, first=(0,)) == []
+    assert await put_burst(fleet, 10, "lost", timeout_s=1.0, first=(0,)) == []
     fleet.elect(2, notify_former=False)
-    await settled(fleet, await fleet.put(fleet.services[0], "one", b"kept", first=2))
+    await check_in_force(fleet, await fleet.put(fleet.services[0], "one", b"kept", first=2))
     fleet.heal()
-    await settled(fleet, await fleet.put(fleet.services[0], "one", b"healed", first=2))
+    await check_in_force(fleet, await fleet.put(fleet.services[0], "one", b"healed", first=2))
 
 
-async def a_follower_behind_leads(fleet: ConfigurationFleet) -> None:
-    """It has missed what the others committed, and the leader dies."""
+async def elect_stale_follower(fleet: ConfigurationFleet) -> None:
+    """Elects a follower that has missed committed changes, and kills the leader."""
     fleet.cut([1], [0, 2, 3, 4])
-    made = await burst(fleet, 40)
-    await settled(fleet, max(made))
+    versions = await put_burst(fleet, 40)
+    await check_in_force(fleet, max(versions))
     fleet.heal()
     fleet.elect(1)
     await fleet.replicas[0].kill()
-    await settled(fleet, await put(fleet, b"after"))
+    await check_in_force(fleet, await put(fleet, b"after"))
 
 
-async def gateways_are_cut_off(fleet: ConfigurationFleet) -> None:
-    """They go on by what they have, and take up what they missed."""
-    await settled(fleet, await put(fleet, b"before"))
+async def isolate_gateways(fleet: ConfigurationFleet) -> None:
+    """Cuts gateways off, which keep their version and catch up afterwards."""
+    await check_in_force(fleet, await put(fleet, b"before"))
     before = fleet.versions_in_use()
     fleet.cut_gateways(True)
-    missed = await burst(fleet, 60)
+    versions = await put_burst(fleet, 60)
     await asyncio.sleep(12.0)
     assert fleet.versions_in_use() == before
     fleet.cut_gateways(False)
-    await settled(fleet, max(missed))
+    await check_in_force(fleet, max(versions))
 
 
-async def followers_are_cut_off(fleet: ConfigurationFleet) -> None:
-    """Those of one region from the other replicas, not from the gateways, which go elsewhere."""
+async def isolate_followers(fleet: ConfigurationFleet) -> None:
+    """Cuts the followers of a region off from other replicas, not from gateways, which poll elsewhere."""
     fleet.cut([1, 3], [0, 2, 4])
-    await settled(fleet, max(await burst(fleet, 30)))
+    await check_in_force(fleet, max(await put_burst(fleet, 30)))
     fleet.heal()
-    await settled(fleet, await put(fleet, b"healed"))
+    await check_in_force(fleet, await put(fleet, b"healed"))
 
 
-async def gateways_are_restarted(fleet: ConfigurationFleet) -> None:
-    made = await burst(fleet, 60)
+async def restart_gateways(fleet: ConfigurationFleet) -> None:
+    """Restarts all gateways after a burst of changes."""
+    versions = await put_burst(fleet, 60)
     await fleet.gateways.kill()
     await fleet.gateways.start()
-    await settled(fleet, max(made))
+    await check_in_force(fleet, max(versions))
+
 
+async def lose_majority(fleet: ConfigurationFleet) -> None:
+    """Restarts a majority: nothing is committed until an operator begins a new history.
 
-async def a_majority_is_lost(fleet: ConfigurationFleet) -> None:
-    """Nothing is committed until an operator begins a new history, and nothing is forgotten meanwhile."""
+    What was committed before stays.
+    """
     before = await put(fleet, b"kept")
-    await settled(fleet, before)
+    await check_in_force(fleet, before)
     for number in (1, 2, 3):
         await fleet.replicas[number].kill()
     for number in (1, 2, 3):
@@ -180,59 +189,62 @@
     version = await asyncio.to_thread(fleet.client().begin)
     after = await put(fleet, b"anew")
     assert before is not None and after is not None and after.history == version.history > before.history
-    await settled(fleet, after)
+    await check_in_force(fleet, after)
 
 
-async def a_tenth_is_lost(fleet: ConfigurationFleet) -> None:
+async def lose_datagrams(fleet: ConfigurationFleet) -> None:
+    """Drops a tenth of all datagrams."""
     fleet.set_loss(0.1)
-    await settled(fleet, max(await burst(fleet, 100, patience=9.0)))
+    await check_in_force(fleet, max(await put_burst(fleet, 100, timeout_s=9.0)))
 
 
 @pytest.mark.parametrize(
-    "work",
+    "scenario",
     [
-        a_leader_is_killed,
-        a_minority_goes_on,
-        a_follower_behind_leads,
-        two_lead,
-        an_old_leader_wakes,
-        gateways_are_cut_off,
-        followers_are_cut_off,
-        gateways_are_restarted,
-        a_majority_is_lost,
-        a_tenth_is_lost,
+        kill_leader,
+        isolate_leader_minority,
+        elect_stale_follower,
+        elect_second_leader,
+        resume_old_leader,
+        isolate_gateways,
+        isolate_followers,
+        restart_gateways,
+        lose_majority,
+        lose_datagrams,
     ],
-    ids=lambda work: work.__name__,
+    ids=lambda scenario: scenario.__name__,
 )
 @pytest.mark.parametrize("recent", [8192, 20], ids=["deltas", "snapshots"])
-def test_all_hold_the_same_and_nothing_committed_is_lost(work: Work, recent: int, tmp_path: Path) -> None:
-    play(work, tmp_path, recent=recent)
-
-
-PLANTED: dict[str, tuple[Work, int]] = {
-    "minority_commits": (a_majority_is_lost, 20),
-    "old_epochs_accepted": (two_lead, 20),
-    "one_promise_is_enough": (a_follower_behind_leads, 8192),
-    "lost_leader_goes_on": (a_minority_goes_on, 20),
-    "not_asked_first": (a_follower_behind_leads, 8192),
-    "tail_out_of_order": (a_follower_behind_leads, 8192),
-    "history_in_place": (a_majority_is_lost, 20),
-    "skips_what_does_not_fit": (gateways_are_cut_off, 8192),
-    "never_elsewhere": (followers_are_cut_off, 20),
-    "always_fresh": (followers_are_cut_off, 20),
+def test_gateways_agree_and_committed_changes_survive(
+    scenario: Scenario, recent: int, tmp_path: Path
+) -> None:
+    run_scenario(scenario, tmp_path, recent=recent)
+
+
+MUTANTS: dict[str, tuple[Scenario, int]] = {
+    "minority_commits": (lose_majority, 20),
+    "old_epochs_accepted": (elect_second_leader, 20),
+    "one_promise_is_enough": (elect_stale_follower, 8192),
+    "lost_leader_goes_on": (isolate_leader_minority, 20),
+    "not_asked_first": (elect_stale_follower, 8192),
+    "tail_out_of_order": (elect_stale_follower, 8192),
+    "history_in_place": (lose_majority, 20),
+    "skips_what_does_not_fit": (isolate_gateways, 8192),
+    "never_elsewhere": (isolate_followers, 20),
+    "always_fresh": (isolate_followers, 20),
 }
-TRIES = 3  # a fault that hangs on which of two comes first is not told by each run
+MAX_RUNS = 3  # a mutant whose fault depends on the order of two messages is not detected by each run
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_a_planted_fault_is_told(name: str, tmp_path: Path) -> None:
-    """By a case that passes without it."""
-    work, recent = PLANTED[name]
-    for turn in range(TRIES):
-        folder = tmp_path / str(turn)
+@pytest.mark.parametrize("name", MUTANTS)
+def test_mutant_is_detected(name: str, tmp_path: Path) -> None:
+    """Each mutant runs a scenario that passes without it."""
+    scenario, recent = MUTANTS[name]
+    for number in range(MAX_RUNS):
+        folder = tmp_path / str(number)
         folder.mkdir()
         try:
-            play(work, folder, mutant=name, recent=recent)
+            run_scenario(scenario, folder, mutant=name, recent=recent)
         except (InvariantViolated, AssertionError, LeaderUnavailable):
             return
-    raise AssertionError(f"{name} is not told by {TRIES} runs of {work.__name__}")
+    raise AssertionError(f"{name} is not detected by {MAX_RUNS} runs of {scenario.__name__}")
--- a/tests/distribution/test_distribution_worlds.py
+++ b/tests/distribution/test_distribution_worlds.py
@@ -1,4 +1,4 @@
-"""Replicas and gateways in virtual time: hard cases by seeds, and planted faults that are told."""
+"""Tests replicas and gateways in virtual time under seeded faults, and with mutants that must be detected."""
 
 from __future__ import annotations
 
@@ -15,42 +15,43 @@
 
 
 @pytest.mark.parametrize("world", SHORT, ids=lambda world: world.__name__)
-def test_all_hold_the_same_and_nothing_committed_is_lost(world: Callable[[int], World]) -> None:
+def test_gateways_agree_and_committed_changes_survive(world: Callable[[int], World]) -> None:
     for seed in SEEDS:
         world(seed)
 
 
 @pytest.mark.parametrize("world", LONG, ids=lambda world: world.__name__)
-def test_a_heal_and_a_restart_of_half_make_no_storm(world: Callable[[int], World]) -> None:
+def test_recovery_causes_no_overload(world: Callable[[int], World]) -> None:
+    """The end of a partition and the restart of half of the gateways cause no burst of messages."""
     for seed in range(3):
         world(seed)
 
 
-def test_a_schedule_replays_by_its_seed() -> None:
+def test_schedule_replays_by_its_seed() -> None:
     one, two = leader_dies(3), leader_dies(3)
     assert one.judged.committed == two.judged.committed and one.sent == two.sent
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_planted_fault_is_told(name: str) -> None:
+def test_every_mutant_is_detected(name: str) -> None:
     assert convict(name, SEEDS) is not None
 
 
-@pytest.mark.parametrize("changing", [False, True])
-def test_what_a_gateway_spends_does_not_hang_on_how_many_there_are(changing: bool) -> None:
-    means = []
+@pytest.mark.parametrize("has_changes", [False, True])
+def test_bytes_per_gateway_do_not_grow_with_the_fleet(has_changes: bool) -> None:
+    mean_bytes_per_s = []
     for gateways in (20, 80):
         world = World(1, replicas=5, gateways=gateways, services=20)
         world.begin()
         world.bytes.clear()
-        if changing:
+        if has_changes:
             changes(world, 30 * SECOND, 250 * MILLISECOND)
         world.run(30 * SECOND)
-        means.append(sum(world.bytes[each.name] for each in world.gateways) / gateways / 30)
-    assert means[1] < 1.1 * means[0] and means[1] < 600, means
+        mean_bytes_per_s.append(sum(world.bytes[each.name] for each in world.gateways) / gateways / 30)
+    assert mean_bytes_per_s[1] < 1.1 * mean_bytes_per_s[0] and mean_bytes_per_s[1] < 600, mean_bytes_per_s
 
 
-def test_messages_grow_with_the_fleet_and_not_with_its_square() -> None:
+def test_messages_grow_linearly_with_the_fleet() -> None:
     sent = []
     for gateways in (25, 50, 100):
         world = World(2, replicas=5, gateways=gateways)
--- a/tests/planning/__init__.py
+++ b/tests/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `planning`."""
+"""Tests the package `planning`."""
