--- a/trackspread/testing/judge/__init__.py
+++ b/trackspread/testing/judge/__init__.py
@@ -1,5 +1,5 @@
-"""The judge of the five rules: a ledger of what stand-ins observed, and independent checks of it.
+"""Checks the five rules of a run independently, from a ledger of what the stand-ins observed.
 
-Nothing in this package imports anything else of the project: a judge that used the gateway's own arithmetic
-would agree with its faults.
+No module of this package imports another part of the project, since a judge that used the gateway's own
+arithmetic would agree with its faults.
 """
--- a/trackspread/testing/judge/backend_rules.py
+++ b/trackspread/testing/judge/backend_rules.py
@@ -1,4 +1,4 @@
-"""Rules 3 and 4: drains are honoured, and backends that are warming up are not overloaded."""
+"""Checks rules 3 and 4: drains are honoured, and backends that are warming up are not overloaded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def check_drains(history: RunHistory) -> Iterator[Violation]:
-    """Rule 3: no new attempt at a backend later than the grace after this gateway learned of its drain."""
+    """Yields the violations of rule 3.
+
+    A gateway starts no attempt at a backend later than the grace after it learned of the backend's drain.
+    """
     drained_at: dict[tuple[str, str], int] = {}  # by gateway and backend
     limit = history.rules.drain_grace_ns + history.rules.time_tolerance_ns
     for entry in history.entries:
@@ -32,20 +35,21 @@
                     drained_at.setdefault((gateway, backend), entry.at)
             case GatewayKilled(gateway=gateway) | GatewayExited(gateway=gateway):
                 for pair in [pair for pair in drained_at if pair[0] == gateway]:
-                    del drained_at[pair]  # the next process knows of no drain yet
+                    del drained_at[pair]  # the next process of this name knows of no drain yet
             case AttemptReceived(gateway=gateway, backend=backend, began_at=began_at):
                 since = drained_at.get((gateway, backend))
                 if since is not None and began_at - since > limit:
                     late_ms = (began_at - since) // NS_PER_MS
-                    text = (
-                        f"{entry.request}: {gateway} began at {backend} {late_ms} ms after its drain was told"
-                    )
+                    text = f"{entry.request}: {gateway} sent it to {backend} {late_ms} ms after the drain"
                     yield Violation(began_at, "drains", text, True)
 
 
 def check_slow_start(history: RunHistory) -> Iterator[Violation]:
-    """Rule 4: the work that all gateways send to a backend that is warming up stays, within any window, under
-    the overload multiple of what the backend can do in that window."""
+    """Yields the violations of rule 4.
+
+    The work that all gateways send to a backend that is warming up stays, within any window, under the
+    overload multiple of the backend's capacity in that window.
+    """
     attempts_by_backend: defaultdict[str, list[AttemptReceived]] = defaultdict(list)
     for attempts in history.attempts.values():
         for attempt in attempts:
@@ -62,25 +66,26 @@
             yield from _first_overload(history, start, received)
     for entry in history.entries:
         if isinstance(entry, BackendCrashed):
-            yield Violation(entry.at, "cold", f"{entry.backend} fell over")
+            yield Violation(entry.at, "cold", f"{entry.backend} crashed under overload")
 
 
 def _first_overload(
     history: RunHistory, start: BackendStarted, received: Sequence[AttemptReceived]
 ) -> Iterator[Violation]:
+    """Yields a violation for the first window in which the backend was overloaded, if there is one."""
     window_ns = history.rules.overload_window_ns
     for last, attempt in enumerate(received):
         window_start = attempt.at - window_ns
         work_ns = sum(each.work_ns for each in received[: last + 1] if each.at > window_start)
         capacity_ns = _capacity_ns(start, attempt.at, window_ns)
         if work_ns > history.rules.overload_multiple * capacity_ns:
-            text = f"{start.backend}: cold, sent {work_ns / capacity_ns:.1f} times what it can do"
+            text = f"{start.backend}: warming up, received {work_ns / capacity_ns:.1f} times its capacity"
             yield Violation(attempt.at, "cold", text, True)
             return
 
 
 def _capacity_ns(start: BackendStarted, window_end: int, window_ns: int) -> float:
-    """Core-nanoseconds that a backend can do in a window, by its capacity at the end of the window."""
+    """Returns a backend's capacity in a window in core-nanoseconds, from its capacity at the window's end."""
     progress = min(1.0, (window_end - start.at) / start.warmup_ns)
     capacity = start.start_capacity + (1.0 - start.start_capacity) * progress
     return start.cores * capacity * window_ns
--- a/trackspread/testing/judge/idempotency_rules.py
+++ b/trackspread/testing/judge/idempotency_rules.py
@@ -1,4 +1,4 @@
-"""Rule 2: a request that may have been executed is retried or rejected only as its class permits."""
+"""Checks rule 2: a request that may have been executed is retried or rejected only as its class permits."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_effects(history: RunHistory) -> Iterator[Violation]:
-    """Every violation of rule 2."""
+    """Yields every violation of rule 2."""
     for request, attempts in history.attempts.items():
         if request in history.requests:
             executed = [attempt for attempt in attempts if not attempt.rejected]
@@ -23,10 +23,11 @@
 def _check_repeated_execution(
     history: RunHistory, request: str, executed: list[AttemptReceived]
 ) -> Iterator[Violation]:
+    """Yields the executed retries of a request that its class does not permit."""
     rule = history.class_rule(request)
     for attempt in executed[1:]:
         if rule.idempotency == "unsafe":
-            text = f"{request}: unsafe, run at {executed[0].backend} and again"
+            text = f"{request}: unsafe, executed at {executed[0].backend} and once more"
             yield Violation(attempt.at, "effects", text)
         elif rule.idempotency == "keyed":
             yield from _check_deduplication(history, rule, executed[0], attempt)
@@ -35,18 +36,19 @@
 def _check_deduplication(
     history: RunHistory, rule: ClassRule, first: AttemptReceived, retry: AttemptReceived
 ) -> Iterator[Violation]:
-    """A retry with an idempotency key must stay within its window and its deduplication scope."""
+    """Yields a violation if a retry with an idempotency key left its window or its deduplication scope."""
     window_ns = rule.deduplication_window_ns + history.rules.time_tolerance_ns
     if retry.at - first.at > window_ns:
-        yield Violation(retry.at, "effects", f"{retry.request}: keyed, sent after its window", True)
+        yield Violation(retry.at, "effects", f"{retry.request}: keyed, retried after its window", True)
     if not _in_same_scope(history, rule, first, retry):
-        text = f"{retry.request}: keyed, run at {first.backend} and, outside its group, at {retry.backend}"
+        text = f"{retry.request}: keyed, executed at {first.backend} and outside its scope at {retry.backend}"
         yield Violation(retry.at, "effects", text)
 
 
 def _in_same_scope(
     history: RunHistory, rule: ClassRule, first: AttemptReceived, retry: AttemptReceived
 ) -> bool:
+    """Returns whether both backends recognize the same idempotency keys; False if one had not started."""
     one = history.backend_at(first.backend, first.at)
     other = history.backend_at(retry.backend, retry.at)
     if one is None or other is None:
@@ -63,18 +65,21 @@
 def _check_rejection(
     history: RunHistory, request: str, executed: list[AttemptReceived]
 ) -> Iterator[Violation]:
-    """A client may retry what was rejected, so that must not have been executed unless it is idempotent."""
+    """Yields a violation if a request was rejected after its execution and is not idempotent.
+
+    The reason is that a client may retry a rejected request.
+    """
     rule = history.class_rule(request)
     may_retry = rule.idempotency == "safe" or (
         rule.idempotency == "keyed" and rule.deduplication_scope == "all"
     )
     rejections = [reply for reply in history.replies.get(request, []) if reply.kind == "refused"]
     if executed and rejections and not may_retry and rejections[0].at > executed[0].at:
-        yield Violation(rejections[0].at, "effects", f"{request}: refused, though it may have run")
+        yield Violation(rejections[0].at, "effects", f"{request}: rejected, though it may have been executed")
 
 
 def _check_client_retries(history: RunHistory) -> Iterator[Violation]:
-    """Of all client retries of a request that is not idempotent at most one is executed."""
+    """Yields the requests that are not idempotent and were executed in more than one retry of the client."""
     executed_by_origin: defaultdict[str, list[AttemptReceived]] = defaultdict(list)
     for request, attempts in history.attempts.items():
         if request in history.requests and history.class_rule(request).idempotency == "unsafe":
@@ -83,4 +88,5 @@
     for origin, executed in executed_by_origin.items():
         if len({attempt.request for attempt in executed}) > 1:
             last = max(attempt.at for attempt in executed)
-            yield Violation(last, "effects", f"{origin}: unsafe, run in {len(executed)} tries of its client")
+            text = f"{origin}: unsafe, executed {len(executed)} times over its client's retries"
+            yield Violation(last, "effects", text)
--- a/trackspread/testing/judge/judge.py
+++ b/trackspread/testing/judge/judge.py
@@ -1,9 +1,9 @@
 """Decides from a ledger alone whether a run kept the rules.
 
-It neither uses nor copies any code of the gateway. Each rule is a function from the history of the run to its
-violations. Token buckets are replayed exactly, unit by unit, as the platform's pages define them. Each time
-limit is extended by `RuleParameters.time_tolerance_ns`. Requests that a killed gateway held are the client's
-to retry; a gateway that was paused may reply later by as long as the pause lasted.
+The judge neither uses nor copies any code of the gateway. Each rule is a function that takes the history of
+the run and yields its violations. Token buckets are replayed exactly, unit by unit, as the platform's pages
+define them. Each time limit is extended by `RuleParameters.time_tolerance_ns`. A client has to retry the
+requests that a killed gateway held. A gateway that was paused may reply later by the length of the pause.
 """
 
 from __future__ import annotations
@@ -27,35 +27,35 @@
 from .verdict import RunSummary, State, Verdict, Violation
 
 EXPECTED_STATUSES = (0, -9)  # clean shutdown, and SIGKILL
-# From the history alone; gateway exits and quotas are checked beside these.
+# These need only the history. `judge` also checks gateway exits and quotas.
 RULE_CHECKS = (check_replies, check_effects, check_drains, check_slow_start, check_hard_limits)
 
 
 def check_gateway_exits(history: RunHistory) -> Iterator[Violation]:
-    """A gateway exits only when it was told to, and then with status 0 unless it was killed."""
-    told_to_end: set[str] = set()
+    """Yields a violation for each gateway that exited unasked, or with a status that is not expected."""
+    asked_to_exit: set[str] = set()
     for entry in history.entries:
         match entry:
             case GatewayStopping(gateway=gateway) | GatewayKilled(gateway=gateway):
-                told_to_end.add(gateway)
+                asked_to_exit.add(gateway)
             case GatewayStarted(gateway=gateway):
-                told_to_end.discard(gateway)
+                asked_to_exit.discard(gateway)
             case GatewayExited(gateway=gateway, status=status):
-                if gateway not in told_to_end:
-                    yield Violation(entry.at, "crash", f"{gateway} ended by itself, status {status}")
+                if gateway not in asked_to_exit:
+                    yield Violation(entry.at, "crash", f"{gateway} exited unasked with status {status}")
                 elif status not in EXPECTED_STATUSES:
-                    yield Violation(entry.at, "crash", f"{gateway} ended with status {status}")
+                    yield Violation(entry.at, "crash", f"{gateway} exited with status {status}")
 
 
 def check_quotas(history: RunHistory, summary: RunSummary) -> Iterator[Violation]:
-    """The share of units forwarded beyond quotas stays within the limit for the run."""
+    """Yields a violation if the share of units forwarded beyond quotas exceeds the limit for the run."""
     if summary.over_quota_share > history.rules.max_over_quota_share:
-        text = f"{summary.over_quota_share:.1%} of the units sent on lie beyond quotas"
+        text = f"{summary.over_quota_share:.1%} of the forwarded units are beyond quotas"
         yield Violation(history.entries[-1].at, "quotas", text, True)
 
 
 def summarize(history: RunHistory) -> RunSummary:
-    """The counts of a run."""
+    """Returns the counts of a run."""
     usage = QuotaUsage(history)
     lags = (entry.lag_ns for entry in history.entries if isinstance(entry, HarnessLagged))
     reply_kinds = [replies[0].kind for replies in history.replies.values() if replies]
@@ -74,7 +74,7 @@
 
 
 def judge(rules: RuleParameters, entries: Sequence[Entry]) -> Verdict:
-    """The verdict on one run; entries may come in any order."""
+    """Returns the verdict on one run; the entries may be in any order."""
     history = RunHistory(rules, entries)
     summary = summarize(history)
     violations = [violation for check in RULE_CHECKS for violation in check(history)]
--- a/trackspread/testing/judge/ledger.py
+++ b/trackspread/testing/judge/ledger.py
@@ -1,8 +1,8 @@
-"""The entries that stand-ins write about a run: the only evidence that the judge uses.
+"""Defines the entries that stand-ins write about a run, which are the judge's only evidence.
 
 Each `at` is in nanoseconds on one monotonic clock of the machine (or on a virtual clock), read by the
 component that observed the event. Gateways write no entries. Entries of different processes are ordered by
-their times; those closer together than `RuleParameters.time_tolerance_ns` have no order that a verdict may
+their times; entries closer together than `RuleParameters.time_tolerance_ns` have no order that a verdict may
 depend on.
 """
 
@@ -19,15 +19,17 @@
 
 
 class _Entry(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
+    """Holds what all entries share; the class name of an entry is its tag in files."""
+
     at: int  # ns
 
 
 class RequestSent(_Entry, frozen=True):
-    """A client has written the last byte of a request.
+    """Records that a client has written the last byte of a request.
 
-    `origin`: the id of the client's first attempt, the same for all of its retries. `is_repeat`: the same
-    request is written once more, as the connection ended before the gateway can have read it. `wait_ns`: the
-    longest that the client waits for the reply.
+    `origin` is the id of the client's first attempt, the same for all of its retries. `is_repeat` says that
+    the same request is written once more, as the connection ended before the gateway can have read it.
+    `wait_ns` is the longest time that the client waits for the reply.
     """
 
     request: str
@@ -42,9 +44,9 @@
 
 
 class ReplyReceived(_Entry, frozen=True):
-    """A client has read the last byte of a reply.
+    """Records that a client has read the last byte of a reply.
 
-    `value` is the payload of a served request; `retry_ms` the Retry-After of a rejected one.
+    `value` is the payload of a served request, and `retry_ms` the Retry-After of a rejected one.
     """
 
     request: str
@@ -54,10 +56,10 @@
 
 
 class ConnectionLost(_Entry, frozen=True):
-    """A connection ended without a complete reply to this request.
+    """Records that a connection ended without a complete reply to this request.
 
-    `gateway_unreachable`: the request met the end of an idle connection, and no gateway accepted a connection
-    when the client wanted to write it again.
+    `gateway_unreachable` says that an idle connection was closed as the request was written, and that no
+    gateway accepted a connection when the client wanted to write it again.
     """
 
     request: str
@@ -65,22 +67,23 @@
 
 
 class ClientDisconnected(_Entry, frozen=True):
-    """The client has closed its connection before it had a reply."""
+    """Records that the client closed its connection before it had a reply."""
 
     request: str
 
 
 class UnexpectedBytes(_Entry, frozen=True):
-    """A client that had no outstanding request on a connection received bytes on it."""
+    """Records that a client received bytes on a connection without an outstanding request."""
 
     gateway: str
 
 
 class AttemptReceived(_Entry, frozen=True):
-    """A backend has received the last byte of a request, and its first byte at `began_at`.
+    """Records that a backend has received the last byte of a request, and its first byte at `began_at`.
 
-    `work_ns`: core-nanoseconds. `value`: the payload that the backend produces for the request.
-    `is_duplicate`: the backend recognized the idempotency key, so this attempt has no effect of its own.
+    `work_ns` is in core-nanoseconds. `value` is the payload that the backend produces for the request.
+    `is_duplicate` says that the backend recognized the idempotency key, so this attempt has no effect of its
+    own.
     """
 
     began_at: int
@@ -94,7 +97,7 @@
 
 
 class MalformedRequest(_Entry, frozen=True):
-    """A backend has received a request in a form that no client sends."""
+    """Records that a backend received a request in a form that no client sends."""
 
     backend: str
     gateway: str
@@ -102,7 +105,7 @@
 
 
 class EndpointAnnounced(_Entry, frozen=True):
-    """The state of a backend in the endpoint list was written to a gateway."""
+    """Records that the state of a backend in the endpoint list was written to a gateway."""
 
     gateway: str
     backend: str
@@ -110,10 +113,10 @@
 
 
 class BackendStarted(_Entry, frozen=True):
-    """A backend with `cores` at full capacity has started.
+    """Records the start of a backend with `cores` at full capacity.
 
-    It has the share `start_capacity` of its capacity at first (1 if it is warmed up already) and all of it
-    after `warmup_ns`.
+    The backend has the share `start_capacity` of its capacity at first (1 if it is warmed up already) and all
+    of it after `warmup_ns`.
     """
 
     backend: str
@@ -125,43 +128,43 @@
 
 
 class BackendCrashed(_Entry, frozen=True):
-    """A backend that was warming up crashed under overload."""
+    """Records that a backend that was warming up crashed under overload."""
 
     backend: str
 
 
 class GatewayStarted(_Entry, frozen=True):
-    """A gateway answered its first ping."""
+    """Records that a gateway answered its first ping."""
 
     gateway: str
 
 
 class GatewayStopping(_Entry, frozen=True):
-    """A gateway is about to be asked to shut down (SIGTERM)."""
+    """Records that a gateway is about to be asked to shut down (SIGTERM)."""
 
     gateway: str
 
 
 class GatewayKilled(_Entry, frozen=True):
-    """A gateway is about to be killed (SIGKILL)."""
+    """Records that a gateway is about to be killed (SIGKILL)."""
 
     gateway: str
 
 
 class GatewayPaused(_Entry, frozen=True):
-    """A gateway's process was stopped (SIGSTOP) and no longer runs when this is written."""
+    """Records that a gateway's process was stopped (SIGSTOP); it no longer runs when this is written."""
 
     gateway: str
 
 
 class GatewayResumed(_Entry, frozen=True):
-    """A gateway's process is about to be continued (SIGCONT)."""
+    """Records that a gateway's process is about to be continued (SIGCONT)."""
 
     gateway: str
 
 
 class FaultChanged(_Entry, frozen=True):
-    """A fault of the schedule began or ended; `fault_index` is its position in the schedule."""
+    """Records that a fault of the schedule began or ended; `fault_index` is its position in the schedule."""
 
     fault_index: int
     active: bool
@@ -169,14 +172,14 @@
 
 
 class GatewayExited(_Entry, frozen=True):
-    """A gateway's process has exited."""
+    """Records that a gateway's process has exited."""
 
     gateway: str
     status: int
 
 
 class HarnessLagged(_Entry, frozen=True):
-    """The event loop of a stand-in ran late by `lag_ns`, so the times of its entries are no evidence."""
+    """Records that a stand-in's event loop ran late by `lag_ns`, so its entries' times are no evidence."""
 
     component: str
     lag_ns: int
@@ -205,9 +208,9 @@
 
 
 class ClassRule(msgspec.Struct, frozen=True):
-    """What the rules permit for a class of requests.
+    """Holds what the rules permit for a class of requests.
 
-    `deduplication_window_ns`: how long the backends of a scope remember an idempotency key.
+    `deduplication_window_ns` says how long the backends of a scope remember an idempotency key.
     """
 
     idempotency: Idempotency
@@ -216,7 +219,7 @@
 
 
 class PlanRule(msgspec.Struct, frozen=True):
-    """The quota and the hard limit of each tenant of a plan, as token buckets; a rate of 0 means no limit."""
+    """Holds the token buckets of a tenant's quota and hard limit in a plan; a rate of 0 means no limit."""
 
     rate_per_s: float
     burst_units: float
@@ -226,11 +229,11 @@
 
 
 class RuleParameters(msgspec.Struct, frozen=True):
-    """The parameters of the rules that a run is judged by.
+    """Holds the parameters of the rules that a run is judged by.
 
-    `time_tolerance_ns` extends each time limit, for delays on the machine. The slack of a hard limit is wider
-    by what its rate adds in `hard_limit_tolerance_ns`. `max_over_quota_share`: the largest permitted share of
-    the forwarded units that is beyond quotas; 1 if it is only measured.
+    `time_tolerance_ns` extends each time limit because of delays on the machine. The slack of a hard limit
+    grows by the tokens that its rate adds in `hard_limit_tolerance_ns`. `max_over_quota_share` is the largest
+    permitted share of the forwarded units beyond quotas; it is 1 if that share is only measured.
     """
 
     classes: dict[str, ClassRule]
@@ -244,14 +247,14 @@
 
 
 class Ledger:
-    """All entries of one run, in memory and in the order in which they were written."""
+    """Keeps all entries of one run in memory, in the order in which they were written."""
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
         self.write = self.entries.append
 
     def save(self, path: Path, rules: RuleParameters) -> None:
-        """Write a file of JSON lines: the rules, then one line per entry."""
+        """Writes a file of JSON lines, the rules first and then one line per entry."""
         encoder = msgspec.json.Encoder()
         with path.open("wb") as file:
             for item in (rules, *self.entries):
@@ -259,7 +262,7 @@
 
 
 def load(lines: Iterable[bytes]) -> tuple[RuleParameters, list[Entry]]:
-    """Read the lines that `Ledger.save` wrote; raises `msgspec.DecodeError` on any other input."""
+    """Reads the lines that `Ledger.save` wrote; raises `msgspec.DecodeError` on any other input."""
     remaining = iter(lines)
     rules = msgspec.json.decode(next(remaining, b""), type=RuleParameters)
     decoder = msgspec.json.Decoder(Entry)
--- a/trackspread/testing/judge/limit_rules.py
+++ b/trackspread/testing/judge/limit_rules.py
@@ -1,4 +1,4 @@
-"""Rule 5, hard limits over all gateways, and how quotas were used: both by exact token buckets."""
+"""Checks rule 5 (hard limits over all gateways) and counts the use of quotas, with exact token buckets."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .token_bucket import SECOND, TokenBucket
 from .verdict import Violation
 
-ROUNDING_UNITS = 1e-6  # tokens are floats
+ROUNDING_UNITS = 1e-6  # tolerance, as tokens are floats
 
 
 class _HardLimitState(NamedTuple):
-    """A tenant's tokens after one of its requests; they may fall below 0 by the slack."""
+    """Holds a tenant's tokens after one of its requests; they may fall below 0 by the slack."""
 
     attempt: AttemptReceived
     sent: RequestSent
@@ -24,6 +24,7 @@
 
 
 def _replay_hard_limits(history: RunHistory) -> Iterator[_HardLimitState]:
+    """Yields the state of the tenant's bucket after each request under a hard limit, in order of time."""
     buckets: dict[int, TokenBucket] = {}
     for attempt, sent in history.first_attempts():
         plan: PlanRule = history.rules.plans[sent.plan]
@@ -39,17 +40,17 @@
 
 
 def check_hard_limits(history: RunHistory) -> Iterator[Violation]:
-    """Rule 5: no tenant's bucket falls below 0 by more than the slack; one violation per tenant."""
+    """Yields the violations of rule 5, one for each tenant over its hard limit and slack."""
     reported: set[int] = set()
     for attempt, sent, tokens, slack_units in _replay_hard_limits(history):
         if tokens < -slack_units - ROUNDING_UNITS and sent.tenant not in reported:
             reported.add(sent.tenant)
-            text = f"customer {sent.tenant}: {-tokens:.1f} units over the ceiling, slack {slack_units:.1f}"
+            text = f"tenant {sent.tenant}: {-tokens:.1f} units over the hard limit, slack {slack_units:.1f}"
             yield Violation(attempt.at, "ceilings", text, True)
 
 
 def max_hard_limit_excess(history: RunHistory) -> float:
-    """How far any tenant's bucket fell below 0 at most, as a share of its slack."""
+    """Returns how far any tenant's bucket fell below 0 at most, as a share of its slack."""
     states = _replay_hard_limits(history)
     return max(
         (max(0.0, -state.tokens) / state.slack_units for state in states if state.slack_units), default=0.0
@@ -57,7 +58,7 @@
 
 
 class _QuotaEvent(NamedTuple):
-    """A request that was forwarded, or rejected without an attempt."""
+    """Holds a request that was forwarded, or rejected without an attempt."""
 
     at: int
     sent: RequestSent
@@ -65,7 +66,7 @@
 
 
 class QuotaUsage:
-    """Use of quotas over all gateways: units forwarded beyond them, and rejections while quota was left."""
+    """Counts, over all gateways, units forwarded beyond quotas and rejections while quota was left."""
 
     def __init__(self, history: RunHistory) -> None:
         self.forwarded_units = 0.0
@@ -103,7 +104,7 @@
 
 
 def _quota_events(history: RunHistory) -> list[_QuotaEvent]:
-    """In the order of their times; at equal times what was forwarded comes first."""
+    """Returns the events in the order of their times; at equal times forwarded requests come first."""
     events = [_QuotaEvent(attempt.at, sent, True) for attempt, sent in history.first_attempts()]
     for request, replies in history.replies.items():
         sent = history.requests.get(request)
--- a/trackspread/testing/judge/membership_records.py
+++ b/trackspread/testing/judge/membership_records.py
@@ -1,12 +1,13 @@
-"""Whether the membership views and slot grants of gateways were consistent, from their records alone.
+"""Checks whether membership views and slot grants of gateways were consistent, from their records alone.
 
-Each process records what it held and when, on the monotonic clock of the machine. The rules:
+Each process records the views and grants that it held, with times of the machine's monotonic clock. The rules
+are:
 - A view number identifies one view; each view is issued by one process and follows its predecessor.
-- At no instant do two processes own the same slot. A process owns its slots for as long as they were granted,
-  also while it is paused; one that was killed or has exited owns none.
+- Two processes never own the same slot at the same time. A process owns its slots for as long as they were
+  granted, also while it is paused; a process that was killed or has exited owns none.
 - From some time on, all running processes hold one view of exactly themselves.
 
-Nothing of the gateway's code is used, nor any knowledge of how views are agreed on.
+The checks use no code of the gateway and assume nothing about how views are agreed on.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 import msgspec
 
-SLOTS = 1024  # of the shared quotas; grants are sets of slots
+SLOTS = 1024  # number of slots of the shared quotas; a grant is a set of slots
 KINDS_ENDING_GRANTS = (
     "left",
     "fenced",
@@ -29,10 +30,10 @@
 
 
 class MembershipRecord(msgspec.Struct, frozen=True):
-    """One line of a record; `born` tells processes of the same name apart.
+    """Holds one line of a process's record file; `born` distinguishes processes of the same name.
 
-    `about` holds the details of the kind: "view" and "issued" have `number`, `parent`, `members`; "part" (a
-    grant) has `part` (slots) and `lasts` (ns). Kinds in `KINDS_ENDING_GRANTS` end the grant.
+    `about` holds the details of the kind. "view" and "issued" have `number`, `parent` and `members`; "part"
+    (a grant) has `part` (slots) and `lasts` (ns). Kinds in `KINDS_ENDING_GRANTS` end the grant.
     """
 
     at: int  # ns
@@ -43,12 +44,12 @@
 
     @property
     def process_id(self) -> ProcessId:
-        """The process that wrote the record."""
+        """Returns the process that wrote the record."""
         return self.name, self.born
 
 
 class Inconsistency(msgspec.Struct, frozen=True, order=True):
-    """One violation of the rules on views, or of those on grants."""
+    """Holds one violation of the rules on views, or of those on grants."""
 
     at: int  # ns
     rule: Literal["view", "rights"]
@@ -56,7 +57,7 @@
 
 
 class RecordReader:
-    """Reads records that are still written to; each line is decoded once."""
+    """Reads record files that processes may still append to; each line is decoded once."""
 
     def __init__(self, paths: Iterable[Path]) -> None:
         self._offsets = {path: 0 for path in paths}
@@ -64,14 +65,14 @@
         self._records: list[MembershipRecord] = []
 
     def all(self) -> list[MembershipRecord]:
-        """All records so far in the order of their times.
+        """Returns all records so far in the order of their times.
 
         An incomplete last line is left out: its process was killed, or has not written the rest yet.
         """
         for path in self._offsets:
             if path.exists():
                 self._records += self._read_new(path)
-        self._records.sort(key=lambda record: record.at)  # nearly sorted, so this is cheap
+        self._records.sort(key=lambda record: record.at)  # cheap, as the list is nearly sorted
         return self._records
 
     def _read_new(self, path: Path) -> list[MembershipRecord]:
@@ -96,7 +97,7 @@
 
 
 def find_view_conflicts(records: Sequence[MembershipRecord]) -> list[Inconsistency]:
-    """Views of one number that differ or have two issuers, and views that don't follow their predecessor."""
+    """Returns views of one number that differ or have two issuers, and views that skip their predecessor."""
     conflicts: list[Inconsistency] = []
     views: dict[ViewNumber, tuple[ViewNumber, tuple[ProcessId, ...]]] = {}
     issuers: dict[ViewNumber, ProcessId] = {}
@@ -106,27 +107,29 @@
         number, parent = _view_number(record.about["number"]), _view_number(record.about["parent"])
         view = parent, _members(record.about["members"])
         if views.setdefault(number, view) != view:
-            text = f"{record.name} holds another view under {number}"
+            text = f"{record.name} holds a different view with number {number}"
             conflicts.append(Inconsistency(record.at, "view", text))
         if record.kind != "issued":
             continue
         issuer = issuers.setdefault(number, record.process_id)
         if issuer != record.process_id:
-            text = f"{number} issued by {issuer} and {record.process_id}"
+            text = f"view {number} was issued by {issuer} and {record.process_id}"
             conflicts.append(Inconsistency(record.at, "view", text))
         if not _follows(number, parent):
-            conflicts.append(Inconsistency(record.at, "view", f"{number} follows {parent}"))
+            text = f"view {number} must not follow {parent}"
+            conflicts.append(Inconsistency(record.at, "view", text))
     return conflicts
 
 
 def _follows(number: ViewNumber, parent: ViewNumber) -> bool:
+    """Returns whether a view of this number may have this predecessor."""
     if number[2] > 1:
         return parent == (*number[:2], number[2] - 1)
     return parent < number
 
 
 class _Grant(NamedTuple):
-    """Slots that a process owns from a time until another, ns; `slots` has a bit for each."""
+    """Holds the slots that a process owns from `since` until `until` (ns); `slots` has a bit for each."""
 
     since: int
     until: int
@@ -134,7 +137,7 @@
 
 
 class _OwnershipChange(NamedTuple):
-    """Sorted by time; at equal times what ends (False) comes before what begins (True)."""
+    """Holds a start or an end of ownership; at equal times ends (False) sort before starts (True)."""
 
     at: int
     begins: bool
@@ -145,9 +148,9 @@
 def find_grant_overlaps(
     records: Sequence[MembershipRecord], exits: Iterable[tuple[int, str]]
 ) -> tuple[list[Inconsistency], float]:
-    """The first overlap of two processes' slots, and the largest share of all slots owned at once.
+    """Returns the first overlap of two processes' slots, and the largest share of all slots owned at once.
 
-    `exits`: when (ns) a process of a name was killed or exited.
+    `exits` holds times (ns) at which a process was killed or exited, each with the process's name.
     """
     changes: list[_OwnershipChange] = []
     for process_id, grants in _grants(records, exits).items():
@@ -165,7 +168,7 @@
         for other, other_slots in owned.items():
             if slots & other_slots and not overlaps:
                 count = (slots & other_slots).bit_count()
-                text = f"{process_id} and {other} act on the same {count} slots"
+                text = f"{process_id} and {other} own the same {count} slots"
                 overlaps.append(Inconsistency(at, "rights", text))
         owned[process_id] = slots
         most = max(most, sum(each.bit_count() for each in owned.values()))
@@ -175,6 +178,7 @@
 def _grants(
     records: Sequence[MembershipRecord], exits: Iterable[tuple[int, str]]
 ) -> dict[ProcessId, list[_Grant]]:
+    """Returns the grants of each process, cut off at the next grant, the end of membership or the exit."""
     exits_by_name: dict[str, list[int]] = {}
     for at, name in exits:
         exits_by_name.setdefault(name, []).append(at)
@@ -193,7 +197,7 @@
 
 
 def parse_slots(text: str) -> int:
-    """Slots in the form `0-169,340-509` as an integer with a bit for each."""
+    """Parses slots in the form `0-169,340-509` into an integer with a bit for each."""
     slots = 0
     for span in filter(None, text.split(",")):
         first, _, last = span.partition("-")
@@ -204,9 +208,9 @@
 def convergence_time_ns(
     records: Sequence[MembershipRecord], running: Sequence[ProcessId], since: int
 ) -> int | None:
-    """How long after `since` (ns) all running processes came to hold one view of exactly themselves.
+    """Returns the time from `since` (ns) until all running processes held one view of exactly themselves.
 
-    None if the last views of these processes are not all the same view, or have other members.
+    The result is None if the last views of these processes are not all the same view, or have other members.
     """
     expected = tuple(sorted(running))
     latest: dict[ProcessId, tuple[int, ViewNumber, tuple[ProcessId, ...]]] = {}
--- a/trackspread/testing/judge/run_history.py
+++ b/trackspread/testing/judge/run_history.py
@@ -1,4 +1,4 @@
-"""A ledger indexed by what the rules need: requests, replies, attempts, and the processes behind them."""
+"""Indexes a ledger by requests, replies, attempts and processes, as the rules need them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RunHistory:
-    """One ledger in the order of its times; `requests` has the last write of each request."""
+    """Holds one ledger in the order of its times; `requests` has the last write of each request."""
 
     def __init__(self, rules: RuleParameters, entries: Sequence[Entry]) -> None:
         self.rules = rules
@@ -68,23 +68,23 @@
                 self._pauses[entry.gateway].append((paused_at, entry.at))
 
     def class_rule(self, request: str) -> ClassRule:
-        """The rule of a request's class; raises `KeyError` if no client sent the request."""
+        """Returns the rule of a request's class; raises `KeyError` if no client sent the request."""
         return self.rules.classes[self.requests[request].request_class]
 
     def backend_at(self, backend: str, time: int) -> BackendStarted | None:
-        """The backend's last start before or at a time; None if it had not started."""
+        """Returns the backend's last start before or at a time, or None if it had not started."""
         starts = reversed(self.backend_starts.get(backend, []))
         return next((start for start in starts if start.at <= time), None)
 
     def gateway_was_killed(self, sent: RequestSent, until: int) -> bool:
-        """Whether the request's gateway was killed until then while it may have held the request."""
+        """Returns whether the request's gateway was killed by `until` (ns) while it may have held it."""
         earliest = sent.at - self.rules.time_tolerance_ns
         kills = self._kills.get(sent.gateway, [])
         index = bisect_left(kills, earliest)
         return index < len(kills) and kills[index] <= until
 
     def reply_deadline(self, sent: RequestSent) -> float:
-        """When the client must have its reply, ns; a pause of the gateway extends it by its length."""
+        """Returns when the client must have its reply, in ns; each pause of the gateway extends this."""
         deadline = float(sent.at + sent.wait_ns + self.rules.time_tolerance_ns)
         for paused_at, resumed_at in self._pauses.get(sent.gateway, []):
             if resumed_at > sent.at and paused_at <= deadline:
@@ -92,7 +92,7 @@
         return deadline
 
     def first_attempts(self) -> list[tuple[AttemptReceived, RequestSent]]:
-        """The first attempt of each request that a client sent, in the order of their times."""
+        """Returns the first attempt of each request that a client sent, in the order of their times."""
         pairs = [
             (min(attempts, key=lambda attempt: attempt.at), self.requests[request])
             for request, attempts in self.attempts.items()
--- a/trackspread/testing/judge/token_bucket.py
+++ b/trackspread/testing/judge/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that is replayed exactly, independent of the gateway's own."""
+"""Replays a token bucket exactly and independently of the gateway's own."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """Starts full, refills at `rate_per_s` and never holds more than `burst_units`; `tokens` may be spent."""
+    """Holds tokens that callers spend; starts full and refills at `rate_per_s` up to `burst_units`."""
 
     def __init__(self, rate_per_s: float, burst_units: float, now: int) -> None:
         self.rate_per_s = rate_per_s
@@ -15,7 +15,7 @@
         self.updated_at = now
 
     def refill(self, now: int) -> float:
-        """Add what the rate yields until `now` (ns); returns the tokens that are there then."""
+        """Adds the tokens that the rate yields until `now` (ns) and returns the tokens then available."""
         elapsed = now - self.updated_at
         self.tokens = min(self.burst_units, self.tokens + self.rate_per_s * elapsed / SECOND)
         self.updated_at = now
--- a/trackspread/testing/judge/verdict.py
+++ b/trackspread/testing/judge/verdict.py
@@ -1,4 +1,4 @@
-"""The result of judging a run: violated rules, counts, and whether the run is conclusive."""
+"""Defines the result of judging a run: violated rules, counts, and whether the run is conclusive."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Violation(msgspec.Struct, frozen=True, order=True):
-    """One violation of a rule.
+    """Holds one violation of a rule.
 
-    `time_dependent`: it follows from measured times, so a lagging stand-in could have caused it.
+    `time_dependent` says that it follows from measured times, so a lagging stand-in could have caused it.
     """
 
     at: int
@@ -23,13 +23,13 @@
 
 
 class RunSummary(msgspec.Struct, frozen=True):
-    """Counts over a run; a retry of a client counts as a request of its own."""
+    """Holds counts over a run; a retry of a client counts as a request of its own."""
 
     requests: int = 0
     served: int = 0
     rejected: int = 0
     failed: int = 0
-    unanswered: int = 0  # at killed gateways, or for clients that disconnected
+    unanswered: int = 0  # held by killed gateways, or their clients disconnected
     attempts: int = 0
     forwarded_units: float = 0.0
     over_quota_units: float = 0.0  # part of the forwarded units
@@ -38,18 +38,18 @@
 
     @property
     def over_quota_share(self) -> float:
-        """Share of the forwarded units that was beyond quotas, from 0 to 1."""
+        """Returns the share of the forwarded units that was beyond quotas, from 0 to 1."""
         return self.over_quota_units / self.forwarded_units if self.forwarded_units else 0.0
 
     @property
     def served_share(self) -> float:
-        """Share of the requests that was served, without those rejected while the quota was used up."""
+        """Returns the served share of requests, not counting those rejected while the quota was used up."""
         servable = self.served + self.rejected_with_quota_left + self.failed + self.unanswered
         return self.served / max(1, servable)
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """The judge's decision on one run.
+    """Holds the judge's decision on one run.
 
     `state` is `kept`, `broken`, or `void` if a stand-in lagged and every violation depends on measured times.
     """
@@ -59,5 +59,5 @@
     summary: RunSummary
 
     def broken_rules(self) -> set[str]:
-        """Names of the rules that were violated."""
+        """Returns the names of the rules that were violated."""
         return {violation.rule for violation in self.violations}
