--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -379,7 +379,7 @@
     usual = Scenario(gateways=3, nodes=6, load=0.15, greedy_share=0.0, seed=49)
     shared = shared_scenario(usual, 63)
     assert shared.plans["basic"].rate_per_s == pytest.approx(21 * usual.plans["basic"].rate_per_s)
-    burst_units = shared.world().plans["full"].hard_limit_burst_units
+    burst_units = shared.rule_parameters().plans["full"].hard_limit_burst_units
     assert burst_units == pytest.approx(21 * usual.plans["full"].hard_limit_burst_units)
     assert shared.population().tenants == usual.population().tenants
 
--- a/tests/node/test_services_process.py
+++ b/tests/node/test_services_process.py
@@ -127,7 +127,7 @@
         await wait_for_requests(fleet, "rate-lookup", LOOKUPS)
         charging = [node for node in fleet.nodes.values() if fleet.scenario.service(node.spec)]
         for node in charging:
-            node.down()
+            node.crash()
         begun = fleet.ledger.entries[-1].at
         await wait_for_requests(fleet, "rate-lookup", LOOKUPS)
         spans.extend([(calm, begun), (begun, fleet.ledger.entries[-1].at)])
--- a/tests/testing/test_fault_schedules.py
+++ b/tests/testing/test_fault_schedules.py
@@ -71,7 +71,7 @@
         fleet = VirtualFleet(scenario, seed)
         fleet.conditions.peer_loss = loss
         fleet.run(8 * SECOND)
-        return judge(scenario.world(), fleet.ledger.entries).summary.over_quota_share
+        return judge(scenario.rule_parameters(), fleet.ledger.entries).summary.over_quota_share
 
     seeds = range(1, 5)
     now = sum(map(beyond, seeds)) / len(seeds)
--- a/tests/testing/test_standins.py
+++ b/tests/testing/test_standins.py
@@ -191,9 +191,9 @@
     uvloop.run(asyncio.wait_for(test(), 20.0))
     cut = ledger.entries[-1]
     assert isinstance(cut, ConnectionLost) and cut.gateway_unreachable
-    assert judge(scenario.world(), ledger.entries).broken_rules() <= {
+    assert judge(scenario.rule_parameters(), ledger.entries).broken_rules() <= {
         "answers"
     }  # the first was made by no backend
     assert not any(
-        "ended the connection" in v.text for v in judge(scenario.world(), ledger.entries).violations
+        "ended the connection" in v.text for v in judge(scenario.rule_parameters(), ledger.entries).violations
     )
--- a/trackspread/testing/harness/fault_run.py
+++ b/trackspread/testing/harness/fault_run.py
@@ -115,7 +115,7 @@
     if save_folder is not None and verdict.state == "broken":
         _save(fleet, schedule, save_folder / f"{schedule.name.replace(' ', '-')}-{schedule.seed}")
     entries = fleet.ledger.entries
-    history = RunHistory(fleet.scenario.world(), entries)
+    history = RunHistory(fleet.scenario.rule_parameters(), entries)
     usage = QuotaUsage(history)
     tenant_shares = [
         usage.over_quota_by_tenant[tenant] / units
@@ -142,7 +142,7 @@
 def _save(fleet: Fleet, schedule: Schedule, folder: Path) -> None:
     folder.mkdir(parents=True, exist_ok=True)
     schedule.save(folder / "schedule.json")
-    fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.world())
+    fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.rule_parameters())
     for gateway in fleet.gateways:
         shutil.copy(gateway.log, folder)
 
--- a/trackspread/testing/harness/fault_scenarios.py
+++ b/trackspread/testing/harness/fault_scenarios.py
@@ -104,7 +104,7 @@
     invalid.invalid_answer_chance = 0.2
     resetting.reset_chance = 0.2
     unresponsive.unresponsive = True
-    crashing.down()
+    crashing.crash()
     await asyncio.sleep(3.0)
     unresponsive.unresponsive = False
     fleet.announce(crashing, "terminated")
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -224,7 +224,7 @@
         for agent in self.agents:
             agent.close()
         for node in self.nodes.values():
-            node.down()
+            node.crash()
         self.network.close()
         self._ports.close()
         shutil.rmtree(self.folder, ignore_errors=True)
@@ -277,7 +277,7 @@
 
     def remove(self, node: NodeServer) -> None:
         """The node ends and leaves the list."""
-        node.down()
+        node.crash()
         self.announce(node, "terminated")
 
     async def replace(self, node: NodeServer, drain_s: float) -> None:
@@ -339,7 +339,7 @@
 
     def verdict(self) -> Verdict:
         """The judge's verdict on what the ledger has so far."""
-        return judge(self.scenario.world(), self.ledger.entries)
+        return judge(self.scenario.rule_parameters(), self.ledger.entries)
 
     def resource_usage(self) -> ResourceUsage:
         """What the gateways used so far."""
--- a/trackspread/testing/harness/membership_fleet.py
+++ b/trackspread/testing/harness/membership_fleet.py
@@ -72,7 +72,7 @@
 def save_run(fleet: Fleet, folder: Path) -> None:
     """Saves a failed run: its ledger, each gateway's log and records."""
     folder.mkdir(parents=True, exist_ok=True)
-    fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.world())
+    fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.rule_parameters())
     for gateway in fleet.gateways:
         for path in (fleet.record_path(gateway.name), gateway.log):
             if path.exists():
--- a/trackspread/testing/harness/quota_use.py
+++ b/trackspread/testing/harness/quota_use.py
@@ -18,7 +18,7 @@
 
 def excess(fleet: Fleet) -> Excess:
     """The excess over hard limits and over quotas; a limit allows its burst, and its rate over the run."""
-    rules = fleet.scenario.world()
+    rules = fleet.scenario.rule_parameters()
     first_attempts = RunHistory(rules, fleet.ledger.entries).first_attempts()
     if not first_attempts:
         return Excess(0.0, 0.0)
@@ -57,7 +57,7 @@
     Allowed is what one token bucket for each quota would have admitted at the requests' first attempt. The
     result is at most 1.
     """
-    rules = fleet.scenario.world()
+    rules = fleet.scenario.rule_parameters()
     entries = fleet.ledger.entries
     history = RunHistory(rules, entries)
     start = entries[first_entry].at
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -69,7 +69,7 @@
         self.duration_s = duration_s
         self.events: list[str] = []
         self.stop = asyncio.Event()
-        self._statistics = RunStatistics(fleet.scenario.world())
+        self._statistics = RunStatistics(fleet.scenario.rule_parameters())
         self._rng = random.Random(f"trial:{seed}")
         self._started = asyncio.get_running_loop().time()
         self._entries_read = 0
@@ -113,7 +113,7 @@
         if not node.running:
             return
         self._note(f"node {name} is killed; the list tells so {DOWNTIME_S / 2:g} s later")
-        node.down()
+        node.crash()
         await asyncio.sleep(DOWNTIME_S / 2)
         self.fleet.announce(node, "terminated")
         await asyncio.sleep(DOWNTIME_S / 2)
--- a/trackspread/testing/standins/client_population.py
+++ b/trackspread/testing/standins/client_population.py
@@ -61,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassDemand:
-    """A class as clients ask for it. `share`: of all requests; `repeat`: "safe", "keyed" or "unsafe"."""
+    """A class as clients ask for it. `share`: of all requests; `idempotency`: "safe", "keyed" or "unsafe"."""
 
     name: str
     share: float
     has_key: bool
-    repeat: str
+    idempotency: str
     timeout_ns: int
 
 
@@ -74,12 +74,12 @@
 class ClientBehavior:
     """What clients do after an answer that is not the one they want.
 
-    `obedience`: the part of them that waits as Retry-After says. The others, and those without a
+    `retry_after_compliance`: the part of them that waits as Retry-After says. The others, and those without a
     Retry-After, wait for `backoff_ns`.
     """
 
     max_retries: int = 2
-    obedience: float = 0.8
+    retry_after_compliance: float = 0.8
     backoff_ns: int = 50 * MILLISECOND
 
 
@@ -144,12 +144,12 @@
         What failed or was never answered may have been executed: it is retried only where that is safe.
         What was refused was not. `retry_after_ms`: 0 for none.
         """
-        repeat = next(demand.repeat for demand in self.classes if demand.name == request.cls)
-        if request.attempt > self.behavior.max_retries or (outcome != "refused" and repeat != "safe"):
+        idempotency = next(demand.idempotency for demand in self.classes if demand.name == request.cls)
+        if request.attempt > self.behavior.max_retries or (outcome != "refused" and idempotency != "safe"):
             return None
         number = int(request.origin[_NUMBER], 16)
-        obeys = self._rng.random() < self.behavior.obedience
-        wait_ns = retry_after_ms * MILLISECOND if retry_after_ms and obeys else self.behavior.backoff_ns
+        complies = self._rng.random() < self.behavior.retry_after_compliance
+        wait_ns = retry_after_ms * MILLISECOND if retry_after_ms and complies else self.behavior.backoff_ns
         gateway = self.choose_gateway(request.tenant)
         delay_ns = int(wait_ns * self._rng.uniform(1.0, MAX_BACKOFF_FACTOR))
         return Retry(
--- a/trackspread/testing/standins/clients.py
+++ b/trackspread/testing/standins/clients.py
@@ -145,7 +145,7 @@
     def command(self, request: ClientRequest, request_id: str) -> bytes:
         """The request as RESP2; its form is kept for the rating nodes to check."""
         tenant = request.tenant
-        is_safe = self.scenario.repeat(request.cls) == "safe"
+        is_safe = self.scenario.idempotency(request.cls) == "safe"
         options = [f"c={request.cls}", f"t={tenant.plan}", f"d={request.timeout_ns // MILLISECOND}"]
         options += [f"k={request.key}"] * bool(request.key) + ["r=1"] * (request.attempt > 1)
         options += [
--- a/trackspread/testing/standins/node_server.py
+++ b/trackspread/testing/standins/node_server.py
@@ -73,7 +73,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def start(self) -> None:
-        """Listens for each gateway; after `down` at the same addresses."""
+        """Listens for each gateway; after `crash` at the same addresses."""
         loop = asyncio.get_running_loop()
         for number in range(self._gateways):
             is_new = len(self.addresses) <= number
@@ -97,7 +97,7 @@
             )
         )
 
-    def down(self) -> None:
+    def crash(self) -> None:
         """The process dies: open connections are reset, new ones refused."""
         self.running = False
         for server in self._servers:
@@ -130,7 +130,7 @@
         )
         if self.model.crashed and self.running:
             self.ledger.write(BackendCrashed(now, self.spec.name))
-            self.down()
+            self.crash()
         return accepted
 
     def load_report(self) -> bytes:
--- a/trackspread/testing/standins/scenario.py
+++ b/trackspread/testing/standins/scenario.py
@@ -29,8 +29,8 @@
     """One class of request; `work_ns`: the mean at a core of usual speed; `share`: of all requests."""
 
     name: str
-    repeat: Idempotency
-    group: DeduplicationScope
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
     share: float
     work_ns: int
     latency_objective_ns: int
@@ -128,14 +128,17 @@
         """The mean work of a class's requests."""
         return next(each.work_ns for each in self.classes if each.name == cls)
 
-    def repeat(self, cls: str) -> Idempotency:
+    def idempotency(self, cls: str) -> Idempotency:
         """Whether a class's requests may be repeated."""
-        return next(each.repeat for each in self.classes if each.name == cls)
+        return next(each.idempotency for each in self.classes if each.name == cls)
 
-    def world(self) -> RuleParameters:
+    def rule_parameters(self) -> RuleParameters:
         """The figures that the judge needs."""
         window_ns = self.deduplication_window_ns
-        rules = {each.name: ClassRule(each.repeat, each.group, window_ns) for each in self.classes}
+        rules = {
+            each.name: ClassRule(each.idempotency, each.deduplication_scope, window_ns)
+            for each in self.classes
+        }
         return RuleParameters(
             rules,
             dict(self.plans),
@@ -167,8 +170,8 @@
         return [
             class_settings(
                 each.name,
-                _IDEMPOTENCY[each.repeat],
-                each.group,
+                _IDEMPOTENCY[each.idempotency],
+                each.deduplication_scope,
                 each.latency_objective_ns,
                 each.deadline_ns,
                 self.deduplication_window_ns,
@@ -200,7 +203,9 @@
             tenants.append(self._draw_tenant(rng))
             requests_per_s += tenants[-1].requests_per_s
         demands = tuple(
-            ClassDemand(each.name, each.share, each.repeat == "keyed", each.repeat, each.deadline_ns)
+            ClassDemand(
+                each.name, each.share, each.idempotency == "keyed", each.idempotency, each.deadline_ns
+            )
             for each in self.classes
         )
         return ClientPopulation(tenants, demands, self.gateways, self.seed, self.behavior)
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -84,9 +84,9 @@
         self.population = replace(scenario, seed=seed).population()
         self._settings = [_settings(scenario, position) for position in range(scenario.gateways)]
         self._classes = {c.name: number for number, c in enumerate(scenario.classes)}
-        self._plans = {name: number for number, name in enumerate(scenario.world().plans)}
+        self._plans = {name: number for number, name in enumerate(scenario.rule_parameters().plans)}
         self._deduplication_windows = {
-            c.name: scenario.deduplication_window_ns for c in scenario.classes if c.repeat == "keyed"
+            c.name: scenario.deduplication_window_ns for c in scenario.classes if c.idempotency == "keyed"
         }
         self._class_and_key: dict[str, tuple[str, str]] = {}  # by request
         self.partitioned: set[frozenset[int]] = set()  # pairs of gateways that get no message of each other
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -92,7 +92,7 @@
     fleet.conditions.max_list_delay_ns = MAX_LIST_DELAY_NS
     fleet.clock.after(FAULTS_AFTER_NS, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
     fleet.run(SPAN)
-    verdict = judge(scenario.world(), fleet.ledger.entries)
+    verdict = judge(scenario.rule_parameters(), fleet.ledger.entries)
     summary = verdict.summary
     attempts = [entry for entry in fleet.ledger.entries if isinstance(entry, AttemptReceived)]
     forwarded = {attempt.request for attempt in attempts}
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -232,4 +232,4 @@
         rng = random.Random(f"fault:{schedule.seed}:{number}")
         fleet.clock.at(start + at, partial(FAULTS[name], fleet, rng))
     fleet.run(SPAN)
-    return judge(schedule.scenario.world(), fleet.ledger.entries), fleet
+    return judge(schedule.scenario.rule_parameters(), fleet.ledger.entries), fleet
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -92,7 +92,7 @@
     faults_at = fleet.clock.now + CALM_NS
     fleet.clock.at(faults_at, partial(faults, fleet, random.Random(f"ramp:{seed}")))
     fleet.run(SPAN)
-    verdict = judge(played.world(), fleet.ledger.entries)
+    verdict = judge(played.rule_parameters(), fleet.ledger.entries)
     summary = verdict.summary
     return SlowStartRun(
         played.gateways,
