--- a/trackspread/testing/standins/__init__.py
+++ b/trackspread/testing/standins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins for all that a gateway talks to, on loopback: rating nodes, discovery, clients, a faulty wire.
+"""Provides stand-ins on loopback for a gateway's peers: rating nodes, discovery, clients, a faulty network.
 
-`rating_node`, `client_population` and `scenario` decide without I/O or clocks, and serve virtual time too;
-the servers round them are thin. What they see goes into the judge's ledger. None of this runs in service.
+`rating_node`, `client_population` and `scenario` use no I/O and no clocks, so they serve in virtual time too;
+the servers around them are thin. The stand-ins write their observations into the judge's ledger. No part of
+this package runs in production.
 """
--- a/trackspread/testing/standins/backend_list.py
+++ b/trackspread/testing/standins/backend_list.py
@@ -1,4 +1,4 @@
-"""The list of backends that discovery agents report, with its versions."""
+"""Holds the list of backends that discovery agents report, with its versions."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from .loopback import Address, address_text
 
-MAX_REMEMBERED_CHANGES = 512  # an agent that asks for older ones gets the complete list
+MAX_REMEMBERED_CHANGES = 512  # a gateway that asks for older ones gets the complete list
 
-JsonObject = dict[str, Any]  # in the platform's form
+JsonObject = dict[str, Any]  # an object in the platform's form
 
 
 @dataclass(frozen=True, slots=True)
 class ListedBackend:
-    """One backend as the list has it.
+    """Describes one backend of the list.
 
-    `dial`: its address for each gateway. `health`: `in_service`, `terminating` or `terminated`.
-    `created_at_ms`: 0 for one that is warmed up. `service`: empty for the default one.
+    `dial` has its address for each gateway. `health` is `in_service`, `terminating` or `terminated`.
+    `created_at_ms` is 0 for a backend that is warmed up. `service` is empty for the default service.
     """
 
     host: str
@@ -31,7 +31,7 @@
     service: str = ""
 
     def as_json(self, gateway: int) -> JsonObject:
-        """The entry as the agent of a gateway sends it."""
+        """Returns the entry in the form that the agent of a gateway sends."""
         entry = {
             "host": self.host,
             "dial": address_text(self.dial[gateway]),
@@ -46,7 +46,7 @@
 
 
 class BackendList:
-    """The one list that all agents report; `subscribers` are called with each changed entry."""
+    """Holds the list that all agents report; `subscribers` are called with each changed entry."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -55,7 +55,7 @@
         self._changes: list[tuple[int, ListedBackend]] = []
 
     def put(self, entry: ListedBackend) -> None:
-        """Adds or changes an entry; `terminated` takes it off the list."""
+        """Adds or changes an entry; an entry with health `terminated` is removed."""
         self.version += 1
         if entry.health == "terminated":
             self.hosts.pop(entry.host, None)
@@ -66,12 +66,12 @@
             subscriber(entry)
 
     def snapshot(self, gateway: int) -> JsonObject:
-        """The complete list, for the agent of a gateway."""
+        """Returns the complete list in the form that the agent of a gateway sends."""
         hosts = [entry.as_json(gateway) for entry in self.hosts.values()]
         return {"seq": self.version, "whole": True, "hosts": hosts}
 
     def changes_since(self, gateway: int, version: int) -> JsonObject:
-        """What changed after a version; the complete list if that is not known any more."""
+        """Returns the changes after a version, or the complete list if those are no longer remembered."""
         oldest = self._changes[0][0] - 1 if self._changes else self.version
         if not oldest <= version <= self.version:
             return self.snapshot(gateway)
--- a/trackspread/testing/standins/billing.py
+++ b/trackspread/testing/standins/billing.py
@@ -1,10 +1,11 @@
-"""A billing system that takes each batch of usage records once: its rules, and a store in memory.
+"""Models a billing system that takes each batch of usage records once, with a store in memory.
 
-Written from what the export promises to a receiver, not from its code; without HTTP.
+The model follows the guarantees that the export gives to a receiver, not its code, and needs no HTTP.
 
 - A stream's places are taken in order, without a gap, each at most once.
-- The first batch that states a stream's length seals it. A sealed stream takes nothing beyond its seal:
-  whoever writes there was replaced. Up to the seal the same places hold the same records, whoever sends them.
+- The first batch that states a stream's length seals it. A sealed stream takes no records beyond its seal,
+  because a producer that writes there was replaced. Up to the seal the same places hold the same records,
+  whichever producer sends them.
 - Taking a batch and advancing the stream's `taken` are one step: both are on the disk, or neither.
 """
 
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamState:
-    """What billing has of one stream: the last place taken, and the last place of a sealed stream."""
+    """Holds the last place taken of one stream, and the last place of the stream if it is sealed."""
 
     taken: int
     sealed: int | None
@@ -29,9 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedBatch:
-    """What a batch changes: its stream's state afterwards, and the rows that are new.
+    """Holds what a batch changes: its stream's state afterwards, and the rows that are new.
 
-    `key`: the batch's idempotency key; `digest`: of all its rows. `holes`: places without a record.
+    `key` is the batch's idempotency key. `digest` is the digest of all its rows. `holes` counts places
+    without a record.
     """
 
     stream: str
@@ -45,30 +47,30 @@
 
 
 class BillingStore(Protocol):
-    """Where billing keeps what it has taken."""
+    """Stores what billing has taken."""
 
     def stream_state(self, stream: str) -> StreamState | None:
-        """The state of a stream; None for an unknown one."""
+        """Returns the state of a stream, or None if it is unknown."""
         ...
 
     def digest(self, key: str) -> str | None:
-        """The digest of the batch that was taken under an idempotency key."""
+        """Returns the digest of the batch that was taken under an idempotency key, or None."""
         ...
 
     def commit(self, batch: AcceptedBatch) -> None:
-        """Keeps all that a batch changes, or nothing."""
+        """Stores all that a batch changes, or nothing."""
         ...
 
 
 class Decision(NamedTuple):
-    """The reply to a batch, and what has to be committed before it is given."""
+    """Holds the reply to a batch, and what has to be committed before the reply is sent."""
 
     reply: Reply
     accepted: AcceptedBatch | None = None
 
 
 def decide(state: StreamState | None, known_digest: str | None, batch: Batch) -> Decision:
-    """Decides on a batch. `state`: of its stream; `known_digest`: of what was taken under its key."""
+    """Decides on a batch from its stream's state and the digest of what was taken under its key."""
     batch_digest = digest(msgspec.json.encode(batch.rows))
     before = state or StreamState(batch.base, None)
     conflict = known_digest is not None and known_digest != batch_digest
@@ -91,7 +93,7 @@
 
 
 class MemoryStore:
-    """A store in memory, for virtual time."""
+    """Stores in memory what billing has taken, for virtual time."""
 
     def __init__(self) -> None:
         self.streams: dict[str, StreamState] = {}
@@ -100,22 +102,22 @@
         self.holes = 0
 
     def stream_state(self, stream: str) -> StreamState | None:
-        """The state of a stream; None for an unknown one."""
+        """Returns the state of a stream, or None if it is unknown."""
         return self.streams.get(stream)
 
     def digest(self, key: str) -> str | None:
-        """The digest of the batch that was taken under an idempotency key."""
+        """Returns the digest of the batch that was taken under an idempotency key, or None."""
         return self.digests.get(key)
 
     def commit(self, batch: AcceptedBatch) -> None:
-        """Keeps all that a batch changes."""
+        """Stores all that a batch changes."""
         self.streams[batch.stream] = batch.state
         self.digests[batch.key] = batch.digest
         self.rows += batch.rows
         self.holes += batch.holes
 
     def copy(self) -> MemoryStore:
-        """A backup."""
+        """Returns a backup."""
         other = MemoryStore()
         other.streams = dict(self.streams)
         other.digests = dict(self.digests)
@@ -125,14 +127,14 @@
 
 
 class Billing:
-    """Takes batches; `reply_counts` has how many were "taken", "again", "fenced", and in "conflict"."""
+    """Takes batches and counts replies in `reply_counts`, by "taken", "again", "fenced" and "conflict"."""
 
     def __init__(self, store: BillingStore) -> None:
         self.store = store
         self.reply_counts: Counter[str] = Counter()
 
     def post(self, body: bytes) -> Reply:
-        """Takes a batch and replies to it. Raises `msgspec.DecodeError` on what is no batch."""
+        """Takes a batch and replies to it. Raises `msgspec.DecodeError` if the body is not a batch."""
         batch = decode(body)
         known_digest = self.store.digest(batch.key)
         reply, accepted = decide(self.store.stream_state(batch.stream), known_digest, batch)
--- a/trackspread/testing/standins/billing_database.py
+++ b/trackspread/testing/standins/billing_database.py
@@ -1,4 +1,4 @@
-"""The billing stand-in's store on disk, in SQLite."""
+"""Stores the billing stand-in's data on disk in SQLite."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 DAY_MS = 86_400_000
 STREAM_COLUMNS = ("stream", "taken", "sealed", "producer", "name")
 
-# By tenant, day since 1970 and ending: requests, and units in billionths.
+# Requests, and units in billionths, by tenant, day since 1970 and ending.
 UsageTotals = dict[tuple[str, int, int], tuple[int, int]]
 
 
 class BillingDatabase:
-    """A `BillingStore` in which each batch is a transaction, on the disk before it is answered."""
+    """Implements `BillingStore`; each batch is a transaction that is on the disk before it is answered."""
 
     def __init__(self, path: Path) -> None:
         self._db = sqlite3.connect(path, isolation_level=None)
@@ -30,17 +30,17 @@
         """)
 
     def stream_state(self, stream: str) -> StreamState | None:
-        """The state of a stream; None for an unknown one."""
+        """Returns the state of a stream, or None if it is unknown."""
         row = self._db.execute("SELECT taken, sealed FROM streams WHERE stream = ?", (stream,)).fetchone()
         return StreamState(*row) if row else None
 
     def digest(self, key: str) -> str | None:
-        """The digest of the batch that was taken under an idempotency key."""
+        """Returns the digest of the batch that was taken under an idempotency key, or None."""
         row = self._db.execute("SELECT digest FROM batches WHERE key = ?", (key,)).fetchone()
         return str(row[0]) if row else None
 
     def commit(self, batch: AcceptedBatch) -> None:
-        """Keeps all that a batch changes, or nothing."""
+        """Stores all that a batch changes, or nothing."""
         self._db.execute("BEGIN IMMEDIATE")
         try:
             self._insert(batch)
@@ -80,7 +80,7 @@
         )
 
     def totals(self) -> UsageTotals:
-        """The sums of all that was taken."""
+        """Returns the sums over all records taken."""
         totals: UsageTotals = {}
         for tenant, time_ms, ending, requests, units in self._db.execute(
             "SELECT customer, time, ending, requests, units FROM uses"
@@ -91,7 +91,7 @@
         return totals
 
     def streams(self) -> list[dict[str, object]]:
-        """What it has of each stream, by `STREAM_COLUMNS`."""
+        """Returns the stored values of each stream, by `STREAM_COLUMNS`."""
         rows = self._db.execute(f"SELECT {', '.join(STREAM_COLUMNS)} FROM streams")
         return [dict(zip(STREAM_COLUMNS, row, strict=True)) for row in rows]
 
--- a/trackspread/testing/standins/billing_server.py
+++ b/trackspread/testing/standins/billing_server.py
@@ -1,4 +1,4 @@
-"""The billing stand-in over HTTP, with its store in SQLite, and on files that are dropped into a folder."""
+"""Serves the billing stand-in over HTTP and from files in a folder, with its store in SQLite."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .billing import Billing
 from .billing_database import BillingDatabase
 
-MAX_BODY_BYTES = 4 << 20  # of a batch; one of 256 records is some 30 kB
+MAX_BODY_BYTES = 4 << 20  # limit for a batch; a batch of 256 records has some 30 kB
 READ_BYTES = 65_536
 HOST = "127.0.0.1"
 OK, BAD_REQUEST, FORBIDDEN, UNAVAILABLE = 200, 400, 403, 503
@@ -33,10 +33,11 @@
 
 
 class BillingServer:
-    """A billing system that may be faulty.
+    """Serves a billing system that may be faulty.
 
-    `answer_loss`: part of the answers that are not given although the batch was taken. `unavailable_share`:
-    part of the batches that are answered with 503 before they are read. `max_delay_s`: before an answer.
+    `answer_loss` is the share of answers that are not sent although the batch was taken. `unavailable_share`
+    is the share of batches that are answered with 503 before they are read. `max_delay_s` is the longest
+    delay before an answer.
     """
 
     def __init__(self, path: Path, secret: bytes = b"", seed: int = 1) -> None:
@@ -51,23 +52,23 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens; always at the same port."""
+        """Starts to listen; after a stop it uses the same port again."""
         self._server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     @property
     def url(self) -> str:
-        """Where batches are sent to."""
+        """Returns the URL to which batches are sent."""
         return f"http://{HOST}:{self.port}/use"
 
     def stop(self) -> None:
-        """Connections are refused until the next start."""
+        """Refuses connections until the next start."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close(self) -> None:
-        """Ends the server and closes the database."""
+        """Stops the server and closes the database."""
         self.stop()
         self.database.close()
 
@@ -119,7 +120,7 @@
 
 
 async def _read_request(http: h11.Connection, reader: asyncio.StreamReader) -> _Request | None:
-    """A complete request; None if there is none, or its body is too long."""
+    """Reads a complete request; returns None if the connection ended before, or the body is too long."""
     method, headers = b"", dict[bytes, bytes]()
     body = b""
     while True:
@@ -137,10 +138,10 @@
 
 
 def take_dropped_files(folder: Path, billing: Billing) -> int:
-    """Takes the files in `in`, oldest name first, and answers in `out`; returns how many there were.
+    """Takes the files in `in` in the order of their names and answers in `out`; returns their number.
 
-    A crash anywhere in it is harmless: what is still in `in` is taken again, and is counted once all the
-    same.
+    A crash at any point is harmless, because a file that is still in `in` is taken again and its records are
+    counted only once.
     """
     taken = 0
     for path in sorted((folder / "in").glob("[!.]*.json")):
--- a/trackspread/testing/standins/client_population.py
+++ b/trackspread/testing/standins/client_population.py
@@ -1,7 +1,7 @@
-"""Tenants and their clients as a model: who sends what when, through which gateway, and who retries.
+"""Models tenants and their clients: the requests with their times and gateways, and the retries.
 
-Without I/O and clock. Arrivals are drawn ahead and do not wait for answers; what a client does after an
-answer is given by `ClientBehavior`.
+The model uses no I/O and no clock. Arrivals are drawn ahead and do not wait for answers; `ClientBehavior`
+determines what a client does after an answer.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
-MIN_TIMEOUT_SHARE = 0.6  # of its class's, that a client waits at least
+MIN_TIMEOUT_SHARE = 0.6  # shortest wait of a client, as a share of its class's timeout
 MAX_BACKOFF_FACTOR = 1.3
-MIN_WEIGHT = 0.02  # of a tenant's gateway
-_NUMBER = slice(4, 14)  # of a request, in its name
+MIN_WEIGHT = 0.02  # smallest weight of a gateway for a tenant
+_NUMBER = slice(4, 14)  # position of a request's number in its name
 
 
 @dataclass(slots=True)
 class Tenant:
-    """One tenant and what its clients ask for.
+    """Holds one tenant and its request rate.
 
-    It uses `gateway_count` gateways from `first_gateway` on, as `weights` say.
+    It uses `gateway_count` gateways from `first_gateway` on, in proportion to `weights`.
     """
 
     number: int
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request that a client sends.
+    """Describes one request that a client sends.
 
-    `origin`: the first attempt's name. `key`: the idempotency key; "" for none. `timeout_ns`: how long its
+    `origin` is the first attempt's name, and `key` the idempotency key or "". `timeout_ns` says how long its
     client waits for an answer.
     """
 
@@ -53,7 +53,7 @@
 
 
 class Retry(NamedTuple):
-    """A further attempt of a client, and after how many ns."""
+    """Holds a further attempt of a client, and the delay before it in ns."""
 
     delay_ns: int
     request: ClientRequest
@@ -61,7 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassDemand:
-    """A class as clients ask for it. `share`: of all requests; `idempotency`: "safe", "keyed" or "unsafe"."""
+    """Describes how clients use a class.
+
+    `share` is its share of all requests, and `idempotency` is "safe", "keyed" or "unsafe".
+    """
 
     name: str
     share: float
@@ -72,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientBehavior:
-    """What clients do after an answer that is not the one they want.
+    """Describes what clients do after an answer other than "served".
 
-    `retry_after_compliance`: the part of them that waits as Retry-After says. The others, and those without a
-    Retry-After, wait for `backoff_ns`.
+    `retry_after_compliance` is the share of clients that wait as Retry-After says. The others, and those
+    without a Retry-After, wait for `backoff_ns`.
     """
 
     max_retries: int = 2
@@ -85,9 +88,10 @@
 
 @dataclass(slots=True)
 class ClientPopulation:
-    """All tenants; the same seed and calls give the same requests.
+    """Draws the requests of all tenants; the same seed and calls give the same requests.
 
-    `rate_multiple`: the request rate now, as a multiple of the usual one; 0 stops the load in virtual time.
+    `rate_multiple` is the present request rate as a multiple of the usual one; 0 stops the load in virtual
+    time.
     """
 
     tenants: list[Tenant]
@@ -107,11 +111,11 @@
         self._cumulative_shares = list(accumulate(demand.share for demand in self.classes))
 
     def next_pause_ns(self) -> int:
-        """The time until the next request of any tenant."""
+        """Draws the time until the next request of any tenant."""
         return int(self._rng.expovariate(self._cumulative_rates[-1] * self.rate_multiple) * SECOND)
 
     def next_request(self) -> ClientRequest:
-        """The next request of any tenant."""
+        """Draws the next request of any tenant."""
         rng = self._rng
         tenant = rng.choices(self.tenants, cum_weights=self._cumulative_rates)[0]
         demand = rng.choices(self.classes, cum_weights=self._cumulative_shares)[0]
@@ -122,15 +126,15 @@
         return ClientRequest(origin, tenant, demand.name, self.choose_gateway(tenant), 1.0, key, timeout_ns)
 
     def request_name(self, number: int, attempt: int) -> str:
-        """A request's name on the wire: 16 hex digits. `attempt`: from 0 on."""
+        """Returns a request's name on the wire, which has 16 hex digits; `attempt` counts from 0."""
         return f"{self.seed & 0xFFFF:04x}{number:010x}{attempt:02x}"
 
     def request_id(self, request: ClientRequest) -> str:
-        """The name of a request's present attempt."""
+        """Returns the name of a request's present attempt."""
         return self.request_name(int(request.origin[_NUMBER], 16), request.attempt - 1)
 
     def choose_gateway(self, tenant: Tenant, excluded: int = -1) -> int:
-        """The gateway for a tenant's next request; not `excluded`, where it has another."""
+        """Draws the gateway for a tenant's next request; `excluded` only if the tenant has no other."""
         first = tenant.first_gateway
         offsets = [i for i in range(tenant.gateway_count) if (first + i) % self.gateways != excluded]
         if not offsets:
@@ -139,10 +143,10 @@
         return (first + self._rng.choices(offsets, weights)[0]) % self.gateways
 
     def retry(self, request: ClientRequest, outcome: str, retry_after_ms: int) -> Retry | None:
-        """The client's next attempt after an outcome other than "served"; None if it makes none.
+        """Returns the client's next attempt after an outcome other than "served", or None if it makes none.
 
-        What failed or was never answered may have been executed: it is retried only where that is safe.
-        What was refused was not. `retry_after_ms`: 0 for none.
+        A request that failed or was never answered may have been executed, so it is retried only if its class
+        is safe. A rejected request was not executed. `retry_after_ms` is 0 if there was no Retry-After.
         """
         idempotency = next(demand.idempotency for demand in self.classes if demand.name == request.cls)
         if request.attempt > self.behavior.max_retries or (outcome != "refused" and idempotency != "safe"):
@@ -167,7 +171,7 @@
         )
 
     def move(self, share: float) -> int:
-        """Draws new weights for a share of the tenants; returns how many that were."""
+        """Draws new weights for a share of the tenants; returns the number of these tenants."""
         moved = [tenant for tenant in self.tenants if self._rng.random() < share]
         for tenant in moved:
             tenant.weights = draw_weights(self._rng, tenant.gateway_count)
@@ -175,5 +179,5 @@
 
 
 def draw_weights(rng: random.Random, count: int) -> list[float]:
-    """Uneven weights: the busiest gateway of a tenant takes several times what the others do."""
+    """Draws uneven weights, so that a tenant's busiest gateway has several times the load of the others."""
     return [rng.expovariate(1.0) ** 2 + MIN_WEIGHT for _ in range(count)]
--- a/trackspread/testing/standins/clients.py
+++ b/trackspread/testing/standins/clients.py
@@ -1,8 +1,8 @@
-"""Clients on sockets, RESP2: one connection for each request of a `ClientPopulation` that is in flight.
+"""Runs RESP2 clients on sockets, with one connection for each request of a `ClientPopulation` in flight.
 
-Idle connections are reused. A request whose reused connection ends at once, before any of its answer has
-come, is sent once more on a new one: the gateway may have closed the connection while the request was on
-its way.
+Idle connections are reused. If a reused connection ends shortly after a request was sent on it, before any
+byte of the answer, the request is sent once more on a new connection, because the gateway may have closed the
+idle connection before it received the request.
 """
 
 from __future__ import annotations
@@ -29,21 +29,22 @@
 from .loopback import Address
 from .scenario import MILLISECOND, Scenario
 
-CROSSING_NS = 100 * MILLISECOND  # after its sending, in which a connection's end may have crossed a request
-LATE_ANSWER_S = 0.2  # for which a client waits beyond its timeout, to see an answer that is late
+CLOSE_RACE_NS = 100 * MILLISECOND  # time after sending in which the gateway may not have read the request
+LATE_ANSWER_S = 0.2  # wait beyond the timeout, in which a late answer is still recorded
 CONNECT_TIMEOUT_S = 0.25
-CONNECT_ATTEMPTS = 3  # gateways that a client tries in turn
-MAX_IDLE = 64  # idle connections to each gateway
+CONNECT_ATTEMPTS = 3  # limit on the gateways that a client tries in turn
+MAX_IDLE = 64  # limit on idle connections to each gateway
 SETTLE_POLL_S = 0.01
 ReplyKind = Literal["served", "refused", "failed"]
 
 
 class Clients:
-    """All clients of one run.
+    """Sends the requests of all clients of one run.
 
-    `sending` may be set off and on. `outcome_counts`: requests by "served", "refused", "failed", "cut",
-    "left" and "unreached". `command_forms`: what was sent, by request. The harness sets `closing_gateways`,
-    to which no new connections are opened, and `killed_gateways`, whose requests may have been executed.
+    `sending` may be turned off and on. `outcome_counts` counts requests by "served", "refused", "failed",
+    "cut", "left" and "unreached". `command_forms` holds the sent commands by request. The harness sets
+    `closing_gateways`, to which no new connections are opened, and `killed_gateways`, whose requests may have
+    been executed.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Clients begin to send requests."""
+        """Starts to send requests."""
         self.sending = True
         self._arrivals = asyncio.get_running_loop().create_task(self._arrive())
 
@@ -98,7 +99,10 @@
     async def _send_on_new_connection(
         self, request: ClientRequest, request_id: str, connect_attempts: int, resent: bool = False
     ) -> None:
-        """`resent`: the same request was sent before, on a connection that had ended."""
+        """Sends a request on a new connection, at another gateway if this one does not accept connections.
+
+        `resent` says that the same request was sent before, on a connection that had ended.
+        """
         try:
             connection = await self._connect(request.gateway)
         except (OSError, TimeoutError):
@@ -132,7 +136,7 @@
             asyncio.get_running_loop().call_later(retry.delay_ns / 1e9, self.send, retry.request)
 
     async def settle(self) -> None:
-        """Sends nothing new; returns once every request has ended."""
+        """Stops sending new requests and returns once every request has ended."""
         self.sending = False
         if self._arrivals is not None:
             await self._arrivals
@@ -143,7 +147,7 @@
                 connection.close()
 
     def command(self, request: ClientRequest, request_id: str) -> bytes:
-        """The request as RESP2; its form is kept for the rating nodes to check."""
+        """Returns the request as RESP2 and keeps its form for the rating nodes to check."""
         tenant = request.tenant
         is_safe = self.scenario.idempotency(request.cls) == "safe"
         options = [f"c={request.cls}", f"t={tenant.plan}", f"d={request.timeout_ns // MILLISECOND}"]
@@ -166,9 +170,9 @@
 
 
 class Exchange:
-    """One request, from its sending to its answer or its end.
+    """Holds one request from its sending to its answer or the end of its connection.
 
-    `resent`: it was sent before, on a connection that had ended.
+    `resent` says that it was sent before, on a connection that had ended.
     """
 
     def __init__(
@@ -213,7 +217,7 @@
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._leave)
 
     def answered(self, answer: object) -> None:
-        """The complete answer has come."""
+        """Records the complete answer."""
         reply = _parse_reply(answer)
         self._end()
         self._clients.outcome_counts[reply.kind] += 1
@@ -224,12 +228,12 @@
             self._clients.retry(self.request, reply.kind, reply.retry_after_ms)
 
     def connection_ended(self, partly_answered: bool) -> None:
-        """The connection ended before the complete answer."""
+        """Records that the connection ended before the complete answer, or sends the request once more."""
         now = time.monotonic_ns()
         self._end()
         killed = self.request.gateway in self._clients.killed_gateways
-        crossed = now - self._sent_at < CROSSING_NS and not killed
-        if crossed and self._connection_reused and not partly_answered and not self._resent:
+        may_be_unread = now - self._sent_at < CLOSE_RACE_NS and not killed
+        if may_be_unread and self._connection_reused and not partly_answered and not self._resent:
             self._clients.resend(self.request, self.request_id)
             return
         self._clients.outcome_counts["cut"] += 1
@@ -258,14 +262,14 @@
 def _parse_reply(answer: object) -> _Reply:
     if isinstance(answer, bytes):
         return _Reply("served", answer.decode(errors="replace"))
-    word, _, advice = str(answer).partition(" ")
-    if isinstance(answer, hiredis.ReplyError) and word == "BUSY" and (advice.isdigit() or not advice):
-        return _Reply("refused", "", int(advice or 0))
+    code, _, retry_ms = str(answer).partition(" ")
+    if isinstance(answer, hiredis.ReplyError) and code == "BUSY" and (retry_ms.isdigit() or not retry_ms):
+        return _Reply("refused", "", int(retry_ms or 0))
     return _Reply("failed")
 
 
 class _Connection(asyncio.Protocol):
-    """One connection to one gateway, with one request at a time."""
+    """Holds one connection to one gateway, with one request at a time."""
 
     def __init__(self, clients: Clients, gateway: int) -> None:
         self._clients = clients
--- a/trackspread/testing/standins/command_form.py
+++ b/trackspread/testing/standins/command_form.py
@@ -1,15 +1,15 @@
-"""The part of a client command that is the same at every hop, by which rating nodes check it."""
+"""Extracts the part of a client command that is the same at every hop, so that rating nodes can check it."""
 
 from __future__ import annotations
 
-OPTIONS_WORD = 3  # of a command: its options, separated by commas
+OPTIONS_WORD = 3  # index of a command's options, which are separated by commas
 DEADLINE_OPTION = b"d="
 
-CommandForms = dict[str, bytes]  # by request
+CommandForms = dict[str, bytes]  # command forms by request
 
 
 def command_form(words: list[bytes]) -> bytes:
-    """A command without the value of its deadline, which each hop shortens."""
+    """Returns a command without the value of its deadline, which each hop shortens."""
     options = b""
     if len(words) > OPTIONS_WORD:
         unchanged = (o for o in words[OPTIONS_WORD].split(b",") if not o.startswith(DEADLINE_OPTION))
--- a/trackspread/testing/standins/counter.py
+++ b/trackspread/testing/standins/counter.py
@@ -1,7 +1,7 @@
-"""A stand-in for the shared counter: a subset of Redis' commands, and the faults of such servers.
+"""Models the shared counter: a subset of Redis' commands, and the faults of such servers.
 
-Written from Redis' published protocol and cluster specification. Without I/O and clocks:
-`counter_server.py` puts it on sockets, `virtual/counter/world.py` into virtual time. Times are in ms.
+The model follows Redis' published protocol and cluster specification. It uses no I/O and no clocks;
+`counter_server.py` serves it on sockets and `virtual/counter/world.py` in virtual time. Times are in ms.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-SLOTS = 16384  # of a cluster, by its specification
-SNAPSHOT_INTERVAL_MS = 100  # between states that a lagging replica may have
-MAX_SNAPSHOTS = 40  # lags of up to 4 s
+SLOTS = 16384  # hash slots of a cluster, by its specification
+SNAPSHOT_INTERVAL_MS = 100  # interval between the states that a lagging replica may have
+MAX_SNAPSHOTS = 40  # enough for lags of up to 4 s
 NEVER_MS = 1 << 62
-HEARTBEAT_SUFFIX = b":beats"  # of the names of hashes with heartbeats
+HEARTBEAT_SUFFIX = b":beats"  # ends the names of hashes with heartbeats
 FIRST_CLUSTER_PORT = 7000
-UNBLOCKED_COMMANDS = (b"PING", b"HELLO", b"AUTH")  # answered also while all others get an error
+UNBLOCKED_COMMANDS = (b"PING", b"HELLO", b"AUTH")  # answered also while all other commands get an error
 
 
 class CommandError(str):
-    """An error reply."""
+    """Marks a string as an error reply."""
 
 
 class SimpleString(str):
-    """A simple string, as +OK."""
+    """Marks a string as a RESP simple string, such as +OK."""
 
 
 def slot_of(name: bytes) -> int:
-    """A name's hash slot: CRC16 (XMODEM) of its hash tag, or else of the complete name."""
+    """Returns a name's hash slot, the CRC16 (XMODEM) of its hash tag, or else of the complete name."""
     start = name.find(b"{")
     end = name.find(b"}", start + 1) if start >= 0 else -1
     return crc_hqx(name[start + 1 : end] if end > start + 1 else name, 0) % SLOTS
@@ -39,34 +39,35 @@
 
 @dataclass(slots=True)
 class ServerState:
-    """What one server stores: hashes, and when they expire by its clock, which is `clock_ahead` ms ahead."""
+    """Holds one server's hashes and when they expire by its clock, which is `clock_ahead` ms ahead."""
 
     hashes: dict[bytes, dict[bytes, bytes]] = field(default_factory=dict)
     expires_at: dict[bytes, int] = field(default_factory=dict)
     clock_ahead: int = 0
 
     def copy(self) -> ServerState:
-        """A copy that shares nothing."""
+        """Returns a deep copy."""
         hashes = {name: dict(fields) for name, fields in self.hashes.items()}
         return ServerState(hashes, dict(self.expires_at), self.clock_ahead)
 
     def expire(self, now: int) -> None:
-        """Deletes what has expired; `now` by the server's clock."""
+        """Deletes the hashes that have expired; `now` is the time of the server's clock."""
         for name in [name for name, expires_at in self.expires_at.items() if expires_at <= now]:
             self.delete(name)
 
     def delete(self, name: bytes) -> bool:
-        """Deletes a hash; whether there was one."""
+        """Deletes a hash and returns whether it existed."""
         self.expires_at.pop(name, None)
         return self.hashes.pop(name, None) is not None
 
 
 class Shard:
-    """One server as each gateway reaches it.
+    """Models one server as each gateway reaches it.
 
-    While it is split it has two `states`, and `state_by_gateway` says which one a gateway reaches (else the
-    first). `error`: the reply to every command, if not empty; `write_error`: to those that write. `calls`
-    counts commands, `time_commands` TIME alone, which ends each call of a gateway.
+    While it is split it has two `states`, and `state_by_gateway` says which one a gateway reaches; other
+    gateways reach the first. `error` is the reply to every command, if not empty, and `write_error` the reply
+    to commands that write. `calls` counts all commands, and `time_commands` only TIME, which ends each call
+    of a gateway.
     """
 
     def __init__(self, number: int, cluster: Cluster | None = None) -> None:
@@ -81,32 +82,30 @@
         self.time_commands = 0
         self._snapshots: deque[tuple[int, ServerState]] = deque(maxlen=MAX_SNAPSHOTS)
 
-    # Faults.
-
     def split(self, gateways: set[int], now: int, lag: int) -> None:
-        """These gateways reach a replica that lagged and was promoted; the others the old server."""
+        """Lets these gateways reach a replica that lagged and was promoted, and the others the old server."""
         self.states = [self.states[0], self._state_at(now - lag)]
         self.state_by_gateway = dict.fromkeys(gateways, 1)
 
     def heal(self, winner: int) -> None:
-        """Ends a split; the state of this number stays."""
+        """Ends a split and keeps the state with the index `winner`."""
         self.states = [self.states[min(winner, len(self.states) - 1)]]
         self.state_by_gateway = {}
 
     def promote(self, now: int, lag: int, clock_ahead: int = 0) -> None:
-        """All gateways reach a replica that lagged by `lag` ms and was promoted."""
+        """Lets all gateways reach a replica that lagged by `lag` ms and was promoted."""
         self.states = [self._state_at(now - lag)]
         self.state_by_gateway = {}
         self.states[0].clock_ahead = clock_ahead
 
     def replace(self, clock_ahead: int = 0) -> None:
-        """An empty server takes its place."""
+        """Replaces the server by an empty one."""
         self.states = [ServerState(clock_ahead=clock_ahead)]
         self.state_by_gateway = {}
         self._snapshots.clear()
 
     def evict(self, rng: random.Random, part: float, heartbeats: bool) -> None:
-        """Deletes a part of the hashes: of those with heartbeats, or of the others."""
+        """Deletes a share of the hashes with heartbeats, or of the others, as eviction does."""
         for state in self.states:
             for name in list(state.hashes):
                 if name.endswith(HEARTBEAT_SUFFIX) == heartbeats and rng.random() < part:
@@ -116,12 +115,10 @@
         older = [state for at, state in self._snapshots if at <= then]
         return (older[-1] if older else self.states[0]).copy()
 
-    # Commands.
-
     def execute(self, gateway: int, words: tuple[bytes, ...], now: int, asking: bool = False) -> Any:
         """Executes a command; returns int, bytes, None, `SimpleString`, `CommandError` or a list of these.
 
-        `asking`: ASKING came just before.
+        `asking` says that the previous command was ASKING.
         """
         self.calls += 1
         self.time_commands += words[0] == b"TIME"
@@ -145,7 +142,7 @@
         return command.call(self, state, words, server_now, gateway)
 
     def state_for(self, gateway: int) -> ServerState:
-        """The state that a gateway reaches."""
+        """Returns the state that a gateway reaches."""
         return self.states[self.state_by_gateway.get(gateway, 0)]
 
     def _take_snapshot(self, now: int) -> None:
@@ -154,10 +151,10 @@
 
 
 class Cluster:
-    """Hash slots over several shards.
+    """Distributes hash slots over several shards.
 
-    `owner`: of each slot. `migrating`: the shard that a slot is being migrated to. `address`: of a shard,
-    as a gateway reaches it.
+    `owner` holds the shard of each slot. `migrating` holds the shard that a slot is being migrated to.
+    `address` returns the address at which a gateway reaches a shard.
     """
 
     def __init__(self, shards: int) -> None:
@@ -170,7 +167,7 @@
         )
 
     def migrate(self, slots: range, to: int) -> None:
-        """Migrates slots to a shard at once, with what is stored in them."""
+        """Migrates slots to a shard in one step, with the hashes in them."""
         target = self.shards[to].states[0]
         for shard in self.shards:
             for state in shard.states:
@@ -181,7 +178,7 @@
             self.migrating.pop(slot, None)
 
     def redirect(self, shard: Shard, name: bytes, gateway: int, asking: bool) -> CommandError | None:
-        """MOVED or ASK, if the shard does not serve the name."""
+        """Returns a MOVED or ASK error if the shard does not serve the name, or else None."""
         slot = slot_of(name)
         owner, to = self.owner[slot], self.migrating.get(slot)
         if owner == shard.number:
@@ -195,7 +192,7 @@
         return CommandError(f"MOVED {slot} {host}:{port}")
 
     def slot_ranges(self) -> list[tuple[int, int, int]]:
-        """First and last slot, and the shard, of each run of slots with one owner."""
+        """Returns the first slot, the last slot and the shard of each contiguous range with one owner."""
         ranges: list[tuple[int, int, int]] = []
         for slot, owner in enumerate(self.owner):
             if ranges and ranges[-1][2] == owner:
@@ -212,13 +209,13 @@
         source.delete(name)
 
 
-# Commands take the shard, the state that the gateway reaches, the words, the time and the gateway.
+# The arguments are the shard, the state that the gateway reaches, the words, the time and the gateway.
 _CommandCall = Callable[[Shard, ServerState, tuple[bytes, ...], int, int], Any]
 
 
 @dataclass(frozen=True, slots=True)
 class _Command:
-    """`has_name`: its first argument is the name of a hash, which has a slot."""
+    """Describes a command; `has_name` says that its first argument names a hash, which has a slot."""
 
     call: _CommandCall
     min_words: int
@@ -254,7 +251,7 @@
 
 
 def _time(shard: Shard, state: ServerState, words: tuple[bytes, ...], now: int, gateway: int) -> Any:
-    """Seconds and microseconds."""
+    """Returns the server's time as seconds and microseconds."""
     return [b"%d" % (now // 1000), b"%d" % (now % 1000 * 1000)]
 
 
--- a/trackspread/testing/standins/counter_server.py
+++ b/trackspread/testing/standins/counter_server.py
@@ -1,6 +1,6 @@
-"""The stand-in counter on sockets: a server round `counter.Shard`.
+"""Serves the stand-in counter (`counter.Shard`) on sockets.
 
-Each gateway has a listener of its own at every shard, so that a split can show each half another server.
+Each gateway has a listener of its own at every shard, so that during a split each side reaches another state.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from .loopback import Address, address_text, own_address
 from .transports import reset
 
-MAX_DELAYED_REPLIES = 65_536  # of one connection; more are lost
+MAX_DELAYED_REPLIES = 65_536  # limit for one connection; further replies are lost
 AUTHENTICATING_COMMANDS = (b"HELLO", b"AUTH")
 
 
 def encode_reply(value: Any) -> bytes:
-    """A reply as RESP2."""
+    """Encodes a reply as RESP2."""
     match value:
         case CommandError():
             return b"-%b\r\n" % value.encode()
@@ -41,11 +41,11 @@
 
 
 class CounterServer:
-    """Shards as servers; with a `cluster` they redirect clients.
+    """Serves shards, which redirect clients if they belong to a `cluster`.
 
-    Faults are plain attributes. `unreachable`: pairs of shard and gateway whose connections end and are not
-    accepted. `unanswered_gateways`: their commands are executed and not answered. `delay_s`: of every
-    answer.
+    Faults are plain attributes. `unreachable` has pairs of shard and gateway whose connections end and are
+    not accepted. Commands of `unanswered_gateways` are executed and not answered. `delay_s` is the delay of
+    every answer.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
             cluster.address = lambda shard, gateway: self.addresses[shard, gateway]
 
     async def start(self) -> None:
-        """Listens, at any free ports."""
+        """Starts to listen at free ports."""
         loop = asyncio.get_running_loop()
         for shard in self.shards:
             for gateway in range(self.gateways):
@@ -78,24 +78,24 @@
                 self.addresses[shard.number, gateway] = server.sockets[0].getsockname()[:2]
 
     def server_texts(self, gateway: int) -> list[str]:
-        """The servers as the operator's file of one gateway names them."""
+        """Returns the servers in the form of the operator's file of one gateway."""
         return [address_text(self.addresses[shard.number, gateway]) for shard in self.shards]
 
     def disconnect(self, gateways: set[int]) -> None:
-        """These gateways reach no server: connections end, and new ones with them."""
+        """Makes all servers unreachable for these gateways; open connections and new ones are ended."""
         self.unreachable |= {(shard.number, gateway) for shard in self.shards for gateway in gateways}
         for connection in list(self.connections):
             if (connection.shard.number, connection.gateway) in self.unreachable:
                 connection.end()
 
     def end_faults(self) -> None:
-        """Connections are accepted and answered again."""
+        """Accepts and answers connections again."""
         self.unreachable.clear()
         self.unanswered_gateways.clear()
         self.delay_s = 0.0
 
     def close(self) -> None:
-        """Ends all listeners and connections."""
+        """Closes all listeners and connections."""
         for server in self._servers:
             server.close()
         for connection in list(self.connections):
--- a/trackspread/testing/standins/datagram_relay.py
+++ b/trackspread/testing/standins/datagram_relay.py
@@ -1,4 +1,4 @@
-"""Relays for datagrams that delay, reorder, duplicate, throttle, lose and cut."""
+"""Relays datagrams and delays, reorders, duplicates, throttles, loses or blocks them."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from .loopback import Address, own_address
 from .network_path import NetworkPaths
 
-MAX_DELAYED_DATAGRAMS = 4096  # of one relay; more are lost, as on any network
+MAX_DELAYED_DATAGRAMS = 4096  # limit for one relay; further datagrams are lost, as on any network
 
-OnDatagram = Callable[[bytes, Address], None]  # with the sender's address
+OnDatagram = Callable[[bytes, Address], None]  # called with the data and the sender's address
 
 
 class RelaySocket(asyncio.DatagramProtocol):
-    """A socket on loopback that hands on what it receives."""
+    """Passes the datagrams that a socket on loopback receives to a callback."""
 
     def __init__(self, on_datagram: OnDatagram) -> None:
         self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self) -> Address:
-        """Binds to any free port; returns the address."""
+        """Binds to a free port and returns the address."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(own_address(), 0))
         host, port = transport.get_extra_info("sockname")[:2]
         return str(host), int(port)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is bound."""
+        """Stores the transport of the bound socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hands the datagram on."""
+        """Passes the datagram to the callback."""
         self._on_datagram(data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """A dead process's port answers with an ICMP error; the datagram is lost."""
+        """Ignores the ICMP error from the port of a process that has ended; the datagram is lost."""
 
     def send(self, data: bytes, target: Address) -> None:
         """Sends a datagram, unless the socket is closed."""
@@ -51,7 +51,7 @@
 
 
 class DelayedDelivery:
-    """Delivers datagrams as the conditions of their paths have it."""
+    """Delivers datagrams according to the network conditions of their paths."""
 
     def __init__(self, paths: NetworkPaths) -> None:
         self._paths = paths
@@ -72,9 +72,9 @@
 
 
 class DatagramRelay:
-    """A socket for every ordered pair of names, so that each knows each by an address of its own.
+    """Relays through one socket for every ordered pair of names, so that each pair has an address of its own.
 
-    `addresses`: where the names listen, and from where they send.
+    `addresses` holds the addresses at which the names listen and from which they send.
     """
 
     def __init__(self, paths: NetworkPaths, addresses: dict[str, Address]) -> None:
@@ -83,7 +83,7 @@
         self._sockets: dict[tuple[str, str], RelaySocket] = {}
 
     async def start(self) -> dict[tuple[str, str], Address]:
-        """Opens the sockets; returns for (a, b) the address that a has for b."""
+        """Opens the sockets and returns, for each pair (a, b), the address at which a reaches b."""
         relayed_addresses = {}
         for source in self._addresses:
             for target in self._addresses:
@@ -94,7 +94,7 @@
         return relayed_addresses
 
     def _forwarder(self, source: str, target: str) -> OnDatagram:
-        """Forwards from `source` to `target`, to which it comes from the address that it has for `source`."""
+        """Returns a callback that forwards from `source` to `target`, through the socket of that pair."""
 
         def deliver(data: bytes) -> None:
             self._sockets[target, source].send(data, self._addresses[target])
--- a/trackspread/testing/standins/discovery_agent.py
+++ b/trackspread/testing/standins/discovery_agent.py
@@ -1,7 +1,7 @@
-"""The platform's discovery agent: one for each gateway, each at an address of its own, all with one list.
+"""Serves the platform's discovery agents, one for each gateway at an address of its own, all with one list.
 
-`GET /api/targets` gives the complete list, `?stream=1&index=N` a watch. What is written to a gateway goes
-into the ledger. During a fault calls end as `AgentFault` says; open watches go on.
+`GET /api/targets` returns the complete list, and `?stream=1&index=N` opens a watch. Each update to a gateway
+is recorded in the ledger. During a fault, calls end as `AgentFault` says, and open watches continue.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from .loopback import Address, own_address
 
 TARGETS_PATH = "/api/targets"
-HEARTBEAT_S = 2.0  # between empty lines of a watch
-RETRY_AFTER_S = 3600  # that an error asks its caller to wait
-LATE_CLOSE_S = 2.1  # after which a call is closed without an answer
-TRICKLE_S = 0.5  # between the bytes of an answer that comes to no line
+HEARTBEAT_S = 2.0  # interval between empty lines of a watch
+RETRY_AFTER_S = 3600  # Retry-After of an error
+LATE_CLOSE_S = 2.1  # time after which a call is closed without an answer
+TRICKLE_S = 0.5  # interval between the bytes of an answer without a complete line
 OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503
 _CHUNKED = [("Transfer-Encoding", "chunked")]
 
 
 class AgentFault(enum.Enum):
-    """What becomes of a call while discovery is faulty."""
+    """Lists the ways in which a call ends while discovery is faulty."""
 
     RESET = "its connection is reset"
     ERROR = "it is answered with an error and a long Retry-After"
@@ -41,10 +41,10 @@
 
 
 class DiscoveryAgent:
-    """One gateway's agent.
+    """Serves one gateway's agent.
 
-    `delay_s`: by which updates are late. `withholds_updates`: open watches get none. `fault`: of the calls
-    that come; `on_fault` is called after each of these. `call_times_ns`: of the monotonic clock.
+    `delay_s` is the delay of updates. With `withholds_updates` open watches get none. `fault` applies to new
+    calls, and `on_fault` is called after each of these. `call_times_ns` has times of the monotonic clock.
     """
 
     def __init__(self, backend_list: BackendList, gateway: int, ledger: Ledger) -> None:
@@ -62,7 +62,7 @@
         backend_list.subscribers.append(self._publish)
 
     async def start(self) -> None:
-        """Listens; always at the same address."""
+        """Starts to listen; after a stop it uses the same address again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Call(self), *self.address)
         self.address = own_address(), int(self._server.sockets[0].getsockname()[1])
@@ -85,37 +85,37 @@
             self._ledger.write(EndpointAnnounced(now, f"n{self.gateway}", host, ready))
 
     def abort_watches(self) -> None:
-        """Ends every watch; a gateway calls again with the version that it has."""
+        """Aborts every watch; a gateway calls again with the version that it has."""
         for watch in list(self._watches):
             watch.abort()
 
     def stop_updates(self) -> None:
-        """Open watches get nothing any more, and stay open; other calls are answered."""
+        """Stops all output on open watches, which stay open; other calls are answered."""
         for watch in self._watches:
             watch.stop_timer()
         self._watches.clear()
 
     def add_watch(self, watch: _Call) -> None:
-        """A watch is open."""
+        """Adds an open watch."""
         self._watches.add(watch)
 
     def remove_watch(self, watch: _Call) -> None:
-        """A call has ended."""
+        """Removes a call that has ended, if it was a watch."""
         self._watches.discard(watch)
 
     def stop_listening(self) -> None:
-        """New connections are refused until it is started again; open watches stay."""
+        """Refuses new connections until the next start; open watches stay."""
         if self._server is not None:
             self._server.close()
 
     def close(self) -> None:
-        """Ends the listener and every watch."""
+        """Closes the listener and aborts every watch."""
         self.stop_listening()
         self.abort_watches()
 
 
 class _Call(asyncio.Protocol):
-    """One HTTP call; a watch stays open."""
+    """Handles one HTTP call; a watch stays open."""
 
     def __init__(self, agent: DiscoveryAgent) -> None:
         self._agent = agent
@@ -149,7 +149,7 @@
             self._watch(int(parameters.get("index", ["0"])[0]))
 
     def _watch(self, version: int) -> None:
-        """Sends what changed after a version, or the complete list for 0, and stays open."""
+        """Sends the changes after a version, or the complete list for 0, and stays open."""
         agent = self._agent
         self._send(h11.Response(status_code=OK, headers=_CHUNKED))
         agent.add_watch(self)
@@ -192,12 +192,12 @@
         self._timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
 
     def stop_timer(self) -> None:
-        """No more heartbeats."""
+        """Stops the heartbeats."""
         if self._timer is not None:
             self._timer.cancel()
 
     def send_update(self, update: JsonObject) -> None:
-        """Writes an update to the gateway and into the ledger."""
+        """Sends an update to the gateway and records it in the ledger."""
         self._send(h11.Data(data=json.dumps(update).encode() + b"\n"))
         self._agent.record(update)
 
@@ -211,7 +211,7 @@
         self.stop_timer()
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Aborts the connection."""
         cast(asyncio.Transport, self._transport).abort()
 
 
--- a/trackspread/testing/standins/fault_schedule.py
+++ b/trackspread/testing/standins/fault_schedule.py
@@ -1,8 +1,8 @@
-"""Faults between processes as data: a schedule is drawn from a seed, saved, and played.
+"""Describes faults between processes as schedules, which are drawn from a seed, saved and played.
 
-A schedule says what happens, to whom and when. It does not depend on the machine, so a file that was kept
-beside a failing run can be played again, on processes or in virtual time. Names are those of gateways (n0,
-n1, ...) and, where relays lie between, rating nodes. In files fields and types keep the names that `rename`
+A schedule lists faults with their targets and times. It does not depend on the machine, so the schedule file
+of a failing run can be played again, on processes or in virtual time. Names are those of gateways (n0, n1,
+...) and, where relays connect them, of rating nodes. In files, fields and types have the names that `rename`
 and `tag` give.
 """
 
@@ -16,28 +16,28 @@
 
 from .network_path import ALL_PROTOCOLS, NetworkProtocol
 
-Direction = tuple[str, str]  # from whom, to whom
-CRASH_LOOP_DOWNTIME_S = 0.3  # between a kill and the next start
+Direction = tuple[str, str]  # names of the sender and the receiver
+CRASH_LOOP_DOWNTIME_S = 0.3  # time between a kill and the next start
 MIN_FAULT_S = 0.5
-MIN_START_RANGE_S = 2.0  # of a drawn fault's start before the calm end
+MIN_START_RANGE_S = 2.0  # shortest range from which the start of a fault is drawn
 
 _TIMES = {"start_s": "at", "duration_s": "span"}
 
 
 class _Fault(msgspec.Struct, frozen=True, tag=True, rename=_TIMES):
-    """What is common to all faults: when one begins, from the schedule's start, and how long it lasts."""
+    """Holds when a fault begins, counted from the schedule's start, and how long it lasts."""
 
     start_s: float
     duration_s: float
 
     @property
     def kind(self) -> str:
-        """The fault's name in files and ledgers."""
+        """Returns the fault's name in files and ledgers."""
         return str(self.__struct_config__.tag)
 
 
 class Cut(_Fault, frozen=True, rename={**_TIMES, "directions": "pairs", "protocols": "over"}):
-    """Nothing gets through in the given directions."""
+    """Blocks all traffic in the given directions."""
 
     directions: tuple[Direction, ...]
     protocols: tuple[NetworkProtocol, ...] = ALL_PROTOCOLS
@@ -57,7 +57,10 @@
         "bytes_per_s": "rate",
     },
 ):
-    """Messages are delayed, lost (a chance), duplicated (a chance) and throttled (0: no limit)."""
+    """Delays, loses, duplicates and throttles messages.
+
+    `loss` and `duplication` are probabilities. `bytes_per_s` is 0 for no limit.
+    """
 
     directions: tuple[Direction, ...]
     protocols: tuple[NetworkProtocol, ...] = ALL_PROTOCOLS
@@ -69,7 +72,7 @@
 
 
 class Pause(_Fault, frozen=True, tag="Halt"):
-    """Processes are stopped (SIGSTOP) and go on afterwards (SIGCONT)."""
+    """Stops processes (SIGSTOP) and continues them afterwards (SIGCONT)."""
 
     gateways: tuple[int, ...]
 
@@ -77,7 +80,7 @@
 class PauseCycle(
     _Fault, frozen=True, tag="Duty", rename={**_TIMES, "paused_share": "part", "period_s": "period"}
 ):
-    """Slow processes: each is stopped for a share of every period."""
+    """Slows processes down by stopping each for a share of every period."""
 
     gateways: tuple[int, ...]
     paused_share: float = 0.3
@@ -85,28 +88,28 @@
 
 
 class Restart(_Fault, frozen=True, rename={**_TIMES, "kill": "outright"}):
-    """Gateways end together and start again after `duration_s`. `kill`: by SIGKILL, else by SIGTERM."""
+    """Ends gateways together, by SIGKILL or else by SIGTERM, and starts them after `duration_s`."""
 
     gateways: tuple[int, ...]
     kill: bool = True
 
 
 class CrashLoop(_Fault, frozen=True, tag="Loop", rename={**_TIMES, "interval_s": "every"}):
-    """A gateway is killed again and again, each time `interval_s` after its start."""
+    """Kills a gateway repeatedly, each time `interval_s` after its start."""
 
     gateway: int
     interval_s: float = 0.3
 
 
 class NoFault(_Fault, frozen=True, tag="Calm"):
-    """Nothing happens, for comparison."""
+    """Causes no fault, for comparison."""
 
 
 Fault = NoFault | Cut | DegradedNetwork | Pause | PauseCycle | Restart | CrashLoop
 
 
 class Schedule(msgspec.Struct, frozen=True, rename={"duration_s": "seconds"}):
-    """The faults of one run; `duration_s` includes the calm times before and after them."""
+    """Holds the faults of one run; `duration_s` includes the times without faults before and after them."""
 
     name: str
     seed: int
@@ -120,36 +123,34 @@
 
 
 def load(path: Path) -> Schedule:
-    """What `Schedule.save` wrote; raises `msgspec.DecodeError` on anything else."""
+    """Reads a file of `Schedule.save`; raises `msgspec.DecodeError` on any other content."""
     return msgspec.json.decode(path.read_bytes(), type=Schedule)
 
 
-# Shapes of cuts.
-
-
 def partition(side: Sequence[str], other_side: Sequence[str]) -> tuple[Direction, ...]:
-    """Neither side receives anything from the other."""
+    """Returns both directions between the two sides, which so receive nothing from each other."""
     return tuple(pair for a in side for b in other_side for pair in ((a, b), (b, a)))
 
 
 def one_way(sources: Sequence[str], targets: Sequence[str]) -> tuple[Direction, ...]:
-    """The targets receive nothing from the sources; the sources still receive from them."""
+    """Returns the directions from sources to targets; sources still receive from targets."""
     return tuple((source, target) for source in sources for target in targets if source != target)
 
 
 def ring(names: Sequence[str]) -> tuple[Direction, ...]:
-    """Each is cut off from the next: everybody reaches a majority, and no two the same one."""
+    """Returns both directions between neighbours on a ring.
+
+    With these cut, each name reaches a majority, and no two names the same one.
+    """
     successors = [*names[1:], names[0]]
     return tuple(pair for a, b in zip(names, successors, strict=True) for pair in ((a, b), (b, a)))
 
 
 def all_directions(names: Sequence[str]) -> tuple[Direction, ...]:
-    """Both directions between any two."""
+    """Returns both directions between any two names."""
     return tuple((source, target) for source in names for target in names if source != target)
 
 
-# Drawn schedules.
-
 _PROCESS_FAULTS = ("halt", "duty", "kill", "end", "loop")
 _KINDS = ("halves", "one_way", "ring", "rough", *_PROCESS_FAULTS)
 
@@ -157,9 +158,9 @@
 def draw(
     seed: int, gateways: int, duration_s: float = 12.0, lead_s: float = 2.0, tail_s: float = 5.0
 ) -> Schedule:
-    """Two to four faults of mixed kinds, with `lead_s` and `tail_s` without faults around them.
+    """Draws two to four faults of mixed kinds, with `lead_s` and `tail_s` without faults around them.
 
-    Each gateway is killed or stopped by one fault at most.
+    At most one fault kills or stops each gateway.
     """
     rng = random.Random(f"faults:{seed}:{gateways}")
     names = [f"n{number}" for number in range(gateways)]
@@ -176,7 +177,7 @@
 def _draw_fault(
     rng: random.Random, start_s: float, duration_s: float, names: Sequence[str], free: list[int]
 ) -> Fault:
-    """`free`: the gateways that no process fault has taken; those of this one are removed."""
+    """Draws one fault; the gateways of a process fault are removed from `free`."""
     kind = rng.choice(_KINDS)
     side = rng.sample(names, rng.randint(1, len(names) // 2))
     other_side = [name for name in names if name not in side]
--- a/trackspread/testing/standins/faulty_network.py
+++ b/trackspread/testing/standins/faulty_network.py
@@ -1,7 +1,8 @@
-"""A faulty network on loopback: relays that delay, lose, duplicate, reorder, throttle, cut and half-close.
+"""Provides a faulty network on loopback from relays with delay, loss, duplication, throttling and cuts.
 
-What happens is set for each pair of names, each direction and each of UDP and TCP (`network_path.py`) and
-drawn from a seed. The relays know no protocol above these.
+The relays also reorder datagrams and half-close connections. Conditions are set for each pair of names, each
+direction and each of UDP and TCP (`network_path.py`); faults are drawn from a seed. The relays know no
+protocol above UDP and TCP.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class FaultyNetwork(NetworkPaths):
-    """All paths and relays of one run."""
+    """Holds all paths and relays of one run."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(random.Random(f"wire:{seed}"))
@@ -29,7 +30,7 @@
         return await relay.start()
 
     def tcp_relays(self, source: str, target: str) -> list[TcpRelay]:
-        """The TCP relays from `source` to `target`."""
+        """Returns the TCP relays from `source` to `target`."""
         return [
             relay
             for relay in self._relays
@@ -39,16 +40,17 @@
     async def datagrams(self, addresses: dict[str, Address]) -> dict[tuple[str, str], Address]:
         """Opens relays between all names, which listen at `addresses`.
 
-        Returns for (a, b) the address that a has for b, both to send to and to recognise what comes from b.
+        Returns, for each pair (a, b), the address at which a reaches b and from which b's datagrams arrive at
+        a.
         """
         relay = DatagramRelay(self, addresses)
         self._relays.append(relay)
         return await relay.start()
 
     async def shared_addresses(self, addresses: dict[str, Address]) -> dict[str, Address]:
-        """Opens one address for each name, for datagrams and connections from all others; returns these.
+        """Opens and returns one address for each name, for datagrams and connections from all others.
 
-        Senders are recognised by their host, so each name has to listen at a host of its own.
+        Senders are identified by their host, so each name has to listen at a host of its own.
         """
         relay = SharedAddressRelay(self, addresses)
         self._relays.append(relay)
--- a/trackspread/testing/standins/loopback.py
+++ b/trackspread/testing/standins/loopback.py
@@ -1,9 +1,9 @@
-"""Addresses on loopback that no other process here has, so that no port is taken twice by runs side by side.
+"""Assigns addresses on loopback to one process each, so that runs in parallel do not use the same port.
 
-Every process gets two addresses of 127.0.0.0/8 of its own, by its number: at one it listens on any free
-port, at the other ports are reserved for others to listen on. At a single address a relay could take, by
-chance, the port of a gateway that was about to start. Outgoing connections come from 127.0.0.1 and take
-none of these. Where only 127.0.0.1 can be bound (not on Linux), it serves for all.
+Every process gets two addresses of 127.0.0.0/8 of its own from its process id. At one it listens on any free
+port, and at the other it reserves ports for other processes to listen on. With a single address a relay could
+by chance take the port of a gateway that was about to start. Outgoing connections come from 127.0.0.1 and use
+none of these ports. Where only 127.0.0.1 can be bound (not on Linux), it replaces all of these addresses.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 Address = tuple[str, int]
 
-# The second byte of the first address of each kind; each kind has 64 of them.
+# Each is the second byte of the first address of a kind; a kind has 64 such bytes.
 ANY_PORTS, RESERVED_PORTS, HOSTS = 64, 128, 192
-RANDOM_BITS = 22  # of an address, behind its kind
-HOST_LOCK_PORT = 1024  # bound for as long as a host is in use: whoever finds it taken draws another
+RANDOM_BITS = 22  # bits of an address after its kind
+HOST_LOCK_PORT = 1024  # bound while a host is in use; a process that finds it bound draws another host
 
 
 def address_text(address: Address) -> str:
-    """As configurations have it: `host:port`."""
+    """Returns the address as `host:port`, the form of configurations."""
     host, port = address
     return f"{host}:{port}"
 
 
 def _host(kind: int, number: int) -> str:
-    """The host of a kind for a number of `RANDOM_BITS`."""
+    """Returns the host of a kind for a number of `RANDOM_BITS`."""
     return f"127.{kind + (number >> 16 & 63)}.{number >> 8 & 255}.{number & 255}"
 
 
 @cache
 def own_address(kind: int = ANY_PORTS) -> str:
-    """This process's host of a kind: `ANY_PORTS` or `RESERVED_PORTS`."""
+    """Returns this process's host of a kind, which is `ANY_PORTS` or `RESERVED_PORTS`."""
     host = _host(kind, os.getpid())
     try:
         with socket.socket() as probe:
@@ -45,22 +45,22 @@
 
 
 class Ports:
-    """Ports for others to listen on, each given once; they stay the same over their owners' restarts."""
+    """Reserves ports for other processes; each is given once and stays valid over its owner's restarts."""
 
     def __init__(self) -> None:
         self._reserved: set[tuple[int, int]] = set()
         self._host_locks: list[socket.socket] = []
 
     def tcp(self) -> Address:
-        """A port for connections."""
+        """Reserves a port for connections."""
         return self._reserve(socket.SOCK_STREAM)
 
     def udp(self) -> Address:
-        """A port for datagrams."""
+        """Reserves a port for datagrams."""
         return self._reserve(socket.SOCK_DGRAM)
 
     def host(self) -> str:
-        """A host that no other process of this machine uses, until `close`."""
+        """Reserves a host that no other process of this machine uses until `close`."""
         while True:
             host = _host(HOSTS, random.SystemRandom().getrandbits(RANDOM_BITS))
             lock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -73,7 +73,7 @@
             return host
 
     def close(self) -> None:
-        """Others may use the hosts."""
+        """Releases the reserved hosts."""
         for lock in self._host_locks:
             lock.close()
 
--- a/trackspread/testing/standins/network_path.py
+++ b/trackspread/testing/standins/network_path.py
@@ -1,4 +1,7 @@
-"""The conditions on every path of a faulty network: one direction between two names, for UDP or TCP."""
+"""Holds the conditions on every path of a faulty network.
+
+A path is one direction between two names, for UDP or TCP.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 
 @dataclass(slots=True)
 class NetworkPath:
-    """One direction between two names; it may be changed at any time.
+    """Holds the conditions of one direction between two names, which may be changed at any time.
 
-    `loss` and `duplication` are chances from 0 to 1, for datagrams only. `jitter_s` is the longest further
-    delay; datagrams overtake one another by it. `blackhole`: what comes is taken and discarded, and no side
-    notices. `bytes_per_s`: throughput; 0 for no limit.
+    `loss` and `duplication` are probabilities and apply to datagrams only. `jitter_s` is the longest
+    additional delay, which also reorders datagrams. With `blackhole` all data is accepted and discarded, and
+    neither side notices. `bytes_per_s` limits the throughput; 0 means no limit.
     """
 
     delay_s: float = 0.0
@@ -26,10 +29,10 @@
     duplication: float = 0.0
     blackhole: bool = False
     bytes_per_s: float = 0.0
-    _busy_until: float = 0.0  # loop time at which all that was sent so far is through
+    _busy_until: float = 0.0  # loop time at which all data sent so far is transmitted
 
     def delivery_delay_s(self, now: float, size: int, rng: random.Random) -> float:
-        """The s until `size` bytes, sent at the loop time `now`, are at the other end."""
+        """Returns the delay in s until `size` bytes, sent at the loop time `now`, are at the other end."""
         wait = 0.0
         if self.bytes_per_s:
             self._busy_until = max(self._busy_until, now) + size / self.bytes_per_s
@@ -37,7 +40,7 @@
         return wait + self.delay_s + rng.uniform(0.0, self.jitter_s)
 
     def datagram_delays_s(self, now: float, size: int, rng: random.Random) -> list[float]:
-        """The s until a datagram arrives, once for each copy; empty if it is lost."""
+        """Returns the delay in s of each copy of a datagram; the list is empty if it is lost."""
         if self.blackhole:
             return []
         copies = 1 + (rng.random() < self.duplication)
@@ -45,18 +48,18 @@
 
 
 class NetworkPaths:
-    """All paths of one run, with the random generator from which their faults are drawn."""
+    """Holds all paths of one run, with the random generator from which their faults are drawn."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self._paths: dict[tuple[str, str, NetworkProtocol], NetworkPath] = {}
 
     def path(self, source: str, target: str, protocol: NetworkProtocol) -> NetworkPath:
-        """The path of one direction."""
+        """Returns the path of one direction."""
         return self._paths.setdefault((source, target, protocol), NetworkPath())
 
     def paths_between(self, names: Iterable[str]) -> list[NetworkPath]:
-        """The paths of all directions between any two of the names."""
+        """Returns the paths of all directions between any two of the names."""
         chosen = list(names)
         return [
             self.path(source, target, protocol)
--- a/trackspread/testing/standins/node_server.py
+++ b/trackspread/testing/standins/node_server.py
@@ -1,7 +1,7 @@
-"""A rating node on sockets, RESP2: a server round `RatingNode`.
+"""Serves a rating node (`RatingNode`) on sockets with RESP2.
 
 Each gateway has a listener of its own, so that every attempt in the ledger names its gateway. Faults are
-plain attributes; which answers are affected is drawn from a seed.
+plain attributes; the answers that they affect are drawn from a seed.
 """
 
 from __future__ import annotations
@@ -24,26 +24,27 @@
 from .transports import reset
 
 LISTEN_BACKLOG = 1024
-REQUEST_WORD = 2  # of a command: the request's name
+REQUEST_WORD = 2  # index of the request's name in a command
 INVALID_ANSWERS: tuple[Callable[[bytes], bytes], ...] = (
-    lambda valid: b"+OK\r\n",  # not an answer's three parts
+    lambda valid: b"+OK\r\n",  # lacks the three parts of an answer
     lambda valid: b"*3\r\n$100000000\r\n",  # a header that announces too much
     lambda valid: valid[:-2] + b"xx",  # wrong framing
     lambda valid: b"HTTP/1.1 200 OK\r\n\r\n",  # another protocol
-    lambda valid: valid[: len(valid) // 2],  # half of it, and nothing more
+    lambda valid: valid[: len(valid) // 2],  # half of an answer
 )
 
 
 def bulk(value: bytes) -> bytes:
-    """A RESP bulk string."""
+    """Encodes a RESP bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 class NodeServer:
-    """One process of one rating node.
+    """Runs one process of one rating node.
 
-    `command_forms`: what clients sent. `unresponsive`: requests are executed and not answered. An answer is
-    invalid by `invalid_answer_chance`, or replaced by a reset by `reset_chance`.
+    `command_forms` holds the commands that clients sent. While `unresponsive` is set, requests are executed
+    and not answered. An answer is invalid with probability `invalid_answer_chance`, and a reset replaces it
+    with probability `reset_chance`.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def start(self) -> None:
-        """Listens for each gateway; after `crash` at the same addresses."""
+        """Starts to listen for each gateway; after `crash` it uses the same addresses again."""
         loop = asyncio.get_running_loop()
         for number in range(self._gateways):
             is_new = len(self.addresses) <= number
@@ -98,7 +99,7 @@
         )
 
     def crash(self) -> None:
-        """The process dies: open connections are reset, new ones refused."""
+        """Ends the process: open connections are reset, and new ones refused."""
         self.running = False
         for server in self._servers:
             server.close()
@@ -110,7 +111,7 @@
     def accept(
         self, request: str, cls: str, key: str, first_byte_at: int, gateway: str
     ) -> AcceptedRequest | None:
-        """Takes a complete request; None if it is rejected. `first_byte_at`: ns."""
+        """Takes a complete request; returns None if it is rejected. `first_byte_at` is in ns."""
         now = time.monotonic_ns()
         work_ns = request_work_ns(self.scenario.seed, request, self.scenario.mean_work_ns(cls))
         window_ns = self.scenario.deduplication_window_ns if key else 0
@@ -134,13 +135,13 @@
         return accepted
 
     def load_report(self) -> bytes:
-        """The load report as answers have it."""
+        """Returns the load report in the form of answers."""
         report = self.model.load_report(time.monotonic_ns())
         return b"util=%.3f,latency_ms=%.1f,inflight=%d" % report
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; commands are answered in their order."""
+    """Handles one connection; commands are answered in their order."""
 
     def __init__(self, node: NodeServer, gateway: str) -> None:
         self._node = node
--- a/trackspread/testing/standins/rating_node.py
+++ b/trackspread/testing/standins/rating_node.py
@@ -1,7 +1,7 @@
-"""A rating node as a model: cores, a queue, a slow start, idempotency keys, load reports.
+"""Models a rating node with cores, a queue, a slow start, idempotency keys and load reports.
 
-Without I/O and clock: times are arguments, in ns. Work is in ns of one core of usual speed; the same
-request costs the same at every node.
+The model uses no I/O and no clock: times are arguments, in ns. Work is in ns of one core of usual speed, and
+the same request has the same work at every node.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000
-REPEAT_COST_NS = SECOND // 1000  # of looking up a key
-REPORT_INTERVAL_NS = SECOND // 4  # the load report is at most as old as this
+REPEAT_COST_NS = SECOND // 1000  # cost of looking up a key
+REPORT_INTERVAL_NS = SECOND // 4  # greatest age of a load report
 WORK_VARIATION = 0.5  # coefficient of variation of the work of one class's requests
-EXPIRY_INTERVAL = 64  # results stored between removals of expired ones
-SERVICE_TIME_WEIGHT = 0.2  # of the latest request in the mean service time
+EXPIRY_INTERVAL = 64  # number of stored results between removals of expired ones
+SERVICE_TIME_WEIGHT = 0.2  # weight of the latest request in the mean service time
 
 
 def request_work_ns(seed: int, request: str, mean_ns: int) -> int:
-    """The request's work, drawn from a lognormal distribution; the same whenever it is asked for."""
+    """Draws the request's work from a lognormal distribution; equal arguments give equal work."""
     variance = log(1.0 + WORK_VARIATION * WORK_VARIATION)
     draw = random.Random(f"{seed}:{request}").gauss(0.0, 1.0)
     return max(1, int(mean_ns * exp(sqrt(variance) * draw - variance / 2)))
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """One node.
+    """Describes one node.
 
-    `speed`: of each core, as a multiple of the usual. `max_in_flight`: requests that it takes at most, in
-    work and queued. `initial_capacity`: part of its capacity at the beginning of a slow start, which lasts
-    `warm_up_ns`.
+    `speed` is that of each core as a multiple of the usual. `max_in_flight` limits the requests that are
+    executed or queued. `initial_capacity` is the share of its capacity at the beginning of a slow start,
+    which lasts `warm_up_ns`.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 
 class CachedResult(NamedTuple):
-    """The result of a request with an idempotency key."""
+    """Holds the result of a request with an idempotency key."""
 
     expires_at: int
     value: str
@@ -57,19 +57,19 @@
 
 
 class IdempotencyCache:
-    """The results by idempotency key that the nodes of one cell share: a repeat gets the first result."""
+    """Caches results by idempotency key for the nodes of one cell; a repeat gets the first result."""
 
     def __init__(self) -> None:
         self._results: dict[str, CachedResult] = {}
         self._stored = 0
 
     def find(self, now: int, key: str) -> CachedResult | None:
-        """The result of a key, if it has not expired."""
+        """Returns the result of a key, or None if it is unknown or has expired."""
         result = self._results.get(key)
         return result if result is not None and result.expires_at > now else None
 
     def store(self, now: int, key: str, value: str, done_at: int, window_ns: int) -> None:
-        """Keeps a result for `window_ns`."""
+        """Stores a result for `window_ns`."""
         self._results[key] = CachedResult(now + window_ns, value, done_at)
         self._stored += 1
         if self._stored % EXPIRY_INTERVAL == 0:
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRequest:
-    """A request that is executed. `is_repeat`: its key was known, so that it has no effect of its own."""
+    """Describes an accepted request; with `is_repeat` its key was known, so it has no effect of its own."""
 
     done_at: int
     value: str
@@ -88,7 +88,7 @@
 
 
 class LoadReport(NamedTuple):
-    """A node's load; `busy`: part of its cores."""
+    """Holds a node's load; `busy` is the share of its cores that work."""
 
     busy: float
     service_time_ms: float
@@ -100,10 +100,11 @@
 
 @dataclass(slots=True)
 class RatingNode:
-    """One process of a node.
+    """Models one process of a node.
 
-    `slow_start`: it has to warm up. It crashes when it is sent more than `overload_multiple` times what it
-    can do in `overload_window_ns` while it warms up. `slowdown`: by which everything takes longer.
+    With `slow_start` it has to warm up. It crashes if, while it warms up, it receives more than
+    `overload_multiple` times its capacity within `overload_window_ns`. `slowdown` multiplies all service
+    times.
     """
 
     spec: NodeSpec
@@ -129,7 +130,7 @@
         self._reported_at = self.created_at - REPORT_INTERVAL_NS
 
     def capacity_share(self, now: int) -> float:
-        """The part of its capacity that it has now."""
+        """Returns the share of its full capacity that it has at `now`."""
         age = now - self.created_at
         if not self.slow_start or age >= self.spec.warm_up_ns:
             return 1.0
@@ -139,9 +140,9 @@
     def accept(
         self, now: int, request: str, work_ns: int, key: str = "", window_ns: int = 0
     ) -> AcceptedRequest | None:
-        """Takes a complete request; None if it is rejected and not executed.
+        """Takes a complete request; returns None if it is rejected and not executed.
 
-        `key`: the idempotency key, cached for `window_ns`. Sets `crashed` on overload.
+        The result of `key`, the idempotency key, is cached for `window_ns`. Sets `crashed` on overload.
         """
         self._check_overload(now, work_ns)
         self._remove_done(now)
@@ -181,7 +182,7 @@
             heappop(self._in_flight)
 
     def load_report(self, now: int) -> LoadReport:
-        """Its load, at most `REPORT_INTERVAL_NS` old."""
+        """Returns its load report, which is at most `REPORT_INTERVAL_NS` old."""
         if now - self._reported_at >= REPORT_INTERVAL_NS:
             self._remove_done(now)
             busy = sum(free_at > now for free_at in self._cores_free_at) / len(self._cores_free_at)
--- a/trackspread/testing/standins/scenario.py
+++ b/trackspread/testing/standins/scenario.py
@@ -1,6 +1,7 @@
-"""One fleet to test with: classes, plans, rating nodes, tenants. Without I/O.
+"""Describes a fleet for tests, with its classes, plans, rating nodes and tenants.
 
-It gives settings for gateways, figures for the judge, and models for stand-ins.
+From it come the settings of gateways, the judge's parameters and the models of stand-ins. The module uses no
+I/O.
 """
 
 from __future__ import annotations
@@ -19,14 +20,17 @@
 ZONES = ("a", "b", "c")
 NODES_PER_CELL = 3
 CORES_PER_NODE = 2
-OTHER_PLANS_SHARE = 0.3  # of the tenants, that have another plan than the first
-TENANT_BITS = 33  # of a tenant's number
-_IDEMPOTENCY = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}  # in the platform's words
+OTHER_PLANS_SHARE = 0.3  # share of the tenants with a plan other than the first
+TENANT_BITS = 33  # size of a tenant's number
+_IDEMPOTENCY = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}  # the platform's terms
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioClass:
-    """One class of request; `work_ns`: the mean at a core of usual speed; `share`: of all requests."""
+    """Describes one class of requests.
+
+    `work_ns` is the mean work on a core of usual speed, and `share` the class's share of all requests.
+    """
 
     name: str
     idempotency: Idempotency
@@ -52,19 +56,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A fleet of gateways and rating nodes; `load` is what is asked for, as part of what the nodes can do.
+    """Describes a fleet of gateways and rating nodes; `load` is the demand as a share of the nodes' capacity.
 
-    - `max_tenants`: the most tenants; `greedy_share`: the share that requests several times its quota.
+    - `max_tenants`: limit on tenants; `greedy_share`: the share that requests several times its quota.
     - `deduplication_window_ns`: how long a cell's nodes remember an idempotency key.
     - `warm_up_ns`: the length of a slow start, which begins with `initial_capacity`, a share of the capacity.
-      Meanwhile a node crashes if it is sent more than `overload_multiple` times what it can do in
+      Meanwhile a node crashes if it receives more than `overload_multiple` times its capacity within
       `overload_window_ns`.
     - `drain_grace_ns`: how long a draining node may still get requests.
-    - `tolerance_ns`: how far apart two times may be for the judge to take them as the same.
-    - `max_excess_share`: the part of the units forwarded that may lie beyond quotas.
-    - `plans`: the first is most tenants', the others have even parts of the rest.
-    - `setting_overrides`: settings that differ from the usual, by section and key.
-    - `excess_cost`: of a unit beyond a quota, as a multiple of its priority weight.
+    - `tolerance_ns`: the largest difference of two times that the judge takes as the same.
+    - `max_excess_share`: the largest permitted share of the forwarded units that is beyond quotas.
+    - `plans`: most tenants have the first plan; the rest is spread evenly over the others.
+    - `setting_overrides`: settings that differ from the usual ones, by section and key.
+    - `excess_cost`: the cost of a unit beyond a quota, as a multiple of its priority weight.
     """
 
     gateways: int = 3
@@ -89,13 +93,13 @@
     excess_cost: float = 1.0
 
     def node_specs(self) -> list[NodeSpec]:
-        """The nodes at the beginning."""
+        """Returns the nodes at the start of a run."""
         return [self.node_spec(number) for number in range(self.nodes)]
 
     def node_spec(self, number: int, generation: int = 0) -> NodeSpec:
-        """The node at a place, or its successor of a generation, which has a name of its own.
+        """Returns the node at a position, or its successor of a generation, which has a name of its own.
 
-        Cells have three nodes each, and a zone of their own by turns.
+        Each cell has three nodes, and zones are assigned to cells in rotation.
         """
         name = f"s-{number}" + (f"-{generation}" if generation else "")
         cell = number // NODES_PER_CELL
@@ -109,31 +113,31 @@
         )
 
     def service(self, spec: NodeSpec) -> str:
-        """The service of a node; "" for the default one."""
+        """Returns the service of a node, or "" for the default one."""
         return ""
 
     def successor(self, spec: NodeSpec) -> NodeSpec:
-        """The next generation at the same place."""
+        """Returns the next generation of a node at the same position."""
         number, generation = [*spec.name.split("-")[1:], "0"][:2]
         return self.node_spec(int(number), int(generation) + 1)
 
     def rating_node(
         self, spec: NodeSpec, caches: dict[int, IdempotencyCache], now: int, slow_start: bool
     ) -> RatingNode:
-        """The model of a node that starts at `now`, in ns. `caches`: by cell; missing ones are added."""
+        """Returns the model of a node that starts at `now` (ns); missing caches of cells are added."""
         cache = caches.setdefault(spec.cell, IdempotencyCache())
         return RatingNode(spec, cache, now, slow_start, self.overload_window_ns, self.overload_multiple)
 
     def mean_work_ns(self, cls: str) -> int:
-        """The mean work of a class's requests."""
+        """Returns the mean work of a class's requests in ns."""
         return next(each.work_ns for each in self.classes if each.name == cls)
 
     def idempotency(self, cls: str) -> Idempotency:
-        """Whether a class's requests may be repeated."""
+        """Returns the idempotency of a class's requests."""
         return next(each.idempotency for each in self.classes if each.name == cls)
 
     def rule_parameters(self) -> RuleParameters:
-        """The figures that the judge needs."""
+        """Returns the parameters of the judge's rules."""
         window_ns = self.deduplication_window_ns
         rules = {
             each.name: ClassRule(each.idempotency, each.deduplication_scope, window_ns)
@@ -150,7 +154,7 @@
         )
 
     def settings(self, position: int) -> dict[str, Any]:
-        """The platform's settings of one gateway, nested."""
+        """Returns the platform's settings of one gateway in their nested form."""
         settings = nested_settings(
             self._class_settings(), self._plan_settings(), position, self.gateways, zones=self.zones
         )
@@ -187,13 +191,13 @@
                 plan.rate_per_s,
                 plan.burst_units,
                 (plan.hard_limit_per_s, plan.hard_limit_burst_units, plan.hard_limit_slack_units),
-                over_cost=self.excess_cost,
+                excess_cost=self.excess_cost,
             )
             for name, plan in self.plans.items()
         ]
 
     def population(self) -> ClientPopulation:
-        """Tenants whose requests add up to the load; greedy ones ask for two to four times their quota."""
+        """Draws tenants whose requests add up to the load; greedy ones use two to four times their quota."""
         rng = random.Random(f"scene:{self.seed}")
         mean_work_s = sum(each.share * each.work_ns for each in self.classes) / SECOND
         total_per_s = self.load * self.nodes * CORES_PER_NODE / mean_work_s
@@ -211,9 +215,9 @@
         return ClientPopulation(tenants, demands, self.gateways, self.seed, self.behavior)
 
     def _draw_tenant(self, rng: random.Random) -> Tenant:
-        (usual, *others), lot = self.plans, rng.random()
-        has_other = others and lot < OTHER_PLANS_SHARE
-        plan = others[int(lot / OTHER_PLANS_SHARE * len(others))] if has_other else usual
+        (main_plan, *others), draw = self.plans, rng.random()
+        has_other = others and draw < OTHER_PLANS_SHARE
+        plan = others[int(draw / OTHER_PLANS_SHARE * len(others))] if has_other else main_plan
         gateway_count = min(self.gateways, rng.randint(2, 4))
         quota_use = rng.uniform(2.0, 4.0) if rng.random() < self.greedy_share else rng.uniform(0.2, 0.9)
         first_gateway = rng.randrange(self.gateways)
@@ -228,5 +232,5 @@
         )
 
     def changed(self, **changes: Any) -> Scenario:
-        """A copy with other values of some fields."""
+        """Returns a copy with other values of some fields."""
         return replace(self, **changes)
--- a/trackspread/testing/standins/settings.py
+++ b/trackspread/testing/standins/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings in their nested form, from plain figures; for stand-ins, tests and benchmarks."""
+"""Builds the platform's settings in their nested form for stand-ins, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -9,42 +9,51 @@
 
 
 def class_settings(
-    name: str, idempotency: str, group: str, aim: int, deadline: int, window: int, points: float = 3.0
+    name: str,
+    idempotency: str,
+    deduplication_scope: str,
+    latency_objective_ns: int,
+    deadline_ns: int,
+    deduplication_window_ns: int,
+    priority_weight: float = 3.0,
 ) -> dict[str, Any]:
-    """One class; `idempotency` is free, guarded or single_shot, times in ns."""
+    """Returns the settings of one class; `idempotency` is free, guarded or single_shot."""
     return {
         "name": name,
-        "aim": aim,
-        "deadline": deadline,
-        "points": points,
+        "aim": latency_objective_ns,
+        "deadline": deadline_ns,
+        "points": priority_weight,
         "lateWorth": 0.0,
         "idempotency": idempotency,
-        "group": group,
-        "window": window,
+        "group": deduplication_scope,
+        "window": deduplication_window_ns,
     }
 
 
 def plan_settings(
     name: str,
-    rate: float,
-    burst: float,
-    ceiling: tuple[float, float, float] = (0.0, 0.0, 0.0),
+    rate_per_s: float,
+    burst_units: float,
+    hard_limit: tuple[float, float, float] = (0.0, 0.0, 0.0),
     price: float = 1.0,
-    over_cost: float = 1.0,
+    excess_cost: float = 1.0,
 ) -> dict[str, Any]:
-    """One plan; `ceiling`: rate, burst and slack, units a second and units; `over_cost`: of a unit beyond the
-    quota, in its worth."""
+    """Returns the settings of one plan.
+
+    `hard_limit` has the rate (units/s), burst and slack (units). `excess_cost` is the cost of a unit beyond
+    the quota, as a multiple of its value.
+    """
     return {
         "name": name,
-        "quotaRate": rate,
-        "mostAtOnce": burst,
+        "quotaRate": rate_per_s,
+        "mostAtOnce": burst_units,
         "parallel": 0,
         "worthFactor": price,
         "beyondEarns": 0.0,
-        "excessCost": over_cost,
-        "ceilingRate": ceiling[0],
-        "hardBurst": ceiling[1],
-        "ceilingSlack": ceiling[2],
+        "excessCost": excess_cost,
+        "ceilingRate": hard_limit[0],
+        "hardBurst": hard_limit[1],
+        "ceilingSlack": hard_limit[2],
     }
 
 
@@ -57,7 +66,7 @@
     kinds: Sequence[str] = ("m1", "m2"),
     report: Sequence[str] = ("util", "latency_ms", "inflight"),
 ) -> dict[str, Any]:
-    """The object that the platform gives under `settings`; times in ns."""
+    """Returns the object that the platform sends under `settings`; times are in ns."""
     return {
         "classes": list(classes),
         "packages": list(plans),
--- a/trackspread/testing/standins/shared_address_relay.py
+++ b/trackspread/testing/standins/shared_address_relay.py
@@ -1,7 +1,7 @@
-"""A relay with one address for each name, for datagrams and connections alike.
+"""Relays datagrams and connections through one address for each name.
 
-For names that tell one another where they are: each is reached by all others at the same address. A sender is
-recognised by the host that it comes from, so each name has to listen at a host of its own.
+This relay serves processes that exchange their addresses, because all others reach a name at the same
+address. A sender is identified by its host, so each name has to listen at a host of its own.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from .network_path import NetworkPaths
 from .tcp_relay import TcpRelay
 
-PORT_ATTEMPTS = 20  # to find a port that is free for datagrams and connections alike
+PORT_ATTEMPTS = 20  # attempts to find a port that is free for datagrams and connections
 
 
 class SharedAddressRelay:
-    """Relays between all names; `addresses`: where they listen, and from where they send."""
+    """Relays between all names; `addresses` holds where they listen, which is also where they send from."""
 
     def __init__(self, paths: NetworkPaths, addresses: dict[str, Address]) -> None:
         self._paths = paths
@@ -27,7 +27,7 @@
         self._tcp_relays: list[TcpRelay] = []
 
     async def start(self) -> dict[str, Address]:
-        """Opens the addresses; returns by which address each name is reached. Raises `OSError`."""
+        """Opens and returns the address that reaches each name; raises `OSError` if no port is free."""
         return {name: await self._open(name) for name in self._addresses}
 
     async def _open(self, name: str) -> Address:
@@ -43,10 +43,10 @@
             self._sockets[name] = relay_socket
             self._tcp_relays.append(tcp_relay)
             return address
-        raise OSError("no port is free for datagrams and connections alike")
+        raise OSError(f"no port is free for datagrams and connections after {PORT_ATTEMPTS} attempts")
 
     def _forwarder(self, target: str) -> OnDatagram:
-        """Forwards to `target`, to which a datagram comes from its sender's shared address."""
+        """Returns a callback that forwards to `target`; datagrams come from their sender's shared address."""
 
         def forward(data: bytes, sender: Address) -> None:
             source = self._names.get(sender)
--- a/trackspread/testing/standins/tcp_relay.py
+++ b/trackspread/testing/standins/tcp_relay.py
@@ -1,7 +1,7 @@
-"""A relay for TCP connections that delays, throttles, cuts, half-closes and swallows them.
+"""Relays TCP connections and delays, throttles, cuts or half-closes them, or discards their data.
 
-A reset on one side becomes a reset on the other, an end an end: a relay that turned one into the other would
-hide faults. A stream of which something was swallowed never goes on.
+A reset on one side becomes a reset on the other, and an EOF becomes an EOF, because a relay that turned one
+into the other would hide faults. A stream that has lost discarded data never continues.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from .network_path import NetworkPath, NetworkPaths
 from .transports import reset
 
-MAX_BUFFERED_BYTES = 1 << 20  # of one direction of a connection; then its source is not read any more
-MIN_SLEEP_S = 0.0005  # shorter delays between two writes are left out
+MAX_BUFFERED_BYTES = 1 << 20  # limit for one direction of a connection; beyond it the source is not read
+MIN_SLEEP_S = 0.0005  # shorter delays between two writes are skipped
 
 
 class _RelayedConnection(asyncio.Protocol):
-    """One side of a relayed connection; what it reads is written to the other side."""
+    """Handles one side of a relayed connection; data that it reads is written to the other side."""
 
     def __init__(self, relay: TcpRelay, source: str | None, target: str) -> None:
-        """`source`: None until it is recognised by its host."""
+        """Creates one side; `source` is None until it is identified by its host."""
         self._relay = relay
         self.source = source
         self.target = target
-        self.swallowed = False  # something of it was discarded
+        self.has_discarded = False  # data of this side was discarded
         self.other: _RelayedConnection | None = None
-        self.linked = asyncio.Event()  # there is another side to deliver to
+        self.linked = asyncio.Event()  # set when there is another side to deliver to
         self.transport: asyncio.Transport | None = None
         self._deliveries: asyncio.Queue[tuple[float, Callable[[], None]]] = asyncio.Queue()
         self._task: asyncio.Task[None] | None = None
@@ -42,7 +42,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.source is None and not self._relay.recognise(self):
+        if self.source is None and not self._relay.identify(self):
             reset(self.transport)
             return
         self._task = asyncio.get_running_loop().create_task(self._deliver())
@@ -53,9 +53,9 @@
 
     def data_received(self, data: bytes) -> None:
         if self.path.blackhole:
-            self.swallowed = True
+            self.has_discarded = True
             return
-        if self.swallowed:
+        if self.has_discarded:
             reset(cast(asyncio.Transport, self.transport))
             return
         self._buffered_bytes += len(data)
@@ -64,15 +64,15 @@
         self._schedule(partial(self._write, data), len(data))
 
     def eof_received(self) -> bool:
-        """The end is forwarded behind what came before it; this side may still be written to."""
+        """Forwards the EOF after the data before it; this side may still be written to."""
         if self.path.blackhole:
-            self.swallowed = True
+            self.has_discarded = True
         else:
             self._schedule(self._write_eof)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """After a reset the other side is reset; after both ends there is nothing left to reset."""
+        """Resets the other side; after an EOF from both sides it is closed already."""
         self.closed = True
         if self.path.blackhole:
             self._relay.forget(self)
@@ -85,7 +85,7 @@
         self._deliveries.put_nowait((due, delivery))
 
     async def _deliver(self) -> None:
-        """In the order in which it came, whatever the delays: this is a stream."""
+        """Delivers in the order of arrival whatever the delays are, as in any stream."""
         loop = asyncio.get_running_loop()
         await self.linked.wait()
         while True:
@@ -119,16 +119,16 @@
         self.end()
 
     def end(self) -> None:
-        """Nothing more is delivered."""
+        """Stops delivery from this side."""
         if self._task is not None:
             self._task.cancel()
         self._relay.forget(self)
 
 
 class TcpRelay:
-    """One listener: the source connects here and reaches `target`, which listens at `target_address`.
+    """Listens for the source and connects it to `target`, which listens at `target_address`.
 
-    `source`: None where several names may connect; `names_by_host` then says whose a host is.
+    `source` is None where several names may connect; `names_by_host` then identifies them by host.
     """
 
     def __init__(
@@ -149,7 +149,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int = 0) -> Address:
-        """Listens; returns its address. `port`: 0 for any. Raises `OSError` if the port is taken."""
+        """Starts to listen (at any port for 0) and returns the address; raises `OSError` if it is in use."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, own_address(), port)
         host, port = self._server.sockets[0].getsockname()[:2]
@@ -161,8 +161,8 @@
             self._begin(connection)
         return connection
 
-    def recognise(self, connection: _RelayedConnection) -> bool:
-        """Sets a connection's source by the host that it comes from; False for an unknown host."""
+    def identify(self, connection: _RelayedConnection) -> bool:
+        """Sets a connection's source from its host; returns False for an unknown host."""
         host = cast(asyncio.Transport, connection.transport).get_extra_info("peername")[0]
         connection.source = self._names_by_host.get(host)
         if connection.source is not None:
@@ -175,38 +175,38 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, near: _RelayedConnection) -> None:
-        """Connects to the target; what the source writes meanwhile is queued.
+    async def _connect(self, source_side: _RelayedConnection) -> None:
+        """Connects to the target; data that the source writes meanwhile is queued.
 
-        Over a cut path nothing reaches the target, not even the attempt to connect.
+        Over a cut path no data reaches the target, not even the attempt to connect.
         """
-        source = near.source or ""
+        source = source_side.source or ""
         directions = (source, self.target), (self.target, source)
         if any(self.paths.path(*direction, "tcp").blackhole for direction in directions):
-            near.swallowed = True
+            source_side.has_discarded = True
             return
-        far = _RelayedConnection(self, self.target, source)
-        far.other = near
-        far.linked.set()
+        target_side = _RelayedConnection(self, self.target, source)
+        target_side.other = source_side
+        target_side.linked.set()
         try:
-            await asyncio.get_running_loop().create_connection(lambda: far, *self._target_address)
+            await asyncio.get_running_loop().create_connection(lambda: target_side, *self._target_address)
         except OSError:
-            near.end()
-            if near.transport is not None:
-                reset(near.transport)
+            source_side.end()
+            if source_side.transport is not None:
+                reset(source_side.transport)
             return
-        self._connections.add(far)
-        near.other = far
-        near.linked.set()
-        if near.closed and far.transport is not None:
-            reset(far.transport)
+        self._connections.add(target_side)
+        source_side.other = target_side
+        source_side.linked.set()
+        if source_side.closed and target_side.transport is not None:
+            reset(target_side.transport)
 
     def forget(self, connection: _RelayedConnection) -> None:
-        """A connection has ended."""
+        """Removes a connection that has ended."""
         self._connections.discard(connection)
 
     def reset_connections(self) -> int:
-        """Resets all connections on both sides; returns how many sides that were."""
+        """Resets all connections on both sides; returns the number of sides that were reset."""
         transports = [
             connection.transport
             for connection in self._connections
@@ -217,7 +217,7 @@
         return len(transports)
 
     def half_close(self, towards: Literal["source", "target"]) -> int:
-        """Ends what is written towards one side; the other direction goes on. Returns how many ends."""
+        """Sends EOF to one side of each connection, and the other direction stays; returns their number."""
         chosen = [
             connection
             for connection in self._connections
@@ -228,7 +228,7 @@
         return len(chosen)
 
     def close(self) -> None:
-        """Ends the listener and all connections."""
+        """Closes the listener and all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections):
