--- a/tests/testing/test_mutation.py
+++ b/tests/testing/test_mutation.py
@@ -72,7 +72,7 @@
 ) -> None:
     plant.require_sound([PLACEMENT], 1)
     monkeypatch.setattr(plant, "source", lambda module: "raise RuntimeError\n")
-    with pytest.raises(RuntimeError, match="checks of planning find fault with the text as it stands"):
+    with pytest.raises(RuntimeError, match="checks of planning fail on the original text"):
         plant.require_sound([PLACEMENT], 1)
 
 
@@ -93,7 +93,7 @@
         assert before != after and before in " ".join(line.strip() for line in source(module).splitlines())
     bare = tmp_path / "equivalent.toml"
     bare.write_text('[[mutants]]\nmodule = "m"\nbefore = "a"\nafter = "b"\nreason = "none"\n')
-    with pytest.raises(ValueError, match="wants a reason"):
+    with pytest.raises(ValueError, match="reason must have at least 4 words"):
         load(bare)
 
 
--- a/trackspread/testing/mutation/__init__.py
+++ b/trackspread/testing/mutation/__init__.py
@@ -1,4 +1,4 @@
-"""Mutation testing of the decision logic: generated faults, planted in memory, that the checks must detect.
+"""Tests the checks by mutation: they must detect generated faults that are planted in memory.
 
-Only `make mutants`, tests and benchmarks use it; nothing that serves imports it.
+Only `make mutants`, tests and benchmarks use this package; no module that a gateway runs imports it.
 """
--- a/trackspread/testing/mutation/checks.py
+++ b/trackspread/testing/mutation/checks.py
@@ -1,6 +1,6 @@
-"""The checks that mutants are run against, cheapest first.
+"""Defines the checks that mutants are run against, cheapest first.
 
-Modules under test are imported inside the checks only: by then the mutant has replaced them.
+Modules under test are imported only inside the checks, because by then the mutant has replaced them.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 Check = Callable[[], bool]  # returns whether it found a fault
 
-SCHEDULES = 24  # seeds that a mutant is played with, of each kind of world; a sixth in a quick run
-CALM_INTERVAL = 8  # one schedule of the gateways in so many is calm
-USAGE_FACTOR = 4  # schedules of usage records, which are short, for each of the others
+SCHEDULES = 24  # seeds played with a mutant for each kind of world; a quick run has a sixth of them
+CALM_INTERVAL = 8  # every eighth schedule of the gateways is calm
+USAGE_FACTOR = 4  # schedules of usage records for each other schedule, as they are short
 
 
 @dataclass(frozen=True, slots=True)
 class NamedCheck:
-    """A check and the name that results report it by."""
+    """Holds a check and its name in results."""
 
     name: str
     run: Check
@@ -76,9 +76,9 @@
 
 
 def checks(package: str, schedules: int = SCHEDULES) -> tuple[NamedCheck, ...]:
-    """The checks for mutants of a package; raises `KeyError` for a package that has none.
+    """Returns the checks for mutants of a package; raises `KeyError` for a package that has none.
 
-    As many calm schedules of the gateways are added, as only these are checked for use of quotas.
+    An equal number of calm schedules of the gateways is added, as only these are checked for use of quotas.
     """
     seeds = range(schedules)
     match package:
--- a/trackspread/testing/mutation/generate.py
+++ b/trackspread/testing/mutation/generate.py
@@ -1,6 +1,6 @@
-"""All mutants of a module: its text with a change in one place each.
+"""Generates all mutants of a module, each of which is its text with a change in one place.
 
-Changes without a meaning are left out: annotations (never evaluated here), docstrings, duplicates of another
+Changes without an effect are left out: annotations (never evaluated here), docstrings, duplicates of another
 mutant, texts that don't compile, and integers of at least `LARGE` that change by one. Source text is read and
 not executed.
 """
@@ -27,13 +27,11 @@
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT.name
 LARGE = 99  # integers from which a change by one is not a realistic fault
-
-
 KEY_BYTES = 8
 
 
 class Place(NamedTuple):
-    """Where a mutant can be made: an occurrence, among those of an operator, in a module."""
+    """Identifies one occurrence of an operator in a module, where a mutant can be made."""
 
     module: str
     operator: str
@@ -42,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One fault: `before` and `after` are the lines that differ, `text` is the complete module with it.
+    """Holds one fault: `before` and `after` are the lines that differ, and `text` is the complete module.
 
-    `key`: the same for the same fault in the same text, whatever else changes.
+    `key` is the same for the same fault in the same text, whatever else changes.
     """
 
     module: str
@@ -78,12 +76,12 @@
 
 
 def meaning(text: str) -> str:
-    """What of a module's text can make a difference at run time; raises `SyntaxError`."""
+    """Returns the part of a module's text that has an effect at run time; raises `SyntaxError`."""
     return ast.dump(_RemoveAnnotations().visit(ast.parse(text)))
 
 
 def modules(package: str) -> list[str]:
-    """Dotted names of a package's modules (`decide`), or of one module (`backends.pools`)."""
+    """Returns dotted names of a package's modules (`decide`), or of one module (`backends.pools`)."""
     path = ROOT.joinpath(*package.split("."))
     found = [path.with_suffix(".py")] if path.with_suffix(".py").exists() else sorted(path.glob("*.py"))
     names = [".".join((PACKAGE, *p.relative_to(ROOT).with_suffix("").parts)) for p in found]
@@ -91,12 +89,12 @@
 
 
 def source(module: str) -> str:
-    """The text of a module, by its dotted name."""
+    """Returns the text of a module by its dotted name."""
     return ROOT.joinpath(*module.split(".")[1:]).with_suffix(".py").read_text()
 
 
 def places(module: str) -> list[Place]:
-    """All places of a module, in a fixed order."""
+    """Returns all places of a module in a fixed order."""
     nodes = list(_walk(get_ast(source(module))))
     return [
         Place(module, name, occurrence)
@@ -112,7 +110,7 @@
 
 
 def make(place: Place) -> Mutant | None:
-    """The mutant of a place; None if its text would mean the same, or does not compile."""
+    """Returns the mutant of a place, or None if its text has the same meaning or does not compile."""
     text, original_meaning = _original(place.module)
     mutated = mutate_code(text, operators()[place.operator], place.occurrence)
     if mutated is None:
@@ -130,15 +128,16 @@
 
 @cache
 def _original(module: str) -> tuple[str, str]:
-    """A module's text and its meaning."""
+    """Returns a module's text and its meaning."""
     text = source(module)
     return text, meaning(text)
 
 
 def sample(packages: Iterable[str], count: int, seed: int, workers: int = 1) -> Iterator[Mutant]:
-    """Draw `count` different mutants (0 for all) by the seed from all places of the packages.
+    """Draws `count` different mutants (0 for all) by the seed from all places of the packages.
 
-    Each requires parsing a module, up to a fifth of a second, which `workers` processes share.
+    Each mutant requires parsing a module, which takes up to a fifth of a second; `workers` processes share
+    this work.
     """
     names = [module for package in packages for module in modules(package)]
     seen = set[str]()
@@ -156,7 +155,7 @@
 
 
 def _is_large_number_off_by_one(old: ast.Module, new: ast.Module) -> bool:
-    """Whether a large integer has changed by one, which is under a hundredth of it."""
+    """Returns whether a large integer has changed by one, which is about a hundredth of it or less."""
     pairs = zip(_constants(old), _constants(new), strict=False)
     changed = next(((before, after) for before, after in pairs if before != after), None)
     return changed is not None and all(isinstance(value, int) and abs(value) >= LARGE for value in changed)
@@ -167,7 +166,7 @@
 
 
 def _changes_only_types(old: ast.Module, new: ast.Module) -> bool:
-    """Whether a name that only type checkers use has changed: a union of types bound at module level."""
+    """Returns whether a name for type checkers only has changed, a union of types bound at module level."""
     pairs = zip(old.body, new.body, strict=False)
     changed = next((before for before, after in pairs if ast.dump(before) != ast.dump(after)), None)
     return (
--- a/trackspread/testing/mutation/operators.py
+++ b/trackspread/testing/mutation/operators.py
@@ -1,7 +1,7 @@
-"""Which faults are generated: a selection of cosmic-ray's operators, and two more.
+"""Selects the operators that generate faults: some of cosmic-ray's, and two more.
 
-Replacements that nearly always raise (`+` by `<<` on floats) are left out, as any check detects them and the
-share of detected mutants would look better than it is. No file is changed.
+Replacements that nearly always raise (`+` by `<<` on floats) are left out, because any check detects them and
+the share of detected mutants would look better than it is. No file is changed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cosmic_ray.operators.operator import Operator
 from cosmic_ray.plugins import get_operator, operator_names
 
-Span = tuple[tuple[int, int], tuple[int, int]]  # from line and column to line and column
+Span = tuple[tuple[int, int], tuple[int, int]]  # first and last position, each as line and column
 
 _PAIRS = {
     "ReplaceBinaryOperator": ("Add_Sub", "Sub_Add", "Mul_Div", "Div_Mul", "FloorDiv_Div", "Mod_FloorDiv"),
@@ -51,14 +51,14 @@
     """Replaces a statement of one line in a function by `pass`."""
 
     def mutation_positions(self, node: Any) -> Iterator[Span]:
-        """The span of the node if it is such a statement."""
+        """Yields the span of the node if it is such a statement."""
         if node.type != "simple_stmt" or node.get_first_leaf().value in _NOT_DROPPED_KEYWORDS:
             return
         if node.children[0].type not in _NOT_DROPPED_TYPES and _is_inside(node, "funcdef"):
             yield node.start_pos, node.end_pos
 
     def mutate(self, node: Any, index: int) -> Any:
-        """`pass` in the place of the node."""
+        """Returns a `pass` statement in the place of the node."""
         replacement = parso.parse("pass\n").children[0]  # type: ignore[no-untyped-call]
         replacement.parent = node.parent
         replacement.get_first_leaf().prefix = node.get_first_leaf().prefix
@@ -66,7 +66,7 @@
 
     @classmethod
     def examples(cls) -> tuple[()]:
-        """None: cosmic-ray's own tests use them."""
+        """Returns no examples, because only cosmic-ray's own tests use them."""
         return ()
 
 
@@ -78,18 +78,18 @@
     """Replaces a call of `min` by `max` and the reverse."""
 
     def mutation_positions(self, node: Any) -> Iterator[Span]:
-        """The span of the node if it is the name of a called function to swap."""
+        """Yields the span of the node if it is the name of a called function to swap."""
         if node.type == "name" and node.value in _SWAPPED and _is_called(node):
             yield node.start_pos, node.end_pos
 
     def mutate(self, node: Any, index: int) -> Any:
-        """The node with the other name."""
+        """Returns the node with the other name."""
         node.value = _SWAPPED[node.value]
         return node
 
     @classmethod
     def examples(cls) -> tuple[()]:
-        """None: cosmic-ray's own tests use them."""
+        """Returns no examples, because only cosmic-ray's own tests use them."""
         return ()
 
 
@@ -102,7 +102,7 @@
 
 
 def _is_inside(node: Any, node_type: str) -> bool:
-    """Whether an ancestor of the node is of this type."""
+    """Returns whether an ancestor of the node is of this type."""
     while node.parent is not None:
         node = node.parent
         if node.type == node_type:
@@ -112,7 +112,7 @@
 
 @cache
 def operators() -> dict[str, Operator]:
-    """All operators by name, in a fixed order; raises `RuntimeError` if cosmic-ray lacks one."""
+    """Returns all operators by name, in a fixed order; raises `RuntimeError` if cosmic-ray lacks one."""
     wanted = {f"core/{name}_{pair}" for name, pairs in _PAIRS.items() for pair in pairs}
     wanted |= {f"core/{name}" for name in _SINGLE}
     known = set(operator_names())
--- a/trackspread/testing/mutation/plant.py
+++ b/trackspread/testing/mutation/plant.py
@@ -1,7 +1,7 @@
 """Runs the checks on a mutant, which replaces its module in a new process.
 
 The module's file is not changed: an import hook supplies the mutant's text. A mutant that hangs, or takes
-many times as long as the checks usually do, is killed by the parent and counts as detected by the clock.
+many times as long as the checks usually do, is killed by the parent and counts as detected by `clock`.
 """
 
 from __future__ import annotations
@@ -26,14 +26,19 @@
 from .checks import SCHEDULES, checks
 from .generate import Mutant, source
 
-TIMEOUT_S = 60.0  # for one mutant: about ten times what the checks take on the original text
-PRELOADED = ["pytest", "hypothesis", "msgspec", "trackspread.testing.mutation.checks"]  # no module under test
+TIMEOUT_S = 60.0  # for one mutant; about ten times the duration of the checks on the original text
+PRELOADED = [
+    "pytest",
+    "hypothesis",
+    "msgspec",
+    "trackspread.testing.mutation.checks",
+]  # contains no module under test
 PLANTED = "planted"  # the first message of the child
 Fate = Literal["killed", "survived"]
 
 
 class Result(msgspec.Struct, frozen=True):
-    """The result for one mutant; `by` is the check that detected it, `clock` or `crash`, or empty."""
+    """Holds the result for one mutant; `by` is the check that detected it, `clock` or `crash`, or empty."""
 
     key: str
     module: str
@@ -47,7 +52,7 @@
 
 
 class _MutantImporter(importlib.abc.MetaPathFinder, importlib.abc.Loader):
-    """Imports one module with another text."""
+    """Imports one module with the mutant's text."""
 
     def __init__(self, module: str, text: str) -> None:
         self._module = module
@@ -63,21 +68,21 @@
 
 
 def plant(module: str, text: str) -> None:
-    """Replace a module in this process by a mutant; raises `RuntimeError` if it is imported already."""
+    """Replaces a module in this process by a mutant; raises `RuntimeError` if it is imported already."""
     if module in sys.modules:
         raise RuntimeError(f"{module} is imported already")
     sys.meta_path.insert(0, _MutantImporter(module, text))
 
 
 def _run_checks(module: str, text: str, schedules: int, connection: Connection) -> None:
-    """In the child: sends the name of the first check that detects the mutant, or an empty text."""
-    os.setpgrp()  # so that processes that the checks start are killed with this one
+    """Runs in the child and sends the name of the first check that detects the mutant, or an empty text."""
+    os.setpgrp()  # a process group of its own, so that processes started by checks are killed with this one
     plant(module, text)
     connection.send(PLANTED)
     for check in checks(module.split(".")[1], schedules):
         try:
             detected = check.run()
-        except Exception:  # a check that the mutant makes crash has detected it
+        except Exception:  # a mutant that makes a check crash is detected
             detected = True
         if detected:
             connection.send(check.name)
@@ -86,7 +91,7 @@
 
 
 def _kill(child: ForkServerProcess) -> None:
-    """Kill the child and what it has started."""
+    """Kills the child and the processes that it has started."""
     if child.pid is not None and child.is_alive():
         try:
             os.killpg(child.pid, signal.SIGKILL)
@@ -96,7 +101,7 @@
 
 
 def run_mutant(mutant: Mutant, schedules: int = SCHEDULES, timeout_s: float = TIMEOUT_S) -> Result:
-    """Run the checks on one mutant; raises `RuntimeError` if it could not be planted."""
+    """Runs the checks on one mutant; raises `RuntimeError` if it could not be planted."""
     context, began = multiprocessing.get_context("forkserver"), time.monotonic()
     context.set_forkserver_preload(PRELOADED)  # has an effect only before the server is started
     receiver, sender = context.Pipe(duplex=False)
@@ -113,7 +118,9 @@
         by = "crash"
     _kill(child)
     if not planted:  # no check was run, so there is no result
-        raise RuntimeError(f"{mutant.module} could not be planted: is it imported by what starts the checks?")
+        raise RuntimeError(
+            f"{mutant.module} could not be planted: a module that starts the checks may import it"
+        )
     fate: Fate = "killed" if by else "survived"
     return Result(
         mutant.key,
@@ -134,13 +141,13 @@
         unchanged = Mutant(module, "none", 0, "", "", source(module))
         if by := run_mutant(unchanged, schedules).by:
             package = module.split(".")[1]
-            raise RuntimeError(f"the checks of {package} find fault with the text as it stands ({by})")
+            raise RuntimeError(f"the checks of {package} fail on the original text ({by})")
 
 
 def run_all(
     mutants: Iterable[Mutant], workers: int, end: float, schedules: int = SCHEDULES
 ) -> Iterator[Result]:
-    """Run mutants in parallel and yield results as they come; none is started after `end` (monotonic s)."""
+    """Runs mutants in parallel and yields results as they come; starts none after `end` (monotonic s)."""
 
     def run_in_time(mutant: Mutant) -> Result | None:
         return run_mutant(mutant, schedules) if time.monotonic() < end else None
