--- a/tests/distribution/test_distribution_process.py
+++ b/tests/distribution/test_distribution_process.py
@@ -64,7 +64,7 @@
     """All gateways act on it in time."""
     if version is None:
         raise InvariantViolated("not committed")
-    if await fleet.in_force(version, IN_FORCE) is None:
+    if await fleet.time_until_used(version, IN_FORCE) is None:
         raise InvariantViolated(f"{version} is not in force everywhere after {IN_FORCE} s")
 
 
--- a/tests/testing/test_try.py
+++ b/tests/testing/test_try.py
@@ -39,13 +39,13 @@
 def test_kills_are_planned_by_name_and_time_and_mistakes_say_what_is_wanted() -> None:
     assert plan_kills(["s-2", "n1@2.5"], Scenario(), 9.0) == [(2.5, "n1"), (3.0, "s-2")]
     for word in ("n3", "s-9", "x", "n1@", "n1@10"):
-        with pytest.raises(ConfigError, match=f"--kill: found '{word}', wanted"):
+        with pytest.raises(ConfigError, match=f"--kill: must be .+, got '{word}'$"):
             plan_kills([word], Scenario(), 9.0)
 
 
 def test_too_short_a_run_is_one_plain_line(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["try", "--seconds", "0.5"]) == 2
-    assert capsys.readouterr().err == "trackspread: --seconds: found 0.5, wanted 3 to 3600\n"
+    assert capsys.readouterr().err == "trackspread: --seconds: must be 3 to 3600, got 0.5\n"
 
 
 def test_the_screen_names_everything_and_stays_within_its_width() -> None:
@@ -85,7 +85,7 @@
     )
     assert tallies.by_gateway["n0"] == Counter(refused=4, served=2, unanswered=1)
     assert sorted(tallies.rejections.values()) == [1, 1, 2] and len(tallies.rejections) == 3
-    assert tallies.rejections["its customer's quota is used up"] == 1 and tallies.total["beyond"] == 2
+    assert tallies.rejections["the tenant's quota is used up"] == 1 and tallies.total["beyond"] == 2
     assert [second["asked"] for second in tallies.by_second] == [2, 5]
 
 
--- a/trackspread/testing/harness/__init__.py
+++ b/trackspread/testing/harness/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet on loopback: gateways as processes, stand-ins round them, faults by plan, the judge's verdict."""
+"""Runs fleets on loopback: gateways as processes, stand-ins, scheduled faults and the judge's verdict."""
--- a/trackspread/testing/harness/billing_check.py
+++ b/trackspread/testing/harness/billing_check.py
@@ -1,7 +1,7 @@
-"""Compares what clients were answered with what billing has, for runs on real processes.
+"""Compares clients' answers with billing's records, for runs on real processes.
 
-A usage record does not name its request, so tenants' totals are compared: what a client read as served must
-be billed; what was open when a gateway was killed or a client left may be.
+A usage record does not name its request, so totals of tenants are compared. A request that a client read as
+served must be billed; one that was open when a gateway was killed or a client left may be billed.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BillingComparison:
-    """Sums over all tenants, in billionths of units.
+    """Holds sums over all tenants in billionths of units.
 
-    `served`: read as served by clients. `lost`: of this, not billed. `doubled`: billed beyond all that may
-    have been served.
+    `served` was read as served by clients, and `lost` is the part of it that was not billed. `doubled` was
+    billed beyond all that may have been served.
     """
 
     served: int
--- a/trackspread/testing/harness/cell_fleet.py
+++ b/trackspread/testing/harness/cell_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of processes in cells: gateways, and control machines beside them.
+"""Runs fleets of gateways in cells with their control machines, each in a process of its own.
 
 All messages between any two of them go over the faulty network.
 """
@@ -23,14 +23,14 @@
 from .limited_process import LimitedProcess, limited_command
 
 CONTROL_COMMAND = ("-m", "trackspread")
-MAX_DESCRIPTORS = 1_024  # of a control machine
-ZONES = 2  # of the one region
+MAX_DESCRIPTORS = 1_024  # limit on open files of a control machine
+ZONES = 2  # number of zones of the one region
 
 
 class ControlProcess(LimitedProcess):
-    """One control machine in a process of its own.
+    """Runs one control machine in a process of its own.
 
-    `operator_file` is the path of its file, `command` the interpreter's arguments without the words
+    `operator_file` is the path of its file, and `command` has the interpreter's arguments without
     `control NAME` and the file.
     """
 
@@ -47,13 +47,13 @@
         self._process = await self._spawn(limited_command(MAX_DESCRIPTORS, *arguments), {})
 
     async def kill(self) -> None:
-        """SIGKILL; returns once the process has ended."""
+        """Sends SIGKILL and returns once the process has ended."""
         if self._process is not None and self.running:
             self._process.kill()
             await self._process.wait()
 
     async def end(self) -> int | None:
-        """SIGTERM; returns its exit status, None if it never started.
+        """Sends SIGTERM and returns the exit status, or None if it never started.
 
         Raises `TimeoutError` if it has not ended after `STOP_TIMEOUT_S`.
         """
@@ -67,10 +67,10 @@
 
 
 class CelledFleet(Fleet):
-    """Use as `async with CelledFleet(scenario, control_count) as fleet`.
+    """Runs a fleet in cells, as `async with CelledFleet(scenario, control_count) as fleet`.
 
-    Gateways n0, n1, ... are in zones z0 and z1 of one region by turns, control machines c0, c1, ... too.
-    `view_settings`: further keys of every table [fleet]. `gateway_command`, `control_command`: the
+    Gateways n0, n1, ... and control machines c0, c1, ... alternate between zones z0 and z1 of one region.
+    `view_settings` has further keys of every table [fleet]. `gateway_command` and `control_command` have the
     interpreter's arguments that run each.
     """
 
@@ -92,7 +92,7 @@
         return self
 
     async def _prepare_view(self, names: Sequence[str]) -> None:
-        """Starts the control machines too."""
+        """Prepares the views and starts the control machines."""
         await super()._prepare_view([*names, *self.control_names])
         for name in self.control_names:
             operator_file = self.folder / f"{name}.toml"
@@ -102,7 +102,7 @@
             await control.start()
 
     def fleet_table(self, name: str) -> str:
-        """The table [fleet] of a gateway or a control machine."""
+        """Returns the table [fleet] of a gateway or a control machine."""
         placement = ""
         if name not in self.control_names:
             placement = (
@@ -124,10 +124,8 @@
             await control.kill()
         await super()._close()
 
-    # What the records say.
-
     def cells_by_gateway(self) -> dict[str, str]:
-        """The cell that each gateway last joined and has not left."""
+        """Returns the cell that each gateway last joined and has not left."""
         cells: dict[str, str] = {}
         for record in self.records():
             if record.kind == "joined":
@@ -137,11 +135,11 @@
         return cells
 
     def records_of_cell(self, cell: str) -> list[MembershipRecord]:
-        """The records that concern one cell's view."""
+        """Returns the records that concern one cell's view."""
         return [record for record in self.records() if record.about.get("fleet") == cell]
 
     def leader(self) -> str:
-        """The control machine that last began to lead and has not ceased; "" for none."""
+        """Returns the control machine that last began to lead and still leads, or "" if there is none."""
         leader = ""
         for record in self.records():
             if record.kind == "control leads":
@@ -151,7 +149,7 @@
         return leader
 
     def inconsistencies(self) -> list[Inconsistency]:
-        """What does not fit together in the records of every view, the control machines' own included."""
+        """Returns inconsistencies in the records of every view, including the control machines' own view."""
         process_ends = self.process_ends()
         records = self.records()
         found: list[Inconsistency] = []
@@ -163,10 +161,10 @@
 
 
 def unsettled_cells(fleet: CelledFleet) -> str:
-    """Why the cells are not settled; "" once they are.
+    """Returns why the cells are not settled, or "" once they are.
 
-    They are settled when every running gateway is in a cell and its last view of that cell has just the
-    running gateways of the cell, beside control machines.
+    They are settled when every running gateway is in a cell and its last view of that cell contains exactly
+    the running gateways of the cell and control machines.
     """
     cells = fleet.cells_by_gateway()
     running = {gateway.name for gateway in fleet.gateways if gateway.running}
--- a/trackspread/testing/harness/cell_records.py
+++ b/trackspread/testing/harness/cell_records.py
@@ -1,7 +1,7 @@
-"""Whether the records of gateways and control machines fit together, as far as cells are concerned.
+"""Checks whether the records of gateways and control machines about cells are consistent.
 
-Each check takes records in order of time and returns what is inconsistent. What holds within one cell's view
-is checked by `judge/membership_records.py`.
+Each check takes records in order of time and returns the inconsistencies. `judge/membership_records.py`
+checks the rules within one cell's view.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def older_placements(records: Iterable[MembershipRecord]) -> list[Inconsistency]:
-    """Gateways that followed an older placement after a newer one."""
+    """Returns the gateways that followed an older placement after a newer one."""
     newest: dict[tuple[str, int], tuple[int, ...]] = {}
     found = []
     for record in records:
@@ -23,13 +23,15 @@
             continue
         number = msgspec.convert(record.about["number"], tuple[int, ...])
         if number < newest.get(record.process_id, ()):
-            found.append(Inconsistency(record.at, "view", f"{record.name} goes back to {number}"))
+            found.append(
+                Inconsistency(record.at, "view", f"{record.name} returned to the older placement {number}")
+            )
         newest[record.process_id] = max(number, newest.get(record.process_id, ()))
     return found
 
 
 def double_memberships(records: Iterable[MembershipRecord]) -> list[Inconsistency]:
-    """Gateways that joined a cell before they had left another."""
+    """Returns the gateways that joined a cell before they had left another."""
     cells: dict[tuple[str, int], str] = {}
     found = []
     for record in records:
@@ -43,7 +45,7 @@
 
 
 def unreturned_slots(records: Iterable[MembershipRecord]) -> list[Inconsistency]:
-    """Gateways that left a cell before they had returned its slots, or before these had expired."""
+    """Returns the gateways that left a cell before they had returned its slots, or before these expired."""
     expires_at: dict[tuple[tuple[str, int], str], int] = {}
     found = []
     for record in records:
@@ -55,7 +57,7 @@
             expires_at.pop(key, None)
         elif record.kind == "parted" and expires_at.get(key, 0) > record.at:
             found.append(
-                Inconsistency(record.at, "rights", f"{record.name} parted from {key[1]} and keeps its slots")
+                Inconsistency(record.at, "rights", f"{record.name} left {key[1]} and keeps its slots")
             )
     return found
 
@@ -63,9 +65,9 @@
 def retired_with_members(
     records: Iterable[MembershipRecord], process_ends: Iterable[tuple[int, str]]
 ) -> list[Inconsistency]:
-    """Cells that a control machine retired while a running gateway was in them.
+    """Returns the cells that a control machine retired while a running gateway was in them.
 
-    `process_ends`: when a gateway's process was killed or had ended, in ns, with the gateway's name.
+    `process_ends` holds times (ns) at which a gateway's process was killed or ended, with the gateway's name.
     """
     cells: dict[str, str] = {}
     ends = sorted(process_ends)
@@ -79,6 +81,6 @@
             cells.pop(record.name, None)
         elif record.kind == "control retired" and record.about["cell"] in cells.values():
             found.append(
-                Inconsistency(record.at, "view", f"{record.about['cell']} is given up with gateways in it")
+                Inconsistency(record.at, "view", f"{record.about['cell']} was retired with gateways in it")
             )
     return found
--- a/trackspread/testing/harness/configuration_fleet.py
+++ b/trackspread/testing/harness/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of processes over which configuration is distributed, with faults and a check of the records."""
+"""Runs a fleet over which configuration is distributed, with faults and a check of the records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .configuration_process import FLEET, Conditions, GatewaySpec, ProcessSpec
 from .limited_process import LimitedProcess, limited_command
 
-MAX_DESCRIPTORS = 512  # of one process
+MAX_DESCRIPTORS = 512  # limit on open files of one process
 RECORD_POLL_S = 0.1
 FIRST_LEADER_TIMEOUT_S = 10.0
 CLIENT_TIMEOUT_S = 5.0
@@ -31,7 +31,7 @@
 
 
 class ConfigurationProcess(LimitedProcess):
-    """A process with a replica or with gateways; it keeps its network's conditions over restarts."""
+    """Runs a process with a replica or gateways and keeps its network conditions over restarts."""
 
     def __init__(self, spec: ProcessSpec, log: Path) -> None:
         super().__init__(log.stem, log)
@@ -39,7 +39,7 @@
         self.conditions = Conditions()
 
     async def start(self) -> None:
-        """Starts it without any state; returns once it listens. Raises `RuntimeError` if it does not."""
+        """Starts it without any state and returns once it listens; raises `RuntimeError` if it does not."""
         command = limited_command(
             MAX_DESCRIPTORS,
             "-m",
@@ -60,13 +60,13 @@
         self.set_conditions(self.conditions)
 
     def set_conditions(self, conditions: Conditions) -> None:
-        """What holds from now on, also for processes that are started later."""
+        """Sets the conditions from now on, also for processes that are started later."""
         self.conditions = conditions
         if self.running and self._process is not None and self._process.stdin is not None:
             self._process.stdin.write(msgspec.json.encode(conditions) + b"\n")
 
     async def kill(self) -> None:
-        """SIGKILL; the next process is not the leader."""
+        """Sends SIGKILL; the next process is not the leader."""
         self.signal(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
@@ -74,10 +74,10 @@
 
 
 class ConfigurationFleet:
-    """Use as `async with`: a process for each replica, and one with all gateways.
+    """Runs a process for each replica and one with all gateways; used with `async with`.
 
-    Gateways g0, g1, ... are in the regions by turns and each use two of the services. `mutant` names a
-    planted fault. `recent_entries`, `pieces_per_s`, `key`: see `ProcessSpec`.
+    Gateways g0, g1, ... are assigned to the regions in rotation, and each uses two of the services. `mutant`
+    names a planted fault. `ProcessSpec` explains `recent_entries`, `pieces_per_s` and `key`.
     """
 
     def __init__(
@@ -125,7 +125,7 @@
             [*(folder / f"replica-{n}.jsonl" for n in range(replicas)), folder / "gateways.jsonl"]
         )
         self._elections = 0
-        self.put_at: list[tuple[int, Version]] = []  # when a change was acknowledged, in ns, and its version
+        self.put_at: list[tuple[int, Version]] = []  # time in ns and version of each acknowledged change
 
     async def __aenter__(self) -> ConfigurationFleet:
         await asyncio.gather(*(replica.start() for replica in self.replicas))
@@ -136,14 +136,14 @@
         return self
 
     async def _all_complete(self) -> None:
-        """Waits until every replica counts; raises `RuntimeError` after `FIRST_LEADER_TIMEOUT_S`."""
+        """Waits until every replica leads or follows; raises `RuntimeError` if that takes too long."""
         end = time.monotonic() + FIRST_LEADER_TIMEOUT_S
         while time.monotonic() < end:
             shown = [await self.show(number) for number in range(len(self.replicas))]
             if all(each is not None and each.role in ("leader", "follower") for each in shown):
                 return
             await asyncio.sleep(RECORD_POLL_S)
-        raise RuntimeError("some replicas are not whole")
+        raise RuntimeError(f"some replicas neither lead nor follow after {FIRST_LEADER_TIMEOUT_S:g} s")
 
     async def __aexit__(self, *_: object) -> None:
         for process in self._processes():
@@ -153,11 +153,11 @@
         return (*self.replicas, self.gateways)
 
     def client(self, timeout_s: float = CLIENT_TIMEOUT_S, first: int | None = None) -> ReplicaClient:
-        """An operator's client; `first`: the number of the replica that it asks first."""
+        """Returns an operator's client, which first asks the replica with the number `first`."""
         return ReplicaClient(Wire(FLEET, Keys(self._key.encode())), self.addresses, timeout_s, first)
 
     def elect(self, number: int, notify_former: bool = True) -> None:
-        """Makes a replica the leader. `notify_former`: those that led before learn of it."""
+        """Makes a replica the leader; former leaders learn of it only with `notify_former`."""
         self._elections += 1
         for position, process in enumerate(self.replicas):
             if position == number:
@@ -173,7 +173,10 @@
         gateways: bool = False,
         both: bool = True,
     ) -> None:
-        """Cuts the ways from some replicas to others. `gateways`: also to all gateways; `both`: also back."""
+        """Cuts the paths from some replicas to others, and with `gateways` to all gateways.
+
+        With `both` the paths in the other direction are cut too.
+        """
         addresses = [self.addresses[number] for number in targets]
         addresses += [gateway.address for gateway in self._gateways] if gateways else []
         for number in sources:
@@ -186,9 +189,9 @@
                 )
             )
 
-    def cut_gateways(self, off: bool) -> None:
-        """Cuts the ways between all gateways and all replicas, or mends them."""
-        addresses = frozenset(self.addresses if off else ())
+    def cut_gateways(self, blocked: bool) -> None:
+        """Cuts the paths between all gateways and all replicas, or restores them."""
+        addresses = frozenset(self.addresses if blocked else ())
         self.gateways.set_conditions(
             msgspec.structs.replace(
                 self.gateways.conditions, blocked_targets=addresses, blocked_sources=addresses
@@ -201,7 +204,7 @@
             process.set_conditions(Conditions(process.conditions.leader))
 
     def set_loss(self, loss: float) -> None:
-        """The part of all datagrams that is lost from now on."""
+        """Sets the share of all datagrams that is lost from now on."""
         for process in self._processes():
             process.set_conditions(msgspec.structs.replace(process.conditions, loss=loss))
 
@@ -213,9 +216,9 @@
         timeout_s: float = CLIENT_TIMEOUT_S,
         first: int | None = None,
     ) -> Version | None:
-        """Changes a value; returns its version once it is committed, None if no leader answered.
+        """Changes a value; returns its version once it is committed, or None if no leader answered.
 
-        `value`: None removes the key. `first`: the replica that is asked first.
+        The value None removes the key. `first` is the replica that is asked first.
         """
         try:
             version = await asyncio.to_thread(self.client(timeout_s, first).put, service, key, value)
@@ -225,25 +228,23 @@
         return version
 
     async def show(self, number: int) -> Inspected | None:
-        """A replica's state; None if it does not answer."""
+        """Returns a replica's state, or None if it does not answer."""
         return await asyncio.to_thread(self.client().show, number)
 
-    # What the records say.
-
     def records(self) -> list[MembershipRecord]:
-        """All records so far, in order of time."""
+        """Returns all records so far in order of time."""
         return self._reader.all()
 
     def versions_in_use(self) -> dict[str, Version]:
-        """The newest version that each gateway has taken over, by its name."""
+        """Returns the newest version that each gateway uses, by its name."""
         versions: dict[str, Version] = {gateway.name: NO_VERSION for gateway in self._gateways}
         for record in self.records():
             if record.kind == "acts":
                 versions[record.name] = _version(record.about["version"])
         return versions
 
-    async def in_force(self, version: Version, timeout_s: float) -> float | None:
-        """The s until all gateways use this version or a newer one; None after `timeout_s`."""
+    async def time_until_used(self, version: Version, timeout_s: float) -> float | None:
+        """Returns the s until all gateways use this version or a newer one, or None after `timeout_s`."""
         started = time.monotonic()
         while time.monotonic() - started < timeout_s:
             if min(self.versions_in_use().values()) >= version:
@@ -254,7 +255,7 @@
     def judge(self) -> Judged:
         """Checks all records.
 
-        Raises `InvariantViolated` if they do not fit, or if an acknowledged change is not committed.
+        Raises `InvariantViolated` if they are inconsistent, or if an acknowledged change is not committed.
         """
         judged = Judged()
         for record in self.records():
@@ -270,7 +271,7 @@
             _judge_gateway(judged, record, services[record.name])
         for _, version in self.put_at:
             if version not in judged.committed:
-                raise InvariantViolated(f"{version} was told to be committed, and is not")
+                raise InvariantViolated(f"{version} was acknowledged as committed, and no record commits it")
         return judged
 
 
@@ -287,7 +288,7 @@
     version = _version(record.about["version"])
     expected = {name: keys for name, keys in judged.state(version).items() if name in services}
     if record.about["values"] != fingerprint(expected):
-        raise InvariantViolated(f"{record.name} acts on other values than those of {version}")
+        raise InvariantViolated(f"{record.name} uses values other than those of {version}")
     judged.acts(record.name, version, expected, services)
 
 
--- a/trackspread/testing/harness/configuration_process.py
+++ b/trackspread/testing/harness/configuration_process.py
@@ -2,8 +2,8 @@
 
 Usage: `python -m trackspread.testing.harness.configuration_process SPEC`; SPEC is a `ProcessSpec` as JSON.
 
-Who leads and which ways are cut comes on standard input, a JSON object (`Conditions`) a line; what happens is
-recorded in files. A planted fault may be named.
+The leader and the blocked addresses come on standard input, as one JSON object (`Conditions`) per line.
+Events are recorded in files. The spec may name a planted fault.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class GatewaySpec(msgspec.Struct, frozen=True):
-    """One gateway; `region`: the number of its region, over which the replicas are spread by turns."""
+    """Describes one gateway; `region` is the number of its region, and replicas rotate over the regions."""
 
     name: str
     address: Address
@@ -43,10 +43,11 @@
 
 
 class ProcessSpec(msgspec.Struct, frozen=True):
-    """One process: a replica by its number, or the gateways where that is negative.
+    """Describes one process, with a replica by its number, or with the gateways if that is negative.
 
-    `recent_entries`: committed entries that a replica caches for deltas. `pieces_per_s`: datagrams with
-    entries that it sends to gateways. `key`: shared by all. `mutant`: a planted fault's name; empty for none.
+    `recent_entries` limits the committed entries that a replica caches for deltas, and `pieces_per_s` the
+    datagrams with entries that it sends to gateways. All processes share `key`. `mutant` is a planted fault's
+    name, or empty.
     """
 
     folder: str
@@ -61,11 +62,10 @@
 
 
 class Conditions(msgspec.Struct, frozen=True):
-    """A line of standard input: what holds from now on.
+    """Holds one line of standard input, the conditions from now on.
 
-    `leader`: the election's result, None while there is none. `blocked_targets`: addresses to which nothing
-    is sent. `blocked_sources`: addresses from which nothing is received. `loss`: the part of datagrams sent
-    that is lost.
+    `leader` is the election's result, or None while there is none. No datagrams are sent to `blocked_targets`
+    and none received from `blocked_sources`. `loss` is the share of sent datagrams that is lost.
     """
 
     leader: Epoch | None = None
@@ -75,14 +75,14 @@
 
 
 class FaultyTransport:
-    """The network of one process under the conditions that it was last given."""
+    """Applies the latest conditions to the network of one process."""
 
     def __init__(self) -> None:
         self.conditions = Conditions()
         self._rng = random.Random(1)
 
     def attach(self, endpoint: Endpoint) -> None:
-        """Makes an endpoint's datagrams subject to the conditions."""
+        """Applies the conditions to an endpoint's datagrams."""
         send = endpoint.send
         receive = endpoint.on_datagram
 
@@ -99,7 +99,7 @@
         endpoint.on_datagram = faulty_receive  # type: ignore[method-assign]
 
     async def read_conditions(self) -> None:
-        """Takes conditions from standard input until it ends."""
+        """Reads conditions from standard input until it ends."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -108,7 +108,7 @@
 
 
 def build_endpoints(spec: ProcessSpec, transport: FaultyTransport) -> list[Endpoint]:
-    """The replica or the gateways that run in this process."""
+    """Returns the replica or the gateways that run in this process."""
     wire = Wire(FLEET, Keys(spec.key.encode()))
     created_at_ms = time.time_ns() // 1_000_000
     folder = Path(spec.folder)
@@ -152,7 +152,7 @@
 
 
 async def main(spec: ProcessSpec) -> None:
-    """Starts all endpoints, says so on standard output, and runs until standard input ends."""
+    """Starts all endpoints, prints `ready` on standard output, and runs until standard input ends."""
     transport = FaultyTransport()
     for endpoint in build_endpoints(spec, transport):
         transport.attach(endpoint)
--- a/trackspread/testing/harness/counter_faults.py
+++ b/trackspread/testing/harness/counter_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the shared counter, played on a fleet of real gateways that use the stand-in counter."""
+"""Plays faults of the shared counter on a fleet of real gateways that use the stand-in counter."""
 
 from __future__ import annotations
 
@@ -13,9 +13,11 @@
 from .fleet import Fleet
 
 REPLICA_LAG_MS = 1000
-SLOW_ANSWER_S = 0.6  # longer than a gateway waits for an answer
+SLOW_ANSWER_S = 0.6  # longer than the time that a gateway waits for an answer
 
-CounterFault = Callable[[Fleet, CounterServer, float], Awaitable[None]]  # the last: how long, in s
+CounterFault = Callable[
+    [Fleet, CounterServer, float], Awaitable[None]
+]  # the last argument is the duration in s
 
 
 def _no_settings(name: str) -> str:
@@ -29,10 +31,10 @@
     cluster: bool = False,
     counter_settings: Callable[[str], str] = _no_settings,
 ) -> AsyncIterator[tuple[Fleet, CounterServer]]:
-    """A running fleet and its counter.
+    """Runs a fleet and its counter.
 
-    `cluster`: the shards form a cluster. `counter_settings`: further keys of the table [counter], by a
-    gateway's name.
+    With `cluster` the shards form a cluster. `counter_settings` returns further keys of the table [counter]
+    for a gateway's name.
     """
     counter_cluster = Cluster(shards) if cluster else None
     counter_shards = counter_cluster.shards if counter_cluster else [Shard(n) for n in range(shards)]
@@ -60,21 +62,21 @@
 
 
 async def disconnect_all(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """No gateway reaches the counter."""
+    """Disconnects all gateways from the counter."""
     server.disconnect(set(range(server.gateways)))
     await asyncio.sleep(duration_s)
     server.end_faults()
 
 
 async def disconnect_half(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """Half of the gateways do not reach the counter."""
+    """Disconnects half of the gateways from the counter."""
     server.disconnect(_every_other_gateway(server))
     await asyncio.sleep(duration_s)
     server.end_faults()
 
 
 async def split(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """Half of the gateways reach a replica that lagged by a second and was promoted."""
+    """Lets half of the gateways reach a replica that lagged by a second and was promoted."""
     for shard in server.shards:
         shard.split(_every_other_gateway(server), _now_ms(), REPLICA_LAG_MS)
     await asyncio.sleep(duration_s)
@@ -83,7 +85,7 @@
 
 
 async def replace(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """Halfway, empty servers take the place of all shards."""
+    """Replaces all shards by empty servers after half of the time."""
     await asyncio.sleep(duration_s / 2)
     for shard in server.shards:
         shard.replace()
@@ -91,27 +93,27 @@
 
 
 async def delay_answers(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """Each answer comes later than a gateway waits for it."""
+    """Delays each answer beyond the time that a gateway waits for it."""
     server.delay_s = SLOW_ANSWER_S
     await asyncio.sleep(duration_s)
     server.end_faults()
 
 
 async def drop_answers(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """One gateway's commands are executed and not answered."""
+    """Executes one gateway's commands and does not answer them."""
     server.unanswered_gateways = {0}
     await asyncio.sleep(duration_s)
     server.end_faults()
 
 
 async def kill_gateway(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """One gateway is killed and starts again without any state."""
+    """Kills one gateway and starts it again without any state."""
     await fleet.restart([0], duration_s / 2)
     await asyncio.sleep(duration_s / 2)
 
 
 async def no_fault(fleet: Fleet, server: CounterServer, duration_s: float) -> None:
-    """Nothing happens, for comparison."""
+    """Causes no fault, for comparison."""
     await asyncio.sleep(duration_s)
 
 
--- a/trackspread/testing/harness/fast_control.py
+++ b/trackspread/testing/harness/fast_control.py
@@ -1,8 +1,8 @@
 """Runs a control machine with small cells that are merged and replaced within seconds, for tests.
 
-Usage: `python -m trackspread.testing.harness.fast_control FAULTS control NAME --file FILE`. `FAULTS`: names
-of planted faults, separated by commas, or "none". For gateways with such faults see
-`harness/mutant_gateway.py`.
+Usage: `python -m trackspread.testing.harness.fast_control FAULTS control NAME --file FILE`. `FAULTS` has the
+names of planted faults, separated by commas, or "none". `harness/mutant_gateway.py` runs gateways with such
+faults.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from ..virtual.patches import applied
 
 NO_FAULTS = "none"
-CELL_TARGET, CELL_MAX, CELL_MIN, CELL_MERGED = 2, 3, 1, 2  # gateways of a cell
+CELL_TARGET, CELL_MAX, CELL_MIN, CELL_MERGED = 2, 3, 1, 2  # numbers of gateways in a cell
 IDLE_NS = 60 * SECOND  # instead of ten minutes
 CHANGE_DELAY_NS = 4 * SECOND  # instead of half a minute and two minutes
 
 
 def fault_patches(names: str) -> list[Any]:
-    """The patches that plant the named faults."""
+    """Returns the patches that plant the named faults."""
     known = {**membered_mutants.MUTANTS, **celled_mutants.MUTANTS}
     return [each for name in names.split(",") if name != NO_FAULTS for each in known[name]()]
 
--- a/trackspread/testing/harness/fault_player.py
+++ b/trackspread/testing/harness/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays a schedule of faults on a fleet of processes; the ledger records when each one began and ended."""
+"""Plays a schedule of faults on a fleet of processes; the ledger records when each began and ended."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
     def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
         self._fleet = fleet
         self._schedule = schedule
-        self._cuts: dict[tuple[str, str, NetworkProtocol], int] = {}  # how many faults cut a direction
+        self._cuts: dict[tuple[str, str, NetworkProtocol], int] = {}  # number of faults that cut a direction
 
     async def play(self) -> None:
-        """Returns once the schedule's time is over and every fault has ended."""
+        """Plays the schedule and returns once its time is over and every fault has ended."""
         async with asyncio.TaskGroup() as group:
             group.create_task(asyncio.sleep(self._schedule.duration_s))
             for number, fault in enumerate(self._schedule.faults):
@@ -75,7 +75,7 @@
             self._fleet.network.path(*direction).blackhole = self._cuts[direction] > 0
 
     async def _degrade(self, fault: DegradedNetwork) -> None:
-        """Where two such faults overlap, the first to end restores the paths."""
+        """Degrades the paths; of two overlapping faults the first to end restores them."""
         paths = [
             self._fleet.network.path(*pair, protocol)
             for pair in fault.directions
--- a/trackspread/testing/harness/fault_run.py
+++ b/trackspread/testing/harness/fault_run.py
@@ -1,6 +1,7 @@
-"""Runs a schedule of faults on a fleet under load, and sums up what its ledger says of it.
+"""Runs a schedule of faults on a fleet under load and computes figures of the run from its ledger.
 
-Of a run that broke a rule the schedule, the ledger and each gateway's log are saved where a folder is named.
+If a folder is given, the schedule, the ledger and each gateway's log of a run that broke a rule are saved
+there.
 """
 
 from __future__ import annotations
@@ -24,16 +25,19 @@
 from .membership_fleet import until_settled
 
 NODES_PER_GATEWAY = 3
-MIN_TENANT_UNITS = 10.0  # forwarded, from which a tenant's own excess share is meaningful
-WINDOW_S = 1  # of the windows by which recovery is judged
-RECOVERED_FACTOR, RECOVERED_MARGIN = 1.5, 0.03  # of the refusals without faults that still count as recovered
-RECOVERED_WINDOWS = 2  # in a row that have to be
-SEED_STEP = 1000  # between the seeds of repeated runs of one schedule
-SETTLE_TIMEOUT_S = 10.0  # for the first view, before clients start
+MIN_TENANT_UNITS = 10.0  # fewest forwarded units for which a tenant's excess share is meaningful
+WINDOW_S = 1  # length of the windows by which recovery is judged
+RECOVERED_FACTOR, RECOVERED_MARGIN = (
+    1.5,
+    0.03,
+)  # limit on recovered refusals, relative to those without faults
+RECOVERED_WINDOWS = 2  # consecutive windows below the limit that count as recovery
+SEED_STEP = 1000  # difference between the seeds of repeated runs of one schedule
+SETTLE_TIMEOUT_S = 10.0  # wait for the first view before clients start
 
 
 class Phases(NamedTuple):
-    """A figure before, during and after the faults."""
+    """Holds a figure before, during and after the faults."""
 
     before: float
     during: float
@@ -41,29 +45,29 @@
 
 
 class FaultRun(msgspec.Struct, frozen=True):
-    """Figures of one run.
+    """Holds figures of one run.
 
-    A refusal with quota left is one while its tenant still had at least half of its burst.
+    A refusal counts as one with quota left if its tenant had at least half of its burst available.
     """
 
     name: str
     seed: int
     gateways: int
-    state: str  # the judge's
+    state: str  # the judge's verdict
     violations: tuple[str, ...]
     requests: int
     late_by_pause: int  # requests whose answer is excused by a pause of their gateway alone
     refused_with_quota: Phases  # shares of all requests
-    excess_share: float  # of the units forwarded, beyond quotas
-    worst_excess_share: float  # of the tenant whose share is largest
-    hard_limit_excess: float  # of a hard limit's slack, of the tenant that went furthest
+    excess_share: float  # share of the forwarded units that was beyond quotas
+    worst_excess_share: float  # the largest share of one tenant
+    hard_limit_excess: float  # largest excess of one tenant, as a share of its slack
     lag_ms: float  # the longest lag of the harness
-    refusal_windows: tuple[float, ...]  # refused with quota left after the faults, each over `WINDOW_S`
+    refusal_windows: tuple[float, ...]  # shares refused with quota left after the faults
 
     def recovery_s(self, share_without_faults: float) -> float:
-        """The s from the faults' end until refusals with quota left are as rare as without faults.
+        """Returns the s from the faults' end until refusals with quota left are as rare as without faults.
 
-        Where they never are, the time that was observed.
+        If they never are, the result is the observed time.
         """
         limit = share_without_faults * RECOVERED_FACTOR + RECOVERED_MARGIN
         recovered = [share <= limit for share in self.refusal_windows]
@@ -81,11 +85,11 @@
 ) -> FaultRun:
     """Runs a schedule once, from a fresh fleet to its shutdown.
 
-    `save_folder`: for runs that break a rule. `view_settings`: see `Fleet`.
+    Runs that break a rule are saved in `save_folder`. `Fleet` explains `view_settings`.
     """
     count = schedule.gateways
     scenario = USUAL_SCENARIO.changed(gateways=count, nodes=NODES_PER_GATEWAY * count, seed=schedule.seed)
-    seeds = 0, count // 3, 2 * count // 3  # spread, so that no likely cut has all on one side
+    seeds = 0, count // 3, 2 * count // 3  # spread so that a cut is unlikely to have all on one side
     async with Fleet(scenario, command, view_settings=view_settings, seeds=seeds) as fleet:
         if view_settings is not None:
             await until_settled(fleet, SETTLE_TIMEOUT_S)
@@ -101,7 +105,7 @@
     save_folder: Path | None = None,
     view_settings: str | None = None,
 ) -> FaultRun:
-    """Repeats a run with other seeds until the harness did not lag; the last one if it always did."""
+    """Repeats a run with other seeds until the harness did not lag; returns the last run if it always did."""
     for number in range(attempts):
         repeated = msgspec.structs.replace(schedule, seed=schedule.seed + SEED_STEP * number)
         run = await play(repeated, save_folder, view_settings=view_settings)
@@ -148,13 +152,13 @@
 
 
 def _fault_times(entries: Sequence[Entry]) -> tuple[int, int]:
-    """When the first fault in fact began and the last one ended."""
+    """Returns when the first fault actually began and the last one ended."""
     times = [entry.at for entry in entries if isinstance(entry, FaultChanged)]
     return min(times), max(times)
 
 
 def _refusals_by_phase(entries: Sequence[Entry], usage: QuotaUsage) -> Phases:
-    """Refusals with quota left, as a share of the requests of the same phase."""
+    """Returns refusals with quota left as a share of the requests of the same phase."""
     began, ended = _fault_times(entries)
     requests = [0, 0, 0]
     refused = [0, 0, 0]
@@ -168,7 +172,7 @@
 
 
 def _refusals_by_window(entries: Sequence[Entry], usage: QuotaUsage) -> tuple[float, ...]:
-    """Refusals with quota left in each window from the faults' end to the last complete window."""
+    """Returns the share of refusals with quota left in each complete window after the faults."""
     _, ended = _fault_times(entries)
     requests: dict[int, int] = {}
     refused: dict[int, int] = {}
@@ -188,6 +192,7 @@
 
 
 def _late_by_pause(history: RunHistory) -> int:
+    """Returns the number of requests whose late end only a pause of their gateway excuses."""
     late = 0
     for request, sent in history.requests.items():
         due_without_pauses = sent.at + sent.wait_ns + history.rules.time_tolerance_ns
--- a/trackspread/testing/harness/fault_scenarios.py
+++ b/trackspread/testing/harness/fault_scenarios.py
@@ -1,6 +1,6 @@
-"""Named scenarios on a fleet of real processes: which faults are played, and on what fleet.
+"""Defines named scenarios of faults on fleets of real processes.
 
-Times are scaled down to seconds; each scenario says what it stands for.
+Times are scaled down to seconds; each scenario has a description of the situation that it represents.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from .gateway_process import RUN_COMMAND
 
 Play = Callable[[Fleet, random.Random], Awaitable[None]]
-MAX_EXCESS_CALM = 0.05  # of the units forwarded that may lie beyond quotas without faults
+MAX_EXCESS_CALM = 0.05  # largest share of forwarded units beyond quotas without faults
 # The load is some 90 requests a second on nine nodes of two cores.
 USUAL_SCENARIO = Scenario(load=0.35, greedy_share=0.2)
 
 
 @dataclass(frozen=True, slots=True)
 class FaultScenario:
-    """`play` lasts as long as it runs; there are `lead_s` without faults before and after it.
+    """Holds a scenario; `play` injects its faults, with `lead_s` without faults before and after it.
 
-    `relay_nodes`: see `Fleet`.
+    `Fleet` explains `relay_nodes`.
     """
 
     name: str
-    stands_for: str
+    description: str
     play: Play
     scenario: Scenario
     lead_s: float = 1.5
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The result of one run; `cpu_ms` a request, `memory_mb` of the largest gateway."""
+    """Holds the result of one run, with CPU time per request and the largest gateway's memory."""
 
     fault_scenario: FaultScenario
     verdict: Verdict
@@ -47,25 +47,25 @@
 
 
 async def calm(fleet: Fleet, rng: random.Random) -> None:
-    """Nothing happens."""
+    """Causes no fault."""
     await asyncio.sleep(7.0)
 
 
 async def half_killed(fleet: Fleet, rng: random.Random) -> None:
-    """Half of the gateways are killed at once."""
+    """Kills half of the gateways at once."""
     count = fleet.scenario.gateways
     await fleet.restart(rng.sample(range(count), count // 2), rng.uniform(1.0, 2.0))
     await asyncio.sleep(3.0)
 
 
 async def rolling_restart(fleet: Fleet, rng: random.Random) -> None:
-    """Each gateway is restarted by SIGTERM, as soon as the one before it is back."""
+    """Restarts each gateway by SIGTERM, as soon as the one before it is back."""
     for number in range(fleet.scenario.gateways):
         await fleet.restart([number], 0.3, kill=False)
 
 
 async def rolling_deploy(fleet: Fleet, rng: random.Random) -> None:
-    """Two thirds of the nodes are replaced by successors that have to warm up, one each 0.8 s."""
+    """Replaces two thirds of the nodes by successors that have to warm up, one each 0.8 s."""
     nodes = rng.sample(fleet.nodes_in_service(), fleet.scenario.nodes * 2 // 3)
     async with asyncio.TaskGroup() as group:
         for node in nodes:
@@ -75,7 +75,7 @@
 
 
 async def traffic_moved(fleet: Fleet, rng: random.Random) -> None:
-    """Most tenants change at once which gateways they use, three times."""
+    """Changes three times the gateways that most tenants use, for all of them at once."""
     for _ in range(3):
         await asyncio.sleep(2.0)
         fleet.clients.population.move(0.6)
@@ -83,7 +83,7 @@
 
 
 async def partitioned(fleet: Fleet, rng: random.Random) -> None:
-    """One gateway is cut off from the others for 5 s."""
+    """Partitions one gateway from the others for 5 s."""
     fleet.network.partition(["n0"], _gateway_names(fleet)[1:])
     await asyncio.sleep(5.0)
     fleet.network.heal()
@@ -91,7 +91,7 @@
 
 
 async def half_lost(fleet: Fleet, rng: random.Random) -> None:
-    """Half of the datagrams between gateways are lost."""
+    """Loses half of the datagrams between gateways."""
     for path in fleet.network.paths_between(_gateway_names(fleet)):
         path.loss = 0.5
         path.jitter_s = 0.05
@@ -99,7 +99,7 @@
 
 
 async def faulty_nodes(fleet: Fleet, rng: random.Random) -> None:
-    """One node sends invalid answers, one resets, one does not answer for a while, one crashes."""
+    """Lets one node send invalid answers, one reset, one not answer for a while, and one crash."""
     invalid, resetting, unresponsive, crashing = rng.sample(fleet.nodes_in_service(), 4)
     invalid.invalid_answer_chance = 0.2
     resetting.reset_chance = 0.2
@@ -112,7 +112,7 @@
 
 
 async def faulty_node_network(fleet: Fleet, rng: random.Random) -> None:
-    """Connections to nodes are slow and reset, and one node is out of reach while the list has it."""
+    """Delays and resets connections to nodes, and makes one listed node unreachable."""
     names = list(fleet.nodes)
     gateways = _gateway_names(fleet)
     for gateway in gateways:
@@ -137,32 +137,34 @@
     each.name: each
     for each in (
         FaultScenario(
-            "calm", "a calm minute", calm, USUAL_SCENARIO.changed(max_excess_share=MAX_EXCESS_CALM)
+            "calm", "a minute without faults", calm, USUAL_SCENARIO.changed(max_excess_share=MAX_EXCESS_CALM)
         ),
         FaultScenario(
             "half-killed", "half the gateways killed at once", half_killed, USUAL_SCENARIO.changed(gateways=4)
         ),
         FaultScenario("rolling-restart", "a rolling restart by SIGTERM", rolling_restart, USUAL_SCENARIO),
-        FaultScenario("rolling-deploy", "a rolling deploy of cold nodes", rolling_deploy, USUAL_SCENARIO),
-        FaultScenario("moved", "traffic moved between gateways at one stroke", traffic_moved, USUAL_SCENARIO),
+        FaultScenario(
+            "rolling-deploy", "a rolling deploy of nodes that have to warm up", rolling_deploy, USUAL_SCENARIO
+        ),
+        FaultScenario("moved", "traffic moved between gateways at once", traffic_moved, USUAL_SCENARIO),
         FaultScenario("partitioned", "peers partitioned for 5 s", partitioned, USUAL_SCENARIO),
         FaultScenario(
             "half-lost", "half of the datagrams lost", half_lost, USUAL_SCENARIO.changed(gateways=4)
         ),
         FaultScenario(
             "rough-wire",
-            "connections to nodes slow, cut and silent",
+            "connections to nodes slow, cut and unresponsive",
             faulty_node_network,
             USUAL_SCENARIO,
             relay_nodes=True,
         ),
-        FaultScenario("rude-nodes", "spoilt, reset and missing answers", faulty_nodes, USUAL_SCENARIO),
+        FaultScenario("rude-nodes", "invalid, reset and missing answers", faulty_nodes, USUAL_SCENARIO),
     )
 }
 
 
 async def run(fault_scenario: FaultScenario, seed: int, command: tuple[str, ...] = RUN_COMMAND) -> Outcome:
-    """Plays a scenario once. The same seed gives the same faults, at times that vary with the machine."""
+    """Plays a scenario once; the same seed gives the same faults, at times that vary with the machine."""
     scenario = fault_scenario.scenario.changed(seed=seed)
     async with Fleet(scenario, command, relay_nodes=fault_scenario.relay_nodes) as fleet:
         fleet.start_clients()
--- a/trackspread/testing/harness/fleet.py
+++ b/trackspread/testing/harness/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet to play a scenario on: gateways as processes, and all stand-ins in this process.
+"""Runs a fleet for a scenario, with gateways as processes and all stand-ins in this process.
 
-Everything is on loopback and removed at the end. All stand-ins share this process, its clock and its ledger;
-where its event loop lagged, the run has no verdict on time.
+The fleet is on loopback and removed at the end. All stand-ins share this process, its clock and its ledger.
+If its event loop lagged, the run has no verdict on time limits.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from .gateway_process import RUN_COMMAND, GatewayProcess
 from .upgradable_gateway import UpgradableGateway
 
-LAG_POLL_S = 0.01  # between looks at the event loop's lag
-LAG_NOTED_S = 0.02  # from which a lag goes into the ledger
-CONNECTIONS_STOP_S = (0.2, 0.4)  # after SIGTERM; until then new connections still come
-START_SPACING_S = 0.01  # between starts of gateways that start together
-MEMBER_PORT = 7400  # for the other members' messages; each member has a host of its own
+LAG_POLL_S = 0.01  # interval between measurements of the event loop's lag
+MIN_RECORDED_LAG_S = 0.02  # shortest lag that is recorded in the ledger
+CONNECTIONS_STOP_S = (0.2, 0.4)  # range of the time after SIGTERM in which new connections still come
+START_SPACING_S = 0.01  # interval between starts of gateways that start together
+MEMBER_PORT = 7400  # port for the other members' messages; each member has a host of its own
 MEMORY_MB = 64  # limit in each gateway's configuration
 CORES = 1.0  # limit in each gateway's configuration
 
@@ -46,21 +46,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """What the gateways used in a run: CPU time per request, and the largest one's peak memory."""
+    """Holds the gateways' CPU time per request, and the peak memory of the largest one."""
 
     cpu_ms: float
     memory_mb: float
 
 
 class Fleet:
-    """Use as `async with Fleet(scenario) as fleet`; it starts everything but the clients.
-
-    `command`: the interpreter's arguments that run a gateway. `max_descriptors`: of each gateway.
-    `relay_nodes`: connections to rating nodes go over the faulty network too, as those between gateways
-    always do. `operator_file`: the text of a gateway's file, by its name. `upgradable`: the listening sockets
-    belong to the harness, so that new versions can start beside old ones. `view_settings`: further keys of
-    the table [fleet]; None where the gateways keep no view of their fleet. `seeds`: the numbers of the view's
-    seeds.
+    """Runs a fleet, as `async with Fleet(scenario) as fleet`; the clients are started separately.
+
+    `command` has the interpreter's arguments that run a gateway, and `max_descriptors` limits its open files.
+    With `relay_nodes` connections to rating nodes go over the faulty network too, as those between gateways
+    always do. `operator_file` returns the text of a gateway's file for its name. With `upgradable` the
+    listening sockets belong to the harness, so that new versions can start beside old ones. `view_settings`
+    has further keys of the table [fleet]; it is None if the gateways keep no view of their fleet. `seeds` has
+    the numbers of the view's seeds.
     """
 
     def __init__(
@@ -92,15 +92,19 @@
         self._upgradable = upgradable
         self._seeds = [number for number in seeds if number < scenario.gateways]
         self._reader = RecordReader([])
-        self.member_addresses: dict[str, Address] = {}  # where each listens for the other members
-        self.advertised_addresses: dict[str, Address] = {}  # by which others reach it, over the network
-        self.control_addresses: dict[str, Address] = {}  # of the operators' HTTP, where a view is kept
+        self.member_addresses: dict[
+            str, Address
+        ] = {}  # addresses at which each listens for the other members
+        self.advertised_addresses: dict[
+            str, Address
+        ] = {}  # addresses at which others reach each over the network
+        self.control_addresses: dict[str, Address] = {}  # addresses of the operators' HTTP, if a view is kept
         self._rng = random.Random(f"fleet:{scenario.seed}")
         self._ports = Ports()
-        self._caches = dict[int, IdempotencyCache]()  # by cell
+        self._caches = dict[int, IdempotencyCache]()  # caches by cell
         addresses = [self._ports.tcp() for _ in range(scenario.gateways)]
         self.clients = Clients(scenario, scenario.population(), self.ledger, addresses)
-        self._dialed_addresses: dict[str, tuple[Address, ...]] = {}  # of each node, by gateway
+        self._dialed_addresses: dict[str, tuple[Address, ...]] = {}  # addresses of each node by gateway
         self._lag_task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> Fleet:
@@ -181,7 +185,7 @@
         self._reader = RecordReader([self.record_path(name) for name in names])
 
     def fleet_table(self, name: str) -> str:
-        """The table [fleet] of one gateway's operator's file; empty where no view is kept."""
+        """Returns the table [fleet] of one gateway's operator's file, or "" if no view is kept."""
         if self.view_settings is None:
             return ""
         seeds = ", ".join(f'"{address_text(self.advertised_addresses[f"n{n}"])}"' for n in self._seeds)
@@ -192,11 +196,11 @@
         )
 
     def records(self) -> list[MembershipRecord]:
-        """All that the members have recorded so far, in order of time."""
+        """Returns all records of the members so far in order of time."""
         return self._reader.all()
 
     def process_ends(self) -> list[tuple[int, str]]:
-        """When each gateway's process was killed or ended, in ns, and the gateway's name."""
+        """Returns when each gateway's process was killed or ended, in ns, with the gateway's name."""
         return [
             (entry.at, entry.gateway)
             for entry in self.ledger.entries
@@ -204,7 +208,7 @@
         ]
 
     def record_path(self, name: str) -> Path:
-        """The file to which a member writes its records."""
+        """Returns the file to which a member writes its records."""
         return self.folder / f"{name}.view"
 
     async def _watch_lag(self) -> None:
@@ -212,7 +216,7 @@
         while True:
             due = loop.time() + LAG_POLL_S
             await asyncio.sleep(LAG_POLL_S)
-            if (lag := loop.time() - due) > LAG_NOTED_S:
+            if (lag := loop.time() - due) > MIN_RECORDED_LAG_S:
                 self.ledger.write(HarnessLagged(time.monotonic_ns(), "stand-ins", int(lag * 1e9)))
 
     async def _close(self) -> None:
@@ -229,10 +233,8 @@
         self._ports.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # Rating nodes.
-
     async def start_node(self, spec: NodeSpec, slow_start: bool = True) -> NodeServer:
-        """Starts a new node and lists it. `slow_start`: it has to warm up first."""
+        """Starts a new node and lists it; with `slow_start` it has to warm up first."""
         node = NodeServer(
             self.scenario,
             spec,
@@ -271,12 +273,12 @@
         )
 
     def drain(self, node: NodeServer) -> None:
-        """The node takes no new requests, and the list says so."""
+        """Makes the node take no new requests, and announces this on the backend list."""
         node.model.draining = True
         self.announce(node, "terminating")
 
     def remove(self, node: NodeServer) -> None:
-        """The node ends and leaves the list."""
+        """Ends the node and removes it from the backend list."""
         node.crash()
         self.announce(node, "terminated")
 
@@ -288,13 +290,11 @@
         self.remove(node)
 
     def nodes_in_service(self) -> list[NodeServer]:
-        """The nodes that run and are not draining."""
+        """Returns the nodes that run and are not draining."""
         return [node for node in self.nodes.values() if node.running and not node.model.draining]
 
-    # Gateways.
-
     async def restart(self, numbers: Sequence[int], downtime_s: float, kill: bool = True) -> None:
-        """Stops these gateways together and starts them again after `downtime_s`. `kill`: without SIGTERM."""
+        """Stops these gateways together, by SIGKILL or SIGTERM, and starts them after `downtime_s`."""
         await self.stop_gateways(numbers, kill)
         await asyncio.sleep(downtime_s)
         await self.start_gateways(numbers)
@@ -321,28 +321,26 @@
         self.clients.killed_gateways.difference_update(numbers)
 
     def _stop_connections(self, numbers: Sequence[int]) -> None:
-        """In a planned restart the platform goes on opening connections to a gateway for a moment."""
+        """Stops new connections after a delay, as the platform does in a planned restart."""
         for number in numbers:
             delay = self._rng.uniform(*CONNECTIONS_STOP_S)
             asyncio.get_running_loop().call_later(delay, self.clients.closing_gateways.add, number)
 
-    # The run.
-
     def start_clients(self) -> None:
-        """Clients begin to send requests."""
+        """Starts the clients' requests."""
         self.clients.start()
 
     async def settle(self) -> None:
-        """Clients send no more; returns once every request has ended and the gateways have shut down."""
+        """Stops the clients; returns once every request has ended and the gateways have shut down."""
         await self.clients.settle()
         await asyncio.gather(*(gateway.end() for gateway in self.gateways))
 
     def verdict(self) -> Verdict:
-        """The judge's verdict on what the ledger has so far."""
+        """Returns the judge's verdict on the ledger's entries so far."""
         return judge(self.scenario.rule_parameters(), self.ledger.entries)
 
     def resource_usage(self) -> ResourceUsage:
-        """What the gateways used so far."""
+        """Returns the gateways' resource usage so far."""
         requests = max(1, len(self.clients.command_forms))
         cpu_s = sum(gateway.cpu_used_s() for gateway in self.gateways)
         peak_bytes = max(gateway.peak_memory_bytes for gateway in self.gateways)
--- a/trackspread/testing/harness/gateway_process.py
+++ b/trackspread/testing/harness/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway in a process of its own."""
+"""Runs one gateway in a process of its own."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from ..standins.loopback import Address
 from .limited_process import LimitedProcess, cpu_seconds, limited_command
 
-READY_TIMEOUT_S = 20.0  # until a gateway answers a ping; a loaded machine may be slow to start twenty of them
+READY_TIMEOUT_S = 20.0  # wait for the first answer to a ping; a loaded machine may be slow to start twenty
 READY_POLL_S = 0.02
 PING_TIMEOUT_S = 2.0  # short, so that a process that has ended meanwhile is noticed
-STOP_TIMEOUT_S = 10.0  # after SIGTERM; longer than the longest deadline
+STOP_TIMEOUT_S = 10.0  # wait after SIGTERM; longer than the longest deadline
 RUN_COMMAND = ("-m", "trackspread", "run")
 SEED_BITS = 63
 
 
 class GatewayProcess(LimitedProcess):
-    """Starts, pauses, kills and stops one gateway; all that happens to it goes into the ledger.
+    """Starts, pauses, kills and stops one gateway and records these events in the ledger.
 
-    `config` is the platform's configuration, `operator_file` the text of the operator's file, `command` the
-    interpreter's arguments. `folder` takes the log and both files.
+    `config` is the platform's configuration, `operator_file` the text of the operator's file, and `command`
+    the interpreter's arguments. The log and both files are in `folder`.
     """
 
     def __init__(
@@ -60,11 +60,11 @@
         self._exit_task: asyncio.Task[None] | None = None
         self.starts = 0
         self.paused = False
-        self.peak_memory_bytes = 0  # the largest of its processes so far
-        self._ended_cpu_s = 0.0  # of the processes that have ended
+        self.peak_memory_bytes = 0  # of the process that used most so far
+        self._ended_cpu_s = 0.0  # sum over the processes that have ended
 
     async def start(self) -> None:
-        """Starts it without any state; returns once it has answered a ping.
+        """Starts it without any state and returns once it has answered a ping.
 
         Raises `RuntimeError` if the process ends first and `TimeoutError` after `READY_TIMEOUT_S`.
         """
@@ -76,27 +76,27 @@
         return await self._spawn(self.command(), self.environment(), self.inherited_descriptors())
 
     def _adopt(self, process: asyncio.subprocess.Process) -> None:
-        """From now on this process is the gateway."""
+        """Makes this process the gateway."""
         self._process = process
         self._exit_task = asyncio.get_running_loop().create_task(self._record_exit(process))
 
     def command(self) -> tuple[str, ...]:
-        """The complete command line, with the limits."""
+        """Returns the complete command line with the limits."""
         arguments = (*self._command, "--file", str(self._operator_path))
         return limited_command(self._max_descriptors, *arguments)
 
     def environment(self) -> dict[str, str]:
-        """The variables that a process gets beside this process's own."""
+        """Returns the variables that a process gets in addition to this process's own."""
         return {"ROUTER_CONFIG": str(self._config_path)}
 
     def inherited_descriptors(self) -> tuple[int, ...]:
-        """The open descriptors that a process inherits."""
+        """Returns the open descriptors that a process inherits."""
         return ()
 
     def write_config(self) -> None:
         """Writes the configuration for one more start, with a seed of its own."""
         self.starts += 1
-        # Not `hash`: it differs in every process, and a run could not be replayed.
+        # `hash` differs in every process, so with it a run could not be replayed.
         seed = random.Random(f"{self.name}:{self.starts}").getrandbits(SEED_BITS)
         self.config["seed"] = f"{seed:016x}"
         self._config_path.write_text(json.dumps(self.config))
@@ -126,7 +126,7 @@
         self._ledger.write(GatewayExited(time.monotonic_ns(), self.name, status))
 
     async def kill(self) -> None:
-        """SIGKILL, as a machine that loses power; returns once the process has ended."""
+        """Sends SIGKILL, like a power failure, and returns once the process has ended."""
         if self._process is not None and self.running:
             self.resume()
             self.record_usage()
@@ -135,7 +135,7 @@
             await self._exited()
 
     async def end(self) -> None:
-        """SIGTERM, and SIGKILL after `STOP_TIMEOUT_S`; returns once the process has ended."""
+        """Sends SIGTERM, and SIGKILL after `STOP_TIMEOUT_S`; returns once the process has ended."""
         if self._process is not None and self.running:
             self.resume()
             self.record_usage()
@@ -153,25 +153,25 @@
             await asyncio.shield(self._exit_task)
 
     def pause(self) -> None:
-        """SIGSTOP, as a machine that freezes."""
+        """Sends SIGSTOP, like a machine that freezes."""
         if self._process is not None and self.running and not self.paused:
             self.paused = True
             self._process.send_signal(signal.SIGSTOP)
             self._ledger.write(GatewayPaused(time.monotonic_ns(), self.name))
 
     def resume(self) -> None:
-        """SIGCONT after a pause."""
+        """Sends SIGCONT after a pause."""
         if self._process is not None and self.paused:
             self.paused = False
             self._ledger.write(GatewayResumed(time.monotonic_ns(), self.name))
             self.signal(signal.SIGCONT)
 
     def cpu_used_s(self) -> float:
-        """CPU time of all its processes so far, in s."""
+        """Returns the CPU time of all its processes so far in s."""
         return self._ended_cpu_s + cpu_seconds(self.pid)
 
     def record_usage(self) -> None:
-        """Adds up CPU time and peak memory; called before the process ends."""
+        """Adds up CPU time and peak memory; it must be called before the process ends."""
         self._ended_cpu_s += cpu_seconds(self.pid)
         try:
             status = Path(f"/proc/{self.pid}/status").read_text()
--- a/trackspread/testing/harness/membership_fleet.py
+++ b/trackspread/testing/harness/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of processes that keep a view of themselves: waits for them and checks their records."""
+"""Waits for membership views of fleets of processes to converge, and checks their records."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class RecordCheck(NamedTuple):
-    """What is inconsistent in the records, and the largest part of all slots that was in use at once."""
+    """Holds the inconsistencies of the records, and the largest share of all slots in use at once."""
 
     inconsistencies: list[Inconsistency]
     peak_slot_share: float
 
 
 def running_processes(fleet: Fleet, records: Iterable[MembershipRecord]) -> list[ProcessId]:
-    """The gateways' running processes, by their records: the last that started under each name."""
+    """Returns the gateways' running processes, which are the last that recorded a start under each name."""
     incarnations = {record.name: record.born for record in records if record.kind == "started"}
     return [
         (gateway.name, incarnations[gateway.name])
@@ -39,9 +39,9 @@
 
 
 async def until_settled(fleet: Fleet, timeout_s: float, since: int | None = None) -> float | None:
-    """The s from `since` until all running gateways had one view of just them; None after `timeout_s`.
+    """Returns the s from `since` until all running gateways had one view of exactly themselves.
 
-    `since`: in ns of the monotonic clock; None for now.
+    The result is None after `timeout_s`. `since` is in ns of the monotonic clock; None means now.
     """
     since = time.monotonic_ns() if since is None else since
     loop = asyncio.get_running_loop()
@@ -57,20 +57,20 @@
 
 
 def started_at(fleet: Fleet, numbers: Iterable[int]) -> int:
-    """When the last of these gateways started, in ns, by its own record."""
+    """Returns when the last of these gateways started, in ns, from its own record."""
     names = {fleet.gateways[number].name for number in numbers}
     return max(record.at for record in fleet.records() if record.kind == "started" and record.name in names)
 
 
 def check_records(fleet: Fleet) -> RecordCheck:
-    """Checks whether all records fit together."""
+    """Checks whether all records are consistent."""
     records = fleet.records()
     slot_inconsistencies, peak_slot_share = find_grant_overlaps(records, fleet.process_ends())
     return RecordCheck(sorted(find_view_conflicts(records) + slot_inconsistencies), peak_slot_share)
 
 
 def save_run(fleet: Fleet, folder: Path) -> None:
-    """Saves a failed run: its ledger, each gateway's log and records."""
+    """Saves a failed run's ledger and each gateway's log and records."""
     folder.mkdir(parents=True, exist_ok=True)
     fleet.ledger.save(folder / "ledger.jsonl", fleet.scenario.rule_parameters())
     for gateway in fleet.gateways:
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -21,7 +21,7 @@
 from ..virtual.mutants import MUTANTS
 from ..virtual.patches import applied
 
-FAULT_INTERVAL = 15  # one call in so many goes wrong
+FAULT_INTERVAL = 15  # one fault in this number of calls
 REQUESTS_UNTIL_CRASH = 20 * FAULT_INTERVAL
 CRASH_STATUS = 70
 
@@ -41,7 +41,7 @@
 
 
 def _answers_lost(instead: Callable[[ResponseSlot], None] = lambda slot: None) -> list[Any]:
-    """Every `FAULT_INTERVAL`th answer is not written; `instead` is called for it."""
+    """Returns patches that call `instead` for every `FAULT_INTERVAL`th answer and do not write it."""
     real = ResponseSlot.send_value
     calls = 0
 
@@ -61,7 +61,7 @@
 
 
 def _written_late() -> list[Any]:
-    """A drained backend gets what was decided before, however late."""
+    """Returns patches with which a drained backend gets earlier decided attempts, however late."""
     real = ConnectionPools.update_backend
 
     def mutant(
@@ -84,7 +84,7 @@
     return [patch.object(Gateway, "take", mutant)]
 
 
-# Faults of the running gateway, beside those of its decisions in `virtual.mutants`.
+# These are faults of the running gateway; `virtual.mutants` has those of its decisions.
 ON_SOCKETS: dict[str, tuple[Rule, Callable[[], list[Any]]]] = {
     "socket-answers-twice": ("answers", _answers_twice),
     "socket-answers-lost": ("answers", _answers_lost),
@@ -93,19 +93,19 @@
     "socket-crashes": ("crash", _crashes),
 }
 
-# Only virtual time detects these.
+# Only runs in virtual time detect these.
 VIRTUAL_ONLY = {
     # The connection pool's own grace time stops what the decisions send to a draining backend.
     "drains-ignored",
-    # The scenarios do not bring the clients or the warming node that these need.
+    # The scenarios lack the clients or the warming node that these need.
     "whole-ceiling-each",
     "cold-flooded",
     "window-forgotten",
-    # No scenario has connections that come up so late.
+    # No scenario has connections that are established so late.
     "window-outlasted",
-    # Not played on processes yet.
+    # No scenario on processes plays this one yet.
     "used-units-back",
-    # Faults of the virtual host.
+    # These are faults of the virtual host.
     "answers-lost",
     "answers-twice",
     "answers-late",
@@ -116,12 +116,12 @@
 
 
 def rule(name: str) -> Rule:
-    """The rule that a mutant breaks."""
+    """Returns the rule that a mutant breaks."""
     return ON_SOCKETS[name][0] if name in ON_SOCKETS else MUTANTS[name].rule
 
 
 def command(name: str) -> tuple[str, ...]:
-    """The command that runs a mutant, for `Fleet`."""
+    """Returns the command that runs a mutant, for `Fleet`."""
     return "-m", "trackspread.testing.harness.mutant_gateway", name
 
 
--- a/trackspread/testing/harness/quota_use.py
+++ b/trackspread/testing/harness/quota_use.py
@@ -1,4 +1,4 @@
-"""How a fleet's tenants used their quotas and hard limits in a run, from its ledger alone."""
+"""Computes tenants' use of their quotas and hard limits in a run from its ledger alone."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Excess(NamedTuple):
-    """What the worst tenant forwarded beyond a limit, as a part of what the limit allows in the run."""
+    """Holds the largest excess of any tenant over each limit, as a share of the units that it allows."""
 
     hard_limit: float
     quota: float
 
 
 def excess(fleet: Fleet) -> Excess:
-    """The excess over hard limits and over quotas; a limit allows its burst, and its rate over the run."""
+    """Returns the excess over hard limits and quotas; a limit allows its burst and its rate over the run."""
     rules = fleet.scenario.rule_parameters()
     first_attempts = RunHistory(rules, fleet.ledger.entries).first_attempts()
     if not first_attempts:
@@ -52,10 +52,10 @@
 
 
 def share_of_allowed_use(fleet: Fleet, first_entry: int) -> float:
-    """Units forwarded from the ledger's entry with this index on, as a share of what exact quotas allow.
+    """Returns the units forwarded from the entry with this index on, as a share of what exact quotas allow.
 
-    Allowed is what one token bucket for each quota would have admitted at the requests' first attempt. The
-    result is at most 1.
+    Exact quotas allow the units that one token bucket for each quota would have admitted at the requests'
+    first attempt. The result is at most 1.
     """
     rules = fleet.scenario.rule_parameters()
     entries = fleet.ledger.entries
--- a/trackspread/testing/harness/run_statistics.py
+++ b/trackspread/testing/harness/run_statistics.py
@@ -1,7 +1,7 @@
-"""What `trackspread try` shows of a run: counts by gateway and second, and why requests were rejected.
+"""Counts requests of a run by gateway and second, and reasons of rejections, for `trackspread try`.
 
-From ledger entries alone, in the order in which they are written. The gateways' own reasons are not known: a
-reason follows from an exact count of each tenant's quota.
+The counts come from ledger entries alone, in the order in which they are written. The gateways' own reasons
+are not known, so a reason follows from an exact count of each tenant's quota.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 )
 from ..judge.token_bucket import TokenBucket
 
-MAX_SECONDS = 60  # whose counts are kept
+MAX_SECONDS = 60  # limit on the seconds whose counts are kept
 
 
 @dataclass(slots=True)
 class RunStatistics:
-    """Counts by kind: `asked`, `served`, `refused`, `failed`, `unanswered`; in `total` also `beyond`.
+    """Holds counts by kind: `asked`, `served`, `refused`, `failed`, `unanswered`; in `total` also `beyond`.
 
-    `by_second` has those of each second, the oldest first. `rejections` counts reasons.
+    `by_second` has the counts of each second, the oldest first. `rejections` counts reasons.
     """
 
     rules: RuleParameters
@@ -41,7 +41,7 @@
     _buckets: dict[int, TokenBucket] = field(default_factory=dict)  # by tenant
 
     def add_second(self, entries: Sequence[Entry]) -> None:
-        """Takes the entries since the last call; they make one more second."""
+        """Adds the entries since the last call as one more second."""
         second: Counter[str] = Counter()
         for entry in entries:
             match entry:
@@ -61,7 +61,7 @@
         self.by_second.append(second)
 
     def _bucket(self, request: RequestSent, now: int) -> TokenBucket | None:
-        """The tenant's quota at a time in ns; None where it has none."""
+        """Returns the tenant's quota at a time in ns, or None if it has none."""
         plan = self.rules.plans[request.plan]
         if not plan.rate_per_s:
             return None
@@ -89,13 +89,13 @@
 
     def _reason(self, entry: ReplyReceived, request: RequestSent) -> str:
         if entry.request in self._forwarded:
-            return "tried, and no other try was allowed"
+            return "attempted, and no retry was allowed"
         bucket = self._bucket(request, entry.at)
         if bucket is not None and bucket.tokens < request.units:
-            return "its customer's quota is used up"
+            return "the tenant's quota is used up"
         if bucket is not None and bucket.tokens < bucket.burst_units / 2:
             return "the quota is nearly used up"
-        return "with quota left: a cap, a slice of the ceiling, or load"
+        return "with quota left: a cap, a share of the hard limit, or load"
 
     def _count(self, gateway: str, kind: str, second: Counter[str]) -> None:
         second[kind] += 1
--- a/trackspread/testing/harness/screen.py
+++ b/trackspread/testing/harness/screen.py
@@ -1,4 +1,4 @@
-"""A plain text screen of a running fleet, for a terminal or a pipe. Pure: a snapshot in, lines out."""
+"""Renders a snapshot of a running fleet as lines of plain text, for a terminal or a pipe."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-BARS = " ▁▂▃▄▅▆▇█"  # a value as a part of the largest, in eighths
-MAX_BARS = 40  # seconds of the recent past that are shown
+BARS = " ▁▂▃▄▅▆▇█"  # eighths of the largest value
+MAX_BARS = 40  # number of recent seconds that are shown
 NODES_PER_LINE = 3
-MAX_EVENTS = 4  # the last ones
+MAX_EVENTS = 4  # number of latest events that are shown
 KINDS = ("asked", "served", "refused", "failed")
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayRow:
-    """One gateway; `counts` by kind."""
+    """Holds one gateway and its `counts` by kind."""
 
     name: str
     up: bool
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRow:
-    """One rating node; `busy`: part of its cores."""
+    """Holds one rating node; `busy` is the share of its cores that work."""
 
     name: str
     state: str  # "ready", "cold", "draining", "silent" or "DOWN"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that is shown. `by_second`: counts by kind of each recent second, the oldest first."""
+    """Holds all displayed values; `by_second` has counts by kind of recent seconds, the oldest first."""
 
     elapsed_s: float
     duration_s: float
@@ -47,7 +47,7 @@
 
 
 def bars(values: Iterable[float], largest: float) -> str:
-    """One character a value, its height as a part of `largest`."""
+    """Returns one character for each value, whose height is the value as a share of `largest`."""
     top = len(BARS) - 1
     return "".join(
         BARS[min(top, round(top * value / largest))] if largest > 0 else BARS[0] for value in values
@@ -55,7 +55,7 @@
 
 
 def draw(snapshot: Snapshot, show_keys: bool) -> list[str]:
-    """Lines of at most 100 characters. `show_keys`: say which keys do what."""
+    """Returns lines of at most 100 characters, with a list of the keys if `show_keys` is set."""
     return [
         *_header(snapshot, show_keys),
         "gateways",
@@ -111,7 +111,7 @@
 
 
 def one_line(snapshot: Snapshot) -> str:
-    """The same for a pipe, where nothing can be drawn over."""
+    """Returns a summary of one line for a pipe, where lines cannot be overwritten."""
     now = snapshot.by_second[-1] if snapshot.by_second else Counter[str]()
     up = sum(row.up for row in snapshot.gateways)
     nodes = sum(row.state in ("ready", "cold") for row in snapshot.nodes)
--- a/trackspread/testing/harness/trial.py
+++ b/trackspread/testing/harness/trial.py
@@ -1,7 +1,7 @@
-"""`trackspread try`: three gateways, nine rating nodes and clients on loopback, live, with kills.
+"""Runs `trackspread try`: three gateways, nine rating nodes and clients on loopback, with kills.
 
-Ends with what happened and the judge's verdict; exit status 1 if a rule was broken, else 0 (also without a
-verdict, when the machine was too busy).
+The run ends with a summary and the judge's verdict. The exit status is 1 if a rule was broken, else 0, also
+without a verdict because the machine was too busy.
 """
 
 from __future__ import annotations
@@ -30,39 +30,39 @@
 from .run_statistics import RunStatistics
 from .screen import GatewayRow, NodeRow, Snapshot, draw, one_line
 
-DOWNTIME_S = 2.0  # until a killed gateway or node is back
+DOWNTIME_S = 2.0  # time until a killed gateway or node is back
 REDRAW_S = 1.0
 MIN_STEP_S = 0.01
 MIN_DURATION_S, MAX_DURATION_S = 3.0, 3600
-MAX_VIOLATIONS = 10  # that are printed
+MAX_VIOLATIONS = 10  # limit on printed violations
 CTRL_C = "\x03"
 CLEAR_SCREEN, HOME, CLEAR_LINE, CLEAR_BELOW = "\x1b[2J", "\x1b[H", "\x1b[K", "\x1b[J"
 HIDE_CURSOR, SHOW_CURSOR = "\x1b[?25l", "\x1b[?25h"
 _KILL = re.compile(r"(?P<what>n\d+|s-\d+)(?:@(?P<at>\d+(?:\.\d+)?))?")
 
-Kill = tuple[float, str]  # when, in s from the start, and the name of what is killed
+Kill = tuple[float, str]  # time in s from the start, and the name of the gateway or node
 
 
 def plan_kills(words: list[str], scenario: Scenario, seconds: float) -> list[Kill]:
-    """Reads `NAME` or `NAME@SECONDS`; returns the kills sorted by time. Raises `ConfigError`."""
+    """Parses `NAME` or `NAME@SECONDS` and returns the kills sorted by time; raises `ConfigError`."""
     kills = []
     known = [f"n{i}" for i in range(scenario.gateways)] + [f"s-{i}" for i in range(scenario.nodes)]
     for word in words:
         match = _KILL.fullmatch(word)
         if match is None or match["what"] not in known:
             raise ConfigError(
-                f"--kill: found {word!r}, wanted n0 to n{scenario.gateways - 1} or s-0 to "
-                f"s-{scenario.nodes - 1}, with @SECONDS behind it or not"
+                f"--kill: must be n0 to n{scenario.gateways - 1} or s-0 to s-{scenario.nodes - 1}, "
+                f"optionally followed by @SECONDS, got {word!r}"
             )
         at = float(match["at"]) if match["at"] else seconds / 3
         if at > seconds:
-            raise ConfigError(f"--kill: found {word!r}, wanted at most {seconds:g} s")
+            raise ConfigError(f"--kill: must be at most {seconds:g} s after the start, got {word!r}")
         kills.append((at, match["what"]))
     return sorted(kills)
 
 
 class Trial:
-    """One run: kills parts of the fleet and sums up what happens."""
+    """Controls one run: kills parts of the fleet and counts results."""
 
     def __init__(self, fleet: Fleet, duration_s: float, seed: int) -> None:
         self.fleet = fleet
@@ -77,14 +77,14 @@
 
     @property
     def elapsed_s(self) -> float:
-        """Time since the start."""
+        """Returns the time since the start in s."""
         return asyncio.get_running_loop().time() - self._started
 
     def _note(self, text: str) -> None:
         self.events.append(f"{self.elapsed_s:5.1f} s  {text}")
 
     def press(self, key: str) -> None:
-        """Does what a key stands for."""
+        """Executes the command of a key."""
         fleet = self.fleet
         if key == "g" and (up := [gateway.name for gateway in fleet.gateways if gateway.running]):
             self.kill(self._rng.choice(up))
@@ -95,8 +95,8 @@
 
     def kill(self, name: str) -> None:
         """Kills a gateway or node, which comes back after `DOWNTIME_S`."""
-        victim = self._kill_gateway(name) if name.startswith("n") else self._kill_node(name)
-        task = asyncio.get_running_loop().create_task(victim)
+        coroutine = self._kill_gateway(name) if name.startswith("n") else self._kill_node(name)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._kill_tasks.add(task)
         task.add_done_callback(self._kill_tasks.discard)
 
@@ -104,29 +104,29 @@
         number = int(name[1:])
         if not self.fleet.gateways[number].running:
             return
-        self._note(f"gateway {name} is killed; what it held is its clients' to ask again")
+        self._note(f"gateway {name} is killed; its clients have to retry the requests that it held")
         await self.fleet.restart([number], DOWNTIME_S)
-        self._note(f"gateway {name} is back, knowing nothing but the last list")
+        self._note(f"gateway {name} is back without state except the last backend list")
 
     async def _kill_node(self, name: str) -> None:
         node = self.fleet.nodes[name]
         if not node.running:
             return
-        self._note(f"node {name} is killed; the list tells so {DOWNTIME_S / 2:g} s later")
+        self._note(f"node {name} is killed; the backend list shows it {DOWNTIME_S / 2:g} s later")
         node.crash()
         await asyncio.sleep(DOWNTIME_S / 2)
         self.fleet.announce(node, "terminated")
         await asyncio.sleep(DOWNTIME_S / 2)
         successor = self.fleet.scenario.successor(node.spec)
         await self.fleet.start_node(successor)
-        self._note(f"node {successor.name} takes its place, cold")
+        self._note(f"node {successor.name} replaces it and warms up")
 
     async def finish_kills(self) -> None:
-        """Returns once everything that was killed is back."""
+        """Returns once all killed gateways and nodes are back."""
         await asyncio.gather(*self._kill_tasks)
 
     def step(self) -> Snapshot:
-        """Takes what happened since the last call as one second; returns what is to be shown."""
+        """Adds the entries since the last call as one second and returns the values to show."""
         entries = self.fleet.ledger.entries
         statistics = self._statistics
         statistics.add_second(entries[self._entries_read :])
@@ -148,7 +148,7 @@
         )
 
     def _node_row(self, node: NodeServer) -> NodeRow | None:
-        """None for a node that has ended and is off the list."""
+        """Returns a node's row, or None if the node has ended and is not listed."""
         now = time.monotonic_ns()
         load = node.model.load_report(now)
         name = node.spec.name
@@ -167,7 +167,7 @@
 
 @contextlib.contextmanager
 def _keyboard(trial: Trial) -> Iterator[bool]:
-    """Takes single keys where standard input is a terminal, else gives False; restores it afterwards."""
+    """Reads single keys if standard input is a terminal and restores it at the end; else yields False."""
     if not (sys.stdin.isatty() and sys.stdout.isatty()):
         yield False
         return
@@ -185,7 +185,7 @@
 
 
 async def _wait_for_redraw(trial: Trial) -> None:
-    """Until the next screen is due or the trial is stopped."""
+    """Waits until the next screen is due or the trial is stopped."""
     left_s = max(MIN_STEP_S, trial.duration_s - trial.elapsed_s)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(min(REDRAW_S, left_s)):
@@ -193,14 +193,14 @@
 
 
 async def _play(trial: Trial, kills: list[Kill]) -> None:
-    """Shows the trial and kills what is due, until its time is over or it is stopped."""
-    waiting = list(kills)
+    """Shows the trial and executes due kills, until its time is over or it is stopped."""
+    pending_kills = list(kills)
     events_shown = 0
     with _keyboard(trial) as interactive:
         while trial.elapsed_s < trial.duration_s and not trial.stop.is_set():
             await _wait_for_redraw(trial)
-            while waiting and waiting[0][0] <= trial.elapsed_s:
-                trial.kill(waiting.pop(0)[1])
+            while pending_kills and pending_kills[0][0] <= trial.elapsed_s:
+                trial.kill(pending_kills.pop(0)[1])
                 await asyncio.sleep(0)
             snapshot = trial.step()
             if interactive:
@@ -238,14 +238,14 @@
 
 
 def run(seconds: float, kill: list[str], seed: int) -> int:
-    """Runs a trial; returns the exit status: 1 if a rule was broken, else 0 (also without a verdict).
+    """Runs a trial and returns the exit status, 1 if a rule was broken, else 0 (also without a verdict).
 
-    `kill`: the words of `--kill`. Raises `ConfigError` on a word or a time that can't be used.
+    `kill` has the values of `--kill`. Raises `ConfigError` on a value or a time that is not valid.
     """
     if not MIN_DURATION_S <= seconds <= MAX_DURATION_S:
-        raise ConfigError(f"--seconds: found {seconds:g}, wanted {MIN_DURATION_S:g} to {MAX_DURATION_S}")
+        raise ConfigError(f"--seconds: must be {MIN_DURATION_S:g} to {MAX_DURATION_S}, got {seconds:g}")
     kills = plan_kills(kill, _scenario(seed), seconds)
-    gc.disable()  # a collection over the ledger would be a lag of the stand-ins
+    gc.disable()  # a collection over the ledger would make the stand-ins lag
     verdict = uvloop.run(_run(seconds, kills, seed))
     _print_verdict(verdict)
     return 1 if verdict.state != "void" and verdict.violations else 0
@@ -256,7 +256,7 @@
     print(
         f"\n{summary.requests} requests: {summary.served} served, {summary.rejected} refused, "
         f"{summary.failed} failed, {summary.unanswered} "
-        f"left unanswered; {summary.over_quota_share:.1%} of what was sent on lay beyond quotas"
+        f"left unanswered; {summary.over_quota_share:.1%} of the forwarded units were beyond quotas"
     )
     if verdict.state == "void":
         lag_ms = summary.max_lag_ns / 1e6
--- a/trackspread/testing/harness/upgradable_gateway.py
+++ b/trackspread/testing/harness/upgradable_gateway.py
@@ -1,6 +1,6 @@
-"""A gateway whose listening socket the harness owns, so that a new version can start beside the old one.
+"""Runs a gateway on a listening socket of the harness, so that a new version can start beside the old one.
 
-The ledger records what clients see: a process from which another one has taken over has not ended for them.
+The ledger records the clients' view, in which a gateway has not ended when another process takes over.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from ..standins.loopback import Address, Ports
 from .gateway_process import READY_POLL_S, READY_TIMEOUT_S, RUN_COMMAND, GatewayProcess
 
-UPGRADE_TIMEOUT_S = 6.0  # that the platform gives a new process to become healthy
+UPGRADE_TIMEOUT_S = 6.0  # time that the platform gives a new process to become healthy
 LISTEN_BACKLOG = 1024
 HTTP_OK = 200
 
 
 class HttpReply(NamedTuple):
-    """Status and body of an HTTP response."""
+    """Holds the status and the body of an HTTP response."""
 
     status: int
     body: str
 
 
 async def http_get(address: Address, path: str) -> HttpReply:
-    """The reply to one GET request to a gateway's control address. Raises `OSError`."""
+    """Sends one GET request to a gateway's control address and returns the reply; raises `OSError`."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(b"GET %b HTTP/1.1\r\nHost: x\r\n\r\n" % path.encode())
@@ -40,14 +40,14 @@
 
 
 async def gateway_stats(address: Address) -> dict[str, int]:
-    """The figures that a gateway shows at its control address, by name."""
+    """Returns the counters at a gateway's control address by name."""
     reply = await http_get(address, "/stats")
     pairs = (line.removeprefix("router.").split("=") for line in reply.body.splitlines())
     return {name: int(value) for name, value in pairs}
 
 
 class UpgradableGateway(GatewayProcess):
-    """A `GatewayProcess` with a control address, an inherited listening socket and a folder for handovers."""
+    """Runs a gateway with a control address, an inherited listening socket and a handover folder."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._predecessors: list[asyncio.subprocess.Process] = []
 
     def environment(self) -> dict[str, str]:
-        """The variables that a process gets beside this process's own."""
+        """Returns the variables that a process gets in addition to this process's own."""
         return {
             **super().environment(),
             "ROUTER_CONTROL": "{}:{}".format(*self.control_address),
@@ -78,18 +78,18 @@
         }
 
     def inherited_descriptors(self) -> tuple[int, ...]:
-        """The listening socket."""
+        """Returns the listening socket's descriptor."""
         return (self._listening_socket.fileno(),)
 
     async def upgrade(self) -> float:
-        """Has a new process take over and the old one end; returns the s until the new one was healthy.
+        """Replaces the process by a new one; returns the time in s until the new one was healthy.
 
         Raises `RuntimeError` if the new process ends first and `TimeoutError` after `UPGRADE_TIMEOUT_S`.
         """
         loop = asyncio.get_running_loop()
         predecessor = self._process
         assert predecessor is not None and self._exit_task is not None
-        # The old process's exit is not the gateway's, and may come before the new one is seen to be healthy.
+        # The old process's exit is not the gateway's, and may come before the new one is known to be healthy.
         self._exit_task.cancel()
         self.control_address = self._ports.tcp()
         started = loop.time()
