--- a/tests/distribution/test_distribution_process.py
+++ b/tests/distribution/test_distribution_process.py
@@ -69,7 +69,7 @@
     """Checks that the version is in force at all gateways in time."""
     if version is None:
         raise InvariantViolated("not committed")
-    if await fleet.in_force(version, IN_FORCE_TIMEOUT_S) is None:
+    if await fleet.time_until_used(version, IN_FORCE_TIMEOUT_S) is None:
         raise InvariantViolated(f"{version} is not in force everywhere after {IN_FORCE_TIMEOUT_S} s")
 
 
