--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -21,11 +21,11 @@
 from . import configuration, faults, flat, latency, levels, measured, report, slopes
 from .bounds import Guard, OverBound
 from .children import HollowFailed
+from .configuration_fleet import ConfigurationNotReady
 from .fit import FEWEST_POINTS
-from .handed import NotHanded
+from .flat_fleet import NotSettled, Outcome
 from .module import this_run
 from .operator import NotDone
-from .viewed import NotSettled, Outcome
 from .virtual_cells import Job, Played, WorldFailed, play_beside
 
 T = TypeVar("T")
@@ -105,7 +105,7 @@
                 return await work
         except TimeoutError:
             self._made.not_run.append(f"{what}: not done {self._plan.most:g} s after the run's beginning")
-        except (NotSettled, NotHanded, NotDone, HollowFailed, WorldFailed) as error:
+        except (NotSettled, ConfigurationNotReady, NotDone, HollowFailed, WorldFailed) as error:
             self._made.not_run.append(f"{what}: {error}")
         return None
 
--- a/benchmarks/scale/celled.py
+++ b/benchmarks/scale/cells_fleet.py
@@ -16,9 +16,9 @@
 from trackspread.testing.standins.loopback import Ports
 
 from .bounds import Guard
-from .celling_messages import (
-    CellingCommand,
-    CellingReply,
+from .cells_messages import (
+    CellsCommand,
+    CellsReply,
     Count,
     Counted,
     CutOff,
@@ -38,12 +38,12 @@
     region_of_member,
 )
 from .children import Child, start_all
-from .lag import Lag, LagWatch, together
+from .flat_fleet import AT_REST, PEAK_SPAN, NotSettled, Outcome
+from .lag import Lag, LagWatch, combined_lag
 from .messages import DeadVerdict, Life
 from .placement import CONTROL_PREFIX, PORT, REGIONS
-from .verdicts import Cutoff, hearsay, wrong
+from .verdicts import Cutoff, false_deaths, relayed_deaths
 from .view import digest
-from .viewed import AT_REST, PEAK_SPAN, NotSettled, Outcome
 
 LOOK = 0.25  # s between looks: how finely a time to settle is told
 
@@ -66,7 +66,7 @@
     lag: Lag
 
 
-class CelledFleet:
+class CellsFleet:
     """Use as `async with`; no gateway runs at first, all control machines do."""
 
     def __init__(self, control: int, processes: int, each: int, guard: Guard) -> None:
@@ -75,8 +75,8 @@
         hosts = tuple(self._ports.host() for _ in range(processes))
         addresses = tuple((self._ports.host(), PORT) for _ in range(control))
         self.layout = Layout("scale", addresses, hosts, each)
-        self.control: list[Child[CellingReply]] = []
-        self.processes: list[Child[CellingReply]] = []
+        self.control: list[Child[CellsReply]] = []
+        self.processes: list[Child[CellsReply]] = []
         self.running: set[int] = set()
         self.control_running: set[int] = set()
         self.cutoffs: list[Cutoff] = []
@@ -86,7 +86,7 @@
         self._watch = LagWatch()
         self._members_before = 0
 
-    async def __aenter__(self) -> CelledFleet:
+    async def __aenter__(self) -> CellsFleet:
         self._guard.admit(len(self.layout.control) + len(self.layout.hosts))
         try:
             await self._start()
@@ -97,8 +97,8 @@
 
     async def _start(self) -> None:
         layout = self.layout
-        self.control = await start_all("celling", CellingReply, len(layout.control))
-        self.processes = await start_all("celling", CellingReply, len(layout.hosts))
+        self.control = await start_all("cells_process", CellsReply, len(layout.control))
+        self.processes = await start_all("cells_process", CellsReply, len(layout.hosts))
         await asyncio.gather(*(child.ask(SetControl(layout, n)) for n, child in enumerate(self.control)))
         await asyncio.gather(*(child.ask(SetHollow(layout)) for child in self.processes))
         await self.begin_control(range(len(layout.control)))
@@ -120,11 +120,11 @@
 
     # Asking.
 
-    async def _all(self, command: CellingCommand) -> list[CellingReply]:
+    async def _all(self, command: CellsCommand) -> list[CellsReply]:
         self._guard.check()
         return list(await asyncio.gather(*(c.ask(command) for c in (*self.control, *self.processes))))
 
-    async def count(self, children: Sequence[Child[CellingReply]]) -> list[Counted]:
+    async def count(self, children: Sequence[Child[CellsReply]]) -> list[Counted]:
         """What they used; verdicts and lives are kept."""
         told = await asyncio.gather(*(child.ask(Count()) for child in children))
         counted = [each for each in told if isinstance(each, Counted)]
@@ -186,7 +186,7 @@
         while True:
             held = await self.hold()
             took = (time.monotonic_ns() - since) / 1e9
-            if not amiss(held, len(self.running)):
+            if not unsettled_reason(held, len(self.running)):
                 return took
             if took >= most:
                 return None
@@ -228,19 +228,19 @@
             gateways,
             len(self.control_running),
             cells,
-            sum(share(a, b) for a, b in zip(before, after, strict=True)) / gateways,
+            sum(cpu_share(a, b) for a, b in zip(before, after, strict=True)) / gateways,
             max(
                 sum(sent(a, b) for a, b in zip(before, after, strict=True)),
                 sum(received(a, b) for a, b in zip(before, after, strict=True)),
             )
             / gateways,
             sum(each.memory - self._base for each in after) / gateways,
-            fmean(share(a, b) for a, b in control),
+            fmean(cpu_share(a, b) for a, b in control),
             fmean(max(sent(a, b), received(a, b)) for a, b in control),
             fmean(each.memory for each in control_after) - self._control_base,
-            max(share(a, b) for a, b in control),
+            max(cpu_share(a, b) for a, b in control),
             max(max(sent(a, b), received(a, b)) for a, b in control),
-            together(each.lag for each in (*after, *control_after)),
+            combined_lag(each.lag for each in (*after, *control_after)),
         )
 
     async def before_fault(self) -> None:
@@ -257,8 +257,8 @@
         counted = await self.count([*self.control, *self.processes])
         lives = [life for each in counted for life in each.lives]
         verdicts, self._verdicts = self._verdicts, []
-        mistaken = {each.of for each in wrong(verdicts, lives, self.cutoffs, region_of_member)}
-        told = hearsay(verdicts, lives, self.cutoffs, region_of_member)
+        mistaken = {each.of for each in false_deaths(verdicts, lives, self.cutoffs, region_of_member)}
+        told = relayed_deaths(verdicts, lives, self.cutoffs, region_of_member)
         return Outcome(
             fault,
             self._members_before,
@@ -267,7 +267,7 @@
             max(each.peak for each in counted),
             len(mistaken),
             len(told),
-            together(each.lag for each in counted),
+            combined_lag(each.lag for each in counted),
             self._watch.take(),
         )
 
@@ -295,7 +295,7 @@
         return [n for n in self.running if gateway_zone(n) % REGIONS == region]
 
 
-def share(before: Counted, after: Counted) -> float:
+def cpu_share(before: Counted, after: Counted) -> float:
     """Of a core."""
     return (after.cpu - before.cpu) * 1e9 / (after.at - before.at)
 
@@ -310,7 +310,7 @@
     return (after.received - before.received) * 1e9 / (after.at - before.at)
 
 
-def amiss(held: Iterable[Holding], gateways: int) -> str:
+def unsettled_reason(held: Iterable[Holding], gateways: int) -> str:
     """Why not all hold the same; nothing where they do. `gateways`: that run."""
     looked = list(held)
     if (nowhere := sum(each.nowhere for each in looked)) > _empty_control(looked):
--- a/benchmarks/scale/celling_messages.py
+++ b/benchmarks/scale/cells_messages.py
@@ -100,7 +100,7 @@
     """Close everything."""
 
 
-CellingCommand = SetControl | SetHollow | Start | Kill | CutOff | Spread | Tell | Count | Quit
+CellsCommand = SetControl | SetHollow | Start | Kill | CutOff | Spread | Tell | Count | Quit
 
 
 class InView(msgspec.Struct, frozen=True):
@@ -143,4 +143,4 @@
     verdicts: tuple[DeadVerdict, ...]
 
 
-CellingReply = Holding | Counted
+CellsReply = Holding | Counted
--- a/benchmarks/scale/celling.py
+++ b/benchmarks/scale/cells_process.py
@@ -1,7 +1,7 @@
 """A process of cells: a control machine, or hollow gateways that serve nothing.
 
 The cores, the wire and the host are the program's own (`trackspread/cells/`), on real sockets. Reads one
-command a line from standard input and answers each (`celling_messages.py`). May know: these cores. May not
+command a line from standard input and answers each (`cells_messages.py`). May know: these cores. May not
 know: what the run makes of its figures.
 """
 
@@ -16,23 +16,23 @@
 
 import uvloop
 
+from trackspread.cells.actions import CellJoined, CellLeft
 from trackspread.cells.controller import Controller, ControlSettings
 from trackspread.cells.gateway import Gateway, GatewaySettings
 from trackspread.cells.host import Host
-from trackspread.cells.actions import CellJoined, CellLeft
 from trackspread.cells.topology import ControlMachine, Zone
 from trackspread.cells.wire import CellsWire
+from trackspread.membership.actions import StatusEvent
+from trackspread.membership.discovery import ANTI_ENTROPY_INTERVAL_NS
 from trackspread.membership.host import created_now_ms
 from trackspread.membership.member import Member
-from trackspread.membership.discovery import ANTI_ENTROPY_INTERVAL_NS
-from trackspread.membership.actions import StatusEvent
 from trackspread.membership.wire import Keys
 
 from .answering import answer_all
 from .bounds import resident
-from .celling_messages import (
-    CellingCommand,
-    CellingReply,
+from .cells_messages import (
+    CellsCommand,
+    CellsReply,
     Count,
     Counted,
     CutOff,
@@ -72,7 +72,7 @@
 class HollowCellHost(Host):
     """One core, and what it has told."""
 
-    def __init__(self, core: Controller | Gateway, at: Address, process: CellingProcess) -> None:
+    def __init__(self, core: Controller | Gateway, at: Address, process: CellsProcess) -> None:
         wire = CellsWire(process.layout.fleet, Keys(), CELL_MOST)
         super().__init__(core, at, wire, time.monotonic_ns)
         self._process, self._before = process, (0, 0)
@@ -131,7 +131,7 @@
         return max(self._before[0] - before[0], self._before[1] - before[1])
 
 
-class CellingProcess:
+class CellsProcess:
     """All that runs in this process."""
 
     def __init__(self, setup: SetControl | SetHollow) -> None:
@@ -159,7 +159,7 @@
         for number in list(self._hosts):
             self._kill(number)
 
-    async def do(self, command: CellingCommand) -> CellingReply:
+    async def do(self, command: CellsCommand) -> CellsReply:
         match command:
             case Start():
                 for number in command.numbers:
@@ -289,18 +289,18 @@
 
 async def serve() -> None:
     """As the run asks, until it ends."""
-    process: CellingProcess | None = None
+    process: CellsProcess | None = None
 
-    async def answer(command: CellingCommand) -> CellingReply:
+    async def answer(command: CellsCommand) -> CellsReply:
         nonlocal process
         if isinstance(command, SetControl | SetHollow):
-            process = CellingProcess(command)
+            process = CellsProcess(command)
             process.start()
         if process is None:
             raise SystemExit("the first command has to set this process up")
         return await process.do(command)
 
-    await answer_all(CellingCommand, answer, Quit)
+    await answer_all(CellsCommand, answer, Quit)
     if process is not None:
         process.close()
 
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -13,7 +13,7 @@
 from benchmarks.common import say
 
 from .bounds import Guard
-from .handed import Change, HandedCost, HandingFleet
+from .configuration_fleet import Change, ConfigurationCost, ConfigurationFleet
 
 
 class ConfigurationPlan(NamedTuple):
@@ -33,7 +33,7 @@
 FULL = ConfigurationPlan(19, 76, (152, 304, 456, 608, 1_216), 0.5, (0.25, 0.5, 0.75, 1.0, 2.0), 8.0, 100, 9.0)
 
 
-Priced = tuple[list[HandedCost], list[float | None]]
+Priced = tuple[list[ConfigurationCost], list[float | None]]
 
 
 class Waits(msgspec.Struct, frozen=True):
@@ -52,14 +52,14 @@
 class Configured(NamedTuple):
     """What was measured."""
 
-    by_size: list[HandedCost]
-    by_rate: list[HandedCost]
+    by_size: list[ConfigurationCost]
+    by_rate: list[ConfigurationCost]
     waits: Waits
 
 
 async def measure(plan: ConfigurationPlan, guard: Guard) -> Configured:
-    """Raises `NotHanded`, `NotDone`, `HollowFailed`."""
-    async with HandingFleet(plan.replicas, -(-plan.sizes[-1] // plan.each), plan.each, guard) as fleet:
+    """Raises `ConfigurationNotReady`, `NotDone`, `HollowFailed`."""
+    async with ConfigurationFleet(plan.replicas, -(-plan.sizes[-1] // plan.each), plan.each, guard) as fleet:
         by_size, size_waits = await _by_size(plan, fleet)
         by_rate, rate_waits = await _by_rate(plan, fleet)
         burst = await _worst(fleet, await fleet.burst(plan.burst), plan.change_most)
@@ -72,7 +72,7 @@
         return Configured(by_size, by_rate, Waits(size_waits, rate_waits, burst, without))
 
 
-async def _by_size(plan: ConfigurationPlan, fleet: HandingFleet) -> Priced:
+async def _by_size(plan: ConfigurationPlan, fleet: ConfigurationFleet) -> Priced:
     found = []
     for size in plan.sizes:
         await fleet.add(size)
@@ -80,12 +80,12 @@
     return await _with_waits(plan, fleet, found)
 
 
-async def _by_rate(plan: ConfigurationPlan, fleet: HandingFleet) -> Priced:
+async def _by_rate(plan: ConfigurationPlan, fleet: ConfigurationFleet) -> Priced:
     return await _with_waits(plan, fleet, [await fleet.cost(rate, plan.span) for rate in plan.rates])
 
 
 async def _with_waits(
-    plan: ConfigurationPlan, fleet: HandingFleet, found: list[tuple[HandedCost, list[Change]]]
+    plan: ConfigurationPlan, fleet: ConfigurationFleet, found: list[tuple[ConfigurationCost, list[Change]]]
 ) -> Priced:
     waits = []
     for cost, changes in found:
@@ -95,13 +95,13 @@
 
 
 async def _worst(
-    fleet: HandingFleet, changes: list[Change], most: float, gateways: int | None = None
+    fleet: ConfigurationFleet, changes: list[Change], most: float, gateways: int | None = None
 ) -> float | None:
     waits = await fleet.everywhere(changes, most, gateways)
     return None if None in waits else max(each for each in waits if each is not None)
 
 
-def _tell(cost: HandedCost, wait: float | None, done: float) -> None:
+def _tell(cost: ConfigurationCost, wait: float | None, done: float) -> None:
     say(
         f"changes, {cost.gateways} gateways, {cost.rate:g} a second: in force after {_text(wait)}, "
         f"done for the operator after {done:.2f} s; "
--- a/benchmarks/scale/handed.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -17,9 +17,19 @@
 
 from .bounds import Guard
 from .children import Child, start_all
-from .handing import service
-from .handing_messages import Add, Ask, Handed, HandingCommand, Lead, SetGateways, SetReplica, Stop, Tier
-from .lag import Lag, together
+from .configuration_messages import (
+    Add,
+    Ask,
+    ConfigurationCommand,
+    ConfigurationReport,
+    Lead,
+    SetGateways,
+    SetReplica,
+    Stop,
+    Tier,
+)
+from .configuration_process import service
+from .lag import Lag, combined_lag
 from .operator import Operator
 from .placement import PORT, Address
 
@@ -38,7 +48,7 @@
     done_at: int = 0
 
 
-class HandedCost(msgspec.Struct, frozen=True):
+class ConfigurationCost(msgspec.Struct, frozen=True):
     """Over one span, by gateway and for the busiest control machine; bytes a second are payload of datagrams,
     the greater of sent and received."""
 
@@ -54,11 +64,11 @@
     lag: Lag
 
 
-class NotHanded(Exception):
+class ConfigurationNotReady(Exception):
     """Replicas or gateways did not come to what they should in time."""
 
 
-class HandingFleet:
+class ConfigurationFleet:
     """Use as `async with`; no gateway runs at first."""
 
     def __init__(
@@ -75,8 +85,8 @@
         self._hosts = [self._ports.host() for _ in range(processes)]
         addresses: tuple[Address, ...] = tuple((self._ports.host(), PORT) for _ in range(replicas))
         self.tier = Tier("handing", addresses, services, carried)
-        self.replicas: list[Child[Handed]] = []
-        self.processes: list[Child[Handed]] = []
+        self.replicas: list[Child[ConfigurationReport]] = []
+        self.processes: list[Child[ConfigurationReport]] = []
         self.operator = Operator(self.tier.fleet, addresses)
         self._base = 0.0  # bytes that a gateways' process holds without a gateway
         self._idle = 0.0  # share of a core that it takes then
@@ -84,7 +94,7 @@
         self.gateways = 0
         self._progress: list[list[tuple[int, int]]] = [[] for _ in range(processes)]
 
-    async def __aenter__(self) -> HandingFleet:
+    async def __aenter__(self) -> ConfigurationFleet:
         self._guard.admit(len(self._hosts) + len(self.tier.replicas))
         try:
             await self._start()
@@ -94,8 +104,8 @@
         return self
 
     async def _start(self) -> None:
-        self.replicas = await start_all("handing", Handed, len(self.tier.replicas))
-        self.processes = await start_all("handing", Handed, len(self._hosts))
+        self.replicas = await start_all("configuration_process", ConfigurationReport, len(self.tier.replicas))
+        self.processes = await start_all("configuration_process", ConfigurationReport, len(self._hosts))
         await asyncio.gather(
             *(child.ask(SetReplica(self.tier, number)) for number, child in enumerate(self.replicas))
         )
@@ -107,7 +117,7 @@
         )
         await asyncio.sleep(IDLE)
         idle = await self.ask(self.processes)
-        self._idle = fmean(share(a, b) for a, b in zip(told, idle, strict=True))
+        self._idle = fmean(cpu_share(a, b) for a, b in zip(told, idle, strict=True))
         self._base = fmean(each.memory for each in idle)
         await self.operator.open()
         await self.appoint_first()
@@ -149,20 +159,20 @@
         end = time.monotonic() + READY_MOST
         while not await holds():
             if time.monotonic() > end:
-                raise NotHanded(f"waited {READY_MOST:g} s for {what}")
+                raise ConfigurationNotReady(f"waited {READY_MOST:g} s for {what}")
             await asyncio.sleep(LOOK)
 
     async def ask(
-        self, children: Sequence[Child[Handed]], command: HandingCommand | None = None
-    ) -> list[Handed]:
+        self, children: Sequence[Child[ConfigurationReport]], command: ConfigurationCommand | None = None
+    ) -> list[ConfigurationReport]:
         self._guard.check()
         return list(await asyncio.gather(*(child.ask(command or Ask()) for child in children)))
 
-    def _in_use(self) -> list[Child[Handed]]:
+    def _in_use(self) -> list[Child[ConfigurationReport]]:
         """Processes that have gateways."""
         return self.processes[: -(-self.gateways // self._each)]
 
-    async def ask_gateways(self) -> list[Handed]:
+    async def ask_gateways(self) -> list[ConfigurationReport]:
         """Of all processes of gateways; how far these have come is kept."""
         told = await self.ask(self._in_use())
         for mine, each in zip(self._progress, told, strict=False):
@@ -200,30 +210,30 @@
         end = time.monotonic() + most
         while True:
             await self.ask_gateways()
-            found = [took(change, self._progress[:processes]) for change in wanted]
+            found = [time_in_force(change, self._progress[:processes]) for change in wanted]
             if None not in found or time.monotonic() > end:
                 return found
             await asyncio.sleep(LOOK)
 
-    async def cost(self, rate: float, span: float) -> tuple[HandedCost, list[Change]]:
+    async def cost(self, rate: float, span: float) -> tuple[ConfigurationCost, list[Change]]:
         """With so many changes a second over `span` s, and these changes."""
         before, control_before = await self.ask_gateways(), await self.ask(self.replicas)
         changes = await self.changes(rate, span)
         after, control_after = await self.ask_gateways(), await self.ask(self.replicas)
         control = list(zip(control_before, control_after, strict=True))
         gateways = max(1, self.gateways)
-        used = sum(share(a, b) - self._idle for a, b in zip(before, after, strict=True))
-        return HandedCost(
+        used = sum(cpu_share(a, b) - self._idle for a, b in zip(before, after, strict=True))
+        return ConfigurationCost(
             self.gateways,
             len(self.replicas),
             rate,
             max(0.0, used) / gateways,
-            sum(busier(a, b) for a, b in zip(before, after, strict=True)) / gateways,
+            sum(busier_rate(a, b) for a, b in zip(before, after, strict=True)) / gateways,
             sum(each.memory - self._base for each in after) / gateways,
-            max(share(a, b) for a, b in control),
-            max(busier(a, b) for a, b in control),
+            max(cpu_share(a, b) for a, b in control),
+            max(busier_rate(a, b) for a, b in control),
             max(each.memory for each in control_after),
-            together(each.lag for each in (*after, *control_after)),
+            combined_lag(each.lag for each in (*after, *control_after)),
         ), changes
 
     async def burst(self, count: int) -> list[Change]:
@@ -243,18 +253,18 @@
         return await burst
 
 
-def share(before: Handed, after: Handed) -> float:
+def cpu_share(before: ConfigurationReport, after: ConfigurationReport) -> float:
     """Of a core."""
     return (after.cpu - before.cpu) * 1e9 / (after.at - before.at)
 
 
-def busier(before: Handed, after: Handed) -> float:
+def busier_rate(before: ConfigurationReport, after: ConfigurationReport) -> float:
     """bytes/s, the greater of sent and received."""
     seconds = (after.at - before.at) / 1e9
     return max(after.sent - before.sent, after.received - before.received) / seconds
 
 
-def took(change: Change, progress: Iterable[Sequence[tuple[int, int]]]) -> float | None:
+def time_in_force(change: Change, progress: Iterable[Sequence[tuple[int, int]]]) -> float | None:
     """s until the gateways of all these processes had come to it; None: not yet."""
     ends = []
     for mine in progress:
--- a/benchmarks/scale/handing_messages.py
+++ b/benchmarks/scale/configuration_messages.py
@@ -52,10 +52,10 @@
     """Close everything."""
 
 
-HandingCommand = SetReplica | SetGateways | Lead | Add | Ask | Stop
+ConfigurationCommand = SetReplica | SetGateways | Lead | Add | Ask | Stop
 
 
-class Handed(Message, frozen=True):
+class ConfigurationReport(Message, frozen=True, tag="Handed"):
     """Of one process. `progress`: at which time, in ns, all its gateways had come to which sequence of the
     log; since the last question, as are lag and peak."""
 
--- a/benchmarks/scale/handing.py
+++ b/benchmarks/scale/configuration_process.py
@@ -1,8 +1,8 @@
 """A process of configuration handed down: a control machine's replica, or hollow gateways that pull.
 
 The cores and the wire are the program's own (`trackspread/distribution/`), on real datagram sockets. Reads
-one command a line from standard input and answers each (`handing_messages.py`). May know: these cores. May
-not know: what the run makes of its figures.
+one command a line from standard input and answers each (`configuration_messages.py`). May know: these cores.
+May not know: what the run makes of its figures.
 """
 
 from __future__ import annotations
@@ -14,21 +14,31 @@
 
 import uvloop
 
-from trackspread.distribution.replica import Replica
-from trackspread.distribution.subscriber import Subscriber
 from trackspread.distribution.actions import Action, Send
 from trackspread.distribution.messages import Message
+from trackspread.distribution.replica import Replica
 from trackspread.distribution.settings import ReplicaSettings, SubscriberSettings
-from trackspread.membership.actions import StatusEvent
-from trackspread.membership.identifiers import Epoch
+from trackspread.distribution.subscriber import Subscriber
 from trackspread.distribution.wire import Wire
+from trackspread.membership.actions import StatusEvent
 from trackspread.membership.host import created_now_ms
+from trackspread.membership.identifiers import Epoch
 from trackspread.membership.wire import Keys
 
 from .answering import answer_all
 from .bounds import resident
+from .configuration_messages import (
+    Add,
+    Ask,
+    ConfigurationCommand,
+    ConfigurationReport,
+    Lead,
+    SetGateways,
+    SetReplica,
+    Stop,
+    Tier,
+)
 from .datagrams import CoreSocket
-from .handing_messages import Add, Ask, Handed, HandingCommand, Lead, SetGateways, SetReplica, Stop, Tier
 from .lag import LagWatch
 from .placement import PORT, REGIONS, Address
 
@@ -39,7 +49,7 @@
     return f"service-{number}"
 
 
-def carried(tier: Tier, gateway: int) -> frozenset[str]:
+def carried_services(tier: Tier, gateway: int) -> frozenset[str]:
     """The services of one gateway: all are carried by about as many."""
     first = gateway * tier.carried
     return frozenset(service((first + n) % tier.services) for n in range(tier.carried))
@@ -88,11 +98,11 @@
 class GatewaySocket(DistributionSocket):
     """A hollow gateway that pulls what its services need."""
 
-    def __init__(self, tier: Tier, number: int, address: Address, process: HandingProcess) -> None:
+    def __init__(self, tier: Tier, number: int, address: Address, process: ConfigurationProcess) -> None:
         super().__init__(f"gateway-{number}", address, tier, -1)
         near = tuple(at for n, at in enumerate(tier.replicas) if n % REGIONS == number % REGIONS)
         others = tuple(at for at in tier.replicas if at not in near)
-        settings = SubscriberSettings(near or others, carried(tier, number), others if near else ())
+        settings = SubscriberSettings(near or others, carried_services(tier, number), others if near else ())
         self.core = Subscriber(settings, time.monotonic_ns(), number)
         self._process = process
 
@@ -109,7 +119,7 @@
             self._process.came_to(self.name, self.core.version.sequence)
 
 
-class HandingProcess:
+class ConfigurationProcess:
     """All that runs in this process."""
 
     def __init__(self, setup: SetReplica | SetGateways) -> None:
@@ -141,7 +151,7 @@
         if (least := min(self._sequences.values())) > before:
             self._progress.append((time.monotonic_ns(), least))
 
-    async def do(self, command: HandingCommand) -> Handed:
+    async def do(self, command: ConfigurationCommand) -> ConfigurationReport:
         match command:
             case Lead(round=round_):
                 for each in self._sockets:
@@ -158,14 +168,14 @@
         await made.open()
         self._sockets.append(made)
 
-    def _told(self) -> Handed:
+    def _told(self) -> ConfigurationReport:
         role, sequence = "", min(self._sequences.values(), default=0)
         for each in self._sockets:
             if isinstance(each, ReplicaSocket):
                 role, sequence = each.core.role, each.core.log.committed.sequence
         progress, self._progress = tuple(self._progress), []
         peak, self._peak = self._peak, 0
-        return Handed(
+        return ConfigurationReport(
             time.monotonic_ns(),
             time.process_time(),
             resident(os.getpid()),
@@ -188,19 +198,19 @@
 
 async def serve() -> None:
     """As the run asks, until it ends."""
-    process: HandingProcess | None = None
+    process: ConfigurationProcess | None = None
 
-    async def answer(command: HandingCommand) -> Handed:
+    async def answer(command: ConfigurationCommand) -> ConfigurationReport:
         nonlocal process
         if isinstance(command, SetReplica | SetGateways):
-            process = HandingProcess(command)
+            process = ConfigurationProcess(command)
             await process.start()
             command = Ask()
         if process is None:
             raise SystemExit("the first command has to set this process up")
         return await process.do(command)
 
-    await answer_all(HandingCommand, answer, Stop)
+    await answer_all(ConfigurationCommand, answer, Stop)
     if process is not None:
         process.close()
 
--- a/benchmarks/scale/control_state.py
+++ b/benchmarks/scale/control_state.py
@@ -26,7 +26,7 @@
 from trackspread.membership.identifiers import MemberId
 
 from .demand import ASKED, CARRIED
-from .subjects import REPEATS, SECOND, START, Figures, print_figures, resident, took
+from .subjects import REPEATS, SECOND, START, Figures, print_figures, resident, duration_of
 
 VALUE = 200  # bytes of one route as this page reckons; an entry's bound is 640
 ROUTES = int(ASKED["routes"] / ASKED["services"])  # of one service
@@ -69,7 +69,7 @@
     log = logged(size)
     held = resident() - empty
     changes = [entry(size + number, number % size) for number in range(1, 1 + REPEATED)]
-    took_changes = [took(partial(change, log, made)) for made in changes]
+    took_changes = [duration_of(partial(change, log, made)) for made in changes]
     serving = PollServer(log, 10**6)
     carried = tuple(service(number) for number in range(CARRIED))
     subscription = subscription_digest(carried)
@@ -81,7 +81,7 @@
         asked = Poll(next(numbers), version, subscription)
         answers = list[object]()
         moment = next(now)
-        used = took(lambda: answers.extend(serving.answer(moment, asked, moment)))
+        used = duration_of(lambda: answers.extend(serving.answer(moment, asked, moment)))
         if not isinstance(answers[0], Delta):
             raise RuntimeError(f"{answers}: no delta, no fair work")
         return used
@@ -116,7 +116,7 @@
     if not sent or not isinstance(sent[0], Poll):
         raise RuntimeError(f"{sent}: no poll, no fair work")
     delta = Delta(sent[0].number, entries[-1].version, 0, entries, False)
-    used = took(partial(subscriber.on_message, now, delta, REPLICA))
+    used = duration_of(partial(subscriber.on_message, now, delta, REPLICA))
     if subscriber.version != delta.version:
         raise RuntimeError(f"{delta.version} is not acted on: no fair work")
     return used
@@ -147,12 +147,12 @@
     asked, reports, alike = list[float](), list[float](), list[Directory]()
     for _ in range(COPIES):
         alike.append(made := Directory(START, EPOCH, CellPolicy(max_fleet_gateways=2 * size), machines()))
-        asked += [took(partial(_locate, made, START + REBUILD_NS, gateway)) for gateway in range(size)]
+        asked += [duration_of(partial(_locate, made, START + REBUILD_NS, gateway)) for gateway in range(size)]
         reports += _reported(made)
     held = (resident() - empty) / COPIES
     live = frozenset(machine.name for machine in machines())
     moments = range(START + REBUILD_NS, START + REBUILD_NS + REPEATED * SECOND, SECOND)
-    beats = [took(partial(made.tick, now, live)) for now in moments]
+    beats = [duration_of(partial(made.tick, now, live)) for now in moments]
     return {
         "memory": held,
         "locate": median(asked),
@@ -166,7 +166,9 @@
     used = []
     for known in made.entries.values():
         inside: list[MemberId] = [(name, 1) for name in known.pending]
-        used.append(took(partial(made.record_report, START + REBUILD_NS, known.cell, (1, 0, 1), inside)))
+        used.append(
+            duration_of(partial(made.record_report, START + REBUILD_NS, known.cell, (1, 0, 1), inside))
+        )
     return used
 
 
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -15,7 +15,7 @@
 from trackspread.membership.transport import DESCRIPTORS
 from trackspread.node.gateway import RESERVED_DESCRIPTORS
 
-from .sums import Line
+from .page_arithmetic import Line
 
 # The size that the operators ask for; a rack is one machine in 60 at once.
 ASKED: dict[str, float] = {
--- a/benchmarks/scale/reckon.py
+++ b/benchmarks/scale/estimates.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from .extrapolation import unrefuted
-from .presence import Presence, presence
+from .mechanism_status import MechanismStatus, mechanism_status
 from .role_terms import Bound, Role, Row
 from .roles import TOTALS
 from .slopes import Measurement, Slopes
@@ -34,7 +34,7 @@
     WRONG = "**fit wrong**"
 
 
-class Reckoned(msgspec.Struct, frozen=True):
+class EstimatedRow(msgspec.Struct, frozen=True):
     """One row with its figures; `value` is None where the state is one that has none."""
 
     row: Row
@@ -46,7 +46,7 @@
     # The size at which the limit is reached; None where it can't be told.
     breaks_at: float | None = None
     # How far the mechanism has come.
-    presence: Presence = Presence.MISSING
+    mechanism_status: MechanismStatus = MechanismStatus.MISSING
 
     @property
     def at_the_latest(self) -> bool:
@@ -89,28 +89,31 @@
         return self.breaks_at / self.size
 
 
-def reckon(
-    row: Row, slopes: Slopes, figures: dict[str, float], here: Callable[[str], Presence] = presence
-) -> Reckoned:
+def estimate_row(
+    row: Row,
+    slopes: Slopes,
+    figures: dict[str, float],
+    here: Callable[[str], MechanismStatus] = mechanism_status,
+) -> EstimatedRow:
     """The row at the size that it names; `here` tells how far a mechanism has come."""
     size, there = figures[row.at], here(row.mechanism)
     found = slopes.find(row.slope) if row.slope else None
     if found is None:
-        return Reckoned(row, State.NOT_MEASURED, size, presence=there)
+        return EstimatedRow(row, State.NOT_MEASURED, size, mechanism_status=there)
     state = _state(found, size)
     if state in (State.VOID, State.WRONG):
-        return Reckoned(row, state, size, found, presence=there)
+        return EstimatedRow(row, state, size, found, mechanism_status=there)
     times = figures[row.by] if row.by else 1.0
     limit = figures.get(row.limit) if row.by else found.limit
     breaks_at = _breaks_at(found, None if limit is None else limit / times)
-    return Reckoned(row, state, size, found, _value(found, state, size) * times, limit, breaks_at, there)
+    return EstimatedRow(row, state, size, found, _value(found, state, size) * times, limit, breaks_at, there)
 
 
-def totals(role: Role, reckoned: list[Reckoned], figures: dict[str, float]) -> list[Total]:
+def totals(role: Role, estimated: list[EstimatedRow], figures: dict[str, float]) -> list[Total]:
     """What the role's rows of memory, CPU and bytes come to."""
     made = []
     for kind, (limit, unit) in TOTALS.items():
-        parts = [each for each in reckoned if each.row.what.startswith(f"{kind}:") and each.row.counted]
+        parts = [each for each in estimated if each.row.what.startswith(f"{kind}:") and each.row.counted]
         if not role.added_up or not parts:
             continue
         values = [each.value for each in parts if each.value is not None]
@@ -119,10 +122,12 @@
     return made
 
 
-def breaks(reckoned: list[Reckoned], bounds: tuple[Bound, ...], figures: dict[str, float]) -> list[Break]:
+def breaks(
+    estimated: list[EstimatedRow], bounds: tuple[Bound, ...], figures: dict[str, float]
+) -> list[Break]:
     """All that breaks before the size asked for, the smallest share of that size first; a slope that stands
     in several roles at one size is told once."""
-    once = {(each.row.slope, each.row.by, each.size): each for each in reversed(reckoned)}
+    once = {(each.row.slope, each.row.by, each.size): each for each in reversed(estimated)}
     found = [
         Break(
             each.row.what,
--- a/benchmarks/scale/flat.py
+++ b/benchmarks/scale/flat.py
@@ -12,12 +12,12 @@
 from benchmarks.common import say
 from trackspread.testing.judge.verdict import Verdict
 
-from .beside import RealGateways
 from .bounds import Guard
 from .children import HollowFailed
-from .hollows import HollowFleet
+from .flat_fleet import Cost, FlatFleet, NotSettled, Outcome
+from .hollow_fleet import HollowFleet
 from .placement import REGIONS, of_rack, of_zone
-from .viewed import Cost, NotSettled, Outcome, ViewedFleet
+from .real_gateways import RealGateways
 
 SEEDS = (0, 1, 2)  # of each fleet's members, each in another region
 CUT_REGION = REGIONS - 1  # the one without a seed
@@ -60,7 +60,7 @@
     """Of a fleet of hollow members alone."""
     name = f"flat-{size}"
     async with HollowFleet(-(-size // plan.each), SEEDS, 2 * size, guard, name) as hollow:
-        fleet = ViewedFleet(hollow, None, guard)
+        fleet = FlatFleet(hollow, None, guard)
         await fleet.open()
         try:
             since = await hollow.begin(range(size), START_SPREAD)
@@ -109,7 +109,7 @@
         async with RealGateways(
             plan.real, hollow.seeds(), plan.failing + plan.real, most, guard, "failing"
         ) as real:
-            fleet = ViewedFleet(hollow, real, guard)
+            fleet = FlatFleet(hollow, real, guard)
             await fleet.open()
             try:
                 await _strike(plan, fleet, outcomes)
@@ -119,7 +119,7 @@
             return verdict, real.memory()
 
 
-async def _strike(plan: Plan, fleet: ViewedFleet, outcomes: list[Outcome]) -> None:
+async def _strike(plan: Plan, fleet: FlatFleet, outcomes: list[Outcome]) -> None:
     hollow, most = fleet.hollow, plan.settle_most
     numbers = list(range(plan.failing))
 
--- a/benchmarks/scale/viewed.py
+++ b/benchmarks/scale/flat_fleet.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from .beside import RealGateways
 from .bounds import Guard
-from .hollows import HollowFleet
-from .lag import Lag, LagWatch, together
+from .hollow_fleet import HollowFleet
+from .lag import Lag, LagWatch, combined_lag
 from .messages import DeadVerdict, Life, Measured, Traffic
 from .placement import number_of
-from .verdicts import Cutoff, hearsay, wrong
+from .real_gateways import RealGateways
+from .verdicts import Cutoff, false_deaths, relayed_deaths
 from .view import settled
 
 PEAK_SPAN = 1.1  # s after which the last second's bytes have been looked at
@@ -69,7 +69,7 @@
     run_lag: Lag  # of the run's own loop: how finely it saw what came to be
 
 
-class ViewedFleet:
+class FlatFleet:
     """Hollow members, and real gateways beside them, in one view."""
 
     def __init__(self, hollow: HollowFleet, real: RealGateways | None, guard: Guard) -> None:
@@ -143,10 +143,10 @@
         took = await self.until_settled(most, since)
         await asyncio.sleep(PEAK_SPAN)
         measured = await self._measure()
-        lag = together(each.lag for each in measured)
+        lag = combined_lag(each.lag for each in measured)
         verdicts, self._verdicts = self._verdicts, []
-        mistaken = {each.of for each in wrong(verdicts, self.lives, self.cutoffs)}
-        told = hearsay(verdicts, self.lives, self.cutoffs)
+        mistaken = {each.of for each in false_deaths(verdicts, self.lives, self.cutoffs)}
+        told = relayed_deaths(verdicts, self.lives, self.cutoffs)
         peak = max(each.peak for each in measured)
         return Outcome(
             fault,
@@ -233,7 +233,7 @@
         sent,
         received,
         coordinator_cpu,
-        together(each.lag for each in after),
+        combined_lag(each.lag for each in after),
         run_lag,
     )
 
--- a/benchmarks/scale/hollows.py
+++ b/benchmarks/scale/hollow_fleet.py
@@ -46,7 +46,7 @@
     async def __aenter__(self) -> HollowFleet:
         self._guard.admit(self._count)
         try:
-            self.children = await start_all("hollow", Reply, self._count)
+            self.children = await start_all("hollow_process", Reply, self._count)
             await asyncio.gather(
                 *(
                     child.ask(Setup(n, self.placement, self._fleet, self._seeds, self._most))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow_process.py
@@ -16,9 +16,9 @@
 
 import uvloop
 
-from trackspread.membership.host import Host, created_now_ms
-from trackspread.membership.discovery import ANTI_ENTROPY_INTERVAL_NS
 from trackspread.membership.actions import Action, ExchangeTables, SendMessage, StatusEvent
+from trackspread.membership.discovery import ANTI_ENTROPY_INTERVAL_NS
+from trackspread.membership.host import Host, created_now_ms
 from trackspread.membership.identifiers import ViewNumber
 from trackspread.membership.settings import MemberSettings
 from trackspread.membership.wire import Keys, Wire
--- a/benchmarks/scale/lag.py
+++ b/benchmarks/scale/lag.py
@@ -33,7 +33,7 @@
         return self.worst > WORST_MOST or self.late > LATE_SHARE_MOST * self.beats
 
 
-def together(lags: Iterable[Lag]) -> Lag:
+def combined_lag(lags: Iterable[Lag]) -> Lag:
     """Of several loops, or spans: void as soon as all of them together are."""
     return sum(lags, Lag())
 
--- a/benchmarks/scale/levels.py
+++ b/benchmarks/scale/levels.py
@@ -13,9 +13,9 @@
 from benchmarks.common import say
 
 from .bounds import Guard
-from .celled import CelledFleet, CellsCost
+from .cells_fleet import CellsCost, CellsFleet
+from .flat_fleet import NotSettled, Outcome
 from .placement import REGIONS
-from .viewed import NotSettled, Outcome
 
 RACK, ZONE, CUT_REGION = 14, 2, REGIONS - 1  # struck; the rack is in that zone
 TENTH = 10
@@ -53,7 +53,7 @@
     """By size; in a full run the faults follow in the largest fleet. What is measured goes into `found` as it
     comes."""
     processes = -(-plan.sizes[-1] // plan.each)
-    async with CelledFleet(plan.control, processes, plan.each, guard) as fleet:
+    async with CellsFleet(plan.control, processes, plan.each, guard) as fleet:
         try:
             for size in plan.sizes:
                 found.costs.append(await _cost(size, plan, fleet))
@@ -67,7 +67,7 @@
 async def faults(plan: LevelsPlan, guard: Guard, found: Levels) -> None:
     """In a small fleet of its own, beside the one whose costs are measured."""
     processes = -(-plan.failing // plan.each)
-    async with CelledFleet(plan.failing_control, processes, plan.each, guard) as fleet:
+    async with CellsFleet(plan.failing_control, processes, plan.each, guard) as fleet:
         try:
             await _settle(fleet, range(plan.failing), plan.settle_most)
             await _strike(plan, fleet, found.outcomes)
@@ -76,7 +76,7 @@
         await fleet.end()
 
 
-async def _settle(fleet: CelledFleet, numbers: range, most: float) -> float:
+async def _settle(fleet: CellsFleet, numbers: range, most: float) -> float:
     """All of these run; s until all hold the same."""
     since = await fleet.begin(numbers)
     took = await fleet.until_settled(most, since)
@@ -85,7 +85,7 @@
     return took
 
 
-async def _cost(size: int, plan: LevelsPlan, fleet: CelledFleet) -> CellsCost:
+async def _cost(size: int, plan: LevelsPlan, fleet: CellsFleet) -> CellsCost:
     took = await _settle(fleet, range(size), plan.settle_most)
     cost = await fleet.cost(plan.span, plan.quiet_most)
     say(
@@ -98,7 +98,7 @@
     return cost
 
 
-async def _strike(plan: LevelsPlan, fleet: CelledFleet, outcomes: list[Outcome]) -> None:
+async def _strike(plan: LevelsPlan, fleet: CellsFleet, outcomes: list[Outcome]) -> None:
     """One fault after the other, each on a fleet that holds the same."""
     numbers, most = range(plan.failing), plan.settle_most
 
@@ -137,7 +137,7 @@
     await _kill_leader(plan, fleet, note)
 
 
-async def _kill_leader(plan: LevelsPlan, fleet: CelledFleet, note: Callable[[Outcome], None]) -> None:
+async def _kill_leader(plan: LevelsPlan, fleet: CellsFleet, note: Callable[[Outcome], None]) -> None:
     leader = await fleet.leader()
     if leader is None:
         raise NotSettled("cells: no control machine leads")
--- a/benchmarks/scale/measured.py
+++ b/benchmarks/scale/measured.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol, TypeVar
 
-from .celled import CellsCost
+from .cells_fleet import CellsCost
 from .configuration import Configured
-from .handed import HandedCost
+from .configuration_fleet import ConfigurationCost
+from .flat_fleet import Cost
 from .lag import Lag
 from .slopes import Measurement, Run, measurement
-from .viewed import Cost
 
 SHARE, RATE, BYTES = "share of a core", "bytes/s", "bytes"
 CPU_MOST, RATE_MOST, MEMORY_MOST = 0.018, 5_000.0, 64.0 * (1 << 20)  # of a gateway, for all control together
@@ -149,8 +149,8 @@
         factor: str,
         unit: str,
         value: str,
-        costs: Sequence[HandedCost],
-        size: Callable[[HandedCost], float],
+        costs: Sequence[ConfigurationCost],
+        size: Callable[[ConfigurationCost], float],
         note: str,
     ) -> Measurement:
         return _measurement(f"distribution.{name}", factor, unit, costs, size, value, run, None, note)
--- a/benchmarks/scale/presence.py
+++ b/benchmarks/scale/mechanism_status.py
@@ -14,7 +14,7 @@
 TESTING = frozenset({"testing"})
 
 
-class Presence(Enum):
+class MechanismStatus(Enum):
     """How far a mechanism has come."""
 
     MISSING = "**missing**"
@@ -22,12 +22,12 @@
     STARTED = ""
 
 
-def presence(mechanism: str) -> Presence:
+def mechanism_status(mechanism: str) -> MechanismStatus:
     """Of the module at that path below trackspread/."""
     if not mechanism or not (PROGRAM / mechanism).exists():
-        return Presence.MISSING
+        return MechanismStatus.MISSING
     package = mechanism.split("/")[0].removesuffix(".py")
-    return Presence.STARTED if package in started() else Presence.CORE
+    return MechanismStatus.STARTED if package in started() else MechanismStatus.CORE
 
 
 @cache
--- a/benchmarks/scale/operator_tools.py
+++ b/benchmarks/scale/operator_tools.py
@@ -15,7 +15,7 @@
 from trackspread.commands.fleet import decode, differences
 from trackspread.membership.report import FleetReport, MemberReport
 
-from .subjects import REPEATS, Figures, print_figures, took
+from .subjects import REPEATS, Figures, duration_of, print_figures
 
 
 def answer(size: int) -> bytes:
@@ -54,7 +54,7 @@
 def fleet_view(size: int) -> Figures:
     """All gateways' answers read and compared; each tells of all members. Asking takes its time beside it."""
     told = answer(size)
-    steps = [took(partial(compare, told, size)) for _ in range(REPEATS)]
+    steps = [duration_of(partial(compare, told, size)) for _ in range(REPEATS)]
     return {"bytes": len(told) * size, "cpu": median(steps)}
 
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Iterable
 
 from .demand import ASKED, SECTIONS, figures
+from .estimates import Break, EstimatedRow, State, Total, breaks, estimate_row, mends, totals
 from .faults import Report
 from .latency import LIMIT, Latency
-from .presence import Presence, presence
-from .reckon import Break, Reckoned, State, Total, breaks, mends, reckon, totals
+from .mechanism_status import MechanismStatus, mechanism_status
+from .page_arithmetic import EvaluatedLine, evaluate_lines, figure
 from .role_terms import Role
 from .roles import BOUNDS, ROLES
 from .slopes import Measurement, Run, Slopes
-from .sums import Worked, figure, work
 
 NAMED: dict[str, str] = {
     "cell": "gateways in a cell",
@@ -36,13 +36,13 @@
         slopes: Slopes,
         latency: Latency | None = None,
         report: Report | None = None,
-        here: Callable[[str], Presence] = presence,
+        here: Callable[[str], MechanismStatus] = mechanism_status,
     ) -> None:
         self._slopes, self._latency, self._report = slopes, latency, report
-        self.worked = work([line for _, lines in SECTIONS for line in lines], figures())
+        self.worked = evaluate_lines([line for _, lines in SECTIONS for line in lines], figures())
         self.figures = figures() | {each.line.name: each.value for each in self.worked}
-        self.reckoned = {
-            role.title: [reckon(row, slopes, self.figures, here) for row in role.rows] for role in ROLES
+        self.estimated = {
+            role.title: [estimate_row(row, slopes, self.figures, here) for row in role.rows] for role in ROLES
         }
         self._runs = _runs(slopes, latency, report)
 
@@ -61,7 +61,7 @@
 
     def breaks(self) -> list[Break]:
         """What breaks before the size asked for, in order."""
-        return breaks([each for rows in self.reckoned.values() for each in rows], BOUNDS, self.figures)
+        return breaks([each for rows in self.estimated.values() for each in rows], BOUNDS, self.figures)
 
     def _size(self) -> str:
         rows = [(name, figure(value)) for name, value in ASKED.items() if name != "day"]
@@ -79,13 +79,13 @@
         return "\n\n".join(self._role(role) for role in ROLES)
 
     def _role(self, role: Role) -> str:
-        reckoned = self.reckoned[role.title]
+        estimated = self.estimated[role.title]
         head = ("what", "when", "at", "figure", "limit", "room", "breaks at", "mechanism", "run")
-        rows = [self._cells(each) for each in reckoned]
-        rows += [_total_cells(total) for total in totals(role, reckoned, self.figures)]
+        rows = [self._cells(each) for each in estimated]
+        rows += [_total_cells(total) for total in totals(role, estimated, self.figures)]
         return f"### {role.title}\n\n{role.state}\n\n{_table(head, rows)}"
 
-    def _cells(self, each: Reckoned) -> tuple[str, ...]:
+    def _cells(self, each: EstimatedRow) -> tuple[str, ...]:
         row, found = each.row, each.found
         unit = row.unit or (found.unit if found is not None else "")
         value = _no_figure(each) if each.value is None else f"{amount(each.value, unit)} ({each.state.value})"
@@ -223,7 +223,7 @@
     return sorted(set(runs), key=lambda run: (run.date, run.command, run.commit))
 
 
-def _sum_cells(worked: Worked) -> tuple[str, ...]:
+def _sum_cells(worked: EvaluatedLine) -> tuple[str, ...]:
     line = worked.line
     return line.what, worked.shown, f"{figure(worked.value)} {line.unit}".strip(), line.note or "-"
 
@@ -239,16 +239,16 @@
     return f"**{total.kind}, together**", "", "", value, limit, _room(room), "-", "-", "-"
 
 
-def _no_figure(each: Reckoned) -> str:
+def _no_figure(each: EstimatedRow) -> str:
     if each.state is State.WRONG and each.found is not None:
         return f"{each.state.value}: off by {each.found.holdout.error:.0%}"
     return each.state.value
 
 
-def _mechanism(each: Reckoned) -> str:
-    if each.presence is Presence.MISSING:
-        return str(each.presence.value)
-    return ", ".join(filter(None, (f"`{each.row.mechanism}`", each.presence.value)))
+def _mechanism(each: EstimatedRow) -> str:
+    if each.mechanism_status is MechanismStatus.MISSING:
+        return str(each.mechanism_status.value)
+    return ", ".join(filter(None, (f"`{each.row.mechanism}`", each.mechanism_status.value)))
 
 
 def _room(room: float | None) -> str:
--- a/benchmarks/scale/sums.py
+++ b/benchmarks/scale/page_arithmetic.py
@@ -29,7 +29,7 @@
     note: str = ""
 
 
-class Worked(msgspec.Struct, frozen=True):
+class EvaluatedLine(msgspec.Struct, frozen=True):
     """A line with its value, and its expression with figures in place of names."""
 
     line: Line
@@ -37,19 +37,19 @@
     value: float
 
 
-class SumError(ValueError):
+class ExpressionError(ValueError):
     """An expression with something else than +, -, *, /, min, names that are known and numbers."""
 
 
-def work(lines: Iterable[Line], known: dict[str, float]) -> list[Worked]:
-    """All lines in order; `known` are the figures that they begin from. Raises SumError."""
-    figures, worked = dict(known), list[Worked]()
+def evaluate_lines(lines: Iterable[Line], known: dict[str, float]) -> list[EvaluatedLine]:
+    """All lines in order; `known` are the figures that they begin from. Raises ExpressionError."""
+    figures, worked = dict(known), list[EvaluatedLine]()
     for line in lines:
         tree = ast.parse(line.sum, mode="eval").body
         value = _value(tree, figures, line.name)
-        worked.append(Worked(line, _shown(tree, figures), value))
+        worked.append(EvaluatedLine(line, _shown(tree, figures), value))
         if line.name in figures:
-            raise SumError(f"{line.name}: a name of its own is wanted")
+            raise ExpressionError(f"{line.name}: a name of its own is wanted")
         figures[line.name] = value
     return worked
 
@@ -75,7 +75,7 @@
             return _OPERATORS[type(op)](_value(left, figures, line), _value(right, figures, line))
         case ast.Call(func=ast.Name(id="min"), args=parts) if parts:
             return min(_value(part, figures, line) for part in parts)
-    raise SumError(f"{line}: {ast.unparse(tree)}: numbers, known names, +, -, *, / and min are wanted")
+    raise ExpressionError(f"{line}: {ast.unparse(tree)}: numbers, known names, +, -, *, / and min are wanted")
 
 
 def _shown(tree: ast.expr, figures: dict[str, float]) -> str:
--- a/benchmarks/scale/quota_traffic.py
+++ b/benchmarks/scale/quota_traffic.py
@@ -37,7 +37,7 @@
     full_list,
     print_figures,
     settings,
-    took,
+    duration_of,
 )
 
 ASKER, HOME = 0, 1  # gateways by number
@@ -120,7 +120,7 @@
         raw = _beats(size, beat)
         now += HEARTBEAT_NS
         calls = [out for out in leases.tick(now) if isinstance(out, Call)]
-        used = sum(took(partial(_answer, leases, now, call, raw)) for call in calls)
+        used = sum(duration_of(partial(_answer, leases, now, call, raw)) for call in calls)
         taken.append(used)
         read = len(raw)
     each_second = SECOND / HEARTBEAT_NS
--- a/benchmarks/scale/beside.py
+++ b/benchmarks/scale/real_gateways.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from trackspread.testing.harness.fleet import Fleet
-from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.judge.ledger import PlanRule
+from trackspread.testing.judge.membership_records import RecordReader
 from trackspread.testing.judge.verdict import Verdict
 from trackspread.testing.standins.client_population import ClientPopulation
 from trackspread.testing.standins.loopback import Address, Ports
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -11,14 +11,14 @@
 
 from trackspread.testing.judge.verdict import Verdict
 
-from .celled import CellsCost
+from .cells_fleet import CellsCost
 from .configuration import Configured
 from .extrapolation import extrapolate
+from .flat_fleet import Cost, Outcome
 from .lag import Lag
 from .latency import Latency
 from .measured import CHANGE_MOST, CPU_MOST, MEMORY_MOST, RATE_MOST
 from .slopes import Measurement
-from .viewed import Cost, Outcome
 from .virtual_cells import Played
 
 SIZE = 7_200  # gateways that are asked for
@@ -233,7 +233,7 @@
     """The judge's word on the real gateways; `memory`: bytes that the largest of them held at most."""
     summary = verdict.summary
     report.requests, report.served = summary.requests, summary.served
-    if verdict.state == "broken":  # else what is amiss by the clock says more of the machine
+    if verdict.state == "broken":  # else what is wrong by the clock says more of the machine
         report.violations += len(verdict.violations)
     report.real_gateway_memory_mb = round(memory / MEGABYTE, 1)
     if verdict.state == "void":
--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -86,7 +86,7 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
 
 
-def took(step: Callable[[], object]) -> float:
+def duration_of(step: Callable[[], object]) -> float:
     """Seconds of CPU that `step` used."""
     began = time.process_time_ns()
     step()
@@ -186,7 +186,7 @@
     """A list of all backends of the fleet, in one module."""
     driver = Driver(settings(gateways=1))
     costs = _listed(driver, partial(full_list, size), repeats(size), repeats(size))
-    beats = [took(driver.tick) for _ in range(repeats(size))]
+    beats = [duration_of(driver.tick) for _ in range(repeats(size))]
     requests = served(driver, local_customers(KNOWN, driver), arrivals(size))
     return {**costs, "beat": median(beats) * SECOND / TICK, "arrival": median(requests)}
 
@@ -195,13 +195,13 @@
     """What a first list, later whole ones and one backend's changes cost; `made`: the list by its version."""
     empty = resident()
     listed = [made(1)]
-    first = took(lambda: driver.handle(listed.pop()))
+    first = duration_of(lambda: driver.handle(listed.pop()))
     held = resident() - empty
     again = []
     for version in range(2, 2 + lists):
         whole = made(version)
-        again.append(took(partial(driver.handle, whole)))
-    drained = [took(partial(driver.handle, drain(1))) for _ in range(changes)]
+        again.append(duration_of(partial(driver.handle, whole)))
+    drained = [duration_of(partial(driver.handle, drain(1))) for _ in range(changes)]
     return {"memory": held, "list_first": first, "list": median(again), "change": median(drained)}
 
 
@@ -223,7 +223,7 @@
     costs = _listed(driver, partial(_by_service, size), REPEATS, REPEATS_MOST)
     customers = local_customers(KNOWN, driver)
     requests = [driver.serve(customers[number % KNOWN], number % len(classes)) for number in range(6000)]
-    beats = [took(driver.tick) for _ in range(REPEATS_MOST)]
+    beats = [duration_of(driver.tick) for _ in range(REPEATS_MOST)]
     return {**costs, "beat": median(beats) * SECOND / TICK, "arrival": median(requests[3000:])}
 
 
@@ -253,7 +253,7 @@
     change = json.dumps({"seq": 2, "whole": False, "hosts": hosts[:1]}, separators=(",", ":")).encode()
     del hosts
     parse = partial(_parse, text, tuple(f"zone-{number}" for number in range(12)))
-    steps = [took(parse) for _ in range(repeats(size))]
+    steps = [duration_of(parse) for _ in range(repeats(size))]
     return {"bytes": len(text), "parse": median(steps), "change_bytes": len(change)}
 
 
@@ -270,7 +270,7 @@
     for number in range(REPEATS):
         made = tuple(replace(PLAN, name=f"plan-{n}", rate_per_s=51.0 + number) for n in range(size))
         changed = PlansChanged(made)
-        changes.append(took(partial(driver.handle, changed)))
+        changes.append(duration_of(partial(driver.handle, changed)))
     return {"memory": held, "change": median(changes)}
 
 
@@ -285,7 +285,7 @@
     for number in range(REPEATS):
         reserved = tuple((customer, 6.0 + number, 10.0) for customer in range(size))
         changed = PlansChanged((PLAN,), reserved)
-        changes.append(took(partial(driver.handle, changed)))
+        changes.append(duration_of(partial(driver.handle, changed)))
     return {"memory": held, "change": median(changes)}
 
 
@@ -300,7 +300,7 @@
     open_now = len(driver.broker.requests.open_requests)
     if open_now < size:
         raise RuntimeError(f"{open_now} of {size} requests under way: no fair work")
-    calm = [took(lambda: _beats(driver, 20)) / 2.0 for _ in range(REPEATS)]
+    calm = [duration_of(lambda: _beats(driver, 20)) / 2.0 for _ in range(REPEATS)]
     return {"memory": held, "beat": median(calm)}
 
 
@@ -317,7 +317,7 @@
     broker.model.is_congested = True
     broker.model.response_times_ns = [0.01 * SECOND * n for n in range(64)]
     driver.now += 3 * SECOND
-    return {"evaluation": took(partial(broker.commitments.evaluate_due, driver.now))}
+    return {"evaluation": duration_of(partial(broker.commitments.evaluate_due, driver.now))}
 
 
 def members(size: int) -> Figures:
@@ -326,11 +326,11 @@
     driver = Driver(settings(gateways=size))
     driver.handle(full_list(SERVICE, 1))
     made = [view(size, gone) for gone in range(1, 1 + VIEWS)]
-    changes = [took(partial(driver.handle, each)) for each in made]
+    changes = [duration_of(partial(driver.handle, each)) for each in made]
     asking = range(1, 1 + ASKING)
-    first = [took(partial(driver.ask, customer, size)) for customer in asking]
+    first = [duration_of(partial(driver.ask, customer, size)) for customer in asking]
     driver.now += SECOND
-    later = [took(partial(driver.ask, customer, size)) for customer in asking]
+    later = [duration_of(partial(driver.ask, customer, size)) for customer in asking]
     return {"change": median(changes), "first": median(first), "arrival": median(later)}
 
 
--- a/benchmarks/scale/verdicts.py
+++ b/benchmarks/scale/verdicts.py
@@ -21,7 +21,7 @@
     until: int = 0
 
 
-def wrong(
+def false_deaths(
     verdicts: Iterable[DeadVerdict],
     lives: Iterable[Life],
     cutoffs: Iterable[Cutoff] = (),
@@ -34,7 +34,7 @@
     return [each for each in verdicts if each.own and _alive(each, ran) and not _apart(each, cuts, region)]
 
 
-def hearsay(
+def relayed_deaths(
     verdicts: Iterable[DeadVerdict],
     lives: Iterable[Life],
     cutoffs: Iterable[Cutoff] = (),
--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -12,10 +12,9 @@
 import uvloop
 
 from benchmarks.scale import measured, report, slopes
-from benchmarks.scale.beside import shared_scenario
 from benchmarks.scale.bounds import Guard, OverBound, ProcessEntry, Use, tree
-from benchmarks.scale.celled import CelledFleet, CellsCost, amiss
-from benchmarks.scale.celling_messages import (
+from benchmarks.scale.cells_fleet import CellsCost, CellsFleet, unsettled_reason
+from benchmarks.scale.cells_messages import (
     Holding,
     InView,
     Layout,
@@ -24,13 +23,21 @@
     region_of_member,
 )
 from benchmarks.scale.configuration import Configured, Waits
+from benchmarks.scale.configuration_fleet import (
+    Change,
+    ConfigurationCost,
+    ConfigurationFleet,
+    busier_rate,
+    cpu_share,
+    time_in_force,
+)
+from benchmarks.scale.configuration_messages import ConfigurationReport, Tier
+from benchmarks.scale.configuration_process import carried_services
 from benchmarks.scale.extrapolation import extrapolate
 from benchmarks.scale.fit import Shape
-from benchmarks.scale.handed import Change, HandedCost, HandingFleet, busier, share, took
-from benchmarks.scale.handing import carried
-from benchmarks.scale.handing_messages import Handed, Tier
-from benchmarks.scale.hollows import HollowFleet
-from benchmarks.scale.lag import LATE, WORST_MOST, Lag, LagWatch, together
+from benchmarks.scale.flat_fleet import Cost, FlatFleet, Outcome, cost
+from benchmarks.scale.hollow_fleet import HollowFleet
+from benchmarks.scale.lag import LATE, WORST_MOST, Lag, LagWatch, combined_lag
 from benchmarks.scale.messages import DeadVerdict, Held, Life, Measured, Traffic
 from benchmarks.scale.placement import (
     PORT,
@@ -46,9 +53,9 @@
     of_zone,
     region_of,
 )
-from benchmarks.scale.verdicts import Cutoff, hearsay, wrong
+from benchmarks.scale.real_gateways import shared_scenario
+from benchmarks.scale.verdicts import Cutoff, false_deaths, relayed_deaths
 from benchmarks.scale.view import View, digest, settled
-from benchmarks.scale.viewed import Cost, Outcome, ViewedFleet, cost
 from trackspread.testing.standins.scenario import Scenario
 
 MB = 1 << 20
@@ -102,8 +109,8 @@
     assert not Lag(1000, 10, LATE + 0.01).void
     assert Lag(1000, 11, LATE + 0.01).void
     assert Lag(100_000, 1, WORST_MOST + 0.01).void
-    assert together([Lag(10, 0, 0.01), Lag(10, 0, WORST_MOST + 0.1)]).void
-    assert not together([]).void
+    assert combined_lag([Lag(10, 0, 0.01), Lag(10, 0, WORST_MOST + 0.1)]).void
+    assert not combined_lag([]).void
 
 
 def test_a_watch_counts_beats_and_begins_anew_when_it_is_read() -> None:
@@ -170,7 +177,7 @@
 
 def test_only_a_process_that_ran_was_called_dead_by_mistake() -> None:
     mistaken, late, unknown = dead(499, 1, 3), dead(500, 1, 3), dead(300, 1, 99)
-    assert wrong([mistaken, late, unknown], LIVES) == [mistaken]
+    assert false_deaths([mistaken, late, unknown], LIVES) == [mistaken]
 
 
 def test_who_is_cut_off_is_called_dead_rightly_also_where_the_suspicion_outlasts_the_cut() -> None:
@@ -178,13 +185,13 @@
     during, after = dead(250, 4, 3), dead(400, 4, 3, suspected=310)
     outlasting = dead(320, 4, 3, suspected=290)
     same_side = dead(250, 7, 3)
-    assert wrong([during, outlasting, after, same_side], LIVES, cut) == [after, same_side]
-    assert wrong([during], LIVES, [Cutoff(3, 200)]) == []
+    assert false_deaths([during, outlasting, after, same_side], LIVES, cut) == [after, same_side]
+    assert false_deaths([during], LIVES, [Cutoff(3, 200)]) == []
 
 
 def test_what_others_told_is_counted_apart() -> None:
     told = dead(250, 7, 3, own=False)
-    assert wrong([told], LIVES) == [] and hearsay([told], LIVES) == {WHO}
+    assert false_deaths([told], LIVES) == [] and relayed_deaths([told], LIVES) == {WHO}
 
 
 # Whether all hold the same.
@@ -332,9 +339,9 @@
     )
 
 
-def handed_down(gateways: int, rate: float) -> HandedCost:
+def handed_down(gateways: int, rate: float) -> ConfigurationCost:
     lag = Lag(100, 0, 0.01)
-    return HandedCost(gateways, 19, rate, 0.0003, 60.0, 1e4, 0.01, 20.0 * gateways / 19, 3e7, lag)
+    return ConfigurationCost(gateways, 19, rate, 0.0003, 60.0, 1e4, 0.01, 20.0 * gateways / 19, 3e7, lag)
 
 
 def test_cells_with_configuration_are_the_objects_own_figures_beside_the_flat_views() -> None:
@@ -387,27 +394,27 @@
 # Configuration handed down.
 
 
-def handed(at: int, cpu: float, sent: int, received: int) -> Handed:
-    return Handed(at, cpu, 30 * MB, 0, 0, sent, received, "", 0, (), 0, Lag())
+def handed(at: int, cpu: float, sent: int, received: int) -> ConfigurationReport:
+    return ConfigurationReport(at, cpu, 30 * MB, 0, 0, sent, received, "", 0, (), 0, Lag())
 
 
 def test_a_change_is_in_force_everywhere_once_the_last_process_has_come_to_it() -> None:
     progress = [[(100, 4), (300, 7)], [(200, 5), (500, 6), (600, 9)]]
     second = 1_000_000_000
-    assert took(Change(50, 5), progress) == pytest.approx(250 / second)
-    assert took(Change(50, 6), progress) == pytest.approx(450 / second)
-    assert took(Change(50, 8), progress) is None
-    assert took(Change(50, 1), [*progress, []]) is None
+    assert time_in_force(Change(50, 5), progress) == pytest.approx(250 / second)
+    assert time_in_force(Change(50, 6), progress) == pytest.approx(450 / second)
+    assert time_in_force(Change(50, 8), progress) is None
+    assert time_in_force(Change(50, 1), [*progress, []]) is None
 
 
 def test_bytes_are_of_the_busier_direction_and_cpu_of_the_processes_clock() -> None:
     before, after = handed(0, 1.0, 100, 0), handed(2_000_000_000, 1.5, 300, 1_000)
-    assert busier(before, after) == 500.0 and share(before, after) == 0.25
+    assert busier_rate(before, after) == 500.0 and cpu_share(before, after) == 0.25
 
 
 def test_every_service_is_carried_by_about_as_many_gateways() -> None:
     tier = Tier("x", (), services=30, carried=4)
-    counts = Counter(each for gateway in range(60) for each in carried(tier, gateway))
+    counts = Counter(each for gateway in range(60) for each in carried_services(tier, gateway))
     assert len(counts) == 30 and set(counts.values()) == {8}
 
 
@@ -433,17 +440,17 @@
     both = digest(sorted([gateway, control]))
     mine, seed = InView(gateway, "c", number, both, True), InView(control, "c", number, both, True)
     leading = Holding(0, (seed,), 0, 0, True, 1, 1)
-    assert amiss([Holding(0, (mine,), 0, 0), leading], 1) == ""
-    assert "in a cell" in amiss([Holding(0, (mine,), 0, 0), leading], 2)
-    assert "no cell" in amiss([Holding(0, (mine,), 1, 0), leading], 1)
+    assert unsettled_reason([Holding(0, (mine,), 0, 0), leading], 1) == ""
+    assert "in a cell" in unsettled_reason([Holding(0, (mine,), 0, 0), leading], 2)
+    assert "no cell" in unsettled_reason([Holding(0, (mine,), 1, 0), leading], 1)
     behind = InView(gateway, "c", (5, 0, 2), both, True)
-    assert "one view" in amiss([Holding(0, (behind,), 0, 0), leading], 1)
+    assert "one view" in unsettled_reason([Holding(0, (behind,), 0, 0), leading], 1)
     alone = digest([gateway])
     stale = [InView(who, "c", number, alone, True) for who in (gateway, control)]
     lone_seed = Holding(0, (stale[1],), 0, 0, True, 1, 1)
-    assert "just those" in amiss([Holding(0, (stale[0],), 0, 0), lone_seed], 1)
+    assert "just those" in unsettled_reason([Holding(0, (stale[0],), 0, 0), lone_seed], 1)
     lost = Holding(0, (seed,), 0, 0, True, 0, 1)
-    assert "directory" in amiss([Holding(0, (mine,), 0, 0), lost], 1)
+    assert "directory" in unsettled_reason([Holding(0, (mine,), 0, 0), lost], 1)
 
 
 # On sockets.
@@ -452,7 +459,7 @@
 @pytest.mark.processes
 def test_hollow_gateways_find_their_cells_and_settle_again_after_a_crash() -> None:
     async def run() -> tuple[Outcome, int]:
-        async with CelledFleet(3, 1, 24, Guard()) as fleet:
+        async with CellsFleet(3, 1, 24, Guard()) as fleet:
             since = await fleet.begin(range(6))
             assert await fleet.until_settled(60.0, since) is not None
             await fleet.before_fault()
@@ -468,7 +475,7 @@
 @pytest.mark.processes
 def test_a_change_put_to_replicas_in_processes_is_in_force_at_all_hollow_gateways() -> None:
     async def run() -> tuple[list[float | None], list[float | None], int]:
-        async with HandingFleet(3, 2, 4, Guard()) as fleet:
+        async with ConfigurationFleet(3, 2, 4, Guard()) as fleet:
             await fleet.add(8)
             usual = await fleet.everywhere([await fleet.change(n) for n in range(5)], 20.0)
             without_leader = await fleet.everywhere(await fleet.burst_without_leader(10), 20.0)
@@ -484,7 +491,7 @@
     async def run() -> tuple[Outcome, int, int]:
         guard = Guard()
         async with HollowFleet(2, (0, 1, 2), 32, guard, "small") as hollow:
-            fleet = ViewedFleet(hollow, None, guard)
+            fleet = FlatFleet(hollow, None, guard)
             await fleet.open()
             await hollow.begin(range(8), 0.1)
             assert await fleet.until_settled(20.0) is not None
--- a/tests/project/test_capacity.py
+++ b/tests/project/test_capacity.py
@@ -9,12 +9,12 @@
 import pytest
 
 from benchmarks import capacity
-from benchmarks.scale import demand, faults, latency, reckon, role_terms, roles, slopes
+from benchmarks.scale import demand, estimates, faults, latency, role_terms, roles, slopes
 from benchmarks.scale.extrapolation import unrefuted
+from benchmarks.scale.mechanism_status import PROGRAM, MechanismStatus, mechanism_status, started
 from benchmarks.scale.page import Page, amount
-from benchmarks.scale.presence import PROGRAM, Presence, presence, started
+from benchmarks.scale.page_arithmetic import EvaluatedLine, ExpressionError, Line, evaluate_lines, figure
 from benchmarks.scale.slopes import Measurement, Run, Slopes, measurement
-from benchmarks.scale.sums import Line, SumError, Worked, figure, work
 
 RUN = Run(date="2026-12-02T05:10Z", command="python -m benchmarks.scale", commit="abc1234")
 ROW = role_terms.Row("memory: all", "cost", "gateways", "decide/load_balancer.py", "a mend")
@@ -34,10 +34,12 @@
     return measurement("cost", "gateways", "bytes", points, (800.0, held), RUN, limit=limit, void=void)
 
 
-def one(found: Measurement | None, row: role_terms.Row = ROW, size: float = 7200.0) -> reckon.Reckoned:
+def one(found: Measurement | None, row: role_terms.Row = ROW, size: float = 7200.0) -> estimates.EstimatedRow:
     """The row worked out at a size."""
     kept = Slopes((found,) if found is not None else ())
-    return reckon.reckon(row, kept, FIGURES | {"gateways": size}, lambda mechanism: Presence.STARTED)
+    return estimates.estimate_row(
+        row, kept, FIGURES | {"gateways": size}, lambda mechanism: MechanismStatus.STARTED
+    )
 
 
 # Page, file and command.
@@ -100,8 +102,10 @@
 # The arithmetic.
 
 
-@pytest.mark.parametrize("worked", work(LINES, demand.figures()), ids=lambda worked: worked.line.name)
-def test_the_sum_that_is_shown_comes_to_the_value_beside_it(worked: Worked) -> None:
+@pytest.mark.parametrize(
+    "worked", evaluate_lines(LINES, demand.figures()), ids=lambda worked: worked.line.name
+)
+def test_the_sum_that_is_shown_comes_to_the_value_beside_it(worked: EvaluatedLine) -> None:
     plain = re.sub(r"(?<=\d),(?=\d)", "", worked.shown).replace(" x ", " * ")
     value = eval(compile(plain, "sum", "eval"), {"__builtins__": {}, "min": min})
     assert value == pytest.approx(worked.value, rel=0.01)
@@ -126,24 +130,24 @@
     ],
 )
 def test_lines_worked_out_by_hand(name: str, value: float) -> None:
-    by_name = {each.line.name: each.value for each in work(LINES, demand.figures())}
+    by_name = {each.line.name: each.value for each in evaluate_lines(LINES, demand.figures())}
     assert by_name[name] == pytest.approx(value, rel=0.001)
 
 
 def test_what_a_gateway_carries_fits_its_descriptors() -> None:
-    by_name = {each.line.name: each.value for each in work(LINES, demand.figures())}
+    by_name = {each.line.name: each.value for each in evaluate_lines(LINES, demand.figures())}
     assert by_name["links_gateway"] <= by_name["links_most"]
 
 
 @pytest.mark.parametrize("wrong", ["a ** 2", "b", "a if a else 0", "print(a)", "'a'"])
 def test_a_sum_of_anything_else_is_refused(wrong: str) -> None:
-    with pytest.raises(SumError, match="are wanted"):
-        work([Line("x", "what", wrong, "")], {"a": 1.0})
+    with pytest.raises(ExpressionError, match="are wanted"):
+        evaluate_lines([Line("x", "what", wrong, "")], {"a": 1.0})
 
 
 def test_a_line_needs_a_name_of_its_own() -> None:
-    with pytest.raises(SumError, match="a name of its own"):
-        work([Line("a", "what", "a + 1", "")], {"a": 1.0})
+    with pytest.raises(ExpressionError, match="a name of its own"):
+        evaluate_lines([Line("a", "what", "a + 1", "")], {"a": 1.0})
 
 
 @pytest.mark.parametrize(
@@ -174,18 +178,18 @@
 
 def test_a_row_without_a_run_has_no_figure() -> None:
     told = one(None)
-    assert (told.state, told.value, told.room) == (reckon.State.NOT_MEASURED, None, None)
+    assert (told.state, told.value, told.room) == (estimates.State.NOT_MEASURED, None, None)
 
 
 def test_a_row_of_a_void_run_has_no_figure() -> None:
     told = one(slope(void=True))
-    assert (told.state, told.value) == (reckon.State.VOID, None)
+    assert (told.state, told.value) == (estimates.State.VOID, None)
 
 
 def test_a_row_whose_fit_missed_has_no_figure_but_at_the_size_that_was_measured() -> None:
-    assert one(slope(held=3000.0)).state is reckon.State.WRONG
+    assert one(slope(held=3000.0)).state is estimates.State.WRONG
     there = one(slope(held=3000.0), size=800.0)
-    assert (there.state, there.value) == (reckon.State.MEASURED, 3000.0)
+    assert (there.state, there.value) == (estimates.State.MEASURED, 3000.0)
 
 
 def test_a_row_by_fit_says_its_room_and_where_it_breaks() -> None:
@@ -199,7 +203,7 @@
     points = [(100.0, 101.0), (200.0, 103.0), (300.0, 102.0), (400.0, 104.0)]
     found = measurement("cost", "gateways", "bytes", points, (800.0, 107.0), RUN, limit=115.0)
     told = one(found)
-    assert told.state is reckon.State.FURTHER
+    assert told.state is estimates.State.FURTHER
     assert told.value == max(each.predict(7200.0) for each in unrefuted(found))
     assert told.breaks_at == min(each.breaks_at(115.0) for each in unrefuted(found))
     assert len(unrefuted(found)) > 1
@@ -218,7 +222,7 @@
 
 def test_below_the_least_size_the_cost_there_is_not_passed() -> None:
     told = one(slope(base=-190.0, held=1410.0), size=24.0)
-    assert (told.state, told.value) == (reckon.State.AT_MOST, 10.0)
+    assert (told.state, told.value) == (estimates.State.AT_MOST, 10.0)
 
 
 def test_a_row_times_another_figure_has_no_limit_of_its_own() -> None:
@@ -242,17 +246,17 @@
 def test_rows_of_a_kind_are_added_up_and_those_without_a_figure_told() -> None:
     role = role_terms.Role("a role", "state", (), added_up=True)
     twice = role_terms.Row("memory: the same", "cost", "gateways", "decide/load_balancer.py", counted=False)
-    (total,) = reckon.totals(role, [one(slope()), one(None), one(slope(), twice)], FIGURES)
+    (total,) = estimates.totals(role, [one(slope()), one(None), one(slope(), twice)], FIGURES)
     assert (total.kind, total.missing, total.limit) == ("memory", 1, 64e6)
     assert total.value == pytest.approx(14400.0)
-    (nothing,) = reckon.totals(role, [one(None)], FIGURES)
+    (nothing,) = estimates.totals(role, [one(None)], FIGURES)
     assert (nothing.value, nothing.missing) == (None, 1)
 
 
 def test_what_breaks_stands_in_order_and_what_holds_does_not() -> None:
     bound = role_terms.Bound("slots", "slots", "gateways", "membership/slot_allocation.py", "cells")
     holds = role_terms.Bound("more", "more", "gateways", "membership/slot_allocation.py", "cells")
-    found = reckon.breaks(
+    found = estimates.breaks(
         [one(slope()), one(slope(limit=1e9))], (bound, holds), {"gateways": 7200, "slots": 1024, "more": 8000}
     )
     assert [each.what for each in found] == ["slots", "memory: all"]
@@ -263,16 +267,16 @@
     bound = role_terms.Bound("slots", "slots", "gateways", "membership/slot_allocation.py", "cells")
     other = role_terms.Row("bytes: again", "cost", "gateways", "decide/load_balancer.py", "a mend")
     figures = {"gateways": 7200.0, "slots": 1024.0}
-    found = reckon.breaks([one(slope()), one(slope(), other)], (bound,), figures)
+    found = estimates.breaks([one(slope()), one(slope(), other)], (bound,), figures)
     assert [each.what for each in found] == ["slots", "memory: all"]
-    assert [mend for mend, _ in reckon.mends(found)] == ["cells", "a mend"]
+    assert [mend for mend, _ in estimates.mends(found)] == ["cells", "a mend"]
 
 
 def test_a_mechanism_that_is_not_in_the_program_is_missing() -> None:
-    assert presence("decide/load_balancer.py") is Presence.STARTED
-    assert presence("no/such.py") is presence("") is Presence.MISSING
-    known = {"decide": Presence.STARTED, "membership": Presence.CORE}
-    page = Page(Slopes(), here=lambda path: known.get(path.split("/")[0], Presence.MISSING))
+    assert mechanism_status("decide/load_balancer.py") is MechanismStatus.STARTED
+    assert mechanism_status("no/such.py") is mechanism_status("") is MechanismStatus.MISSING
+    known = {"decide": MechanismStatus.STARTED, "membership": MechanismStatus.CORE}
+    page = Page(Slopes(), here=lambda path: known.get(path.split("/")[0], MechanismStatus.MISSING))
     table = page.parts()["roles"]
     assert "| **missing** |" in table
     assert "| `decide/load_balancer.py` |" in table
