--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of how cost grows with size, and the fits that carry them on to sizes not measured."""
+"""Measures how costs grow with size, and extrapolates them to sizes that are not measured."""
--- a/benchmarks/scale/answering.py
+++ b/benchmarks/scale/answering.py
@@ -1,6 +1,6 @@
-"""A child's side: one command a line from standard input, one answer a line to standard output.
+"""Answers commands in a child process: one command per line of standard input, one answer per line of output.
 
-May know: pipes. May not know: what is asked.
+The module knows pipes; it does not know the commands.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from .messages import Message
 
-LINE_MOST = 64 << 20  # bytes of a command
+MAX_LINE_BYTES = 64 << 20  # The longest command.
 
 
 async def answer_all(commands: Any, answer: Callable[[Any], Awaitable[Message]], last: type[Message]) -> None:
-    """Until standard input ends, or a command of type `last` was answered. `commands`: their types."""
-    reader = asyncio.StreamReader(limit=LINE_MOST)
+    """Answers commands of the types `commands` until standard input ends or a command of type `last`."""
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     decoder = msgspec.json.Decoder(commands)
--- a/benchmarks/scale/cells_messages.py
+++ b/benchmarks/scale/cells_messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from .lag import Lag
-from .messages import DeadVerdict, Life, Message, Who
+from .messages import DeadVerdict, Life, MemberId, Message
 from .placement import CONTROL_PREFIX, PORT, RACKS, REGIONS, ZONES, Address, number_of
 
 CELL = 24  # gateways that a cell has where there are enough (`cells/messages.py`, the policy's target)
@@ -107,7 +107,7 @@
     """One member of one cell's view: which view it holds, the digest of that view's members, and whether it
     has a part, or is a control machine, which has none."""
 
-    who: Who
+    who: MemberId
     cell: str
     number: tuple[int, int, int]
     members: int
--- a/benchmarks/scale/cells_process.py
+++ b/benchmarks/scale/cells_process.py
@@ -50,7 +50,7 @@
     gateway_zone,
 )
 from .lag import LagWatch
-from .messages import DeadVerdict, Life, Who
+from .messages import DeadVerdict, Life, MemberId
 from .placement import REGIONS, Address, Partition, control_name, name_of
 from .view import digest
 
@@ -76,7 +76,7 @@
         wire = CellsWire(process.layout.fleet, Keys(), CELL_MOST)
         super().__init__(core, at, wire, time.monotonic_ns)
         self._process, self._before = process, (0, 0)
-        self._suspected: dict[Who, int] = {}
+        self._suspected: dict[MemberId, int] = {}
 
     def datagram_received(self, data: bytes, source: Address) -> None:
         if self._process.partition.passes(source, self._listen):
@@ -95,10 +95,10 @@
     def _record_event(self, fleet: str, told: StatusEvent) -> None:
         super()._record_event(fleet, told)
         if told.kind == "member":
-            who = cast(Who, told.details["who"])
+            who = cast(MemberId, told.details["who"])
             self._judged(who, str(told.details["state"]), str(told.details["by"]))
 
-    def _judged(self, who: Who, state: str, teller: str) -> None:
+    def _judged(self, who: MemberId, state: str, teller: str) -> None:
         now, me = time.monotonic_ns(), self.core.member_id[0]
         if state == "SUSPECT":
             self._suspected.setdefault(who, now)
@@ -139,14 +139,14 @@
         self.partition = Partition(self.layout.region)
         self.verdicts: deque[DeadVerdict] = deque(maxlen=VERDICTS_MOST)
         self._hosts: dict[int, HollowCellHost] = {}
-        self._lives: dict[Who, Life] = {}
-        self._as: dict[HollowCellHost, Who] = {}  # as whom each is in a cell, or among control machines
+        self._lives: dict[MemberId, Life] = {}
+        self._as: dict[HollowCellHost, MemberId] = {}  # as whom each is in a cell, or among control machines
         self._ended = (0, 0, 0)  # datagrams, bytes sent and received of those that have ended
         self._peak = 0
         self._rng = random.Random()
         self._watch = LagWatch()
         self._beat: asyncio.Task[None] | None = None
-        self._digests: dict[str, tuple[tuple[Who, ...], int]] = {}
+        self._digests: dict[str, tuple[tuple[MemberId, ...], int]] = {}
 
     def start(self) -> None:
         self._watch.start()
@@ -218,7 +218,7 @@
         """A gateway has joined a cell, or left one."""
         self._lives_as(host, host.core.member_id if joined else None)
 
-    def _lives_as(self, host: HollowCellHost, who: Who | None) -> None:
+    def _lives_as(self, host: HollowCellHost, who: MemberId | None) -> None:
         now = time.monotonic_ns()
         if (former := self._as.pop(host, None)) is not None:
             self._lives[former] = Life(former, self._lives[former].since, now)
@@ -247,7 +247,7 @@
         part = isinstance(host.core, Controller) or bool(member.usable_slots(now))
         return InView(member.member_id, cell, member.view_number(), self._digest(cell, held), part)
 
-    def _digest(self, cell: str, members: tuple[Who, ...]) -> int:
+    def _digest(self, cell: str, members: tuple[MemberId, ...]) -> int:
         """Made once for all here that hold the same."""
         kept = self._digests.get(cell)
         if kept is None or kept[0] != members:
--- a/benchmarks/scale/children.py
+++ b/benchmarks/scale/children.py
@@ -1,6 +1,6 @@
-"""Processes of a run that answer one command a line: how they are started, asked and ended.
+"""Starts, queries and ends the processes of a run, which answer one command per line.
 
-May know: processes, pipes. May not know: what is asked.
+The module knows processes and pipes; it does not know the commands.
 """
 
 from __future__ import annotations
@@ -18,45 +18,45 @@
 
 R = TypeVar("R")
 
-ANSWER_MOST = 60.0  # s for one answer: a process that takes longer is stuck
-SPAWN = 0.02  # s between starts
-LINE_MOST = 64 << 20  # bytes of one answer
+ANSWER_TIMEOUT_S = 60.0  # A process that takes longer for one answer is unresponsive.
+START_INTERVAL_S = 0.02  # Between the starts of two processes.
+MAX_LINE_BYTES = 64 << 20  # The longest answer.
 
 
 class HollowFailed(Exception):
-    """A hollow process has ended, or does not answer."""
+    """Reports a hollow process that has ended or does not answer."""
 
 
 class Child(Generic[R]):
-    """One process; `R`: what it answers with."""
+    """Holds one child process, whose answers are of type `R`."""
 
     def __init__(self, process: asyncio.subprocess.Process, replies: Any) -> None:
         self._process = process
         self._decoder = msgspec.json.Decoder(replies)
-        self._one = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     @classmethod
     async def start(cls, program: str, replies: Any) -> Child[R]:
-        """`program`: a module of this package; `replies`: the type, or types, of what it answers with."""
+        """Starts the module `program` of this package, whose answers are of the type or types `replies`."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             f"benchmarks.scale.{program}",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=LINE_MOST,
+            limit=MAX_LINE_BYTES,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
         return cls(process, replies)
 
-    async def ask(self, command: Message, more: float = 0.0) -> R:
-        """`more`: s that the command itself takes. Raises `HollowFailed`."""
+    async def ask(self, command: Message, extra_s: float = 0.0) -> R:
+        """Returns the answer to a command that itself takes `extra_s` seconds. Raises `HollowFailed`."""
         reader, writer = self._process.stdout, self._process.stdin
         if reader is None or writer is None:
             raise HollowFailed("a hollow process has no pipes")
-        async with self._one:
+        async with self._lock:
             try:
-                async with asyncio.timeout(ANSWER_MOST + more):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S + extra_s):
                     writer.write(msgspec.json.encode(command) + b"\n")
                     await writer.drain()
                     line = await reader.readline()
@@ -80,15 +80,18 @@
             await self._process.wait()
 
     def kill(self) -> None:
-        """Outright, as a machine that loses power."""
+        """Kills the process at once, as the loss of power of a machine does."""
         if self._process.returncode is None:
             self._process.kill()
 
 
 async def start_all(program: str, replies: Any, count: int) -> list[Child[Any]]:
-    """So many of one program, one after the other: each start stops this process's loop for milliseconds."""
+    """Starts `count` processes of one program, one after the other.
+
+    Each start blocks the event loop of this process for milliseconds.
+    """
     children: list[Child[Any]] = []
     for _ in range(count):
         children.append(await Child.start(program, replies))
-        await asyncio.sleep(SPAWN)
+        await asyncio.sleep(START_INTERVAL_S)
     return children
--- a/benchmarks/scale/configuration_process.py
+++ b/benchmarks/scale/configuration_process.py
@@ -88,7 +88,7 @@
         self.do(self.core.set_leadership(now, self.epoch))
         self.do(self.core.tick(now))
 
-    def came(self, now: int, data: bytes, source: Address) -> None:
+    def on_datagram(self, now: int, data: bytes, source: Address) -> None:
         message = self._wire.unpack(data)
         if message is not None:
             self.do(self.core.set_leadership(now, self.epoch))
@@ -109,7 +109,7 @@
     def tick(self, now: int) -> None:
         self.do(self.core.tick(now))
 
-    def came(self, now: int, data: bytes, source: Address) -> None:
+    def on_datagram(self, now: int, data: bytes, source: Address) -> None:
         message = self._wire.unpack(data)
         if message is not None:
             self.do(self.core.on_message(now, message.body, source))
--- a/benchmarks/scale/datagrams.py
+++ b/benchmarks/scale/datagrams.py
@@ -1,6 +1,6 @@
-"""A core on one datagram socket: what comes in, what goes out, a timer, and what both amount to.
+"""Runs a core on one datagram socket with a timer, and counts its traffic.
 
-May know: sockets, bytes. May not know: what any core decides.
+The module knows sockets and bytes; it does not know what a core decides.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from .messages import Traffic
 from .placement import Address
 
-TICK = 0.05  # s between two ticks of a core: all of the levels' cores have the same
+TICK_S = 0.05  # Between two ticks of a core. All cores of cells and of configuration have the same interval.
 
 
 class CoreSocket(ABC, asyncio.DatagramProtocol):
-    """One core's."""
+    """Connects one core to its datagram socket and its timer."""
 
     def __init__(self, name: str, address: Address) -> None:
         self.name, self.address = name, address
-        self.datagrams = self.sent = self.received = 0  # sent; bytes of payload
+        self.datagrams = self.sent = self.received = 0  # Datagrams sent; payload bytes sent and received.
         self._before = (0, 0)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -29,28 +29,28 @@
 
     @abstractmethod
     def tick(self, now: int) -> None:
-        """The core's turn, at `now` ns."""
+        """Runs a tick of the core at `now` ns."""
 
     @abstractmethod
-    def came(self, now: int, data: bytes, source: Address) -> None:
-        """One datagram."""
+    def on_datagram(self, now: int, data: bytes, source: Address) -> None:
+        """Handles one datagram."""
 
     async def open(self) -> None:
-        """Raises `OSError` where the address can't be had."""
+        """Opens the socket and starts the timer. Raises `OSError` if the address is not available."""
         loop = asyncio.get_running_loop()
-        made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        made.setblocking(False)
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.setblocking(False)
         try:
-            made.bind(self.address)
+            udp_socket.bind(self.address)
         except OSError:
-            made.close()
+            udp_socket.close()
             raise
-        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=made)
+        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=udp_socket)
         self._due = loop.time()
         self._tick()
 
     def close(self) -> None:
-        """Without a word."""
+        """Closes the socket without sending anything."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -65,18 +65,18 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.received += len(data)
-        self.came(time.monotonic_ns(), data, (addr[0], addr[1]))
+        self.on_datagram(time.monotonic_ns(), data, (addr[0], addr[1]))
 
     def _tick(self) -> None:
         loop = asyncio.get_running_loop()
         self.tick(time.monotonic_ns())
-        self._due = max(self._due + TICK, loop.time())
+        self._due = max(self._due + TICK_S, loop.time())
         self._timer = loop.call_at(self._due, self._tick)
 
     def traffic(self) -> Traffic:
         return Traffic(self.name, self.sent, self.received)
 
     def since_last(self) -> int:
-        """Bytes since the last call, the greater of sent and received."""
+        """Returns the bytes since the last call: the greater of sent and received."""
         before, self._before = self._before, (self.sent, self.received)
         return max(self.sent - before[0], self.received - before[1])
--- a/benchmarks/scale/hollow_process.py
+++ b/benchmarks/scale/hollow_process.py
@@ -39,11 +39,11 @@
     Look,
     Measure,
     Measured,
+    MemberId,
     Reply,
     Settle,
     Setup,
     Traffic,
-    Who,
 )
 from .placement import Address, Partition, name_of
 from .view import digest
@@ -59,7 +59,7 @@
         super().__init__(settings, settings.address, wire, seed, time.monotonic_ns)
         self._process = process
         self._last_second = (0, 0)
-        self._suspected: dict[Who, int] = {}  # since when each is held for suspect
+        self._suspected: dict[MemberId, int] = {}  # since when each is held for suspect
 
     def datagram_received(self, data: bytes, source: Address) -> None:
         if self._process.partition.passes(source, self.settings.address):
@@ -92,10 +92,10 @@
     def _record_event(self, told: StatusEvent) -> None:
         super()._record_event(told)
         if told.kind == "member":
-            who = cast(Who, told.details["who"])
+            who = cast(MemberId, told.details["who"])
             self._judged(who, str(told.details["state"]), str(told.details["by"]))
 
-    def _judged(self, who: Who, state: str, teller: str) -> None:
+    def _judged(self, who: MemberId, state: str, teller: str) -> None:
         now = time.monotonic_ns()
         if state == "SUSPECT":
             self._suspected.setdefault(who, now)
@@ -139,13 +139,13 @@
         self.partition = Partition(setup.placement.region)
         self._hosts: dict[int, HollowHost] = {}
         self._ended = (0, 0, 0)  # datagrams, bytes sent, bytes received of members that have ended
-        self._lives: dict[Who, Life] = {}
+        self._lives: dict[MemberId, Life] = {}
         self.verdicts: deque[DeadVerdict] = deque(maxlen=VERDICTS_MOST)
         self._peak, self._peak_name = 0, ""
         self._rng = random.Random(f"hollow:{setup.process}")
         self._watch = LagWatch()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._digests: dict[ViewNumber, tuple[tuple[Who, ...], int]] = {}
+        self._digests: dict[ViewNumber, tuple[tuple[MemberId, ...], int]] = {}
 
     def start(self) -> None:
         self._watch.start()
@@ -226,7 +226,7 @@
         running = tuple(host.settings.member_id for host in self._hosts.values())
         return Held(tuple(distinct), running, telling, without)
 
-    def _digest(self, number: ViewNumber, members: tuple[Who, ...]) -> int:
+    def _digest(self, number: ViewNumber, members: tuple[MemberId, ...]) -> int:
         """Of a view's members; made once for all that hold the same."""
         kept = self._digests.get(number)
         if kept is None or kept[0] != members:
--- a/benchmarks/scale/lag.py
+++ b/benchmarks/scale/lag.py
@@ -1,7 +1,7 @@
-"""How late an event loop is, and whether that spoils what was measured meanwhile.
+"""Measures how late an event loop is, and decides whether that makes a measurement void.
 
-A loop that came late has made its members look slow or dead: what such a span shows is the machine, not the
-program. May know: times of beats. May not know: what the loop does.
+Members on a late loop look slow or dead to others: figures of such a span describe the machine, not the
+program. The module knows the times of its checks; it does not know what else the loop does.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 import msgspec
 
-BEAT = 0.02  # s between looks at a loop's own lag
-WORST_MOST = 0.300  # s: one period of probes; a loop that is later has missed a member's turn
-LATE = 0.100  # s from which a beat is late: members count it against themselves (`membership/prober.py`)
-LATE_SHARE_MOST = 0.01  # of the beats
+CHECK_INTERVAL_S = 0.02  # Between two checks of a loop's own lag.
+WORST_MOST = 0.300  # s; one probe interval: a later loop has missed a member's probe.
+LATE = 0.100  # s; members count a later tick against their own health (`membership/prober.py`).
+LATE_SHARE_MOST = 0.01  # Of all checks.
 
 
 class Lag(msgspec.Struct, frozen=True):
-    """Of one loop over one span: beats, how many of them came late, the worst in s."""
+    """Holds the number of checks of a loop in a span, the number of late ones and the largest lag in seconds."""
 
     beats: int = 0
     late: int = 0
@@ -29,17 +29,17 @@
 
     @property
     def void(self) -> bool:
-        """Whether figures of this span say more of the machine than of the program."""
+        """Returns whether figures of this span describe the machine rather than the program."""
         return self.worst > WORST_MOST or self.late > LATE_SHARE_MOST * self.beats
 
 
 def combined_lag(lags: Iterable[Lag]) -> Lag:
-    """Of several loops, or spans: void as soon as all of them together are."""
+    """Returns the sum over several loops or spans, which is void if the sum exceeds a limit."""
     return sum(lags, Lag())
 
 
 class LagWatch:
-    """Watches the loop that runs it."""
+    """Measures the lag of the event loop that runs it."""
 
     def __init__(self) -> None:
         self._lag = Lag()
@@ -55,15 +55,15 @@
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + BEAT
-            await asyncio.sleep(BEAT)
+            due = loop.time() + CHECK_INTERVAL_S
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.note(loop.time() - due)
 
     def note(self, late: float) -> None:
-        """One beat that came `late` s after it was due."""
+        """Counts one check that ran `late` seconds after it was due."""
         self._lag += Lag(1, int(late > LATE), max(0.0, late))
 
     def take(self) -> Lag:
-        """What was seen since the last call."""
+        """Returns the lag since the last call."""
         taken, self._lag = self._lag, Lag()
         return taken
--- a/benchmarks/scale/mechanism_status.py
+++ b/benchmarks/scale/mechanism_status.py
@@ -1,4 +1,4 @@
-"""Whether a mechanism is in the program, and whether anything that an operator starts brings it in."""
+"""Finds whether a mechanism is in the program, and whether a command of an operator imports it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 PROGRAM = Path(__file__).resolve().parents[2] / "trackspread"
-# What operators start: the gateway, and the command line with its groups.
+# Operators start the gateway, and the command line with its groups.
 STARTED = ("node", "cli", "commands")
-# What the command line brings in for `trackspread try` alone.
+# The command line imports these packages for `trackspread try` alone.
 TESTING = frozenset({"testing"})
 
 
 class MechanismStatus(Enum):
-    """How far a mechanism has come."""
+    """Says whether a mechanism is missing, implemented or in use."""
 
     MISSING = "**missing**"
     CORE = "a core that nothing starts yet"
@@ -23,7 +23,7 @@
 
 
 def mechanism_status(mechanism: str) -> MechanismStatus:
-    """Of the module at that path below trackspread/."""
+    """Returns the status of the module at the path `mechanism` below trackspread/."""
     if not mechanism or not (PROGRAM / mechanism).exists():
         return MechanismStatus.MISSING
     package = mechanism.split("/")[0].removesuffix(".py")
@@ -32,26 +32,26 @@
 
 @cache
 def started() -> frozenset[str]:
-    """The packages that are brought in by what operators start."""
-    reached, new = set[str](), set(STARTED)
-    while new:
-        package = new.pop()
+    """Returns the packages that the commands of operators import, directly or indirectly."""
+    reached, pending = set[str](), set(STARTED)
+    while pending:
+        package = pending.pop()
         reached.add(package)
-        new |= _imported(package) - reached - TESTING
+        pending |= _imported(package) - reached - TESTING
     return frozenset(reached)
 
 
 def _imported(package: str) -> set[str]:
-    """Packages at the top of the program that this one imports, also inside functions."""
+    """Returns the top-level packages of the program that this one imports, also inside functions."""
     folder = PROGRAM / package
     files = sorted(folder.rglob("*.py")) if folder.is_dir() else [PROGRAM / f"{package}.py"]
     found = set[str]()
     for path in files:
-        found |= _relative(path)
+        found |= _relative_imports(path)
     return found
 
 
-def _relative(path: Path) -> set[str]:
+def _relative_imports(path: Path) -> set[str]:
     here = ("trackspread", *path.relative_to(PROGRAM).parts[:-1])
     found = set[str]()
     for node in ast.walk(ast.parse(path.read_text())):
--- a/benchmarks/scale/messages.py
+++ b/benchmarks/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the run and a hollow process say to each other: one JSON object a line, each with its type."""
+"""Defines the messages between the run and a hollow process: one JSON object per line, with its type."""
 
 from __future__ import annotations
 
@@ -7,98 +7,100 @@
 from .lag import Lag
 from .placement import Placement
 
-Who = tuple[str, int]  # a member's name, and which process of that name
+MemberId = tuple[str, int]  # A member's name, and its incarnation.
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """One line."""
+    """Is the base of all messages; each is one line."""
 
 
 class Setup(Message, frozen=True):
-    """The first line: which of the placement's processes this is, and the fleet's own settings."""
+    """Is the first line: it assigns the process its index in the placement and the settings of the fleet."""
 
     process: int
     placement: Placement
     fleet: str
-    seeds: tuple[int, ...]  # numbers of the members that are seeds
-    most: int  # members at most
+    seeds: tuple[int, ...]  # Numbers of the members that are seeds.
+    most: int  # Largest number of members.
 
 
 class Begin(Message, frozen=True):
-    """Start these members, `spread` s between the first and the last."""
+    """Starts these members, the last of them `spread` seconds after the first."""
 
     numbers: tuple[int, ...]
     spread: float
 
 
 class Crash(Message, frozen=True):
-    """End these members without a word."""
+    """Ends these members at once, without a message to others."""
 
     numbers: tuple[int, ...]
 
 
 class Cut(Message, frozen=True):
-    """Cut these regions off from all others; none: whole again."""
+    """Cuts these regions off from all others; an empty tuple ends the partition."""
 
     regions: tuple[int, ...]
 
 
 class Settle(Message, frozen=True):
-    """Spread what members do seldom over its interval, as where they started at different times."""
+    """Spreads infrequent tasks over their interval, as if the members had started at different times."""
 
 
 class Look(Message, frozen=True):
-    """Tell what the members hold."""
+    """Asks for the state that the members hold."""
 
 
 class Measure(Message, frozen=True):
-    """Tell what has been used and sent so far."""
+    """Asks for the resources used and the bytes sent so far."""
 
 
 class End(Message, frozen=True):
-    """Close everything."""
+    """Closes all members and ends the process."""
 
 
 Command = Setup | Begin | Crash | Cut | Settle | Look | Measure | End
 
 
 class Done(Message, frozen=True):
-    """The command was carried out at this instant of the machine's monotonic clock, in ns."""
+    """Confirms that the command was executed at `at` ns of the machine's monotonic clock."""
 
     at: int
 
 
 class Held(Message, frozen=True):
-    """What the members of one process hold."""
+    """Reports the state that the members of one process hold."""
 
-    # Each distinct digest of those live, digest of the view's members, and the view's number.
+    # Distinct combinations of the digest of live members, the digest of the view's members and its number.
     distinct: tuple[tuple[int, int, tuple[int, int, int]], ...]
-    running: tuple[Who, ...]
-    telling: int  # words that are still to be told, over all members
-    without_part: int = 0  # members that hold no part of what all share: they ask more often for one
+    running: tuple[MemberId, ...]
+    telling: int  # Updates that all members together still have to gossip.
+    without_part: int = 0  # Members without slots; they ask for slots more often.
 
 
 class Life(msgspec.Struct, frozen=True):
-    """One process of a member, from when on it ran and until when, in ns; 0: it still runs."""
+    """Records from when until when one incarnation of a member ran, in ns; `until` is 0 while it runs."""
 
-    who: Who
+    who: MemberId
     since: int
     until: int = 0
 
 
 class DeadVerdict(msgspec.Struct, frozen=True):
-    """A member came to hold another for dead; `own`: by its own probes, not by what others told; `suspected`:
-    since when it had held it for suspect, in ns."""
+    """Records that a member came to hold another for dead, by its own probes (`own`) or by gossip.
+
+    `suspected` is the time in ns since which it had suspected the other.
+    """
 
     at: int  # ns
     by: str
-    of: Who
+    of: MemberId
     own: bool
     suspected: int
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """Bytes of payload through one member's sockets so far, datagrams and tables together."""
+    """Holds the payload bytes through one member's sockets so far, of datagrams and tables together."""
 
     name: str
     sent: int
@@ -106,18 +108,18 @@
 
 
 class Measured(Message, frozen=True):
-    """Of one process since its start; peaks, lag and verdicts since the last time it was asked."""
+    """Reports one process since its start; peaks, lag and verdicts are those since the last report."""
 
     at: int  # ns
-    cpu: float  # s
-    memory: int  # bytes resident
+    cpu: float  # Seconds.
+    memory: int  # Resident bytes.
     members: int
-    datagrams: int  # sent
-    sent: int  # bytes, datagrams and tables, of all members that ever ran here
+    datagrams: int  # Sent.
+    sent: int  # Bytes of datagrams and tables, of all members that ever ran in this process.
     received: int
-    leading: tuple[Traffic, ...]  # of those that coordinate now
-    peak_name: str  # whose sent and received were the most within one second
-    peak: int  # bytes in that second, the greater of sent and received
+    leading: tuple[Traffic, ...]  # Of the current coordinators.
+    peak_name: str  # The member with the most bytes within one second.
+    peak: int  # Bytes in that second: the greater of sent and received.
     lag: Lag
     lives: tuple[Life, ...]
     verdicts: tuple[DeadVerdict, ...]
--- a/benchmarks/scale/operator.py
+++ b/benchmarks/scale/operator.py
@@ -1,6 +1,6 @@
-"""An operator's side of configuration handed down: changes are put to the control replicas, by datagram.
+"""Acts as an operator: sends changes of the configuration to the control replicas by datagram.
 
-May know: the wire. May not know: gateways.
+The module knows the wire format; it does not know gateways.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 from .placement import Address
 
-AGAIN = 0.5  # s without an answer after which a command is sent again
-DONE_MOST = 30.0  # s for one command
+RESEND_S = 0.5  # Without an answer for this time, a command is sent again.
+COMMAND_TIMEOUT_S = 30.0
 
 
 class NotDone(Exception):
-    """A command had no answer in time."""
+    """Reports a command without an answer in time."""
 
 
 class Operator(asyncio.DatagramProtocol):
-    """Sends each command until it is done."""
+    """Sends each command again until it is committed."""
 
     def __init__(self, fleet: str, replicas: tuple[Address, ...]) -> None:
         self._wire, self._replicas = Wire(fleet, Keys()), replicas
@@ -57,15 +57,18 @@
             case NotLeader(leader=leader) if leader >= 0:
                 self.leader = leader
             case Rejected():
-                pass  # sent again after `AGAIN`
+                pass  # The command is sent again after `RESEND_S`.
 
     async def begin(self) -> None:
-        """Begin the first history. Raises `NotDone`."""
+        """Begins the first history. Raises `NotDone`."""
         self._number += 1
         await self._until_done(self._number, BeginHistory(self._number))
 
     async def put(self, service: str, key: str, value: bytes) -> tuple[int, int]:
-        """When it was first sent, in ns of the clock, and its place in the log. Raises `NotDone`."""
+        """Puts one value; returns when it was first sent, in ns of the clock, and its sequence number.
+
+        Raises `NotDone`.
+        """
         self._number += 1
         put_at = time.monotonic_ns()
         done = await self._until_done(self._number, Put(self._number, service, key, value))
@@ -73,19 +76,19 @@
 
     async def _until_done(self, number: int, body: MessageBody) -> Committed:
         waiting = self._waiting[number] = asyncio.get_running_loop().create_future()
-        end = time.monotonic() + DONE_MOST
+        end = time.monotonic() + COMMAND_TIMEOUT_S
         try:
             while time.monotonic() < end:
                 asked = self.leader
                 self._send(body)
                 try:
-                    return await asyncio.wait_for(asyncio.shield(waiting), AGAIN)
+                    return await asyncio.wait_for(asyncio.shield(waiting), RESEND_S)
                 except TimeoutError:
-                    if self.leader == asked:  # it may be dead, and others still take it for the leader
+                    if self.leader == asked:  # It may be dead while others still hold it for the leader.
                         self.leader = (asked + 1) % len(self._replicas)
         finally:
             del self._waiting[number]
-        raise NotDone(f"{type(body).__name__}: not done within {DONE_MOST:g} s")
+        raise NotDone(f"{type(body).__name__}: not done within {COMMAND_TIMEOUT_S:g} s")
 
     def _send(self, body: MessageBody) -> None:
         if self._transport is not None:
--- a/benchmarks/scale/placement.py
+++ b/benchmarks/scale/placement.py
@@ -1,6 +1,6 @@
-"""Where hollow members are: process, address, rack, zone and region by number; and which ways are cut.
+"""Assigns hollow members to processes, addresses, racks, zones and regions, and simulates partitions.
 
-May know: numbers, addresses. May not know: sockets, what datagrams say.
+The module knows numbers and addresses; it does not know sockets or the content of datagrams.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 Address = tuple[str, int]
 
-REGIONS, ZONES, RACKS = 4, 12, 60  # each divides the next: a rack is in one zone
-PORT = 20_000  # of a process's first member, at a host of loopback that is this process's alone
-PREFIX = "hollow-"  # of a hollow member's name, before its number
-CONTROL_PREFIX = "control-"  # of a control machine's
+REGIONS, ZONES, RACKS = 4, 12, 60  # Each divides the next, so that a rack is in one zone.
+PORT = 20_000  # Of a process's first member; each process has a loopback host of its own.
+PREFIX = "hollow-"  # Of a hollow member's name, before its number.
+CONTROL_PREFIX = "control-"  # Of a control machine's name.
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """`hosts`: of loopback, one for each hollow process; members are dealt out to them in turn."""
+    """Assigns members in turn to `hosts`, which are one loopback host for each hollow process."""
 
     hosts: tuple[str, ...]
 
@@ -32,7 +32,7 @@
         return region_of(self.number(address))
 
     def number(self, address: Address) -> int | None:
-        """Whose address it is; None for one that is no hollow member's."""
+        """Returns the number of the hollow member at this address, or None if there is none."""
         host, port = address
         if host not in self.hosts or port < PORT:
             return None
@@ -44,13 +44,13 @@
 
 
 def number_of(name: str) -> int | None:
-    """None for a member that is not hollow."""
+    """Returns the number in a hollow member's name, or None for a member that is not hollow."""
     digits = name.removeprefix(PREFIX)
     return int(digits) if digits != name and digits.isdigit() else None
 
 
 def region_of(number: int | None) -> int:
-    """Real gateways are in the first region."""
+    """Returns the region of a hollow member; real gateways, whose number is None, are in the first region."""
     return 0 if number is None else number % REGIONS
 
 
@@ -59,7 +59,7 @@
 
 
 def region_of_name(name: str) -> int:
-    """Of a hollow member or a real gateway."""
+    """Returns the region of a hollow member or a real gateway."""
     return region_of(number_of(name))
 
 
@@ -72,16 +72,16 @@
 
 
 class Partition:
-    """Drops what goes between a region that is cut off and all others, in both directions."""
+    """Drops traffic in both directions between a region that is cut off and all others."""
 
     def __init__(self, region: Callable[[Address], int]) -> None:
-        """`region`: of whoever has an address."""
+        """Takes the function `region` that returns the region of an address."""
         self._region_of = region
         self._cut: frozenset[int] = frozenset()
         self._regions: dict[Address, int] = {}
 
     def cut(self, regions: Iterable[int]) -> None:
-        """From now on these regions are cut off from all others; none: everything is whole again."""
+        """Cuts these regions off from all others; without regions, ends the partition."""
         self._cut = frozenset(regions)
 
     def passes(self, source: Address, target: Address) -> bool:
--- a/benchmarks/scale/real_gateways.py
+++ b/benchmarks/scale/real_gateways.py
@@ -21,7 +21,7 @@
 from trackspread.testing.standins.scenario import Scenario
 
 from .bounds import Guard
-from .messages import Who
+from .messages import MemberId
 from .view import Number, View, digest
 
 MEMBER_PORT = 7400
@@ -61,7 +61,7 @@
 
     def __init__(self, path: Path) -> None:
         self._reader, self._read = RecordReader([path]), 0
-        self.who: Who = ("", 0)
+        self.who: MemberId = ("", 0)
         self.view = View(0, (0, -1, 0))
 
     def look(self) -> bool:
@@ -71,7 +71,7 @@
             if each.kind == "started":
                 self.who = each.process_id
             elif each.kind == "view":
-                members = msgspec.convert(each.about["members"], tuple[Who, ...])
+                members = msgspec.convert(each.about["members"], tuple[MemberId, ...])
                 self.view = View(digest(members), msgspec.convert(each.about["number"], Number))
         self._read = len(found)
         return bool(self.who[0])
@@ -125,7 +125,7 @@
             f'most = {self._most}\nrecord = "{self._record(name)}"\n'
         )
 
-    def running(self) -> list[Who]:
+    def running(self) -> list[MemberId]:
         """The members that they are, by their records."""
         return [record.who for record in self._records if record.look()]
 
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -145,9 +145,10 @@
         there.at("distribution.gateway_bytes_by_gateways", 0) if handed else 0.0,
     )
     report.gateway_memory_mb_at_size = there.at("cells.gateway_memory", 2, MEGABYTE)
-    # As many cells to a machine as there are with 19 of them.
+    # Each machine has as many cells as it would have with 19 machines.
     cells = SIZE / CELL * control / CONTROL
-    # Who coordinates how many cells is by chance: the busiest is above the mean as it was where most were.
+    # Chance decides how many cells a machine coordinates: the ratio of the busiest to the mean is taken from
+    # the largest size that was measured.
     above = costs[-1].busiest_bytes / costs[-1].control_bytes
     report.busiest_control_bytes_s_at_size = _sum(
         there.at("cells.control_bytes", 0, 1 / above, cells),
--- a/benchmarks/scale/verdicts.py
+++ b/benchmarks/scale/verdicts.py
@@ -1,6 +1,7 @@
-"""Which of the members that were called dead were alive, from what processes recorded.
+"""Finds the members that were declared dead while they were alive, from the records of the processes.
 
-May know: who ran when, which regions were cut off when. May not know: how verdicts come to be.
+The module knows when each member ran and which regions were cut off when; it does not know how members reach
+their verdicts.
 """
 
 from __future__ import annotations
@@ -9,12 +10,12 @@
 
 import msgspec
 
-from .messages import DeadVerdict, Life, Who
+from .messages import DeadVerdict, Life, MemberId
 from .placement import region_of_name
 
 
 class Cutoff(msgspec.Struct, frozen=True):
-    """A region that nothing went to or came from, from when until when, in ns; 0: it still is."""
+    """Records from when until when a region was cut off, in ns; `until` is 0 while it is."""
 
     region: int
     since: int
@@ -27,11 +28,15 @@
     cutoffs: Iterable[Cutoff] = (),
     region: Callable[[str], int] = region_of_name,
 ) -> list[DeadVerdict]:
-    """Verdicts from own probes on a process that ran, and that its judge could reach: not while a cut lay
-    between them, nor where that was when it fell under suspicion."""
+    """Returns the verdicts by own probes on members that ran and that the prober could reach.
+
+    A verdict is not false if the two were cut off from each other at the verdict or at the suspicion.
+    """
     ran = {life.who: life for life in lives}
     cuts = list(cutoffs)
-    return [each for each in verdicts if each.own and _alive(each, ran) and not _apart(each, cuts, region)]
+    return [
+        each for each in verdicts if each.own and _alive(each, ran) and not _separated(each, cuts, region)
+    ]
 
 
 def relayed_deaths(
@@ -39,21 +44,23 @@
     lives: Iterable[Life],
     cutoffs: Iterable[Cutoff] = (),
     region: Callable[[str], int] = region_of_name,
-) -> set[Who]:
-    """Members that ran and were held for dead by one in reach of them because of what others had told."""
+) -> set[MemberId]:
+    """Returns the members that ran and that a member in reach of them held for dead because of gossip."""
     ran = {life.who: life for life in lives}
     cuts = list(cutoffs)
     return {
-        each.of for each in verdicts if not each.own and _alive(each, ran) and not _apart(each, cuts, region)
+        each.of
+        for each in verdicts
+        if not each.own and _alive(each, ran) and not _separated(each, cuts, region)
     }
 
 
-def _alive(verdict: DeadVerdict, ran: dict[Who, Life]) -> bool:
+def _alive(verdict: DeadVerdict, ran: dict[MemberId, Life]) -> bool:
     life = ran.get(verdict.of)
     return life is not None and life.since <= verdict.at and (not life.until or verdict.at < life.until)
 
 
-def _apart(verdict: DeadVerdict, cuts: list[Cutoff], region: Callable[[str], int]) -> bool:
+def _separated(verdict: DeadVerdict, cuts: list[Cutoff], region: Callable[[str], int]) -> bool:
     here, there = region(verdict.by), region(verdict.of[0])
     return here != there and any(
         cut.region in (here, there)
--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -78,7 +78,7 @@
 def test_the_guard_refuses_to_start_more_processes_than_its_bound() -> None:
     guard = Guard(processes_most=10, look=lambda: entries(4, MB), root=100)
     guard.admit(4)
-    with pytest.raises(OverBound, match="processes: 11 would run, wanted at most 10"):
+    with pytest.raises(OverBound, match="processes: must be at most 10, would be 11"):
         guard.admit(5)
 
 
@@ -87,7 +87,7 @@
     guard = Guard(processes_most=5, memory_most=16 * MB, look=lambda: entries(children[0], MB), root=100)
     guard.check()
     children[0] = 4
-    with pytest.raises(OverBound, match="processes: found 6, wanted at most 5"):
+    with pytest.raises(OverBound, match="processes: must be at most 5, got 6"):
         guard.check()
     children[0] = 1
     guard.check()
