--- a/benchmarks/scale/cells_fleet.py
+++ b/benchmarks/scale/cells_fleet.py
@@ -1,6 +1,7 @@
-"""Cells at size: control machines as processes, hollow gateways beside them, faults, and what all that costs.
+"""Runs a large fleet of cells, with each control machine in a process and hollow gateways in others.
 
-May know: processes, messages. May not know: which sizes and faults a run wants.
+The module measures costs and causes faults. It knows processes and messages; it does not know which sizes and
+faults a run has.
 """
 
 from __future__ import annotations
@@ -45,32 +46,34 @@
 from .verdicts import Cutoff, false_deaths, relayed_deaths
 from .view import digest
 
-LOOK = 0.25  # s between looks: how finely a time to settle is told
+POLL_S = 0.25  # Between two polls of the state; the resolution of the times to settle.
 
 
 class CellsCost(msgspec.Struct, frozen=True):
-    """What one size costs at rest; bytes a second are payload of datagrams and tables, the greater of sent
-    and received."""
+    """Holds the costs of one size at rest.
+
+    Bytes per second are payload of datagrams and tables: the greater of sent and received.
+    """
 
     gateways: int
-    control: int  # machines
+    control: int  # Control machines.
     cells: int
-    cpu: float  # of a gateway, share of a core
-    bytes: float  # of a gateway, bytes/s
-    memory: float  # of a gateway, bytes resident
-    control_cpu: float  # of a control machine on the mean
+    cpu: float  # Of a gateway, as a share of a core.
+    bytes: float  # Of a gateway, in bytes/s.
+    memory: float  # Of a gateway, in resident bytes.
+    control_cpu: float  # The mean of control machines, as are the next two.
     control_bytes: float
-    control_memory: float  # bytes resident beyond what it holds without a gateway
-    busiest_cpu: float  # of the control machine that took most
+    control_memory: float  # Resident bytes beyond those without gateways.
+    busiest_cpu: float  # The most of any control machine.
     busiest_bytes: float
     lag: Lag
 
 
 class CellsFleet:
-    """Use as `async with`; no gateway runs at first, all control machines do."""
+    """Holds the processes of a fleet; use it as `async with`. At first only the control machines run."""
 
     def __init__(self, control: int, processes: int, each: int, guard: Guard) -> None:
-        """`each`: hollow gateways in one of `processes`, which fill up one after the other."""
+        """Takes the number of `processes` and of hollow gateways in `each`; processes fill up one by one."""
         self._ports, self._guard, self._each = Ports(), guard, each
         hosts = tuple(self._ports.host() for _ in range(processes))
         addresses = tuple((self._ports.host(), PORT) for _ in range(control))
@@ -80,7 +83,7 @@
         self.running: set[int] = set()
         self.control_running: set[int] = set()
         self.cutoffs: list[Cutoff] = []
-        self._base = self._control_base = 0.0  # bytes that processes hold without gateways
+        self._base = self._control_base = 0.0  # Resident bytes of a process without gateways.
         self._verdicts: list[DeadVerdict] = []
         self._lives: list[Life] = []
         self._watch = LagWatch()
@@ -118,47 +121,43 @@
     async def end(self) -> None:
         await self._all(Quit())
 
-    # Asking.
-
     async def _all(self, command: CellsCommand) -> list[CellsReply]:
         self._guard.check()
         return list(await asyncio.gather(*(c.ask(command) for c in (*self.control, *self.processes))))
 
     async def count(self, children: Sequence[Child[CellsReply]]) -> list[Counted]:
-        """What they used; verdicts and lives are kept."""
-        told = await asyncio.gather(*(child.ask(Count()) for child in children))
-        counted = [each for each in told if isinstance(each, Counted)]
+        """Returns the use of these processes, and keeps their verdicts."""
+        replies = await asyncio.gather(*(child.ask(Count()) for child in children))
+        counted = [each for each in replies if isinstance(each, Counted)]
         self._verdicts += [verdict for each in counted for verdict in each.verdicts]
         return counted
 
     async def hold(self) -> list[Holding]:
         return [each for each in await self._all(Tell()) if isinstance(each, Holding)]
 
-    # Members.
-
     async def begin(self, numbers: Iterable[int]) -> int:
-        """Start these gateways; ns of the clock when all had begun."""
+        """Starts these gateways; returns the time in ns when all had started."""
         chosen = sorted(set(numbers) - self.running)
         await self._to_gateways(chosen, Start)
         self.running |= set(chosen)
         return time.monotonic_ns()
 
     async def kill(self, numbers: Iterable[int]) -> None:
-        """End these gateways without a word."""
+        """Ends these gateways at once, without a message to others."""
         chosen = sorted(set(numbers) & self.running)
         await self._to_gateways(chosen, Kill)
         self.running -= set(chosen)
 
     async def _to_gateways(self, chosen: list[int], command: type[Start] | type[Kill]) -> None:
-        dealt: dict[int, list[int]] = {}
+        by_process: dict[int, list[int]] = {}
         for number in chosen:
-            dealt.setdefault(number // self._each, []).append(number)
+            by_process.setdefault(number // self._each, []).append(number)
         await asyncio.gather(
-            *(self.processes[process].ask(command(tuple(mine))) for process, mine in dealt.items())
+            *(self.processes[process].ask(command(tuple(mine))) for process, mine in by_process.items())
         )
 
     async def restart(self, numbers: Sequence[int], over: float, groups: int) -> int:
-        """These end and begin anew in `groups` groups within `over` s; ns of the clock of the last."""
+        """Restarts these gateways in `groups` groups within `over` s; returns the time of the last in ns."""
         for group in range(groups):
             mine = numbers[group::groups]
             await self.kill(mine)
@@ -177,29 +176,30 @@
         await asyncio.gather(*(self.control[n].ask(Kill((n,))) for n in chosen))
         self.control_running -= set(chosen)
 
-    # Whether all hold the same.
-
     async def until_settled(self, most: float, since: int | None = None) -> float | None:
-        """s after `since` (now, where it is left out) until all gateways that run are in a cell, and all in
-        one cell hold one view of just them and its control machines; None where not within `most` s."""
+        """Returns the seconds from `since`, by default now, until the fleet settles, or None after `most` s.
+
+        The fleet has settled when all running gateways are in a cell, and all members of each cell hold one
+        view of exactly its gateways and its control machines.
+        """
         since = time.monotonic_ns() if since is None else since
         while True:
             held = await self.hold()
-            took = (time.monotonic_ns() - since) / 1e9
+            elapsed = (time.monotonic_ns() - since) / 1e9
             if not unsettled_reason(held, len(self.running)):
-                return took
-            if took >= most:
+                return elapsed
+            if elapsed >= most:
                 return None
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_S)
 
     async def leader(self) -> int | None:
-        """The number of the control machine that leads."""
+        """Returns the number of the leading control machine, or None if not exactly one leads."""
         held = await asyncio.gather(*(child.ask(Tell()) for child in self.control))
         leading = [n for n, each in enumerate(held) if isinstance(each, Holding) and each.leads]
         return leading[0] if len(leading) == 1 else None
 
     async def quiet(self, most: float) -> bool:
-        """Until the words of the start are told, and all hold a part; whether that was within `most` s."""
+        """Waits up to `most` s until all hold slots and have gossiped the start; returns whether so."""
         end = time.monotonic() + most
         while True:
             held = await self.hold()
@@ -209,12 +209,10 @@
                 return True
             if time.monotonic() > end:
                 return False
-            await asyncio.sleep(LOOK)
-
-    # Costs and faults.
+            await asyncio.sleep(POLL_S)
 
     async def cost(self, span: float, quiet_most: float) -> CellsCost:
-        """Over `span` s in which nothing happens. Raises `NotSettled`."""
+        """Returns the costs over `span` seconds without faults. Raises `NotSettled`."""
         if not await self.quiet(quiet_most):
             raise NotSettled("still telling one another of the start")
         await self._all(Spread())
@@ -244,35 +242,35 @@
         )
 
     async def before_fault(self) -> None:
-        """What was seen until now does not count."""
+        """Discards the verdicts and the lag before a fault."""
         await self.count([*self.control, *self.processes])
         self._verdicts.clear()
         self._watch.take()
         self._members_before = len(self.running)
 
     async def outcome(self, fault: str, struck: int, since: int, most: float) -> Outcome:
-        """What a fault that began at `since` did, once all hold the same again or `most` s are over."""
-        took = await self.until_settled(most, since)
+        """Returns the effects of a fault at `since`, once the fleet has settled or `most` s have passed."""
+        elapsed = await self.until_settled(most, since)
         await asyncio.sleep(PEAK_SPAN)
         counted = await self.count([*self.control, *self.processes])
         lives = [life for each in counted for life in each.lives]
         verdicts, self._verdicts = self._verdicts, []
         mistaken = {each.of for each in false_deaths(verdicts, lives, self.cutoffs, region_of_member)}
-        told = relayed_deaths(verdicts, lives, self.cutoffs, region_of_member)
+        relayed = relayed_deaths(verdicts, lives, self.cutoffs, region_of_member)
         return Outcome(
             fault,
             self._members_before,
             struck,
-            None if took is None else round(took, 2),
+            None if elapsed is None else round(elapsed, 2),
             max(each.peak for each in counted),
             len(mistaken),
-            len(told),
+            len(relayed),
             combined_lag(each.lag for each in counted),
             self._watch.take(),
         )
 
     async def cut_off(self, region: int, span: float) -> int:
-        """A region is cut off for `span` s; ns of the clock of its heal."""
+        """Cuts a region off for `span` seconds; returns the time in ns at which the partition ended."""
         since = time.monotonic_ns()
         await self._all(CutOff((region,)))
         await asyncio.sleep(span)
@@ -282,7 +280,7 @@
         return until
 
     def in_zone(self, zone: int) -> tuple[list[int], list[int]]:
-        """Gateways and control machines there."""
+        """Returns the running gateways and control machines of a zone."""
         return (
             [n for n in self.running if gateway_zone(n) == zone],
             [n for n in self.control_running if control_zone(n) == zone],
@@ -296,27 +294,27 @@
 
 
 def cpu_share(before: Counted, after: Counted) -> float:
-    """Of a core."""
+    """Returns the share of a core that was used."""
     return (after.cpu - before.cpu) * 1e9 / (after.at - before.at)
 
 
 def sent(before: Counted, after: Counted) -> float:
-    """bytes/s."""
+    """Returns the bytes sent per second."""
     return (after.sent - before.sent) * 1e9 / (after.at - before.at)
 
 
 def received(before: Counted, after: Counted) -> float:
-    """bytes/s."""
+    """Returns the bytes received per second."""
     return (after.received - before.received) * 1e9 / (after.at - before.at)
 
 
 def unsettled_reason(held: Iterable[Holding], gateways: int) -> str:
-    """Why not all hold the same; nothing where they do. `gateways`: that run."""
-    looked = list(held)
-    if (nowhere := sum(each.nowhere for each in looked)) > _empty_control(looked):
+    """Returns why a fleet of `gateways` running gateways has not settled; an empty text if it has."""
+    states = list(held)
+    if (nowhere := sum(each.nowhere for each in states)) > _empty_control(states):
         return f"{nowhere} are in no cell"
     cells: dict[str, list[InView]] = {}
-    for each in looked:
+    for each in states:
         for view in each.views:
             cells.setdefault(view.cell, []).append(view)
     inside = 0
@@ -324,18 +322,18 @@
         mine = [view for view in views if not view.who[0].startswith(CONTROL_PREFIX)]
         inside += len(mine)
         if not mine:
-            continue  # one that is empty has nothing to agree on
-        wanted = digest(sorted(view.who for view in views))
+            continue  # An empty cell has nothing to agree on.
+        expected = digest(sorted(view.who for view in views))
         if any((a.number, a.members) != (b.number, b.members) for a, b in pairwise(views)):
             return f"{name}: not all hold one view"
-        if views[0].members != wanted:
+        if views[0].members != expected:
             return f"{name}: the view is not of just those that run"
     if inside != gateways:
         return f"{inside} of {gateways} gateways are in a cell"
-    leading = [each.gateways for each in looked if each.leads]
+    leading = [each.gateways for each in states if each.leads]
     return "" if leading == [gateways] else f"the directory has {leading} of {gateways} gateways"
 
 
 def _empty_control(held: list[Holding]) -> int:
-    """Control machines that seed no cell: they are in none."""
+    """Returns the number of control machines that seed no cell, and so are in none."""
     return sum(1 for each in held if each.nowhere and not each.views)
--- a/benchmarks/scale/cells_messages.py
+++ b/benchmarks/scale/cells_messages.py
@@ -1,4 +1,4 @@
-"""What the run and the processes of cells say to each other, a JSON object a line."""
+"""Defines the messages between the run and the processes of cells: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 from .messages import DeadVerdict, Life, MemberId, Message
 from .placement import CONTROL_PREFIX, PORT, RACKS, REGIONS, ZONES, Address, number_of
 
-CELL = 24  # gateways that a cell has where there are enough (`cells/messages.py`, the policy's target)
+CELL = 24  # Gateways of a cell where there are enough (`cells/messages.py`, the target of the policy).
 
 
 class Layout(msgspec.Struct, frozen=True):
-    """Where everybody is. Gateways are dealt out in blocks of `each` to `hosts`, one for each process;
-    `control`: the control machines' addresses. Zones and regions go by numbers."""
+    """Assigns addresses, zones and regions to gateways and control machines.
+
+    Gateways are assigned in blocks of `each` to `hosts`, which are one for each process. `control` holds the
+    addresses of the control machines. Zones and regions follow from the numbers.
+    """
 
     fleet: str
     control: tuple[Address, ...]
@@ -24,7 +27,7 @@
         return self.hosts[gateway // self.each], PORT + gateway % self.each
 
     def region(self, address: Address) -> int:
-        """Of whoever has this address."""
+        """Returns the region of the gateway or control machine at this address."""
         if address in self.control:
             return control_zone(self.control.index(address)) % REGIONS
         process = self.hosts.index(address[0])
@@ -32,7 +35,10 @@
 
 
 def gateway_zone(number: int) -> int:
-    """A zone has a cell's gateways before the next has any: cells are full at all sizes measured."""
+    """Returns a gateway's zone.
+
+    Each zone gets the gateways of a cell before the next gets any, so that cells are full at all sizes.
+    """
     return number // CELL % ZONES
 
 
@@ -41,7 +47,7 @@
 
 
 def region_of_member(name: str) -> int:
-    """Of a gateway or a control machine, by its name."""
+    """Returns the region of a gateway or a control machine by its name."""
     gateway = number_of(name)
     if gateway is not None:
         return gateway_zone(gateway) % REGIONS
@@ -49,63 +55,65 @@
 
 
 def in_rack(rack: int, number: int) -> bool:
-    """Whether this gateway is there: each zone has as many racks."""
+    """Returns whether a gateway is in the rack; all zones have the same number of racks."""
     return gateway_zone(number) == rack % ZONES and number % (RACKS // ZONES) == rack // ZONES
 
 
 class SetControl(Message, frozen=True):
-    """The first line: this process is a control machine."""
+    """Is the first line: this process is a control machine."""
 
     layout: Layout
     number: int
 
 
 class SetHollow(Message, frozen=True):
-    """The first line: this process is one of hollow gateways."""
+    """Is the first line: this process runs hollow gateways."""
 
     layout: Layout
 
 
 class Start(Message, frozen=True):
-    """Start these, of which none runs."""
+    """Starts these members, none of which runs."""
 
     numbers: tuple[int, ...]
 
 
 class Kill(Message, frozen=True):
-    """End these without a word."""
+    """Ends these members at once, without a message to others."""
 
     numbers: tuple[int, ...]
 
 
 class CutOff(Message, frozen=True):
-    """Cut these regions off from all others; none: whole again."""
+    """Cuts these regions off from all others; an empty tuple ends the partition."""
 
     regions: tuple[int, ...]
 
 
 class Spread(Message, frozen=True):
-    """Spread what members do seldom over its interval, as where they started at different times."""
+    """Spreads infrequent tasks over their interval, as if the members had started at different times."""
 
 
 class Tell(Message, frozen=True):
-    """Tell what is held."""
+    """Asks for the state that the members hold."""
 
 
 class Count(Message, frozen=True):
-    """Tell what was used and sent so far."""
+    """Asks for the resources used and the bytes sent so far."""
 
 
 class Quit(Message, frozen=True):
-    """Close everything."""
+    """Closes all members and ends the process."""
 
 
 CellsCommand = SetControl | SetHollow | Start | Kill | CutOff | Spread | Tell | Count | Quit
 
 
 class InView(msgspec.Struct, frozen=True):
-    """One member of one cell's view: which view it holds, the digest of that view's members, and whether it
-    has a part, or is a control machine, which has none."""
+    """Describes a member of a cell: the number of the view it holds and the digest of that view's members.
+
+    `part` says whether the member holds slots, or is a control machine, which has none.
+    """
 
     who: MemberId
     cell: str
@@ -115,10 +123,13 @@
 
 
 class Holding(Message, frozen=True):
-    """Of one process: what each of its members holds, who is in no cell, words still to be told; of the
-    control machine that leads, how many gateways and cells its directory has, else -1."""
+    """Reports the state that the members of one process hold.
+
+    `nowhere` counts members in no cell, `telling` the updates still to be gossiped. `gateways` and `cells`
+    are those in the directory of the leading control machine, and -1 for all others.
+    """
 
-    at: int  # ns
+    at: int  # Nanoseconds.
     views: tuple[InView, ...]
     nowhere: int
     telling: int
@@ -128,16 +139,16 @@
 
 
 class Counted(Message, frozen=True):
-    """Of one process since its start; peak, lag and verdicts since the last question."""
+    """Reports one process since its start; peak, lag and verdicts are those since the last report."""
 
-    at: int  # ns
-    cpu: float  # s
-    memory: int  # bytes resident
+    at: int  # Nanoseconds.
+    cpu: float  # Seconds.
+    memory: int  # Resident bytes.
     members: int
-    datagrams: int  # sent
-    sent: int  # bytes, datagrams and tables
+    datagrams: int  # Sent.
+    sent: int  # Bytes of datagrams and tables.
     received: int
-    peak: int  # bytes of the busiest within one second, the greater of sent and received
+    peak: int  # Bytes of the busiest member within one second: the greater of sent and received.
     lag: Lag
     lives: tuple[Life, ...]
     verdicts: tuple[DeadVerdict, ...]
--- a/benchmarks/scale/cells_process.py
+++ b/benchmarks/scale/cells_process.py
@@ -1,8 +1,8 @@
-"""A process of cells: a control machine, or hollow gateways that serve nothing.
+"""Runs a process of cells: a control machine, or hollow gateways that serve no requests.
 
-The cores, the wire and the host are the program's own (`trackspread/cells/`), on real sockets. Reads one
-command a line from standard input and answers each (`cells_messages.py`). May know: these cores. May not
-know: what the run makes of its figures.
+The cores, the wire format and the host are the program's own (`trackspread/cells/`), on real sockets. The
+process reads one command per line from standard input and answers each (`cells_messages.py`). It does not
+know how the run uses its figures.
 """
 
 from __future__ import annotations
@@ -54,26 +54,26 @@
 from .placement import REGIONS, Address, Partition, control_name, name_of
 from .view import digest
 
-VERDICTS_MOST = 20_000  # kept between two questions
-CELL_MOST = 64  # members of one view
-PEAK_SPAN = 1.0  # s
+MAX_VERDICTS = 20_000  # Kept between two reports.
+MAX_CELL_MEMBERS = 64  # Of one view.
+PEAK_SPAN_S = 1.0
 
 
-def place(zone: int) -> Zone:
+def zone_of(zone: int) -> Zone:
     return Zone(f"r{zone % REGIONS}", f"z{zone}")
 
 
 def machines(layout: Layout) -> tuple[ControlMachine, ...]:
     return tuple(
-        ControlMachine(control_name(n), *place(control_zone(n)), at) for n, at in enumerate(layout.control)
+        ControlMachine(control_name(n), *zone_of(control_zone(n)), at) for n, at in enumerate(layout.control)
     )
 
 
 class HollowCellHost(Host):
-    """One core, and what it has told."""
+    """Runs one core on sockets and records its verdicts, its traffic and its cells."""
 
     def __init__(self, core: Controller | Gateway, at: Address, process: CellsProcess) -> None:
-        wire = CellsWire(process.layout.fleet, Keys(), CELL_MOST)
+        wire = CellsWire(process.layout.fleet, Keys(), MAX_CELL_MEMBERS)
         super().__init__(core, at, wire, time.monotonic_ns)
         self._process, self._before = process, (0, 0)
         self._suspected: dict[MemberId, int] = {}
@@ -89,30 +89,30 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await super()._serve(reader, writer)
-        except asyncio.CancelledError:  # the process ends
+        except asyncio.CancelledError:  # The process ends.
             writer.close()
 
-    def _record_event(self, fleet: str, told: StatusEvent) -> None:
-        super()._record_event(fleet, told)
-        if told.kind == "member":
-            who = cast(MemberId, told.details["who"])
-            self._judged(who, str(told.details["state"]), str(told.details["by"]))
+    def _record_event(self, fleet: str, event: StatusEvent) -> None:
+        super()._record_event(fleet, event)
+        if event.kind == "member":
+            who = cast(MemberId, event.details["who"])
+            self._record_verdict(who, str(event.details["state"]), str(event.details["by"]))
 
-    def _judged(self, who: MemberId, state: str, teller: str) -> None:
+    def _record_verdict(self, who: MemberId, state: str, reporter: str) -> None:
         now, me = time.monotonic_ns(), self.core.member_id[0]
         if state == "SUSPECT":
             self._suspected.setdefault(who, now)
             return
         since = self._suspected.pop(who, now)
         if state == "DEAD":
-            self._process.verdicts.append(DeadVerdict(now, me, who, teller == me, since))
+            self._process.verdicts.append(DeadVerdict(now, me, who, reporter == me, since))
 
     def _record_placement(self, action: CellJoined | CellLeft) -> None:
         super()._record_placement(action)
         self._process.placed(self, isinstance(action, CellJoined))
 
     def members(self) -> list[tuple[str, Member]]:
-        """Of each cell that this core takes part in."""
+        """Returns the cell's name and the member for each cell of this core."""
         if isinstance(self.core, Controller):
             return [(name, seeding.member) for name, seeding in self.core.cells.items()]
         if self.core.member is None or self.core.placement is None:
@@ -126,36 +126,38 @@
         return self.counts["bytes received"] + self.counts["table bytes received"]
 
     def since_last(self) -> int:
-        """Bytes since the last call, the greater of sent and received."""
+        """Returns the bytes since the last call: the greater of sent and received."""
         before, self._before = self._before, (self.sent(), self.received())
         return max(self._before[0] - before[0], self._before[1] - before[1])
 
 
 class CellsProcess:
-    """All that runs in this process."""
+    """Runs the control machine or the hollow gateways of this process and executes commands."""
 
     def __init__(self, setup: SetControl | SetHollow) -> None:
         self._setup, self.layout = setup, setup.layout
         self.partition = Partition(self.layout.region)
-        self.verdicts: deque[DeadVerdict] = deque(maxlen=VERDICTS_MOST)
+        self.verdicts: deque[DeadVerdict] = deque(maxlen=MAX_VERDICTS)
         self._hosts: dict[int, HollowCellHost] = {}
         self._lives: dict[MemberId, Life] = {}
-        self._as: dict[HollowCellHost, MemberId] = {}  # as whom each is in a cell, or among control machines
-        self._ended = (0, 0, 0)  # datagrams, bytes sent and received of those that have ended
+        self._member_ids: dict[
+            HollowCellHost, MemberId
+        ] = {}  # As which member each is in a cell or among control machines.
+        self._ended = (0, 0, 0)  # Datagrams, bytes sent and bytes received of ended hosts.
         self._peak = 0
         self._rng = random.Random()
         self._watch = LagWatch()
-        self._beat: asyncio.Task[None] | None = None
+        self._peak_task: asyncio.Task[None] | None = None
         self._digests: dict[str, tuple[tuple[MemberId, ...], int]] = {}
 
     def start(self) -> None:
         self._watch.start()
-        self._beat = asyncio.get_running_loop().create_task(self._every_second())
+        self._peak_task = asyncio.get_running_loop().create_task(self._every_second())
 
     def close(self) -> None:
         self._watch.stop()
-        if self._beat is not None:
-            self._beat.cancel()
+        if self._peak_task is not None:
+            self._peak_task.cancel()
         for number in list(self._hosts):
             self._kill(number)
 
@@ -176,17 +178,15 @@
                 return self._counted()
         return self._holding(isinstance(command, Tell))
 
-    # Members.
-
     async def _start(self, number: int) -> None:
         layout, seed, now = self.layout, self._rng.getrandbits(60), time.monotonic_ns()
         core: Controller | Gateway
         if isinstance(self._setup, SetControl):
             at = layout.control[number]
-            mine = ControlSettings(
+            settings = ControlSettings(
                 layout.fleet, control_name(number), created_now_ms(), machines(layout), "hollow"
             )
-            core = Controller(mine, now, seed)
+            core = Controller(settings, now, seed)
         else:
             at = layout.address(number)
             core = Gateway(
@@ -195,7 +195,7 @@
                     name_of(number),
                     created_now_ms(),
                     at,
-                    place(gateway_zone(number)),
+                    zone_of(gateway_zone(number)),
                     machines(layout),
                     "hollow",
                 ),
@@ -204,33 +204,31 @@
             )
         host = self._hosts[number] = HollowCellHost(core, at, self)
         if isinstance(core, Controller):
-            self._lives_as(host, core.member_id)
+            self._record_life(host, core.member_id)
         await host.start()
 
     def _kill(self, number: int) -> None:
         host = self._hosts.pop(number)
         ended = self._ended
         self._ended = (ended[0] + host.counts["sent"], ended[1] + host.sent(), ended[2] + host.received())
-        self._lives_as(host, None)
-        host._close_sockets()  # without a word, as `close` would say one
+        self._record_life(host, None)
+        host._close_sockets()  # `close` would send a message to others first.
 
     def placed(self, host: HollowCellHost, joined: bool) -> None:
-        """A gateway has joined a cell, or left one."""
-        self._lives_as(host, host.core.member_id if joined else None)
+        """Records that a gateway joined a cell or left one."""
+        self._record_life(host, host.core.member_id if joined else None)
 
-    def _lives_as(self, host: HollowCellHost, who: MemberId | None) -> None:
+    def _record_life(self, host: HollowCellHost, who: MemberId | None) -> None:
         now = time.monotonic_ns()
-        if (former := self._as.pop(host, None)) is not None:
-            self._lives[former] = Life(former, self._lives[former].since, now)
+        if (ended_as := self._member_ids.pop(host, None)) is not None:
+            self._lives[ended_as] = Life(ended_as, self._lives[ended_as].since, now)
         if who is not None:
-            self._as[host], self._lives[who] = who, Life(who, now)
-
-    # What they hold and have used.
+            self._member_ids[host], self._lives[who] = who, Life(who, now)
 
-    def _holding(self, whole: bool) -> Holding:
+    def _holding(self, with_views: bool) -> Holding:
         now, views, telling, nowhere = time.monotonic_ns(), list[InView](), 0, 0
         leads, gateways, cells = False, -1, -1
-        for host in self._hosts.values() if whole else ():
+        for host in self._hosts.values() if with_views else ():
             members = host.members()
             nowhere += not members
             for name, member in members:
@@ -248,11 +246,11 @@
         return InView(member.member_id, cell, member.view_number(), self._digest(cell, held), part)
 
     def _digest(self, cell: str, members: tuple[MemberId, ...]) -> int:
-        """Made once for all here that hold the same."""
-        kept = self._digests.get(cell)
-        if kept is None or kept[0] != members:
-            kept = self._digests[cell] = members, digest(members)
-        return kept[1]
+        """Returns the digest of a cell's members, computed once for all members here with the same view."""
+        cached = self._digests.get(cell)
+        if cached is None or cached[0] != members:
+            cached = self._digests[cell] = members, digest(members)
+        return cached[1]
 
     def _counted(self) -> Counted:
         hosts = self._hosts.values()
@@ -274,7 +272,7 @@
         )
 
     def _spread(self) -> None:
-        """The members' next exchanges of tables at any moment of the interval between two."""
+        """Moves each member's next exchange of tables to a random time within the interval of exchanges."""
         for host in self._hosts.values():
             for _, member in host.members():
                 member.discovery.anti_entropy_at_ns = time.monotonic_ns() + int(
@@ -283,12 +281,12 @@
 
     async def _every_second(self) -> None:
         while True:
-            await asyncio.sleep(PEAK_SPAN)
+            await asyncio.sleep(PEAK_SPAN_S)
             self._peak = max([self._peak, *(host.since_last() for host in self._hosts.values())])
 
 
 async def serve() -> None:
-    """As the run asks, until it ends."""
+    """Executes the commands of the run until it ends."""
     process: CellsProcess | None = None
 
     async def answer(command: CellsCommand) -> CellsReply:
@@ -297,7 +295,7 @@
             process = CellsProcess(command)
             process.start()
         if process is None:
-            raise SystemExit("the first command has to set this process up")
+            raise SystemExit("first command: must be SetControl or SetHollow")
         return await process.do(command)
 
     await answer_all(CellsCommand, answer, Quit)
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -1,7 +1,7 @@
-"""What handing configuration down costs, against gateways and against changes a second, and what it takes.
+"""Measures the cost of distributing configuration, by gateways and by changes per second, and its delay.
 
-May know: the fleet of replicas and gateways, which sizes this run wants. May not know: how its figures are
-put together.
+The module knows the fleet of replicas and gateways and the sizes of the run; it does not know how the figures
+are reported.
 """
 
 from __future__ import annotations
@@ -17,32 +17,35 @@
 
 
 class ConfigurationPlan(NamedTuple):
-    """What a run wants; the last of sizes and of rates is held out. Times in s."""
+    """Holds the sizes and rates of a run, the last of which is held out. Times are in seconds."""
 
     replicas: int
-    each: int  # hollow gateways in one process
-    sizes: tuple[int, ...]  # gateways
-    size_rate: float  # changes a second while these are measured
-    rates: tuple[float, ...]  # changes a second, at the largest size
+    each: int  # Hollow gateways in one process.
+    sizes: tuple[int, ...]  # Gateways.
+    size_rate: float  # Changes per second while the sizes are measured.
+    rates: tuple[float, ...]  # Changes per second at the largest size.
     span: float
     burst: int
-    change_most: float  # that a change may take
+    change_most: float  # The most time that a change may take.
 
 
 QUICK = ConfigurationPlan(3, 24, (24, 48, 72, 96, 192), 2.0, (2.0, 4.0, 6.0, 8.0, 16.0), 1.0, 100, 9.0)
 FULL = ConfigurationPlan(19, 76, (152, 304, 456, 608, 1_216), 0.5, (0.25, 0.5, 0.75, 1.0, 2.0), 8.0, 100, 9.0)
 
 
-Priced = tuple[list[ConfigurationCost], list[float | None]]
+CostsAndWaits = tuple[list[ConfigurationCost], list[float | None]]
 
 
 class Waits(msgspec.Struct, frozen=True):
-    """s until changes were in force at every gateway, the worst of each kind; None: some never were."""
+    """Holds the longest time in seconds until a change was in force at every gateway, by kind.
+
+    A value is None if some change did not come into force.
+    """
 
     by_size: list[float | None]
     by_rate: list[float | None]
     burst: float | None
-    burst_without_leader: float | None  # the leader died meanwhile
+    burst_without_leader: float | None  # The leader died during the burst.
 
     def worst(self) -> float | None:
         found = [*self.by_size, *self.by_rate, self.burst, self.burst_without_leader]
@@ -50,7 +53,7 @@
 
 
 class Configured(NamedTuple):
-    """What was measured."""
+    """Holds the results of a run."""
 
     by_size: list[ConfigurationCost]
     by_rate: list[ConfigurationCost]
@@ -58,21 +61,21 @@
 
 
 async def measure(plan: ConfigurationPlan, guard: Guard) -> Configured:
-    """Raises `ConfigurationNotReady`, `NotDone`, `HollowFailed`."""
+    """Runs all measurements. Raises `ConfigurationNotReady`, `NotDone` or `HollowFailed`."""
     async with ConfigurationFleet(plan.replicas, -(-plan.sizes[-1] // plan.each), plan.each, guard) as fleet:
         by_size, size_waits = await _by_size(plan, fleet)
         by_rate, rate_waits = await _by_rate(plan, fleet)
         burst = await _worst(fleet, await fleet.burst(plan.burst), plan.change_most)
         without = await _worst(fleet, await fleet.burst_without_leader(plan.burst), plan.change_most)
         say(
-            f"changes: a burst of {plan.burst} in force everywhere after {_text(burst)}, with the leader "
-            f"killed meanwhile {_text(without)}"
+            f"changes: a burst of {plan.burst} was in force at all gateways after {_text(burst)}, with the "
+            f"leader killed during the burst after {_text(without)}"
         )
         await fleet.end()
         return Configured(by_size, by_rate, Waits(size_waits, rate_waits, burst, without))
 
 
-async def _by_size(plan: ConfigurationPlan, fleet: ConfigurationFleet) -> Priced:
+async def _by_size(plan: ConfigurationPlan, fleet: ConfigurationFleet) -> CostsAndWaits:
     found = []
     for size in plan.sizes:
         await fleet.add(size)
@@ -80,17 +83,17 @@
     return await _with_waits(plan, fleet, found)
 
 
-async def _by_rate(plan: ConfigurationPlan, fleet: ConfigurationFleet) -> Priced:
+async def _by_rate(plan: ConfigurationPlan, fleet: ConfigurationFleet) -> CostsAndWaits:
     return await _with_waits(plan, fleet, [await fleet.cost(rate, plan.span) for rate in plan.rates])
 
 
 async def _with_waits(
     plan: ConfigurationPlan, fleet: ConfigurationFleet, found: list[tuple[ConfigurationCost, list[Change]]]
-) -> Priced:
+) -> CostsAndWaits:
     waits = []
     for cost, changes in found:
         waits.append(await _worst(fleet, changes, plan.change_most, cost.gateways))
-        _tell(cost, waits[-1], max((each.done_at - each.put_at) / 1e9 for each in changes))
+        _report(cost, waits[-1], max((each.done_at - each.put_at) / 1e9 for each in changes))
     return [cost for cost, _ in found], waits
 
 
@@ -101,12 +104,12 @@
     return None if None in waits else max(each for each in waits if each is not None)
 
 
-def _tell(cost: ConfigurationCost, wait: float | None, done: float) -> None:
+def _report(cost: ConfigurationCost, wait: float | None, done: float) -> None:
     say(
-        f"changes, {cost.gateways} gateways, {cost.rate:g} a second: in force after {_text(wait)}, "
-        f"done for the operator after {done:.2f} s; "
-        f"{cost.cpu:.5f} of a core, {cost.bytes:.0f} B/s, {cost.memory / 2**20:.2f} MB a gateway; busiest of "
-        f"{cost.control} control machines {cost.control_cpu:.4f} of a core, {cost.control_bytes:.0f} B/s; "
+        f"changes, {cost.gateways} gateways, {cost.rate:g} per second: in force after {_text(wait)}, "
+        f"committed after {done:.2f} s; "
+        f"{cost.cpu:.5f} of a core, {cost.bytes:.0f} B/s, {cost.memory / 2**20:.2f} MB per gateway; busiest "
+        f"of {cost.control} control machines {cost.control_cpu:.4f} of a core, {cost.control_bytes:.0f} B/s; "
         f"lag {cost.lag.worst * 1000:.0f} ms"
     )
 
--- a/benchmarks/scale/configuration_fleet.py
+++ b/benchmarks/scale/configuration_fleet.py
@@ -1,7 +1,7 @@
-"""Configuration handed down at size: control replicas as processes, hollow gateways that pull from them.
+"""Runs control replicas as processes and hollow gateways that poll their configuration from them.
 
-What it costs against the number of gateways and against changes a second, and how long a change takes until
-it is in force at every gateway. The election's word comes from the run: who leads is told, not voted on.
+The module measures the costs by gateways and by changes per second, and the time until a change is in force
+at every gateway. There is no election: the run appoints the leader.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from .operator import Operator
 from .placement import PORT, Address
 
-VALUE = b"v" * 200  # bytes of one changed value: a route's
-READY_MOST = 20.0  # s until replicas lead and follow, and until gateways have all
-LOOK = 0.1  # s
-IDLE = 1.0  # s over which a process without a gateway is measured
-LEASE = 2.0  # s until another replica leads after the leader's death: about what the election takes
+VALUE = b"v" * 200  # The size of a route.
+READY_TIMEOUT_S = 20.0  # Until replicas lead and follow, and until gateways have all entries.
+POLL_S = 0.1
+IDLE_SPAN_S = 1.0  # Over which a process without gateways is measured.
+LEASE_S = 2.0  # Until another replica leads after the leader's death: about the duration of an election.
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One change: when it was put, in ns, its place in the log, when the operator heard that it was done."""
+    """Holds when a change was put and when the operator saw it committed, in ns, and its sequence number."""
 
     put_at: int
     sequence: int
@@ -49,15 +49,17 @@
 
 
 class ConfigurationCost(msgspec.Struct, frozen=True):
-    """Over one span, by gateway and for the busiest control machine; bytes a second are payload of datagrams,
-    the greater of sent and received."""
+    """Holds the costs over one span, of a gateway and of the busiest control machine.
+
+    Bytes per second are payload of datagrams: the greater of sent and received.
+    """
 
     gateways: int
-    control: int  # machines
-    rate: float  # changes a second
-    cpu: float  # of a gateway, share of a core
-    bytes: float  # of a gateway, bytes/s
-    memory: float  # of a gateway, bytes resident
+    control: int  # Control machines.
+    rate: float  # Changes per second.
+    cpu: float  # Of a gateway, as a share of a core.
+    bytes: float  # Of a gateway, in bytes/s.
+    memory: float  # Of a gateway, in resident bytes.
     control_cpu: float
     control_bytes: float
     control_memory: float
@@ -65,11 +67,11 @@
 
 
 class ConfigurationNotReady(Exception):
-    """Replicas or gateways did not come to what they should in time."""
+    """Reports replicas or gateways that did not reach the expected state in time."""
 
 
 class ConfigurationFleet:
-    """Use as `async with`; no gateway runs at first."""
+    """Holds the processes of the replicas and gateways; use it as `async with`. At first no gateway runs."""
 
     def __init__(
         self,
@@ -80,7 +82,7 @@
         services: int = 2_100,
         carried: int = 16,
     ) -> None:
-        """`each`: hollow gateways in one of `processes`, which fill up one after the other."""
+        """Takes the number of `processes` and of hollow gateways in `each`; processes fill up one by one."""
         self._ports, self._guard, self._each = Ports(), guard, each
         self._hosts = [self._ports.host() for _ in range(processes)]
         addresses: tuple[Address, ...] = tuple((self._ports.host(), PORT) for _ in range(replicas))
@@ -88,8 +90,8 @@
         self.replicas: list[Child[ConfigurationReport]] = []
         self.processes: list[Child[ConfigurationReport]] = []
         self.operator = Operator(self.tier.fleet, addresses)
-        self._base = 0.0  # bytes that a gateways' process holds without a gateway
-        self._idle = 0.0  # share of a core that it takes then
+        self._base = 0.0  # Resident bytes of a process of gateways without gateways.
+        self._idle = 0.0  # Share of a core that it uses then.
         self._round = self._burst = 0
         self.gateways = 0
         self._progress: list[list[tuple[int, int]]] = [[] for _ in range(processes)]
@@ -109,15 +111,15 @@
         await asyncio.gather(
             *(child.ask(SetReplica(self.tier, number)) for number, child in enumerate(self.replicas))
         )
-        told = await asyncio.gather(
+        reports = await asyncio.gather(
             *(
                 child.ask(SetGateways(self.tier, host))
                 for host, child in zip(self._hosts, self.processes, strict=True)
             )
         )
-        await asyncio.sleep(IDLE)
+        await asyncio.sleep(IDLE_SPAN_S)
         idle = await self.ask(self.processes)
-        self._idle = fmean(cpu_share(a, b) for a, b in zip(told, idle, strict=True))
+        self._idle = fmean(cpu_share(a, b) for a, b in zip(reports, idle, strict=True))
         self._base = fmean(each.memory for each in idle)
         await self.operator.open()
         await self.appoint_first()
@@ -133,7 +135,7 @@
         self._ports.close()
 
     async def appoint_first(self) -> None:
-        """The first that runs leads from now on."""
+        """Appoints the first running replica as leader."""
         self._round += 1
         self.operator.leader = len(self.tier.replicas) - len(self.replicas)
         await self.replicas[0].ask(Lead(self._round))
@@ -143,7 +145,7 @@
         return roles.count("leader") == 1 and roles.count("follower") == len(roles) - 1
 
     async def add(self, count: int) -> None:
-        """So many gateways in all; returns once each has all that is committed."""
+        """Starts gateways up to `count`; returns once each has all committed entries."""
         for process, child in enumerate(self.processes[: -(-count // self._each)]):
             numbers = range(max(self.gateways, process * self._each), min(count, (process + 1) * self._each))
             await child.ask(Add(tuple(numbers)))
@@ -152,15 +154,15 @@
 
     async def _all_have(self) -> bool:
         committed = max(each.sequence for each in await self.ask(self.replicas))
-        told = await self.ask_gateways()
-        return all(each.sequence >= committed for each in told)
+        reports = await self.ask_gateways()
+        return all(each.sequence >= committed for each in reports)
 
     async def _until(self, holds: Callable[[], Awaitable[bool]], what: str) -> None:
-        end = time.monotonic() + READY_MOST
+        end = time.monotonic() + READY_TIMEOUT_S
         while not await holds():
             if time.monotonic() > end:
-                raise ConfigurationNotReady(f"waited {READY_MOST:g} s for {what}")
-            await asyncio.sleep(LOOK)
+                raise ConfigurationNotReady(f"waited {READY_TIMEOUT_S:g} s for {what}")
+            await asyncio.sleep(POLL_S)
 
     async def ask(
         self, children: Sequence[Child[ConfigurationReport]], command: ConfigurationCommand | None = None
@@ -169,54 +171,55 @@
         return list(await asyncio.gather(*(child.ask(command or Ask()) for child in children)))
 
     def _in_use(self) -> list[Child[ConfigurationReport]]:
-        """Processes that have gateways."""
+        """Returns the processes that have gateways."""
         return self.processes[: -(-self.gateways // self._each)]
 
     async def ask_gateways(self) -> list[ConfigurationReport]:
-        """Of all processes of gateways; how far these have come is kept."""
-        told = await self.ask(self._in_use())
-        for mine, each in zip(self._progress, told, strict=False):
+        """Returns the reports of all processes with gateways, and keeps their progress."""
+        reports = await self.ask(self._in_use())
+        for mine, each in zip(self._progress, reports, strict=False):
             mine.extend(each.progress)
-        return told
+        return reports
 
     async def end(self) -> None:
         await self.ask([*self.replicas, *self.processes], Stop())
 
-    # Changes.
-
     async def change(self, number: int) -> Change:
-        """Put one; returns once it is committed. Raises `NotDone`."""
+        """Puts one change; returns once it is committed. Raises `NotDone`."""
         put_at, sequence = await self.operator.put(
             service(number * 7 % self.tier.services), f"route-{number}", VALUE
         )
         return Change(put_at, sequence, time.monotonic_ns())
 
     async def changes(self, rate: float, span: float) -> list[Change]:
-        """So many a second, for `span` s."""
+        """Puts `rate` changes per second for `span` seconds."""
         loop = asyncio.get_running_loop()
-        begun, made = loop.time(), []
+        started, tasks = loop.time(), []
         for number in range(max(1, int(rate * span))):
-            await asyncio.sleep(max(0.0, begun + number / rate - loop.time()))
-            made.append(loop.create_task(self.change(number)))
-        await asyncio.sleep(max(0.0, begun + span - loop.time()))
-        return list(await asyncio.gather(*made))
+            await asyncio.sleep(max(0.0, started + number / rate - loop.time()))
+            tasks.append(loop.create_task(self.change(number)))
+        await asyncio.sleep(max(0.0, started + span - loop.time()))
+        return list(await asyncio.gather(*tasks))
 
     async def everywhere(
         self, changes: Iterable[Change], most: float, gateways: int | None = None
     ) -> list[float | None]:
-        """s from when each was put until it was in force at every gateway (where given, at the first
-        `gateways`, which fill their processes); None: not `most` s from now on."""
-        wanted, processes = list(changes), -(-(gateways or self.gateways) // self._each)
+        """Returns the seconds until each change was in force at every gateway, from when it was put.
+
+        Only the first `gateways` count if given; they fill their processes. A value is None if the change is
+        not in force within `most` seconds from now.
+        """
+        pending, processes = list(changes), -(-(gateways or self.gateways) // self._each)
         end = time.monotonic() + most
         while True:
             await self.ask_gateways()
-            found = [time_in_force(change, self._progress[:processes]) for change in wanted]
+            found = [time_in_force(change, self._progress[:processes]) for change in pending]
             if None not in found or time.monotonic() > end:
                 return found
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_S)
 
     async def cost(self, rate: float, span: float) -> tuple[ConfigurationCost, list[Change]]:
-        """With so many changes a second over `span` s, and these changes."""
+        """Returns the costs of `rate` changes per second over `span` seconds, and these changes."""
         before, control_before = await self.ask_gateways(), await self.ask(self.replicas)
         changes = await self.changes(rate, span)
         after, control_after = await self.ask_gateways(), await self.ask(self.replicas)
@@ -237,35 +240,35 @@
         ), changes
 
     async def burst(self, count: int) -> list[Change]:
-        """So many changes at once."""
+        """Puts `count` changes at once."""
         first = self._burst = self._burst + count
         return list(await asyncio.gather(*(self.change(first + n) for n in range(count))))
 
     async def burst_without_leader(self, count: int) -> list[Change]:
-        """The leader's process dies while so many changes are on their way; another leads after a lease."""
+        """Kills the leader's process while `count` changes are being put; another leads after a lease."""
         burst = asyncio.create_task(self.burst(count))
         await asyncio.sleep(0)
         dead = self.replicas.pop(0)
         dead.kill()
-        await asyncio.sleep(LEASE)
+        await asyncio.sleep(LEASE_S)
         await self.appoint_first()
         await dead.close()
         return await burst
 
 
 def cpu_share(before: ConfigurationReport, after: ConfigurationReport) -> float:
-    """Of a core."""
+    """Returns the share of a core that was used."""
     return (after.cpu - before.cpu) * 1e9 / (after.at - before.at)
 
 
 def busier_rate(before: ConfigurationReport, after: ConfigurationReport) -> float:
-    """bytes/s, the greater of sent and received."""
+    """Returns bytes/s: the greater of sent and received."""
     seconds = (after.at - before.at) / 1e9
     return max(after.sent - before.sent, after.received - before.received) / seconds
 
 
 def time_in_force(change: Change, progress: Iterable[Sequence[tuple[int, int]]]) -> float | None:
-    """s until the gateways of all these processes had come to it; None: not yet."""
+    """Returns the seconds until all gateways of the processes had applied a change, or None."""
     ends = []
     for mine in progress:
         at = next((at for at, sequence in mine if sequence >= change.sequence), None)
--- a/benchmarks/scale/configuration_messages.py
+++ b/benchmarks/scale/configuration_messages.py
@@ -1,4 +1,4 @@
-"""What the run and the processes of configuration handed down say to each other, a JSON object a line."""
+"""Defines the messages between the run and the processes of configuration: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -10,64 +10,67 @@
 
 
 class Tier(msgspec.Struct, frozen=True):
-    """Where the control replicas are, and what configuration there is."""
+    """Holds the addresses of the control replicas and the size of the configuration."""
 
     fleet: str
     replicas: tuple[Address, ...]
     services: int
-    carried: int  # services of one gateway
+    carried: int  # Services of one gateway.
 
 
 class SetReplica(Message, frozen=True):
-    """The first line: this process is a control machine's replica."""
+    """Is the first line: this process is the replica of a control machine."""
 
     tier: Tier
     number: int
 
 
 class SetGateways(Message, frozen=True):
-    """The first line: this process is one of hollow gateways, at a host of its own."""
+    """Is the first line: this process runs hollow gateways, at a host of its own."""
 
     tier: Tier
     host: str
 
 
 class Lead(Message, frozen=True):
-    """The election's word: this replica leads under this round."""
+    """Stands in for the election: this replica leads in the given round."""
 
     round: int
 
 
 class Add(Message, frozen=True):
-    """Start the gateways of these numbers."""
+    """Starts the gateways with these numbers."""
 
     numbers: tuple[int, ...]
 
 
 class Ask(Message, frozen=True):
-    """Tell what is held, and what was used and sent so far."""
+    """Asks for the state, the resources used and the bytes sent so far."""
 
 
 class Stop(Message, frozen=True):
-    """Close everything."""
+    """Closes all sockets and ends the process."""
 
 
 ConfigurationCommand = SetReplica | SetGateways | Lead | Add | Ask | Stop
 
 
 class ConfigurationReport(Message, frozen=True, tag="Handed"):
-    """Of one process. `progress`: at which time, in ns, all its gateways had come to which sequence of the
-    log; since the last question, as are lag and peak."""
+    """Reports one process.
+
+    `progress` holds the times in ns at which all its gateways had reached a sequence number of the log. It
+    covers the time since the last report, as do lag and peak.
+    """
 
     at: int
-    cpu: float  # s
-    memory: int  # bytes resident
+    cpu: float  # Seconds.
+    memory: int  # Resident bytes.
     gateways: int
-    datagrams: int  # sent
-    sent: int  # bytes
+    datagrams: int  # Sent.
+    sent: int  # Bytes.
     received: int
-    role: str  # a replica's; empty for gateways
-    sequence: int  # committed at the replica, or come to by all gateways
+    role: str  # Of a replica; empty for gateways.
+    sequence: int  # Committed at the replica, or reached by all gateways.
     progress: tuple[tuple[int, int], ...]
-    peak: int  # bytes of the busiest within one second, the greater of sent and received
+    peak: int  # Bytes of the busiest socket within one second: the greater of sent and received.
     lag: Lag
--- a/benchmarks/scale/configuration_process.py
+++ b/benchmarks/scale/configuration_process.py
@@ -1,8 +1,8 @@
-"""A process of configuration handed down: a control machine's replica, or hollow gateways that pull.
+"""Runs a process of configuration: the replica of a control machine, or hollow gateways that poll it.
 
-The cores and the wire are the program's own (`trackspread/distribution/`), on real datagram sockets. Reads
-one command a line from standard input and answers each (`configuration_messages.py`). May know: these cores.
-May not know: what the run makes of its figures.
+The cores and the wire format are the program's own (`trackspread/distribution/`), on real datagram sockets.
+The process reads one command per line from standard input and answers each (`configuration_messages.py`). It
+does not know how the run uses its figures.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from .lag import LagWatch
 from .placement import PORT, REGIONS, Address
 
-PEAK_SPAN = 1.0  # s
+PEAK_SPAN_S = 1.0
 
 
 def service(number: int) -> str:
@@ -50,37 +50,37 @@
 
 
 def carried_services(tier: Tier, gateway: int) -> frozenset[str]:
-    """The services of one gateway: all are carried by about as many."""
+    """Returns the services of one gateway; all services have about the same number of gateways."""
     first = gateway * tier.carried
     return frozenset(service((first + n) % tier.services) for n in range(tier.carried))
 
 
 class DistributionSocket(CoreSocket):
-    """What both cores' sockets do alike. `number`: a replica's; -1 for a gateway."""
+    """Sends and reports what a core returns. `number` is that of a replica, or -1 for a gateway."""
 
     def __init__(self, name: str, address: Address, tier: Tier, number: int) -> None:
         super().__init__(name, address)
-        self._wire, self._number, self._born = Wire(tier.fleet, Keys()), number, created_now_ms()
+        self._wire, self._number, self._incarnation = Wire(tier.fleet, Keys()), number, created_now_ms()
 
     def do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case Send(to, body):
-                    message = Message(self._wire.fleet, self._number, self._born, body)
+                    message = Message(self._wire.fleet, self._number, self._incarnation, body)
                     self.send(to, self._wire.pack(message))
                 case StatusEvent():
-                    self.notice(action)
+                    self.on_event(action)
 
-    def notice(self, noticed: StatusEvent) -> None:
-        """Something came to be."""
+    def on_event(self, event: StatusEvent) -> None:
+        """Handles an event of the core; by default ignores it."""
 
 
 class ReplicaSocket(DistributionSocket):
-    """A control machine's replica."""
+    """Runs the replica of a control machine."""
 
     def __init__(self, tier: Tier, number: int) -> None:
         super().__init__(f"control-{number}", tier.replicas[number], tier, number)
-        settings = ReplicaSettings(number, self._born, tier.replicas)
+        settings = ReplicaSettings(number, self._incarnation, tier.replicas)
         self.core = Replica(settings, time.monotonic_ns(), number)
         self.epoch: Epoch | None = None
 
@@ -96,13 +96,15 @@
 
 
 class GatewaySocket(DistributionSocket):
-    """A hollow gateway that pulls what its services need."""
+    """Runs a hollow gateway that polls the configuration of its services."""
 
     def __init__(self, tier: Tier, number: int, address: Address, process: ConfigurationProcess) -> None:
         super().__init__(f"gateway-{number}", address, tier, -1)
-        near = tuple(at for n, at in enumerate(tier.replicas) if n % REGIONS == number % REGIONS)
-        others = tuple(at for at in tier.replicas if at not in near)
-        settings = SubscriberSettings(near or others, carried_services(tier, number), others if near else ())
+        same_region = tuple(at for n, at in enumerate(tier.replicas) if n % REGIONS == number % REGIONS)
+        others = tuple(at for at in tier.replicas if at not in same_region)
+        settings = SubscriberSettings(
+            same_region or others, carried_services(tier, number), others if same_region else ()
+        )
         self.core = Subscriber(settings, time.monotonic_ns(), number)
         self._process = process
 
@@ -114,38 +116,38 @@
         if message is not None:
             self.do(self.core.on_message(now, message.body, source))
 
-    def notice(self, noticed: StatusEvent) -> None:
-        if noticed.kind == "acts":
-            self._process.came_to(self.name, self.core.version.sequence)
+    def on_event(self, event: StatusEvent) -> None:
+        if event.kind == "acts":
+            self._process.record_progress(self.name, self.core.version.sequence)
 
 
 class ConfigurationProcess:
-    """All that runs in this process."""
+    """Runs the replica or the hollow gateways of this process and executes the commands of the run."""
 
     def __init__(self, setup: SetReplica | SetGateways) -> None:
         self._setup = setup
         self._sockets: list[DistributionSocket] = []
-        self._sequences: dict[str, int] = {}  # by gateway
+        self._sequences: dict[str, int] = {}  # By gateway.
         self._progress: list[tuple[int, int]] = []
         self._peak = 0
         self._watch = LagWatch()
-        self._beat: asyncio.Task[None] | None = None
+        self._peak_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         if isinstance(self._setup, SetReplica):
             await self._open(ReplicaSocket(self._setup.tier, self._setup.number))
         self._watch.start()
-        self._beat = asyncio.get_running_loop().create_task(self._every_second())
+        self._peak_task = asyncio.get_running_loop().create_task(self._every_second())
 
     def close(self) -> None:
         self._watch.stop()
-        if self._beat is not None:
-            self._beat.cancel()
+        if self._peak_task is not None:
+            self._peak_task.cancel()
         for each in self._sockets:
             each.close()
 
-    def came_to(self, gateway: str, sequence: int) -> None:
-        """A gateway acts on this version of the configuration from now on."""
+    def record_progress(self, gateway: str, sequence: int) -> None:
+        """Records that a gateway applied the configuration up to `sequence`."""
         before = min(self._sequences.values())
         self._sequences[gateway] = sequence
         if (least := min(self._sequences.values())) > before:
@@ -162,13 +164,13 @@
                     self._sequences[f"gateway-{number}"] = 0
                     at = self._setup.host, PORT + len(self._sockets)
                     await self._open(GatewaySocket(self._setup.tier, number, at, self))
-        return self._told()
+        return self._report()
 
     async def _open(self, made: DistributionSocket) -> None:
         await made.open()
         self._sockets.append(made)
 
-    def _told(self) -> ConfigurationReport:
+    def _report(self) -> ConfigurationReport:
         role, sequence = "", min(self._sequences.values(), default=0)
         for each in self._sockets:
             if isinstance(each, ReplicaSocket):
@@ -192,12 +194,12 @@
 
     async def _every_second(self) -> None:
         while True:
-            await asyncio.sleep(PEAK_SPAN)
+            await asyncio.sleep(PEAK_SPAN_S)
             self._peak = max([self._peak, *(each.since_last() for each in self._sockets)])
 
 
 async def serve() -> None:
-    """As the run asks, until it ends."""
+    """Executes the commands of the run until it ends."""
     process: ConfigurationProcess | None = None
 
     async def answer(command: ConfigurationCommand) -> ConfigurationReport:
@@ -207,7 +209,7 @@
             await process.start()
             command = Ask()
         if process is None:
-            raise SystemExit("the first command has to set this process up")
+            raise SystemExit("first command: must be SetReplica or SetGateways")
         return await process.do(command)
 
     await answer_all(ConfigurationCommand, answer, Stop)
--- a/benchmarks/scale/flat_fleet.py
+++ b/benchmarks/scale/flat_fleet.py
@@ -1,6 +1,6 @@
-"""One view over hollow members and real gateways: when it has settled, what it costs, what faults do to it.
+"""Runs one flat view of hollow members and real gateways, and measures its costs and the effects of faults.
 
-May know: hollow processes, real gateways. May not know: which sizes and faults a run wants.
+The module knows hollow processes and real gateways; it does not know which sizes and faults a run has.
 """
 
 from __future__ import annotations
@@ -20,29 +20,32 @@
 from .verdicts import Cutoff, false_deaths, relayed_deaths
 from .view import settled
 
-PEAK_SPAN = 1.1  # s after which the last second's bytes have been looked at
-AT_REST = 0.1  # words still to be told by a member on the mean: a suspicion now and then, and no start
-LOOK = 0.1  # s between looks: how finely a time to settle is told
+PEAK_SPAN = 1.1  # s; after this time the bytes of the last second are counted.
+AT_REST = 0.1  # Updates still to be gossiped, the mean of members: a rare suspicion, but no start.
+POLL_S = 0.1  # Between two polls of the state; the resolution of the times to settle.
 
 
 class NotSettled(Exception):
-    """A fleet did not come to hold one view, or to rest, in time."""
+    """Reports a fleet that did not reach one view, or rest, in time."""
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """What one size costs over a span, by member; bytes a second are payload of datagrams and tables."""
+    """Holds the costs of one size over a span, per member.
 
-    members: int  # all, real gateways included
-    cpu: float  # share of a core
-    sent: float  # bytes/s
+    Bytes per second are payload of datagrams and tables.
+    """
+
+    members: int  # All, including real gateways.
+    cpu: float  # Share of a core.
+    sent: float  # Bytes/s.
     received: float
-    datagrams: float  # sent, a second
-    memory: float  # bytes resident
-    coordinator_sent: float  # bytes/s
+    datagrams: float  # Sent per second.
+    memory: float  # Resident bytes.
+    coordinator_sent: float  # Bytes/s.
     coordinator_received: float
-    coordinator_cpu: float  # share of a core
-    lag: Lag  # of all hollow processes' loops
-    run_lag: Lag  # of the run's own loop
+    coordinator_cpu: float  # Share of a core.
+    lag: Lag  # Of the loops of all hollow processes.
+    run_lag: Lag  # Of the run's own loop.
 
     @property
     def bytes(self) -> float:
@@ -56,32 +59,32 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What one failure did."""
+    """Holds the effects of one fault."""
 
     fault: str
-    members: int  # at its beginning
-    struck: int  # members that it ended, or cut off
-    settle_s: float | None  # until all held the same again; None: not within the time given
-    peak_bytes_s: int  # of the busiest member, the greater of sent and received within one second
-    false_dead: int  # live members, in reach, that somebody's own probes called dead
-    hearsay_dead: int  # live members that somebody in reach of them held for dead by what was told
-    lag: Lag  # of all hollow processes' loops
-    run_lag: Lag  # of the run's own loop: how finely it saw what came to be
+    members: int  # Before the fault.
+    struck: int  # Members that it ended or cut off.
+    settle_s: float | None  # Until all held one view again; None if not within the time given.
+    peak_bytes_s: int  # Of the busiest member: the greater of sent and received within one second.
+    false_dead: int  # Live members that a member in reach declared dead by its own probes.
+    hearsay_dead: int  # Live members that a member in reach held for dead because of gossip.
+    lag: Lag  # Of the loops of all hollow processes.
+    run_lag: Lag  # Of the run's own loop, which limits the resolution of its times.
 
 
 class FlatFleet:
-    """Hollow members, and real gateways beside them, in one view."""
+    """Holds hollow members and real gateways in one view."""
 
     def __init__(self, hollow: HollowFleet, real: RealGateways | None, guard: Guard) -> None:
         self.hollow, self.real, self._guard = hollow, real, guard
         self._watch = LagWatch()
-        self._base = 0.0  # bytes that all hollow processes hold without a member
+        self._base = 0.0  # Resident bytes of all hollow processes without members.
         self.lives: tuple[Life, ...] = ()
         self.cutoffs: list[Cutoff] = []
         self._verdicts: list[DeadVerdict] = []
 
     async def open(self) -> None:
-        """Before the first member begins."""
+        """Measures the processes without members; it must be called before the first member starts."""
         self._base = sum(each.memory for each in await self.hollow.measure())
         self._watch.start()
 
@@ -92,23 +95,25 @@
         return len(self.hollow.running) + (len(self.real.running()) if self.real is not None else 0)
 
     async def until_settled(self, most: float, since: int | None = None) -> float | None:
-        """s after `since` (now, where it is left out) until all hold one view of just those that run; None
-        where they did not within `most` s."""
+        """Returns the seconds from `since`, by default now, until all hold one view of the running members.
+
+        The view must have no other members. The result is None if they do not within `most` seconds.
+        """
         since = time.monotonic_ns() if since is None else since
         while True:
             self._guard.check()
             held = await self.hollow.look()
             others = self.real.running() if self.real is not None else []
             views = self.real.views() if self.real is not None else set()
-            took = (time.monotonic_ns() - since) / 1e9
+            elapsed = (time.monotonic_ns() - since) / 1e9
             if settled(held, others, views):
-                return took
-            if took >= most:
+                return elapsed
+            if elapsed >= most:
                 return None
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_S)
 
     async def quiet(self, most: float) -> bool:
-        """Until the words of the start are told, and all hold a part; whether that was within `most` s."""
+        """Waits up to `most` s until all hold slots and have gossiped the start; returns whether so."""
         end = time.monotonic() + most
         while True:
             held = await self.hollow.look()
@@ -117,17 +122,17 @@
                 return True
             if time.monotonic() > end:
                 return False
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_S)
 
     async def _measure(self) -> list[Measured]:
-        """Of each hollow process; verdicts and lives are kept."""
+        """Returns the report of each hollow process, and keeps the verdicts and the lives."""
         measured = await self.hollow.measure()
         self.lives = tuple(life for each in measured for life in each.lives)
         self._verdicts += [verdict for each in measured for verdict in each.verdicts]
         return measured
 
     async def cost(self, span: float, quiet_most: float) -> Cost:
-        """Over `span` s in which nothing happens. Raises `NotSettled`."""
+        """Returns the costs over `span` seconds without faults. Raises `NotSettled`."""
         if not await self.quiet(quiet_most):
             raise NotSettled("still telling one another of the start")
         await self.hollow.spread_entropy()
@@ -137,31 +142,33 @@
         after = await self._measure()
         return cost(before, after, self._base, self.members(), self._watch.take())
 
-    async def struck(self, fault: str, count: int, since: int, most: float) -> Outcome:
-        """What a fault that began at `since` and struck `count` members did, once all hold the same again or
-        `most` s are over. `begin` was called before it."""
-        took = await self.until_settled(most, since)
+    async def outcome(self, fault: str, count: int, since: int, most: float) -> Outcome:
+        """Returns the effects of a fault at `since` on `count` members, once settled or after `most` seconds.
+
+        `begin` must be called before the fault.
+        """
+        elapsed = await self.until_settled(most, since)
         await asyncio.sleep(PEAK_SPAN)
         measured = await self._measure()
         lag = combined_lag(each.lag for each in measured)
         verdicts, self._verdicts = self._verdicts, []
         mistaken = {each.of for each in false_deaths(verdicts, self.lives, self.cutoffs)}
-        told = relayed_deaths(verdicts, self.lives, self.cutoffs)
+        relayed = relayed_deaths(verdicts, self.lives, self.cutoffs)
         peak = max(each.peak for each in measured)
         return Outcome(
             fault,
             self._members_before,
             count,
-            None if took is None else round(took, 2),
+            None if elapsed is None else round(elapsed, 2),
             peak,
             len(mistaken),
-            len(told),
+            len(relayed),
             lag,
             self._watch.take(),
         )
 
     async def begin(self) -> None:
-        """A fault follows: what was seen before it does not count."""
+        """Discards the verdicts and the lag before a fault."""
         await self._measure()
         self._verdicts.clear()
         self._watch.take()
@@ -170,16 +177,16 @@
     _members_before = 0
 
     async def crash(self, fault: str, numbers: Iterable[int], most: float) -> Outcome:
-        """These end at once, and stay away."""
+        """Ends these members for good; returns the effects."""
         chosen = list(numbers)
         await self.begin()
         since = await self.hollow.crash(chosen)
-        return await self.struck(fault, len(chosen), since, most)
+        return await self.outcome(fault, len(chosen), since, most)
 
     async def restart(
         self, fault: str, numbers: Iterable[int], over: float, groups: int, most: float
     ) -> Outcome:
-        """These end and begin anew in `groups` groups, one after the other within `over` s."""
+        """Restarts these members in `groups` groups, one after the other within `over` seconds."""
         chosen = list(numbers)
         await self.begin()
         for group in range(groups):
@@ -188,25 +195,25 @@
             await self.hollow.begin(mine)
             if group + 1 < groups:
                 await asyncio.sleep(over / groups)
-        return await self.struck(fault, len(chosen), time.monotonic_ns(), most)
+        return await self.outcome(fault, len(chosen), time.monotonic_ns(), most)
 
     async def cut_off(self, fault: str, region: int, struck: int, span: float, most: float) -> Outcome:
-        """A region is cut off for `span` s; the time to settle is from its heal on."""
+        """Cuts a region off for `span` seconds; the time to settle starts when the partition ends."""
         await self.begin()
         since = await self.hollow.cut([region])
         await asyncio.sleep(span)
         until = await self.hollow.cut([])
         self.cutoffs.append(Cutoff(region, since, until))
-        return await self.struck(fault, struck, until, most)
+        return await self.outcome(fault, struck, until, most)
 
     async def coordinator(self) -> int | None:
-        """The number of the hollow member that coordinates; None where none does."""
+        """Returns the number of the hollow member that coordinates, or None if not exactly one does."""
         names = [leading.name for each in await self._measure() for leading in each.leading]
         return number_of(names[0]) if len(names) == 1 else None
 
 
 def cost(before: list[Measured], after: list[Measured], base: float, members: int, run_lag: Lag) -> Cost:
-    """By member, from what each process told before and after a span."""
+    """Returns the costs per member from the reports of each process before and after a span."""
     shares = [(b.cpu - a.cpu) / ((b.at - a.at) / 1e9) for a, b in zip(before, after, strict=True)]
     seconds = sum(b.at - a.at for a, b in zip(before, after, strict=True)) / len(after) / 1e9
     hollow = sum(each.members for each in after)
@@ -239,7 +246,10 @@
 
 
 def _beyond_others(number: int, shares: list[float], members: list[int]) -> float:
-    """A process's share of a core, less what its other members take by what those elsewhere do."""
+    """Returns a process's share of a core, less the usual share of its other members.
+
+    The usual share is the mean of the members of other processes.
+    """
     elsewhere = [
         (share, count) for n, (share, count) in enumerate(zip(shares, members, strict=True)) if n != number
     ]
--- a/benchmarks/scale/hollow_fleet.py
+++ b/benchmarks/scale/hollow_fleet.py
@@ -1,6 +1,6 @@
-"""The run's side of its hollow processes: starts them, asks them, ends them.
+"""Starts, queries and ends the hollow processes of a run.
 
-May know: processes, messages. May not know: what is measured for what.
+The module knows processes and messages; it does not know what the run measures.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class HollowFleet:
-    """Use as `async with HollowFleet(...) as hollow`; no member runs at first."""
+    """Holds the hollow processes of a fleet; use it as `async with`. At first no member runs."""
 
     def __init__(self, processes: int, seeds: Sequence[int], most: int, guard: Guard, fleet: str) -> None:
-        """`seeds`: numbers of the members that are the view's seeds; `most`: members at most."""
+        """Takes the numbers of the `seeds` and the largest number of members, `most`."""
         self._count, self._seeds, self._most, self._guard = processes, tuple(seeds), most, guard
         self._fleet = fleet
         self._ports = Ports()
@@ -66,33 +66,33 @@
         self._ports.close()
 
     def seeds(self) -> list[str]:
-        """As `host:port`, for a real gateway's file."""
+        """Returns the seeds as `host:port`, for the operator's file of a real gateway."""
         return ["{}:{}".format(*self.placement.address(seed)) for seed in self._seeds]
 
-    def _dealt(self, numbers: Iterable[int]) -> list[tuple[Child[Reply], tuple[int, ...]]]:
-        dealt: dict[int, list[int]] = {}
+    def _by_process(self, numbers: Iterable[int]) -> list[tuple[Child[Reply], tuple[int, ...]]]:
+        by_process: dict[int, list[int]] = {}
         for number in numbers:
-            dealt.setdefault(self.placement.process(number), []).append(number)
-        return [(self.children[process], tuple(mine)) for process, mine in dealt.items()]
+            by_process.setdefault(self.placement.process(number), []).append(number)
+        return [(self.children[process], tuple(mine)) for process, mine in by_process.items()]
 
     async def begin(self, numbers: Iterable[int], spread: float = 0.0) -> int:
-        """Start these, the last of them `spread` s after the first; ns of the clock when all had begun."""
+        """Starts these members, the last `spread` s after the first; returns when all had started, in ns."""
         chosen = sorted(set(numbers) - self.running)
         replies = await asyncio.gather(
-            *(child.ask(Begin(mine, spread), spread) for child, mine in self._dealt(chosen))
+            *(child.ask(Begin(mine, spread), spread) for child, mine in self._by_process(chosen))
         )
         self.running |= set(chosen)
         return max((each.at for each in replies if isinstance(each, Done)), default=time.monotonic_ns())
 
     async def crash(self, numbers: Iterable[int]) -> int:
-        """End these without a word; ns of the clock when the last had ended."""
+        """Ends these members without a message to others; returns when the last had ended, in ns."""
         chosen = sorted(set(numbers) & self.running)
-        replies = await asyncio.gather(*(child.ask(Crash(mine)) for child, mine in self._dealt(chosen)))
+        replies = await asyncio.gather(*(child.ask(Crash(mine)) for child, mine in self._by_process(chosen)))
         self.running -= set(chosen)
         return max((each.at for each in replies if isinstance(each, Done)), default=time.monotonic_ns())
 
     async def cut(self, regions: Iterable[int]) -> int:
-        """Cut these regions off from all others, none to make it whole; ns when all knew."""
+        """Cuts these regions off, or ends the partition if there are none; returns when all did so, in ns."""
         replies = await self._all(Cut(tuple(regions)))
         return max(each.at for each in replies if isinstance(each, Done))
 
--- a/benchmarks/scale/hollow_process.py
+++ b/benchmarks/scale/hollow_process.py
@@ -1,7 +1,8 @@
-"""A process of hollow members: the real core, wire and host of the view, on real sockets, that serve nothing.
+"""Runs hollow members: the program's own core, wire format and host of the view on real sockets.
 
-Reads one command a line from standard input and answers each on standard output (`messages.py`); ends when
-standard input does. May know: the view's host. May not know: what the run makes of its figures.
+Hollow members serve no requests. The process reads one command per line from standard input and answers each
+on standard output (`messages.py`); it ends when standard input does. It does not know how the run uses its
+figures.
 """
 
 from __future__ import annotations
@@ -48,28 +49,31 @@
 from .placement import Address, Partition, name_of
 from .view import digest
 
-VERDICTS_MOST = 20_000  # kept between two questions; more are not counted one by one
-SECOND = 1.0  # s over which a member's peak is counted
+MAX_VERDICTS = 20_000  # Kept between two reports; older ones are dropped.
+PEAK_SPAN_S = 1.0  # Over which a member's peak of traffic is measured.
 
 
 class HollowHost(Host):
-    """One hollow member."""
+    """Runs one hollow member on sockets and records its verdicts and its traffic."""
 
     def __init__(self, settings: MemberSettings, wire: Wire, seed: int, process: HollowProcess) -> None:
         super().__init__(settings, settings.address, wire, seed, time.monotonic_ns)
         self._process = process
         self._last_second = (0, 0)
-        self._suspected: dict[MemberId, int] = {}  # since when each is held for suspect
+        self._suspected: dict[MemberId, int] = {}  # Since when each member is suspected.
 
     def datagram_received(self, data: bytes, source: Address) -> None:
         if self._process.partition.passes(source, self.settings.address):
             super().datagram_received(data, source)
 
     def _perform(self, actions: Iterable[Action]) -> None:
-        super()._perform(each for each in actions if self._goes(each))
+        super()._perform(each for each in actions if self._is_let_through(each))
 
-    def _goes(self, action: Action) -> bool:
-        """No table goes over a cut way, nor a datagram to a gateway that does not drop it itself."""
+    def _is_let_through(self, action: Action) -> bool:
+        """Returns whether a partition lets an action through.
+
+        It stops tables, and datagrams to real gateways, which do not drop them themselves.
+        """
         match action:
             case ExchangeTables(to):
                 return self._process.partition.passes(self.settings.address, to)
@@ -78,7 +82,10 @@
         return True
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A hollow member does not begin what is cut; a real gateway knows nothing of the cut."""
+        """Serves an exchange of tables unless a real gateway begins it across a partition.
+
+        Real gateways do not know the partition; hollow members do not begin such exchanges themselves.
+        """
         source = writer.get_extra_info("peername") or ("", 0)
         passes = self._process.partition.passes((source[0], 0), self.settings.address)
         if not passes and not self._process.hollow(source):
@@ -86,23 +93,23 @@
             return
         try:
             await super()._serve(reader, writer)
-        except asyncio.CancelledError:  # the process ends
+        except asyncio.CancelledError:  # The process ends.
             writer.close()
 
-    def _record_event(self, told: StatusEvent) -> None:
-        super()._record_event(told)
-        if told.kind == "member":
-            who = cast(MemberId, told.details["who"])
-            self._judged(who, str(told.details["state"]), str(told.details["by"]))
+    def _record_event(self, event: StatusEvent) -> None:
+        super()._record_event(event)
+        if event.kind == "member":
+            who = cast(MemberId, event.details["who"])
+            self._record_verdict(who, str(event.details["state"]), str(event.details["by"]))
 
-    def _judged(self, who: MemberId, state: str, teller: str) -> None:
+    def _record_verdict(self, who: MemberId, state: str, reporter: str) -> None:
         now = time.monotonic_ns()
         if state == "SUSPECT":
             self._suspected.setdefault(who, now)
             return
         since = self._suspected.pop(who, now)
         if state == "DEAD":
-            own = teller == self.settings.name
+            own = reporter == self.settings.name
             self._process.verdicts.append(DeadVerdict(now, self.settings.name, who, own, since))
 
     def traffic(self) -> Traffic:
@@ -113,34 +120,34 @@
             counts["bytes received"] + counts["table bytes received"],
         )
 
-    def last_second(self) -> int:
-        """Bytes since the last call, the greater of sent and received."""
+    def bytes_since_last(self) -> int:
+        """Returns the bytes since the last call: the greater of sent and received."""
         traffic, before = self.traffic(), self._last_second
         self._last_second = traffic.sent, traffic.received
         return max(traffic.sent - before[0], traffic.received - before[1])
 
     def spread_entropy(self, rng: random.Random) -> None:
-        """Its next exchange of tables with one at random, at any moment of the interval between two."""
+        """Moves the next exchange of tables with a random member to a random time within its interval."""
         self.core.discovery.anti_entropy_at_ns = time.monotonic_ns() + int(
             ANTI_ENTROPY_INTERVAL_NS * rng.random()
         )
 
     def crash(self) -> None:
-        """Nothing is said any more; both sockets close."""
+        """Closes both sockets without a message to others."""
         self.core.state.has_left = True
         self.close()
 
 
 class HollowProcess:
-    """All hollow members of one process, and what the run asks of them."""
+    """Runs all hollow members of one process and executes the commands of the run."""
 
     def __init__(self, setup: Setup) -> None:
         self.setup = setup
         self.partition = Partition(setup.placement.region)
         self._hosts: dict[int, HollowHost] = {}
-        self._ended = (0, 0, 0)  # datagrams, bytes sent, bytes received of members that have ended
+        self._ended = (0, 0, 0)  # Datagrams, bytes sent and bytes received of ended members.
         self._lives: dict[MemberId, Life] = {}
-        self.verdicts: deque[DeadVerdict] = deque(maxlen=VERDICTS_MOST)
+        self.verdicts: deque[DeadVerdict] = deque(maxlen=MAX_VERDICTS)
         self._peak, self._peak_name = 0, ""
         self._rng = random.Random(f"hollow:{setup.process}")
         self._watch = LagWatch()
@@ -149,7 +156,7 @@
 
     def start(self) -> None:
         self._watch.start()
-        self._keep(self._every_second())
+        self._run_task(self._every_second())
 
     async def close(self) -> None:
         self._watch.stop()
@@ -159,7 +166,7 @@
             host.crash()
 
     def hollow(self, address: Address) -> bool:
-        """Whether a host is a hollow process's."""
+        """Returns whether an address is that of a hollow process."""
         return address[0] in self.setup.placement.hosts
 
     async def do(self, command: Command) -> Reply:
@@ -180,8 +187,6 @@
                 return self._measure()
         return Done(time.monotonic_ns())
 
-    # Members.
-
     async def _begin(self, command: Begin) -> None:
         each = command.spread / max(1, len(command.numbers))
         for number in command.numbers:
@@ -212,8 +217,6 @@
         self._lives[who] = Life(who, self._lives[who].since, time.monotonic_ns())
         host.crash()
 
-    # What they hold and have used.
-
     def _look(self) -> Held:
         distinct, telling, without = set(), 0, 0
         now = time.monotonic_ns()
@@ -227,12 +230,12 @@
         return Held(tuple(distinct), running, telling, without)
 
     def _digest(self, number: ViewNumber, members: tuple[MemberId, ...]) -> int:
-        """Of a view's members; made once for all that hold the same."""
-        kept = self._digests.get(number)
-        if kept is None or kept[0] != members:
+        """Returns the digest of a view's members, computed once for all members with the same view."""
+        cached = self._digests.get(number)
+        if cached is None or cached[0] != members:
             self._digests = {n: each for n, each in self._digests.items() if n[:2] == number[:2]}
-            kept = self._digests[number] = members, digest(members)
-        return kept[1]
+            cached = self._digests[number] = members, digest(members)
+        return cached[1]
 
     def _measure(self) -> Measured:
         hosts = self._hosts.values()
@@ -262,20 +265,20 @@
         loop = asyncio.get_running_loop()
         due = loop.time()
         while True:
-            due += SECOND
+            due += PEAK_SPAN_S
             await asyncio.sleep(max(0.0, due - loop.time()))
             for host in self._hosts.values():
-                if (sent := host.last_second()) > self._peak:
+                if (sent := host.bytes_since_last()) > self._peak:
                     self._peak, self._peak_name = sent, host.settings.name
 
-    def _keep(self, work: Coroutine[None, None, None]) -> None:
+    def _run_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
 async def serve() -> None:
-    """As the run asks, until it ends."""
+    """Executes the commands of the run until it ends."""
     process: HollowProcess | None = None
 
     async def answer(command: Command) -> Reply:
@@ -284,7 +287,7 @@
             process = HollowProcess(command)
             process.start()
         elif process is None:
-            raise SystemExit("the first command has to be a Setup")
+            raise SystemExit("first command: must be Setup")
         else:
             return await process.do(command)
         return Done(time.monotonic_ns())
--- a/benchmarks/scale/lag.py
+++ b/benchmarks/scale/lag.py
@@ -18,7 +18,7 @@
 
 
 class Lag(msgspec.Struct, frozen=True):
-    """Holds the number of checks of a loop in a span, the number of late ones and the largest lag in seconds."""
+    """Holds the number of checks of a loop in a span, the number of late ones and the largest lag in s."""
 
     beats: int = 0
     late: int = 0
--- a/benchmarks/scale/real_gateways.py
+++ b/benchmarks/scale/real_gateways.py
@@ -1,6 +1,7 @@
-"""Real gateways beside the hollow ones: members of the same view, under load, decided on by the judge.
+"""Runs real gateways under load as members of the same view as the hollow ones, and judges their service.
 
-May know: the harness's fleets, where the view's seeds are. May not know: hollow processes.
+The module knows the fleets of the test harness and the addresses of the view's seeds; it does not know hollow
+processes.
 """
 
 from __future__ import annotations
@@ -25,30 +26,33 @@
 from .view import Number, View, digest
 
 MEMBER_PORT = 7400
-LOAD = 0.15  # of what the rating nodes can do
+LOAD = 0.15  # Of the capacity of the rating nodes.
 
 
 def shared_scenario(scenario: Scenario, members: int) -> Scenario:
-    """With quotas and ceilings that are shared by so many members, so that these few real gateways have of
-    each what they would have among themselves; customers ask for as much as without."""
-    times = members / scenario.gateways
+    """Returns a scenario with quotas and hard limits scaled up to `members` sharing them.
+
+    So these few real gateways have the same part of each as they would have among themselves. The customers'
+    demand is that of `scenario`.
+    """
+    factor = members / scenario.gateways
     plans = {
         name: PlanRule(
-            plan.rate_per_s * times,
-            plan.burst_units * times,
-            plan.hard_limit_per_s * times,
-            plan.hard_limit_burst_units * times,
-            plan.hard_limit_slack_units * times,
+            plan.rate_per_s * factor,
+            plan.burst_units * factor,
+            plan.hard_limit_per_s * factor,
+            plan.hard_limit_burst_units * factor,
+            plan.hard_limit_slack_units * factor,
         )
         for name, plan in scenario.plans.items()
     }
-    usual = {each.name: getattr(scenario, each.name) for each in fields(scenario)}
-    return SharedScenario(**{**usual, "plans": plans}, asked=scenario)
+    values = {each.name: getattr(scenario, each.name) for each in fields(scenario)}
+    return SharedScenario(**{**values, "plans": plans}, asked=scenario)
 
 
 @dataclass(frozen=True, slots=True)
 class SharedScenario(Scenario):
-    """Customers are those of `asked`."""
+    """Takes its clients from the scenario `asked`."""
 
     asked: Scenario = field(default_factory=Scenario)
 
@@ -57,15 +61,15 @@
 
 
 class Record:
-    """What one gateway has recorded of itself and its view; what was read once is not read again."""
+    """Reads what one gateway recorded of itself and its view; each entry is read once."""
 
     def __init__(self, path: Path) -> None:
         self._reader, self._read = RecordReader([path]), 0
         self.who: MemberId = ("", 0)
         self.view = View(0, (0, -1, 0))
 
-    def look(self) -> bool:
-        """Whether it has begun."""
+    def update(self) -> bool:
+        """Reads new entries; returns whether the gateway has started."""
         found = self._reader.all()
         for each in found[self._read :]:
             if each.kind == "started":
@@ -78,7 +82,7 @@
 
 
 class RealGateways:
-    """Use as `async with`: they serve from its beginning to `verdict`."""
+    """Holds the real gateways; use it as `async with`. They serve from entry to `verdict`."""
 
     def __init__(
         self,
@@ -90,8 +94,10 @@
         fleet: str,
         nodes: int = 6,
     ) -> None:
-        """`seeds`: `host:port` of the view's; `members`: how many are to be in it, these included; `most`:
-        members at most; `fleet`: the view's name."""
+        """Takes the view's `seeds` as `host:port`, its `members` including these, and its name `fleet`.
+
+        `most` is the largest number of members.
+        """
         guard.admit(count)
         self._ports = Ports()
         self._at: dict[str, Address] = {f"n{n}": (self._ports.host(), MEMBER_PORT) for n in range(count)}
@@ -117,7 +123,7 @@
         return self._fleet.folder / f"{name}.view"
 
     def _table(self, name: str) -> str:
-        """The operator's table of one."""
+        """Returns the `fleet` table of one gateway's operator's file."""
         seeds = ", ".join(f'"{seed}"' for seed in self._seeds)
         host, port = self._at[name]
         return (
@@ -126,20 +132,20 @@
         )
 
     def running(self) -> list[MemberId]:
-        """The members that they are, by their records."""
-        return [record.who for record in self._records if record.look()]
+        """Returns the identities of the gateways that have started, from their records."""
+        return [record.who for record in self._records if record.update()]
 
     def views(self) -> set[View]:
-        """What each of them holds now, by its record: the digest of the view's members, and its number."""
-        return {record.view for record in self._records if record.look()}
+        """Returns the views that the gateways hold now, from their records."""
+        return {record.view for record in self._records if record.update()}
 
     def memory(self) -> int:
-        """Bytes that the largest of them held at most."""
+        """Returns the peak memory in bytes of the largest gateway."""
         for gateway in self._fleet.gateways:
             gateway.record_usage()
         return max(gateway.peak_memory_bytes for gateway in self._fleet.gateways)
 
     async def verdict(self) -> Verdict:
-        """No more is asked; all that was is seen to its end, and the judge decides."""
+        """Stops new requests, waits until all others have ended, and returns the judge's verdict."""
         await self._fleet.settle()
         return self._fleet.verdict()
