--- a/benchmarks/scale/control_roles.py
+++ b/benchmarks/scale/control_roles.py
@@ -1,4 +1,4 @@
-"""Roles beside the gateways', row by row: control machines, regions, discovery, counters, tools."""
+"""Lists the costs of control machines, regions, discovery, counters and tools."""
 
 from __future__ import annotations
 
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -1,4 +1,4 @@
-"""The size that is asked for, and the arithmetic of load that follows from it, each line with its sum."""
+"""Holds the required size of the fleet, and the arithmetic of the load that follows from it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from .page_arithmetic import Line
 
-# The size that the operators ask for; a rack is one machine in 60 at once.
+# The required size; a rack fails as one machine in 60 at once.
 ASKED: dict[str, float] = {
     "gateways": 7_200,
     "backends": 59_000,
@@ -36,7 +36,7 @@
     "cell": 24,
     "change_s": 9,
 }
-# Bounds that the program and its platform set.
+# The program and its platform set these bounds.
 BOUNDS: dict[str, float] = {
     "descriptors": 1_024,
     "descriptors_kept": RESERVED_DESCRIPTORS + DESCRIPTORS,
@@ -57,7 +57,7 @@
     "fleet_most": 4_096,
     "counter_most": MAX_FIELDS,
 }
-# What a gateway would carry if requests were dealt out by service: see the lines on connections.
+# The services of a gateway if requests were distributed by service; see the lines on connections.
 CARRIED = 16
 
 REQUESTS = (
@@ -296,5 +296,5 @@
 
 
 def figures() -> dict[str, float]:
-    """What the sums begin from."""
+    """Returns the figures from which the arithmetic starts."""
     return {**ASKED, **BOUNDS, "carried_by_choice": CARRIED}
--- a/benchmarks/scale/estimates.py
+++ b/benchmarks/scale/estimates.py
@@ -1,6 +1,6 @@
-"""Rows of the page of capacity worked out: what a role's cost is at the size asked for, and where it breaks.
+"""Estimates each cost of a role at the required size, and the size at which it exceeds its limit.
 
-Pure: from rows, slopes and the figures of the sums to values; nothing here writes text.
+The module computes values from rows, slopes and figures. It does no I/O and formats no text.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from .roles import TOTALS
 from .slopes import Measurement, Slopes
 
-# A hold-out this near to the size asked for is the figure itself: no fit is needed.
+# The value measured at a hold-out this close to the required size is used without a fit.
 SAME_SIZE = 0.02
 
 
 class State(Enum):
-    """Whether a row has a figure, and if not, why."""
+    """Says how the figure of a row was found, or why it has none."""
 
     FITTED = "by fit"
     MEASURED = "measured there"
@@ -35,7 +35,7 @@
 
 
 class EstimatedRow(msgspec.Struct, frozen=True):
-    """One row with its figures; `value` is None where the state is one that has none."""
+    """Holds one row with its figures; `value` is None if the state has none."""
 
     row: Row
     state: State
@@ -43,27 +43,29 @@
     found: Measurement | None = None
     value: float | None = None
     limit: float | None = None
-    # The size at which the limit is reached; None where it can't be told.
+    # The size at which the limit is reached; None if it is unknown.
     breaks_at: float | None = None
-    # How far the mechanism has come.
+    # Whether the mechanism is missing, implemented or in use.
     mechanism_status: MechanismStatus = MechanismStatus.MISSING
 
     @property
     def at_the_latest(self) -> bool:
-        """Whether it breaks below all that was measured: `breaks_at` is then the least size."""
+        """Returns whether it exceeds the limit at the least measured size, which `breaks_at` then is."""
         return self.found is not None and self.breaks_at == self.found.points[0][0]
 
     @property
     def room(self) -> float | None:
-        """The limit as a multiple of the value."""
+        """Returns the limit as a multiple of the value."""
         if self.value is None or self.limit is None:
             return None
         return self.limit / self.value if self.value > 0.0 else math.inf
 
 
 class Total(msgspec.Struct, frozen=True):
-    """What a role's rows of one kind come to; `missing`: rows of the kind without a figure; `value`
-    is None where all are."""
+    """Holds the sum of a role's rows of one kind, and the number of rows without a figure, `missing`.
+
+    `value` is None if all are without a figure.
+    """
 
     kind: str
     unit: str
@@ -73,7 +75,7 @@
 
 
 class Break(msgspec.Struct, frozen=True):
-    """Something that breaks before the size asked for: at so many, of so many."""
+    """Describes a cost or bound that exceeds its limit below the required size."""
 
     what: str
     at: str
@@ -85,7 +87,7 @@
 
     @property
     def share(self) -> float:
-        """Of the size asked for, at which it breaks."""
+        """Returns the size at which it breaks as a share of the required size."""
         return self.breaks_at / self.size
 
 
@@ -95,22 +97,22 @@
     figures: dict[str, float],
     here: Callable[[str], MechanismStatus] = mechanism_status,
 ) -> EstimatedRow:
-    """The row at the size that it names; `here` tells how far a mechanism has come."""
-    size, there = figures[row.at], here(row.mechanism)
+    """Estimates a row at the size that it names; `here` returns the status of a mechanism."""
+    size, status = figures[row.at], here(row.mechanism)
     found = slopes.find(row.slope) if row.slope else None
     if found is None:
-        return EstimatedRow(row, State.NOT_MEASURED, size, mechanism_status=there)
+        return EstimatedRow(row, State.NOT_MEASURED, size, mechanism_status=status)
     state = _state(found, size)
     if state in (State.VOID, State.WRONG):
-        return EstimatedRow(row, state, size, found, mechanism_status=there)
+        return EstimatedRow(row, state, size, found, mechanism_status=status)
     times = figures[row.by] if row.by else 1.0
     limit = figures.get(row.limit) if row.by else found.limit
     breaks_at = _breaks_at(found, None if limit is None else limit / times)
-    return EstimatedRow(row, state, size, found, _value(found, state, size) * times, limit, breaks_at, there)
+    return EstimatedRow(row, state, size, found, _value(found, state, size) * times, limit, breaks_at, status)
 
 
 def totals(role: Role, estimated: list[EstimatedRow], figures: dict[str, float]) -> list[Total]:
-    """What the role's rows of memory, CPU and bytes come to."""
+    """Returns the sums of the role's rows of memory, CPU and bytes."""
     made = []
     for kind, (limit, unit) in TOTALS.items():
         parts = [each for each in estimated if each.row.what.startswith(f"{kind}:") and each.row.counted]
@@ -125,8 +127,10 @@
 def breaks(
     estimated: list[EstimatedRow], bounds: tuple[Bound, ...], figures: dict[str, float]
 ) -> list[Break]:
-    """All that breaks before the size asked for, the smallest share of that size first; a slope that stands
-    in several roles at one size is told once."""
+    """Returns all that breaks below the required size, the smallest share of that size first.
+
+    A slope that is in several roles at one size is listed once.
+    """
     once = {(each.row.slope, each.row.by, each.size): each for each in reversed(estimated)}
     found = [
         Break(
@@ -162,7 +166,7 @@
 
 
 def mends(found: list[Break]) -> list[tuple[str, list[Break]]]:
-    """What breaks by what mends it, the mend of what breaks first first."""
+    """Groups the breaks by the mechanism that mends them, in the order of the first break of each."""
     by_mend: dict[str, list[Break]] = {}
     for each in found:
         by_mend.setdefault(each.mend, []).append(each)
@@ -175,23 +179,26 @@
     if math.isclose(found.holdout.size, size, rel_tol=SAME_SIZE):
         return State.MEASURED
     if size < found.points[0][0]:
-        return State.AT_MOST  # costs grow with size; below what was fitted a line may go anywhere
+        return State.AT_MOST  # Costs grow with size, but a fit does not hold below its sizes.
     if found.holdout.wrong:
         return State.WRONG
     return State.FURTHER if size > found.holdout.size else State.FITTED
 
 
 def _breaks_at(found: Measurement, limit: float | None) -> float | None:
-    """By the fit; where that is wrong, by the line between the two measured sizes around the limit."""
+    """Returns the size at which a cost reaches its limit, by the fit.
+
+    If the fit is wrong, it interpolates between the two measured sizes around the limit.
+    """
     if limit is None:
         return None
-    least, there = found.points[0]
-    if there >= limit:
-        return least  # at the latest: below it nothing was measured
+    least, least_value = found.points[0]
+    if least_value >= limit:
+        return least  # It is reached here or below: no smaller size was measured.
     if not found.holdout.wrong:
         reached = found.fit.breaks_at(limit)
-        further = [each.breaks_at(limit) for each in unrefuted(found)]
-        return reached if reached <= found.holdout.size else max(found.holdout.size, min(further))
+        limits_reached = [each.breaks_at(limit) for each in unrefuted(found)]
+        return reached if reached <= found.holdout.size else max(found.holdout.size, min(limits_reached))
     points = [*found.points, (found.holdout.size, found.holdout.measured)]
     for (low, under), (high, over) in pairwise(points):
         if under <= limit < over:
--- a/benchmarks/scale/extrapolation.py
+++ b/benchmarks/scale/extrapolation.py
@@ -1,9 +1,9 @@
-"""What measurements say of a size far beyond them: not one figure, but all that they do not refute.
+"""Extrapolates measurements to a size far beyond them: to the range of all shapes that they do not refute.
 
-On a few sizes close together a logarithm and a straight line look alike, and differ by far at seventy times
-the largest. So a limit counts as kept only where every shape keeps it that fits about as well as the best and
-did not miss the held-out size. Where nothing grows with the size, as far as noise lets it be seen, the most
-is the most that was measured. Pure arithmetic.
+On a few sizes close together, a logarithm and a straight line look alike, but differ by far at seventy times
+the largest size. A limit therefore counts as kept only if it is kept by every shape that fits about as well
+as the best one and did not miss the held-out size. If the cost does not grow with the size beyond noise, its
+most is the largest measured value. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from .fit import Fit, Shape, fit_shape, hold_out
 from .slopes import Measurement
 
-AS_WELL_TIMES = 2.0  # the least leave-one-out error: up to so much a shape fits about as well
-AS_WELL_SHARE = 0.02  # errors under this share are noise
+MAX_ERROR_RATIO = 2.0  # To the least leave-one-out error; up to it a shape fits about as well.
+NOISE_SHARE = 0.02  # Errors under this share are noise.
 
 
 class Range(NamedTuple):
-    """Least and most at a size, by shapes that are not refuted."""
+    """Holds the least and the most at a size over the shapes that are not refuted."""
 
     least: float
     most: float
 
 
 def extrapolate(found: Measurement, size: float) -> Range | None:
-    """At `size`; None where the fit itself missed the held-out size: then nothing is known of another."""
+    """Returns the range at `size`, or None if the fit missed the held-out size and so is unusable."""
     if found.holdout.wrong:
         return None
     values = [each.predict(size) for each in unrefuted(found)]
@@ -33,14 +33,16 @@
 
 
 def unrefuted(found: Measurement) -> list[Fit]:
-    """The shapes that the measured sizes do not refute, fitted on all of them, the held-out one as well; of a
-    constant, least and most that was measured."""
+    """Returns the fits of all shapes that are not refuted, on all sizes including the held-out one.
+
+    For a constant it returns the least and the largest measured value.
+    """
     points = [*found.points, (found.holdout.size, found.holdout.measured)]
     if found.shape is Shape.CONSTANT:
         measured = [value for _, value in points]
         return [Fit(Shape.CONSTANT, each, 0.0, 0.0) for each in (min(measured), max(measured))]
     fits = [fit_shape(points, shape) for shape in Shape]
-    bound = max(AS_WELL_TIMES * min(each.error for each in fits), AS_WELL_SHARE)
+    bound = max(MAX_ERROR_RATIO * min(each.error for each in fits), NOISE_SHARE)
     return [
         each
         for each in fits
@@ -49,6 +51,6 @@
 
 
 def _refuted(found: Measurement, shape: Shape) -> bool:
-    """Whether this shape, fitted on the smaller sizes alone, missed the held-out one."""
+    """Returns whether this shape, fitted on the smaller sizes alone, missed the held-out one."""
     fitted = fit_shape(found.points, shape)
     return hold_out(fitted, found.holdout.size, found.holdout.measured).wrong
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -1,6 +1,7 @@
-"""What faults at size did, as the last scale run in full told it: docs/capacity/scale.json, for the page.
+"""Reads the effects of faults from the report of the last full scale run, docs/capacity/scale.json.
 
-`python -m benchmarks.scale` prints that object as its last line; only what the page shows is read of it.
+`python -m benchmarks.scale` prints the same object as its last line. Only the keys shown on the page are
+read.
 """
 
 from __future__ import annotations
@@ -15,8 +16,10 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: whom it struck, and what came of it. `settle_s`: until all held the same again, None where
-    they did not."""
+    """Holds the members struck by one fault, and its effects.
+
+    `settle_s` is the time until all held one view again, or None if they did not.
+    """
 
     fault: str
     members: int
@@ -27,7 +30,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """The part of a scale run's object that the page shows."""
+    """Holds the keys of a scale run's report that the page shows."""
 
     date: str
     command: str
@@ -38,12 +41,12 @@
 
     @property
     def run(self) -> Run:
-        """Which run it is."""
+        """Returns the run that wrote the report."""
         return Run(self.date, self.command, self.commit)
 
 
 def load(path: Path = REPORT) -> Report | None:
-    """The object that was kept; None without one. Raises SlopesError."""
+    """Reads the stored report; returns None if there is none. Raises SlopesError."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Report)
     except FileNotFoundError:
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,7 +1,7 @@
-"""Fitting of a measured cost against size: which shape it has, and what it predicts at another size.
+"""Fits a measured cost against size: finds its shape, and predicts the cost at other sizes.
 
-Pure arithmetic, no I/O. A fit is value = a + b * f(size), where f is one of the shapes below. The least
-squares are weighted by the values, as noise of measurement grows with what is measured.
+The module does no I/O. A fit is value = a + b * f(size), where f is one of the shapes below. The least
+squares are weighted by the values, as the noise of a measurement grows with its value.
 """
 
 import enum
@@ -12,22 +12,22 @@
 
 # Fewer points can't tell the shapes apart.
 FEWEST_POINTS = 4
-# A hold-out further off than this share of what was measured says that the fit is wrong.
+# A fit is wrong if its prediction for the hold-out is off by more than this share of the measured value.
 HOLDOUT_LIMIT = 0.2
 # The hold-out is measured at this many times the largest size fitted.
 HOLDOUT_TIMES = 2.0
-# Errors of shapes this close to the best one, as a share or as a multiple, count as noise.
+# Differences to the error of the best shape within this share or multiple count as noise.
 NOISE_SHARE = 0.02
 NOISE_TIMES = 1.1
-# Values under this share of the largest are weighted as if they had it: a zero has no weight of its own.
+# Values under this share of the largest have the weight of that share, as the weight of zero is undefined.
 LEAST_SHARE = 0.01
 
-# Size and value.
+# A size and a value.
 Point = tuple[float, float]
 
 
 class Shape(enum.StrEnum):
-    """How a cost grows with size, the simplest first."""
+    """Lists how a cost may grow with size, the simplest shape first."""
 
     CONSTANT = "constant"
     LOG = "log"
@@ -35,7 +35,7 @@
     SQUARE = "square"
 
     def of(self, size: float) -> float:
-        """f(size) of this shape."""
+        """Returns f(size) of this shape."""
         match self:
             case Shape.CONSTANT:
                 return 0.0
@@ -48,11 +48,11 @@
 
 
 class FitError(ValueError):
-    """Points that can't be fitted: too few, sizes that repeat, or a number that is not finite."""
+    """Reports points that cannot be fitted: too few, repeated sizes, or numbers that are not finite."""
 
 
 class Fit(msgspec.Struct, frozen=True):
-    """value = base + slope * shape(size), in the unit of the points."""
+    """Holds a fit: value = base + slope * shape(size), in the unit of the points."""
 
     shape: Shape
     base: float
@@ -61,11 +61,11 @@
     error: float
 
     def predict(self, size: float) -> float:
-        """The value at `size`."""
+        """Returns the value at `size`."""
         return self.base + self.slope * self.shape.of(size)
 
     def breaks_at(self, limit: float) -> float:
-        """The size at which the value reaches `limit`: infinite if it never does, 0 if it is over at once."""
+        """Returns the size at which the value reaches `limit`: infinite if never, 0 if always above it."""
         if self.slope <= 0.0 or self.shape is Shape.CONSTANT:
             return math.inf if self.base <= limit else 0.0
         reached = (limit - self.base) / self.slope
@@ -81,24 +81,24 @@
 
 
 class Holdout(msgspec.Struct, frozen=True):
-    """What a fit predicted at a size that it did not see, and what was measured there."""
+    """Holds the value that a fit predicted at a size it was not fitted on, and the measured value."""
 
     size: float
     predicted: float
     measured: float
-    # |predicted - measured| as a share of what was measured.
+    # |predicted - measured| as a share of the measured value.
     error: float
 
     @property
     def wrong(self) -> bool:
-        """Whether the fit is wrong: it missed by over a fifth."""
+        """Returns whether the fit is wrong: its prediction is off by over a fifth."""
         return not self.error <= HOLDOUT_LIMIT
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """The simplest shape within noise of the one that best predicts each point from the others.
+    """Fits the simplest shape within noise of the one that best predicts each point from the others.
 
-    Raises FitError for fewer than four points, sizes under 1 or twice the same, and numbers not finite.
+    Raises FitError for fewer than four points, sizes under 1, repeated sizes and numbers that are not finite.
     """
     check(points)
     fits = [fit_shape(points, shape) for shape in Shape]
@@ -107,59 +107,61 @@
 
 
 def fit_shape(points: Sequence[Point], shape: Shape) -> Fit:
-    """The fit of one shape, with its leave-one-out error."""
+    """Returns the fit of one shape, with its leave-one-out error."""
     least = _least(points)
     squares = 0.0
     for index, (size, value) in enumerate(points):
         others = [point for other, point in enumerate(points) if other != index]
         base, slope = _solve(others, shape, least)
-        missed = (base + slope * shape.of(size) - value) / max(abs(value), least)
-        squares += missed * missed
+        difference = (base + slope * shape.of(size) - value) / max(abs(value), least)
+        squares += difference * difference
     base, slope = _solve(points, shape, least)
     return Fit(shape=shape, base=base, slope=slope, error=math.sqrt(squares / len(points)))
 
 
 def hold_out(fitted: Fit, size: float, measured: float) -> Holdout:
-    """Compares what `fitted` predicts at `size` with what was `measured` there."""
+    """Compares the prediction of `fitted` at `size` with the value `measured` there."""
     predicted = fitted.predict(size)
-    missed = abs(predicted - measured)
-    error = missed / abs(measured) if measured else float(missed > 0.0)
+    difference = abs(predicted - measured)
+    error = difference / abs(measured) if measured else float(difference > 0.0)
     return Holdout(size=size, predicted=predicted, measured=measured, error=error)
 
 
 def check(points: Sequence[Point]) -> None:
     """Raises FitError unless `points` can be fitted."""
     if len(points) < FEWEST_POINTS:
-        raise FitError(f"{len(points)} points: at least {FEWEST_POINTS} are wanted")
+        raise FitError(f"must be at least {FEWEST_POINTS} points, got {len(points)}")
     sizes = [size for size, _ in points]
     if not all(math.isfinite(number) for point in points for number in point):
-        raise FitError("points: finite numbers are wanted")
+        raise FitError("must be finite numbers")
     if min(sizes) < 1.0:
-        raise FitError(f"size {min(sizes)}: at least 1 is wanted")
+        raise FitError(f"size: must be at least 1, got {min(sizes)}")
     if len(set(sizes)) < len(sizes):
-        raise FitError("points: each size once is wanted")
+        raise FitError("must have each size once")
 
 
 def _least(points: Sequence[Point]) -> float:
-    """The value under which points are weighted alike."""
+    """Returns the value under which all points have the same weight."""
     largest = max(abs(value) for _, value in points)
     return largest * LEAST_SHARE or 1.0
 
 
 def _solve(points: Sequence[Point], shape: Shape, least: float) -> tuple[float, float]:
-    """Weighted least squares: base and slope; the slope of a constant is 0."""
+    """Returns base and slope by weighted least squares; the slope of a constant is 0."""
     weights = [1.0 / max(abs(value), least) ** 2 for _, value in points]
     total = sum(weights)
-    grown = [shape.of(size) for size, _ in points]
+    shape_values = [shape.of(size) for size, _ in points]
     values = [value for _, value in points]
-    mean_grown = sum(map(float.__mul__, weights, map(float, grown))) / total
+    mean_shape_value = sum(map(float.__mul__, weights, map(float, shape_values))) / total
     mean_value = sum(map(float.__mul__, weights, map(float, values))) / total
     if shape is Shape.CONSTANT:
         return mean_value, 0.0
-    spread = sum(weight * (one - mean_grown) ** 2 for weight, one in zip(weights, grown, strict=True))
-    shared = sum(
-        weight * (one - mean_grown) * (value - mean_value)
-        for weight, one, value in zip(weights, grown, values, strict=True)
+    variance = sum(
+        weight * (one - mean_shape_value) ** 2 for weight, one in zip(weights, shape_values, strict=True)
     )
-    slope = shared / spread
-    return mean_value - slope * mean_grown, slope
+    covariance = sum(
+        weight * (one - mean_shape_value) * (value - mean_value)
+        for weight, one, value in zip(weights, shape_values, values, strict=True)
+    )
+    slope = covariance / variance
+    return mean_value - slope * mean_shape_value, slope
--- a/benchmarks/scale/gateway_roles.py
+++ b/benchmarks/scale/gateway_roles.py
@@ -1,4 +1,4 @@
-"""A gateway's roles, row by row: which slope at which size, which limit, which mechanism."""
+"""Lists the roles of a gateway with their costs: the slope, the size, the limit and the mechanism of each."""
 
 from __future__ import annotations
 
--- a/benchmarks/scale/measured.py
+++ b/benchmarks/scale/measured.py
@@ -1,6 +1,6 @@
-"""Costs of fleets as measurements: fitted against one factor, the largest size held out.
+"""Converts costs of fleets into measurements: fitted against one factor, with the largest size held out.
 
-Pure. Names are those that `docs/CAPACITY.md` is worked out from.
+The module does no I/O. `docs/CAPACITY.md` refers to the measurements by their names.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from .slopes import Measurement, Run, measurement
 
 SHARE, RATE, BYTES = "share of a core", "bytes/s", "bytes"
-CPU_MOST, RATE_MOST, MEMORY_MOST = 0.018, 5_000.0, 64.0 * (1 << 20)  # of a gateway, for all control together
-CHANGE_MOST = 9.0  # s until a change is in force everywhere
-DAY = 86_400.0  # s
+CPU_MOST, RATE_MOST, MEMORY_MOST = 0.018, 5_000.0, 64.0 * (1 << 20)  # Of a gateway, for all control tasks.
+CHANGE_MOST = 9.0  # s until a change is in force at all gateways.
+DAY_S = 86_400.0
 
 
-class Lagging(Protocol):
-    """Any cost."""
+class HasLag(Protocol):
+    """Is any cost that has a lag."""
 
     @property
     def lag(self) -> Lag: ...
 
 
-C = TypeVar("C", bound=Lagging)
+C = TypeVar("C", bound=HasLag)
 
 
 def _measurement(
@@ -42,7 +42,7 @@
     limit: float | None = None,
     note: str = "",
 ) -> Measurement:
-    """The last of `costs` is held out. Void as soon as one of them is."""
+    """Fits `costs`, the last of which is held out. The result is void if the lag of one of them is."""
     points = [(float(size(cost)), float(getattr(cost, value))) for cost in costs]
     void = any(cost.lag.void for cost in costs)
     worst = max(cost.lag.worst for cost in costs) * 1000
@@ -61,8 +61,8 @@
 
 
 def flat(fitted: Sequence[Cost], held_out: Cost, run: Run) -> list[Measurement]:
-    """The flat view against the number of gateways."""
-    busier = "payload of datagrams and tables at the sockets, the greater of sent and received"
+    """Returns the measurements of the flat view by the number of gateways."""
+    bytes_note = "payload of datagrams and tables at the sockets, the greater of sent and received"
 
     def one(name: str, unit: str, value: str, limit: float | None, note: str = "") -> Measurement:
         return _measurement(
@@ -79,14 +79,14 @@
 
     return [
         one("cpu", SHARE, "cpu", CPU_MOST, "processes' own clocks over their hollow members"),
-        one("bytes", RATE, "bytes", RATE_MOST, busier),
+        one("bytes", RATE, "bytes", RATE_MOST, bytes_note),
         one("memory", BYTES, "memory", MEMORY_MOST, "resident beyond what processes hold without members"),
-        one("coordinator_bytes", RATE, "coordinator_bytes", RATE_MOST, busier),
+        one("coordinator_bytes", RATE, "coordinator_bytes", RATE_MOST, bytes_note),
     ]
 
 
 def cells(costs: Sequence[CellsCost], run: Run) -> list[Measurement]:
-    """Gateways in cells against their number, control machines on the mean against that of cells."""
+    """Returns the measurements of gateways by their number, and of the mean control machine by cells."""
     note = f"{costs[-1].control} control machines, the mean of them"
 
     def gateway(name: str, unit: str, value: str, limit: float) -> Measurement:
@@ -118,7 +118,7 @@
 
 
 def _waits(found: Configured, run: Run) -> list[Measurement]:
-    """The longest that a change took, against gateways; none where some were not in force in time."""
+    """Returns the longest time of a change by gateways; empty if some were not in force in time."""
     waits = zip(found.by_size, found.waits.by_size, strict=True)
     points = [(float(cost.gateways), wait) for cost, wait in waits if wait is not None]
     if len(points) < len(found.by_size):
@@ -140,8 +140,11 @@
 
 
 def configuration(found: Configured, run: Run) -> list[Measurement]:
-    """Configuration handed down: against gateways (control machines: against gateways of each), and against
-    changes a day at the largest number of gateways."""
+    """Returns the measurements of distributing configuration, by gateways and by changes per day.
+
+    Costs of control machines are by the gateways of each machine. Costs by changes are those at the largest
+    number of gateways.
+    """
     largest = found.by_rate[-1]
 
     def one(
@@ -184,7 +187,7 @@
             unit,
             value,
             found.by_rate,
-            lambda cost: cost.rate * DAY,
+            lambda cost: cost.rate * DAY_S,
             f"{largest.gateways} gateways, {largest.control} control machines",
         )
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,4 +1,4 @@
-"""The generated parts of docs/CAPACITY.md as Markdown, from the sums, the rows and the measured slopes."""
+"""Generates the parts of docs/CAPACITY.md as Markdown, from the arithmetic, the rows and the slopes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Page:
-    """All generated parts by name; `here` tells how far a mechanism has come."""
+    """Generates all parts by name; `here` returns the status of a mechanism."""
 
     def __init__(
         self,
@@ -39,28 +39,28 @@
         here: Callable[[str], MechanismStatus] = mechanism_status,
     ) -> None:
         self._slopes, self._latency, self._report = slopes, latency, report
-        self.worked = evaluate_lines([line for _, lines in SECTIONS for line in lines], figures())
-        self.figures = figures() | {each.line.name: each.value for each in self.worked}
+        self.evaluated = evaluate_lines([line for _, lines in SECTIONS for line in lines], figures())
+        self.figures = figures() | {each.line.name: each.value for each in self.evaluated}
         self.estimated = {
             role.title: [estimate_row(row, slopes, self.figures, here) for row in role.rows] for role in ROLES
         }
         self._runs = _runs(slopes, latency, report)
 
     def parts(self) -> dict[str, str]:
-        """Markdown by the name of its marker."""
+        """Returns the Markdown of each part by the name of its marker."""
         return {
             "size": self._size(),
             "load": self._load(),
             "roles": self._roles(),
             "faults": self._faults(),
-            "latency": self._added(),
-            "breaks": self._order(),
+            "latency": self._latency_part(),
+            "breaks": self._breaks(),
             "slopes": self._measured(),
-            "runs": self._told_runs(),
+            "runs": self._run_table(),
         }
 
     def breaks(self) -> list[Break]:
-        """What breaks before the size asked for, in order."""
+        """Returns what breaks below the required size, in order."""
         return breaks([each for rows in self.estimated.values() for each in rows], BOUNDS, self.figures)
 
     def _size(self) -> str:
@@ -68,12 +68,12 @@
         return _table(("what", "asked for"), rows)
 
     def _load(self) -> str:
-        by_name = {each.line.name: each for each in self.worked}
-        made = []
+        by_name = {each.line.name: each for each in self.evaluated}
+        sections = []
         for title, lines in SECTIONS:
             rows = [_sum_cells(by_name[line.name]) for line in lines]
-            made.append(f"### {title}\n\n" + _table(("what", "sum", "is", "note"), rows))
-        return "\n\n".join(made)
+            sections.append(f"### {title}\n\n" + _table(("what", "sum", "is", "note"), rows))
+        return "\n\n".join(sections)
 
     def _roles(self) -> str:
         return "\n\n".join(self._role(role) for role in ROLES)
@@ -105,8 +105,8 @@
         return f"R{1 + self._runs.index(found.run)}" if found is not None else "-"
 
     def _faults(self) -> str:
-        told = self._report
-        if told is None:
+        result = self._report
+        if result is None:
             return "**not measured**"
         rows = [
             (
@@ -116,31 +116,31 @@
                 amount(each.peak_bytes_s, "bytes/s"),
                 str(each.false_dead),
             )
-            for each in told.failures
+            for each in result.failures
         ]
-        void = " **Void**: the machine lagged." if told.void else ""
+        void = " **Void**: the machine lagged." if result.void else ""
         head = ("fault", "struck", "all hold the same again", "busiest process", "live ones called dead")
         return (
-            _table(head, rows) + f"\n\nMechanism: {told.mechanism}. Run "
-            f"R{1 + self._runs.index(told.run)}.{void}"
+            _table(head, rows) + f"\n\nMechanism: {result.mechanism}. Run "
+            f"R{1 + self._runs.index(result.run)}.{void}"
         )
 
-    def _added(self) -> str:
+    def _latency_part(self) -> str:
         if self._latency is None:
             return "**not measured**"
-        told = self._latency
-        rows = [(name, *(amount(value, "s") for value in values)) for name, values in told.rows()]
+        result = self._latency
+        rows = [(name, *(amount(value, "s") for value in values)) for name, values in result.rows()]
         verdict = (
             "**void**: the machine lagged"
-            if told.void
-            else ("within the limit" if told.added_p99 <= LIMIT else "**over the limit**")
+            if result.void
+            else ("within the limit" if result.added_p99 <= LIMIT else "**over the limit**")
         )
         return (
             _table(("way", "p50", "p99"), rows) + f"\n\nLimit 4.3 ms for 99 in 100: {verdict}. "
-            f"{told.text()} Run R{1 + self._runs.index(told.run)}."
+            f"{result.text()} Run R{1 + self._runs.index(result.run)}."
         )
 
-    def _order(self) -> str:
+    def _breaks(self) -> str:
         rows = [
             (
                 str(number),
@@ -153,14 +153,14 @@
             for number, each in enumerate(self.breaks(), 1)
         ]
         ranks = {each: str(number) for number, each in enumerate(self.breaks(), 1)}
-        mended = [
+        mend_rows = [
             (str(number), mend or "-", f"{found[0].share:.3f}", ", ".join(ranks[each] for each in found))
             for number, (mend, found) in enumerate(mends(self.breaks()), 1)
         ]
         return (
             _table(("", "what", "breaks at", "share of the size", "today"), rows)
             + "\n\n"
-            + _table(("", "mended by", "first share", "of the list above"), mended)
+            + _table(("", "mended by", "first share", "of the list above"), mend_rows)
         )
 
     def _measured(self) -> str:
@@ -173,7 +173,7 @@
                 f"{figure(each.holdout.size)}",
                 amount(each.holdout.predicted, each.unit),
                 amount(each.holdout.measured, each.unit),
-                _held(each),
+                _holdout_error(each),
                 each.note or "-",
                 self._run(each),
             )
@@ -193,7 +193,7 @@
         )
         return _table(head, rows) if rows else "**not measured**"
 
-    def _told_runs(self) -> str:
+    def _run_table(self) -> str:
         rows = [
             (f"R{number}", run.date, f"`{run.command}`", run.commit)
             for number, run in enumerate(self._runs, 1)
@@ -202,7 +202,7 @@
 
 
 def amount(value: float, unit: str) -> str:
-    """A value with its unit, as people read it."""
+    """Formats a value with its unit for readers."""
     kind, per, rest = unit.partition("/s")
     if kind.startswith("bytes"):
         for least, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
@@ -219,13 +219,13 @@
 
 def _runs(slopes: Slopes, latency: Latency | None, report: Report | None) -> list[Run]:
     runs = [each.run for each in slopes.measurements]
-    runs += [told.run for told in (latency, report) if told is not None]
+    runs += [result.run for result in (latency, report) if result is not None]
     return sorted(set(runs), key=lambda run: (run.date, run.command, run.commit))
 
 
-def _sum_cells(worked: EvaluatedLine) -> tuple[str, ...]:
-    line = worked.line
-    return line.what, worked.shown, f"{figure(worked.value)} {line.unit}".strip(), line.note or "-"
+def _sum_cells(evaluated: EvaluatedLine) -> tuple[str, ...]:
+    line = evaluated.line
+    return line.what, evaluated.shown, f"{figure(evaluated.value)} {line.unit}".strip(), line.note or "-"
 
 
 def _total_cells(total: Total) -> tuple[str, ...]:
@@ -271,7 +271,7 @@
     return f"{base:.3g} + {slope:.3g} f(size)"
 
 
-def _held(each: Measurement) -> str:
+def _holdout_error(each: Measurement) -> str:
     if each.void:
         return "**void**"
     off = f"{each.holdout.error:.0%}"
--- a/benchmarks/scale/page_arithmetic.py
+++ b/benchmarks/scale/page_arithmetic.py
@@ -1,6 +1,7 @@
-"""Sums in words: an expression over named figures, worked out and written down from the same text.
+"""Evaluates arithmetic expressions over named figures, and shows them with figures in place of names.
 
-May know: arithmetic. May not know: what the figures mean. A line's result is a name for the lines after it.
+Value and shown text come from the same expression. The module does not know the meaning of the figures. The
+result of a line can be used by its name in later lines.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One line of arithmetic. `sum`: an expression of +, -, *, /, min, names and numbers."""
+    """Holds one line of arithmetic; `sum` is an expression of +, -, *, /, min, names and numbers."""
 
     name: str
     what: str
@@ -30,7 +31,7 @@
 
 
 class EvaluatedLine(msgspec.Struct, frozen=True):
-    """A line with its value, and its expression with figures in place of names."""
+    """Holds a line with its value, and its expression with figures in place of names."""
 
     line: Line
     shown: str
@@ -38,24 +39,24 @@
 
 
 class ExpressionError(ValueError):
-    """An expression with something else than +, -, *, /, min, names that are known and numbers."""
+    """Reports a repeated name, or anything but +, -, *, /, min, known names and numbers."""
 
 
 def evaluate_lines(lines: Iterable[Line], known: dict[str, float]) -> list[EvaluatedLine]:
-    """All lines in order; `known` are the figures that they begin from. Raises ExpressionError."""
+    """Evaluates all lines in order, starting from the figures `known`. Raises ExpressionError."""
     figures, worked = dict(known), list[EvaluatedLine]()
     for line in lines:
         tree = ast.parse(line.sum, mode="eval").body
         value = _value(tree, figures, line.name)
         worked.append(EvaluatedLine(line, _shown(tree, figures), value))
         if line.name in figures:
-            raise ExpressionError(f"{line.name}: a name of its own is wanted")
+            raise ExpressionError(f"{line.name}: must be a unique name")
         figures[line.name] = value
     return worked
 
 
 def figure(value: float) -> str:
-    """A number for people: three digits or all before the point, thousands apart."""
+    """Formats a number with three digits, or all before the decimal point, and separated thousands."""
     if value and abs(value) < 0.001:
         return f"{value:.2e}"
     for least, digits in ((100.0, 0), (10.0, 1), (1.0, 2)):
@@ -75,17 +76,19 @@
             return _OPERATORS[type(op)](_value(left, figures, line), _value(right, figures, line))
         case ast.Call(func=ast.Name(id="min"), args=parts) if parts:
             return min(_value(part, figures, line) for part in parts)
-    raise ExpressionError(f"{line}: {ast.unparse(tree)}: numbers, known names, +, -, *, / and min are wanted")
+    raise ExpressionError(
+        f"{line}: {ast.unparse(tree)}: must consist of numbers, known names, +, -, *, / and min"
+    )
 
 
 def _shown(tree: ast.expr, figures: dict[str, float]) -> str:
-    """The expression with figures in place of names."""
-    text = ast.unparse(_Named(figures).visit(ast.parse(ast.unparse(tree), mode="eval")).body)
+    """Returns the expression with figures in place of names."""
+    text = ast.unparse(_FigureInserter(figures).visit(ast.parse(ast.unparse(tree), mode="eval")).body)
     return text.replace("'", "").replace("*", "x")
 
 
-class _Named(ast.NodeTransformer):
-    """Puts figures in place of names, as text."""
+class _FigureInserter(ast.NodeTransformer):
+    """Replaces names by figures, as text."""
 
     def __init__(self, figures: dict[str, float]) -> None:
         self._figures = figures
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -1,6 +1,6 @@
-"""What a run found, as one JSON object: figures, limits kept or not, and what was not run.
+"""Builds the report of a run, one JSON object: figures, whether limits are kept, and parts that did not run.
 
-Pure. A figure that was not measured is null, and is named under `not_run`.
+The module does no I/O. A figure that was not measured is null, and is named under `not_run`.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from .slopes import Measurement
 from .virtual_cells import Played
 
-SIZE = 7_200  # gateways that are asked for
-CELL = 24  # gateways of a cell
-CONTROL = 19  # machines that are set aside for control
+SIZE = 7_200  # The required number of gateways.
+CELL = 24  # Gateways of a cell.
+CONTROL = 19  # Control machines.
 MEGABYTE = float(1 << 20)
 
-# What is asked for at that size.
+# The required limits at that size.
 LIMITS: dict[str, float] = {
     "holdout_error_worst": 0.2,
     "gateway_cpu_share_at_size": CPU_MOST,
@@ -40,14 +40,14 @@
     "memory_gb": 12.0,
     "violations": 0,
 }
-HOLLOW_LEAST = 1_000  # hollow gateways of a full run
+MIN_HOLLOW = 1_000  # Hollow gateways of a full run.
 
 
 class AtSize(msgspec.Struct, kw_only=True):
-    """Costs at the size asked for: the most that the measured sizes do not refute; null where no fit held."""
+    """Holds the costs at the required size: the most that the measured sizes do not refute, or null."""
 
     sizes: list[int] = []
-    extrapolated_times: float | None = None  # what is asked for over the largest size measured
+    extrapolated_times: float | None = None  # The required size over the largest measured size.
     holdout_error_worst: float | None = None
     gateway_cpu_share_at_size: float | None = None
     gateway_memory_mb_at_size: float | None = None
@@ -61,8 +61,11 @@
 
 
 class Report(AtSize, kw_only=True):
-    """The JSON object. Its own figures are those of `mechanism`: of cells, with configuration handed down,
-    where these were measured, else of the flat view, which `flat` has in any case."""
+    """Is the JSON object of a run.
+
+    Its own figures are those of `mechanism`: of cells with distributed configuration if these were measured,
+    else of the flat view. `flat` always has those of the flat view.
+    """
 
     command: str
     commit: str
@@ -70,18 +73,18 @@
     mechanism: str = "flat"
     flat: AtSize = msgspec.field(default_factory=AtSize)
     holdout_errors: dict[str, float] = {}
-    at_size_ranges: dict[str, tuple[float, float]] = {}  # by all shapes that are not refuted
+    at_size_ranges: dict[str, tuple[float, float]] = {}  # By all shapes that are not refuted.
     change_s_worst: float | None = None
-    change_s: dict[str, object] = {}  # by gateways, by changes a second, in bursts
-    virtual: list[dict[str, object]] = []  # worlds in virtual time
+    change_s: dict[str, object] = {}  # By gateways, by changes per second, and in bursts.
+    virtual: list[dict[str, object]] = []  # Simulations in virtual time.
     added_p99_ms: float | None = None
-    added_p99_run: str = ""  # which run gave it
+    added_p99_run: str = ""  # The run that measured it.
     hollow: int = 0
     processes: int = 0
     memory_gb: float = 0.0
     violations: int = 0
-    requests: int = 0  # asked of the real gateways
-    served: int = 0  # of these
+    requests: int = 0  # Sent to the real gateways.
+    served: int = 0  # Of these requests.
     real_gateway_memory_mb: float | None = None
     void: bool = False
     void_by: list[str] = []
@@ -91,11 +94,8 @@
     seconds: float = 0.0
 
 
-# What was measured.
-
-
 def put_sizes(report: Report, into: AtSize, sizes: Iterable[int]) -> None:
-    """Which sizes were measured, whatever comes of them."""
+    """Adds the measured sizes, whether or not their fits hold."""
     into.sizes = sorted(sizes)
     if into.sizes:
         into.extrapolated_times = round(SIZE / into.sizes[-1], 1)
@@ -103,20 +103,20 @@
 
 
 def put_flat(report: Report, costs: Sequence[Cost], measurements: Sequence[Measurement]) -> None:
-    """The flat view; `measurements`: none where too few sizes were measured."""
+    """Adds the flat view; `measurements` is empty if too few sizes were measured."""
     put_sizes(report, report.flat, (cost.members for cost in costs))
     for cost in costs:
         put_lag(report, f"flat, {cost.members} members at rest", cost.lag)
     if not measurements:
         return
-    there = _Figures(report, measurements)
+    extrapolated = _Figures(report, measurements)
     flat = report.flat
-    flat.holdout_error_worst = there.worst
-    flat.gateway_cpu_share_at_size = there.at("membership.flat.cpu", 4)
-    flat.gateway_bytes_s_at_size = there.at("membership.flat.bytes", 0)
-    flat.gateway_memory_mb_at_size = there.at("membership.flat.memory", 2, MEGABYTE)
-    flat.busiest_control_bytes_s_at_size = there.at("membership.flat.coordinator_bytes", 0)
-    flat.control_machines_at_size = 0  # its coordinator is a gateway
+    flat.holdout_error_worst = extrapolated.worst
+    flat.gateway_cpu_share_at_size = extrapolated.at("membership.flat.cpu", 4)
+    flat.gateway_bytes_s_at_size = extrapolated.at("membership.flat.bytes", 0)
+    flat.gateway_memory_mb_at_size = extrapolated.at("membership.flat.memory", 2, MEGABYTE)
+    flat.busiest_control_bytes_s_at_size = extrapolated.at("membership.flat.coordinator_bytes", 0)
+    flat.control_machines_at_size = 0  # Its coordinator is a gateway.
 
 
 def put_cells(
@@ -125,7 +125,7 @@
     measurements: Sequence[Measurement],
     configuration: Sequence[Measurement],
 ) -> None:
-    """Cells, with configuration handed down (none: not measured) beside them."""
+    """Adds the cells and the distribution of configuration, which is empty if it was not measured."""
     report.mechanism = "cells"
     put_sizes(report, report, (cost.gateways for cost in costs))
     for cost in costs:
@@ -133,34 +133,36 @@
     if not measurements:
         return
     control = costs[-1].control
-    there = _Figures(report, [*measurements, *configuration])
-    report.holdout_error_worst = there.worst
-    handed = bool(configuration)
+    extrapolated = _Figures(report, [*measurements, *configuration])
+    report.holdout_error_worst = extrapolated.worst
+    has_configuration = bool(configuration)
     report.gateway_cpu_share_at_size = _sum(
-        there.at("cells.gateway_cpu", 5),
-        there.at("distribution.gateway_cpu_by_gateways", 5) if handed else 0.0,
+        extrapolated.at("cells.gateway_cpu", 5),
+        extrapolated.at("distribution.gateway_cpu_by_gateways", 5) if has_configuration else 0.0,
     )
     report.gateway_bytes_s_at_size = _sum(
-        there.at("cells.gateway_bytes", 0),
-        there.at("distribution.gateway_bytes_by_gateways", 0) if handed else 0.0,
+        extrapolated.at("cells.gateway_bytes", 0),
+        extrapolated.at("distribution.gateway_bytes_by_gateways", 0) if has_configuration else 0.0,
     )
-    report.gateway_memory_mb_at_size = there.at("cells.gateway_memory", 2, MEGABYTE)
+    report.gateway_memory_mb_at_size = extrapolated.at("cells.gateway_memory", 2, MEGABYTE)
     # Each machine has as many cells as it would have with 19 machines.
     cells = SIZE / CELL * control / CONTROL
     # Chance decides how many cells a machine coordinates: the ratio of the busiest to the mean is taken from
     # the largest size that was measured.
-    above = costs[-1].busiest_bytes / costs[-1].control_bytes
+    busiest_ratio = costs[-1].busiest_bytes / costs[-1].control_bytes
     report.busiest_control_bytes_s_at_size = _sum(
-        there.at("cells.control_bytes", 0, 1 / above, cells),
-        there.at("distribution.control_bytes_by_gateways", 0, size=SIZE / CONTROL) if handed else 0.0,
+        extrapolated.at("cells.control_bytes", 0, 1 / busiest_ratio, cells),
+        extrapolated.at("distribution.control_bytes_by_gateways", 0, size=SIZE / CONTROL)
+        if has_configuration
+        else 0.0,
     )
     report.control_machines_at_size = CONTROL
-    if not handed:
+    if not has_configuration:
         report.not_run.append("changes of configuration are not in the costs at size")
 
 
 class _Figures:
-    """What measurements say of other sizes; what a fit that missed does not say is told."""
+    """Extrapolates measurements, and lists under `not_run` those whose fit missed the hold-out."""
 
     def __init__(self, report: Report, measurements: Sequence[Measurement]) -> None:
         self._report = report
@@ -171,25 +173,25 @@
 
     def at(self, name: str, digits: int, unit: float = 1.0, size: float = SIZE) -> float | None:
         found = self._by_name[name]
-        there = extrapolate(found, size)
-        if there is None:
+        found_range = extrapolate(found, size)
+        if found_range is None:
             self._report.not_run.append(
                 f"{name} at {size:.0f}: the fit missed {found.holdout.size:.0f} by {found.holdout.error:.0%}"
             )
             return None
-        least, most = round(there.least / unit, digits), round(there.most / unit, digits)
+        least, most = round(found_range.least / unit, digits), round(found_range.most / unit, digits)
         self._report.at_size_ranges[name] = least, most
         return most
 
 
 def _sum(*values: float | None) -> float | None:
-    """Nothing where one of them is not known."""
+    """Returns the sum, or None if one of the values is unknown."""
     known = [value for value in values if value is not None]
     return round(sum(known), 5) if len(known) == len(values) else None
 
 
 def put_configuration(report: Report, found: Configured) -> None:
-    """The longest that a change took until it was in force everywhere."""
+    """Adds the longest times until changes were in force at all gateways."""
     for cost in (*found.by_size, *found.by_rate):
         put_lag(report, f"changes, {cost.gateways} gateways, {cost.rate:g} a second", cost.lag)
     report.hollow = max(report.hollow, found.by_size[-1].gateways)
@@ -200,7 +202,7 @@
 
 
 def put_failures(report: Report, into: AtSize, outcomes: Sequence[Outcome], settle_most: float) -> None:
-    """What faults did; one after which a fleet did not settle within `settle_most` s has no time."""
+    """Adds the effects of faults; a fault has no time if the fleet did not settle within `settle_most` s."""
     if not outcomes:
         return
     by_fault = {each.fault: each for each in outcomes}
@@ -223,7 +225,7 @@
 
 
 def put_virtual(report: Report, played: Played) -> None:
-    """A world in virtual time, which no lag of the machine spoils."""
+    """Adds a simulation in virtual time, which the lag of the machine does not make void."""
     report.virtual.append(msgspec.to_builtins(played))
     report.false_dead = (report.false_dead or 0) + played.false_dead
     if played.settle_s is None:
@@ -231,10 +233,10 @@
 
 
 def put_verdict(report: Report, verdict: Verdict, memory: int) -> None:
-    """The judge's word on the real gateways; `memory`: bytes that the largest of them held at most."""
+    """Adds the judge's verdict on the real gateways and the peak `memory` in bytes of the largest of them."""
     summary = verdict.summary
     report.requests, report.served = summary.requests, summary.served
-    if verdict.state == "broken":  # else what is wrong by the clock says more of the machine
+    if verdict.state == "broken":  # Otherwise violations of timing may be due to the machine.
         report.violations += len(verdict.violations)
     report.real_gateway_memory_mb = round(memory / MEGABYTE, 1)
     if verdict.state == "void":
@@ -242,32 +244,31 @@
 
 
 def put_latency(report: Report, found: Latency) -> None:
-    """What a gateway adds to a request, of this run or of one that was kept."""
+    """Adds the latency that a gateway adds to a request, of this run or of a stored one."""
     report.added_p99_ms = round(1000 * found.added_p99, 3)
     report.added_p99_run = f"{found.run.command}, {found.run.date}, {found.run.commit}"
     if found.void:
         put_void(report, f"added latency: the measuring loop was late by {1000 * found.lag_p99:.1f} ms")
 
 
-# What counts.
-
-
 def put_void(report: Report, why: str) -> None:
-    """A run is void as soon as one of its spans is."""
+    """Marks the run as void, which it is as soon as one of its spans is."""
     report.void = True
     report.void_by.append(why)
 
 
 def put_lag(report: Report, what: str, lag: Lag) -> None:
-    """How late loops were in one span."""
+    """Adds the lag of loops in one span."""
     report.lag_ms_worst = max(report.lag_ms_worst, round(lag.worst * 1000, 1))
     if lag.void:
         put_void(report, f"{what}: {lag.late} of {lag.beats} beats late, {lag.worst * 1000:.0f} ms at worst")
 
 
 def put_limits(report: Report, full: bool) -> None:
-    """Which limits what was measured keeps; null for what was not measured. Where cells were not measured the
-    figures are the flat view's."""
+    """Adds whether each limit is kept, or null if it was not measured.
+
+    If cells were not measured, the figures are those of the flat view.
+    """
     if report.mechanism == "flat":
         for name in AtSize.__struct_fields__:
             setattr(report, name, getattr(report.flat, name))
@@ -276,5 +277,5 @@
         value = getattr(report, name)
         kept[name] = None if value is None else value <= limit
     if full:
-        kept["hollow"] = report.hollow >= HOLLOW_LEAST
+        kept["hollow"] = report.hollow >= MIN_HOLLOW
     report.limits_kept = kept
--- a/benchmarks/scale/role_terms.py
+++ b/benchmarks/scale/role_terms.py
@@ -1,4 +1,4 @@
-"""What the page's tables are made of: rows of costs, bounds in the program, and roles."""
+"""Defines the parts of the page's tables: rows of costs, bounds in the program, and roles."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One cost of a role: `slope` at the size that `at` names, times the figure that `by` names.
+    """Holds one cost of a role: `slope` at the size that `at` names, times the figure that `by` names.
 
-    `mechanism`: the module that carries it, by its path below trackspread/; where there is none yet, the row
-    says **missing**. An empty `slope` is one that no run measures yet."""
+    `mechanism` is the path below trackspread/ of the module that implements it; without such a module, the
+    row shows **missing**. `slope` is empty if no run measures it.
+    """
 
     what: str
     slope: str
@@ -18,15 +19,15 @@
     mend: str = ""
     by: str = ""
     when: str = "at rest"
-    # Whether it counts in the role's totals; not where another row stands for the same.
+    # Whether it counts in the role's totals; False if another row holds the same cost.
     counted: bool = True
-    # Of the product, where `by` is set: its unit, and the name of the figure that bounds it.
+    # The unit of the product and the name of the figure that limits it, if `by` is set.
     unit: str = ""
     limit: str = ""
 
 
 class Bound(msgspec.Struct, frozen=True):
-    """A bound in the program: it holds up to the figure that `most` names of what `at` names."""
+    """Holds a bound in the program: `most` names the bound, `at` names the figure that it limits."""
 
     what: str
     most: str
@@ -36,12 +37,12 @@
 
 
 class Role(msgspec.Struct, frozen=True):
-    """A table of the page. `state`: what it holds and what is said to it, in words."""
+    """Holds a table of the page; `state` describes the state and the messages of the role."""
 
     title: str
     state: str
     rows: tuple[Row, ...]
-    # Whether its rows are parts of one gateway's budget, and so are added up.
+    # Whether its rows are parts of one gateway's budget, and so are summed.
     added_up: bool = False
 
 
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -1,6 +1,6 @@
-"""What each role of the fleet spends, row by row: which slope at which size, which limit, which mechanism.
+"""Lists the roles of the fleet with their costs: the slope, the size, the limit and the mechanism of each.
 
-Data alone. A row's figures are worked out by `page.py`; none is written here.
+The module holds data only. The figures of a row are computed by `estimates.py`.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         SUBSETS,
     ),
 )
-# What all control together may take of one gateway: the rows whose names begin so are added up.
+# The limits of all control tasks together at one gateway. Rows whose names begin with a key are summed.
 TOTALS: dict[str, tuple[str, str]] = {
     "memory": ("memory", "bytes"),
     "CPU": ("share", "share of a core"),
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -1,4 +1,4 @@
-"""The file of measured slopes, docs/capacity/slopes.json: its shape, and how it is read and written."""
+"""Reads and writes the file of measured slopes, docs/capacity/slopes.json."""
 
 import math
 import os
@@ -10,36 +10,36 @@
 
 SLOPES = Path(__file__).resolve().parents[2] / "docs" / "capacity" / "slopes.json"
 # A file of slopes holds at most this many measurements.
-MOST = 500
+MAX_MEASUREMENTS = 500
 
 
 class SlopesError(Exception):
-    """A file of slopes that can't be used: the file, the key and what is wanted, in one line."""
+    """Reports an invalid file of slopes in one line: the file, the key and what is wrong."""
 
-    def __init__(self, path: Path, key: str, wanted: str) -> None:
-        super().__init__(f"{path}: {key}: {wanted}")
+    def __init__(self, path: Path, key: str, problem: str) -> None:
+        super().__init__(f"{path}: {key}: {problem}")
 
 
 class Run(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The run that gave a measurement."""
+    """Names the run that produced a measurement."""
 
-    # UTC, as 2026-12-02T05:10Z.
+    # In UTC, for example 2026-12-02T05:10Z.
     date: str
     command: str
-    # The short hash of the commit that ran.
+    # The short hash of the measured commit.
     commit: str
 
 
 class Measurement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One cost against one factor: its points, their fit, and the hold-out at twice the largest size."""
+    """Holds one cost by one factor: its points, their fit, and the hold-out at twice the largest size."""
 
-    # Dotted, unique in the file, as `module.backends.memory`.
+    # Dotted and unique in the file, for example `module.backends.memory`.
     name: str
-    # What the size counts, as `backends`.
+    # The things that the size counts, for example `backends`.
     factor: str
-    # The unit of the values, as `bytes`, `s`, `share of a core` or `bytes/s`.
+    # The unit of the values: for example `bytes`, `s`, `share of a core` or `bytes/s`.
     unit: str
-    # The most that the value may be, in `unit`; null if nothing bounds it alone.
+    # The largest valid value, in `unit`; null if it has no limit of its own.
     limit: float | None
     points: tuple[Point, ...]
     shape: Shape
@@ -47,35 +47,37 @@
     coefficients: tuple[float, float]
     holdout: Holdout
     run: Run
-    # Whether the run does not count: the machine lagged, or repeats differed by over a fifth.
+    # Whether the run is void: the machine lagged, or repeats differed by over a fifth.
     void: bool = False
-    # What a reader must know of how it was measured; may be empty.
+    # Notes for the reader on how it was measured; may be empty.
     note: str = ""
 
     @property
     def fit(self) -> Fit:
-        """The fit as it was written; its leave-one-out error is not kept in the file."""
+        """Returns the fit in the file, which does not hold its leave-one-out error."""
         base, slope = self.coefficients
         return Fit(shape=self.shape, base=base, slope=slope, error=0.0)
 
     @property
     def wrong(self) -> bool:
-        """Whether no figure may be worked out from it: it is void, or its fit missed the hold-out."""
+        """Returns whether it may not be used: it is void, or its fit missed the hold-out."""
         return self.void or self.holdout.wrong
 
 
 class Slopes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All measurements of a file, sorted by name."""
+    """Holds all measurements of a file, sorted by name."""
 
     measurements: tuple[Measurement, ...] = ()
 
     def find(self, name: str) -> Measurement | None:
-        """The measurement of that name, or None."""
+        """Returns the measurement of that name, or None."""
         return next((found for found in self.measurements if found.name == name), None)
 
     def with_all(self, measurements: "list[Measurement]") -> "Slopes":
-        """These with `measurements` in place of those of the same names; a void one takes no place of one
-        that counts."""
+        """Returns the slopes with `measurements` in place of those of the same names.
+
+        A void measurement does not replace a valid one.
+        """
         merged = {found.name: found for found in self.measurements}
         for found in measurements:
             kept = merged.get(found.name)
@@ -98,13 +100,13 @@
 ) -> Measurement:
     """Fits `points` and compares the fit with `held_out`, measured at twice their largest size.
 
-    Raises FitError for points that can't be fitted and a hold-out at less than twice their largest size.
+    Raises FitError for points that cannot be fitted and a hold-out at less than twice their largest size.
     """
     ordered = sorted((float(size), float(value)) for size, value in points)
     fitted = fit(ordered)
     size, measured = held_out
     if size < HOLDOUT_TIMES * ordered[-1][0]:
-        raise FitError(f"hold-out at {size}: at least twice {ordered[-1][0]} is wanted")
+        raise FitError(f"hold-out size: must be at least twice {ordered[-1][0]}, got {size}")
     return Measurement(
         name=name,
         factor=factor,
@@ -121,11 +123,11 @@
 
 
 def load(path: Path = SLOPES) -> Slopes:
-    """Reads a file of slopes; raises SlopesError with file, key and what is wanted."""
+    """Reads a file of slopes. Raises SlopesError with the file, the key and what is wrong."""
     try:
         raw = path.read_bytes()
     except OSError as error:
-        raise SlopesError(path, "file", f"a readable file is wanted: {error.strerror}") from error
+        raise SlopesError(path, "file", f"must be a readable file: {error.strerror}") from error
     try:
         slopes = msgspec.json.decode(raw, type=Slopes)
     except msgspec.DecodeError as error:
@@ -136,16 +138,16 @@
 
 
 def save(slopes: Slopes, path: Path = SLOPES) -> None:
-    """Writes the file anew, whole or not at all."""
+    """Replaces the file atomically."""
     _check(path, slopes)
     path.parent.mkdir(parents=True, exist_ok=True)
-    beside = path.with_suffix(".new")
-    beside.write_bytes(msgspec.json.format(msgspec.json.encode(slopes), indent=2) + b"\n")
-    os.replace(beside, path)
+    temporary = path.with_suffix(".new")
+    temporary.write_bytes(msgspec.json.format(msgspec.json.encode(slopes), indent=2) + b"\n")
+    os.replace(temporary, path)
 
 
 def merge(measurements: list[Measurement], path: Path = SLOPES) -> Slopes:
-    """Puts `measurements` into the file, in place of those of the same names; starts it if there is none."""
+    """Replaces the measurements of the same names in the file, which is created if there is none."""
     slopes = load(path) if path.exists() else Slopes()
     merged = slopes.with_all(measurements)
     save(merged, path)
@@ -153,19 +155,21 @@
 
 
 def _key(message: str) -> str:
-    """The key in a message of the decoder, as in `... - at `$.measurements[0].unit``."""
+    """Returns the key in a message of the decoder, for example `... - at `$.measurements[0].unit``."""
     _, found, rest = message.rpartition("`$.")
     return rest.rstrip("`") if found else "file"
 
 
 def _check(path: Path, slopes: Slopes) -> None:
-    if len(slopes.measurements) > MOST:
-        raise SlopesError(path, "measurements", f"at most {MOST} are wanted")
+    if len(slopes.measurements) > MAX_MEASUREMENTS:
+        raise SlopesError(
+            path, "measurements", f"must be at most {MAX_MEASUREMENTS}, got {len(slopes.measurements)}"
+        )
     names = [found.name for found in slopes.measurements]
     for index, found in enumerate(slopes.measurements):
         key = f"measurements[{index}]"
         if not found.name or names.count(found.name) > 1:
-            raise SlopesError(path, f"{key}.name", f"each name once is wanted, not {found.name!r} again")
+            raise SlopesError(path, f"{key}.name", f"must be non-empty and unique, got {found.name!r}")
         try:
             check(found.points)
         except FitError as error:
@@ -174,18 +178,26 @@
 
 
 def _check_fit(path: Path, key: str, found: Measurement) -> None:
-    """The coefficients and the hold-out are those of the points: no figure is set by hand."""
+    """Checks that coefficients and hold-out follow from the points, so that no figure is set by hand."""
     largest = max(size for size, _ in found.points)
     if found.holdout.size < HOLDOUT_TIMES * largest:
-        raise SlopesError(path, f"{key}.holdout.size", f"at least twice {largest} is wanted")
+        raise SlopesError(
+            path, f"{key}.holdout.size", f"must be at least twice {largest}, got {found.holdout.size}"
+        )
     fitted = fit(found.points)
     if fitted.shape is not found.shape:
-        raise SlopesError(path, f"{key}.shape", f"{fitted.shape.value} is wanted: that fits the points")
+        raise SlopesError(
+            path,
+            f"{key}.shape",
+            f"must be {fitted.shape.value}, which fits the points, got {found.shape.value}",
+        )
     if not _close(found.coefficients, (fitted.base, fitted.slope)):
-        raise SlopesError(path, f"{key}.coefficients", f"{fitted.base}, {fitted.slope} are wanted")
+        raise SlopesError(
+            path, f"{key}.coefficients", f"must be {fitted.base}, {fitted.slope}, got {found.coefficients}"
+        )
     held = hold_out(fitted, found.holdout.size, found.holdout.measured)
     if not _close((found.holdout.predicted, found.holdout.error), (held.predicted, held.error)):
-        raise SlopesError(path, f"{key}.holdout", f"{held.predicted}, {held.error} are wanted")
+        raise SlopesError(path, f"{key}.holdout", f"must be {held.predicted}, {held.error}")
 
 
 def _close(left: tuple[float, float], right: tuple[float, float]) -> bool:
--- a/tests/benchmarks/test_scale_fit.py
+++ b/tests/benchmarks/test_scale_fit.py
@@ -138,11 +138,15 @@
     ("key", "value", "wanted"),
     [
         ("unit", 5, r"measurements\[0\]\.unit: Expected `str`"),
-        ("shape", "square", r"measurements\[0\]\.shape: linear is wanted"),
+        ("shape", "square", r"measurements\[0\]\.shape: must be linear, which fits the points"),
         ("coefficients", [1.0, 1.0], r"measurements\[0\]\.coefficients"),
-        ("points", [[1, 1]], r"measurements\[0\]\.points: 1 points: at least 4"),
-        ("holdout", {"size": 500, "predicted": 1, "measured": 1, "error": 0}, r"holdout\.size: at least"),
-        ("holdout", {"size": 800, "predicted": 1, "measured": 1, "error": 0}, r"\.holdout: 1601"),
+        ("points", [[1, 1]], r"measurements\[0\]\.points: must be at least 4 points, got 1"),
+        (
+            "holdout",
+            {"size": 500, "predicted": 1, "measured": 1, "error": 0},
+            r"holdout\.size: must be at least",
+        ),
+        ("holdout", {"size": 800, "predicted": 1, "measured": 1, "error": 0}, r"\.holdout: must be 1601"),
         ("wish", 1, "wish"),
     ],
 )
@@ -157,7 +161,7 @@
 
 
 def test_no_file_and_no_json_are_named(tmp_path: Path) -> None:
-    with pytest.raises(SlopesError, match="a readable file is wanted"):
+    with pytest.raises(SlopesError, match="must be a readable file"):
         load(tmp_path / "none.json")
     (tmp_path / "torn.json").write_text('{"measurements": [')
     with pytest.raises(SlopesError, match=r"torn\.json: file: "):
--- a/tests/project/test_capacity.py
+++ b/tests/project/test_capacity.py
@@ -141,12 +141,12 @@
 
 @pytest.mark.parametrize("wrong", ["a ** 2", "b", "a if a else 0", "print(a)", "'a'"])
 def test_a_sum_of_anything_else_is_refused(wrong: str) -> None:
-    with pytest.raises(ExpressionError, match="are wanted"):
+    with pytest.raises(ExpressionError, match="must consist of numbers"):
         evaluate_lines([Line("x", "what", wrong, "")], {"a": 1.0})
 
 
 def test_a_line_needs_a_name_of_its_own() -> None:
-    with pytest.raises(ExpressionError, match="a name of its own"):
+    with pytest.raises(ExpressionError, match="must be a unique name"):
         evaluate_lines([Line("a", "what", "a + 1", "")], {"a": 1.0})
 
 
