--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,6 +1,6 @@
-"""The scale run: hollow gateways on real sockets beside real ones, measured, fitted and carried on to 7,200.
+"""Measures hollow and real gateways on real sockets, fits the costs and extrapolates them to 7,200 gateways.
 
-Progress goes to standard error; the last line of standard output is one JSON object (`docs/scale-run.md`).
+Progress goes to standard error. The last line of standard output is one JSON object (`docs/scale-run.md`).
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from .flat_fleet import NotSettled, Outcome
 from .module import this_run
 from .operator import NotDone
-from .virtual_cells import Job, Played, WorldFailed, play_beside
+from .virtual_cells import Job, Played, WorldFailed, play_in_process
 
 T = TypeVar("T")
 
@@ -40,13 +40,13 @@
 
 
 class Plan(NamedTuple):
-    """All that a run wants. `most`: s from its beginning, after which every part is ended that still runs."""
+    """Holds the parts of a run; parts that still run `most` seconds after its start are ended."""
 
     flat: flat.Plan
     configuration: configuration.ConfigurationPlan
     levels: levels.LevelsPlan
     worlds: tuple[Job, ...]
-    at_once: bool  # whether cells are measured beside the rest, or after it
+    at_once: bool  # Whether cells are measured at the same time as the rest, or after it.
     most: float
 
 
@@ -69,7 +69,7 @@
 
 
 class ScaleRun:
-    """One run: what it measures goes into its report as it comes."""
+    """Runs all measurements; each result is added to the report at once."""
 
     def __init__(self, plan: Plan, made: report.Report, guard: Guard) -> None:
         self._plan, self._made, self._guard = plan, made, guard
@@ -79,7 +79,7 @@
         self.measurements: list[slopes.Measurement] = []
 
     async def play(self) -> None:
-        """All of it; what fails is told under `not_run`."""
+        """Runs all parts; failures are listed under `not_run`."""
         self._made.not_run += NOT_MEASURED
         worlds = asyncio.gather(*(self._world(job) for job in self._plan.worlds))
         first = [self._flat(), self._failures(), self._configuration()]
@@ -88,18 +88,18 @@
         if self._plan.at_once:
             faults_in_cells = levels.faults(self._plan.levels, self._guard, found)
             await asyncio.gather(
-                *first, self._tried("cells: costs", costs), self._tried("cells: faults", faults_in_cells)
+                *first, self._try("cells: costs", costs), self._try("cells: faults", faults_in_cells)
             )
         else:
             await asyncio.gather(*first)
-            await self._tried("cells", costs)
+            await self._try("cells", costs)
         self._put_cells(found)
         for played in await worlds:
             if played is not None:
                 report.put_virtual(self._made, played)
 
-    async def _tried(self, what: str, work: Awaitable[T]) -> T | None:
-        """What comes of it; nothing, and a line under `not_run`, where it did not come to its end in time."""
+    async def _try(self, what: str, work: Awaitable[T]) -> T | None:
+        """Returns the result of `work`; if it fails or is late, adds a line to `not_run` and returns None."""
         try:
             async with asyncio.timeout_at(self._end):
                 return await work
@@ -111,13 +111,13 @@
 
     async def _world(self, job: Job) -> Played | None:
         what = f"virtual time, {job.fault}, {job.gateways} gateways"
-        played = await self._tried(what, play_beside(job, self._guard))
+        played = await self._try(what, play_in_process(job, self._guard))
         if played is not None:
-            say(f"{what}: settled {played.settle_s} s after it, {played.false_dead} called dead by mistake")
+            say(f"{what}: settled after {played.settle_s} s, {played.false_dead} live members declared dead")
         return played
 
     async def _flat(self) -> None:
-        costs = await self._tried("flat: costs", flat.costs(self._plan.flat, self._guard))
+        costs = await self._try("flat: costs", flat.costs(self._plan.flat, self._guard))
         if costs is None:
             return
         self._made.not_run += [f"flat: {text}" for text in costs.failed]
@@ -131,17 +131,17 @@
 
     async def _failures(self) -> None:
         outcomes = list[Outcome]()
-        judged = await self._tried("flat: failures", flat.failures(self._plan.flat, self._guard, outcomes))
+        result = await self._try("flat: failures", flat.failures(self._plan.flat, self._guard, outcomes))
         report.put_failures(self._made, self._made.flat, outcomes, self._plan.flat.settle_most)
-        if judged is None:
+        if result is None:
             return
-        verdict, memory = judged
+        verdict, memory = result
         report.put_verdict(self._made, verdict, memory)
         for violation in verdict.violations[:3]:
-            say(f"BROKEN: {violation.rule}: {violation.text}")
+            say(f"violation: {violation.rule}: {violation.text}")
 
     async def _configuration(self) -> None:
-        found = await self._tried(
+        found = await self._try(
             "changes of configuration", configuration.measure(self._plan.configuration, self._guard)
         )
         if found is not None:
@@ -163,18 +163,21 @@
     def _keep(self, measurements: list[slopes.Measurement]) -> list[slopes.Measurement]:
         self.measurements += measurements
         for each in measurements:
-            word = "WRONG" if each.holdout.wrong else "holds"
+            result = "is wrong" if each.holdout.wrong else "holds"
             held = each.holdout
             say(
                 f"{each.name}: {each.shape.value}; at {held.size:.0f} predicted {held.predicted:.4g}, "
-                f"measured {held.measured:.4g} {each.unit}: the fit {word}"
+                f"measured {held.measured:.4g} {each.unit}: the fit {result}"
             )
         return measurements
 
 
 async def play(full: bool, made: report.Report, guard: Guard) -> list[slopes.Measurement]:
-    """The whole run. The added latency is that of the last run that was kept; a full run measures it, last
-    and beside nothing else, where none was kept that counts."""
+    """Runs all measurements.
+
+    The added latency is that of the last stored run. If there is no valid one, a full run measures it last,
+    when nothing else runs.
+    """
     run = ScaleRun(FULL if full else QUICK, made, guard)
     await run.play()
     found = latency.load()
@@ -182,7 +185,7 @@
         try:
             found = await latency.measure(latency.SPAN)
         except (OSError, RuntimeError, ExceptionGroup) as error:
-            # What was measured before it is kept all the same.
+            # The results of the parts before it are kept.
             made.not_run.append(f"added latency: {error!r}")
     if found is None:
         made.not_run.append("added latency: no run of it was kept")
@@ -192,7 +195,7 @@
 
 
 def keep(made: report.Report, measurements: list[slopes.Measurement]) -> None:
-    """For the page of capacity; what is void takes no place of what is not."""
+    """Stores slopes and report for the page of capacity; a void report does not replace a valid one."""
     slopes.merge(measurements)
     kept = faults.load()
     if kept is None or kept.void or not made.void:
@@ -205,13 +208,13 @@
     )
     parser.add_argument("--quick", action="store_true", help="under 50 s; full: under 15 minutes")
     full = not parser.parse_args().quick
-    began = time.monotonic()
+    started = time.monotonic()
     command = "python -m benchmarks.scale" + ("" if full else " --quick")
     run = this_run(command)
     made = report.Report(command=command, commit=run.commit, date=run.date)
     guard = Guard()
-    say(f"bounds: at most {guard.processes_most} processes and {guard.memory_most >> 30} GB")
-    gc.disable()  # a collection over the ledger would be a lag of the stand-ins
+    say(f"limits: {guard.processes_most} processes, {guard.memory_most >> 30} GB of memory")
+    gc.disable()  # A collection over the ledger would delay the stand-ins.
     measurements: list[slopes.Measurement] = []
     try:
         measurements = uvloop.run(play(full, made, guard))
@@ -219,11 +222,11 @@
         made.not_run.append(f"ended early: {error}")
     made.processes, made.memory_gb = guard.most.processes, round(guard.most.memory / 2**30, 2)
     report.put_limits(made, full)
-    made.seconds = round(time.monotonic() - began, 1)
+    made.seconds = round(time.monotonic() - started, 1)
     if full:
         keep(made, measurements)
     if made.void:
-        say("VOID: the machine lagged; these figures say more of it than of the program")
+        say("void: the machine lagged; the figures describe the machine rather than the program")
     print(msgspec.json.encode(made).decode())
     return 1 if made.violations else 0
 
--- a/benchmarks/scale/control_state.py
+++ b/benchmarks/scale/control_state.py
@@ -1,7 +1,7 @@
-"""What the cores of a control machine and of a gateway that follows it hold and spend at one size.
+"""Measures the cores of a control machine and of a gateway that follows it, at one size.
 
-Cores alone, without sockets and without encoding. `python -m benchmarks.scale.control_state NAME SIZE`, as
-`subjects.py`.
+The cores run without sockets and without encoding. `python -m benchmarks.scale.control_state NAME SIZE`
+prints figures as `subjects.py` does.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 from .demand import ASKED, CARRIED
 from .subjects import REPEATS, SECOND, START, Figures, print_figures, resident, duration_of
 
-VALUE = 200  # bytes of one route as this page reckons; an entry's bound is 640
-ROUTES = int(ASKED["routes"] / ASKED["services"])  # of one service
-REPEATED = 20 * REPEATS  # steps of some 10 us
-AT_ONCE = 4  # entries of one delta
-COPIES = 8  # directories alike, for their memory: one of a few hundred gateways is under some pages
+VALUE_BYTES = 200  # Of one route, as the page of capacity assumes; the bound of an entry is 640.
+ROUTES = int(ASKED["routes"] / ASKED["services"])  # Of one service.
+REPEATED = 20 * REPEATS  # Repeats of steps of about 10 us.
+DELTA_ENTRIES = 4
+COPIES = 8  # Equal directories: the memory of one for a few hundred gateways is less than some pages.
 REPLICA, GATEWAY = ("10.0.0.1", 7500), ("10.1.0.1", 7500)
 EPOCH = (1, 0)
 REGIONS, ZONES, MACHINES = int(ASKED["regions"]), int(ASKED["zones"]), int(ASKED["control"])
 
 
 def entry(sequence: int, route: int) -> Entry:
-    """A change of one route under this sequence."""
-    value = (b"%d:" % sequence).ljust(VALUE, b"v")
+    """Returns a change of one route with this sequence number."""
+    value = (b"%d:" % sequence).ljust(VALUE_BYTES, b"v")
     return Entry(Version(1, EPOCH, sequence), service(route // ROUTES), f"route-{route:06}", value)
 
 
 def service(number: int) -> str:
-    """A service's name."""
+    """Returns the name of a service."""
     return f"service-{number:04}"
 
 
 def logged(routes: int) -> Log:
-    """A replica's log in which each of so many routes was set once."""
+    """Returns a replica's log in which each of `routes` routes was set once."""
     log = Log(ReplicaSettings(0, 1, (REPLICA,)).max_recent_entries)
     for route in range(routes):
         change(log, entry(route + 1, route))
@@ -58,18 +58,18 @@
 
 
 def change(log: Log, made: Entry) -> None:
-    """One change, appended and committed."""
+    """Appends and commits one change."""
     log.append(made)
     log.commit(made.version)
 
 
 def routes(size: int) -> Figures:
-    """A replica that holds so many routes; one change more; a gateway's poll that finds nothing, and one."""
+    """Measures a replica with `size` routes: a further change, and polls that find no change and one."""
     empty = resident()
     log = logged(size)
     held = resident() - empty
     changes = [entry(size + number, number % size) for number in range(1, 1 + REPEATED)]
-    took_changes = [duration_of(partial(change, log, made)) for made in changes]
+    change_times = [duration_of(partial(change, log, made)) for made in changes]
     serving = PollServer(log, 10**6)
     carried = tuple(service(number) for number in range(CARRIED))
     subscription = subscription_digest(carried)
@@ -78,52 +78,52 @@
     newest, before = log.committed, changes[-2].version
 
     def poll(version: Version) -> float:
-        asked = Poll(next(numbers), version, subscription)
+        request = Poll(next(numbers), version, subscription)
         answers = list[object]()
-        moment = next(now)
-        used = duration_of(lambda: answers.extend(serving.answer(moment, asked, moment)))
+        now_ns = next(now)
+        used = duration_of(lambda: answers.extend(serving.answer(now_ns, request, now_ns)))
         if not isinstance(answers[0], Delta):
-            raise RuntimeError(f"{answers}: no delta, no fair work")
+            raise RuntimeError(f"answer to a poll: must be a delta, got {answers}")
         return used
 
     return {
         "memory": held,
-        "change": median(took_changes),
+        "change": median(change_times),
         "poll": median(poll(newest) for _ in range(REPEATED)),
         "delta": median(poll(before) for _ in range(REPEATED)),
     }
 
 
 def subscribed(size: int) -> Figures:
-    """A gateway that follows so many routes, told of them by deltas; then one change of one of them."""
+    """Measures a gateway that received `size` routes by deltas, and one change of one of them."""
     empty = resident()
     subscriber = Subscriber(SubscriberSettings((REPLICA,), None), START, 1)
     now = count(START + 2 * subscriber.settings.period_ns, 2 * subscriber.settings.period_ns)
-    for first in range(0, size, AT_ONCE):
-        some = tuple(entry(at + 1, at) for at in range(first, min(size, first + AT_ONCE)))
-        _told(subscriber, next(now), some)
+    for first in range(0, size, DELTA_ENTRIES):
+        some = tuple(entry(at + 1, at) for at in range(first, min(size, first + DELTA_ENTRIES)))
+        _apply_delta(subscriber, next(now), some)
     held = resident() - empty
     changes = [
-        _told(subscriber, next(now), (entry(size + number, number % size),))
+        _apply_delta(subscriber, next(now), (entry(size + number, number % size),))
         for number in range(1, 1 + REPEATED)
     ]
     return {"memory": held, "change": median(changes)}
 
 
-def _told(subscriber: Subscriber, now: int, entries: tuple[Entry, ...]) -> float:
-    """CPU seconds of a delta that answers the next poll."""
+def _apply_delta(subscriber: Subscriber, now: int, entries: tuple[Entry, ...]) -> float:
+    """Returns the CPU seconds of a delta that answers the next poll."""
     sent = [each.body for each in subscriber.tick(now) if isinstance(each, Send)]
     if not sent or not isinstance(sent[0], Poll):
-        raise RuntimeError(f"{sent}: no poll, no fair work")
+        raise RuntimeError(f"message of a subscriber: must be a poll, got {sent}")
     delta = Delta(sent[0].number, entries[-1].version, 0, entries, False)
     used = duration_of(partial(subscriber.on_message, now, delta, REPLICA))
     if subscriber.version != delta.version:
-        raise RuntimeError(f"{delta.version} is not acted on: no fair work")
+        raise RuntimeError(f"version of a subscriber: must be {delta.version}, got {subscriber.version}")
     return used
 
 
 def machines() -> tuple[ControlMachine, ...]:
-    """The control machines, over all regions and zones."""
+    """Returns the control machines, spread over all regions and zones."""
     return tuple(
         ControlMachine(
             f"control-{number:02}",
@@ -135,34 +135,38 @@
     )
 
 
-def place(gateway: int) -> Zone:
-    """Where a gateway runs."""
+def zone_of(gateway: int) -> Zone:
+    """Returns the zone of a gateway."""
     zone = gateway % ZONES
     return Zone(f"region-{zone % REGIONS}", f"zone-{zone}")
 
 
 def directory(size: int) -> Figures:
-    """The leader's directory of so many gateways: a gateway's question, a seed's report, its looks."""
+    """Measures the leader's directory of `size` gateways: placement requests, reports of seeds and ticks."""
     empty = resident()
-    asked, reports, alike = list[float](), list[float](), list[Directory]()
+    requests, reports, directories = list[float](), list[float](), list[Directory]()
     for _ in range(COPIES):
-        alike.append(made := Directory(START, EPOCH, CellPolicy(max_fleet_gateways=2 * size), machines()))
-        asked += [duration_of(partial(_locate, made, START + REBUILD_NS, gateway)) for gateway in range(size)]
-        reports += _reported(made)
+        directories.append(
+            made := Directory(START, EPOCH, CellPolicy(max_fleet_gateways=2 * size), machines())
+        )
+        requests += [
+            duration_of(partial(_locate, made, START + REBUILD_NS, gateway)) for gateway in range(size)
+        ]
+        reports += _report_cells(made)
     held = (resident() - empty) / COPIES
     live = frozenset(machine.name for machine in machines())
     moments = range(START + REBUILD_NS, START + REBUILD_NS + REPEATED * SECOND, SECOND)
-    beats = [duration_of(partial(made.tick, now, live)) for now in moments]
+    ticks = [duration_of(partial(made.tick, now, live)) for now in moments]
     return {
         "memory": held,
-        "locate": median(asked),
+        "locate": median(requests),
         "report": median(reports),
-        "looks": median(beats) * SECOND / TICK_INTERVAL_NS,
+        "looks": median(ticks) * SECOND / TICK_INTERVAL_NS,
     }
 
 
-def _reported(made: Directory) -> list[float]:
-    """CPU seconds of a seed's report of each cell, after which all that were sent there are in it."""
+def _report_cells(made: Directory) -> list[float]:
+    """Returns the CPU seconds of a seed's report of each cell, which confirms all pending gateways."""
     used = []
     for known in made.entries.values():
         inside: list[MemberId] = [(name, 1) for name in known.pending]
@@ -173,10 +177,10 @@
 
 
 def _locate(made: Directory, now: int, gateway: int) -> None:
-    zone = place(gateway)
+    zone = zone_of(gateway)
     where = PlacementRequest(zone.region, zone.zone, (f"10.{gateway >> 8}.{gateway & 255}.1", 7400))
     if made.place(now, (f"gateway-{gateway:04}", 1), where) is None:
-        raise RuntimeError(f"gateway {gateway}: not placed, no fair work")
+        raise RuntimeError(f"gateway {gateway}: must be placed, got no cell")
 
 
 SUBJECTS = {subject.__name__: subject for subject in (routes, subscribed, directory)}
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -1,8 +1,8 @@
-"""What catching up costs where configuration is handed down: of gateways that restart, and of a replica.
+"""Measures how long restarted gateways and replicas take to get the configuration, and the bytes of it.
 
-In virtual time, with the program's own cores and sizes of datagrams: seconds are the network's and the
-bounds' own, of processor time only what is told as such. `configuration.py` measures the same on sockets.
-`python -m benchmarks.scale.distribution [--quick]` prints measurements, a JSON array.
+The simulation runs in virtual time with the program's own cores and sizes of datagrams. Seconds follow from
+the network and the rate limits; only figures named so are CPU time. `configuration.py` measures on sockets.
+`python -m benchmarks.scale.distribution [--quick]` prints the measurements as a JSON array.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 from .module import this_run
 from .slopes import Measurement, Run, measurement
 
-ROUTES_SERVICE = 30  # 62,000 in 2,100 services
-VALUE = 64  # bytes of a route's value
+ROUTES_SERVICE = 30  # There are 62,000 in 2,100 services.
+VALUE_BYTES = 64  # Of a route.
 REPLICAS = 5
-MOST = 120 * SECOND  # ns of virtual time: nothing here takes as long
-STEP = 20 * MILLISECOND
-DATAGRAMS = 2000  # with entries that a replica may send gateways in a second, the default
-IN_FORCE = 9.0  # s
+TIMEOUT_NS = 120 * SECOND  # Of virtual time: no step takes as long.
+STEP_NS = 20 * MILLISECOND
+MAX_DATAGRAMS = 2000  # With entries that a replica may send to gateways per second, by default.
+MAX_CHANGE_S = 9.0  # Until a change is in force.
 
 Figures = dict[str, float]
 
 
-class Filled(World):
-    """Holds so many services from the beginning; nothing is judged."""
+class FilledWorld(World):
+    """Is a simulation whose replicas hold all services from the start, without checks of invariants."""
 
-    def __init__(self, services: int, gateways: int = 0, each: int = 0, pieces: int = DATAGRAMS) -> None:
+    def __init__(self, services: int, gateways: int = 0, each: int = 0, pieces: int = MAX_DATAGRAMS) -> None:
         super().__init__(
             1, REPLICAS, gateways, regions=1, services=max(1, services), each=each, recent=8192, pieces=pieces
         )
@@ -57,7 +57,7 @@
         self.run(2 * SECOND)
 
     def begin_history(self) -> None:
-        """As an operator does, with no gateway up yet."""
+        """Begins the first history as an operator does, before any gateway starts."""
         for process in self.gateways:
             process.core = None
         gateways, self.start = self.start, lambda process: None  # type: ignore[method-assign]
@@ -70,24 +70,24 @@
         made: Snapshot = {}
         for service in self.services:
             keys = (f"route-{number:05}" for number in range(ROUTES_SERVICE))
-            made[service] = {key: Entry(version, service, key, b"v" * VALUE) for key in keys}
+            made[service] = {key: Entry(version, service, key, b"v" * VALUE_BYTES) for key in keys}
         return made
 
     def _told(self, process: Process, told: StatusEvent) -> None:
-        """Worlds for tests judge."""
+        """Ignores events, which simulations for tests check."""
 
     def until(self, holds: Callable[[], bool]) -> float:
-        """s of virtual time; raises `TimeoutError`."""
-        began = self.now
+        """Returns the seconds of virtual time until `holds` is true. Raises `TimeoutError`."""
+        started = self.now
         while not holds():
-            if self.now - began > MOST:
-                raise TimeoutError(f"not within {MOST / SECOND:.0f} s")
-            self.run(STEP)
-        return (self.now - began) / SECOND
+            if self.now - started > TIMEOUT_NS:
+                raise TimeoutError(f"condition not reached within {TIMEOUT_NS / SECOND:.0f} s")
+            self.run(STEP_NS)
+        return (self.now - started) / SECOND
 
 
-def current(process: Process) -> bool:
-    """Whether a gateway holds all that it wants."""
+def is_complete_gateway(process: Process) -> bool:
+    """Returns whether a gateway holds all entries of its services."""
     return (
         isinstance(process.core, Subscriber)
         and process.core.fresh_at_ns is not None
@@ -96,14 +96,14 @@
 
 
 def carried(size: int) -> Figures:
-    """One gateway starts that carries so many services of 2,100."""
-    world = Filled(2_100, 1, size)
+    """Measures the start of one gateway with `size` of 2,100 services."""
+    world = FilledWorld(2_100, 1, size)
     gateway = world.gateways[0]
     world.bytes.clear()
-    began = time.process_time_ns()
+    started = time.process_time_ns()
     world.start(gateway)
-    seconds = world.until(lambda: current(gateway))
-    cpu = (time.process_time_ns() - began) / SECOND
+    seconds = world.until(lambda: is_complete_gateway(gateway))
+    cpu = (time.process_time_ns() - started) / SECOND
     caught = world.bytes[gateway.name]
     world.bytes.clear()
     world.run(30 * SECOND)
@@ -116,8 +116,8 @@
 
 
 def recovered(size: int) -> Figures:
-    """A replica starts anew, where so many services are held."""
-    world = Filled(size)
+    """Measures the restart of a replica if there are `size` services."""
+    world = FilledWorld(size)
     process = world.replicas[3]
     world.kill(process)
     world.bytes.clear()
@@ -127,15 +127,15 @@
 
 
 def restarted(size: int) -> Figures:
-    """So many gateways of 16 services each start at once, for each replica."""
-    world = Filled(2_100, size * REPLICAS, 16)
+    """Measures the simultaneous start of `size` gateways for each replica, with 16 services each."""
+    world = FilledWorld(2_100, size * REPLICAS, 16)
     for process in world.gateways:
         world.start(process)
-    return {"s": world.until(lambda: all(map(current, world.gateways)))}
+    return {"s": world.until(lambda: all(map(is_complete_gateway, world.gateways)))}
 
 
 class Subject(msgspec.Struct, frozen=True):
-    """`sizes`: the last is held out."""
+    """Describes one measured factor; the last of `sizes` is held out."""
 
     name: str
     factor: str
@@ -174,7 +174,7 @@
 
 
 def measure(subject: Subject, run: Run, quick: bool) -> list[Measurement]:
-    """All figures of one subject."""
+    """Measures all figures of one subject."""
     sizes = tuple(max(1, size // 4) for size in subject.sizes) if quick else subject.sizes
     found: dict[str, list[Point]] = {}
     for size in sizes:
@@ -191,7 +191,7 @@
             points[-1],
             run,
             note=subject.note,
-            limit=IN_FORCE if name == "s" else None,
+            limit=MAX_CHANGE_S if name == "s" else None,
         )
         for name, points in found.items()
     ]
@@ -199,7 +199,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="a quarter of the sizes")
+    parser.add_argument("--quick", action="store_true", help="measures at a quarter of the sizes")
     quick = parser.parse_args().quick
     run = this_run("python -m benchmarks.scale.distribution" + (" --quick" if quick else ""))
     made = [each for subject in SUBJECTS for each in measure(subject, run, quick)]
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -1,9 +1,10 @@
-"""Latency that a gateway adds to a request, beside a direct call, both in one run.
+"""Measures the latency that a gateway adds to a request, compared with direct requests in the same run.
 
-A real gateway process serves 67 requests a second (480,000 over 7,200 gateways) while a full list of all its
-services' backends arrives every second; as many go straight to the same nodes, which answer at once. What is
-added is the difference of the percentiles. The fleet's view and asks to customers' homes are not in it.
-`python -m benchmarks.scale.latency [--quick]` keeps the result in docs/capacity/latency.json.
+A real gateway process serves 67 requests per second (480,000 over 7,200 gateways), while a full list of all
+backends of its services arrives every second. The same number of requests goes directly to the same nodes,
+which answer at once. The added latency is the difference of the percentiles. It does not include the view of
+the fleet and messages to quota owners. `python -m benchmarks.scale.latency [--quick]` stores the result in
+docs/capacity/latency.json.
 """
 
 from __future__ import annotations
@@ -37,43 +38,43 @@
 from .slopes import SLOPES, Run, SlopesError
 
 LATENCY = SLOPES.with_name("latency.json")
-RATE = 67.0  # requests a second, on each way
-BACKENDS = 16 * SERVICE_BACKENDS  # of the services that a gateway carries
-LIST_EVERY = 1.0  # s between full lists: far more often than any fleet brings them
+RATE = 67.0  # Requests per second on each path.
+BACKENDS = 16 * SERVICE_BACKENDS  # Of the services of a gateway.
+LIST_INTERVAL_S = 1.0  # Between full lists: much shorter than in any fleet.
 SPAN, SPAN_QUICK = 60.0, 15.0  # s
-WARM = 2.0  # s before the span
+WARM_UP_S = 2.0  # Before the span.
 CUSTOMERS = 200
-QUOTA = 60.0  # requests a second of each customer: far over what it asks for
-BEAT = 0.01  # s between looks at this loop's own lag
-LAG_MOST = 0.002  # s for 99 in 100 of them; over it the run is void
-LIMIT = 0.0043  # s that may be added for 99 in 100
+QUOTA = 60.0  # Requests per second of each customer: much more than its demand.
+CHECK_INTERVAL_S = 0.01  # Between two checks of this loop's own lag.
+MAX_LAG_S = 0.002  # The 99th percentile; a run with more is void.
+LIMIT = 0.0043  # s; the most that may be added at the 99th percentile.
 
 
 class Latency(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One run. Times in s."""
+    """Holds the results of one run. Times are in seconds."""
 
     run: Run
     void: bool
-    requests: int  # on each way
+    requests: int  # On each path.
     backends: int
     lists: int
     direct: tuple[float, float]  # p50, p99
     gateway: tuple[float, float]
-    lag_p99: float  # of the measuring loop
+    lag_p99: float  # Of the measuring loop.
     load: float
 
     @property
     def added_p99(self) -> float:
-        """The difference of the 99th percentiles."""
+        """Returns the difference of the 99th percentiles."""
         return self.gateway[1] - self.direct[1]
 
     def rows(self) -> list[tuple[str, tuple[float, float]]]:
-        """Name, and p50 and p99."""
+        """Returns each name with its p50 and p99."""
         added = self.gateway[0] - self.direct[0], self.added_p99
         return [("direct", self.direct), ("by the gateway", self.gateway), ("added", added)]
 
     def text(self) -> str:
-        """How it was measured, for people."""
+        """Describes the measurement for the page."""
         return (
             f"{self.requests} requests on each way at {RATE:g} a second, {self.backends} backends, "
             f"{self.lists} full lists meanwhile, load {self.load:.1f} on {os.cpu_count()} cores, the "
@@ -82,7 +83,7 @@
 
 
 def load(path: Path = LATENCY) -> Latency | None:
-    """The last run that was kept; None without one. Raises SlopesError."""
+    """Reads the last stored run; returns None if there is none. Raises SlopesError."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Latency)
     except FileNotFoundError:
@@ -91,17 +92,17 @@
         raise SlopesError(path, "file", str(error)) from error
 
 
-class WholeAgent(DiscoveryAgent):
-    """An agent that tells the whole list whenever it is asked to."""
+class FullListAgent(DiscoveryAgent):
+    """Is a discovery agent that sends the full list on demand."""
 
-    def whole(self) -> None:
-        """To every watch."""
+    def send_full_list(self) -> None:
+        """Sends the full list to every watch."""
         for watch in self._watches:
             watch.send_update(self.backend_list.snapshot(self.gateway))
 
 
 class Caller(asyncio.Protocol):
-    """One kept connection, one call at a time."""
+    """Holds one reused connection with one call at a time."""
 
     def __init__(self, end: bytes, done: Callable[[Caller, float], None]) -> None:
         self._end, self._done, self._began = end, done, 0.0
@@ -112,22 +113,22 @@
 
     @property
     def open(self) -> bool:
-        """Whether it can be used again: a gateway closes connections that rest for long."""
+        """Returns whether it can be used again: a gateway closes connections that are idle for long."""
         return self._transport is not None and not self._transport.is_closing()
 
     def ask(self, command: bytes) -> None:
-        """One call; `done` is told of its end."""
-        self._began = time.perf_counter()  # the loop's own clock counts whole ms
+        """Sends one call; `done` is called at its end."""
+        self._began = time.perf_counter()  # The loop's own clock counts whole ms.
         cast(asyncio.Transport, self._transport).write(command)
 
     def data_received(self, data: bytes) -> None:
         if not data.endswith(self._end):
-            raise RuntimeError(f"found {data[:80]!r}, wanted a served answer: no fair work")
+            raise RuntimeError(f"answer: must end with {self._end!r}, got {data[:80]!r}")
         self._done(self, time.perf_counter() - self._began)
 
 
-class Way:
-    """Calls to one of some addresses, each on a kept connection; `times` are those of the span."""
+class CallPath:
+    """Sends calls to some addresses on reused connections; `times` holds the durations within the span."""
 
     def __init__(self, addresses: list[Address], end: bytes, seed: int) -> None:
         self._addresses, self._end, self._rng = addresses, end, random.Random(seed)
@@ -137,26 +138,26 @@
         self.counting = False
 
     async def call(self) -> None:
-        """One call, on a connection that rests or a new one."""
+        """Sends one call on an idle or a new connection."""
         while self._idle and not self._idle[-1].open:
             self._idle.pop()
         if not self._idle:
             at = self._rng.choice(self._addresses)
             loop = asyncio.get_running_loop()
-            _, caller = await loop.create_connection(lambda: Caller(self._end, self._ended), *at)
+            _, caller = await loop.create_connection(lambda: Caller(self._end, self._on_end), *at)
             self._idle.append(caller)
         self._idle.pop().ask(self._one())
 
-    def _ended(self, caller: Caller, took: float) -> None:
+    def _on_end(self, caller: Caller, duration: float) -> None:
         self._idle.append(caller)
         if self.counting:
-            self.times.append(took)
+            self.times.append(duration)
 
     async def run(self, span: float) -> None:
-        """Calls at chance moments, `RATE` a second, whatever the answers take."""
+        """Sends `RATE` calls per second at random times, independent of the duration of the answers."""
         loop = asyncio.get_running_loop()
-        due, end = loop.time(), loop.time() + WARM + span
-        counted = due + WARM
+        due, end = loop.time(), loop.time() + WARM_UP_S + span
+        counted = due + WARM_UP_S
         async with asyncio.TaskGroup() as group:
             while due < end:
                 due += self._rng.expovariate(RATE)
@@ -166,40 +167,40 @@
         await asyncio.sleep(0.5)
 
 
-async def lag(lags: list[float]) -> None:
-    """Notes how late this loop is at each beat."""
+async def record_lag(lags: list[float]) -> None:
+    """Appends the lag of this loop at each check."""
     while True:
-        due = time.perf_counter() + BEAT
-        await asyncio.sleep(BEAT)
+        due = time.perf_counter() + CHECK_INTERVAL_S
+        await asyncio.sleep(CHECK_INTERVAL_S)
         lags.append(max(0.0, time.perf_counter() - due))
 
 
-async def lists(agent: WholeAgent, told: list[int]) -> None:
-    """A full list every so often."""
+async def send_lists(agent: FullListAgent, sent: list[int]) -> None:
+    """Sends a full list at each interval, and counts them in `sent`."""
     while True:
-        await asyncio.sleep(LIST_EVERY)
-        agent.whole()
-        told.append(1)
+        await asyncio.sleep(LIST_INTERVAL_S)
+        agent.send_full_list()
+        sent.append(1)
 
 
 def percentiles(times: list[float]) -> tuple[float, float]:
-    """p50 and p99."""
+    """Returns p50 and p99."""
     cuts = quantiles(times, n=100, method="inclusive")
     return cuts[49], cuts[98]
 
 
 async def measure(span: float) -> Latency:
-    """One run of so many s. Raises RuntimeError where a request was not served."""
+    """Runs for `span` seconds. Raises RuntimeError if a request was not served."""
     process, nodes = await spawn("nodes", str(BACKENDS))
     try:
         with tempfile.TemporaryDirectory() as folder:
-            return await _beside(nodes, Path(folder), span)
+            return await _measure_with_gateway(nodes, Path(folder), span)
     finally:
         process.kill()
         await process.wait()
 
 
-async def _beside(nodes: list[Address], folder: Path, span: float) -> Latency:
+async def _measure_with_gateway(nodes: list[Address], folder: Path, span: float) -> Latency:
     listed, ledger, ports = BackendList(), Ledger(), Ports()
     for number, address in enumerate(nodes):
         listed.put(
@@ -213,7 +214,7 @@
                 0,
             )
         )
-    agent = WholeAgent(listed, 0, ledger)
+    agent = FullListAgent(listed, 0, ledger)
     await agent.start()
     at, peer = ports.tcp(), "{}:{}".format(*ports.udp())
     config = {
@@ -229,30 +230,32 @@
     gateway = GatewayProcess("n0", at, config, folder, ledger, max_descriptors=1024)
     await gateway.start()
     try:
-        return await _both(nodes, at, agent, span)
+        return await _measure_both_paths(nodes, at, agent, span)
     finally:
         await gateway.kill()
         agent.close()
         ports.close()
 
 
-async def _both(nodes: list[Address], at: Address, agent: WholeAgent, span: float) -> Latency:
-    direct, by_gateway = Way(nodes, ANSWER, 1), Way([at], SERVED, 2)
-    lags, told = list[float](), list[int]()
+async def _measure_both_paths(
+    nodes: list[Address], at: Address, agent: FullListAgent, span: float
+) -> Latency:
+    direct, by_gateway = CallPath(nodes, ANSWER, 1), CallPath([at], SERVED, 2)
+    lags, sent = list[float](), list[int]()
     loop = asyncio.get_running_loop()
-    beside = [loop.create_task(lag(lags)), loop.create_task(lists(agent, told))]
+    tasks = [loop.create_task(record_lag(lags)), loop.create_task(send_lists(agent, sent))]
     try:
         await asyncio.gather(direct.run(span), by_gateway.run(span))
     finally:
-        for task in beside:
+        for task in tasks:
             task.cancel()
     late = percentiles(lags)[1]
     return Latency(
         run=this_run("python -m benchmarks.scale.latency"),
-        void=late > LAG_MOST,
+        void=late > MAX_LAG_S,
         requests=min(len(direct.times), len(by_gateway.times)),
         backends=BACKENDS,
-        lists=len(told),
+        lists=len(sent),
         direct=percentiles(direct.times),
         gateway=percentiles(by_gateway.times),
         lag_p99=late,
@@ -261,14 +264,14 @@
 
 
 def main() -> int:
-    """Exit status: 1 for a run that is void."""
+    """Runs the command; returns exit status 1 for a void run."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="15 s, and nothing is kept")
+    parser.add_argument("--quick", action="store_true", help="runs for 15 s and stores nothing")
     quick = parser.parse_args().quick
     made = uvloop.run(measure(SPAN_QUICK if quick else SPAN))
     say(made.text())
-    kept = None if quick else load()
-    if not quick and not (made.void and kept is not None and not kept.void):
+    stored = None if quick else load()
+    if not quick and not (made.void and stored is not None and not stored.void):
         LATENCY.write_bytes(msgspec.json.format(msgspec.json.encode(made), indent=2) + b"\n")
     print(
         json.dumps(
--- a/benchmarks/scale/module.py
+++ b/benchmarks/scale/module.py
@@ -1,7 +1,8 @@
-"""Slopes of one gateway's decision module: CPU and memory against backends, tenants, customers and members.
+"""Measures slopes of one gateway's decision module, by backends, tenants, customers and members.
 
-Each subject of `subjects.py` runs in a fresh process, several times a size; the median counts. A figure whose
-middle half of repeats spreads over a fifth of the median after another try is void, and says so.
+The slopes are those of CPU and memory. Each subject of `subjects.py` runs in fresh processes, several for
+each size, and the median counts. A figure is void if the middle half of its repeats still spreads over a
+fifth of the median after another try.
 """
 
 from __future__ import annotations
@@ -21,25 +22,25 @@
 from .fit import Point
 from .slopes import Measurement, Run, measurement
 
-REPEATS = 5  # fresh processes a size
-TRIES = 2  # of all repeats of a size, where they spread
-SPREAD_MOST = 0.2  # of the median, between the quartiles of the repeats
-CHILD_MOST = 120.0  # s for one process
-DOUBLINGS = 4  # the sizes are the hold-out's halves: four of them are fitted
+REPEATS = 5  # Fresh processes for each size.
+TRIES = 2  # Of all repeats of a size, if they spread.
+MAX_SPREAD = 0.2  # Between the quartiles of the repeats, as a share of the median.
+CHILD_TIMEOUT_S = 120.0
+DOUBLINGS = 4  # The hold-out is halved so often; each result is a fitted size.
 
-SERVICE_BACKENDS = 28  # 59,000 in 2,100 services
+SERVICE_BACKENDS = 28  # There are 59,000 in 2,100 services.
 MEGABYTE = 1e6
-MEMORY = 64 * MEGABYTE  # bytes that all control together may take in a gateway
-BYTES = 5_000.0  # bytes/s that all control together may take of a gateway
-SHARE = 0.018  # of a core that all control together may take in a gateway
-ADDED = 0.0043  # s that may be added to a request, for 99 in 100
-LINE = 4 << 20  # bytes of a list's line that a gateway takes (lists/agent.py)
+MEMORY = 64 * MEGABYTE  # Bytes, the limit of all control tasks in a gateway.
+BYTES = 5_000.0  # Bytes/s, the limit of all control tasks in a gateway.
+SHARE = 0.018  # Of a core, the limit of all control tasks in a gateway.
+ADDED = 0.0043  # s, the limit of the latency added to a request at the 99th percentile.
+LINE = 4 << 20  # Bytes, the longest line of a list that a gateway accepts (lists/agent.py).
 
 Figures = dict[str, list[float]]
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """One figure of a subject: its unit, its limit in that unit, and what a reader must know of it."""
+    """Describes one figure of a subject: its unit, its limit in that unit, and a note for the reader."""
 
     unit: str
     limit: float | None
@@ -47,20 +48,20 @@
 
 
 class Subject(msgspec.Struct, frozen=True):
-    """One factor: what is counted, the size held out, and its figures by name."""
+    """Describes one factor: the things counted, the held-out size, and its figures by name."""
 
     name: str
     factor: str
     held_out: int
     kinds: dict[str, Kind]
-    # In subjects.py; its own name unless told.
+    # The function in `program`; empty if it has the name of the subject.
     function: str = ""
-    # The module that has it.
+    # The module that has the function.
     program: str = "subjects"
 
     @property
     def sizes(self) -> tuple[int, ...]:
-        """The smaller ones, which are fitted, and last the hold-out at twice the largest of them."""
+        """Returns the fitted sizes, and last the hold-out at twice the largest of them."""
         return tuple(max(1, self.held_out >> shift) for shift in range(DOUBLINGS, -1, -1))
 
 
@@ -91,7 +92,7 @@
             "change_bytes": Kind("bytes", None, "one backend's change"),
         },
     ),
-    # The same at the backends of some 16 services.
+    # This measures the same at the backends of some 16 services.
     Subject(
         "carried",
         "backends of its services",
@@ -244,18 +245,18 @@
 
 
 class Outcome(msgspec.Struct):
-    """Medians at one size, and the figures whose repeats spread too far."""
+    """Holds the median and the spread of each figure at one size."""
 
     medians: dict[str, float]
     spread: dict[str, float]
 
 
 class ChildError(RuntimeError):
-    """A child process that ended without figures."""
+    """Reports a child process that ended without figures."""
 
 
 def this_run(command: str) -> Run:
-    """A run of `command` at this moment, as the file of slopes names it."""
+    """Returns the run of `command` now, as the file of slopes names it."""
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=False
     ).stdout.strip()
@@ -267,19 +268,19 @@
 
 
 def spread(values: list[float]) -> float:
-    """The width of the middle half, as a share of the median."""
+    """Returns the width of the middle half of the values, as a share of the median."""
     low, _, high = quantiles(values, n=4, method="inclusive")
     middle = median(values)
     return (high - low) / middle if middle else 0.0
 
 
 def child(name: str, size: int, program: str = "subjects") -> dict[str, float]:
-    """One fresh process. Raises ChildError."""
+    """Runs one subject in a fresh process and returns its figures. Raises ChildError."""
     command = [sys.executable, "-m", f"benchmarks.scale.{program}", name, str(size)]
     try:
-        ended = subprocess.run(command, capture_output=True, text=True, timeout=CHILD_MOST, check=False)
+        ended = subprocess.run(command, capture_output=True, text=True, timeout=CHILD_TIMEOUT_S, check=False)
     except subprocess.TimeoutExpired as error:
-        raise ChildError(f"{name} {size}: not done within {CHILD_MOST:g} s") from error
+        raise ChildError(f"{name} {size}: not finished within {CHILD_TIMEOUT_S:g} s") from error
     if ended.returncode:
         raise ChildError(f"{name} {size}: {ended.stderr.strip().splitlines()[-1:]}")
     figures: dict[str, float] = json.loads(ended.stdout)
@@ -287,30 +288,30 @@
 
 
 def measure_size(subject: Subject, size: int, repeats: int) -> Outcome:
-    """The medians of so many processes; all of them once more if any figure spreads."""
+    """Returns the medians of `repeats` processes; repeats all of them if any figure spreads too far."""
     outcome = Outcome({}, {})
     for _ in range(TRIES):
         name = subject.function or subject.name
-        told = [child(name, size, subject.program) for _ in range(repeats)]
-        columns = {key: [each[key] for each in told] for key in subject.kinds}
+        results = [child(name, size, subject.program) for _ in range(repeats)]
+        columns = {key: [each[key] for each in results] for key in subject.kinds}
         outcome = Outcome(
             {key: median(values) for key, values in columns.items()},
             {key: spread(values) for key, values in columns.items()},
         )
-        if max(outcome.spread.values()) <= SPREAD_MOST:
+        if max(outcome.spread.values()) <= MAX_SPREAD:
             break
     return outcome
 
 
 def measure_subject(subject: Subject, this: Run, repeats: int) -> list[Measurement]:
-    """One measurement for each of the subject's figures."""
+    """Returns one measurement for each of the subject's figures."""
     outcomes = {size: measure_size(subject, size, repeats) for size in subject.sizes}
     load = os.getloadavg()[0]
     made = []
     for key, kind in subject.kinds.items():
         points: list[Point] = [(size, outcome.medians[key]) for size, outcome in outcomes.items()]
         worst = max(outcome.spread[key] for outcome in outcomes.values())
-        busy = f"median of {repeats}, spread {worst:.0%}, load {load:.1f} on {os.cpu_count()} cores"
+        repeats_note = f"median of {repeats}, spread {worst:.0%}, load {load:.1f} on {os.cpu_count()} cores"
         made.append(
             measurement(
                 f"module.{subject.name}.{key}",
@@ -320,30 +321,30 @@
                 points[-1],
                 this,
                 limit=kind.limit,
-                void=worst > SPREAD_MOST,
-                note="; ".join(filter(None, (kind.note, busy))),
+                void=worst > MAX_SPREAD,
+                note="; ".join(filter(None, (kind.note, repeats_note))),
             )
         )
     return made
 
 
 def measure(names: Iterable[str] = (), repeats: int = REPEATS) -> list[Measurement]:
-    """All subjects, or those named; progress goes to standard error."""
+    """Measures all subjects, or those named; progress goes to standard error."""
     chosen = set(names)
-    words = " ".join(["python -m benchmarks.capacity --measure", *sorted(chosen)])
-    this = this_run(words if repeats == REPEATS else f"{words} --repeats {repeats}")
+    command = " ".join(["python -m benchmarks.capacity --measure", *sorted(chosen)])
+    this = this_run(command if repeats == REPEATS else f"{command} --repeats {repeats}")
     made = []
     for subject in SUBJECTS:
         if chosen and subject.name not in chosen:
             continue
         for found in measure_subject(subject, this, repeats):
-            say(tell(found))
+            say(summary(found))
             made.append(found)
     return made
 
 
-def tell(found: Measurement) -> str:
-    """One line for people."""
+def summary(found: Measurement) -> str:
+    """Formats a measurement in one line."""
     base, slope = found.coefficients
     state = "void" if found.void else "wrong" if found.wrong else "holds"
     return (
--- a/benchmarks/scale/operator_tools.py
+++ b/benchmarks/scale/operator_tools.py
@@ -1,6 +1,6 @@
-"""What the operator's tools spend at one size: `trackspread fleet view` over the whole fleet.
+"""Measures the operator's tools at one size: `trackspread fleet view` over all gateways.
 
-`python -m benchmarks.scale.operator_tools NAME SIZE`, as `subjects.py`.
+`python -m benchmarks.scale.operator_tools NAME SIZE` prints figures as `subjects.py` does.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def answer(size: int) -> bytes:
-    """What one gateway of so many says of its fleet."""
+    """Returns the answer of one of `size` gateways about its fleet."""
     seen = tuple(
         MemberReport(
             f"gateway-{number:04}",
@@ -52,22 +52,25 @@
 
 
 def fleet_view(size: int) -> Figures:
-    """All gateways' answers read and compared; each tells of all members. Asking takes its time beside it."""
-    told = answer(size)
-    steps = [duration_of(partial(compare, told, size)) for _ in range(REPEATS)]
-    return {"bytes": len(told) * size, "cpu": median(steps)}
+    """Measures reading and comparing the answers of all gateways, each about all members.
 
+    The time of the queries is not included.
+    """
+    data = answer(size)
+    steps = [duration_of(partial(compare, data, size)) for _ in range(REPEATS)]
+    return {"bytes": len(data) * size, "cpu": median(steps)}
 
-def compare(told: bytes, size: int) -> None:
-    """As the command does it."""
-    differences([decode("10.0.0.1:8081", told) for _ in range(size)])
+
+def compare(data: bytes, size: int) -> None:
+    """Compares the answers as the command does."""
+    differences([decode("10.0.0.1:8081", data) for _ in range(size)])
 
 
 SUBJECTS = {subject.__name__: subject for subject in (fleet_view,)}
 
 
-def main(words: Iterable[str]) -> int:
-    return print_figures(SUBJECTS, words)
+def main(arguments: Iterable[str]) -> int:
+    return print_figures(SUBJECTS, arguments)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/quota_traffic.py
+++ b/benchmarks/scale/quota_traffic.py
@@ -1,6 +1,6 @@
-"""What a gateway says for its customers' limits at one size: asks to homes, a shared counter's beats.
+"""Measures a gateway's traffic for quotas at one size: messages to quota owners and counter heartbeats.
 
-`python -m benchmarks.scale.quota_traffic NAME SIZE`, as `subjects.py`.
+`python -m benchmarks.scale.quota_traffic NAME SIZE` prints figures as `subjects.py` does.
 """
 
 from __future__ import annotations
@@ -40,33 +40,33 @@
     duration_of,
 )
 
-ASKER, HOME = 0, 1  # gateways by number
-CUSTOMERS = 40  # of which the home is the other one
-SPAN = 5  # s that are counted
-PARTITIONS = 8  # of a counter, its default
+ASKER, OWNER = 0, 1  # Gateways by number.
+CUSTOMERS = 40  # Their quota owner is the other gateway.
+SPAN_S = 5
+PARTITIONS = 8  # The default of a counter.
 
 
 def fleet(me: int, size: int = MEMBERS) -> FleetChanged:
-    """The view of so many as one of them has it; each has its even part."""
-    seats = tuple(slots_of((number, size)) for number in range(size))
+    """Returns a view of `size` members for the member `me`; each has an equal part of the slots."""
+    slots_by_gateway = tuple(slots_of((number, size)) for number in range(size))
     others = tuple(number for number in range(size) if number != me)
     return FleetChanged(
         own_number=me,
         peers=others,
         quota_owners=tuple(range(size)),
-        gateway_slots=seats,
-        own_slots=seats[me],
-        peer_slots=tuple(seats[number] for number in others),
+        gateway_slots=slots_by_gateway,
+        own_slots=slots_by_gateway[me],
+        peer_slots=tuple(slots_by_gateway[number] for number in others),
         valid_until_ns=2 * START,
         reassigned_at_ns=2 * START,
     )
 
 
 class Pair:
-    """A gateway that asks and the home of its customers, with all bytes that they say to one another."""
+    """Connects a gateway with the quota owner of its customers, and counts the bytes between them."""
 
     def __init__(self) -> None:
-        self.drivers = [Driver(replace(settings(), gateway_index=number)) for number in (ASKER, HOME)]
+        self.drivers = [Driver(replace(settings(), gateway_index=number)) for number in (ASKER, OWNER)]
         self.bytes = self.sent = 0
         self._wire = Wire("rating-eu", Keys(b"k" * 32), MEMBERS)
         self._part = slots_to_bytes(slots_of((0, MEMBERS)) & ALL_SLOTS)
@@ -75,11 +75,11 @@
             driver.handle(full_list(SERVICE, 1))
 
     def request(self, customer: int) -> None:
-        """One from its arrival to its end."""
+        """Runs one request of a customer from its arrival to its end."""
         self._do(ASKER, self.drivers[ASKER].ask(customer, MEMBERS))
 
     def pause(self, span: int) -> None:
-        """So many ns go by."""
+        """Advances the time by `span` ns."""
         for driver in self.drivers:
             driver.now += span
 
@@ -98,48 +98,54 @@
 
 
 def asks(size: int) -> Figures:
-    """So many requests a second whose customers' homes are other gateways. What one sends as asker and as
-    home of others' customers is what it receives, as all are alike."""
+    """Measures `size` requests per second of customers with other gateways as quota owners.
+
+    As all gateways are alike, each receives as many bytes as it sends as asker and as owner.
+    """
     pair = Pair()
-    homes = tuple(range(MEMBERS))
-    customers = [each for each in range(1, 200 * CUSTOMERS) if owner_among(homes, each) == HOME][:CUSTOMERS]
+    gateways = tuple(range(MEMBERS))
+    customers = [each for each in range(1, 200 * CUSTOMERS) if owner_among(gateways, each) == OWNER][
+        :CUSTOMERS
+    ]
     turns = cycle(customers)
-    for _ in range(size * SPAN):
+    for _ in range(size * SPAN_S):
         pair.request(next(turns))
         pair.pause(SECOND // size)
-    if pair.sent < size * SPAN:
-        raise RuntimeError(f"{pair.sent} of {size * SPAN} sent on: no fair work")
-    return {"bytes": pair.bytes / SPAN}
+    if pair.sent < size * SPAN_S:
+        raise RuntimeError(f"forwarded requests: must be at least {size * SPAN_S}, got {pair.sent}")
+    return {"bytes": pair.bytes / SPAN_S}
 
 
 def counter_heartbeats(size: int) -> Figures:
-    """A gateway's beats in all partitions of a counter that so many share, for one second."""
+    """Measures a gateway's heartbeats of one second in all partitions of a counter shared by `size`."""
     leases = LeaseManager(0, size, PARTITIONS, 1, 7, START, lambda member: (0.0, 0.0))
     now, taken, read = START, list[float](), 0
-    for beat in range(2 * REPEATS):
-        raw = _beats(size, beat)
+    for heartbeat in range(2 * REPEATS):
+        raw = _heartbeat_replies(size, heartbeat)
         now += HEARTBEAT_NS
         calls = [out for out in leases.tick(now) if isinstance(out, Call)]
         used = sum(duration_of(partial(_answer, leases, now, call, raw)) for call in calls)
         taken.append(used)
         read = len(raw)
-    each_second = SECOND / HEARTBEAT_NS
-    return {"bytes": PARTITIONS * read * each_second, "cpu": median(taken) * each_second}
+    per_second = SECOND / HEARTBEAT_NS
+    return {"bytes": PARTITIONS * read * per_second, "cpu": median(taken) * per_second}
 
 
-def _beats(size: int, beat: int) -> bytes:
-    """The counter's replies to one beat: the write's, all fields, the name's life, the time."""
+def _heartbeat_replies(size: int, heartbeat: int) -> bytes:
+    """Returns the counter's replies to one heartbeat: to the write, all fields, the expiry and the time."""
     fields = [(TOKEN_FIELD, b"t" * 8)]
-    clock = 1_000_000 + beat * HEARTBEAT_NS // 1_000_000
-    fields += [(b"%d" % slot, pack_heartbeat(Heartbeat(slot + 1, beat + 1, clock))) for slot in range(size)]
+    clock = 1_000_000 + heartbeat * HEARTBEAT_NS // 1_000_000
+    fields += [
+        (b"%d" % slot, pack_heartbeat(Heartbeat(slot + 1, heartbeat + 1, clock))) for slot in range(size)
+    ]
     words = b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for pair in fields for word in pair)
     time = [b"%d" % (clock // 1000), b"%d" % (clock % 1000 * 1000)]
-    told = b"*2\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in time)
-    return b":0\r\n:0\r\n*%d\r\n%b:1\r\n%b" % (2 * len(fields), words, told)
+    time_reply = b"*2\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in time)
+    return b":0\r\n:0\r\n*%d\r\n%b:1\r\n%b" % (2 * len(fields), words, time_reply)
 
 
 def _answer(leases: LeaseManager, now: int, call: Call, raw: bytes) -> None:
-    """As the host does it: parse, read, take in."""
+    """Parses and handles replies as the host does."""
     reader = hiredis.Reader()
     reader.feed(raw)
     results = []
--- a/benchmarks/scale/subjects.py
+++ b/benchmarks/scale/subjects.py
@@ -1,7 +1,8 @@
-"""What one gateway's decision module costs at one size of one factor: each subject runs in a fresh process.
+"""Measures the costs of one gateway's decision module at one size of one factor, in a fresh process.
 
-`python -m benchmarks.scale.subjects NAME SIZE` prints a JSON object of figures: seconds of this process's own
-CPU clock, bytes by the growth of its resident size. `module.py` starts these and takes medians.
+`python -m benchmarks.scale.subjects NAME SIZE` prints a JSON object of figures: seconds by the CPU clock of
+this process, and bytes by the growth of its resident size. `module.py` starts these processes and takes
+medians.
 """
 
 from __future__ import annotations
@@ -39,15 +40,16 @@
 
 SECOND = 1_000_000_000
 START = 1000 * SECOND
-PAGE = os.sysconf("SC_PAGE_SIZE")
-REPEATS = 9  # of each timed step within one process, at least
-REPEATS_MOST, REPEATS_WORK = 300, 60_000  # and where the step is short, by its size
-VIEWS = 41  # changes of the view, each of well under 1 ms
-SERVICE = 28  # backends of one service: 59,000 in 2,100
-MEMBERS = 40  # gateways of a subject whose factor is another one
-ARRIVALS_LEAST, ARRIVALS_WORK = 60, 400_000  # requests timed: so many backends looked at in all, or more
-ASKING = 300  # customers whose requests end in an ask to their homes
-KNOWN = 200  # customers that have come before, of those that arrive
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+REPEATS = 9  # The least number of repeats of each timed step within one process.
+MAX_REPEATS, REPEATED_UNITS = 300, 60_000  # Short steps are repeated for so many units of size in total.
+VIEWS = 41  # Changes of the view, each of which takes well under 1 ms.
+SERVICE = 28  # Backends of one service: 59,000 in 2,100.
+MEMBERS = 40  # Gateways, for subjects with another factor.
+# At least so many requests are timed, and more until they have examined so many backends in total.
+MIN_ARRIVALS, ARRIVAL_BACKENDS = 60, 400_000
+ASKING = 300  # Customers whose requests wait for an answer of their quota owner.
+KNOWN = 200  # Customers that the gateway already knows.
 
 Figures = dict[str, float]
 
@@ -63,7 +65,7 @@
 
 
 def settings(gateways: int = MEMBERS, plans: tuple[Plan, ...] = (PLAN,)) -> Settings:
-    """What the module is told at its start; customers have homes, as in every fleet of over some six."""
+    """Returns the settings of the module; customers have quota owners, as in every fleet of over some six."""
     return plain_settings(
         plans[0],
         plans=plans,
@@ -81,20 +83,20 @@
 
 
 def resident() -> int:
-    """Bytes that this process holds resident, after a collection."""
+    """Returns the resident bytes of this process after a garbage collection."""
     gc.collect()
-    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
+    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def duration_of(step: Callable[[], object]) -> float:
-    """Seconds of CPU that `step` used."""
+    """Returns the CPU seconds that `step` used."""
     began = time.process_time_ns()
     step()
     return (time.process_time_ns() - began) / SECOND
 
 
 def full_list(size: int, version: int) -> EndpointUpdate:
-    """So many ready backends, in services of some 28; every call makes new entries, as a parsed line does."""
+    """Returns a list of `size` ready backends in services of 28, with new entries as of a parsed line."""
     entries = tuple(
         Backend(number, number % 12, 0, number // SERVICE, Health.READY, 1.0, 0)
         for number in range(1, size + 1)
@@ -103,15 +105,17 @@
 
 
 def drain(number: int) -> EndpointUpdate:
-    """Discovery's word that one backend drains."""
+    """Returns an update in which one backend is draining."""
     return EndpointUpdate(
         EndpointUpdateKind.DELTA, 100, (Backend(number, number % 12, 0, 0, Health.DRAINING, 1.0, 0),)
     )
 
 
 class Driver:
-    """Feeds one module: requests that are answered at once, and time. `broker`: the module, or the first of
-    its services' brokers."""
+    """Drives one module with time and requests that are answered at once.
+
+    `broker` is the module, or the first broker of its services.
+    """
 
     def __init__(self, made: Settings, carried: int = 1) -> None:
         self.now = START
@@ -126,12 +130,12 @@
         return self.module.handle(self.now, event)
 
     def tick(self) -> None:
-        """The module's own beat."""
+        """Advances the time by one tick of the module."""
         self.now += TICK
         self.handle(TimerFired(TICK_TIMER))
 
     def ask(self, customer: int, spread: int = 1, first: int = 0, cls: int = 0) -> list[Action]:
-        """One request of a customer, at this instant."""
+        """Sends one request of a customer now."""
         self._request += 1
         valid_until = self.now + 3 * SECOND
         return self.handle(
@@ -139,7 +143,7 @@
         )
 
     def serve(self, customer: int, cls: int = 0) -> float:
-        """CPU seconds of one request from its arrival to its end; it must have been sent on."""
+        """Returns the CPU seconds of one request from its arrival to its end; it must be forwarded."""
         self.now += SECOND // 67
         began = time.process_time_ns()
         actions = self.ask(customer, cls=cls)
@@ -149,12 +153,12 @@
             self.handle(ended)
         used = time.process_time_ns() - began
         if not sent:
-            raise RuntimeError(f"customer {customer}: not sent on, no fair work: {actions}")
+            raise RuntimeError(f"customer {customer}: request must be forwarded, got {actions}")
         return used / SECOND
 
 
 def local_customers(count: int, driver: Driver) -> list[int]:
-    """Customers whose requests go on at once, as this gateway is their home."""
+    """Returns customers whose requests are forwarded at once, as this gateway is their quota owner."""
     quota, found = driver.broker.quota, list[int]()
     customer = 1
     while len(found) < count:
@@ -168,45 +172,51 @@
 
 
 def served(driver: Driver, customers: list[int], count: int) -> list[float]:
-    """CPU seconds of each of so many requests, of customers in turn."""
+    """Returns the CPU seconds of each of `count` requests, from the customers in turn."""
     return [driver.serve(customers[number % len(customers)]) for number in range(count)]
 
 
 def arrivals(size: int) -> int:
-    """Requests to time where each looks at so many backends."""
-    return max(ARRIVALS_LEAST, ARRIVALS_WORK // max(1, size))
+    """Returns the number of timed requests if each examines `size` backends."""
+    return max(MIN_ARRIVALS, ARRIVAL_BACKENDS // max(1, size))
 
 
 def repeats(size: int) -> int:
-    """Of a step whose cost grows with `size`: small ones are short, and need more for a sound median."""
-    return max(REPEATS, min(REPEATS_MOST, REPEATS_WORK // max(1, size)))
+    """Returns the repeats of a step whose cost grows with `size`.
+
+    Small steps are short and need more repeats for a stable median.
+    """
+    return max(REPEATS, min(MAX_REPEATS, REPEATED_UNITS // max(1, size)))
 
 
 def backends(size: int) -> Figures:
-    """A list of all backends of the fleet, in one module."""
+    """Measures a list of all backends of the fleet in one module."""
     driver = Driver(settings(gateways=1))
-    costs = _listed(driver, partial(full_list, size), repeats(size), repeats(size))
+    costs = _measure_list(driver, partial(full_list, size), repeats(size), repeats(size))
     beats = [duration_of(driver.tick) for _ in range(repeats(size))]
     requests = served(driver, local_customers(KNOWN, driver), arrivals(size))
     return {**costs, "beat": median(beats) * SECOND / TICK, "arrival": median(requests)}
 
 
-def _listed(driver: Driver, made: Callable[[int], EndpointUpdate], lists: int, changes: int) -> Figures:
-    """What a first list, later whole ones and one backend's changes cost; `made`: the list by its version."""
+def _measure_list(driver: Driver, made: Callable[[int], EndpointUpdate], lists: int, changes: int) -> Figures:
+    """Measures a first list, later full lists and changes of one backend.
+
+    `made` returns the list of a version.
+    """
     empty = resident()
     listed = [made(1)]
     first = duration_of(lambda: driver.handle(listed.pop()))
     held = resident() - empty
     again = []
     for version in range(2, 2 + lists):
-        whole = made(version)
-        again.append(duration_of(partial(driver.handle, whole)))
+        full = made(version)
+        again.append(duration_of(partial(driver.handle, full)))
     drained = [duration_of(partial(driver.handle, drain(1))) for _ in range(changes)]
     return {"memory": held, "list_first": first, "list": median(again), "change": median(drained)}
 
 
 def candidates(size: int) -> Figures:
-    """A request that sees the backends of its own service alone."""
+    """Measures a request if only the backends of its own service are known."""
     driver = Driver(settings(gateways=1))
     driver.handle(full_list(size, 1))
     customers = local_customers(KNOWN, driver)
@@ -215,27 +225,27 @@
 
 
 def services(size: int) -> Figures:
-    """So many services of `SERVICE` backends each, with brokers of their own and shared quotas."""
+    """Measures `size` services of `SERVICE` backends, each with its broker, and with shared quotas."""
     classes = tuple(
         replace(each, name=f"service-{number}/{each.name}") for number in range(size) for each in CLASSES
     )
     driver = Driver(replace(settings(gateways=1), classes=classes), size)
-    costs = _listed(driver, partial(_by_service, size), REPEATS, REPEATS_MOST)
+    costs = _measure_list(driver, partial(_by_service, size), REPEATS, MAX_REPEATS)
     customers = local_customers(KNOWN, driver)
     requests = [driver.serve(customers[number % KNOWN], number % len(classes)) for number in range(6000)]
-    beats = [duration_of(driver.tick) for _ in range(REPEATS_MOST)]
+    beats = [duration_of(driver.tick) for _ in range(MAX_REPEATS)]
     return {**costs, "beat": median(beats) * SECOND / TICK, "arrival": median(requests[3000:])}
 
 
 def _by_service(size: int, version: int) -> EndpointUpdate:
-    """The list of all their backends."""
+    """Returns the list of the backends of `size` services."""
     entries = full_list(size * SERVICE, version).backends
-    told = tuple(replace(entry, service=number // SERVICE) for number, entry in enumerate(entries))
-    return EndpointUpdate(EndpointUpdateKind.FULL, version, told)
+    by_service = tuple(replace(entry, service=number // SERVICE) for number, entry in enumerate(entries))
+    return EndpointUpdate(EndpointUpdateKind.FULL, version, by_service)
 
 
 def line(size: int) -> Figures:
-    """Discovery's whole list on the wire, and what its parsing costs."""
+    """Measures the size and the parsing of a full endpoint list."""
     hosts = [
         {
             "host": f"s-{number:08x}",
@@ -262,7 +272,7 @@
 
 
 def plans(size: int) -> Figures:
-    """Figures of so many plans, as where each tenant has its own; then all of them changed at once."""
+    """Measures `size` plans, as if each tenant had its own, and a change of all of them at once."""
     empty = resident()
     driver = Driver(settings(plans=tuple(replace(PLAN, name=f"plan-{n}") for n in range(size))))
     held = resident() - empty
@@ -275,7 +285,7 @@
 
 
 def reservations(size: int) -> Figures:
-    """So many tenants with a reservation of their own on top of a common plan; then all changed at once."""
+    """Measures `size` tenants with a reservation each and a common plan, and a change of all at once."""
     driver = Driver(settings())
     empty = resident()
     made = [PlansChanged((PLAN,), tuple((customer, 5.0, 10.0) for customer in range(size)))]
@@ -290,7 +300,10 @@
 
 
 def customers(size: int) -> Figures:
-    """So many customers with a request under way; beats of two seconds, in which each is evaluated once."""
+    """Measures `size` customers with a request in flight.
+
+    The ticks of two seconds evaluate each of them once.
+    """
     driver = Driver(settings(gateways=1))
     driver.handle(full_list(SERVICE, 1))
     empty = resident()
@@ -299,14 +312,17 @@
     held = resident() - empty
     open_now = len(driver.broker.requests.open_requests)
     if open_now < size:
-        raise RuntimeError(f"{open_now} of {size} requests under way: no fair work")
-    calm = [duration_of(lambda: _beats(driver, 20)) / 2.0 for _ in range(REPEATS)]
+        raise RuntimeError(f"requests in flight: must be at least {size}, got {open_now}")
+    calm = [duration_of(lambda: _run_ticks(driver, 20)) / 2.0 for _ in range(REPEATS)]
     return {"memory": held, "beat": median(calm)}
 
 
 def pressed(size: int) -> Figures:
-    """So many customers under way while answers come late: each commitment is solved beside all others. The
-    model's pressure is set by hand, and all are due at once."""
+    """Measures the evaluation of `size` commitments, each solved together with all others.
+
+    All have a request in flight while answers are late. The pressure of the model is set directly, and all
+    commitments are due at once.
+    """
     driver = Driver(settings(gateways=1))
     driver.handle(full_list(SERVICE, 1))
     for customer in range(size):
@@ -321,8 +337,11 @@
 
 
 def members(size: int) -> Figures:
-    """The view as the module has it: a change of it, and requests after one. Nearly all customers' homes are
-    other gateways, so that a request ends in an ask; its cost is that of the arrival alone."""
+    """Measures a change of the view, and requests after it.
+
+    Nearly all customers have other gateways as quota owners, so that a request ends in a message to one. Its
+    cost is that of the arrival only.
+    """
     driver = Driver(settings(gateways=size))
     driver.handle(full_list(SERVICE, 1))
     made = [view(size, gone) for gone in range(1, 1 + VIEWS)]
@@ -335,23 +354,23 @@
 
 
 def view(size: int, gone: int) -> FleetChanged:
-    """A view of so many members, but for one; this gateway and every other has one part in `size`."""
+    """Returns a view of `size` members without `gone`; each member has one part in `size` of the slots."""
     others = tuple(number for number in range(1, size) if number != gone)
-    seats = tuple(slots_of((number, size)) for number in range(size))
-    slots = seats[0] or 1
+    slots_by_gateway = tuple(slots_of((number, size)) for number in range(size))
+    slots = slots_by_gateway[0] or 1
     return FleetChanged(
         own_number=0,
         peers=others,
         quota_owners=(0, *others),
-        gateway_slots=seats,
+        gateway_slots=slots_by_gateway,
         own_slots=slots,
-        peer_slots=tuple(seats[number] for number in others),
+        peer_slots=tuple(slots_by_gateway[number] for number in others),
         valid_until_ns=2 * START,
         reassigned_at_ns=2 * START,
     )
 
 
-def _beats(driver: Driver, count: int) -> None:
+def _run_ticks(driver: Driver, count: int) -> None:
     for _ in range(count):
         driver.tick()
 
@@ -373,7 +392,7 @@
 
 
 def print_figures(named: Mapping[str, Callable[[int], Figures]], words: Iterable[str]) -> int:
-    """The command: a subject's name and a size. Exit status."""
+    """Runs the command with the name of a subject and a size; returns the exit status."""
     name, size = words
     print(json.dumps(named[name](int(size))))
     return 0
--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -1,7 +1,7 @@
-"""Cells at the size asked for, in virtual time: a zone that is lost, and a region that is cut off and heals.
+"""Simulates cells at the required size in virtual time: the loss of a zone, and a partition of a region.
 
-Each fault plays in a world of its own, so that worlds run side by side in processes of their own. May know:
-what every process holds, true time. May not know: sockets.
+Each fault has a simulation of its own, so that simulations run in parallel in processes of their own. The
+module knows the state of every process and the true time; it does not use sockets.
 """
 
 from __future__ import annotations
@@ -23,12 +23,15 @@
 from .bounds import Guard
 
 REGIONS, ZONES_EACH, MACHINES = 4, 3, 19
-STEP = SECOND // 4  # ns between looks at whether all is settled
+STEP_NS = SECOND // 4  # Between two checks whether all have settled.
 Fault = Literal["zone", "region"]
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One world. Times in s; `most`: until it has to be settled, from its start and from the fault on."""
+    """Describes one simulation, with times in seconds.
+
+    `most` is the most time to settle, after the start and after the fault.
+    """
 
     fault: Fault
     gateways: int
@@ -38,22 +41,25 @@
 
 
 class Played(msgspec.Struct, frozen=True):
-    """What came of it. Bytes a second are of virtual time, the greater of sent and received."""
+    """Holds the results of a simulation.
+
+    Bytes per second are by virtual time: the greater of sent and received.
+    """
 
     job: Job
-    start_s: float | None  # until all were settled after they had started at once
-    settle_s: float | None  # after the fault, or its heal
+    start_s: float | None  # Until all had settled after a simultaneous start.
+    settle_s: float | None  # After the fault, or after the partition ended.
     struck: int
-    false_dead: int  # live members in reach that somebody's own probes called dead
+    false_dead: int  # Live members that a member in reach declared dead by its own probes.
     peak_control_bytes_s: int
     peak_gateway_bytes_s: int
-    rest_control_bytes_s: int  # of the busiest, before the fault
+    rest_control_bytes_s: int  # Of the busiest, before the fault.
     rest_gateway_bytes_s: int
-    took_s: float  # of wall clock
+    took_s: float  # Wall clock time.
 
 
-class Watched:
-    """A world, what its processes send within each second, and whom they call dead by mistake."""
+class RecordedWorld:
+    """Runs a simulation, and records the traffic of each second and the live members declared dead."""
 
     def __init__(self, job: Job) -> None:
         self.job = job
@@ -62,8 +68,8 @@
         self._before: dict[str, tuple[int, int]] = {}
         self._second = 0
         self.peaks = {"c": 0, "g": 0}
-        self.mistaken: set[tuple[str, object]] = set()
-        self._suspects: dict[tuple[str, object], bool] = {}  # whether the way was cut when it was suspected
+        self.false_dead: set[tuple[str, object]] = set()
+        self._suspects: dict[tuple[str, object], bool] = {}  # Whether the two were cut off at the suspicion.
 
     def start(self) -> None:
         for process in list(self.world.processes.values()):
@@ -73,38 +79,38 @@
         return not self.world.settled()
 
     def run(self, span: float, until: Callable[[], bool] = lambda: False) -> float | None:
-        """s of virtual time until `until` holds; None where it does not within `span` s."""
-        world, begun = self.world, self.world.elapsed_ns
-        end = begun + int(span * SECOND)
+        """Returns the seconds of virtual time until `until` holds, or None if it does not within `span` s."""
+        world, started = self.world, self.world.elapsed_ns
+        end = started + int(span * SECOND)
         while world.elapsed_ns < end:
-            world.run_until(min(end, world.elapsed_ns + STEP))
+            world.run_until(min(end, world.elapsed_ns + STEP_NS))
             self._judge()
             self._count()
             if until():
-                return (world.elapsed_ns - begun) / SECOND
+                return (world.elapsed_ns - started) / SECOND
         return None
 
     def _judge(self) -> None:
-        """Verdicts by own probes on processes that run and were in reach all along."""
-        for _, teller, what in self.world.told:
+        """Records verdicts by own probes on running members that were in reach since the suspicion."""
+        for _, reporter, what in self.world.told:
             told = what.action if isinstance(what, MemberAction) else None
-            if not isinstance(told, StatusEvent) or told.kind != "member" or told.details["by"] != teller:
+            if not isinstance(told, StatusEvent) or told.kind != "member" or told.details["by"] != reporter:
                 continue
             about = told.details
-            key = teller, about["who"]
+            key = reporter, about["who"]
             if about["state"] == "SUSPECT":
-                self._suspects.setdefault(key, self._severed(teller, about["who"]))
+                self._suspects.setdefault(key, self._is_cut_off(reporter, about["who"]))
                 continue
-            apart = self._suspects.pop(key, False) or self._severed(teller, about["who"])
-            if about["state"] == "DEAD" and not apart and self._runs(about["who"]):
-                self.mistaken.add(key)
+            cut_off = self._suspects.pop(key, False) or self._is_cut_off(reporter, about["who"])
+            if about["state"] == "DEAD" and not cut_off and self._is_running(about["who"]):
+                self.false_dead.add(key)
         self.world.told.clear()
 
-    def _severed(self, teller: str, who: object) -> bool:
+    def _is_cut_off(self, reporter: str, who: object) -> bool:
         processes = self.world.processes
-        return self.world.severed(processes[teller], processes[str(who[0])])  # type: ignore[index]
+        return self.world.severed(processes[reporter], processes[str(who[0])])  # type: ignore[index]
 
-    def _runs(self, who: object) -> bool:
+    def _is_running(self, who: object) -> bool:
         core = self.world.processes[str(who[0])].core  # type: ignore[index]
         return core is not None and core.member_id == who
 
@@ -116,35 +122,35 @@
         for name in self.world.processes:
             now, before = (sent[name], came[name]), self._before.get(name, (0, 0))
             self._before[name] = now
-            busier = max(now[0] - before[0], now[1] - before[1])
-            self.peaks[name[0]] = max(self.peaks[name[0]], busier)
+            busier_bytes = max(now[0] - before[0], now[1] - before[1])
+            self.peaks[name[0]] = max(self.peaks[name[0]], busier_bytes)
 
     def take_peaks(self) -> tuple[int, int]:
-        """Of control machines and of gateways, since the last call."""
+        """Returns the peaks of control machines and of gateways since the last call."""
         taken, self.peaks = (self.peaks["c"], self.peaks["g"]), {"c": 0, "g": 0}
         return taken
 
 
 def play(job: Job) -> Played:
-    """Start at once, settle, rest, the fault, settle."""
+    """Starts all members at once, lets them settle and rest, causes the fault, and lets them settle."""
     began = time.monotonic()
-    watched = Watched(job)
-    watched.start()
-    start = watched.run(job.most, watched.settled)
-    watched.run(2.0)
-    watched.take_peaks()
-    watched.run(3.0)
-    rest = watched.take_peaks()
-    struck = _strike(watched)
-    settle = watched.run(job.most, watched.settled)
-    watched.run(1.0)
-    peak = watched.take_peaks()
+    recorded = RecordedWorld(job)
+    recorded.start()
+    start = recorded.run(job.most, recorded.settled)
+    recorded.run(2.0)
+    recorded.take_peaks()
+    recorded.run(3.0)
+    rest = recorded.take_peaks()
+    struck = _cause_fault(recorded)
+    settle = recorded.run(job.most, recorded.settled)
+    recorded.run(1.0)
+    peak = recorded.take_peaks()
     return Played(
         job,
         start,
         settle,
         struck,
-        len(watched.mistaken),
+        len(recorded.false_dead),
         peak[0],
         peak[1],
         rest[0],
@@ -153,10 +159,10 @@
     )
 
 
-def _strike(watched: Watched) -> int:
-    """The fault, to its end; how many gateways it struck."""
-    world = watched.world
-    if watched.job.fault == "zone":
+def _cause_fault(recorded: RecordedWorld) -> int:
+    """Runs the fault to its end; returns the number of gateways that it struck."""
+    world = recorded.world
+    if recorded.job.fault == "zone":
         zone = world.zones[-1]
         struck: list[Process] = world.among("g", zone) + world.among("c", zone)
         for process in struck:
@@ -164,13 +170,13 @@
         return sum(process.name.startswith("g") for process in struck)
     region = world.zones[-1].region
     world.cut_off(region, {zone.region for zone in world.zones} - {region})
-    watched.run(watched.job.cut)
+    recorded.run(recorded.job.cut)
     world.heal_regions()
     return len(world.among("g", region=region))
 
 
-async def play_beside(job: Job, guard: Guard) -> Played:
-    """In a process of its own, at the side of what else runs. Raises `WorldFailed`."""
+async def play_in_process(job: Job, guard: Guard) -> Played:
+    """Runs the simulation in a process of its own. Raises `WorldFailed`."""
     guard.admit(1)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -186,17 +192,19 @@
             process.kill()
             await process.wait()
     if process.returncode:
-        raise WorldFailed(f"a world of {job.gateways} gateways ended with status {process.returncode}")
+        raise WorldFailed(
+            f"simulation of {job.gateways} gateways: exit status must be 0, got {process.returncode}"
+        )
     return msgspec.json.decode(out, type=Played)
 
 
 class WorldFailed(Exception):
-    """A world did not come to its end: an invariant does not hold, or its process ended."""
+    """Reports a simulation that did not finish: an invariant failed, or its process ended."""
 
 
 def main() -> None:
-    """One job, as JSON, is played; what came of it is the one line of standard output."""
-    gc.disable()  # a world makes no circles that matter, and is large
+    """Runs one job, given as JSON, and prints its results as one line of JSON."""
+    gc.disable()  # A simulation is large and creates few reference cycles.
     job = msgspec.json.decode(sys.argv[1], type=Job)
     print(msgspec.json.encode(play(job)).decode())
 
--- a/tests/benchmarks/test_scale_module.py
+++ b/tests/benchmarks/test_scale_module.py
@@ -28,7 +28,7 @@
 
 def test_a_gateway_whose_requests_are_refused_is_no_fair_work() -> None:
     driver = subjects.Driver(subjects.settings(gateways=1))
-    with pytest.raises(RuntimeError, match="no fair work"):
+    with pytest.raises(RuntimeError, match="request must be forwarded"):
         driver.serve(1)  # no backend is known yet
 
 
