--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -71,16 +71,16 @@
 class ScaleRun:
     """Runs all measurements; each result is added to the report at once."""
 
-    def __init__(self, plan: Plan, made: report.Report, guard: Guard) -> None:
-        self._plan, self._made, self._guard = plan, made, guard
+    def __init__(self, plan: Plan, run_report: report.Report, guard: Guard) -> None:
+        self._plan, self._report, self._guard = plan, run_report, guard
         self._end = asyncio.get_running_loop().time() + plan.most
-        self._run = slopes.Run(made.date, made.command, made.commit)
+        self._run = slopes.Run(run_report.date, run_report.command, run_report.commit)
         self._configured: list[slopes.Measurement] = []
         self.measurements: list[slopes.Measurement] = []
 
     async def play(self) -> None:
         """Runs all parts; failures are listed under `not_run`."""
-        self._made.not_run += NOT_MEASURED
+        self._report.not_run += NOT_MEASURED
         worlds = asyncio.gather(*(self._world(job) for job in self._plan.worlds))
         first = [self._flat(), self._failures(), self._configuration()]
         found = levels.Levels([], [], [])
@@ -96,7 +96,7 @@
         self._put_cells(found)
         for played in await worlds:
             if played is not None:
-                report.put_virtual(self._made, played)
+                report.put_virtual(self._report, played)
 
     async def _try(self, what: str, work: Awaitable[T]) -> T | None:
         """Returns the result of `work`; if it fails or is late, adds a line to `not_run` and returns None."""
@@ -104,9 +104,9 @@
             async with asyncio.timeout_at(self._end):
                 return await work
         except TimeoutError:
-            self._made.not_run.append(f"{what}: not done {self._plan.most:g} s after the run's beginning")
+            self._report.not_run.append(f"{what}: not done {self._plan.most:g} s after the run's beginning")
         except (NotSettled, ConfigurationNotReady, NotDone, HollowFailed, WorldFailed) as error:
-            self._made.not_run.append(f"{what}: {error}")
+            self._report.not_run.append(f"{what}: {error}")
         return None
 
     async def _world(self, job: Job) -> Played | None:
@@ -120,23 +120,23 @@
         costs = await self._try("flat: costs", flat.costs(self._plan.flat, self._guard))
         if costs is None:
             return
-        self._made.not_run += [f"flat: {text}" for text in costs.failed]
+        self._report.not_run += [f"flat: {text}" for text in costs.failed]
         found = list[slopes.Measurement]()
         if costs.held_out is None or len(costs.fitted) < FEWEST_POINTS:
-            self._made.not_run.append("flat: fits: too few sizes were measured")
+            self._report.not_run.append("flat: fits: too few sizes were measured")
         else:
             found = self._keep(measured.flat(costs.fitted, costs.held_out, self._run))
         all_costs = [*costs.fitted, *([costs.held_out] if costs.held_out is not None else [])]
-        report.put_flat(self._made, all_costs, found)
+        report.put_flat(self._report, all_costs, found)
 
     async def _failures(self) -> None:
         outcomes = list[Outcome]()
         result = await self._try("flat: failures", flat.failures(self._plan.flat, self._guard, outcomes))
-        report.put_failures(self._made, self._made.flat, outcomes, self._plan.flat.settle_most)
+        report.put_failures(self._report, self._report.flat, outcomes, self._plan.flat.settle_most)
         if result is None:
             return
         verdict, memory = result
-        report.put_verdict(self._made, verdict, memory)
+        report.put_verdict(self._report, verdict, memory)
         for violation in verdict.violations[:3]:
             say(f"violation: {violation.rule}: {violation.text}")
 
@@ -146,19 +146,19 @@
         )
         if found is not None:
             self._configured = self._keep(measured.configuration(found, self._run))
-            report.put_configuration(self._made, found)
+            report.put_configuration(self._report, found)
 
     def _put_cells(self, found: levels.Levels) -> None:
         costs, outcomes = found.costs, found.outcomes
-        self._made.not_run += found.failed
+        self._report.not_run += found.failed
         if costs:
             fits = len(costs) > FEWEST_POINTS
             measurements = self._keep(measured.cells(costs, self._run)) if fits else []
-            report.put_cells(self._made, costs, measurements, self._configured)
+            report.put_cells(self._report, costs, measurements, self._configured)
             if not fits:
-                self._made.not_run.append("cells: fits: too few sizes were measured")
+                self._report.not_run.append("cells: fits: too few sizes were measured")
         if outcomes:
-            report.put_failures(self._made, self._made, outcomes, self._plan.levels.settle_most)
+            report.put_failures(self._report, self._report, outcomes, self._plan.levels.settle_most)
 
     def _keep(self, measurements: list[slopes.Measurement]) -> list[slopes.Measurement]:
         self.measurements += measurements
@@ -172,13 +172,13 @@
         return measurements
 
 
-async def play(full: bool, made: report.Report, guard: Guard) -> list[slopes.Measurement]:
+async def play(full: bool, run_report: report.Report, guard: Guard) -> list[slopes.Measurement]:
     """Runs all measurements.
 
     The added latency is that of the last stored run. If there is no valid one, a full run measures it last,
     when nothing else runs.
     """
-    run = ScaleRun(FULL if full else QUICK, made, guard)
+    run = ScaleRun(FULL if full else QUICK, run_report, guard)
     await run.play()
     found = latency.load()
     if full and (found is None or found.void):
@@ -186,20 +186,20 @@
             found = await latency.measure(latency.SPAN)
         except (OSError, RuntimeError, ExceptionGroup) as error:
             # The results of the parts before it are kept.
-            made.not_run.append(f"added latency: {error!r}")
+            run_report.not_run.append(f"added latency: {error!r}")
     if found is None:
-        made.not_run.append("added latency: no run of it was kept")
+        run_report.not_run.append("added latency: no run of it was kept")
     else:
-        report.put_latency(made, found)
+        report.put_latency(run_report, found)
     return run.measurements
 
 
-def keep(made: report.Report, measurements: list[slopes.Measurement]) -> None:
+def keep(run_report: report.Report, measurements: list[slopes.Measurement]) -> None:
     """Stores slopes and report for the page of capacity; a void report does not replace a valid one."""
     slopes.merge(measurements)
     kept = faults.load()
-    if kept is None or kept.void or not made.void:
-        faults.REPORT.write_bytes(msgspec.json.format(msgspec.json.encode(made), indent=2) + b"\n")
+    if kept is None or kept.void or not run_report.void:
+        faults.REPORT.write_bytes(msgspec.json.format(msgspec.json.encode(run_report), indent=2) + b"\n")
 
 
 def main() -> int:
@@ -211,24 +211,24 @@
     started = time.monotonic()
     command = "python -m benchmarks.scale" + ("" if full else " --quick")
     run = this_run(command)
-    made = report.Report(command=command, commit=run.commit, date=run.date)
+    run_report = report.Report(command=command, commit=run.commit, date=run.date)
     guard = Guard()
     say(f"limits: {guard.processes_most} processes, {guard.memory_most >> 30} GB of memory")
     gc.disable()  # A collection over the ledger would delay the stand-ins.
     measurements: list[slopes.Measurement] = []
     try:
-        measurements = uvloop.run(play(full, made, guard))
+        measurements = uvloop.run(play(full, run_report, guard))
     except OverBound as error:
-        made.not_run.append(f"ended early: {error}")
-    made.processes, made.memory_gb = guard.most.processes, round(guard.most.memory / 2**30, 2)
-    report.put_limits(made, full)
-    made.seconds = round(time.monotonic() - started, 1)
+        run_report.not_run.append(f"ended early: {error}")
+    run_report.processes, run_report.memory_gb = guard.most.processes, round(guard.most.memory / 2**30, 2)
+    report.put_limits(run_report, full)
+    run_report.seconds = round(time.monotonic() - started, 1)
     if full:
-        keep(made, measurements)
-    if made.void:
+        keep(run_report, measurements)
+    if run_report.void:
         say("void: the machine lagged; the figures describe the machine rather than the program")
-    print(msgspec.json.encode(made).decode())
-    return 1 if made.violations else 0
+    print(msgspec.json.encode(run_report).decode())
+    return 1 if run_report.violations else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/control_roles.py
+++ b/benchmarks/scale/control_roles.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .role_terms import CELLS, COUNTERS, RELAY, Role, Row
+from .role_terms import CELLS, COUNTERS_BY_CELL, RELAY_TIER, Role, Row
 
 COORDINATOR = Role(
     "A cell's coordinator or seed",
@@ -175,7 +175,7 @@
             "module.line.bytes",
             "backends",
             "lists/poll_timing.py",
-            RELAY,
+            RELAY_TIER,
             by="calls_start",
             when="at the peak",
             unit="bytes/s",
@@ -201,14 +201,14 @@
             "module.counter_heartbeats.cpu",
             "gateways",
             "counter/lease_manager.py",
-            COUNTERS,
+            COUNTERS_BY_CELL,
         ),
         Row(
             "counter: bytes of a gateway for its heartbeats",
             "module.counter_heartbeats.bytes",
             "gateways",
             "counter/lease_manager.py",
-            COUNTERS,
+            COUNTERS_BY_CELL,
         ),
     ),
 )
--- a/benchmarks/scale/control_state.py
+++ b/benchmarks/scale/control_state.py
@@ -25,7 +25,7 @@
 from trackspread.distribution.versions import Entry, Version
 from trackspread.membership.identifiers import MemberId
 
-from .demand import ASKED, CARRIED
+from .demand import ASKED, SERVICES_PER_GATEWAY
 from .subjects import REPEATS, SECOND, START, Figures, print_figures, resident, duration_of
 
 VALUE_BYTES = 200  # Of one route, as the page of capacity assumes; the bound of an entry is 640.
@@ -71,7 +71,7 @@
     changes = [entry(size + number, number % size) for number in range(1, 1 + REPEATED)]
     change_times = [duration_of(partial(change, log, made)) for made in changes]
     serving = PollServer(log, 10**6)
-    carried = tuple(service(number) for number in range(CARRIED))
+    carried = tuple(service(number) for number in range(SERVICES_PER_GATEWAY))
     subscription = subscription_digest(carried)
     serving.subscriptions.add_part(GATEWAY, Subscribe(subscription, 0, 1, carried))
     now, numbers = count(START, SECOND), count(1)
--- a/benchmarks/scale/demand.py
+++ b/benchmarks/scale/demand.py
@@ -58,7 +58,7 @@
     "counter_most": MAX_FIELDS,
 }
 # The services of a gateway if requests were distributed by service; see the lines on connections.
-CARRIED = 16
+SERVICES_PER_GATEWAY = 16
 
 REQUESTS = (
     Line("requests_gateway", "requests a gateway", "requests / gateways", "/s"),
@@ -297,4 +297,4 @@
 
 def figures() -> dict[str, float]:
     """Returns the figures from which the arithmetic starts."""
-    return {**ASKED, **BOUNDS, "carried_by_choice": CARRIED}
+    return {**ASKED, **BOUNDS, "carried_by_choice": SERVICES_PER_GATEWAY}
--- a/benchmarks/scale/role_terms.py
+++ b/benchmarks/scale/role_terms.py
@@ -46,12 +46,14 @@
     added_up: bool = False
 
 
-SUBSETS = "services in the operator's file, each gateway carries some, with a broker for each"
-RELAY = "a relay tier on control machines that holds one watch and hands lists on by service"
+SERVICE_SUBSETS = "services in the operator's file, each gateway carries some, with a broker for each"
+RELAY_TIER = "a relay tier on control machines that holds one watch and hands lists on by service"
 CELLS = "cells of some 24 gateways within a zone; control machines coordinate them and keep their directory"
-NUMBERED = (
+NUMBERED_CHANGES = (
     "numbered changes handed down by control machines, to each gateway those of the services that it carries"
 )
-HOMES = "homes of customers within the cell or region, with grants for a span in place of an ask a request"
-COUNTERS = "a counter for each cell, or grants by cell from control machines"
-BUSY = "levels of the seven cases found by halving, and a bound on what is solved in one beat"
+QUOTA_OWNERS = (
+    "homes of customers within the cell or region, with grants for a span in place of an ask a request"
+)
+COUNTERS_BY_CELL = "a counter for each cell, or grants by cell from control machines"
+BOUNDED_SOLVING = "levels of the seven cases found by halving, and a bound on what is solved in one beat"
--- a/benchmarks/scale/roles.py
+++ b/benchmarks/scale/roles.py
@@ -7,7 +7,7 @@
 
 from .control_roles import COORDINATOR, COUNTER, DISCOVERY, MACHINE, REGION, TOOLS
 from .gateway_roles import CARRYING, GATEWAY
-from .role_terms import CELLS, COUNTERS, SUBSETS, Bound
+from .role_terms import CELLS, COUNTERS_BY_CELL, SERVICE_SUBSETS, Bound
 
 ROLES = (GATEWAY, CARRYING, COORDINATOR, MACHINE, REGION, DISCOVERY, COUNTER, TOOLS)
 
@@ -31,14 +31,14 @@
         "counter_most",
         "gateways",
         "counter/commands.py",
-        COUNTERS,
+        COUNTERS_BY_CELL,
     ),
     Bound(
         "backends that a gateway can hold a connection to",
         "links_most",
         "backends",
         "backends/pools.py",
-        SUBSETS,
+        SERVICE_SUBSETS,
     ),
 )
 # The limits of all control tasks together at one gateway. Rows whose names begin with a key are summed.
--- a/benchmarks/scale/verdicts.py
+++ b/benchmarks/scale/verdicts.py
@@ -32,10 +32,12 @@
 
     A verdict is not false if the two were cut off from each other at the verdict or at the suspicion.
     """
-    ran = {life.who: life for life in lives}
-    cuts = list(cutoffs)
+    lives_by_member = {life.who: life for life in lives}
+    partitions = list(cutoffs)
     return [
-        each for each in verdicts if each.own and _alive(each, ran) and not _separated(each, cuts, region)
+        each
+        for each in verdicts
+        if each.own and _alive(each, lives_by_member) and not _separated(each, partitions, region)
     ]
 
 
@@ -46,25 +48,25 @@
     region: Callable[[str], int] = region_of_name,
 ) -> set[MemberId]:
     """Returns the members that ran and that a member in reach of them held for dead because of gossip."""
-    ran = {life.who: life for life in lives}
-    cuts = list(cutoffs)
+    lives_by_member = {life.who: life for life in lives}
+    partitions = list(cutoffs)
     return {
         each.of
         for each in verdicts
-        if not each.own and _alive(each, ran) and not _separated(each, cuts, region)
+        if not each.own and _alive(each, lives_by_member) and not _separated(each, partitions, region)
     }
 
 
-def _alive(verdict: DeadVerdict, ran: dict[MemberId, Life]) -> bool:
-    life = ran.get(verdict.of)
+def _alive(verdict: DeadVerdict, lives_by_member: dict[MemberId, Life]) -> bool:
+    life = lives_by_member.get(verdict.of)
     return life is not None and life.since <= verdict.at and (not life.until or verdict.at < life.until)
 
 
-def _separated(verdict: DeadVerdict, cuts: list[Cutoff], region: Callable[[str], int]) -> bool:
+def _separated(verdict: DeadVerdict, partitions: list[Cutoff], region: Callable[[str], int]) -> bool:
     here, there = region(verdict.by), region(verdict.of[0])
     return here != there and any(
-        cut.region in (here, there)
-        and cut.since <= verdict.at
-        and (not cut.until or verdict.suspected < cut.until)
-        for cut in cuts
+        partition.region in (here, there)
+        and partition.since <= verdict.at
+        and (not partition.until or verdict.suspected < partition.until)
+        for partition in partitions
     )
