--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -68,8 +68,8 @@
         burst = await _worst(fleet, await fleet.burst(plan.burst), plan.change_most)
         without = await _worst(fleet, await fleet.burst_without_leader(plan.burst), plan.change_most)
         say(
-            f"changes: a burst of {plan.burst} was in force at all gateways after {_text(burst)}, with the "
-            f"leader killed during the burst after {_text(without)}"
+            f"changes: a burst of {plan.burst} was in force at all gateways after {_wait_text(burst)}, "
+            f"with the leader killed during the burst after {_wait_text(without)}"
         )
         await fleet.end()
         return Configured(by_size, by_rate, Waits(size_waits, rate_waits, burst, without))
@@ -106,7 +106,7 @@
 
 def _report(cost: ConfigurationCost, wait: float | None, done: float) -> None:
     say(
-        f"changes, {cost.gateways} gateways, {cost.rate:g} per second: in force after {_text(wait)}, "
+        f"changes, {cost.gateways} gateways, {cost.rate:g} per second: in force after {_wait_text(wait)}, "
         f"committed after {done:.2f} s; "
         f"{cost.cpu:.5f} of a core, {cost.bytes:.0f} B/s, {cost.memory / 2**20:.2f} MB per gateway; busiest "
         f"of {cost.control} control machines {cost.control_cpu:.4f} of a core, {cost.control_bytes:.0f} B/s; "
@@ -114,5 +114,5 @@
     )
 
 
-def _text(wait: float | None) -> str:
+def _wait_text(wait: float | None) -> str:
     return "not in time" if wait is None else f"{wait:.2f} s"
--- a/benchmarks/scale/flat_fleet.py
+++ b/benchmarks/scale/flat_fleet.py
@@ -49,12 +49,12 @@
 
     @property
     def bytes(self) -> float:
-        """bytes/s in the busier direction."""
+        """Returns the bytes/s of the busier direction."""
         return max(self.sent, self.received)
 
     @property
     def coordinator_bytes(self) -> float:
-        """bytes/s in the busier direction."""
+        """Returns the bytes/s of the busier direction."""
         return max(self.coordinator_sent, self.coordinator_received)
 
 
--- a/benchmarks/scale/messages.py
+++ b/benchmarks/scale/messages.py
@@ -92,7 +92,7 @@
     `suspected` is the time in ns since which it had suspected the other.
     """
 
-    at: int  # ns
+    at: int  # Nanoseconds.
     by: str
     of: MemberId
     own: bool
@@ -110,7 +110,7 @@
 class Measured(Message, frozen=True):
     """Reports one process since its start; peaks, lag and verdicts are those since the last report."""
 
-    at: int  # ns
+    at: int  # Nanoseconds.
     cpu: float  # Seconds.
     memory: int  # Resident bytes.
     members: int
