--- a/benchmarks/scale/gateway_roles.py
+++ b/benchmarks/scale/gateway_roles.py
@@ -1,8 +1,17 @@
-"""A gateway's roles, row by row: which slope at which size, which limit, which mechanism."""
+"""Lists the roles of a gateway with their costs: the slope, the size, the limit and the mechanism of each."""
 
 from __future__ import annotations
 
-from .role_terms import BUSY, CELLS, HOMES, NUMBERED, RELAY, SUBSETS, Role, Row
+from .role_terms import (
+    BOUNDED_SOLVING,
+    CELLS,
+    NUMBERED_CHANGES,
+    QUOTA_OWNERS,
+    RELAY_TIER,
+    SERVICE_SUBSETS,
+    Role,
+    Row,
+)
 
 GATEWAY = Role(
     "A gateway as it is today: all of the fleet at each",
@@ -14,15 +23,21 @@
             "module.backends.memory",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
+        ),
+        Row(
+            "memory: a plan for each tenant",
+            "module.plans.memory",
+            "tenants",
+            "decide/quota/",
+            NUMBERED_CHANGES,
         ),
-        Row("memory: a plan for each tenant", "module.plans.memory", "tenants", "decide/quota/", NUMBERED),
         Row(
             "memory: the same as reservations on one plan",
             "module.reservations.memory",
             "tenants",
             "plans/registry.py",
-            NUMBERED,
+            NUMBERED_CHANGES,
             counted=False,
         ),
         Row("memory: accounts of customers", "module.customers.memory", "tenants_active", "decide/quota/"),
@@ -34,7 +49,7 @@
             "module.backends.beat",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
         ),
         Row(
             "CPU: beat, commitments under way",
@@ -49,7 +64,7 @@
             "module.backends.change",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
             by="list_changes",
             unit="share of a core",
             limit="share",
@@ -59,7 +74,7 @@
             "module.line.change_bytes",
             "backends",
             "lists/agent.py",
-            RELAY,
+            RELAY_TIER,
             by="list_changes",
             unit="bytes/s",
             limit="budget",
@@ -69,7 +84,7 @@
             "module.backends.change",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
             when="at the peak",
             by="backends_zone",
             unit="s",
@@ -80,22 +95,28 @@
             "module.asks.bytes",
             "requests_gateway",
             "decide/quota/",
-            HOMES,
+            QUOTA_OWNERS,
+        ),
+        Row(
+            "memory: routes",
+            "module.subscribed.memory",
+            "routes",
+            "distribution/subscriber.py",
+            NUMBERED_CHANGES,
         ),
-        Row("memory: routes", "module.subscribed.memory", "routes", "distribution/subscriber.py", NUMBERED),
         Row(
             "added: a request that sees all backends",
             "module.backends.arrival",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
         ),
         Row(
             "added: a customer's first request after a change of the view",
             "module.members.first",
             "gateways",
             "decide/quota/",
-            HOMES,
+            QUOTA_OWNERS,
             when="at the peak",
         ),
         Row(
@@ -103,14 +124,14 @@
             "module.members.arrival",
             "gateways",
             "decide/quota/",
-            HOMES,
+            QUOTA_OWNERS,
         ),
         Row(
             "stall: a full list of all backends, parsed",
             "module.line.parse",
             "backends",
             "lists/agent.py",
-            RELAY,
+            RELAY_TIER,
             when="at the peak",
         ),
         Row(
@@ -118,7 +139,7 @@
             "module.backends.list",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
             when="at the peak",
         ),
         Row(
@@ -126,7 +147,7 @@
             "module.backends.list_first",
             "backends",
             "decide/load_balancer.py",
-            SUBSETS,
+            SERVICE_SUBSETS,
             when="at the peak",
         ),
         Row(
@@ -134,7 +155,7 @@
             "module.line.bytes",
             "backends",
             "lists/agent.py",
-            RELAY,
+            RELAY_TIER,
             when="at the peak",
             counted=False,
         ),
@@ -143,7 +164,7 @@
             "module.plans.change",
             "tenants",
             "decide/quota/",
-            NUMBERED,
+            NUMBERED_CHANGES,
             when="at the peak",
         ),
         Row(
@@ -151,7 +172,7 @@
             "module.reservations.change",
             "tenants",
             "decide/quota/",
-            NUMBERED,
+            NUMBERED_CHANGES,
             when="at the peak",
         ),
         Row(
@@ -167,7 +188,7 @@
             "module.pressed.evaluation",
             "tenants_ten",
             "decide/commitments.py",
-            BUSY,
+            BOUNDED_SOLVING,
             when="at the peak",
         ),
     ),
@@ -237,7 +258,7 @@
             "module.asks.bytes",
             "requests_gateway",
             "decide/quota/",
-            HOMES,
+            QUOTA_OWNERS,
         ),
         Row(
             "added: a request that sees its service's backends",
--- a/benchmarks/scale/role_terms.py
+++ b/benchmarks/scale/role_terms.py
@@ -1,4 +1,4 @@
-"""What the page's tables are made of: rows of costs, bounds in the program, and roles."""
+"""Defines the parts of the page's tables: rows of costs, bounds in the program, and roles."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One cost of a role: `slope` at the size that `at` names, times the figure that `by` names.
+    """Holds one cost of a role: `slope` at the size that `at` names, times the figure that `by` names.
 
-    `mechanism`: the module that carries it, by its path below trackspread/; where there is none yet, the row
-    says **missing**. An empty `slope` is one that no run measures yet."""
+    `mechanism` is the path below trackspread/ of the module that implements it; without such a module, the
+    row shows **missing**. `slope` is empty if no run measures it.
+    """
 
     what: str
     slope: str
@@ -18,15 +19,15 @@
     mend: str = ""
     by: str = ""
     when: str = "at rest"
-    # Whether it counts in the role's totals; not where another row stands for the same.
+    # Whether it counts in the role's totals; False if another row holds the same cost.
     counted: bool = True
-    # Of the product, where `by` is set: its unit, and the name of the figure that bounds it.
+    # The unit of the product and the name of the figure that limits it, if `by` is set.
     unit: str = ""
     limit: str = ""
 
 
 class Bound(msgspec.Struct, frozen=True):
-    """A bound in the program: it holds up to the figure that `most` names of what `at` names."""
+    """Holds a bound in the program: `most` names the bound, `at` names the figure that it limits."""
 
     what: str
     most: str
@@ -36,21 +37,23 @@
 
 
 class Role(msgspec.Struct, frozen=True):
-    """A table of the page. `state`: what it holds and what is said to it, in words."""
+    """Holds a table of the page; `state` describes the state and the messages of the role."""
 
     title: str
     state: str
     rows: tuple[Row, ...]
-    # Whether its rows are parts of one gateway's budget, and so are added up.
+    # Whether its rows are parts of one gateway's budget, and so are summed.
     added_up: bool = False
 
 
-SUBSETS = "services in the operator's file, each gateway carries some, with a broker for each"
-RELAY = "a relay tier on control machines that holds one watch and hands lists on by service"
+SERVICE_SUBSETS = "services in the operator's file, each gateway carries some, with a broker for each"
+RELAY_TIER = "a relay tier on control machines that holds one watch and hands lists on by service"
 CELLS = "cells of some 24 gateways within a zone; control machines coordinate them and keep their directory"
-NUMBERED = (
+NUMBERED_CHANGES = (
     "numbered changes handed down by control machines, to each gateway those of the services that it carries"
 )
-HOMES = "homes of customers within the cell or region, with grants for a span in place of an ask a request"
-COUNTERS = "a counter for each cell, or grants by cell from control machines"
-BUSY = "levels of the seven cases found by halving, and a bound on what is solved in one beat"
+QUOTA_OWNERS = (
+    "homes of customers within the cell or region, with grants for a span in place of an ask a request"
+)
+COUNTERS_BY_CELL = "a counter for each cell, or grants by cell from control machines"
+BOUNDED_SOLVING = "levels of the seven cases found by halving, and a bound on what is solved in one beat"
