--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -24,7 +24,7 @@
 from trackspread.testing.standins.counter import Shard
 from trackspread.testing.standins.counter_server import CounterServer
 from trackspread.testing.standins.scenario import Scenario
-from trackspread.testing.virtual.counter.mutants import MUTANTS, convict
+from trackspread.testing.virtual.counter.mutants import MUTANTS, first_detection
 from trackspread.testing.virtual.counter.schedules import calm_world, deaf_world, make, play, tight_world
 
 from .cost import Work, gateway, spawn
@@ -121,7 +121,7 @@
 
 
 def _convict(name: str) -> tuple[str, tuple[str, int] | None]:
-    return name, convict(name, MUTANT_SEEDS)
+    return name, first_detection(name, MUTANT_SEEDS)
 
 
 def measure(quick: bool) -> dict[str, float]:
--- a/benchmarks/export.py
+++ b/benchmarks/export.py
@@ -38,7 +38,7 @@
 from trackspread.usage.record import Ending
 from trackspread.usage.senders import Target, make_sender
 from trackspread.testing.virtual import reservations
-from trackspread.testing.virtual.usage.mutants import MUTANTS, convict
+from trackspread.testing.virtual.usage.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.usage.schedules import make, play
 
 SCHEDULES_QUICK, SCHEDULES = 1_400, 10_000  # some four crashes each
@@ -65,7 +65,7 @@
 
 
 def _convict(name: str) -> tuple[str, int | None]:
-    return name, convict(name, iter(range(MUTANT_SEEDS)))
+    return name, first_detecting_seed(name, iter(range(MUTANT_SEEDS)))
 
 
 def virtual(schedules: int) -> dict[str, int]:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -38,7 +38,7 @@
 )
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.membership.world import InvariantViolated, World
-from trackspread.testing.virtual.membership.mutants import MUTANTS, convict
+from trackspread.testing.virtual.membership.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.membership.schedules import make
 from trackspread.testing.virtual.membership.schedules import play as play_virtual
 
@@ -48,14 +48,14 @@
 FARING, FARING_SEEDS = 12, (1, 2, 3)  # gateways that part and heal with a view and without, and plays of it
 MIXED = 30  # schedules of mixed faults on processes, in a full run
 TRIES = 3  # of a run whose rig lagged
-QUICK_ON_PROCESSES = ("view-grows-first", "view-life-ignored", "view-given-twice")
+QUICK_ON_PROCESSES = ("view-granted-before-release", "view-incarnation-ignored", "view-granted-before-expiry")
 ON_PROCESSES = (
     *QUICK_ON_PROCESSES,
     "view-number-reused",
-    "view-never-cleared",
+    "view-suspicion-not-refuted",
     "view-parent-wrong",
-    "view-owner-unasked",
-    "view-rest-forgotten",
+    "view-coordinates-after-lease",
+    "view-unknown-rest-granted",
 )
 CALM = 4.0  # s over which CPU is measured
 
@@ -251,7 +251,7 @@
 
 
 def _convict(name: str) -> tuple[str, int | None]:
-    return name, convict(name, range(1, 60))
+    return name, first_detecting_seed(name, range(1, 60))
 
 
 def bytes_a_second(count: int) -> float:
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -18,7 +18,7 @@
 from trackspread.planning.timing import LEASE_NS
 from trackspread.testing.virtual.planning.world import Plan, World
 from trackspread.testing.virtual.planning import saturated
-from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
+from trackspread.testing.virtual.planning.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.planning.schedules import make, play
 
 SCHEDULES_QUICK, SCHEDULES = 300, 5_000  # seeds, each of which gives one of either kind
@@ -50,7 +50,7 @@
 
 
 def _convict(name: str) -> tuple[str, int | None]:
-    return name, convict(name, iter(range(MUTANT_SEEDS)))
+    return name, first_detecting_seed(name, iter(range(MUTANT_SEEDS)))
 
 
 def _world(seed: int, asked: float = INSIDE) -> World:
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -20,17 +20,17 @@
 from trackspread.testing.harness import mutant_gateway
 from trackspread.testing.harness.fault_scenarios import SCENARIOS, run
 from trackspread.testing.judge.verdict import Verdict
-from trackspread.testing.virtual.mutants import MUTANTS, convict
+from trackspread.testing.virtual.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.schedules import CALM, make, play
 
 SCHEDULES_QUICK, SCHEDULES = 2000, 12000
 TRIES = 3  # of a scenario whose stand-ins lagged
-ON_SOCKETS_QUICK = ("effects-forgotten", "socket-answers-lost", "socket-written-late")
+ON_SOCKETS_QUICK = ("execution-forgotten", "socket-answers-lost", "socket-written-late")
 WHERE = {  # the scenario that brings a mutant to its fault, where that is not the calm one
     "socket-written-late": "rolling-deploy",
-    "effects-forgotten": "rude-nodes",
-    "group-forgotten": "rude-nodes",
-    "refuses-after-run": "rude-nodes",
+    "execution-forgotten": "rude-nodes",
+    "scope-ignored": "rude-nodes",
+    "rejects-after-execution": "rude-nodes",
 }
 Played = tuple[str, str, Verdict, float, float]
 
@@ -60,7 +60,9 @@
 
 def _convict(name: str) -> tuple[str, int | None]:
     """Quotas are held to in calm schedules alone."""
-    return name, convict(name, iter(range(0, 10**6, CALM if MUTANTS[name].rule == "quotas" else 1)))
+    return name, first_detecting_seed(
+        name, iter(range(0, 10**6, CALM if MUTANTS[name].rule == "quotas" else 1))
+    )
 
 
 def measure(quick: bool, seed: int) -> dict[str, float]:
--- a/tests/cells/test_cells.py
+++ b/tests/cells/test_cells.py
@@ -31,7 +31,7 @@
 from trackspread.membership.member import Member
 from trackspread.membership.messages import State, View
 from trackspread.membership.settings import MemberSettings
-from trackspread.testing.virtual.cells.mutants import MUTANTS, tells
+from trackspread.testing.virtual.cells.mutants import MUTANTS, is_detected
 from trackspread.testing.virtual.cells.schedules import play
 from trackspread.testing.virtual.cells.world import CelledWorld, layout
 from trackspread.testing.virtual.cells.worlds import WORLDS
@@ -305,36 +305,36 @@
 
 # Each mutant is listed with the world and its seed that expose it.
 EXPOSED_BY = {
-    "cells-any-word": ("seed_replaced", 1),
-    "cells-first-word": ("seed_replaced", 1),
-    "cells-empty-given-up": ("zone_cut_off", 1),
-    "cells-joins-first": ("seed_replaced", 1),
-    "cells-kept-slots": ("seed_replaced", 1),
-    "cells-gives-up": ("cell_without_its_majority", 1),
-    "cells-asks-without-pause": ("out_of_all_reach", 1),
-    "cells-asks-together": ("region_cut_off", 1),
-    "cells-leads-on": ("region_cut_off", 1),
-    "cells-entry-goes-back": ("late_entries", 1),
-    "cells-brought-back": ("late_entries", 1),
+    "cells-every-notice-followed": ("seed_replaced", 1),
+    "cells-never-moves": ("seed_replaced", 1),
+    "cells-empty-cell-retired-early": ("zone_cut_off", 1),
+    "cells-joins-before-leaving": ("seed_replaced", 1),
+    "cells-slots-kept": ("seed_replaced", 1),
+    "cells-leaves-without-control": ("cell_without_its_majority", 1),
+    "cells-requests-without-backoff": ("out_of_all_reach", 1),
+    "cells-refreshes-at-once": ("region_cut_off", 1),
+    "cells-leads-after-lease": ("region_cut_off", 1),
+    "cells-older-entry-accepted": ("late_entries", 1),
+    "cells-retired-cell-seeded": ("late_entries", 1),
     "cells-not-reported": ("region_cut_off", 1),
-    "cells-restart-unseen": ("cell_without_its_majority", 1),
-    "cells-given-up-full": ("seed_replaced", 1),
+    "cells-restart-ignored": ("cell_without_its_majority", 1),
+    "cells-retired-with-gateways": ("seed_replaced", 1),
     "cells-zones-mixed": ("region_cut_off", 1),
     "cells-never-split": ("too_many_at_once", 1),
     "cells-never-merged": ("too_many_at_once", 1),
-    "cells-merges-without-pause": ("region_cut_off", 1),
-    "cells-seeds-for-ever": ("seed_replaced", 1),
-    "cells-cut-off-is-gone": ("region_cut_off", 2),
-    "cells-former-forgotten": ("half_restarted", 1),
-    "cells-opens-unasked": ("too_many_at_once", 1),
+    "cells-merges-without-delay": ("region_cut_off", 1),
+    "cells-lost-seed-kept": ("seed_replaced", 1),
+    "cells-unreachable-seed-replaced": ("region_cut_off", 2),
+    "cells-former-cell-forgotten": ("half_restarted", 1),
+    "cells-opens-before-rebuilding": ("too_many_at_once", 1),
     "cells-no-local-placement": ("region_cut_off", 1),
-    "cells-witness-granted": ("region_cut_off", 1),
+    "cells-seeds-granted-slots": ("region_cut_off", 1),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_mutant_is_detected(name: str) -> None:
-    assert tells(*EXPOSED_BY[name], name)
+    assert is_detected(*EXPOSED_BY[name], name)
 
 
 def test_messages_of_a_small_fleet_are_counted() -> None:
--- a/tests/cells/test_cells_process.py
+++ b/tests/cells/test_cells_process.py
@@ -316,12 +316,12 @@
 
 MUTANTS = (
     "none",
-    "cells-joins-first",
-    "cells-kept-slots",
-    "cells-gives-up",
-    "cells-first-word",
+    "cells-joins-before-leaving",
+    "cells-slots-kept",
+    "cells-leaves-without-control",
+    "cells-never-moves",
     "cells-zones-mixed",
-    "cells-given-up-full",
+    "cells-retired-with-gateways",
     "view-number-reused",
     "view-parent-wrong",
 )
--- a/tests/counter/test_counter_leases.py
+++ b/tests/counter/test_counter_leases.py
@@ -20,7 +20,7 @@
 from trackspread.decide.settings import Plan
 from trackspread.testing.standins.counter import Cluster, CommandError, Shard, slot_of
 from trackspread.testing.virtual.counter.world import Plant, World
-from trackspread.testing.virtual.counter.mutants import KINDS, shows
+from trackspread.testing.virtual.counter.mutants import KINDS, is_detected
 from trackspread.testing.virtual.counter.schedules import (
     FAULTS,
     calm_world,
@@ -228,18 +228,18 @@
 # last run says which mutants no world detects.
 DETECTING_WORLDS = {
     "proof-not-awaited": ("tight", 12),
-    "proof-without-beats": ("tight", 12),
-    "not-fitted": ("tight", 13),
-    "raised-before-the-answer": ("tight", 2),
-    "even-at-once": ("tight", 29),
-    "out-too-short": ("tight", 12),
-    "old-claims-believed": ("calm", 0),
-    "floor-of-the-whole": ("tight", 1),
-    "lost-field-not-noticed": ("tight", 123),
-    "whole-while-deaf": ("deaf", 0),
-    "beats-after-a-failure": ("faults", 1),
-    "use-not-taken-off": ("calm", 0),
-    "release-stuck": ("calm", 4),
+    "proof-without-heartbeats": ("tight", 12),
+    "share-not-reduced": ("tight", 13),
+    "raised-before-reply": ("tight", 2),
+    "static-share-at-once": ("tight", 29),
+    "expiry-too-short": ("tight", 12),
+    "older-claims-accepted": ("calm", 0),
+    "guarantee-exceeds-limit": ("tight", 1),
+    "missing-field-ignored": ("tight", 123),
+    "entire-quota-without-replies": ("deaf", 0),
+    "heartbeats-after-failure": ("faults", 1),
+    "spending-elsewhere-ignored": ("calm", 0),
+    "share-never-released": ("calm", 4),
 }
 
 
@@ -247,4 +247,4 @@
 def test_mutant_is_detected(name: str) -> None:
     """Guards against simulations that no longer detect a broken rule of the lease protocol."""
     kind, seed = DETECTING_WORLDS[name]
-    assert not KINDS[kind](seed) and shows(name, kind, seed)
+    assert not KINDS[kind](seed) and is_detected(name, kind, seed)
--- a/tests/distribution/test_distribution_process.py
+++ b/tests/distribution/test_distribution_process.py
@@ -213,13 +213,13 @@
     "minority_commits": (a_majority_is_lost, 20),
     "old_epochs_accepted": (two_lead, 20),
     "one_promise_is_enough": (a_follower_behind_leads, 8192),
-    "lost_leader_goes_on": (a_minority_goes_on, 20),
-    "not_asked_first": (a_follower_behind_leads, 8192),
+    "accepted_counts_as_committed": (a_minority_goes_on, 20),
+    "other_logs_not_requested": (a_follower_behind_leads, 8192),
     "tail_out_of_order": (a_follower_behind_leads, 8192),
-    "history_in_place": (a_majority_is_lost, 20),
-    "skips_what_does_not_fit": (gateways_are_cut_off, 8192),
-    "never_elsewhere": (followers_are_cut_off, 20),
-    "always_fresh": (followers_are_cut_off, 20),
+    "history_number_reused": (a_majority_is_lost, 20),
+    "truncated_delta_names_newest": (gateways_are_cut_off, 8192),
+    "never_changes_replica": (followers_are_cut_off, 20),
+    "replica_always_current": (followers_are_cut_off, 20),
 }
 TRIES = 3  # a fault that hangs on which of two comes first is not told by each run
 
--- a/tests/distribution/test_distribution_worlds.py
+++ b/tests/distribution/test_distribution_worlds.py
@@ -7,7 +7,7 @@
 import pytest
 
 from trackspread.decide.time_units import MILLISECOND, SECOND
-from trackspread.testing.virtual.distribution.mutants import MUTANTS, convict
+from trackspread.testing.virtual.distribution.mutants import MUTANTS, first_detection
 from trackspread.testing.virtual.distribution.schedules import LONG, SHORT, changes, leader_dies
 from trackspread.testing.virtual.distribution.world import World
 
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_planted_fault_is_told(name: str) -> None:
-    assert convict(name, SEEDS) is not None
+    assert first_detection(name, SEEDS) is not None
 
 
 @pytest.mark.parametrize("changing", [False, True])
--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -9,7 +9,7 @@
 from trackspread.membership.lease_renewal import EMPTY_INTERVAL_NS
 from trackspread.membership.messages import Ack, ForgetRequest, ForgetResponse
 from trackspread.membership.slot_allocation import ALL_SLOTS, SLOT_COUNT, slots_of
-from trackspread.testing.virtual.membership.mutants import MUTANTS, WORLDS, convict
+from trackspread.testing.virtual.membership.mutants import MUTANTS, WORLDS, first_detecting_seed
 from trackspread.testing.virtual.membership.schedules import make, play
 from trackspread.testing.virtual.membership.world import KEEP, World
 
@@ -214,17 +214,17 @@
 
 
 # Few seeds expose these mutants; each is listed with a seed that does.
-RARELY_EXPOSED = {"view-serials-ignored": 21, "view-predecessor-forgotten": 30}
+RARELY_EXPOSED = {"view-serials-ignored": 21, "view-unknown-slots-granted": 30}
 
 
 @pytest.mark.parametrize("name", [name for name in MUTANTS if name not in RARELY_EXPOSED])
 def test_mutant_is_detected(name: str) -> None:
-    assert convict(name, range(1, 6)) is not None
+    assert first_detecting_seed(name, range(1, 6)) is not None
 
 
 @pytest.mark.parametrize("name, seed", RARELY_EXPOSED.items())
 def test_rarely_exposed_mutant_is_detected_by_its_seed(name: str, seed: int) -> None:
-    assert convict(name, [seed]) == seed
+    assert first_detecting_seed(name, [seed]) == seed
 
 
 def test_worlds_report_no_fault_without_a_mutant() -> None:
--- a/tests/planning/test_planning_schedules.py
+++ b/tests/planning/test_planning_schedules.py
@@ -7,7 +7,7 @@
 from trackspread.decide.time_units import SECOND
 from trackspread.testing.virtual.planning import saturated
 from trackspread.testing.virtual.planning.world import Plan, World
-from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
+from trackspread.testing.virtual.planning.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.planning.schedules import FAULTS, LARGE, make, play
 
 SEEDS = range(300, 340)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_the_invariant_convicts_every_mutant(name: str) -> None:
-    assert convict(name, iter(range(30))) is not None
+    assert first_detecting_seed(name, iter(range(30))) is not None
 
 
 def test_a_calm_fleet_sends_on_nearly_all_that_the_limit_allows() -> None:
--- a/tests/planning/test_small_planning.py
+++ b/tests/planning/test_small_planning.py
@@ -14,10 +14,10 @@
 
 STATES = 2500  # in CI; benchmarks.convict goes further
 SHORTEST = {  # each mutant's trace is no longer than this
-    "others-forgotten": (elected, 1),
-    "no-learning": (elected, 5),
-    "out-too-short": (elected, 5),
-    "minority": (SmallWorld, 6),
+    "entire-limit-for-each": (elected, 1),
+    "no-waiting-time": (elected, 5),
+    "outstanding-time-too-short": (elected, 5),
+    "minority-elects": (SmallWorld, 6),
 }
 
 
--- a/tests/plans/test_calendar.py
+++ b/tests/plans/test_calendar.py
@@ -27,7 +27,7 @@
 from trackspread.plans.notice import NOTICE_MS, PlanError
 from trackspread.plans.registry import SCHEMA, PlanRegistry, VersionFollower
 from trackspread.storage.document import Schema
-from trackspread.testing.virtual.reservations import MUTANTS, convict, play
+from trackspread.testing.virtual.reservations import MUTANTS, first_detecting_seed, play
 
 from ..helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
@@ -181,4 +181,4 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_store_worked_out_apart_convicts_every_mutant(name: str) -> None:
-    assert convict(name, iter(range(30))) is not None
+    assert first_detecting_seed(name, iter(range(30))) is not None
--- a/tests/testing/test_fault_schedules.py
+++ b/tests/testing/test_fault_schedules.py
@@ -13,11 +13,11 @@
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.clock import START, Clock
 from trackspread.testing.virtual.fleet import VirtualFleet
-from trackspread.testing.virtual.mutants import MUTANTS, convict
+from trackspread.testing.virtual.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.schedules import CALM, FAULTS, make, play
 
 SEEDS = range(100, 148)
-FIRST = {"cold-flooded": 51, "window-forgotten": 4}  # where schedules first bring the fault out
+FIRST = {"warming-up-overloaded": 51, "window-ignored": 4}  # where schedules first bring the fault out
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -41,13 +41,13 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_every_mutant_is_convicted_of_the_rule_that_it_breaks(name: str) -> None:
-    assert convict(name, iter(range(FIRST.get(name, 0), 100))) is not None
+    assert first_detecting_seed(name, iter(range(FIRST.get(name, 0), 100))) is not None
 
 
 def test_a_planted_mutant_is_gone_afterwards() -> None:
     before = play(make(2))[0]
     assert before.state == "kept"
-    assert convict("effects-forgotten", count(2)) == 2
+    assert first_detecting_seed("execution-forgotten", count(2)) == 2
     assert play(make(2))[0] == before
 
 
--- a/tests/testing/test_process_fleet.py
+++ b/tests/testing/test_process_fleet.py
@@ -90,7 +90,7 @@
         return fleet.verdict()
 
 
-@pytest.mark.parametrize("name", ["effects-forgotten", "socket-answers-lost", "socket-answers-twice"])
+@pytest.mark.parametrize("name", ["execution-forgotten", "socket-answers-lost", "socket-answers-twice"])
 def test_a_mutant_gateway_is_convicted_end_to_end(name: str) -> None:
     verdict = uvloop.run(asyncio.wait_for(planted(name), MOST))
     assert mutant_gateway.rule(name) in verdict.broken_rules() and verdict.state == "broken"
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -98,19 +98,19 @@
     # The connection pool's own grace time stops what the decisions send to a draining backend.
     "drains-ignored",
     # The scenarios do not bring the clients or the warming node that these need.
-    "whole-ceiling-each",
-    "cold-flooded",
-    "window-forgotten",
+    "hard-limit-granted-by-each",
+    "warming-up-overloaded",
+    "window-ignored",
     # No scenario has connections that come up so late.
-    "window-outlasted",
+    "written-after-window",
     # Not played on processes yet.
-    "used-units-back",
+    "used-units-refunded",
     # Faults of the virtual host.
-    "answers-lost",
-    "answers-twice",
-    "answers-late",
-    "answers-swapped",
-    "sent-after-answer",
+    "replies-lost",
+    "replies-duplicated",
+    "replies-late",
+    "replies-swapped",
+    "forwarded-after-reply",
 }
 PROCESSES = tuple(name for name in (*MUTANTS, *ON_SOCKETS) if name not in VIRTUAL_ONLY)
 
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -26,7 +26,7 @@
 from .worlds import WORLDS
 
 
-def _any_word() -> list[Any]:
+def _every_notice_followed() -> list[Any]:
     """A gateway goes by whatever came last, whichever process of its name that was for."""
     real = Gateway.receive_cells_message
 
@@ -47,7 +47,7 @@
     return [patch.object(Gateway, "_follow", mutant), patch.object(Gateway, "receive_cells_message", message)]
 
 
-def _first_word() -> list[Any]:
+def _never_moves() -> list[Any]:
     """A gateway never moves."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
@@ -57,7 +57,7 @@
     return [patch.object(Gateway, "_follow", mutant)]
 
 
-def _kept_slots() -> list[Any]:
+def _slots_kept() -> list[Any]:
     """Who moves does not give its slots back, and acts on them until they end."""
 
     def mutant(self: Gateway, now: int) -> None:
@@ -69,7 +69,7 @@
     return [patch.object(Gateway, "_leave_cell", mutant)]
 
 
-def _joins_first() -> list[Any]:
+def _joins_before_leaving() -> list[Any]:
     """Who moves joins the other cell before it leaves the one it is in."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
@@ -85,7 +85,7 @@
     return [patch.object(Gateway, "_follow", mutant)]
 
 
-def _gives_up_its_cell() -> list[Any]:
+def _leaves_without_control() -> list[Any]:
     """A gateway leaves its cell when no control machine answers."""
     real = Gateway._request_placement
 
@@ -98,16 +98,16 @@
     return [patch.object(Gateway, "_request_placement", mutant)]
 
 
-def _asks_without_pause() -> list[Any]:
+def _requests_without_backoff() -> list[Any]:
     return [patch.object(gateway, "MAX_BACKOFF_NS", gateway.MIN_BACKOFF_NS)]
 
 
-def _asks_together() -> list[Any]:
+def _refreshes_at_once() -> list[Any]:
     """Whoever was answered asks again at once."""
     return [patch.object(gateway, "REFRESH_INTERVAL_NS", gateway.MIN_BACKOFF_NS)]
 
 
-def _leads_on() -> list[Any]:
+def _leads_after_lease() -> list[Any]:
     """Who once led goes on, though its time is over."""
     real = Controller._lead
 
@@ -121,7 +121,7 @@
     ]
 
 
-def _entry_goes_back() -> list[Any]:
+def _older_entry_accepted() -> list[Any]:
     """A control machine takes any entry, also an older one."""
     real = Controller._seed
 
@@ -134,7 +134,7 @@
     return [patch.object(Controller, "_seed", mutant)]
 
 
-def _brought_back() -> list[Any]:
+def _retired_cell_seeded() -> list[Any]:
     """A cell that was given up is seeded again when a late word says so."""
     real = Controller._seed
 
@@ -145,7 +145,7 @@
     return [patch.object(Controller, "_seed", mutant)]
 
 
-def _not_reported() -> list[Any]:
+def _cells_not_reported() -> list[Any]:
     """A new leader hears nothing of the cells that there are."""
     real = SeededCell.due_reports
 
@@ -157,12 +157,12 @@
     return [patch.object(SeededCell, "due_reports", mutant)]
 
 
-def _restart_unseen() -> list[Any]:
+def _restart_ignored() -> list[Any]:
     """A control machine that starts anew is not told what it seeds."""
     return [patch.object(DirectoryLeader, "_forget_reported", lambda self, address: None)]
 
 
-def _given_up_full() -> list[Any]:
+def _retired_with_gateways() -> list[Any]:
     """A closing cell is given up though it has gateways."""
     real = Directory._rebalance
 
@@ -197,7 +197,7 @@
     return [patch.object(Directory, "_is_redundant", lambda self, now, entry, entries: False)]
 
 
-def _empty_given_up_soon() -> list[Any]:
+def _empty_cell_retired_early() -> list[Any]:
     """A cell whose gateways are out of reach for some seconds is given up."""
     real = Directory._is_redundant
 
@@ -209,7 +209,7 @@
     return [patch.object(Directory, "_is_redundant", mutant)]
 
 
-def _merges_without_pause() -> list[Any]:
+def _merges_without_delay() -> list[Any]:
     """A cell that has just been opened or left is merged, however full the other."""
 
     def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
@@ -218,12 +218,12 @@
     return [patch.object(Directory, "_is_redundant", mutant)]
 
 
-def _seeds_for_ever() -> list[Any]:
+def _lost_seed_kept() -> list[Any]:
     """A control machine that is gone stays a seed."""
     return [patch.object(Directory, "_needs_new_seed", lambda self, now, entry: False)]
 
 
-def _cut_off_is_gone() -> list[Any]:
+def _unreachable_seed_replaced() -> list[Any]:
     """Any seed out of reach for a moment has its cells closed, also with its whole region."""
 
     def mutant(self: Directory, now: int, entry: CellEntry) -> bool:
@@ -244,7 +244,7 @@
     return [patch.object(Directory, "place", mutant)]
 
 
-def _opens_unasked() -> list[Any]:
+def _opens_before_rebuilding() -> list[Any]:
     """A new leader opens cells before it has heard of those that there are."""
     return [
         patch.object(Directory, "is_rebuilding", lambda self, now: False),
@@ -258,7 +258,7 @@
     return [patch.object(Controller, "_place_without_leader", lambda self, now, who, locate: None)]
 
 
-def _witness_granted() -> list[Any]:
+def _seeds_granted_slots() -> list[Any]:
     """Seeds are granted slots, which nobody acts on."""
     real = LeaseRenewal.next_request
 
@@ -270,34 +270,34 @@
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
-    "cells-any-word": _any_word,
-    "cells-first-word": _first_word,
-    "cells-kept-slots": _kept_slots,
-    "cells-joins-first": _joins_first,
-    "cells-gives-up": _gives_up_its_cell,
-    "cells-asks-without-pause": _asks_without_pause,
-    "cells-asks-together": _asks_together,
-    "cells-leads-on": _leads_on,
-    "cells-entry-goes-back": _entry_goes_back,
-    "cells-brought-back": _brought_back,
-    "cells-not-reported": _not_reported,
-    "cells-restart-unseen": _restart_unseen,
-    "cells-given-up-full": _given_up_full,
+    "cells-every-notice-followed": _every_notice_followed,
+    "cells-never-moves": _never_moves,
+    "cells-slots-kept": _slots_kept,
+    "cells-joins-before-leaving": _joins_before_leaving,
+    "cells-leaves-without-control": _leaves_without_control,
+    "cells-requests-without-backoff": _requests_without_backoff,
+    "cells-refreshes-at-once": _refreshes_at_once,
+    "cells-leads-after-lease": _leads_after_lease,
+    "cells-older-entry-accepted": _older_entry_accepted,
+    "cells-retired-cell-seeded": _retired_cell_seeded,
+    "cells-not-reported": _cells_not_reported,
+    "cells-restart-ignored": _restart_ignored,
+    "cells-retired-with-gateways": _retired_with_gateways,
     "cells-zones-mixed": _zones_mixed,
     "cells-never-split": _never_split,
     "cells-never-merged": _never_merged,
-    "cells-empty-given-up": _empty_given_up_soon,
-    "cells-merges-without-pause": _merges_without_pause,
-    "cells-seeds-for-ever": _seeds_for_ever,
-    "cells-cut-off-is-gone": _cut_off_is_gone,
-    "cells-former-forgotten": _former_cell_forgotten,
-    "cells-opens-unasked": _opens_unasked,
+    "cells-empty-cell-retired-early": _empty_cell_retired_early,
+    "cells-merges-without-delay": _merges_without_delay,
+    "cells-lost-seed-kept": _lost_seed_kept,
+    "cells-unreachable-seed-replaced": _unreachable_seed_replaced,
+    "cells-former-cell-forgotten": _former_cell_forgotten,
+    "cells-opens-before-rebuilding": _opens_before_rebuilding,
     "cells-no-local-placement": _no_local_placement,
-    "cells-witness-granted": _witness_granted,
+    "cells-seeds-granted-slots": _seeds_granted_slots,
 }
 
 
-def tells(world: str, seed: int, name: str) -> bool:
+def is_detected(world: str, seed: int, name: str) -> bool:
     """Whether this world convicts the mutant."""
     played = next(each for each in WORLDS if each.__name__ == world)
     with applied(MUTANTS[name]()):
@@ -308,7 +308,7 @@
     return False
 
 
-def convict(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
+def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
     """The first world, by its name, and seed that tell the mutant; None if none does."""
     seeds = list(seeds)
     with applied(MUTANTS[name]()):
--- a/trackspread/testing/virtual/counter/mutants.py
+++ b/trackspread/testing/virtual/counter/mutants.py
@@ -33,15 +33,15 @@
     return [patch.object(Lease, "on_reply", mutant)]
 
 
-def _proof_without_beats() -> list[Any]:
+def _proof_without_heartbeats() -> list[Any]:
     return [patch.object(FailureDetector, "have_all_advanced_since", lambda self, marks: True)]
 
 
-def _proof_without_time() -> list[Any]:
+def _proof_without_delay() -> list[Any]:
     return [patch.object(lease, "PROOF_NS", 0)]
 
 
-def _fresh_counter_trusted() -> list[Any]:
+def _lost_claims_forgotten() -> list[Any]:
     """What the counter has lost is forgotten here too."""
     real = Lease._merge_claims
 
@@ -53,20 +53,20 @@
     return [patch.object(Lease, "_merge_claims", mutant), patch.object(lease, "PROOF_NS", 0)]
 
 
-def _not_fitted() -> list[Any]:
+def _share_not_reduced() -> list[Any]:
     return [patch.object(Lease, "reduce_to_fit", lambda self, seen: None)]
 
 
-def _even_at_once() -> list[Any]:
+def _static_share_at_once() -> list[Any]:
     """Up to the even slice as soon as the counter is lost."""
     return [patch.object(FailureDetector, "is_static_share_free", lambda self, now: True)]
 
 
-def _beats_after_a_failure() -> list[Any]:
+def _heartbeats_after_failure() -> list[Any]:
     return [patch.object(FailureDetector, "on_failure", lambda self: None)]
 
 
-def _beat_before_writing_back() -> list[Any]:
+def _heartbeat_before_claims_restored() -> list[Any]:
     real = LeaseManager._heartbeat
 
     def mutant(self: LeaseManager, now: int, index: int, part: PartitionState) -> Any:
@@ -76,7 +76,7 @@
     return [patch.object(LeaseManager, "_heartbeat", mutant)]
 
 
-def _alive_by_the_last_look() -> list[Any]:
+def _alive_since_reading() -> list[Any]:
     """A beat counts from when it was seen, not from when it can have been written."""
     real = FailureDetector.on_reply
 
@@ -90,7 +90,7 @@
     return [patch.object(FailureDetector, "on_reply", mutant)]
 
 
-def _old_claims_believed() -> list[Any]:
+def _older_claims_accepted() -> list[Any]:
     """A claim that a lagging replica brings up again replaces the newer one."""
     real = Lease._merge_claims
 
@@ -103,7 +103,7 @@
     return [patch.object(Lease, "_merge_claims", mutant), patch.object(lease, "PROOF_NS", 0)]
 
 
-def _raised_before_the_answer() -> list[Any]:
+def _raised_before_reply() -> list[Any]:
     real = Lease.next_claim
 
     def mutant(self: Lease, *words: Any) -> bytes:
@@ -114,20 +114,22 @@
     return [patch.object(Lease, "next_claim", mutant)]
 
 
-def _kept_without_word() -> list[Any]:
+def _lease_never_expires() -> list[Any]:
     return [
         patch.object(
-            FailureDetector, "is_known_alive", lambda self, now: self.acked != failure_detector.NEVER
+            FailureDetector,
+            "is_known_alive",
+            lambda self, now: self.acknowledged_at_ns != failure_detector.NEVER,
         ),
         patch.object(lease, "LEASE_NS", 1 << 62),
     ]
 
 
-def _out_too_short() -> list[Any]:
+def _expiry_too_short() -> list[Any]:
     return [patch.object(failure_detector, "EXPIRY_NS", LEASE_NS // 2)]
 
 
-def _return_not_noticed() -> list[Any]:
+def _return_ignored() -> list[Any]:
     """Who is seen again counts at once as if it had never been away."""
     real = FailureDetector.review
 
@@ -138,12 +140,12 @@
     return [patch.object(FailureDetector, "review", mutant)]
 
 
-def _floor_of_the_whole() -> list[Any]:
+def _guarantee_exceeds_limit() -> list[Any]:
     """All of a ceiling lies in even slices beside the pool."""
     return [patch.object(lease, "GUARANTEED_PART", 1.5)]
 
 
-def _late_answers_taken() -> list[Any]:
+def _late_replies_accepted() -> list[Any]:
     """An answer to a call that had failed still counts."""
     real = LeaseManager.on_reply
 
@@ -159,7 +161,7 @@
     ]
 
 
-def _use_not_taken_off() -> list[Any]:
+def _spending_elsewhere_ignored() -> list[Any]:
     """What others spent of a quota stays in the store here."""
     real = Lease._merge_claims
 
@@ -170,12 +172,12 @@
     return [patch.object(Lease, "_merge_claims", mutant)]
 
 
-def _full_at_first() -> list[Any]:
+def _first_burst_full() -> list[Any]:
     """A member that comes to a gateway for the first time has its whole burst there."""
     return [patch.object(Lease, "_tokens_from_claims", lambda self, *words: self.terms.burst)]
 
 
-def _lost_field_not_noticed() -> list[Any]:
+def _missing_field_ignored() -> list[Any]:
     """Who finds his own field gone goes on with his proofs."""
     real = Lease.on_reply
 
@@ -185,7 +187,7 @@
     return [patch.object(Lease, "on_reply", mutant)]
 
 
-def _whole_while_deaf() -> list[Any]:
+def _entire_quota_without_replies() -> list[Any]:
     """A quota stays whole here while no call is answered."""
     real = Lease.usable_shares
 
@@ -195,7 +197,7 @@
     return [patch.object(Lease, "usable_shares", mutant)]
 
 
-def _release_stuck() -> list[Any]:
+def _share_never_released() -> list[Any]:
     """What is not asked for any more is never given back."""
     real = Lease._choose_share
 
@@ -209,26 +211,26 @@
     each.__name__.strip("_").replace("_", "-"): each
     for each in (
         _proof_not_awaited,
-        _proof_without_beats,
-        _proof_without_time,
-        _fresh_counter_trusted,
-        _not_fitted,
-        _even_at_once,
-        _beats_after_a_failure,
-        _beat_before_writing_back,
-        _alive_by_the_last_look,
-        _old_claims_believed,
-        _raised_before_the_answer,
-        _kept_without_word,
-        _out_too_short,
-        _return_not_noticed,
-        _floor_of_the_whole,
-        _late_answers_taken,
-        _use_not_taken_off,
-        _full_at_first,
-        _lost_field_not_noticed,
-        _whole_while_deaf,
-        _release_stuck,
+        _proof_without_heartbeats,
+        _proof_without_delay,
+        _lost_claims_forgotten,
+        _share_not_reduced,
+        _static_share_at_once,
+        _heartbeats_after_failure,
+        _heartbeat_before_claims_restored,
+        _alive_since_reading,
+        _older_claims_accepted,
+        _raised_before_reply,
+        _lease_never_expires,
+        _expiry_too_short,
+        _return_ignored,
+        _guarantee_exceeds_limit,
+        _late_replies_accepted,
+        _spending_elsewhere_ignored,
+        _first_burst_full,
+        _missing_field_ignored,
+        _entire_quota_without_replies,
+        _share_never_released,
     )
 }
 
@@ -241,7 +243,7 @@
 }
 
 
-def convict(name: str, seeds: int) -> tuple[str, int] | None:
+def first_detection(name: str, seeds: int) -> tuple[str, int] | None:
     """The kind and the first seed of a world that shows the mutant; None if none of so many of each has."""
     with applied(MUTANTS[name]()):
         return next(
@@ -249,7 +251,7 @@
         )
 
 
-def shows(name: str, kind: str, seed: int) -> bool:
+def is_detected(name: str, kind: str, seed: int) -> bool:
     """Whether this world shows the mutant."""
     with applied(MUTANTS[name]()):
         return bool(KINDS[kind](seed))
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -29,7 +29,7 @@
     return [patch.object(ReplicaSettings, "majority", property(lambda self: len(self.replicas) // 2))]
 
 
-def _empty_counts() -> list[Any]:
+def _restarted_replica_counts() -> list[Any]:
     """A replica that starts anew counts for a majority from the first moment on."""
     real = Replica.__init__
 
@@ -68,7 +68,7 @@
     return [patch.object(Replica, "_follow", mutant)]
 
 
-def _any_previous() -> list[Any]:
+def _previous_version_ignored() -> list[Any]:
     """Entries are taken behind whatever is last here."""
     real = Log.accept
 
@@ -86,7 +86,7 @@
     return [patch.object(Log, "accept", mutant)]
 
 
-def _not_asked_first() -> list[Any]:
+def _other_logs_not_requested() -> list[Any]:
     """A new leader numbers at once, by the log that it has."""
 
     def mutant(self: Leader, now: int) -> list[Action]:
@@ -95,7 +95,7 @@
     return [patch.object(Leader, "_choose_log", mutant)]
 
 
-def _adopting_forgets() -> list[Any]:
+def _pending_dropped_on_adoption() -> list[Any]:
     """What is pending is dropped before another log is taken over, as was once planned."""
     real = Leader._choose_log
 
@@ -109,7 +109,7 @@
     return [patch.object(Leader, "_choose_log", mutant)]
 
 
-def _lost_leader_goes_on() -> list[Any]:
+def _accepted_counts_as_committed() -> list[Any]:
     """A replica takes changes for committed that it has merely accepted."""
     real = Replica._on_append
 
@@ -129,7 +129,7 @@
     return [patch.object(Leader, "_count_complete", mutant)]
 
 
-def _history_in_place() -> list[Any]:
+def _history_number_reused() -> list[Any]:
     """An operator's new history goes on under the former one's number."""
     real = Leader._establish
 
@@ -141,7 +141,7 @@
     return [patch.object(Leader, "_establish", mutant)]
 
 
-def _goes_back() -> list[Any]:
+def _older_version_accepted() -> list[Any]:
     """A gateway takes what a replica has that is behind."""
     real = PollServer.answer
 
@@ -159,7 +159,7 @@
     return [patch.object(PollServer, "answer", mutant), patch.object(Subscriber, "_on_delta", delta)]
 
 
-def _acts_on_pieces() -> list[Any]:
+def _acts_on_incomplete_snapshot() -> list[Any]:
     """A snapshot is acted on as soon as its last piece is there."""
     real = StagedSnapshot.add
 
@@ -170,7 +170,7 @@
     return [patch.object(StagedSnapshot, "add", mutant)]
 
 
-def _skips_what_does_not_fit() -> list[Any]:
+def _truncated_delta_names_newest() -> list[Any]:
     """A delta that is cut names the newest version all the same."""
     real = PollServer._delta
 
@@ -185,12 +185,12 @@
     return [patch.object(PollServer, "_delta", mutant)]
 
 
-def _never_elsewhere() -> list[Any]:
+def _never_changes_replica() -> list[Any]:
     """A gateway keeps to the replica that does not answer."""
     return [patch.object(Subscriber, "replica", property(lambda self: self._regional_replicas[0]))]
 
 
-def _always_fresh() -> list[Any]:
+def _replica_always_current() -> list[Any]:
     """A replica that does not hear its leader says that it does."""
     real = PollServer.answer
 
@@ -205,7 +205,7 @@
     return [patch.object(Leader, "in_touch_at_ns", lambda self, now: now)]
 
 
-def _unbounded_pieces() -> list[Any]:
+def _pieces_not_limited() -> list[Any]:
     """Everybody is answered at once, and asks on at once."""
     real = PollServer.__init__
 
@@ -227,7 +227,7 @@
     return [patch.object(Leader, "on_tail_entries", mutant)]
 
 
-def _promise_without_fence() -> list[Any]:
+def _promise_without_fencing() -> list[Any]:
     """A replica promises, and still follows the former leader."""
     real = Replica._on_prepare
 
@@ -245,29 +245,29 @@
     each.__name__.strip("_"): each
     for each in (
         _minority_commits,
-        _empty_counts,
+        _restarted_replica_counts,
         _caught_up_too_early,
         _old_epochs_accepted,
-        _any_previous,
-        _not_asked_first,
-        _adopting_forgets,
-        _lost_leader_goes_on,
+        _previous_version_ignored,
+        _other_logs_not_requested,
+        _pending_dropped_on_adoption,
+        _accepted_counts_as_committed,
         _one_promise_is_enough,
-        _history_in_place,
-        _goes_back,
-        _acts_on_pieces,
-        _skips_what_does_not_fit,
-        _never_elsewhere,
-        _always_fresh,
+        _history_number_reused,
+        _older_version_accepted,
+        _acts_on_incomplete_snapshot,
+        _truncated_delta_names_newest,
+        _never_changes_replica,
+        _replica_always_current,
         _leader_always_in_touch,
-        _unbounded_pieces,
+        _pieces_not_limited,
         _tail_out_of_order,
-        _promise_without_fence,
+        _promise_without_fencing,
     )
 }
 
 
-def convict(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
+def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
     """The first world and seed by which the mutant is told; None if none does. The long worlds are played by
     the first seed alone."""
     played = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -29,16 +29,16 @@
 from .schedules import make, play
 from .world import InvariantViolated, World
 
-_PARTS_INIT = SlotLeases.__init__
+_REAL_INIT = SlotLeases.__init__
 
 
-def _life_ignored() -> list[Any]:
+def _incarnation_ignored() -> list[Any]:
     """Whoever was ever suspected or dead stays so, whatever it says."""
     rank = property(lambda self: (self.created_at_ms, 0, self.state))
     return [patch.object(GossipUpdate, "rank", rank)]
 
 
-def _never_cleared() -> list[Any]:
+def _suspicion_not_refuted() -> list[Any]:
     """A suspicion is not answered."""
     real = MemberTable._refute
 
@@ -58,7 +58,7 @@
     return [patch.object(Election, "__init__", mutant)]
 
 
-def _owner_unasked() -> list[Any]:
+def _coordinates_after_lease() -> list[Any]:
     """Who once led goes on, though its time is over."""
 
     def is_coordinator(self: Coordination, now: int) -> bool:
@@ -90,7 +90,7 @@
     ]
 
 
-def _grows_first() -> list[Any]:
+def _granted_before_release() -> list[Any]:
     """A part is given before others have given up theirs."""
 
     def mutant(self: SlotLeases, now: int, who: MemberId, wanted: int, serial: int, part: int) -> SlotGrant:
@@ -100,12 +100,12 @@
     return [patch.object(SlotLeases, "grant", mutant)]
 
 
-def _given_twice() -> list[Any]:
+def _granted_before_expiry() -> list[Any]:
     """A dead one's part is given away before it has surely ended."""
     return [patch.object(slot_leases, "grantor_duration_ns", lambda lasts: lasts // 10)]
 
 
-def _from_receipt() -> list[Any]:
+def _counted_from_receipt() -> list[Any]:
     """A grant counts from when it came, not from when it was asked for."""
 
     def mutant(
@@ -139,7 +139,7 @@
     return [patch.object(SlotLease, "accept", mutant)]
 
 
-def _predecessor_forgotten() -> list[Any]:
+def _unknown_slots_granted() -> list[Any]:
     """A new coordinator takes what it does not know of for free."""
     return [
         patch.object(SlotLeases, "unknown_slots", lambda self, now: 0),
@@ -148,21 +148,21 @@
 
 
 def _nothing_unknown(self: SlotLeases, now: int, epoch: Epoch, keep: int) -> None:
-    _PARTS_INIT(self, now, epoch, keep)
+    _REAL_INIT(self, now, epoch, keep)
     self._unknown_slots = 0
 
 
-def _touch_ignored() -> list[Any]:
+def _contact_ignored() -> list[Any]:
     """What was granted is acted on though all seeds that know of it are gone."""
     return [patch.object(SlotLease, "valid_until_ns", property(lambda self: self.granted_until_ns))]
 
 
-def _strangers_touch() -> list[Any]:
+def _any_process_is_seed() -> list[Any]:
     """Any process at a seed's address counts as the seed that knows."""
     return [patch.object(SlotLease, "is_known_to", lambda self, first: True)]
 
 
-def _rest_unknown_forgotten() -> list[Any]:
+def _unknown_rest_granted() -> list[Any]:
     """Once one has told what it holds, a new coordinator takes the rest for free."""
     real = SlotLeases.grant
 
@@ -174,7 +174,7 @@
     return [patch.object(SlotLeases, "grant", mutant)]
 
 
-def _begins_with_one() -> list[Any]:
+def _starts_with_one_seed() -> list[Any]:
     """One seed that started anew is taken for all of them."""
     real = Coordinator.__init__
 
@@ -207,7 +207,7 @@
     return [patch.object(Coordinator, "next_view", mutant)]
 
 
-def _given_up() -> list[Any]:
+def _lost_members_not_sought() -> list[Any]:
     """Nobody looks for those that are gone: two halves stay two."""
     return [
         patch.object(Discovery, "tick", lambda self, now: None),
@@ -227,12 +227,12 @@
     ]
 
 
-def _dead_kept() -> list[Any]:
+def _suspect_never_dead() -> list[Any]:
     """A suspect is never taken for dead."""
     return [patch.object(FailureDetector, "_suspicion_timeout_ns", lambda self, person: 1 << 62)]
 
 
-def _blames_at_once() -> list[Any]:
+def _dead_at_first_timeout() -> list[Any]:
     """One late answer, and it is dead."""
 
     def mutant(self: FailureDetector, person: MemberEntry) -> int:
@@ -251,29 +251,29 @@
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
-    "view-life-ignored": _life_ignored,
-    "view-never-cleared": _never_cleared,
+    "view-incarnation-ignored": _incarnation_ignored,
+    "view-suspicion-not-refuted": _suspicion_not_refuted,
     "view-minority-leads": _minority_leads,
-    "view-owner-unasked": _owner_unasked,
-    "view-grows-first": _grows_first,
-    "view-given-twice": _given_twice,
-    "view-from-receipt": _from_receipt,
+    "view-coordinates-after-lease": _coordinates_after_lease,
+    "view-granted-before-release": _granted_before_release,
+    "view-granted-before-expiry": _granted_before_expiry,
+    "view-counted-from-receipt": _counted_from_receipt,
     "view-serials-ignored": _serials_ignored,
-    "view-predecessor-forgotten": _predecessor_forgotten,
-    "view-touch-ignored": _touch_ignored,
-    "view-strangers-touch": _strangers_touch,
-    "view-rest-forgotten": _rest_unknown_forgotten,
-    "view-begins-with-one": _begins_with_one,
+    "view-unknown-slots-granted": _unknown_slots_granted,
+    "view-contact-ignored": _contact_ignored,
+    "view-any-process-is-seed": _any_process_is_seed,
+    "view-unknown-rest-granted": _unknown_rest_granted,
+    "view-starts-with-one-seed": _starts_with_one_seed,
     "view-number-reused": _number_reused,
     "view-parent-wrong": _parent_wrong,
-    "view-given-up": _given_up,
+    "view-lost-members-not-sought": _lost_members_not_sought,
     "view-not-fenced": _not_fenced,
-    "view-dead-kept": _dead_kept,
-    "view-blames-at-once": _blames_at_once,
+    "view-suspect-never-dead": _suspect_never_dead,
+    "view-dead-at-first-timeout": _dead_at_first_timeout,
 }
 
 
-def two_under_one_name(seed: int) -> None:
+def two_processes_with_one_name(seed: int) -> None:
     """A second process takes a name in use, at another address; raises `InvariantViolated` unless one is
     left."""
     world = World(seed, 5)
@@ -293,7 +293,7 @@
     world.until_settled(3 * SECOND)
 
 
-def wakes_late(seed: int) -> None:
+def holder_paused(seed: int) -> None:
     """A grant that waits while its holder stands still is worth nothing once it wakes: others have its
     part."""
     world = World(seed, 4)
@@ -313,7 +313,7 @@
     world.until_settled(8 * SECOND)
 
 
-def late_words(seed: int) -> None:
+def late_messages(seed: int) -> None:
     """Words that overtake one another by more than a round of questions, while members come and go."""
     # Probes that take their time: nobody is to be taken for dead here.
     world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
@@ -330,7 +330,7 @@
             world.leave(world.processes[f"n{number - 1}"])
 
 
-def seeds_anew(seed: int) -> None:
+def seeds_restarted(seed: int) -> None:
     """Seeds that start anew while others, cut off, still hold what nobody remembers: all of the seeds, or all
     but one that is on the others' side; or all of them, and the cut off are in touch with one that is new."""
     world = World(seed, 8, settings={"lease_duration_ns": 12 * SECOND})
@@ -359,7 +359,7 @@
         world.rights()
 
 
-def calm_loss(seed: int) -> None:
+def moderate_loss(seed: int) -> None:
     """A tenth of all is lost, and some stand still now and then: nobody that runs is ever taken for dead."""
     world = World(seed, 8)
     world.begin(6 * SECOND)
@@ -377,15 +377,15 @@
 
 WORLDS: tuple[Callable[[int], object], ...] = (
     lambda seed: play(make(seed)),
-    two_under_one_name,
-    wakes_late,
-    late_words,
-    calm_loss,
-    seeds_anew,
+    two_processes_with_one_name,
+    holder_paused,
+    late_messages,
+    moderate_loss,
+    seeds_restarted,
 )
 
 
-def convict(name: str, seeds: Iterable[int]) -> int | None:
+def first_detecting_seed(name: str, seeds: Iterable[int]) -> int | None:
     """The first seed by which a world of whichever kind tells the mutant; None if none does."""
     with applied(MUTANTS[name]()):
         for seed in seeds:
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -72,7 +72,7 @@
     return [patch.object(RetryPolicy, "allowed_backends", mutant)]
 
 
-def _window_outlasted() -> list[Any]:
+def _written_after_window() -> list[Any]:
     """A retry that was decided on within the window is written whenever its connection is up."""
     return [patch.object(Host, "may_write", lambda self, attempt: not attempt.ended)]
 
@@ -257,24 +257,24 @@
 
 
 MUTANTS: dict[str, Mutant] = {
-    "effects-forgotten": Mutant("effects", _execution_forgotten),
-    "refuses-after-run": Mutant("effects", _rejects_after_execution),
-    "group-forgotten": Mutant("effects", _scope_ignored),
-    "window-forgotten": Mutant("effects", _window_ignored),
-    "window-outlasted": Mutant("effects", _window_outlasted),
-    "two-copies": Mutant("effects", _two_attempts),
+    "execution-forgotten": Mutant("effects", _execution_forgotten),
+    "rejects-after-execution": Mutant("effects", _rejects_after_execution),
+    "scope-ignored": Mutant("effects", _scope_ignored),
+    "window-ignored": Mutant("effects", _window_ignored),
+    "written-after-window": Mutant("effects", _written_after_window),
+    "two-attempts": Mutant("effects", _two_attempts),
     "drains-ignored": Mutant("drains", _drains_ignored),
-    "cold-flooded": Mutant("cold", _warming_up_overloaded),
-    "ceilings-ignored": Mutant("ceilings", _hard_limits_ignored),
-    "whole-ceiling-each": Mutant("ceilings", _hard_limit_granted_by_each),
-    "peers-unheard": Mutant("quotas", _peers_ignored),
-    "quota-unbooked": Mutant("quotas", _quota_not_charged),
-    "used-units-back": Mutant("quotas", _used_units_refunded),
-    "answers-lost": Mutant("answers", _replies_lost),
-    "answers-twice": Mutant("answers", _replies_duplicated),
-    "answers-late": Mutant("answers", _replies_late),
-    "answers-swapped": Mutant("answers", _replies_swapped),
-    "sent-after-answer": Mutant("answers", _forwarded_after_reply),
+    "warming-up-overloaded": Mutant("cold", _warming_up_overloaded),
+    "hard-limits-ignored": Mutant("ceilings", _hard_limits_ignored),
+    "hard-limit-granted-by-each": Mutant("ceilings", _hard_limit_granted_by_each),
+    "peers-ignored": Mutant("quotas", _peers_ignored),
+    "quota-not-charged": Mutant("quotas", _quota_not_charged),
+    "used-units-refunded": Mutant("quotas", _used_units_refunded),
+    "replies-lost": Mutant("answers", _replies_lost),
+    "replies-duplicated": Mutant("answers", _replies_duplicated),
+    "replies-late": Mutant("answers", _replies_late),
+    "replies-swapped": Mutant("answers", _replies_swapped),
+    "forwarded-after-reply": Mutant("answers", _forwarded_after_reply),
 }
 
 
@@ -286,7 +286,7 @@
         yield mutant
 
 
-def convict(name: str, seeds: Iterator[int]) -> int | None:
+def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds whose schedule shows that the mutant breaks its rule; None if none does."""
     with planted(name) as mutant:
         for seed in islice(seeds, MAX_SEEDS):
--- a/trackspread/testing/virtual/planning/mutants.py
+++ b/trackspread/testing/virtual/planning/mutants.py
@@ -23,11 +23,11 @@
 from ..patches import applied
 
 
-def _no_learning() -> list[Any]:
+def _no_waiting_time() -> list[Any]:
     return [patch.object(planner, "OUTSTANDING_NS", 0)]
 
 
-def _taken_whatever() -> list[Any]:
+def _any_grant_accepted() -> list[Any]:
     """A grant is taken however old it is, and under whatever epoch."""
 
     def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
@@ -52,7 +52,7 @@
     return [patch.object(LeaseHolder, "accept", mutant)]
 
 
-def _lease_outlived() -> list[Any]:
+def _used_after_lease() -> list[Any]:
     """A right goes on after its lease."""
     real = LeaseHolder.accept
 
@@ -64,7 +64,7 @@
     return [patch.object(LeaseHolder, "accept", mutant)]
 
 
-def _only_the_newest() -> list[Any]:
+def _outstanding_forgotten() -> list[Any]:
     """A grant that was not heard of counts as gone."""
     real = LeaseTable.on_request
 
@@ -77,7 +77,7 @@
     return [patch.object(LeaseTable, "on_request", mutant)]
 
 
-def _minority() -> list[Any]:
+def _minority_elects() -> list[Any]:
     real = Election.__init__
 
     def mutant(self: Election, *words: Any) -> None:
@@ -87,16 +87,16 @@
     return [patch.object(Election, "__init__", mutant)]
 
 
-def _out_too_short() -> list[Any]:
+def _outstanding_time_too_short() -> list[Any]:
     return [patch.object(lease_table, "OUTSTANDING_NS", LEASE_NS // 2)]
 
 
-def _others_forgotten() -> list[Any]:
+def _entire_limit_for_each() -> list[Any]:
     """Each holder gets the whole."""
     return [patch.object(LeaseTable, "_share_for", lambda self, *words: self.limit)]
 
 
-def _epoch_ignored() -> list[Any]:
+def _former_table_reused() -> list[Any]:
     """A planner that owns a slot again goes on with the table that it had before others planned it."""
     real = Planner.on_request
 
@@ -113,23 +113,23 @@
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
-    "no-learning": _no_learning,
-    "taken-whatever": _taken_whatever,
+    "no-waiting-time": _no_waiting_time,
+    "any-grant-accepted": _any_grant_accepted,
     "counted-from-receipt": _counted_from_receipt,
-    "lease-outlived": _lease_outlived,
-    "only-the-newest": _only_the_newest,
-    "minority": _minority,
-    "out-too-short": _out_too_short,
-    "others-forgotten": _others_forgotten,
-    "epoch-ignored": _epoch_ignored,
+    "used-after-lease": _used_after_lease,
+    "outstanding-forgotten": _outstanding_forgotten,
+    "minority-elects": _minority_elects,
+    "outstanding-time-too-short": _outstanding_time_too_short,
+    "entire-limit-for-each": _entire_limit_for_each,
+    "former-table-reused": _former_table_reused,
 }
 
 
-def convict(name: str, seeds: Iterator[int]) -> int | None:
+def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds that has a schedule, of either kind, that shows the mutant; None if none has."""
     with applied(MUTANTS[name]()):
-        return next((seed for seed in seeds if _shows(seed)), None)
+        return next((seed for seed in seeds if _is_detected(seed)), None)
 
 
-def _shows(seed: int) -> bool:
+def _is_detected(seed: int) -> bool:
     return bool(saturated.play(saturated.make(seed)).broken or schedules.play(schedules.make(seed)).broken)
--- a/trackspread/testing/virtual/reservations.py
+++ b/trackspread/testing/virtual/reservations.py
@@ -207,7 +207,7 @@
 }
 
 
-def convict(name: str, seeds: Iterator[int]) -> int | None:
+def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds that shows the mutant; None if none does."""
     with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if play(seed)), None)
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -40,17 +40,17 @@
     return [patch.object(virtual_world, "perform", mutant)]
 
 
-def _ack_before_sync() -> list[Any]:
+def _committed_without_sync() -> list[Any]:
     """Records count as committed without a sync."""
     return _skip(Sync)
 
 
-def _no_refresh() -> list[Any]:
+def _refresh_skipped() -> list[Any]:
     """What a killed process left in the page cache counts as durable."""
     return _skip(Refresh)
 
 
-def _nonce_used_again() -> list[Any]:
+def _nonce_reused() -> list[Any]:
     """Every incarnation writes a stream with the same nonce."""
 
     def mutant(epoch: int, index: int, slots: int, nonce: bytes) -> SegmentHeader:
@@ -59,7 +59,7 @@
     return [patch.object(stream_writer, "SegmentHeader", mutant)]
 
 
-def _epoch_used_again() -> list[Any]:
+def _epoch_reused() -> list[Any]:
     """A stream takes the epoch of one that was never declared, whose files are not removed yet."""
     real = FolderRecovery._scanned
 
@@ -88,7 +88,7 @@
     return [patch.object(Exporter, "records_read", mutant)]
 
 
-def _second_sync_trusted() -> list[Any]:
+def _sync_after_failure_trusted() -> list[Any]:
     """After a sync that failed the next one is trusted."""
 
     def mutant(self: StreamWriter, now: int, error: OSError) -> None:
@@ -121,7 +121,7 @@
     return [patch.object(StreamWriter, "_create", mutant)]
 
 
-def _former_stream_not_ended() -> list[Any]:
+def _failed_stream_not_ended() -> list[Any]:
     """The stream that a failed sync left in doubt is not ended: what is copied counts twice."""
     real = StreamWriter._declare
 
@@ -280,16 +280,16 @@
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
     each.__name__.strip("_").replace("_", "-"): each
     for each in (
-        _ack_before_sync,
-        _no_refresh,
-        _nonce_used_again,
-        _epoch_used_again,
+        _committed_without_sync,
+        _refresh_skipped,
+        _nonce_reused,
+        _epoch_reused,
         _removed_before_exported,
         _intent_not_saved,
-        _second_sync_trusted,
+        _sync_after_failure_trusted,
         _valid_copy_overwritten,
         _pending_not_copied,
-        _former_stream_not_ended,
+        _failed_stream_not_ended,
         _sum_written_twice,
         _sum_dropped,
         _tail_not_exported,
@@ -305,13 +305,13 @@
 }
 
 
-def convict(name: str, seeds: Iterator[int]) -> int | None:
+def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
     """The first of the seeds whose schedule detects the mutant; None if none does."""
     with applied(MUTANTS[name]()):
-        return next((seed for seed in seeds if _convicts(seed)), None)
+        return next((seed for seed in seeds if _is_detected(seed)), None)
 
 
-def _convicts(seed: int) -> bool:
+def _is_detected(seed: int) -> bool:
     try:
         return bool(play(make(seed)).violations)
     except (AssertionError, KeyError, IndexError, ValueError):
