--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -1,4 +1,4 @@
-"""Membership in levels with one fault each, for the worlds to convict. Each breaks one rule of `cells/`."""
+"""Defines mutants of two-level membership, which the worlds must detect. Each breaks one rule of `cells/`."""
 
 from __future__ import annotations
 
@@ -27,13 +27,14 @@
 
 
 def _every_notice_followed() -> list[Any]:
-    """A gateway goes by whatever came last, whichever process of its name that was for."""
+    """Follows the last received placement notice, even an older one or one for another process."""
     real = Gateway.receive_cells_message
 
-    def message(self: Gateway, now: int, word: CellsMessage, source: Address) -> list[CellsAction]:
-        if isinstance(word.body, PlacementNotice):
-            word = structs.replace(word, body=PlacementNotice(self.member_id, word.body.placement))
-        return real(self, now, word, source)
+    def receive(self: Gateway, now: int, message: CellsMessage, source: Address) -> list[CellsAction]:
+        if isinstance(message.body, PlacementNotice):
+            notice = PlacementNotice(self.member_id, message.body.placement)
+            message = structs.replace(message, body=notice)
+        return real(self, now, message, source)
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
         if self.placement is None:
@@ -44,11 +45,11 @@
             self._leave_cell(now)
             self._join_cell(now, placement)
 
-    return [patch.object(Gateway, "_follow", mutant), patch.object(Gateway, "receive_cells_message", message)]
+    return [patch.object(Gateway, "_follow", mutant), patch.object(Gateway, "receive_cells_message", receive)]
 
 
 def _never_moves() -> list[Any]:
-    """A gateway never moves."""
+    """Keeps a gateway in its first cell, whatever its later placements."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
         if self.placement is None:
@@ -58,7 +59,7 @@
 
 
 def _slots_kept() -> list[Any]:
-    """Who moves does not give its slots back, and acts on them until they end."""
+    """Leaves a cell without a release of the slots, which the gateway uses until their lease expires."""
 
     def mutant(self: Gateway, now: int) -> None:
         if self.member is not None and self.placement is not None:
@@ -70,7 +71,7 @@
 
 
 def _joins_before_leaving() -> list[Any]:
-    """Who moves joins the other cell before it leaves the one it is in."""
+    """Joins the new cell before the gateway leaves its present one."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
         before, member = self.placement, self.member
@@ -86,7 +87,7 @@
 
 
 def _leaves_without_control() -> list[Any]:
-    """A gateway leaves its cell when no control machine answers."""
+    """Leaves the cell when no control machine answers."""
     real = Gateway._request_placement
 
     def mutant(self: Gateway, now: int) -> None:
@@ -99,16 +100,17 @@
 
 
 def _requests_without_backoff() -> list[Any]:
+    """Repeats unanswered placement requests at the shortest interval."""
     return [patch.object(gateway, "MAX_BACKOFF_NS", gateway.MIN_BACKOFF_NS)]
 
 
 def _refreshes_at_once() -> list[Any]:
-    """Whoever was answered asks again at once."""
+    """Refreshes a placement at the shortest interval after each answer."""
     return [patch.object(gateway, "REFRESH_INTERVAL_NS", gateway.MIN_BACKOFF_NS)]
 
 
 def _leads_after_lease() -> list[Any]:
-    """Who once led goes on, though its time is over."""
+    """Continues to lead after the leader's lease has expired."""
     real = Controller._lead
 
     def lead(self: Controller, now: int) -> None:
@@ -122,7 +124,7 @@
 
 
 def _older_entry_accepted() -> list[Any]:
-    """A control machine takes any entry, also an older one."""
+    """Accepts any entry for a cell, even an older one, at a control machine."""
     real = Controller._seed
 
     def mutant(self: Controller, now: int, cell: Cell) -> None:
@@ -135,7 +137,7 @@
 
 
 def _retired_cell_seeded() -> list[Any]:
-    """A cell that was given up is seeded again when a late word says so."""
+    """Seeds a retired cell again when a late message names it."""
     real = Controller._seed
 
     def mutant(self: Controller, now: int, cell: Cell) -> None:
@@ -146,7 +148,7 @@
 
 
 def _cells_not_reported() -> list[Any]:
-    """A new leader hears nothing of the cells that there are."""
+    """Sends a new leader no reports of the existing cells."""
     real = SeededCell.due_reports
 
     def mutant(
@@ -158,12 +160,12 @@
 
 
 def _restart_ignored() -> list[Any]:
-    """A control machine that starts anew is not told what it seeds."""
+    """Does not notify a restarted control machine of the cells that it seeds."""
     return [patch.object(DirectoryLeader, "_forget_reported", lambda self, address: None)]
 
 
 def _retired_with_gateways() -> list[Any]:
-    """A closing cell is given up though it has gateways."""
+    """Retires a closing cell that still has gateways."""
     real = Directory._rebalance
 
     def mutant(self: Directory, now: int, zone: Zone) -> Any:
@@ -175,7 +177,7 @@
 
 
 def _zones_mixed() -> list[Any]:
-    """A gateway is sent to the fullest cell of any zone."""
+    """Places a gateway in the fullest cell of any zone."""
 
     def mutant(self: Directory, zone: Zone) -> list[CellEntry]:
         return [e for e in self.entries.values() if not e.cell.closing]
@@ -184,6 +186,7 @@
 
 
 def _never_split() -> list[Any]:
+    """Never splits a cell that has too many gateways."""
     real = Directory._start_change
 
     def mutant(self: Directory, now: int, zone: Zone) -> None:
@@ -194,11 +197,12 @@
 
 
 def _never_merged() -> list[Any]:
+    """Never closes a cell, however few gateways it has."""
     return [patch.object(Directory, "_is_redundant", lambda self, now, entry, entries: False)]
 
 
 def _empty_cell_retired_early() -> list[Any]:
-    """A cell whose gateways are out of reach for some seconds is given up."""
+    """Closes a cell whose gateways have been unreachable for some seconds."""
     real = Directory._is_redundant
 
     def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
@@ -210,7 +214,7 @@
 
 
 def _merges_without_delay() -> list[Any]:
-    """A cell that has just been opened or left is merged, however full the other."""
+    """Merges a cell that has changed just before, however full the other cell is."""
 
     def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
         return entry.count() <= self.policy.max_gateways
@@ -219,12 +223,12 @@
 
 
 def _lost_seed_kept() -> list[Any]:
-    """A control machine that is gone stays a seed."""
+    """Keeps a lost control machine as a seed."""
     return [patch.object(Directory, "_needs_new_seed", lambda self, now, entry: False)]
 
 
 def _unreachable_seed_replaced() -> list[Any]:
-    """Any seed out of reach for a moment has its cells closed, also with its whole region."""
+    """Closes the cells of a seed that has been unreachable for two seconds, even with its entire region."""
 
     def mutant(self: Directory, now: int, entry: CellEntry) -> bool:
         return any(now - self._lost_since_ns.get(seed, now) >= 2 * SECOND for seed in entry.cell.seeds)
@@ -233,7 +237,7 @@
 
 
 def _former_cell_forgotten() -> list[Any]:
-    """Who starts anew is sent anywhere."""
+    """Places a restarted gateway without regard to its former cell."""
     real = Directory.place
 
     def mutant(self: Directory, now: int, who: MemberId, locate: PlacementRequest) -> Placement | None:
@@ -245,7 +249,7 @@
 
 
 def _opens_before_rebuilding() -> list[Any]:
-    """A new leader opens cells before it has heard of those that there are."""
+    """Opens cells as a new leader before the existing ones were reported."""
     return [
         patch.object(Directory, "is_rebuilding", lambda self, now: False),
         *_former_cell_forgotten(),
@@ -254,12 +258,12 @@
 
 
 def _no_local_placement() -> list[Any]:
-    """Newcomers wait for the leader, however long it is out of reach."""
+    """Places no new gateway while the leader is unreachable."""
     return [patch.object(Controller, "_place_without_leader", lambda self, now, who, locate: None)]
 
 
 def _seeds_granted_slots() -> list[Any]:
-    """Seeds are granted slots, which nobody acts on."""
+    """Grants slots to seeds, which do not use them."""
     real = LeaseRenewal.next_request
 
     def due(self: LeaseRenewal, now: int, epoch: Epoch, number: Any) -> LeaseRequest | None:
@@ -298,18 +302,18 @@
 
 
 def is_detected(world: str, seed: int, name: str) -> bool:
-    """Whether this world convicts the mutant."""
-    played = next(each for each in WORLDS if each.__name__ == world)
+    """Returns whether the world of this name and seed detects the mutant."""
+    play = next(each for each in WORLDS if each.__name__ == world)
     with applied(MUTANTS[name]()):
         try:
-            played(seed)
+            play(seed)
         except InvariantViolated:
             return True
     return False
 
 
 def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
-    """The first world, by its name, and seed that tell the mutant; None if none does."""
+    """Returns the name and seed of the first world that detects the mutant, or None if none does."""
     seeds = list(seeds)
     with applied(MUTANTS[name]()):
         for world in (*WORLDS[1:], WORLDS[0]):
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -1,6 +1,6 @@
-"""Handing configuration down with one fault each, for the worlds to convict.
+"""Defines mutants of the distribution of configuration, which the worlds must detect.
 
-Each breaks one rule of `distribution/` by a patch that is taken back.
+Each breaks one rule of `distribution/` by patches that are reverted.
 """
 
 from __future__ import annotations
@@ -26,37 +26,38 @@
 
 
 def _minority_commits() -> list[Any]:
+    """Counts half of the replicas as a majority."""
     return [patch.object(ReplicaSettings, "majority", property(lambda self: len(self.replicas) // 2))]
 
 
 def _restarted_replica_counts() -> list[Any]:
-    """A replica that starts anew counts for a majority from the first moment on."""
+    """Counts a restarted replica toward a majority before it has caught up."""
     real = Replica.__init__
 
-    def mutant(self: Replica, *words: Any) -> None:
-        real(self, *words)
-        self.is_complete = (
-            self.settings.incarnation > 1_790_000_000_000
-        )  # those of the world's beginning are in order
+    def mutant(self: Replica, *arguments: Any) -> None:
+        real(self, *arguments)
+        # The replicas that start with the world have this incarnation, and are handled correctly.
+        self.is_complete = self.settings.incarnation > 1_790_000_000_000
 
     return [patch.object(Replica, "__init__", mutant)]
 
 
 def _caught_up_too_early() -> list[Any]:
-    """Whole once it has any state of a leader, whatever that had beside."""
+    """Counts a replica as complete once it has any state of a leader, even if the leader has more."""
     real = Replica._after_pull
 
-    def mutant(self: Replica, now: int, made: list[Action]) -> list[Action]:
-        out = real(self, now, made)
+    def mutant(self: Replica, now: int, actions: list[Action]) -> list[Action]:
+        actions = real(self, now, actions)
         self.is_complete = self.is_complete or (
             self._catch_up_goal is not None and self._snapshot_pull is None
         )
-        return out
+        return actions
 
     return [patch.object(Replica, "_after_pull", mutant)]
 
 
 def _old_epochs_accepted() -> list[Any]:
+    """Follows the leader of an older epoch than the promised one."""
     real = Replica._follow
 
     def mutant(self: Replica, replica: int, epoch: Epoch) -> bool:
@@ -69,7 +70,7 @@
 
 
 def _previous_version_ignored() -> list[Any]:
-    """Entries are taken behind whatever is last here."""
+    """Appends entries to the log whatever its last version is."""
     real = Log.accept
 
     def mutant(self: Log, previous: Version, entries: Iterable[Entry]) -> bool:
@@ -87,7 +88,7 @@
 
 
 def _other_logs_not_requested() -> list[Any]:
-    """A new leader numbers at once, by the log that it has."""
+    """Starts to number changes as a new leader with its own log, without requests for the others' logs."""
 
     def mutant(self: Leader, now: int) -> list[Action]:
         return self._establish(now)
@@ -96,31 +97,32 @@
 
 
 def _pending_dropped_on_adoption() -> list[Any]:
-    """What is pending is dropped before another log is taken over, as was once planned."""
+    """Drops pending entries before another replica's log is adopted."""
     real = Leader._choose_log
 
     def mutant(self: Leader, now: int) -> list[Action]:
-        made = real(self, now)
+        actions = real(self, now)
         if self.adopted_replica is not None and self.is_complete:
             self.log.pending.clear()
             self.log.last = self.log.committed
-        return made
+        return actions
 
     return [patch.object(Leader, "_choose_log", mutant)]
 
 
 def _accepted_counts_as_committed() -> list[Any]:
-    """A replica takes changes for committed that it has merely accepted."""
+    """Counts changes as committed that a replica has merely accepted."""
     real = Replica._on_append
 
-    def mutant(self: Replica, now: int, replica: int, told: Append, source: Address) -> list[Action]:
-        ahead = Append(told.epoch, told.previous, told.entries, told.last, told.last, told.age_ms)
+    def mutant(self: Replica, now: int, replica: int, append: Append, source: Address) -> list[Action]:
+        ahead = Append(append.epoch, append.previous, append.entries, append.last, append.last, append.age_ms)
         return real(self, now, replica, ahead, source)
 
     return [patch.object(Replica, "_on_append", mutant)]
 
 
 def _one_promise_is_enough() -> list[Any]:
+    """Counts the promise of one complete replica as a majority."""
     real = Leader._count_complete
 
     def mutant(self: Leader, answers: dict[int, Any]) -> int:
@@ -130,7 +132,7 @@
 
 
 def _history_number_reused() -> list[Any]:
-    """An operator's new history goes on under the former one's number."""
+    """Continues under the former history's number after an operator has started a new history."""
     real = Leader._establish
 
     def mutant(self: Leader, now: int) -> list[Action]:
@@ -142,7 +144,7 @@
 
 
 def _older_version_accepted() -> list[Any]:
-    """A gateway takes what a replica has that is behind."""
+    """Replaces a gateway's version with the older one of a replica that is behind."""
     real = PollServer.answer
 
     def mutant(self: PollServer, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
@@ -150,17 +152,17 @@
             return [Delta(poll.number, self._log.committed, 0, (), False)]
         return real(self, now, poll, heard_at, bounded)
 
-    def delta(self: Subscriber, now: int, told: Delta, asked_at: int) -> list[Action]:
-        if self._staged is None and told.version < self.version:
-            self.version = told.version
-        return real_delta(self, now, told, asked_at)
+    def delta(self: Subscriber, now: int, received: Delta, asked_at: int) -> list[Action]:
+        if self._staged is None and received.version < self.version:
+            self.version = received.version
+        return real_delta(self, now, received, asked_at)
 
     real_delta = Subscriber._on_delta
     return [patch.object(PollServer, "answer", mutant), patch.object(Subscriber, "_on_delta", delta)]
 
 
 def _acts_on_incomplete_snapshot() -> list[Any]:
-    """A snapshot is acted on as soon as its last piece is there."""
+    """Uses a snapshot as soon as its last piece has arrived, without the changes made during the transfer."""
     real = StagedSnapshot.add
 
     def mutant(self: StagedSnapshot, piece: SnapshotPiece) -> None:
@@ -171,27 +173,27 @@
 
 
 def _truncated_delta_names_newest() -> list[Any]:
-    """A delta that is cut names the newest version all the same."""
+    """Names the newest version in a delta that was truncated."""
     real = PollServer._delta
 
-    def mutant(self: PollServer, *words: Any) -> Any:
-        made = real(self, *words)
+    def mutant(self: PollServer, *arguments: Any) -> Any:
+        delta = real(self, *arguments)
         return (
-            Delta(made.number, self._log.committed, made.age_ms, made.entries, False)
-            if isinstance(made, Delta)
-            else made
+            Delta(delta.number, self._log.committed, delta.age_ms, delta.entries, False)
+            if isinstance(delta, Delta)
+            else delta
         )
 
     return [patch.object(PollServer, "_delta", mutant)]
 
 
 def _never_changes_replica() -> list[Any]:
-    """A gateway keeps to the replica that does not answer."""
+    """Keeps a gateway at a replica that does not answer."""
     return [patch.object(Subscriber, "replica", property(lambda self: self._regional_replicas[0]))]
 
 
 def _replica_always_current() -> list[Any]:
-    """A replica that does not hear its leader says that it does."""
+    """Reports contact with the leader at a replica that has none."""
     real = PollServer.answer
 
     def mutant(self: PollServer, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
@@ -201,12 +203,12 @@
 
 
 def _leader_always_in_touch() -> list[Any]:
-    """A leader that hears no majority says that it does."""
+    """Reports contact with a majority at a leader that has none."""
     return [patch.object(Leader, "in_touch_at_ns", lambda self, now: now)]
 
 
 def _pieces_not_limited() -> list[Any]:
-    """Everybody is answered at once, and asks on at once."""
+    """Answers every request for a snapshot piece at once, without a limit on pieces."""
     real = PollServer.__init__
 
     def mutant(self: PollServer, log: Log, pieces: int) -> None:
@@ -216,27 +218,27 @@
 
 
 def _tail_out_of_order() -> list[Any]:
-    """A part of the log that is taken over is taken wherever it lies."""
+    """Accepts a part of an adopted log in any order."""
 
-    def mutant(self: Leader, now: int, replica: int, told: TailEntries) -> list[Action]:
+    def mutant(self: Leader, now: int, replica: int, tail: TailEntries) -> list[Action]:
         if replica != self.adopted_replica or not self._has_base:
             return []
-        self.log.accept(told.after, told.entries)
+        self.log.accept(tail.after, tail.entries)
         return self._establish(now)
 
     return [patch.object(Leader, "on_tail_entries", mutant)]
 
 
 def _promise_without_fencing() -> list[Any]:
-    """A replica promises, and still follows the former leader."""
+    """Promises an epoch and still follows the former leader."""
     real = Replica._on_prepare
 
-    def mutant(self: Replica, told: Prepare, source: Address) -> list[Action]:
+    def mutant(self: Replica, prepare: Prepare, source: Address) -> list[Action]:
         before = self.promised
-        made = real(self, told, source)
-        if any(isinstance(each, Send) for each in made) and self.leader_number < 0:
+        actions = real(self, prepare, source)
+        if any(isinstance(each, Send) for each in actions) and self.leader_number < 0:
             self.promised = before
-        return made
+        return actions
 
     return [patch.object(Replica, "_on_prepare", mutant)]
 
@@ -268,11 +270,12 @@
 
 
 def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
-    """The first world and seed by which the mutant is told; None if none does. The long worlds are played by
-    the first seed alone."""
-    played = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
+    """Returns the name and seed of the first world that detects the mutant, or None if none does.
+
+    The long worlds are played with seed 0 only."""
+    runs = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
     with applied(MUTANTS[name]()):
-        for seed, world in sorted(played, key=lambda each: each[0]):
+        for seed, world in sorted(runs, key=lambda each: each[0]):
             try:
                 world(seed)
             except InvariantViolated:
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -1,7 +1,7 @@
-"""The view with one fault each, for the worlds and the records to convict.
+"""Defines mutants of membership, which the worlds and the judge of membership records must detect.
 
-Each breaks one rule of `membership/` by a patch that is taken back; those in `ON_PROCESSES` are planted into
-running gateways too.
+Each breaks one rule of `membership/` by patches that are reverted. `benchmarks.membership` also plants those
+in its `ON_PROCESSES` in running gateways.
 """
 
 from __future__ import annotations
@@ -33,33 +33,34 @@
 
 
 def _incarnation_ignored() -> list[Any]:
-    """Whoever was ever suspected or dead stays so, whatever it says."""
+    """Keeps a member suspected or dead, whatever incarnation it announces later."""
     rank = property(lambda self: (self.created_at_ms, 0, self.state))
     return [patch.object(GossipUpdate, "rank", rank)]
 
 
 def _suspicion_not_refuted() -> list[Any]:
-    """A suspicion is not answered."""
+    """Does not refute a suspicion."""
     real = MemberTable._refute
 
-    def mutant(self: MemberTable, word: GossipUpdate) -> bool:
-        return real(self, word) if word.created_at_ms > self.own_update.created_at_ms else False
+    def mutant(self: MemberTable, update: GossipUpdate) -> bool:
+        return real(self, update) if update.created_at_ms > self.own_update.created_at_ms else False
 
     return [patch.object(MemberTable, "_refute", mutant)]
 
 
 def _minority_leads() -> list[Any]:
+    """Elects a coordinator with a single vote."""
     real = Election.__init__
 
-    def mutant(self: Election, *words: Any) -> None:
-        real(self, *words)
+    def mutant(self: Election, *arguments: Any) -> None:
+        real(self, *arguments)
         self._majority = 1
 
     return [patch.object(Election, "__init__", mutant)]
 
 
 def _coordinates_after_lease() -> list[Any]:
-    """Who once led goes on, though its time is over."""
+    """Continues to coordinate after the coordinator's lease has expired."""
 
     def is_coordinator(self: Coordination, now: int) -> bool:
         return self.coordinator is not None
@@ -91,31 +92,33 @@
 
 
 def _granted_before_release() -> list[Any]:
-    """A part is given before others have given up theirs."""
+    """Grants slots before the other members have released them."""
 
-    def mutant(self: SlotLeases, now: int, who: MemberId, wanted: int, serial: int, part: int) -> SlotGrant:
+    def mutant(
+        self: SlotLeases, now: int, who: MemberId, target: int, serial: int, current: int
+    ) -> SlotGrant:
         self._serial += 1
-        return SlotGrant(self._serial, wanted)
+        return SlotGrant(self._serial, target)
 
     return [patch.object(SlotLeases, "grant", mutant)]
 
 
 def _granted_before_expiry() -> list[Any]:
-    """A dead one's part is given away before it has surely ended."""
-    return [patch.object(slot_leases, "grantor_duration_ns", lambda lasts: lasts // 10)]
+    """Grants a dead member's slots to others before its lease has certainly expired."""
+    return [patch.object(slot_leases, "grantor_duration_ns", lambda duration_ns: duration_ns // 10)]
 
 
 def _counted_from_receipt() -> list[Any]:
-    """A grant counts from when it came, not from when it was asked for."""
+    """Counts a grant's duration from its arrival instead of from the sending of the request."""
 
     def mutant(
-        self: SlotLease, now: int, stamp: int, epoch: Epoch, serial: int, part: int, lasts: int
+        self: SlotLease, now: int, sent_at: int, epoch: Epoch, serial: int, slots: int, duration_ns: int
     ) -> bool:
         if epoch != self.epoch or serial <= self.serial:
             return False
         self.serial = serial
-        self.granted_slots = part
-        self.granted_until_ns = now + holder_duration_ns(lasts)
+        self.granted_slots = slots
+        self.granted_until_ns = now + holder_duration_ns(duration_ns)
         self.extend_contact(now)
         return True
 
@@ -123,68 +126,73 @@
 
 
 def _serials_ignored() -> list[Any]:
-    """An older grant that comes late counts."""
+    """Accepts an older grant that arrives late."""
 
     def mutant(
-        self: SlotLease, now: int, stamp: int, epoch: Epoch, serial: int, part: int, lasts: int
+        self: SlotLease, now: int, sent_at: int, epoch: Epoch, serial: int, slots: int, duration_ns: int
     ) -> bool:
         if epoch != self.epoch:
             return False
         self.serial = max(self.serial, serial)
-        self.granted_slots = part
-        self.granted_until_ns = max(self.granted_until_ns, stamp + holder_duration_ns(lasts))
-        self.extend_contact(stamp)
+        self.granted_slots = slots
+        self.granted_until_ns = max(self.granted_until_ns, sent_at + holder_duration_ns(duration_ns))
+        self.extend_contact(sent_at)
         return True
 
     return [patch.object(SlotLease, "accept", mutant)]
 
 
 def _unknown_slots_granted() -> list[Any]:
-    """A new coordinator takes what it does not know of for free."""
+    """Counts slots that a new coordinator has no reports of as free."""
     return [
         patch.object(SlotLeases, "unknown_slots", lambda self, now: 0),
-        patch.object(SlotLeases, "__init__", _nothing_unknown),
+        patch.object(SlotLeases, "__init__", _start_with_no_unknown_slots),
     ]
 
 
-def _nothing_unknown(self: SlotLeases, now: int, epoch: Epoch, keep: int) -> None:
-    _REAL_INIT(self, now, epoch, keep)
+def _start_with_no_unknown_slots(self: SlotLeases, now: int, epoch: Epoch, duration_ns: int) -> None:
+    _REAL_INIT(self, now, epoch, duration_ns)
     self._unknown_slots = 0
 
 
 def _contact_ignored() -> list[Any]:
-    """What was granted is acted on though all seeds that know of it are gone."""
+    """Uses granted slots although the member has lost contact with all seeds that know of them."""
     return [patch.object(SlotLease, "valid_until_ns", property(lambda self: self.granted_until_ns))]
 
 
 def _any_process_is_seed() -> list[Any]:
-    """Any process at a seed's address counts as the seed that knows."""
-    return [patch.object(SlotLease, "is_known_to", lambda self, first: True)]
+    """Counts any process at a seed's address as a seed that knows of the lease."""
+    return [patch.object(SlotLease, "is_known_to", lambda self, first_epoch: True)]
 
 
 def _unknown_rest_granted() -> list[Any]:
-    """Once one has told what it holds, a new coordinator takes the rest for free."""
+    """Counts all remaining unknown slots as free once one member has reported its slots."""
     real = SlotLeases.grant
 
-    def mutant(self: SlotLeases, now: int, who: MemberId, wanted: int, serial: int, part: int) -> SlotGrant:
-        made = real(self, now, who, wanted, serial, part)
+    def mutant(
+        self: SlotLeases, now: int, who: MemberId, target: int, serial: int, current: int
+    ) -> SlotGrant:
+        grant = real(self, now, who, target, serial, current)
         self._unknown_slots = 0
-        return made
+        return grant
 
     return [patch.object(SlotLeases, "grant", mutant)]
 
 
 def _starts_with_one_seed() -> list[Any]:
-    """One seed that started anew is taken for all of them."""
+    """Counts one restarted seed as all seeds restarted."""
     real = Coordinator.__init__
 
-    def mutant(self: Coordinator, now: int, epoch: Epoch, known: View | None, seeds: int, keep: int) -> None:
-        real(self, now, epoch, known, 1, keep)
+    def mutant(
+        self: Coordinator, now: int, epoch: Epoch, known: View | None, seeds: int, duration_ns: int
+    ) -> None:
+        real(self, now, epoch, known, 1, duration_ns)
 
     return [patch.object(Coordinator, "__init__", mutant)]
 
 
 def _number_reused() -> list[Any]:
+    """Issues every later view of an epoch under the number of its first view."""
     real = Coordinator.next_view
 
     def mutant(self: Coordinator, now: int, live: tuple[MemberId, ...]) -> View | None:
@@ -198,6 +206,7 @@
 
 
 def _parent_wrong() -> list[Any]:
+    """Names a view as its own parent."""
     real = Coordinator.next_view
 
     def mutant(self: Coordinator, now: int, live: tuple[MemberId, ...]) -> View | None:
@@ -208,7 +217,7 @@
 
 
 def _lost_members_not_sought() -> list[Any]:
-    """Nobody looks for those that are gone: two halves stay two."""
+    """Contacts no lost members, so that two halves of a fleet stay separate."""
     return [
         patch.object(Discovery, "tick", lambda self, now: None),
         patch.object(MemberTable, "digest", lambda self: 0),
@@ -216,9 +225,9 @@
 
 
 def _not_fenced() -> list[Any]:
-    """Two processes under one name go on side by side."""
+    """Lets two processes with one name continue at the same time."""
 
-    def mutant(self: UpdateHandler, born: int, source: Address) -> None:
+    def mutant(self: UpdateHandler, created_at_ms: int, source: Address) -> None:
         return None
 
     return [
@@ -228,21 +237,21 @@
 
 
 def _suspect_never_dead() -> list[Any]:
-    """A suspect is never taken for dead."""
-    return [patch.object(FailureDetector, "_suspicion_timeout_ns", lambda self, person: 1 << 62)]
+    """Never declares a suspect dead."""
+    return [patch.object(FailureDetector, "_suspicion_timeout_ns", lambda self, suspect: 1 << 62)]
 
 
 def _dead_at_first_timeout() -> list[Any]:
-    """One late answer, and it is dead."""
+    """Declares a member dead after one late ack."""
 
-    def mutant(self: FailureDetector, person: MemberEntry) -> int:
+    def mutant(self: FailureDetector, suspect: MemberEntry) -> int:
         return 0
 
     def failed(self: Prober, now: int) -> list[MemberId]:
-        over = [p for p in self.in_progress.values() if now - p.started_at_ns >= self._interval_ns // 4]
-        for probe in over:
+        late = [p for p in self.in_progress.values() if now - p.started_at_ns >= self._interval_ns // 4]
+        for probe in late:
             del self.in_progress[probe.sequence]
-        return [probe.member_id for probe in over]
+        return [probe.member_id for probe in late]
 
     return [
         patch.object(FailureDetector, "_suspicion_timeout_ns", mutant),
@@ -274,8 +283,9 @@
 
 
 def two_processes_with_one_name(seed: int) -> None:
-    """A second process takes a name in use, at another address; raises `InvariantViolated` unless one is
-    left."""
+    """Starts a second process with a name that is in use, at another address.
+
+    Raises `InvariantViolated` unless exactly the older of the two is fenced."""
     world = World(seed, 5)
     world.begin(6 * SECOND)
     first = world.processes["n4"]
@@ -288,22 +298,25 @@
     world.run_until(world.elapsed_ns + 6 * SECOND)
     fenced = [p.core.is_fenced for p in (first, second) if p.core is not None]
     if fenced != [True, False]:
-        raise InvariantViolated(f"of two under one name, these are fenced off: {fenced}")
+        raise InvariantViolated(f"two processes with one name: fenced must be [True, False], got {fenced}")
     world.processes.pop("n4")
     world.until_settled(3 * SECOND)
 
 
 def holder_paused(seed: int) -> None:
-    """A grant that waits while its holder stands still is worth nothing once it wakes: others have its
-    part."""
+    """Pauses a member between its lease request and the grant.
+
+    The grant must have no effect once the member resumes, because others have its slots by then."""
     world = World(seed, 4)
     world.begin(6 * SECOND)
     process = world.processes["n3"]
     core = process.core
     assert core is not None
     for _ in range(2):
-        asked = core.renewal.next_at_ns
-        while core.renewal.next_at_ns == asked:  # it stands still between its question and the answer
+        request_at = core.renewal.next_at_ns
+        while (
+            core.renewal.next_at_ns == request_at
+        ):  # until the request is sent; the pause precedes the grant
             world.run_until(world.elapsed_ns + MS // 10)
         world.pause(process, 4 * SECOND)
         end = world.elapsed_ns + 6 * SECOND
@@ -314,8 +327,8 @@
 
 
 def late_messages(seed: int) -> None:
-    """Words that overtake one another by more than a round of questions, while members come and go."""
-    # Probes that take their time: nobody is to be taken for dead here.
+    """Reorders messages by more than one renewal interval while members join and leave."""
+    # The probe interval is long, because no member is to be declared dead here.
     world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
     world.begin(6 * SECOND)
     world.conditions.jitter_ns = 700 * MS
@@ -331,24 +344,26 @@
 
 
 def seeds_restarted(seed: int) -> None:
-    """Seeds that start anew while others, cut off, still hold what nobody remembers: all of the seeds, or all
-    but one that is on the others' side; or all of them, and the cut off are in touch with one that is new."""
+    """Restarts seeds while members behind a partition still hold slots that no running seed knows of.
+
+    The restarted seeds are all seeds, all but one that is behind the partition, or all while the members
+    behind the partition reach one restarted seed."""
     world = World(seed, 8, settings={"lease_duration_ns": 12 * SECOND})
     world.begin(8 * SECOND)
-    # By turns: all seeds; all but one; none, but the coordinator ends, who knew of the others' parts; all,
-    # and one of them is in reach of both sides.
-    again = [["n0", "n1", "n2"], ["n0", "n1"], [], ["n0", "n1", "n2"]][seed % 4]
-    away = ["n2"] * (len(again) == 2) + ["n5", "n6", "n7"]
-    between = ["n2"] * (seed % 4 == 3)
-    world.partition(away, [name for name in world.processes if name not in [*away, *between]])
-    if not again:
-        leads = [
+    # The seed selects what restarts: all seeds; all but one; none, but the coordinator that knew of the
+    # others' slots is killed; or all seeds, one of which both sides can reach.
+    restarted = [["n0", "n1", "n2"], ["n0", "n1"], [], ["n0", "n1", "n2"]][seed % 4]
+    isolated = ["n2"] * (len(restarted) == 2) + ["n5", "n6", "n7"]
+    reachable = ["n2"] * (seed % 4 == 3)
+    world.partition(isolated, [name for name in world.processes if name not in [*isolated, *reachable]])
+    if not restarted:
+        coordinators = [
             p for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
         ]
-        world.kill(leads[0])
-    for name in again:
+        world.kill(coordinators[0])
+    for name in restarted:
         world.kill(world.processes[name])
-    for name in again:
+    for name in restarted:
         world.at(
             world.elapsed_ns + world.rng.randint(100 * MS, 800 * MS),
             partial(world.start, world.processes[name]),
@@ -360,7 +375,9 @@
 
 
 def moderate_loss(seed: int) -> None:
-    """A tenth of all is lost, and some stand still now and then: nobody that runs is ever taken for dead."""
+    """Loses a tenth of all messages and pauses a member briefly again and again.
+
+    No running member may be declared dead."""
     world = World(seed, 8)
     world.begin(6 * SECOND)
     world.conditions.loss = 0.1
@@ -368,11 +385,11 @@
         world.at(world.elapsed_ns + n * 300_000_000, partial(world.pause, world.processes["n7"], 90_000_000))
     since = world.elapsed_ns
     world.run_until(world.elapsed_ns + 12 * SECOND)
-    false = [
+    declared_dead = [
         t for at, _, t in world.told if at > since and t.kind == "member" and t.details["state"] == "DEAD"
     ]
-    if false:
-        raise InvariantViolated(f"taken for dead: {false[0].details}")
+    if declared_dead:
+        raise InvariantViolated(f"a running member was declared dead: {declared_dead[0].details}")
 
 
 WORLDS: tuple[Callable[[int], object], ...] = (
@@ -386,7 +403,7 @@
 
 
 def first_detecting_seed(name: str, seeds: Iterable[int]) -> int | None:
-    """The first seed by which a world of whichever kind tells the mutant; None if none does."""
+    """Returns the first seed with which a world of any kind detects the mutant, or None if none does."""
     with applied(MUTANTS[name]()):
         for seed in seeds:
             for world in WORLDS:
--- a/trackspread/testing/virtual/mutants.py
+++ b/trackspread/testing/virtual/mutants.py
@@ -1,7 +1,7 @@
-"""Gateways with one fault each, which the judge must detect: a judge that cannot fail proves nothing.
+"""Defines gateways with one fault each that the judge must detect: a judge that cannot fail proves nothing.
 
-Each mutant changes one decision, or one action of the host, by patches that are reverted; it names the rule
-that it breaks. Only tests and benchmarks plant them.
+Each mutant changes one decision, or one action of the host, by patches that are reverted, and names the rule
+that it breaks. Only tests and benchmarks plant mutants.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
 from .patches import applied, in_all_sharings
 from .schedules import make, play
 
-FAULT_INTERVAL = 23  # an intermittent fault occurs once in so many calls
-MAX_SEEDS = 400  # schedules after which a mutant counts as not detected
+FAULT_INTERVAL = 23  # calls from one occurrence of an intermittent fault to the next
+MAX_SEEDS = 400  # number of schedules after which a mutant counts as not detected
 REPLY_DELAY_NS = 100_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """One fault: the rule that it breaks, and the patches that plant it."""
+    """Holds one fault: the rule that it breaks, and the patches that plant it."""
 
     rule: Rule
     patches: Callable[[], list[Any]]
 
 
 def _execution_forgotten() -> list[Any]:
-    """Attempts that failed after they were written count as not executed, so unsafe requests are retried."""
+    """Counts attempts that failed after they were written as not executed, so unsafe requests are retried."""
     return [patch.object(attempt_results, "NOT_EXECUTED", frozenset(Outcome))]
 
 
 def _rejects_after_execution() -> list[Any]:
-    """Requests that may have been executed are rejected instead of failed."""
+    """Rejects requests that may have been executed, instead of failing them."""
     real = Broker._retry_or_finish
 
     def mutant(self: Broker, now: int, request: Any) -> list[Any]:
@@ -58,12 +58,12 @@
 
 
 def _scope_ignored() -> list[Any]:
-    """Requests with an idempotency key are retried at any backend."""
+    """Retries requests with an idempotency key at any backend."""
     return [patch.object(RetryPolicy, "allowed_backends", lambda self, now, request: lambda backend: True)]
 
 
 def _window_ignored() -> list[Any]:
-    """Requests with an idempotency key are retried after the deduplication window."""
+    """Retries requests with an idempotency key after the deduplication window."""
     real = RetryPolicy.allowed_backends
 
     def mutant(self: RetryPolicy, now: int, request: Any) -> Any:
@@ -73,12 +73,12 @@
 
 
 def _written_after_window() -> list[Any]:
-    """A retry that was decided on within the window is written whenever its connection is up."""
+    """Writes a retry after the deduplication window if its connection was started within the window."""
     return [patch.object(Host, "may_write", lambda self, attempt: not attempt.ended)]
 
 
 def _two_attempts() -> list[Any]:
-    """A second attempt at once, whatever the class."""
+    """Starts a second attempt at once, also for classes that are not idempotent."""
     real = QuotaAdmission.admit
 
     def mutant(self: QuotaAdmission, now: int, request: Any, announces: bool) -> list[Any]:
@@ -92,7 +92,7 @@
 
 
 def _drains_ignored() -> list[Any]:
-    """Draining backends count as ready."""
+    """Counts draining backends as ready."""
     real = LoadBalancer.update_endpoints
 
     def mutant(self: LoadBalancer, now: int, event: Any) -> None:
@@ -106,7 +106,7 @@
 
 
 def _warming_up_overloaded() -> list[Any]:
-    """A backend that is warming up gets nearly all requests, as it is idle."""
+    """Sends nearly all requests to a backend that is warming up."""
     real = LoadBalancer.expected_wait
 
     def mutant(self: LoadBalancer, now: int, server: Any) -> float:
@@ -122,7 +122,7 @@
 
 
 def _hard_limits_ignored() -> list[Any]:
-    """There are no hard limits."""
+    """Removes the hard limits."""
     real = Broker.__init__
 
     def mutant(self: Broker, settings: Any, seed: int, now: int) -> None:
@@ -133,7 +133,7 @@
 
 
 def _hard_limit_granted_by_each() -> list[Any]:
-    """Each gateway grants all of the hard limit and the quota."""
+    """Grants all of the hard limit and the quota at each gateway."""
     real = accounts.assign_static_share
 
     def mutant(sharing: QuotaSharing, now: int, account: Any, gateways: int, first: int) -> None:
@@ -144,7 +144,7 @@
 
 
 def _peers_ignored() -> list[Any]:
-    """Each gateway assumes that the others use nothing and that it owns all of the quota."""
+    """Assumes at each gateway that the others use nothing and that it owns all of the quota."""
     return [
         patch.object(Quota, "receive_usage_totals", lambda self, now, event: None),
         *in_all_sharings("local_share", lambda self, now, account: 1.0),
@@ -152,12 +152,12 @@
 
 
 def _quota_not_charged() -> list[Any]:
-    """No request takes tokens of its quota."""
+    """Takes no tokens of the quota for any request."""
     return [patch.object(token_bucket, "spend", lambda account, units, pays: True)]
 
 
 def _used_units_refunded() -> list[Any]:
-    """Units are refunded when a request ends though a backend received an attempt."""
+    """Refunds the units of a request that has ended, even if a backend received an attempt."""
     real = Broker._on_attempt_ended
 
     def mutant(self: Broker, now: int, event: Any) -> list[Any]:
@@ -171,13 +171,13 @@
 
 
 def _intermittent() -> Callable[[], bool]:
-    """A function that is true once in `FAULT_INTERVAL` calls."""
+    """Returns a function that returns True once in `FAULT_INTERVAL` calls."""
     calls = count(1)
     return lambda: next(calls) % FAULT_INTERVAL == 0
 
 
 def _replies_lost() -> list[Any]:
-    """Some replies are never sent."""
+    """Never sends some replies."""
     real, is_faulty = Host.reply, _intermittent()
 
     def mutant(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
@@ -191,7 +191,7 @@
 
 
 def _replies_duplicated() -> list[Any]:
-    """Some replies are sent twice."""
+    """Sends some replies twice."""
     real, is_faulty = Host.reply, _intermittent()
 
     def mutant(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
@@ -204,7 +204,7 @@
 
 
 def _replies_late() -> list[Any]:
-    """Some replies are sent after the client's deadline."""
+    """Sends some replies after the client's deadline."""
     real_reply, real_expire, is_faulty = Host.reply, Host._expire_request, _intermittent()
 
     def reply(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
@@ -225,7 +225,7 @@
 
 
 def _replies_swapped() -> list[Any]:
-    """Some clients are served the value that a backend made for the request before."""
+    """Serves some clients the value that a backend returned for the preceding request."""
     real, is_faulty, previous = Host.end_attempt, _intermittent(), [""]
 
     def mutant(self: Host, attempt: Any, outcome: Outcome, value: str = "") -> None:
@@ -240,7 +240,7 @@
 
 
 def _forwarded_after_reply() -> list[Any]:
-    """Some rejected requests are forwarded all the same."""
+    """Forwards some requests although their final reply was sent."""
     real, is_faulty = Host.reply, _intermittent()
 
     def mutant(self: Host, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
@@ -280,14 +280,14 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[Mutant]:
-    """Plant the mutant in this process until the block ends."""
+    """Plants the mutant in this process until the block ends."""
     mutant = MUTANTS[name]
     with applied(mutant.patches()):
         yield mutant
 
 
 def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
-    """The first of the seeds whose schedule shows that the mutant breaks its rule; None if none does."""
+    """Returns the first seed whose schedule shows that the mutant breaks its rule, or None if none does."""
     with planted(name) as mutant:
         for seed in islice(seeds, MAX_SEEDS):
             if mutant.rule in play(make(seed))[0].broken_rules():
--- a/trackspread/testing/virtual/patches.py
+++ b/trackspread/testing/virtual/patches.py
@@ -1,4 +1,4 @@
-"""Patches that apply for the length of a block: how hand-written mutants are planted."""
+"""Applies patches for the length of a block, which is how handwritten mutants are planted."""
 
 from __future__ import annotations
 
@@ -12,12 +12,17 @@
 from ...decide.quota.owner_sharing import OwnerSharing
 from ...decide.quota.static_sharing import StaticSharing
 
-SHARINGS = (GossipSharing, LeaseSharing, OwnerSharing, StaticSharing)  # with a shared counter it is static
+SHARINGS = (
+    GossipSharing,
+    LeaseSharing,
+    OwnerSharing,
+    StaticSharing,
+)  # with a shared counter the sharing is static
 
 
 @contextmanager
 def applied(patches: Iterable[Any]) -> Iterator[None]:
-    """Apply all patches until the block ends."""
+    """Applies all patches until the block ends."""
     with ExitStack() as stack:
         for each in patches:
             stack.enter_context(each)
@@ -25,5 +30,5 @@
 
 
 def in_all_sharings(method: str, mutant: Callable[..., Any]) -> list[Any]:
-    """Patches that replace a method in every class by which gateways share quotas."""
+    """Returns patches that replace a method in every class by which gateways share quotas."""
     return [patch.object(sharing, method, mutant) for sharing in SHARINGS]
--- a/trackspread/testing/virtual/planning/mutants.py
+++ b/trackspread/testing/virtual/planning/mutants.py
@@ -1,7 +1,7 @@
-"""Planning with one fault each, for the account and the saturated worlds to convict.
+"""Defines mutants of planning, which the schedules and the saturated worlds must detect.
 
-Each breaks one rule of `planning/` by a patch that is taken back. Generated faults are `mutation/`'s
-matter; these are the ones that a reader of the rules would think of.
+Each breaks one rule of `planning/` by a patch that is reverted. `mutation/` generates faults; these are the
+ones that a reader of the rules would think of.
 """
 
 from __future__ import annotations
@@ -24,11 +24,12 @@
 
 
 def _no_waiting_time() -> list[Any]:
+    """Plans a slot at once, without a wait for the leases that a former planner granted."""
     return [patch.object(planner, "OUTSTANDING_NS", 0)]
 
 
 def _any_grant_accepted() -> list[Any]:
-    """A grant is taken however old it is, and under whatever epoch."""
+    """Accepts a grant of any age and any epoch."""
 
     def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
         self.refill(now)
@@ -42,6 +43,7 @@
 
 
 def _counted_from_receipt() -> list[Any]:
+    """Counts a lease from the receipt of its grant instead of from the sending of the request."""
     real = LeaseHolder.accept
 
     def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
@@ -53,61 +55,63 @@
 
 
 def _used_after_lease() -> list[Any]:
-    """A right goes on after its lease."""
+    """Uses a lease after its expiry."""
     real = LeaseHolder.accept
 
     def mutant(self: LeaseHolder, now: int, grant: Grant) -> bool:
-        taken = real(self, now, grant)
-        self.expires_at_ns += LEASE_NS * taken
-        return taken
+        is_accepted = real(self, now, grant)
+        self.expires_at_ns += LEASE_NS * is_accepted
+        return is_accepted
 
     return [patch.object(LeaseHolder, "accept", mutant)]
 
 
 def _outstanding_forgotten() -> list[Any]:
-    """A grant that was not heard of counts as gone."""
+    """Counts earlier grants to a holder as ended as soon as it sends a request."""
     real = LeaseTable.on_request
 
-    def mutant(self: LeaseTable, now: int, ask: LeaseRequest) -> Grant | None:
-        holder = self.holders.get((ask.forwarder, ask.incarnation))
+    def mutant(self: LeaseTable, now: int, request: LeaseRequest) -> Grant | None:
+        holder = self.holders.get((request.forwarder, request.incarnation))
         if holder is not None:
             holder.outstanding = []
-        return real(self, now, ask)
+        return real(self, now, request)
 
     return [patch.object(LeaseTable, "on_request", mutant)]
 
 
 def _minority_elects() -> list[Any]:
+    """Elects a planner with a single vote."""
     real = Election.__init__
 
-    def mutant(self: Election, *words: Any) -> None:
-        real(self, *words)
+    def mutant(self: Election, *arguments: Any) -> None:
+        real(self, *arguments)
         self._majority = 1
 
     return [patch.object(Election, "__init__", mutant)]
 
 
 def _outstanding_time_too_short() -> list[Any]:
+    """Counts a grant as ended before its holder stops using it."""
     return [patch.object(lease_table, "OUTSTANDING_NS", LEASE_NS // 2)]
 
 
 def _entire_limit_for_each() -> list[Any]:
-    """Each holder gets the whole."""
-    return [patch.object(LeaseTable, "_share_for", lambda self, *words: self.limit)]
+    """Grants the entire limit to each holder."""
+    return [patch.object(LeaseTable, "_share_for", lambda self, *arguments: self.limit)]
 
 
 def _former_table_reused() -> list[Any]:
-    """A planner that owns a slot again goes on with the table that it had before others planned it."""
+    """Keeps a planner's former lease table when it owns a slot again that others planned meanwhile."""
     real = Planner.on_request
 
-    def mutant(self: Planner, now: int, ask: LeaseRequest) -> Grant | None:
+    def mutant(self: Planner, now: int, request: LeaseRequest) -> Grant | None:
         known, epoch = (
-            self.tables.get((ask.tenant, ask.limit_index)),
-            self.elections[slot_of(ask.tenant)].epoch,
+            self.tables.get((request.tenant, request.limit_index)),
+            self.elections[slot_of(request.tenant)].epoch,
         )
         if known is not None:
-            known.epoch = self._epochs[slot_of(ask.tenant)] = epoch
-        return real(self, now, ask)
+            known.epoch = self._epochs[slot_of(request.tenant)] = epoch
+        return real(self, now, request)
 
     return [patch.object(Planner, "on_request", mutant)]
 
@@ -126,7 +130,7 @@
 
 
 def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
-    """The first of the seeds that has a schedule, of either kind, that shows the mutant; None if none has."""
+    """Returns the first seed with which a schedule of either kind detects the mutant, or None."""
     with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if _is_detected(seed)), None)
 
--- a/trackspread/testing/virtual/usage/mutants.py
+++ b/trackspread/testing/virtual/usage/mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the ledger of usage records, for the schedules to detect.
+"""Defines mutants of the ledger of usage records, which the schedules must detect.
 
 Each is a list of patches that break one rule of `storage/` or `usage/`.
 """
@@ -32,7 +32,7 @@
 
 
 def _skip(kind: type) -> list[Any]:
-    """One kind of call is reported as done and is not performed."""
+    """Reports one kind of call as done without performing it."""
 
     def mutant(files: Files, call: calls.Call) -> Result:
         return None if isinstance(call, kind) else calls.perform(files, call)
@@ -41,17 +41,17 @@
 
 
 def _committed_without_sync() -> list[Any]:
-    """Records count as committed without a sync."""
+    """Counts records as committed without a sync."""
     return _skip(Sync)
 
 
 def _refresh_skipped() -> list[Any]:
-    """What a killed process left in the page cache counts as durable."""
+    """Counts data that a killed process left in the page cache as durable."""
     return _skip(Refresh)
 
 
 def _nonce_reused() -> list[Any]:
-    """Every incarnation writes a stream with the same nonce."""
+    """Writes the streams of all incarnations with the same nonce."""
 
     def mutant(epoch: int, index: int, slots: int, nonce: bytes) -> SegmentHeader:
         return SegmentHeader(epoch, index, slots, bytes(16))
@@ -60,7 +60,7 @@
 
 
 def _epoch_reused() -> list[Any]:
-    """A stream takes the epoch of one that was never declared, whose files are not removed yet."""
+    """Starts a stream with the epoch of an undeclared stream whose files are not removed yet."""
     real = FolderRecovery._scanned
 
     def mutant(self: FolderRecovery, now: int, found: Result) -> None:
@@ -71,12 +71,12 @@
 
 
 def _removed_before_exported() -> list[Any]:
-    """Segments are removed before they are exported."""
+    """Removes segments before they are exported."""
     return [patch.object(SegmentStore, "_is_exported", lambda self, stream, segment: True)]
 
 
 def _intent_not_saved() -> list[Any]:
-    """A batch is sent before its intent is on the disk."""
+    """Sends a batch before its intent is on the disk."""
     real = Exporter.records_read
 
     def mutant(self: Exporter, control: Checkpoint, scan: Scan | None) -> None:
@@ -89,7 +89,7 @@
 
 
 def _sync_after_failure_trusted() -> list[Any]:
-    """After a sync that failed the next one is trusted."""
+    """Counts records as durable after a later sync although an earlier one failed."""
 
     def mutant(self: StreamWriter, now: int, error: OSError) -> None:
         return None
@@ -98,7 +98,7 @@
 
 
 def _valid_copy_overwritten() -> list[Any]:
-    """The checkpoint is saved to the area with the only valid copy."""
+    """Saves the checkpoint to the area that has the only valid copy."""
     real = CheckpointStore.save
 
     def mutant(self: CheckpointStore, *arguments: Any) -> Any:
@@ -109,7 +109,7 @@
 
 
 def _pending_not_copied() -> list[Any]:
-    """What a failed sync was for is not copied to the new stream."""
+    """Does not copy the records of a failed sync to the new stream."""
     real = StreamWriter._create
 
     def mutant(self: StreamWriter) -> Any:
@@ -122,7 +122,7 @@
 
 
 def _failed_stream_not_ended() -> list[Any]:
-    """The stream that a failed sync left in doubt is not ended: what is copied counts twice."""
+    """Leaves the stream of a failed sync open, so that the copied records count twice."""
     real = StreamWriter._declare
 
     def mutant(self: StreamWriter, now: int) -> Any:
@@ -136,7 +136,7 @@
 
 
 def _sum_written_twice() -> list[Any]:
-    """Only every other sum that was written is removed from memory."""
+    """Removes only every second sum that was written from memory."""
     real, calls_before = Meter.subtract_written, count()
 
     def mutant(self: Meter, record: UsageRecord) -> None:
@@ -147,7 +147,7 @@
 
 
 def _sum_dropped() -> list[Any]:
-    """A sum is removed from memory before it is in the journal."""
+    """Removes a sum from memory before it is in the journal."""
 
     def mutant(self: Recorder, now: int) -> None:
         meter = self._context.meter
@@ -159,7 +159,7 @@
 
 
 def _tail_not_exported() -> list[Any]:
-    """The stream of a killed process ends at the watermark."""
+    """Ends the stream of a killed process at the watermark."""
     real = SegmentStore.end_streams
 
     def mutant(self: SegmentStore, control: Checkpoint) -> None:
@@ -172,7 +172,7 @@
 
 
 def _timeout_is_acknowledgement() -> list[Any]:
-    """A batch without a reply counts as acknowledged."""
+    """Counts a batch without a reply as acknowledged."""
 
     def mutant(self: Exporter, now: int, why: str, retry_after_ns: int = 0, final: bool = False) -> None:
         self.stage = Stage.IDLE
@@ -195,7 +195,7 @@
 
 
 def _fenced_not_exported() -> list[Any]:
-    """Records after a seal are not exported."""
+    """Does not export records after a seal."""
 
     def mutant(self: Exporter, slots: SlotRange, stream: Stream, reply: Reply) -> None:
         stream.acked = slots.last if stream.length is None else stream.length
@@ -205,7 +205,7 @@
 
 
 def _fork_names_differ() -> list[Any]:
-    """Each copy of a folder gives the records after a seal another name."""
+    """Gives the stream of records after a seal a different name in each copy of a folder."""
     numbers = count()
     return [
         patch.object(
@@ -215,7 +215,7 @@
 
 
 def _length_sent_while_live() -> list[Any]:
-    """The length of a stream is sent while it is still written."""
+    """Sends the length of a stream that is still being written."""
     real = Exporter.records_read
 
     def mutant(self: Exporter, control: Checkpoint, scan: Scan | None) -> None:
@@ -233,7 +233,7 @@
 
 
 def _sealed_without_length() -> list[Any]:
-    """A stream counts as sealed once billing has all its records, even if the length was never sent."""
+    """Counts a stream as sealed once billing has all its records, even if the length was never sent."""
     real = Exporter.reply_received
 
     def mutant(self: Exporter, control: Checkpoint, reply: Reply) -> None:
@@ -246,7 +246,7 @@
 
 
 def _lost_records_not_resent() -> list[Any]:
-    """Billing that has lost records is not sent them again."""
+    """Does not resend records that billing has lost."""
 
     def mutant(self: Exporter, control: Checkpoint, slots: SlotRange, taken: int) -> None:
         control.streams[slots.epoch].acked = slots.last
@@ -255,7 +255,7 @@
 
 
 def _closed_early() -> list[Any]:
-    """A graceful shutdown does not wait for the last commit."""
+    """Does not wait for the last commit in a graceful shutdown."""
     real = StreamWriter._write_live
 
     def mutant(self: StreamWriter, now: int) -> Any:
@@ -268,7 +268,7 @@
 
 
 def _unsynced_is_committed() -> list[Any]:
-    """All that was written counts as committed, not only what the sync was for."""
+    """Counts all written records as committed, not only those that the sync covered."""
     real = Journal.commit_done
 
     def mutant(self: Journal, commit: Any) -> Any:
@@ -306,7 +306,7 @@
 
 
 def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
-    """The first of the seeds whose schedule detects the mutant; None if none does."""
+    """Returns the first seed whose schedule detects the mutant, or None if none does."""
     with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if _is_detected(seed)), None)
 
@@ -315,4 +315,4 @@
     try:
         return bool(play(make(seed)).violations)
     except (AssertionError, KeyError, IndexError, ValueError):
-        return True  # the ledger itself fails on the fault
+        return True  # the fault makes the ledger itself fail
