--- a/benchmarks/vast.py
+++ b/benchmarks/vast.py
@@ -14,7 +14,7 @@
 from trackspread.decide import broker
 from trackspread.decide.quota import Quota, hard_limit
 from trackspread.testing.virtual.patches import applied
-from trackspread.testing.virtual.large_fleets import SHAPES, LargeFleetRun, play
+from trackspread.testing.virtual.large_fleets import FAULTS, LargeFleetRun, play
 
 QUICK, FULL = 1, 5  # seeds of each shape
 
@@ -34,7 +34,7 @@
     parser.add_argument("--quick", action="store_true", help="one seed of each shape")
     seeds = range(1, 1 + (QUICK if parser.parse_args().quick else FULL))
     told: dict[str, dict[str, float]] = {}
-    for name in SHAPES:
+    for name in FAULTS:
         now, before = [play(name, s) for s in seeds], [_before(name, s) for s in seeds]
         told[name] = {
             "served_share": fmean(s.served_share for s in now),
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -266,7 +266,7 @@
         for scenario in quota_accuracy.SCENARIOS
         for trouble in quota_accuracy.FAULTS
     },
-    **{f"vast, {shape}": partial(large_fleets.play, shape) for shape in large_fleets.SHAPES},
+    **{f"vast, {shape}": partial(large_fleets.play, shape) for shape in large_fleets.FAULTS},
     **{f"cells, {play.__name__}": play for play in cells_worlds.WORLDS[1:]},
     **{
         f"distribution, {play.__name__}": partial(_distribution, play)
--- a/trackspread/testing/virtual/__init__.py
+++ b/trackspread/testing/virtual/__init__.py
@@ -1,5 +1,5 @@
-"""Virtual time: gateways, their messages, rating nodes and clients in one process, under seeded faults.
+"""Simulates gateways, their messages, rating nodes and clients in one process, in virtual time, with faults.
 
-It finds faults and measures no performance. The decision module is the real one; its host does with events
-and actions what `node/gateway.py` does.
+The faults are seeded. The simulation finds errors and measures no performance. The decision
+module is the real one, and its host treats events and actions as `node/gateway.py` does.
 """
--- a/trackspread/testing/virtual/exchange.py
+++ b/trackspread/testing/virtual/exchange.py
@@ -1,4 +1,4 @@
-"""One request of one client in virtual time, from the moment it is written until its reply or its end."""
+"""Simulates one request of one client, from the time when it is written until its reply or its end."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class ExchangeWorld(Protocol):
-    """What an exchange needs of the world around it."""
+    """Defines what an exchange needs of its world."""
 
     clock: Clock
     ledger: Ledger
 
     def draw_delay_ns(self) -> int:
-        """A random one-way delay."""
+        """Returns a random one-way delay in ns."""
 
     def class_and_plan(self, wanted: ClientRequest) -> tuple[int, int]:
-        """Class and plan of a request by their indexes in the settings."""
+        """Returns the indexes of a request's class and plan in the settings."""
 
     def close_exchange(self, gateway: int, request: str) -> None:
-        """A request at the gateway of this position is no longer outstanding."""
+        """Forgets a request at the gateway of this position, which is no longer outstanding."""
 
     def schedule_retry(self, wanted: ClientRequest, kind: str, retry_after_ms: int) -> None:
-        """The client may send the request again after a reply (or `cut`) of this kind."""
+        """Schedules the client's retry, if it makes one, after a reply of this kind or a `cut`."""
 
 
 class Exchange:
-    """One request of one client at one process of a gateway.
+    """Holds one request of one client at one process of a gateway.
 
-    `is_over`: the client waits no longer; `is_disconnected`: it does not read a reply any more.
+    `is_over` says that the client no longer waits, `is_disconnected` that it no longer reads a reply.
     """
 
     def __init__(self, world: ExchangeWorld, wanted: ClientRequest, request: str, host: Host) -> None:
@@ -46,7 +46,7 @@
         self.is_disconnected = False
 
     def deliver(self) -> None:
-        """The request reaches its gateway."""
+        """Delivers the request to its gateway."""
         if self.is_over or not self._host.alive:
             return
         wanted, tenant = self._wanted, self._wanted.tenant
@@ -64,7 +64,7 @@
         self._number = self._host.accept(incoming, self._on_reply)
 
     def _on_reply(self, kind: ReplyKind, value: str, retry_after_ms: int) -> None:
-        """The host has written a reply; it arrives a delay later, also if the host is killed meanwhile."""
+        """Delivers a reply of the host after a delay, even if the host is killed meanwhile."""
         wait_ns = self._world.draw_delay_ns()
         self._world.clock.after(wait_ns, partial(self._read_reply, kind, value, retry_after_ms))
 
@@ -78,8 +78,8 @@
             if kind != "served":
                 self._world.schedule_retry(self._wanted, kind, retry_after_ms)
 
-    def cut(self) -> None:
-        """The connection ends, as the gateway was killed."""
+    def lose_connection(self) -> None:
+        """Ends the connection because the gateway was killed."""
         if not self.is_over:
             self._end()
             self.is_disconnected = True
@@ -87,7 +87,7 @@
             self._world.schedule_retry(self._wanted, "cut", 0)
 
     def disconnect(self) -> None:
-        """The client gives up and closes its connection, if it still waits."""
+        """Closes the client's connection if it still waits."""
         if not self.is_over:
             self._end()
             self.is_disconnected = True
--- a/trackspread/testing/virtual/explorer.py
+++ b/trackspread/testing/virtual/explorer.py
@@ -1,4 +1,4 @@
-"""A breadth-first model checker: every order of events in a small world up to a bound, each state once.
+"""Checks a small model breadth first: every order of events up to a bound, each state once.
 
 A state is a plain value that is copied by pickling (in this module only, never from a network); its digest
 identifies it. A violation is reported with a shortest trace of events that leads to it. Nothing here depends
@@ -18,19 +18,19 @@
 
 
 class State(Protocol):
-    """What a world must offer."""
+    """Defines what a world must provide."""
 
     def events(self) -> Iterable[str]:
-        """Names of all events that are possible next, in a fixed order."""
+        """Returns the names of all events that are possible next, in a fixed order."""
 
     def apply(self, event: str) -> None:
-        """Let an event happen."""
+        """Applies an event."""
 
     def violation(self) -> str:
-        """The invariant that does not hold, or an empty text."""
+        """Returns the invariant that does not hold, or an empty text."""
 
     def normalized(self) -> Self:
-        """The state with everything that makes no difference in a canonical order."""
+        """Returns the state with everything that makes no difference in a canonical order."""
 
 
 StateT = TypeVar("StateT", bound=State)
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What an exploration found.
+    """Holds the result of an exploration.
 
-    `trace`: the events up to the violation, empty if there is none. `is_complete`: no state within the depth
-    was left out.
+    `trace` has the events up to the violation and is empty if there is none. `is_complete` says that no state
+    within the depth was left out.
     """
 
     states: int
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    """How a state was reached first: from which state (its digest), and by which event."""
+    """Holds how a state was reached first: the digest of the source state, and the event."""
 
     source: bytes
     event: str
 
 
 def explore(start: Callable[[], StateT], depth: int, max_states: int) -> Exploration:
-    """Explore all orders of at most `depth` events from `start`, until there are `max_states` states."""
+    """Explores all orders of at most `depth` events from `start`, up to `max_states` states."""
     first = _pickled(start())
     reached: dict[bytes, _Step] = {_digest(first): _Step(b"", "")}
     layer: deque[tuple[bytes, bytes]] = deque([(_digest(first), first)])  # digests and pickled states
--- a/trackspread/testing/virtual/fleet.py
+++ b/trackspread/testing/virtual/fleet.py
@@ -1,7 +1,7 @@
-"""A complete fleet in virtual time: gateways, network, rating nodes, the endpoint list and clients.
+"""Simulates a complete fleet in virtual time: gateways, network, rating nodes, endpoint list and clients.
 
-All that its stand-ins observe goes into a ledger. Faults are plain attributes that a schedule sets. Nothing
-here depends on what the decision module decides or why.
+The stand-ins write all that they observe to a ledger. Faults are plain attributes that a schedule sets.
+Nothing here depends on what the decision module decides or why.
 """
 
 from __future__ import annotations
@@ -34,20 +34,22 @@
 from .exchange import Exchange
 from .host import Attempt, Host
 
-LINGER_NS = 200 * MILLISECOND  # after its deadline a client still reads, to observe a late reply
-MAX_GATEWAYS_TRIED = 3  # by a client that can't connect
+LINGER_NS = (
+    200 * MILLISECOND
+)  # time after its deadline in which a client still reads, to observe a late reply
+MAX_GATEWAYS_TRIED = 3  # number of gateways that a client that can't connect tries
 MAX_CONNECT_DELAY_NS = 250 * MILLISECOND  # the connect timeout of the settings
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """The state of the network. Chances are from 0 to 1, delays are one way."""
+    """Holds the state of the network. Chances are from 0 to 1, delays are one way."""
 
     min_delay_ns: int = 200_000
     max_delay_ns: int = 2 * MILLISECOND
     peer_loss: float = 0.02
     peer_duplication: float = 0.0
-    max_peer_delay_ns: int = 0  # in addition, between gateways: messages are reordered by it
+    max_peer_delay_ns: int = 0  # additional delay between gateways, which reorders messages
     reset_chance: float = 0.0  # that an attempt is reset after the request was received
     slow_connect_chance: float = 0.0  # that connecting takes up to `MAX_CONNECT_DELAY_NS` longer
     broken_write_chance: float = 0.0  # that a connection breaks before the request's last byte is sent
@@ -56,7 +58,7 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A rating node and its entry in the endpoint list."""
+    """Holds a rating node and its entry in the endpoint list."""
 
     spec: NodeSpec
     model: RatingNode
@@ -68,12 +70,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it runs, and is ready by the endpoint list."""
+        """Returns whether the node runs and is ready in the endpoint list."""
         return self.running and self.entry.health is Health.READY
 
 
 class VirtualFleet:
-    """A fleet of a scenario: schedule events on its `clock`, `run` it, and give its `ledger` to the judge."""
+    """Runs a scenario's fleet; callers schedule events on its `clock` and give its `ledger` to the judge."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
@@ -104,7 +106,7 @@
         self._send_next_request()
 
     def run(self, span: int) -> None:
-        """Run for `span` ns of load, and then until no request can be outstanding."""
+        """Runs for `span` ns of load, and then until no request can be outstanding."""
         end = self.clock.now + span
         self.clock.at(end, self._stop_load)
         self.clock.run(end + max(c.deadline_ns for c in self.scenario.classes) + LINGER_NS)
@@ -113,13 +115,11 @@
         self.population.rate_multiple = 0.0
 
     def draw_delay_ns(self) -> int:
-        """A random one-way delay."""
+        """Returns a random one-way delay in ns."""
         return self.rng.randint(self.conditions.min_delay_ns, self.conditions.max_delay_ns)
 
-    # Gateways.
-
     def start_gateway(self, position: int) -> None:
-        """Start a gateway that has no state but the endpoint list it last received."""
+        """Starts a gateway that has no state but the endpoint list that it last received."""
         if self.hosts[position] is not None:
             return
         seed = self.rng.getrandbits(48)
@@ -131,24 +131,22 @@
         self.ledger.write(GatewayStarted(self.clock.now, f"n{position}"))
 
     def kill_gateway(self, position: int) -> None:
-        """Kill a gateway at once; its clients may retry the requests that it held."""
+        """Kills a gateway at once; its clients may retry the requests that it held."""
         host = self.hosts[position]
         if host is None:
             return
         host.alive = False
         self.hosts[position] = None
         self.ledger.write(GatewayKilled(self.clock.now, f"n{position}"))
-        for cut in list(self._open_exchanges[position].values()):
-            cut()
+        for lose_connection in list(self._open_exchanges[position].values()):
+            lose_connection()
         self._open_exchanges[position].clear()
 
-    # The endpoint list.
-
     def _listed_endpoints(self) -> tuple[Backend, ...]:
         return tuple(node.entry for node in self.nodes.values() if node.entry.health is not Health.REMOVED)
 
     def set_health(self, node: Node, health: Health) -> None:
-        """Change a node's entry in the endpoint list and send the update to all gateways."""
+        """Changes a node's entry in the endpoint list and sends the update to all gateways."""
         self.list_version += 1
         node.entry = replace(node.entry, health=health)
         for host in self.hosts:
@@ -180,10 +178,8 @@
         self._known_endpoints[host.position] = tuple(listed)
         host.update_endpoints(EndpointUpdate(kind, version, entries))
 
-    # Rating nodes.
-
     def start_node(self, spec: NodeSpec, warms_up: bool, announce: bool = True) -> Node:
-        """Start a node, at full capacity unless it `warms_up`, and announce it in the endpoint list."""
+        """Starts a node, at full capacity unless it `warms_up`, and announces it in the endpoint list."""
         now, number = self.clock.now, backend_id(spec.name)
         model = self.scenario.rating_node(spec, self.pods, now, warms_up)
         entry = Backend(
@@ -200,18 +196,18 @@
         return node
 
     def drain_node(self, node: Node) -> None:
-        """A node rejects new requests from now on, and the endpoint list says so."""
+        """Makes a node reject new requests from now on, and updates the endpoint list."""
         node.model.draining = True
         self.set_health(node, Health.DRAINING)
 
     def crash_node(self, node: Node) -> None:
-        """A node's process ends: its connections are reset, and new ones are refused."""
+        """Ends a node's process: its connections are reset, and new ones are refused."""
         node.running = False
         for attempt, host in list(node.in_flight.items()):
             self._finish_attempt(node, attempt, host, Outcome.RESET)
 
     def remove_node(self, node: Node) -> None:
-        """A node's process ends, and it is removed from the endpoint list."""
+        """Ends a node's process and removes it from the endpoint list."""
         self.crash_node(node)
         self.set_health(node, Health.REMOVED)
 
@@ -219,10 +215,8 @@
         self.ledger.write(BackendCrashed(self.clock.now, node.spec.name))
         self.crash_node(node)
 
-    # Attempts.
-
     def send_attempt(self, host: Host, request: str, attempt: Attempt) -> None:
-        """Connect to the attempt's backend; the request arrives, or connecting fails, a delay later."""
+        """Connects to the attempt's backend; the request arrives, or connecting fails, after a delay."""
         node = self.nodes.get(attempt.backend)
         if node is None or not node.running or self.rng.random() < self.conditions.broken_write_chance:
             failed = partial(host.end_attempt, attempt, Outcome.CONNECT_FAILED)
@@ -267,7 +261,7 @@
     def _process_attempt(
         self, node: Node, host: Host, attempt: Attempt, taken: AcceptedRequest | None
     ) -> None:
-        """What the node does with an attempt, by what its model says; None if the model rejects it."""
+        """Processes an attempt as the node's model says; `taken` is None if the model rejects it."""
         if taken is None and not node.unresponsive:
             self.clock.after(self.draw_delay_ns(), partial(host.end_attempt, attempt, Outcome.REJECTED))
             return
@@ -288,15 +282,13 @@
             self.clock.after(self.draw_delay_ns(), partial(host.end_attempt, attempt, outcome, value))
 
     def close_attempt(self, host: Host, attempt: Attempt) -> None:
-        """The gateway closes the connection of an attempt."""
+        """Closes the connection of an attempt from the gateway's side."""
         node = self.nodes.get(attempt.backend)
         if node is not None:
             node.in_flight.pop(attempt, None)
 
-    # Between gateways.
-
     def send_to_peers(self, host: Host, to: int | None, data: bytes) -> None:
-        """Send a message to one gateway or to all others; it may be lost, duplicated or reordered."""
+        """Sends a message to one gateway or to all others; it may be lost, duplicated or reordered."""
         targets = range(self.scenario.gateways) if to is None else [to]
         for target in targets:
             if target == host.position or frozenset((target, host.position)) in self.partitioned:
@@ -311,10 +303,8 @@
         if (host := self.hosts[target]) is not None:
             host.receive_peer_message(sender, data)
 
-    # Clients.
-
     def _send_next_request(self) -> None:
-        """Send a request and schedule the next one, until the load stops."""
+        """Sends a request and schedules the next one, until the load stops."""
         if self.population.rate_multiple:
             self._send_request(self.population.next_request(), MAX_GATEWAYS_TRIED)
             self.clock.after(self.population.next_pause_ns(), self._send_next_request)
@@ -342,23 +332,23 @@
             )
         )
         exchange = Exchange(self, wanted, request, host)
-        self._open_exchanges[wanted.gateway][request] = exchange.cut
+        self._open_exchanges[wanted.gateway][request] = exchange.lose_connection
         self.clock.after(self.draw_delay_ns(), exchange.deliver)
         self.clock.after(wanted.timeout_ns + LINGER_NS, exchange.disconnect)
 
     def close_exchange(self, gateway: int, request: str) -> None:
-        """A request at the gateway of this position is no longer outstanding."""
+        """Forgets a request at the gateway of this position, which is no longer outstanding."""
         self._open_exchanges[gateway].pop(request, None)
 
     def schedule_retry(self, wanted: ClientRequest, kind: str, retry_after_ms: int) -> None:
-        """The client sends the request again after a while, if its behavior says so."""
+        """Schedules the client's retry, if its behavior includes one."""
         retry = self.population.retry(wanted, kind, retry_after_ms)
         if retry is not None and self.population.rate_multiple:
             wait_ns, retried = retry
             self.clock.after(wait_ns, partial(self._send_request, retried, MAX_GATEWAYS_TRIED))
 
     def class_and_plan(self, wanted: ClientRequest) -> tuple[int, int]:
-        """Class and plan of a request by their indexes in the settings."""
+        """Returns the indexes of a request's class and plan in the settings."""
         return self._classes[wanted.cls], self._plans[wanted.tenant.plan]
 
 
--- a/trackspread/testing/virtual/host.py
+++ b/trackspread/testing/virtual/host.py
@@ -1,6 +1,6 @@
-"""One gateway in virtual time: the real decision module in a host that treats it as `node/gateway.py` does.
+"""Runs one gateway in virtual time: its host treats the real decision module as `node/gateway.py` does.
 
-It translates between events, actions and the network that it is given, and decides nothing.
+The host translates between events, actions and a given network, and decides nothing.
 """
 
 from __future__ import annotations
@@ -36,26 +36,26 @@
 from .clock import Clock
 
 MILLISECOND = 1_000_000
-EXPIRY_MARGIN_NS = 10 * MILLISECOND  # before the client's deadline, as in the running gateway
+EXPIRY_MARGIN_NS = 10 * MILLISECOND  # time before the client's deadline, as in the running gateway
 ReplyKind = Literal["served", "refused", "failed"]
 OnReply = Callable[[ReplyKind, str, int], None]  # kind, value, Retry-After in ms
 
 
 class Network(Protocol):
-    """What a host needs of the world around it."""
+    """Defines what a host needs of its world."""
 
     def send_attempt(self, host: Host, request: str, attempt: Attempt) -> None:
-        """Connect to the attempt's backend and send the request."""
+        """Connects to the attempt's backend and sends the request."""
 
     def send_to_peers(self, host: Host, to: int | None, data: bytes) -> None:
-        """Send a message to the gateway at a position, or to all if it is None."""
+        """Sends a message to the gateway at a position, or to all if it is None."""
 
     def close_attempt(self, host: Host, attempt: Attempt) -> None:
-        """Close the connection of an attempt; its result is no longer wanted."""
+        """Closes the connection of an attempt whose result is no longer needed."""
 
 
 class IncomingRequest(NamedTuple):
-    """A request as a client sends it; class and plan by their indexes in the settings."""
+    """Holds a request as a client sends it; class and plan are indexes in the settings."""
 
     name: str
     request_class: int
@@ -69,10 +69,10 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of one request at one backend.
+    """Holds one attempt of one request at one backend.
 
-    `not_after_ns`: from when on it may not be written, as the deduplication window ends; 0 for no limit.
-    `ended`: its outcome is known.
+    From `not_after_ns` on it may not be written, because the deduplication window ends then; 0 is no limit.
+    `ended` says that its outcome is known.
     """
 
     request: int
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """An accepted request until its final reply was given and its last attempt has ended."""
+    """Holds an accepted request until its final reply was sent and its last attempt has ended."""
 
     name: str
     expires_at: int
@@ -97,7 +97,7 @@
 
 
 class Host:
-    """One process of one gateway; `alive` until it is killed."""
+    """Runs one process of one gateway; it is `alive` until it is killed."""
 
     def __init__(self, clock: Clock, network: Network, position: int, settings: Settings, seed: int) -> None:
         self.clock = clock
@@ -108,10 +108,8 @@
         self.pending: dict[int, PendingRequest] = {}
         self._last_number = 0
 
-    # Called by the world.
-
     def accept(self, incoming: IncomingRequest, on_reply: OnReply) -> int:
-        """Take a request from a client; returns its number in this process."""
+        """Accepts a request from a client and returns its number in this process."""
         self._last_number += 1
         number = self._last_number
         expires_at = self.clock.now + max(0, incoming.wait_ns - EXPIRY_MARGIN_NS)
@@ -134,7 +132,7 @@
         return number
 
     def disconnect_client(self, number: int) -> None:
-        """The client of a request has closed its connection."""
+        """Handles that the client of a request has closed its connection."""
         pending = self.pending.get(number)
         if pending is not None and not pending.closed:
             self._close(number, pending)
@@ -144,21 +142,21 @@
                     self.end_attempt(attempt, Outcome.NOT_SENT)
 
     def update_endpoints(self, update: EndpointUpdate) -> None:
-        """The endpoint list has changed."""
+        """Handles a change of the endpoint list."""
         self.handle(update)
 
     def receive_peer_message(self, sender: int, data: bytes) -> None:
-        """A message of another gateway has arrived."""
+        """Handles a message of another gateway."""
         self.handle(PeerMessage(sender, data))
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether a connected attempt may still be written; if it is too late, it ends here."""
+        """Returns whether a connected attempt may still be written; if it is too late, the attempt ends."""
         if attempt.not_after_ns and self.clock.now >= attempt.not_after_ns:
             self.end_attempt(attempt, Outcome.NOT_SENT)
         return not attempt.ended
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, value: str = "") -> None:
-        """An attempt has ended; only its first outcome counts."""
+        """Handles the end of an attempt, of which only the first outcome counts."""
         if attempt.ended or not self.alive:
             return
         attempt.ended = True
@@ -207,10 +205,8 @@
         if pending.closed and not pending.in_flight:
             self.pending.pop(number, None)
 
-    # The decision module.
-
     def handle(self, event: Event) -> None:
-        """Give an event to the decision module and perform what it wants done."""
+        """Passes an event to the decision module and performs the actions that it returns."""
         if self.alive:
             for action in self.broker.handle(self.clock.now, event):
                 self._perform(action)
@@ -236,7 +232,7 @@
                 self.handle(HealthChecked(Outcome.ERROR, backend, 0, ()))
 
     def reply(self, number: int, kind: ReplyKind, retry_after_ms: int) -> None:
-        """Give the decision module's own final reply to a request, if it has none yet."""
+        """Sends the decision module's own final reply to a request that has none yet."""
         pending = self.pending.get(number)
         if pending is not None and not pending.closed:
             self._close(number, pending)
--- a/trackspread/testing/virtual/large_fleets.py
+++ b/trackspread/testing/virtual/large_fleets.py
@@ -1,7 +1,7 @@
-"""Faults of a large fleet in virtual time, and how much was served through them.
+"""Simulates faults of a large fleet, and measures how many requests are served through them.
 
-It uses the controls of the virtual fleet and the ledger, and does not depend on what the decision module
-decides. Connections and calls to discovery are not part of this world; tests on real sockets cover them.
+The module uses the controls of the virtual fleet and the ledger, and does not depend on what the decision
+module decides. Connections and calls to discovery are not simulated; tests on real sockets cover them.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 
 class LargeFleetRun(msgspec.Struct, frozen=True):
-    """The result of one run.
+    """Holds the result of one run.
 
-    `served_share`: of all requests but those rejected while the quota was used up. `rejected_share`: rejected
-    while quota was left, of all requests. `retry_share`: further attempts for each forwarded request.
-    `first_second_peak`: the largest work for a node in the second from its first request, over what it may
-    get then.
+    `served_share` is of all requests but those rejected while the quota was used up, and `rejected_share` are
+    those rejected while quota was left, of all requests. `retry_share` is the number of further attempts for
+    each forwarded request. `first_second_peak` is the largest ratio of a node's work in the second from its
+    first request to the work that it may get in that second.
     """
 
     served_share: float
@@ -48,17 +48,17 @@
     fleet.start_node(fleet.scenario.successor(node.spec), True)
 
 
-def release(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Most gateways are killed at once while nodes are replaced and the endpoint list lags."""
-    join(fleet, rng)
+def restart_gateways(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Kills most gateways at once while nodes are replaced and the endpoint list lags."""
+    replace_nodes(fleet, rng)
     for position in rng.sample(range(GATEWAYS), int(KILLED_SHARE * GATEWAYS)):
         fleet.kill_gateway(position)
         wait_ns = rng.randint(800, 2000) * MILLISECOND
         fleet.clock.after(wait_ns, partial(fleet.start_gateway, position))
 
 
-def zone(fleet: VirtualFleet, rng: random.Random) -> None:
-    """All nodes of a zone crash without notice and are replaced by new ones that warm up, under new ids."""
+def crash_zone(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Crashes all nodes of a zone without notice; new ones with new ids replace them and warm up."""
     for node in [node for node in fleet.nodes.values() if node.spec.zone == FAILED_ZONE]:
         fleet.crash_node(node)
         wait_ns = rng.randint(1500, 2000) * MILLISECOND
@@ -66,8 +66,8 @@
         fleet.clock.after(2 * SECOND, partial(fleet.remove_node, node))
 
 
-def join(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Most nodes drain, one after the other, and are replaced by new ones that warm up."""
+def replace_nodes(fleet: VirtualFleet, rng: random.Random) -> None:
+    """Drains most nodes, one after the other; new ones replace them and warm up."""
     nodes = rng.sample(list(fleet.nodes.values()), int(REPLACED_SHARE * NODES))
     for number, node in enumerate(nodes):
         drained_after = number * REPLACEMENT_NS // len(nodes)
@@ -77,20 +77,20 @@
         fleet.clock.after(drained_after + 1500 * MILLISECOND, partial(fleet.remove_node, node))
 
 
-SHAPES: dict[str, Callable[[VirtualFleet, random.Random], None]] = {
-    "release": release,
-    "zone": zone,
-    "join": join,
+FAULTS: dict[str, Callable[[VirtualFleet, random.Random], None]] = {
+    "release": restart_gateways,
+    "zone": crash_zone,
+    "join": replace_nodes,
 }
 
 
 def play(name: str, seed: int) -> LargeFleetRun:
-    """One run of the shape; the same seed gives the same run."""
+    """Runs the fault of this name; the same seed gives the same run."""
     scenario = Scenario(gateways=GATEWAYS, nodes=NODES, load=0.5, greedy_share=0.2, seed=seed)
     fleet = VirtualFleet(scenario, seed)
     fleet.conditions.peer_loss = 0.05
     fleet.conditions.max_list_delay_ns = MAX_LIST_DELAY_NS
-    fleet.clock.after(FAULTS_AFTER_NS, partial(SHAPES[name], fleet, random.Random(f"vast:{seed}")))
+    fleet.clock.after(FAULTS_AFTER_NS, partial(FAULTS[name], fleet, random.Random(f"vast:{seed}")))
     fleet.run(SPAN)
     verdict = judge(scenario.world(), fleet.ledger.entries)
     summary = verdict.summary
--- a/trackspread/testing/virtual/plain_settings.py
+++ b/trackspread/testing/virtual/plain_settings.py
@@ -1,4 +1,4 @@
-"""Settings with one class and one plan, for tests in which only the limits matter."""
+"""Provides settings with one class and one plan, for tests in which only the limits matter."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def plain_settings(plan: Plan, **changes: Any) -> Settings:
-    """Settings of one gateway with one class and this plan; `changes` replace fields of the settings."""
+    """Returns settings of one gateway with one class and this plan; `changes` replace fields of them."""
     settings = Settings(
         classes=(
             RequestClass(
--- a/trackspread/testing/virtual/processes.py
+++ b/trackspread/testing/virtual/processes.py
@@ -1,7 +1,7 @@
-"""Processes in virtual time: clocks that drift, a faulty network, cores that pause or crash.
+"""Simulates processes in virtual time: clocks that drift, a faulty network, cores that pause or crash.
 
 Messages are delayed, lost, duplicated or cut off. This module decides nothing and does not know what the
-cores are: a world built on it starts them and performs their actions. True time is that of the virtual clock.
+cores are; a world built on it starts them and performs their actions. True time is that of the virtual clock.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 WALL_START_MS = 1_790_000_000_000  # wall clock at the start of every world
 DELAY_RANGE_NS = (200_000, 2 * MS)  # one way
-MAX_TICK_DELAY_NS = 5 * MS  # by which a tick comes late on a busy machine
+MAX_TICK_DELAY_NS = 5 * MS  # largest delay of a tick on a busy machine
 
 
 class InvariantViolated(Exception):
-    """An invariant does not hold; the text says which, and when."""
+    """Signals that an invariant does not hold; the text says which, and when."""
 
 
 class Ticking(Protocol):
-    """What every core has."""
+    """Defines what every core provides."""
 
     def tick(self, now: int) -> Iterable[object]:
-        """Do what is due at `now` (ns of the process's clock); returns actions."""
+        """Does what is due at `now`, in ns of the process's clock, and returns actions."""
 
 
 Core = TypeVar("Core", bound=Ticking)
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """Faults on all links between processes; chances are from 0 to 1."""
+    """Holds the faults on all links between processes; chances are from 0 to 1."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -46,24 +46,26 @@
 
 @dataclass(slots=True)
 class Process(Generic[Core]):
-    """A process name, and the core that runs under it, if any."""
+    """Holds a process name and the core that runs under it, if any."""
 
     name: str
     address: Address
-    clock_rate: float  # of its clock, relative to true time
+    clock_rate: float  # rate of its clock, relative to true time
     core: Core | None = None
     starts: int = 0
     paused_until: int = 0  # ns of true time
-    deferred_calls: list[Callable[[], None]] = field(default_factory=list)  # that came during a pause
+    deferred_calls: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # calls that arrived during a pause
     started_at: int = 0  # ns of true time
 
     def now(self, true_time: int) -> int:
-        """What the process's clock shows at a true time, both in ns."""
+        """Returns the time of the process's clock at a true time, both in ns."""
         return int(true_time * self.clock_rate)
 
 
 class ProcessGroup(Generic[Core]):
-    """Processes by name on one virtual clock, with the network between them.
+    """Runs processes on one virtual clock, with the network between them.
 
     `seed` seeds all random draws; clocks drift by up to the share `max_drift`. `severed_links` are pairs of
     names (from, to) with the number of faults that sever each.
@@ -87,30 +89,27 @@
 
     @property
     def elapsed_ns(self) -> int:
-        """True time since the start of the world."""
+        """Returns the true time since the start of the world, in ns."""
         return self.clock.now - self._start
 
     def run_until(self, elapsed_ns: int) -> None:
-        """Run on to a time since the start of the world."""
+        """Runs on to a time since the start of the world."""
         self.clock.run(self._start + elapsed_ns)
 
     def at(self, elapsed_ns: int, call: Callable[[], object]) -> None:
-        """Schedule a call for a time since the start of the world."""
+        """Schedules a call for a time since the start of the world."""
         self.clock.at(self._start + elapsed_ns, call)
 
-    # Implemented by each world.
-
     def _perform(self, process: Process[Core], actions: Iterable[object]) -> None:
+        """Performs the actions of a core; each world implements it."""
         raise NotImplementedError
 
     def severed(self, source: Process[Core], target: Process[Core]) -> bool:
-        """Whether no message gets from one process to the other."""
+        """Returns whether no message from one process reaches the other."""
         return (source.name, target.name) in self.severed_links
 
-    # Processes.
-
     def _register_start(self, process: Process[Core]) -> int:
-        """Reset the state of a process name for a new process; returns its start, ms of wall clock."""
+        """Resets the state of a process name for a new process; returns its start in ms of the wall clock."""
         process.starts += 1
         process.started_at = self.clock.now
         process.paused_until = 0
@@ -118,16 +117,16 @@
         return WALL_START_MS + self.elapsed_ns // MS
 
     def _schedule_ticks(self, process: Process[Core], core: Core) -> None:
-        """The first tick comes at a random time within one tick interval."""
+        """Schedules the ticks, of which the first is at a random time within one interval."""
         self.clock.after(self.rng.randint(0, TICK_NS), partial(self._tick, process, core))
 
     def kill(self, process: Process[Core]) -> None:
-        """End a process at once."""
+        """Ends a process at once."""
         process.core = None
         process.deferred_calls.clear()
 
     def pause(self, process: Process[Core], span_ns: int) -> None:
-        """Stop a process for some time; what comes for it meanwhile is deferred."""
+        """Pauses a process for some time; calls that arrive meanwhile are deferred."""
         process.paused_until = max(process.paused_until, self.clock.now + span_ns)
         self.clock.after(span_ns, partial(self._resume, process))
 
@@ -141,7 +140,7 @@
     def _run_when_awake(
         self, process: Process[Core], core: Core, call: Callable[[], Iterable[object]]
     ) -> None:
-        """Make a call of the core now, or once a pause is over; never if the core no longer runs."""
+        """Makes a call of the core now, or once a pause is over, or never if the core no longer runs."""
         if process.core is not core:
             return
         if self.clock.now < process.paused_until:
@@ -159,12 +158,10 @@
         wait_ns = TICK_NS + self.rng.randint(0, MAX_TICK_DELAY_NS)
         self.clock.after(wait_ns, partial(self._tick, process, core))
 
-    # The network.
-
     def partition(
         self, some: Iterable[str], others: Iterable[str], both: bool = True
     ) -> list[tuple[str, str]]:
-        """Sever the links from some processes to others, and back if `both`; returns the links for `heal`."""
+        """Severs the links from some processes to others, and back if `both`; returns them for `heal`."""
         others = list(others)
         links: list[tuple[str, str]] = []
         for source in some:
@@ -176,7 +173,7 @@
         return links
 
     def heal(self, links: Iterable[tuple[str, str]]) -> None:
-        """Undo one fault on each of these links."""
+        """Removes one fault from each of these links."""
         for link in links:
             self.severed_links[link] -= 1
             if not self.severed_links[link]:
--- a/trackspread/testing/virtual/quota_accuracy.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -1,12 +1,12 @@
-"""Runs with few faults in virtual time: units forwarded beyond quotas, compared with a stale-state policy.
+"""Compares the units forwarded beyond quotas with a stale-state policy, in runs with few faults.
 
 Both policies are judged on the same requests of the same run by one exact token bucket for each tenant. The
 stale-state policy admits a request if the bucket has its units as far as the gateway can know: it does not
 know what other gateways admitted in the last `STALENESS_NS`. What clients do after a rejection by that policy
 is not simulated: their retries are those of the run.
 
-It uses the controls of the virtual fleet and the ledger, and does not depend on what the decision module
-decides.
+The module uses the controls of the virtual fleet and the ledger, and does not depend on what the decision
+module decides.
 """
 
 from __future__ import annotations
@@ -27,16 +27,17 @@
 
 SPAN = 20 * SECOND
 STALENESS_NS = 200 * MILLISECOND  # of the state that the stale-state policy sees
-RESTARTS, RESTART_NS = 3, 400 * MILLISECOND  # gateways that restart, one after another, and for how long
+RESTARTS, RESTART_NS = 3, 400 * MILLISECOND  # number of gateways that restart in turn, and their downtime
 ALL_REQUESTS = "all"
 PolicyName = Literal["policy", "late", "all-seeing"]
 
 
 class PolicyResult(msgspec.Struct, frozen=True):
-    """One policy on one group of requests, as shares of the value that a policy with perfect state admits.
+    """Holds the result of one policy on one group of requests.
 
-    `inside`: admitted within quotas. `over_price`: admitted beyond quotas, times the cost of it.
-    `rejected_with_quota_left`: rejected while the bucket was half full or more.
+    All fields are shares of the value that a policy with perfect state admits. `inside` was admitted within
+    quotas, `over_price` is what was admitted beyond quotas times its cost, and `rejected_with_quota_left` was
+    rejected while the bucket was half full or more.
     """
 
     inside: float
@@ -45,7 +46,9 @@
 
 
 class QuotaAccuracy(msgspec.Struct, frozen=True):
-    """The result of one run: the gateways' policy and the stale-state policy, over all and by group."""
+    """Holds the results of the gateways' policy and of the stale-state policy in one run.
+
+    `groups` has both results by group of requests."""
 
     policy: PolicyResult
     stale: PolicyResult
@@ -53,12 +56,12 @@
 
     @property
     def price_difference(self) -> float:
-        """The price over that of the stale-state policy."""
+        """Returns the price of admissions beyond quotas minus that of the stale-state policy."""
         return self.policy.over_price - self.stale.over_price
 
 
 class _Admission(NamedTuple):
-    """Units that a gateway admitted, within the quota or beyond it."""
+    """Holds the units that a gateway admitted at a time, within the quota or beyond it."""
 
     at: int
     gateway: str
@@ -68,7 +71,7 @@
 
 @dataclass(slots=True)
 class _TenantBucket:
-    """A tenant's exact token bucket, with the admissions of the last `STALENESS_NS`."""
+    """Holds a tenant's exact token bucket, and the admissions of the last `STALENESS_NS`."""
 
     rule: PlanRule
     tokens: float
@@ -80,7 +83,7 @@
         return min(self.rule.burst_units, refilled)
 
     def admit(self, now: int, gateway: str, units: float) -> bool:
-        """Take the units of a request if they are there; returns whether they are."""
+        """Takes the units of a request if the bucket has them, and returns whether it has."""
         self.tokens = self._tokens_at(now)
         self.updated_at = now
         inside = self.tokens >= units
@@ -89,11 +92,13 @@
         return inside
 
     def has_quota_left(self, now: int, units: float) -> bool:
-        """Whether the bucket is half full at least and has the units."""
+        """Returns whether the bucket is at least half full and has the units."""
         return self._tokens_at(now) >= max(units, self.rule.burst_units / 2)
 
     def stale_tokens(self, now: int, gateway: str) -> float:
-        """The tokens as a gateway sees them: without recent admissions of others, but with all of its own."""
+        """Returns the tokens as a gateway knows them.
+
+        Recent admissions by others are not subtracted; all of the gateway's own are."""
         while self.recent and self.recent[0].at <= now - STALENESS_NS:
             self.recent.popleft()
         unseen = sum(each.units for each in self.recent if each.inside and each.gateway != gateway)
@@ -103,7 +108,7 @@
 
 @dataclass(slots=True)
 class _Totals:
-    """Value of the requests of one policy and group."""
+    """Holds the value of the requests of one policy and group."""
 
     inside: float = 0.0
     beyond: float = 0.0
@@ -118,7 +123,7 @@
 
 
 class _Comparison:
-    """Replays requests in order, each under all policies."""
+    """Replays requests in order and judges each under all policies."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -129,7 +134,7 @@
         self._origins: set[str] = set()
 
     def add(self, at: int, sent: RequestSent, forwarded: bool) -> None:
-        """A request that took effect at a time, and whether the gateways forwarded it."""
+        """Adds a request that took effect at a time, and whether the gateways forwarded it."""
         if sent.origin not in self._origins:
             self._origins.add(sent.origin)
             if self._bucket("all-seeing", sent).admit(at, "", sent.units):
@@ -157,9 +162,9 @@
             totals.rejected_with_quota_left += value * has_quota_left
 
     def result(self) -> QuotaAccuracy:
-        """The comparison so far; raises `ValueError` if there was no request."""
+        """Returns the comparison so far; raises `ValueError` if there was no request."""
         if not self._offered:
-            raise ValueError("no request was sent")
+            raise ValueError("ledger: must contain at least one sent request, got none")
         over_cost = self._scenario.excess_cost
         groups = {
             group: (
@@ -177,7 +182,7 @@
 
 
 def compare_policies(scenario: Scenario, entries: Iterable[Entry]) -> QuotaAccuracy:
-    """Compare the gateways' policy in a ledger with the stale-state policy.
+    """Compares the gateways' policy in a ledger with the stale-state policy.
 
     A forwarded request takes its units when a backend has received it; a rejected one is judged by the time
     when it was sent. Raises `ValueError` on a ledger without requests.
@@ -197,7 +202,7 @@
 
 
 def restart_gateways(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Some gateways are killed one after another, and start again soon after."""
+    """Kills some gateways one after another, and starts each again soon after."""
     for number, position in enumerate(rng.sample(range(fleet.scenario.gateways), RESTARTS)):
         killed_after = (number + 1) * SPAN // (RESTARTS + 2)
         fleet.clock.after(killed_after, partial(fleet.kill_gateway, position))
@@ -205,12 +210,12 @@
 
 
 def lose_peer_messages(fleet: VirtualFleet, rng: random.Random) -> None:
-    """One message between gateways in ten is lost."""
+    """Loses one in ten messages between gateways."""
     fleet.conditions.peer_loss = 0.1
 
 
 def no_fault(fleet: VirtualFleet, rng: random.Random) -> None:
-    """The network as it usually is."""
+    """Leaves the network as it usually is."""
 
 
 FAULTS: dict[str, Callable[[VirtualFleet, random.Random], None]] = {
@@ -248,7 +253,7 @@
 
 
 def play(name: str, fault: str, seed: int) -> QuotaAccuracy:
-    """One run of a scenario with a fault; the same seed gives the same run."""
+    """Runs a scenario with a fault; the same seed gives the same run."""
     scenario = SCENARIOS[name].changed(seed=seed)
     fleet = VirtualFleet(scenario, seed)
     FAULTS[fault](fleet, random.Random(f"quiet:{seed}"))
--- a/trackspread/testing/virtual/reservations.py
+++ b/trackspread/testing/virtual/reservations.py
@@ -1,9 +1,9 @@
-"""Plan changes and reservations under load in virtual time, checked against an exact token bucket.
+"""Simulates plan changes and reservations under load, and checks them against an exact token bucket.
 
-One gateway, and one tenant that requests several times its quota. At every forwarded request a reference
-bucket in exact fractions must hold the units, and of the requests that it would have admitted nearly all must
-be forwarded. The check uses the events of the decision module and the rule by which tokens are carried over
-when a plan changes, and does not depend on how the module keeps its tokens.
+There is one gateway, and one tenant that requests several times its quota. At every forwarded request a
+reference bucket in exact fractions must hold the units, and nearly all of the requests that it would have
+admitted must be forwarded. The check uses the events of the decision module and the rule by which tokens are
+carried over when a plan changes, and does not depend on how the module stores its tokens.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 SPAN = 30 * SECOND  # several changes, each among many bursts of requests
 FIRST_CHANGE_NS = 3 * SECOND
 REQUEST_WAIT_NS = 3 * SECOND
-MIN_FORWARDED_SHARE = 0.99  # of what the reference admits: no other limit applies
-SLACK_UNITS = Fraction(1, 10**6)  # for rounding of the module's floats
-LOAD_FACTOR = 3  # requests, over what the quota admits
+MIN_FORWARDED_SHARE = 0.99  # of the requests that the reference admits, as no other limit applies
+SLACK_UNITS = Fraction(1, 10**6)  # tolerance for the rounding of the module's floats
+LOAD_FACTOR = 3  # ratio of the requested rate to the quota
 TENANT = 77
 BACKENDS = (1, 2, 3)
 
 
 class ReferenceBucket:
-    """A token bucket in exact fractions; it starts full."""
+    """Holds a token bucket in exact fractions, which starts full."""
 
     def __init__(self, rate_per_s: float, burst_units: float, now: int) -> None:
         self.rate_per_s = Fraction(rate_per_s)
@@ -50,13 +50,13 @@
         self.tokens = self.burst_units
 
     def refill(self, now: int) -> None:
-        """Add what the rate yields until a time, ns."""
+        """Adds the tokens that the rate yields until a time in ns."""
         refilled = self.tokens + self.rate_per_s * Fraction(now - self.updated_at, SECOND)
         self.tokens = min(self.burst_units, refilled)
         self.updated_at = now
 
     def change(self, now: int, rate_per_s: float, burst_units: float) -> None:
-        """Change the limits: a smaller burst scales the tokens down, a larger one leaves them."""
+        """Changes the limits; a smaller burst scales the tokens down, and a larger one leaves them."""
         self.refill(now)
         burst = Fraction(burst_units)
         self.tokens = min(self.tokens, self.tokens * burst / self.burst_units)
@@ -65,32 +65,32 @@
 
 
 class _Run:
-    """One gateway, its clock, and the two reference buckets."""
+    """Runs one gateway on its clock, with two reference buckets."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"booked:{seed}")
         self.clock = Clock()
         rng, now = self.rng, self.clock.now
         self.plan = Plan("team", rng.uniform(2, 20), rng.uniform(4, 40), 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-        self.reservation = (0.0, 0.0)  # rate a second and burst units, in addition to the plan's
+        self.reservation = (0.0, 0.0)  # rate per second and burst units, in addition to the plan's
         self.broker = Broker(plain_settings(self.plan), seed, now)
         rate_per_s, burst_units = self.plan.rate_per_s, self.plan.burst_units
-        self.of_forwarded = ReferenceBucket(rate_per_s, burst_units, now)  # pays for what was forwarded
-        self.of_requested = ReferenceBucket(rate_per_s, burst_units, now)  # pays for what it would admit
+        self.of_forwarded = ReferenceBucket(rate_per_s, burst_units, now)  # charged with forwarded requests
+        self.of_requested = ReferenceBucket(rate_per_s, burst_units, now)  # charged with those it admits
         self.violations: list[str] = []
         self.forwarded = 0
-        self.admissible = 0  # by the reference
+        self.admissible = 0  # requests that the reference admits
 
     def play(self) -> None:
-        """Run all requests and changes."""
+        """Runs all requests and changes."""
         backends = tuple(Backend(number, 0, 0, 0, Health.READY, 1.0, 0) for number in BACKENDS)
         self._handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, backends))
         self.clock.after(0, partial(self._send_request, 1))
         self.clock.after(FIRST_CHANGE_NS, self._change_plan)
         self.clock.run(self.clock.now + SPAN)
         if self.forwarded < MIN_FORWARDED_SHARE * self.admissible:
-            counts = f"{self.forwarded} requests were sent on, of {self.admissible}"
-            self.violations.append(f"{counts} that the store would have let pass")
+            counts = f"{self.forwarded} requests were forwarded, of {self.admissible}"
+            self.violations.append(f"{counts} that the reference bucket admits")
 
     def _handle(self, event: Event) -> None:
         for action in self.broker.handle(self.clock.now, event):
@@ -105,7 +105,9 @@
         bucket.tokens -= 1
         self.forwarded += 1
         if bucket.tokens < -SLACK_UNITS:
-            self.violations.append(f"at {now}: {float(-bucket.tokens):.3f} units too many were sent")
+            self.violations.append(
+                f"at {now}: {float(-bucket.tokens):.3f} units were forwarded beyond the limit"
+            )
         ended = AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, MILLISECOND, 0, ())
         self.clock.after(MILLISECOND, partial(self._handle, ended))
 
@@ -120,7 +122,7 @@
         self.clock.after(int(wait_s * SECOND) + 1, partial(self._send_request, number + 1))
 
     def _change_plan(self) -> None:
-        """Change the plan's limits, or begin or end a reservation, and schedule the next change."""
+        """Changes the plan's limits, or begins or ends a reservation, and schedules the next change."""
         rng = self.rng
         if rng.random() < 0.5:
             factor = rng.choice((0.25, 0.5, 2.0, 4.0))
@@ -140,19 +142,19 @@
 
 
 def play(seed: int) -> list[str]:
-    """Violations of one run; none if tokens were carried over correctly at every change."""
+    """Returns the violations of one run, none if tokens were carried over correctly at every change."""
     return run(seed)[0]
 
 
 def run(seed: int) -> tuple[list[str], int, int]:
-    """Violations, the requests that were forwarded, and those that the reference would have admitted."""
-    played = _Run(seed)
-    played.play()
-    return played.violations, played.forwarded, played.admissible
+    """Returns the violations, the number of forwarded requests, and the number that the reference admits."""
+    simulated = _Run(seed)
+    simulated.play()
+    return simulated.violations, simulated.forwarded, simulated.admissible
 
 
 def _carried_tokens(mutant: Callable[[float, float, float], float]) -> list[Any]:
-    """Another rule for the tokens after a change, from the tokens, the old and the new burst."""
+    """Computes the tokens after a change by another rule, from the tokens, the old and the new burst."""
 
     def rescaled(tokens: float, old: float, new: float) -> float:
         return mutant(tokens, old, new) if old else 0.0
@@ -160,8 +162,8 @@
     return [patch.object(accounts, "rescaled_tokens", rescaled)]
 
 
-def _not_refilled_before() -> list[Any]:
-    """The time before a change is refilled at the new rate."""
+def _refilled_at_new_rate() -> list[Any]:
+    """Refills the time before a change at the new rate."""
 
     def mutant(sharing: QuotaSharing, now: int, account: Any, index: int) -> None:
         old, new = account.plan, accounts.plan_of(sharing.state, account.tenant, index)
@@ -172,8 +174,8 @@
     return [patch.object(accounts, "change_plan", mutant)]
 
 
-def _never_ends() -> list[Any]:
-    """A reservation remains after its end."""
+def _reservation_never_ends() -> list[Any]:
+    """Keeps a reservation after its end."""
     real = Quota.change_plans
 
     def mutant(self: Quota, now: int, event: PlansChanged) -> None:
@@ -183,8 +185,8 @@
     return [patch.object(Quota, "change_plans", mutant)]
 
 
-def _reserved_only() -> list[Any]:
-    """A reservation replaces the plan's limits."""
+def _reservation_replaces_plan() -> list[Any]:
+    """Replaces the plan's limits with the reservation."""
     real = accounts.plan_of
 
     def mutant(state: QuotaState, tenant: int, index: int) -> Plan:
@@ -196,18 +198,18 @@
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
-    "given-anew": lambda: _carried_tokens(lambda tokens, old, new: new),
-    "share-both-ways": lambda: _carried_tokens(lambda tokens, old, new: tokens * new / old),
-    "units-both-ways": lambda: _carried_tokens(lambda tokens, old, new: tokens),
-    "emptied": lambda: _carried_tokens(lambda tokens, old, new: 0.0),
-    "not-refilled-before": _not_refilled_before,
-    "never-ends": _never_ends,
-    "reserved-only": _reserved_only,
-    "not-taken-up": lambda: [patch.object(Quota, "change_plans", lambda self, now, event: None)],
+    "full-after-change": lambda: _carried_tokens(lambda tokens, old, new: new),
+    "scaled-up-too": lambda: _carried_tokens(lambda tokens, old, new: tokens * new / old),
+    "never-scaled": lambda: _carried_tokens(lambda tokens, old, new: tokens),
+    "empty-after-change": lambda: _carried_tokens(lambda tokens, old, new: 0.0),
+    "refilled-at-new-rate": _refilled_at_new_rate,
+    "reservation-never-ends": _reservation_never_ends,
+    "reservation-replaces-plan": _reservation_replaces_plan,
+    "changes-ignored": lambda: [patch.object(Quota, "change_plans", lambda self, now, event: None)],
 }
 
 
 def first_detecting_seed(name: str, seeds: Iterator[int]) -> int | None:
-    """The first of the seeds that shows the mutant; None if none does."""
+    """Returns the first seed whose run detects the mutant, or None if none does."""
     with applied(MUTANTS[name]()):
         return next((seed for seed in seeds if play(seed)), None)
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults: the seed alone determines which faults occur and when, so a failure replays.
+"""Makes seeded schedules of faults; the seed alone determines the faults and times, so a failure replays.
 
 A schedule uses the controls of the virtual fleet; it depends neither on what the decision module decides nor
 on what the judge looks for.
@@ -19,10 +19,10 @@
 from ..standins.scenario import MILLISECOND, Scenario
 from .fleet import Node, VirtualFleet
 
-SPAN = 4 * SECOND  # of load: enough for a drain with its grace period and a slow start after it
-MAX_OVER_QUOTA_SHARE = 0.15  # of the units that a calm fleet forwards
-CALM = 8  # one schedule in so many has no faults, and must also keep to the quotas
-MIN_NODES_LEFT = 2  # ready nodes that a fault leaves
+SPAN = 4 * SECOND  # time of load, enough for a drain with its grace period and a slow start after it
+MAX_OVER_QUOTA_SHARE = 0.15  # part of the units that a fleet without faults forwards
+CALM = 8  # every eighth schedule has no faults, and must also keep to the quotas
+MIN_NODES_LEFT = 2  # number of ready nodes that a fault leaves
 RESTART_INTERVAL_NS = 700 * MILLISECOND  # of a rolling restart of gateways
 REPLACEMENT_INTERVAL_NS = 400 * MILLISECOND  # of a rolling replacement of nodes
 Fault = Callable[[VirtualFleet, random.Random], None]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A scenario and the faults in it, by time (ns from the start) and name."""
+    """Holds a scenario and its faults, by time in ns from the start and name."""
 
     seed: int
     scenario: Scenario
@@ -49,18 +49,18 @@
 
 
 def restart_gateway(fleet: VirtualFleet, rng: random.Random) -> None:
-    """One gateway is killed and starts again."""
+    """Kills one gateway, which starts again."""
     _restart(fleet, rng, rng.randrange(fleet.scenario.gateways))
 
 
 def restart_half_of_gateways(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Half of the gateways are killed at once and start again."""
+    """Kills half of the gateways at once, which start again."""
     for position in rng.sample(range(fleet.scenario.gateways), max(1, fleet.scenario.gateways // 2)):
         _restart(fleet, rng, position)
 
 
 def rolling_restart(fleet: VirtualFleet, rng: random.Random) -> None:
-    """All gateways are restarted, one after the other."""
+    """Restarts all gateways, one after the other."""
     for number, position in enumerate(rng.sample(range(fleet.scenario.gateways), fleet.scenario.gateways)):
         fleet.clock.after(number * RESTART_INTERVAL_NS, partial(_restart, fleet, rng, position))
 
@@ -70,14 +70,14 @@
 
 
 def replace_node(fleet: VirtualFleet, rng: random.Random) -> None:
-    """One node drains, ends, and has a successor that is not warmed up."""
+    """Drains and ends one node, which has a successor that warms up."""
     nodes = _ready_nodes(fleet)
     if len(nodes) > MIN_NODES_LEFT:
         _replace(fleet, rng, rng.choice(nodes))
 
 
 def rolling_replacement(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Half of the nodes are replaced, one after the other."""
+    """Replaces half of the nodes, one after the other."""
     nodes = _ready_nodes(fleet)
     for number, node in enumerate(rng.sample(nodes, len(nodes) // 2)):
         fleet.clock.after(number * REPLACEMENT_INTERVAL_NS, partial(_replace, fleet, rng, node))
@@ -93,22 +93,22 @@
 
 
 def cancel_drain(fleet: VirtualFleet, rng: random.Random) -> None:
-    """One node drains and is ready again soon after."""
+    """Drains one node, which is ready again soon after."""
     if nodes := _ready_nodes(fleet):
         node = rng.choice(nodes)
         fleet.drain_node(node)
         wait_ns = rng.randint(200 * MILLISECOND, 1800 * MILLISECOND)
-        fleet.clock.after(wait_ns, partial(_make_ready_again, fleet, node))
+        fleet.clock.after(wait_ns, partial(_set_ready, fleet, node))
 
 
-def _make_ready_again(fleet: VirtualFleet, node: Node) -> None:
+def _set_ready(fleet: VirtualFleet, node: Node) -> None:
     if node.running and node.entry.health is Health.DRAINING:
         node.model.draining = False
         fleet.set_health(node, Health.READY)
 
 
 def node_crashes(fleet: VirtualFleet, rng: random.Random) -> None:
-    """A node crashes; the endpoint list is updated later."""
+    """Crashes a node; the endpoint list is updated later."""
     nodes = _ready_nodes(fleet)
     if len(nodes) > MIN_NODES_LEFT:
         node = rng.choice(nodes)
@@ -117,7 +117,7 @@
 
 
 def node_unresponsive(fleet: VirtualFleet, rng: random.Random) -> None:
-    """A node sends no replies for a while."""
+    """Makes a node unresponsive for some time."""
     if nodes := _ready_nodes(fleet):
         node = rng.choice(nodes)
         node.unresponsive = True
@@ -126,7 +126,7 @@
 
 
 def node_hangs_and_crashes(fleet: VirtualFleet, rng: random.Random) -> None:
-    """A node sends no more replies, and resets all of its connections when it crashes at last."""
+    """Makes a node unresponsive until it crashes and resets all of its connections."""
     nodes = _ready_nodes(fleet)
     if len(nodes) > MIN_NODES_LEFT:
         node = rng.choice(nodes)
@@ -137,20 +137,20 @@
 
 
 def node_slow(fleet: VirtualFleet, rng: random.Random) -> None:
-    """A node takes several times as long for each request, to the end."""
+    """Makes a node take several times as long for each request, to the end."""
     if nodes := _ready_nodes(fleet):
         rng.choice(nodes).model.slowdown = rng.uniform(3.0, 20.0)
 
 
 def connection_faults(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Connections to nodes are reset, break while a request is written, or are slow to connect."""
+    """Makes connections to nodes reset, break while a request is written, or connect slowly."""
     fleet.conditions.reset_chance = rng.uniform(0.02, 0.3)
     fleet.conditions.broken_write_chance = rng.uniform(0.0, 0.1)
     fleet.conditions.slow_connect_chance = rng.uniform(0.0, 0.5)
 
 
 def partition_gateways(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Some gateways and the others get no messages of each other for a while."""
+    """Partitions some gateways from the others for some time."""
     gateways = range(fleet.scenario.gateways)
     some = set(rng.sample(gateways, rng.randint(1, len(gateways) - 1)))
     fleet.partitioned = {frozenset((one, other)) for one in some for other in gateways if other not in some}
@@ -158,28 +158,28 @@
 
 
 def lossy_peer_network(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Messages between gateways are lost, duplicated and delayed."""
+    """Loses, duplicates and delays messages between gateways."""
     fleet.conditions.peer_loss = rng.uniform(0.2, 0.9)
     fleet.conditions.peer_duplication = rng.uniform(0.0, 0.3)
     fleet.conditions.max_peer_delay_ns = rng.randint(0, SECOND // 2)
 
 
 def migrate_clients(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Many customers change the gateways that they use."""
+    """Makes many tenants change the gateways that they use."""
     fleet.population.move(rng.uniform(0.3, 1.0))
 
 
 def surge(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Clients send more requests, to the end."""
+    """Makes clients send more requests, to the end."""
     fleet.population.rate_multiple = rng.uniform(1.5, 3.0)
 
 
 def late_endpoint_updates(fleet: VirtualFleet, rng: random.Random) -> None:
-    """Updates of the endpoint list arrive late."""
+    """Delays updates of the endpoint list."""
     fleet.conditions.max_list_delay_ns = rng.randint(SECOND // 2, 3 * SECOND)
 
 
-# In the order in which seeds draw from them.
+# Seeds draw from this order, so a change of it changes the schedules.
 FAULTS: dict[str, Fault] = {
     fault.__name__: fault
     for fault in (
@@ -204,7 +204,7 @@
 
 
 def make(seed: int) -> Schedule:
-    """The schedule of a seed; one in `CALM` has no faults."""
+    """Returns the schedule of a seed; one in `CALM` has no faults."""
     rng = random.Random(f"schedule:{seed}")
     is_calm = seed % CALM == 0
     scenario = Scenario(
@@ -225,7 +225,9 @@
 
 
 def play(schedule: Schedule) -> tuple[Verdict, VirtualFleet]:
-    """The verdict on a schedule; the same schedule gives the same ledger, to the last entry."""
+    """Plays a schedule and returns the verdict and the fleet.
+
+    The same schedule gives the same ledger, to the last entry."""
     fleet = VirtualFleet(schedule.scenario, schedule.seed)
     start = fleet.clock.now
     for number, (at, name) in enumerate(schedule.faults):
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -1,7 +1,7 @@
-"""Backends that are warming up behind many gateways in virtual time: what all gateways send to each of them.
+"""Simulates backends that warm up behind many gateways, and measures the load that they all send to each.
 
-It uses the controls of the virtual fleet and the ledger, and does not depend on what the decision module
-decides.
+The module uses the controls of the virtual fleet and the ledger, and does not depend on what the decision
+module decides.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from .fleet import Node, VirtualFleet
 
 NODES = 9
-REPLACED = 2  # nodes that drain and have a successor under another name
-RETURNED = 2  # nodes that crash and come back under the same name
+REPLACED = 2  # number of nodes that drain and have a successor under another name
+RETURNED = 2  # number of nodes that crash and restart under the same name
 MIN_GATEWAYS, MAX_GATEWAYS = 20, 32
-CALM_NS = 3 * SECOND  # before any fault: gateways learn what warmed-up backends can do
+CALM_NS = 3 * SECOND  # time before any fault, in which gateways learn the capacity of warm backends
 WARMUP_NS = 6 * SECOND
 SPAN = CALM_NS + WARMUP_NS + SECOND
-LOAD_FACTOR = 1.5  # of the load while backends warm up
+LOAD_FACTOR = 1.5  # factor of the load while backends warm up
 Faults = Callable[[VirtualFleet, random.Random], None]
 
 
 class SlowStartRun(msgspec.Struct, frozen=True):
-    """The result of one run.
+    """Holds the result of one run.
 
-    `worst_excess`: the largest value of `overload_excess`. `relative_load`: the load of backends that are
-    warming up, relative to their capacity, over that of the others. `served_share`: of all requests but those
-    rejected while the quota was used up. `violations`: the other rules that were violated; the judge makes no
-    allowance for chance at backends that warm up.
+    `worst_excess` is the largest value of `overload_excess`. `relative_load` is the load of backends that are
+    warming up, relative to their capacity, over that of the others. `served_share` is of all requests but
+    those rejected while the quota was used up. `violations` names the other rules that were violated; the
+    judge makes no allowance for chance at backends that warm up.
     """
 
     gateways: int
@@ -48,19 +48,19 @@
 
 
 class UncrashableScenario(Scenario):
-    """A scenario whose backends never crash, so that everything that gateways send them is counted."""
+    """Defines a scenario whose backends never crash, so that all requests that gateways send are counted."""
 
     def rating_node(
         self, spec: NodeSpec, pods: dict[int, IdempotencyCache], now: int, cold: bool
     ) -> RatingNode:
-        """A rating node without a limit on its load."""
+        """Returns a rating node without a limit on its load."""
         node = super().rating_node(spec, pods, now, cold)
         node.overload_multiple = inf
         return node
 
 
-def scenario(seed: int) -> Scenario:
-    """A fleet drawn by the seed: its gateways, overload window and multiple, start capacity and load."""
+def draw_scenario(seed: int) -> Scenario:
+    """Draws a fleet by the seed: its gateways, overload window and multiple, start capacity and load."""
     rng = random.Random(f"ramp-scene:{seed}")
     return UncrashableScenario(
         gateways=rng.randint(MIN_GATEWAYS, MAX_GATEWAYS),
@@ -76,27 +76,28 @@
 
 
 def play(seed: int) -> SlowStartRun:
-    """Some backends are replaced and others come back under high load, while gateways are killed,
-    restarted and partitioned. The same seed gives the same run."""
+    """Replaces some backends and restarts others under high load, while gateways fail.
+
+    The gateways are killed, restarted and partitioned. The same seed gives the same run."""
     return _run(seed, _replace_and_return)
 
 
 def play_none_warm(seed: int) -> SlowStartRun:
-    """All backends come back and warm up, one after the other, while half of the gateways restart."""
+    """Restarts all backends, which warm up, one after the other, while half of the gateways restart."""
     return _run(seed, _return_all)
 
 
 def _run(seed: int, faults: Faults) -> SlowStartRun:
-    played = scenario(seed)
-    fleet = VirtualFleet(played, seed)
+    scenario = draw_scenario(seed)
+    fleet = VirtualFleet(scenario, seed)
     faults_at = fleet.clock.now + CALM_NS
     fleet.clock.at(faults_at, partial(faults, fleet, random.Random(f"ramp:{seed}")))
     fleet.run(SPAN)
-    verdict = judge(played.world(), fleet.ledger.entries)
+    verdict = judge(scenario.world(), fleet.ledger.entries)
     summary = verdict.summary
     return SlowStartRun(
-        played.gateways,
-        max(overload_excess(played, fleet.ledger), default=-inf),
+        scenario.gateways,
+        max(overload_excess(scenario, fleet.ledger), default=-inf),
         _relative_load(fleet.ledger, faults_at),
         summary.served_share,
         frozenset(verdict.broken_rules() - {"cold"}),
@@ -146,31 +147,31 @@
 
 
 def _isolate(fleet: VirtualFleet, position: int) -> None:
-    """Partition a gateway from all others; it still has its clients and backends."""
+    """Partitions a gateway from all others; it still has its clients and backends."""
     others = range(fleet.scenario.gateways)
     fleet.partitioned |= {frozenset((position, other)) for other in others if other != position}
 
 
 def _slow_starts(ledger: Ledger) -> dict[str, BackendStarted]:
-    """The last start of each backend that had to warm up."""
+    """Returns the last start of each backend that had to warm up."""
     starts = (entry for entry in ledger.entries if isinstance(entry, BackendStarted))
     return {start.backend: start for start in starts if start.start_capacity < 1.0}
 
 
 def _capacity(start: BackendStarted, at: int) -> float:
-    """The share of its capacity that a backend has at a time."""
+    """Returns the share of its full capacity that a backend has at a time."""
     progress = min(1.0, (at - start.at) / start.warmup_ns)
     return start.start_capacity + (1.0 - start.start_capacity) * progress
 
 
-def overload_excess(played: Scenario, ledger: Ledger) -> Iterator[float]:
-    """For each request to a backend that warms up, how far the work in the window that ends with it exceeds
-    the limit, in requests of mean work; negative below the limit.
+def overload_excess(scenario: Scenario, ledger: Ledger) -> Iterator[float]:
+    """Yields the excess of work over the limit for each request to a backend that warms up.
 
-    The limit is N + 2 sqrt(N) + 2, which allows for chance, where N is the overload multiple of what the
-    backend can do in the window.
+    The work is that of the window that ends with the request. The excess is in requests of mean work and is
+    negative below the limit. The limit is N + 2 sqrt(N) + 2, which allows for chance, where N is the overload
+    multiple of the work that the backend can do in the window.
     """
-    mean_work = sum(c.share * c.work_ns for c in played.classes) / sum(c.share for c in played.classes)
+    mean_work = sum(c.share * c.work_ns for c in scenario.classes) / sum(c.share for c in scenario.classes)
     starts = _slow_starts(ledger)
     recent: dict[str, deque[tuple[int, float]]] = {backend: deque() for backend in starts}
     attempts = [entry for entry in ledger.entries if isinstance(entry, AttemptReceived)]
@@ -180,18 +181,18 @@
             continue
         window = recent[attempt.backend]
         window.append((attempt.at, attempt.work_ns / mean_work))
-        while window[0][0] <= attempt.at - played.overload_window_ns:
+        while window[0][0] <= attempt.at - scenario.overload_window_ns:
             window.popleft()
-        able = start.cores * _capacity(start, attempt.at) * played.overload_window_ns / mean_work
-        allowed = played.overload_multiple * able
+        able = start.cores * _capacity(start, attempt.at) * scenario.overload_window_ns / mean_work
+        allowed = scenario.overload_multiple * able
         yield sum(work for _, work in window) - (allowed + 2.0 * sqrt(allowed) + 2.0)
 
 
 def _relative_load(ledger: Ledger, faults_at: int) -> float:
-    """The load of backends that warm up, relative to their capacity, over that of the others.
+    """Returns the load of backends that warm up, relative to their capacity, over that of the others.
 
-    It is measured from a second after the faults until all backends are warmed up. If there are no others, it
-    is the load for the capacity alone.
+    It is measured from a second after the faults until all backends are warm. If there are no others, the
+    result is the load divided by the capacity.
     """
     warming_up = _slow_starts(ledger)
     first, last = faults_at + SECOND, faults_at + WARMUP_NS
@@ -212,13 +213,13 @@
 
 
 def _warm_cores(ledger: Ledger, excluded: set[str]) -> dict[str, float]:
-    """Cores of the backends that started warmed up."""
+    """Returns the cores of the backends that started at full capacity."""
     starts = (entry for entry in ledger.entries if isinstance(entry, BackendStarted))
     warm = {start.backend: start.cores for start in starts if start.start_capacity >= 1.0}
     return {backend: cores for backend, cores in warm.items() if backend not in excluded}
 
 
 def _drained(ledger: Ledger, since: int) -> set[str]:
-    """Backends that some gateway learned not to be ready after a time."""
+    """Returns the backends that were announced as not ready to some gateway after a time."""
     updates = (entry for entry in ledger.entries if isinstance(entry, EndpointAnnounced))
     return {update.backend for update in updates if update.at > since and not update.ready}
