--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -25,7 +25,13 @@
 from trackspread.testing.standins.counter_server import CounterServer
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.counter.mutants import MUTANTS, first_detection
-from trackspread.testing.virtual.counter.schedules import calm_world, deaf_world, make, play, tight_world
+from trackspread.testing.virtual.counter.schedules import (
+    play_without_faults,
+    play_without_counter,
+    make,
+    play,
+    play_moved_traffic,
+)
 
 from .cost import Work, gateway, spawn
 
@@ -114,9 +120,12 @@
     broken = []
     for seed in seeds:
         schedule = make(seed)
-        broken += [f"--seed {seed}: {schedule}: {text}" for text in play(schedule).broken[:1]]
-        broken += [f"calm, --seed {seed}: {text}" for text in calm_world(seed)[:1]]
-        broken += [f"--seed {seed}: {text}" for text in [*tight_world(seed)[:1], *deaf_world(seed)[:1]]]
+        broken += [f"--seed {seed}: {schedule}: {text}" for text in play(schedule).violations[:1]]
+        broken += [f"calm, --seed {seed}: {text}" for text in play_without_faults(seed)[:1]]
+        broken += [
+            f"--seed {seed}: {text}"
+            for text in [*play_moved_traffic(seed)[:1], *play_without_counter(seed)[:1]]
+        ]
     return broken
 
 
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -215,7 +215,7 @@
 
 def _counter(seed: int) -> object:
     world = counter_schedules.play(counter_schedules.make(seed))
-    return list(world.counts.values()), world.broken, world.calls, world.requests, world.rng.getstate()
+    return list(world.counts.values()), world.violations, world.calls, world.requests, world.rng.getstate()
 
 
 def _planning(seed: int) -> object:
@@ -254,9 +254,9 @@
     "membership": _membership,
     "cells": _cells,
     "counter": _counter,
-    "counter, calm": counter_schedules.calm_world,
-    "counter, deaf": counter_schedules.deaf_world,
-    "counter, tight": counter_schedules.tight_world,
+    "counter, calm": counter_schedules.play_without_faults,
+    "counter, deaf": counter_schedules.play_without_counter,
+    "counter, tight": counter_schedules.play_moved_traffic,
     "planning": _planning,
     "planning, saturated": _saturated,
     "usage": _usage,
--- a/tests/counter/test_counter_leases.py
+++ b/tests/counter/test_counter_leases.py
@@ -19,15 +19,15 @@
 from trackspread.decide.time_units import MILLISECOND, SECOND
 from trackspread.decide.settings import Plan
 from trackspread.testing.standins.counter import Cluster, CommandError, Shard, slot_of
-from trackspread.testing.virtual.counter.world import Plant, World
+from trackspread.testing.virtual.counter.world import World, WorldSettings
 from trackspread.testing.virtual.counter.mutants import KINDS, is_detected
 from trackspread.testing.virtual.counter.schedules import (
     FAULTS,
-    calm_world,
-    deaf_world,
+    play_without_faults,
+    play_without_counter,
     make,
     play,
-    tight_world,
+    play_moved_traffic,
 )
 
 TERMS = LeaseTerms(10.0, 1.0, 0.1, (0, 1, 2))
@@ -37,8 +37,8 @@
 def test_shares_and_hard_limits_hold_under_seeded_faults(seed: int) -> None:
     """Guards against shares or hard limits that are exceeded at any step of a seeded fault schedule."""
     world = play(make(seed))
-    assert not world.broken, (str(make(seed)), world.broken)
-    assert sum(count.sent for count in world.counts.values()) > 0
+    assert not world.violations, (str(make(seed)), world.violations)
+    assert sum(count.forwarded for count in world.counts.values()) > 0
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -46,17 +46,17 @@
     """Guards against shares that stay too small after a fault.
 
     In the calm second half, tenants must get most of what a single token bucket would have granted."""
-    world = World(Plant(5, asked=2.0))
+    world = World(WorldSettings(5, load=2.0))
     world.run(4 * SECOND)
     world.clock.after(0, partial(FAULTS[name], world, random.Random(f"one fault:{name}")))
     if name == "lossy":
         world.clock.after(8 * SECOND, partial(FAULTS["calm"], world, random.Random(1)))
     world.run(16 * SECOND)
-    before = {tenant: (count.sent, count.inside) for tenant, count in world.counts.items()}
+    before = {tenant: (count.forwarded, count.admissible) for tenant, count in world.counts.items()}
     world.run(6 * SECOND)
-    assert not world.broken
+    assert not world.violations
     for tenant, count in world.counts.items():
-        sent, inside = count.sent - before[tenant][0], count.inside - before[tenant][1]
+        sent, inside = count.forwarded - before[tenant][0], count.admissible - before[tenant][1]
         assert sent > 0.7 * inside, (hex(tenant), sent, inside)
 
 
@@ -206,7 +206,7 @@
     """Guards against a share that one gateway releases too late or another one uses too early.
 
     A tenant's complete limit is held by one gateway when a fault occurs and its traffic moves elsewhere."""
-    assert tight_world(seed) == []
+    assert play_moved_traffic(seed) == []
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -215,31 +215,31 @@
 
     The gateways' shares by last demand sum to 1, so the excess is at most the tokens that each gateway knew
     of, once."""
-    assert deaf_world(seed) == []
+    assert play_without_counter(seed) == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_quotas_are_served_and_kept_without_faults(seed: int) -> None:
     """Guards against rejected requests within the quota, and against use beyond it, without faults."""
-    assert calm_world(seed) == []
+    assert play_without_faults(seed) == []
 
 
 # The first kind of world and seed that detects each mutant. `benchmarks.counter` runs the complete list; its
 # last run says which mutants no world detects.
 DETECTING_WORLDS = {
-    "proof-not-awaited": ("tight", 12),
-    "proof-without-heartbeats": ("tight", 12),
-    "share-not-reduced": ("tight", 13),
-    "raised-before-reply": ("tight", 2),
-    "static-share-at-once": ("tight", 29),
-    "expiry-too-short": ("tight", 12),
-    "older-claims-accepted": ("calm", 0),
-    "guarantee-exceeds-limit": ("tight", 1),
-    "missing-field-ignored": ("tight", 123),
-    "entire-quota-without-replies": ("deaf", 0),
+    "proof-not-awaited": ("moved traffic", 12),
+    "proof-without-heartbeats": ("moved traffic", 12),
+    "share-not-reduced": ("moved traffic", 13),
+    "raised-before-reply": ("moved traffic", 2),
+    "static-share-at-once": ("moved traffic", 29),
+    "expiry-too-short": ("moved traffic", 12),
+    "older-claims-accepted": ("without faults", 0),
+    "guarantee-exceeds-limit": ("moved traffic", 1),
+    "missing-field-ignored": ("moved traffic", 123),
+    "entire-quota-without-replies": ("without counter", 0),
     "heartbeats-after-failure": ("faults", 1),
-    "spending-elsewhere-ignored": ("calm", 0),
-    "share-never-released": ("calm", 4),
+    "spending-elsewhere-ignored": ("without faults", 0),
+    "share-never-released": ("without faults", 4),
 }
 
 
--- a/trackspread/testing/virtual/counter/__init__.py
+++ b/trackspread/testing/virtual/counter/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways that share a counter, in virtual time."""
+"""Simulates gateways that share a counter, in virtual time."""
--- a/trackspread/testing/virtual/counter/mutants.py
+++ b/trackspread/testing/virtual/counter/mutants.py
@@ -247,9 +247,9 @@
 
 
 KINDS = {
-    "deaf": schedules.deaf_world,
-    "tight": schedules.tight_world,
-    "calm": schedules.calm_world,
+    "without counter": schedules.play_without_counter,
+    "moved traffic": schedules.play_moved_traffic,
+    "without faults": schedules.play_without_faults,
     "faults": schedules.play_seed,
 }
 
