--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -257,12 +257,12 @@
 def bytes_a_second(count: int) -> float:
     """Of one member in a calm fleet of so many, in virtual time."""
     world = World(1, count, settings={"max_members": 2 * count})
-    world.begin(60 * SECOND, every=SECOND)
+    world.start_all(60 * SECOND, interval_ns=SECOND)
     while any(p.core is not None and len(p.core.gossip) for p in world.processes.values()):
         world.run_until(world.elapsed_ns + SECOND)  # until nothing is told of the start any more
-    world.bytes = dict.fromkeys(world.processes, 0)
+    world.bytes_sent = dict.fromkeys(world.processes, 0)
     world.run_until(world.elapsed_ns + 10 * SECOND)
-    return sum(world.bytes.values()) / count / 10.0
+    return sum(world.bytes_sent.values()) / count / 10.0
 
 
 def measure(quick: bool, first: int) -> dict[str, Any]:
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -200,7 +200,7 @@
 
 def _membership(seed: int) -> object:
     world, took_ns = membership_schedules.play(membership_schedules.make(seed))
-    return took_ns, world.rights(), world.rng.getstate()
+    return took_ns, world.used_slots(), world.rng.getstate()
 
 
 def _cells(seed: int) -> object:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -48,7 +48,7 @@
 from trackspread.membership.wire import MAX_DATAGRAM_BYTES, Keys, Wire
 from trackspread.node.fleet_keys import read_keys
 from trackspread.testing.judge import membership_records
-from trackspread.testing.virtual.membership.world import KEEP, World
+from trackspread.testing.virtual.membership.world import LEASE_DURATION_NS, World
 
 OWN_UPDATE = GossipUpdate("me", 10, 0, State.ALIVE, "127.0.0.1", 1)
 
@@ -187,13 +187,13 @@
     rng = random.Random(seed)
     members = {(f"m{n}", 1): SlotLease() for n in range(rng.randint(2, 6))}
     clock_rates = {member_id: rng.uniform(0.99, 1.01) for member_id in members}
-    leases, now = SlotLeases(0, (1, 0), KEEP), 0
+    leases, now = SlotLeases(0, (1, 0), LEASE_DURATION_NS), 0
     epoch: Epoch = (1, 0)
     delayed_grants: list[tuple[MemberId, tuple[int, Epoch, int, int]]] = []
     for step in range(120):
         now += rng.randint(1 * MS, 300 * MS)
         if successor and step == 60:
-            epoch, leases = (2, 1), SlotLeases(now, (2, 1), KEEP)
+            epoch, leases = (2, 1), SlotLeases(now, (2, 1), LEASE_DURATION_NS)
         member_id = rng.choice(list(members))
         lease, own_now = members[member_id], int(now * clock_rates[member_id])
         if lease.start_request(epoch):
@@ -206,16 +206,16 @@
         rng.shuffle(delayed_grants)
         while delayed_grants and rng.random() < 0.6:
             holder, grant = delayed_grants.pop()
-            members[holder].accept(int(now * clock_rates[holder]), *grant, KEEP)
+            members[holder].accept(int(now * clock_rates[holder]), *grant, LEASE_DURATION_NS)
         usable = [each.usable_slots(int(now * clock_rates[name])) for name, each in members.items()]
         assert sum(slots.bit_count() for slots in usable) == reduce(or_, usable).bit_count()
 
 
 def test_lease_shrinks_at_once_and_grows_after_release() -> None:
     """A lease grows only when the other holder is known to have shrunk, or its grant has expired."""
-    leases, a, b = SlotLeases(0, (1, 0), KEEP), ("a", 1), ("b", 1)
+    leases, a, b = SlotLeases(0, (1, 0), LEASE_DURATION_NS), ("a", 1), ("b", 1)
     half = slots_of((0, 2))
-    now = grantor_duration_ns(KEEP)  # all leases of a predecessor have expired by now
+    now = grantor_duration_ns(LEASE_DURATION_NS)  # all leases of a predecessor have expired by now
     serial, slots = leases.grant(now, a, ALL_SLOTS, 0, 0)
     assert slots == ALL_SLOTS and leases.grant(now, b, half, 0, 0)[1] == 0
     # Member a is granted less, but is not yet known to have received this grant.
@@ -224,8 +224,8 @@
     leases.grant(now, a, ALL_SLOTS ^ half, next_serial, reduced)
     assert leases.grant(now, b, half, 0, 0)[1] == half
     # Member a sends no more requests: b gets all slots once a's grant has certainly expired, not before.
-    assert leases.grant(now + grantor_duration_ns(KEEP) - 1, b, ALL_SLOTS, 0, 0)[1] == half
-    assert leases.grant(now + grantor_duration_ns(KEEP), b, ALL_SLOTS, 0, 0)[1] == ALL_SLOTS
+    assert leases.grant(now + grantor_duration_ns(LEASE_DURATION_NS) - 1, b, ALL_SLOTS, 0, 0)[1] == half
+    assert leases.grant(now + grantor_duration_ns(LEASE_DURATION_NS), b, ALL_SLOTS, 0, 0)[1] == ALL_SLOTS
 
 
 def test_grant_counts_from_request_and_older_grants_are_rejected() -> None:
@@ -266,7 +266,7 @@
 
     Where all seeds have restarted, this takes only the contact timeout.
     """
-    leases, a, b, c = SlotLeases(0, (2, 0), KEEP), ("a", 1), ("b", 1), ("c", 1)
+    leases, a, b, c = SlotLeases(0, (2, 0), LEASE_DURATION_NS), ("a", 1), ("b", 1), ("c", 1)
     first, half, second = slots_of((0, 3)), slots_of((0, 6)), slots_of((1, 3))
     assert leases.grant(0, a, half, 0, first)[1] == half
     assert leases.grant(MS, c, ALL_SLOTS, 0, 0)[1] == 0, "a is not known to have received its smaller grant"
@@ -278,12 +278,12 @@
         and leases.held_by_others(3 * MS, (a, b, c)) == 0
     )
     assert leases.grant(4 * MS, b, second, 0, second)[1] == second
-    assert leases.grant(grantor_duration_ns(KEEP) - 1, c, ALL_SLOTS, serial, slots)[1] == slots
+    assert leases.grant(grantor_duration_ns(LEASE_DURATION_NS) - 1, c, ALL_SLOTS, serial, slots)[1] == slots
     assert (
-        leases.grant(grantor_duration_ns(KEEP), c, ALL_SLOTS, serial + 2, slots)[1]
+        leases.grant(grantor_duration_ns(LEASE_DURATION_NS), c, ALL_SLOTS, serial + 2, slots)[1]
         == ALL_SLOTS ^ half ^ second
     )
-    restarted = SlotLeases(0, (2, 0), KEEP)
+    restarted = SlotLeases(0, (2, 0), LEASE_DURATION_NS)
     restarted.all_seeds_restarted(0)
     assert restarted.grant(grantor_duration_ns(RENEWAL_SPAN_NS) - 1, a, ALL_SLOTS, 0, 0)[1] == 0
     assert restarted.grant(grantor_duration_ns(RENEWAL_SPAN_NS), a, ALL_SLOTS, 1, 0)[1] == ALL_SLOTS
@@ -428,5 +428,5 @@
 def settled_world(count: int, seed: int = 1, seeds: int = 3) -> World:
     """Returns a fleet in virtual time whose members all hold one view and all slots."""
     world = World(seed, count, seeds)
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     return world
--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -11,7 +11,7 @@
 from trackspread.membership.slot_allocation import ALL_SLOTS, SLOT_COUNT, slots_of
 from trackspread.testing.virtual.membership.mutants import MUTANTS, WORLDS, first_detecting_seed
 from trackspread.testing.virtual.membership.schedules import make, play
-from trackspread.testing.virtual.membership.world import KEEP, World
+from trackspread.testing.virtual.membership.world import LEASE_DURATION_NS, World
 
 from .test_membership import make_update, message, settled_world
 
@@ -21,7 +21,7 @@
     world = settled_world(12)
     world.start(world.add(12))
     assert world.until_settled(2 * SECOND) < SECOND
-    assert world.rights() == ALL_SLOTS
+    assert world.used_slots() == ALL_SLOTS
 
 
 def test_forty_members_join_at_once() -> None:
@@ -37,7 +37,7 @@
     world.leave(world.processes["n5"])
     assert world.until_settled(SECOND) < SECOND
     world.kill(world.processes["n4"])
-    assert KEEP < world.until_settled(4 * SECOND) < 4 * SECOND
+    assert LEASE_DURATION_NS < world.until_settled(4 * SECOND) < 4 * SECOND
 
 
 def test_only_the_half_with_most_seeds_keeps_its_slots() -> None:
@@ -64,7 +64,7 @@
     After the lease has expired, only the side with a majority of seeds holds slots.
     """
     world = World(1, 12, settings={"lease_duration_ns": 8 * SECOND})
-    assert world.begin(6 * SECOND) < 6 * SECOND, "all seeds have restarted: no member waits for expiry"
+    assert world.start_all(6 * SECOND) < 6 * SECOND, "all seeds have restarted: no member waits for expiry"
     one_seed, two_seeds = [f"n{n}" for n in (0, 3, 4, 5)], [f"n{n}" for n in (1, 2, 6, 7, 8)]
     no_seed = [f"n{n}" for n in (9, 10, 11)]
     partitions = [
@@ -89,7 +89,7 @@
 def test_cut_off_member_regains_slots_from_new_coordinator() -> None:
     """A member without contact to a seed stops using its slots, and a later coordinator grants them again."""
     world = World(1, 6, settings={"lease_duration_ns": 60 * SECOND})
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     coordinator = next(
         p.name for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
     )
@@ -107,7 +107,7 @@
 def test_member_joins_while_a_dead_coordinators_grants_are_unexpired() -> None:
     """It gets an even share of the other slots, and the dead member's slots stay unused."""
     world = World(1, 5, settings={"lease_duration_ns": 20 * SECOND})
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     coordinator = next(
         p for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
     )
@@ -120,13 +120,13 @@
     assert added.core is not None
     assert added.core.usable_slots(world.clock.now).bit_count() == (ALL_SLOTS ^ dead).bit_count() // 5
     world.run_until(world.elapsed_ns + 3 * SECOND)
-    assert world.rights() == ALL_SLOTS ^ dead, "the dead member's slots are kept"
+    assert world.used_slots() == ALL_SLOTS ^ dead, "the dead member's slots are kept"
 
 
 def test_operator_frees_slots_of_a_gone_member_only() -> None:
     """A member that runs keeps its slots, and only the coordinator answers the operator."""
     world = World(1, 5, settings={"lease_duration_ns": 60 * SECOND})
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     coordinator = next(
         p.core for p in world.processes.values() if p.core and p.core.is_coordinator(p.now(world.clock.now))
     )
@@ -140,7 +140,7 @@
     assert forget(name) == [ForgetResponse(name, True, 0)]
     world.kill(world.processes[name])
     world.run_until(world.elapsed_ns + 5 * SECOND)
-    assert world.rights() == ALL_SLOTS ^ slots_of((int(name[1:]), 5))
+    assert world.used_slots() == ALL_SLOTS ^ slots_of((int(name[1:]), 5))
     assert forget(name) == [ForgetResponse(name, False, slots_of((int(name[1:]), 5)).bit_count())]
     assert forget("nobody") == [ForgetResponse("nobody", False, 0)]
     assert world.until_settled(2 * SECOND) < 2 * SECOND
@@ -155,9 +155,9 @@
     parts = [[f"n{n}" for n in range(9) if n % 3 == p] for p in range(3)]
     partitions = [way for p in range(3) for q in range(p) for way in world.partition(parts[p], parts[q])]
     world.run_until(world.elapsed_ns + 4 * SECOND)
-    before = len(world.issued)
+    before = len(world.issuers)
     world.run_until(world.elapsed_ns + 6 * SECOND)
-    assert len(world.issued) == before and world.rights() == 0
+    assert len(world.issuers) == before and world.used_slots() == 0
     world.heal(partitions)
     world.until_settled(6 * SECOND)
 
@@ -165,13 +165,13 @@
 def test_observers_elect_and_coordinate_but_hold_no_slots() -> None:
     world = World(1, 7)
     for name in ("n0", "n1", "n2"):
-        world.places[name] = OBSERVER
+        world.positions[name] = OBSERVER
     for process in world.processes.values():
         world.start(process)
     world.run_until(6 * SECOND)
     slots = {name: p.core.usable_slots(world.clock.now) for name, p in world.processes.items() if p.core}
     assert [bool(slots[f"n{n}"]) for n in range(7)] == [False] * 3 + [True] * 4
-    assert world.rights() == ALL_SLOTS
+    assert world.used_slots() == ALL_SLOTS
     views = {p.core.view_number() for p in world.processes.values() if p.core}
     assert len(views) == 1 and len(world.views[views.pop()].members) == 7
     waits_long = [
@@ -185,7 +185,7 @@
 def test_fleets_of_one_and_two_members_use_all_slots() -> None:
     for count in (1, 2):
         world = settled_world(count, seeds=1)
-        assert world.rights() == ALL_SLOTS
+        assert world.used_slots() == ALL_SLOTS
 
 
 def test_process_with_a_clock_set_back_regains_its_name() -> None:
--- a/trackspread/testing/virtual/membership/__init__.py
+++ b/trackspread/testing/virtual/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The view of a fleet in virtual time."""
+"""Simulates the membership of a fleet in virtual time."""
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -287,7 +287,7 @@
 
     Raises `InvariantViolated` unless exactly the older of the two is fenced."""
     world = World(seed, 5)
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     first = world.processes["n4"]
     second = world.add(5)
     del world.processes["n5"]
@@ -308,7 +308,7 @@
 
     The grant must have no effect once the member resumes, because others have its slots by then."""
     world = World(seed, 4)
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     process = world.processes["n3"]
     core = process.core
     assert core is not None
@@ -322,7 +322,7 @@
         end = world.elapsed_ns + 6 * SECOND
         while world.elapsed_ns < end:
             world.run_until(world.elapsed_ns + 10 * MS)
-            world.rights()
+            world.used_slots()
     world.until_settled(8 * SECOND)
 
 
@@ -330,7 +330,7 @@
     """Reorders messages by more than one renewal interval while members join and leave."""
     # The probe interval is long, because no member is to be declared dead here.
     world = World(seed, 2, 1, settings={"probe_interval_ns": 5 * SECOND})
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     world.conditions.jitter_ns = 700 * MS
     world.conditions.duplication = 0.5
     for number in range(2, 7):
@@ -338,7 +338,7 @@
         end = world.elapsed_ns + world.rng.randint(1500 * MS, 4 * SECOND)
         while world.elapsed_ns < end:
             world.run_until(world.elapsed_ns + 10 * MS)
-            world.rights()
+            world.used_slots()
         if number % 2:
             world.leave(world.processes[f"n{number - 1}"])
 
@@ -349,7 +349,7 @@
     The restarted seeds are all seeds, all but one that is behind the partition, or all while the members
     behind the partition reach one restarted seed."""
     world = World(seed, 8, settings={"lease_duration_ns": 12 * SECOND})
-    world.begin(8 * SECOND)
+    world.start_all(8 * SECOND)
     # The seed selects what restarts: all seeds; all but one; none, but the coordinator that knew of the
     # others' slots is killed; or all seeds, one of which both sides can reach.
     restarted = [["n0", "n1", "n2"], ["n0", "n1"], [], ["n0", "n1", "n2"]][seed % 4]
@@ -371,7 +371,7 @@
     end = world.elapsed_ns + 15 * SECOND
     while world.elapsed_ns < end:
         world.run_until(world.elapsed_ns + 20 * MS)
-        world.rights()
+        world.used_slots()
 
 
 def moderate_loss(seed: int) -> None:
@@ -379,14 +379,14 @@
 
     No running member may be declared dead."""
     world = World(seed, 8)
-    world.begin(6 * SECOND)
+    world.start_all(6 * SECOND)
     world.conditions.loss = 0.1
     for n in range(40):
         world.at(world.elapsed_ns + n * 300_000_000, partial(world.pause, world.processes["n7"], 90_000_000))
     since = world.elapsed_ns
     world.run_until(world.elapsed_ns + 12 * SECOND)
     declared_dead = [
-        t for at, _, t in world.told if at > since and t.kind == "member" and t.details["state"] == "DEAD"
+        t for at, _, t in world.events if at > since and t.kind == "member" and t.details["state"] == "DEAD"
     ]
     if declared_dead:
         raise InvariantViolated(f"a running member was declared dead: {declared_dead[0].details}")
--- a/trackspread/testing/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -1,6 +1,6 @@
-"""A fleet's view in virtual time: many members' cores, a network that fails, and invariants at each step.
+"""Simulates a fleet's membership in virtual time, with network faults and invariants checked at each step.
 
-Nothing here decides: the cores do. May know: what every process holds, true time.
+Only the members' cores decide; the world knows the state of every process and the true time.
 """
 
 from __future__ import annotations
@@ -20,13 +20,15 @@
 from ..processes import InvariantViolated as InvariantViolated
 from ..processes import ProcessGroup
 
-KEEP = 2 * SECOND  # that a silent member keeps its part for, unless the settings say otherwise
+LEASE_DURATION_NS = 2 * SECOND  # duration of slot leases, unless the settings say otherwise
+
+DATAGRAM_HEADER_BYTES = 17  # bytes before the message in a datagram
 
 Process = processes.Process[Member]
 
 
 class World(ProcessGroup[Member]):
-    """`processes` by name; `step` runs on to a true time, relative to the beginning."""
+    """Runs the members of one fleet."""
 
     def __init__(
         self,
@@ -37,37 +39,36 @@
         settings: dict[str, object] | None = None,
     ) -> None:
         super().__init__(f"members:{seed}", drift)
-        self._settings = {"lease_duration_ns": KEEP, **(settings or {})}
+        self._settings = {"lease_duration_ns": LEASE_DURATION_NS, **(settings or {})}
         self._seeds = tuple((f"10.0.0.{n}", 7000) for n in range(seeds))
         self.views: dict[ViewNumber, View] = {}
-        self.issued: dict[ViewNumber, str] = {}
-        self.bytes: dict[str, int] = {}  # sent, by name
-        self.told: list[tuple[int, str, StatusEvent]] = []  # true time, name
+        self.issuers: dict[ViewNumber, str] = {}
+        self.bytes_sent: dict[str, int] = {}  # by the names that are to be counted
+        self.events: list[tuple[int, str, StatusEvent]] = []  # with true time and process name
         self._encode = msgspec.msgpack.Encoder().encode
-        self.places = {f"n{number}": (number, count) for number in range(count)}  # who joins has none
+        self.positions = {f"n{number}": (number, count) for number in range(count)}  # others have none
         for number in range(count):
             self.add(number)
 
     def add(self, number: int) -> Process:
+        """Adds a member that has not started."""
         name = f"n{number}"
-        others = f"10.1.{number >> 8}.{number & 255}", 7000
-        address = self._seeds[number] if number < len(self._seeds) else others
+        own_address = f"10.1.{number >> 8}.{number & 255}", 7000
+        address = self._seeds[number] if number < len(self._seeds) else own_address
         return self._add_process(name, address)
 
-    # Processes.
-
     def start(self, process: Process) -> None:
-        """A new process under the name, from nothing."""
-        born = self._register_start(process)
-        place = self.places.get(process.name, (-1, 0))
+        """Starts a new process under the name, without any state."""
+        created_at_ms = self._register_start(process)
+        position = self.positions.get(process.name, (-1, 0))
         settings = MemberSettings(
             "fleet",
             process.name,
-            born,
+            created_at_ms,
             process.address,
             self._seeds,
             "1",
-            position=place,
+            position=position,
             **self._settings,  # type: ignore[arg-type]
         )
         seed = self.rng.getrandbits(60)
@@ -76,35 +77,34 @@
         self._schedule_ticks(process, core)
 
     def leave(self, process: Process) -> None:
+        """Ends a process that announces its leave."""
         core = process.core
         if core is not None:
             self._perform(process, core.leave(process.now(self.clock.now)))
             process.core = None
 
-    # The network.
-
     def _perform(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
             match action:
                 case SendMessage(to, message):
                     self._send(process, to, message)
                 case ExchangeTables(to):
-                    self._connect(process, to)
+                    self._exchange_tables(process, to)
                 case StatusEvent():
                     self._record(process, action)
 
     def _send(self, process: Process, to: Address, message: MemberMessage) -> None:
         target = self._by_address.get(to)
-        if self.bytes.get(process.name) is not None:
-            self.bytes[process.name] += len(self._encode(message)) + 17
+        if self.bytes_sent.get(process.name) is not None:
+            self.bytes_sent[process.name] += len(self._encode(message)) + DATAGRAM_HEADER_BYTES
         if target is None:
             return
         conditions, rng = self.conditions, self.rng
         for _ in range(1 + (bool(conditions.duplication) and rng.random() < conditions.duplication)):
             if not (conditions.loss and rng.random() < conditions.loss):
-                self.clock.after(self._draw_delay_ns(), partial(self._arrive, process, target, message))
+                self.clock.after(self._draw_delay_ns(), partial(self._deliver, process, target, message))
 
-    def _arrive(self, source: Process, target: Process, message: MemberMessage) -> None:
+    def _deliver(self, source: Process, target: Process, message: MemberMessage) -> None:
         core = target.core
         if core is None or (source.name, target.name) in self.severed_links:
             return
@@ -112,8 +112,8 @@
             target, core, lambda: core.receive(target.now(self.clock.now), message, source.address)
         )
 
-    def _connect(self, process: Process, to: Address) -> None:
-        """Tables go there and back as one; over a cut way, or to nobody, nothing comes of it."""
+    def _exchange_tables(self, process: Process, to: Address) -> None:
+        """Exchanges tables with another member; nothing happens if it or one direction is unreachable."""
         target, core = self._by_address.get(to), process.core
         if target is None or target is process or core is None:
             return
@@ -122,111 +122,116 @@
 
     def _swap(self, process: Process, core: Member, target: Process, table: TableSnapshot) -> None:
         other = target.core
-        cut = (process.name, target.name) in self.severed_links or (
+        is_severed = (process.name, target.name) in self.severed_links or (
             target.name,
             process.name,
         ) in self.severed_links
-        if other is None or cut or process.core is not core:
+        if other is None or is_severed or process.core is not core:
             return
 
-        def there() -> Iterable[object]:
+        def merge_at_target() -> Iterable[object]:
             now = target.now(self.clock.now)
-            back = other.table_snapshot()
+            reply = other.table_snapshot()
             self.clock.after(
                 self._draw_delay_ns(),
                 lambda: self._run_when_awake(
-                    process, core, lambda: core.merge(process.now(self.clock.now), back)
+                    process, core, lambda: core.merge(process.now(self.clock.now), reply)
                 ),
             )
             return other.merge(now, table)
 
-        self._run_when_awake(target, other, there)
+        self._run_when_awake(target, other, merge_at_target)
 
-    # What came to be, and whether it may.
+    def _violation(self, text: str) -> InvariantViolated:
+        return InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {text}")
 
-    def _record(self, process: Process, told: StatusEvent) -> None:
-        self.told.append((self.elapsed_ns, process.name, told))
-        about = told.details
-        match told.kind:
+    def _record(self, process: Process, event: StatusEvent) -> None:
+        self.events.append((self.elapsed_ns, process.name, event))
+        details = event.details
+        match event.kind:
             case "issued":
-                self._issued(process, about["number"], about["parent"])  # type: ignore[arg-type]
+                self._check_issued(process, details["number"], details["parent"])  # type: ignore[arg-type]
             case "view":
-                view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
+                view = View(details["number"], details["parent"], details["members"])  # type: ignore[arg-type]
                 if self.views.setdefault(view.number, view) != view:
-                    raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: two views under {view.number}")
-            case "part" if told.details["part"]:
-                self.rights()
+                    raise self._violation(f"two views have the number {view.number}")
+            case "part" if details["part"]:
+                self.used_slots()
             case "leads":
-                self.leaders()
+                self.check_coordinators()
 
-    def _issued(self, process: Process, number: ViewNumber, parent: ViewNumber) -> None:
-        if self.issued.setdefault(number, process.name) != process.name:
-            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {number} issued by two")
+    def _check_issued(self, process: Process, number: ViewNumber, parent: ViewNumber) -> None:
+        if self.issuers.setdefault(number, process.name) != process.name:
+            raise self._violation(f"two processes issued view {number}")
         follows = parent == (*number[:2], number[2] - 1) if number[2] > 1 else parent < number
         if not follows:
-            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {number} follows {parent}")
+            raise self._violation(f"view {number} must not have the parent {parent}")
 
-    def rights(self) -> int:
-        """The slots that are acted on at this instant."""
-        now, out = self.clock.now, 0
+    def used_slots(self) -> int:
+        """Returns the slots that may be used at this instant; no two processes may use the same slot."""
+        now, used = self.clock.now, 0
         for process in self.processes.values():
-            part = process.core.usable_slots(process.now(now)) if process.core is not None else 0
-            if part & out:
-                raise InvariantViolated(
-                    f"{self.elapsed_ns / 1e9:.3f} s: {process.name} acts on slots that another acts on"
-                )
-            out |= part
-        return out
-
-    def leaders(self) -> None:
+            slots = process.core.usable_slots(process.now(now)) if process.core is not None else 0
+            if slots & used:
+                raise self._violation(f"{process.name} uses slots that another process uses")
+            used |= slots
+        return used
+
+    def check_coordinators(self) -> None:
+        """Checks that at most one process is the coordinator."""
         now = self.clock.now
-        leading = [
+        coordinators = [
             p.name
             for p in self.processes.values()
             if p.core is not None and p.core.is_coordinator(p.now(now))
         ]
-        if len(leading) > 1:
-            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {leading} lead together")
+        if len(coordinators) > 1:
+            raise self._violation(f"{coordinators} are coordinators at the same time")
 
     def running(self) -> list[str]:
+        """Returns the names of the running processes."""
         return [name for name, process in self.processes.items() if process.core is not None]
 
-    def settled(self, among: Iterable[str] | None = None) -> str:
-        """Whether all that run (or those named) know one another alone, hold one view of just them, and
-        together the whole: nothing, or what is amiss."""
+    def unsettled_reason(self, among: Iterable[str] | None = None) -> str:
+        """Returns why the running processes, or the named ones, have not settled, or an empty text.
+
+        They have settled when each knows exactly the others as live, all hold one view of exactly these
+        members, and each uses its share of the slots, together all slots."""
         names = set(among) if among is not None else set(self.running())
         cores = {name: core for name in names if (core := self.processes[name].core) is not None}
         if len(cores) < len(names):
-            return "not all run"
-        who = tuple(sorted(core.member_id for core in cores.values()))
+            return "not all processes run"
+        members = tuple(sorted(core.member_id for core in cores.values()))
         for name, core in cores.items():
-            if core.member_table.live() != who:
-                return f"{name} takes {len(core.member_table.live())} for live, {len(who)} are"
-            if core.view is None or core.view.members != who:
-                return f"{name} holds another view, {core.view_number()}"
+            if core.member_table.live() != members:
+                return f"{name} knows {len(core.member_table.live())} live members of {len(members)}"
+            if core.view is None or core.view.members != members:
+                return f"{name} holds view {core.view_number()}, which has other members"
             if core.view_number() != next(iter(cores.values())).view_number():
-                return f"{name} holds {core.view_number()}"
+                return f"{name} holds view {core.view_number()}, others hold another one"
             slots = core.usable_slots(self.processes[name].now(self.clock.now)).bit_count()
-            least = SLOT_COUNT // len(who)
-            if not least <= slots <= least + least // 8 + 4:
-                return f"{name} acts on {slots} of {SLOT_COUNT} slots"
-        if among is None and self.rights() != ALL_SLOTS:
-            return "some slots are nobody's"
+            min_slots = SLOT_COUNT // len(members)
+            if not min_slots <= slots <= min_slots + min_slots // 8 + 4:
+                return f"{name} uses {slots} of {SLOT_COUNT} slots"
+        if among is None and self.used_slots() != ALL_SLOTS:
+            return "some slots have no member"
         return ""
 
-    def begin(self, most: int, every: int = 50 * MS) -> int:
-        """All start at once; ns until they are settled."""
+    def start_all(self, limit_ns: int, interval_ns: int = 50 * MS) -> int:
+        """Starts all processes at once; returns the ns until they have settled."""
         for process in list(self.processes.values()):
             self.start(process)
-        return self.until_settled(most, every=every)
-
-    def until_settled(self, most: int, among: Iterable[str] | None = None, every: int = 50 * MS) -> int:
-        """ns until it is; raises `InvariantViolated` where that takes longer than `most`."""
-        begun = self.elapsed_ns
-        while amiss := self.settled(among):
-            if self.elapsed_ns - begun >= most:
-                raise InvariantViolated(
-                    f"{self.elapsed_ns / 1e9:.3f} s: not settled {most / SECOND:.1f} s after: {amiss}"
-                )
-            self.run_until(self.elapsed_ns + every)
-        return self.elapsed_ns - begun
+        return self.until_settled(limit_ns, interval_ns=interval_ns)
+
+    def until_settled(
+        self, limit_ns: int, among: Iterable[str] | None = None, interval_ns: int = 50 * MS
+    ) -> int:
+        """Runs until the processes have settled, and returns the ns that this took.
+
+        Raises `InvariantViolated` if it takes longer than `limit_ns`."""
+        start_ns = self.elapsed_ns
+        while reason := self.unsettled_reason(among):
+            if self.elapsed_ns - start_ns >= limit_ns:
+                raise self._violation(f"not settled after {limit_ns / SECOND:.1f} s: {reason}")
+            self.run_until(self.elapsed_ns + interval_ns)
+        return self.elapsed_ns - start_ns
