--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from trackspread.membership.identifiers import SECOND
-from trackspread.testing.virtual.cells.world import CelledWorld
+from trackspread.testing.virtual.cells.world import CellsWorld
 
 START = 60 * SECOND  # ns that the fleet may take to settle from nothing
 REGIONS, ZONES, MACHINES = 4, 3, 19
@@ -43,23 +43,23 @@
     leader: Cost
 
 
-def cost(world: CelledWorld, names: list[str], seconds: int) -> Cost:
+def cost(world: CellsWorld, names: list[str], seconds: int) -> Cost:
     """Of these, over so many seconds."""
 
     def of(counted: Counter[str]) -> tuple[int, int]:
         each = [counted[name] / seconds for name in names]
         return round(sum(each) / len(each)), round(max(each))
 
-    return Cost(*of(world.sent), *of(world.came), of(world.datagrams)[0])
+    return Cost(*of(world.bytes_sent), *of(world.bytes_received), of(world.datagrams)[0])
 
 
 def played(gateways: int, seconds: int, seed: int) -> Line:
     """A fleet from its start, and so many seconds of it at rest."""
     began = time.monotonic()
-    world = CelledWorld(seed, REGIONS, MACHINES, ZONES)
+    world = CellsWorld(seed, REGIONS, MACHINES, ZONES)
     world.populate(gateways // (REGIONS * ZONES))
-    settled = world.begin(START)
-    for counted in (world.sent, world.came, world.datagrams):
+    settled = world.start_all(START)
+    for counted in (world.bytes_sent, world.bytes_received, world.datagrams):
         counted.clear()
     world.run_until(world.elapsed_ns + seconds * SECOND)
     leader = world.leader()
@@ -70,8 +70,8 @@
         max(seats),
         settled / SECOND,
         round(time.monotonic() - began, 1),
-        cost(world, [p.name for p in world.among("g")], seconds),
-        cost(world, [p.name for p in world.among("c")], seconds),
+        cost(world, [p.name for p in world.processes_of("g")], seconds),
+        cost(world, [p.name for p in world.processes_of("c")], seconds),
         cost(world, [leader.name if leader is not None else "c0"], seconds),
     )
 
--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -18,7 +18,7 @@
 from trackspread.cells.actions import MemberAction
 from trackspread.membership.actions import StatusEvent
 from trackspread.membership.identifiers import SECOND
-from trackspread.testing.virtual.cells.world import CelledWorld, Process
+from trackspread.testing.virtual.cells.world import CellsWorld, Process
 
 from .bounds import Guard
 
@@ -57,7 +57,7 @@
 
     def __init__(self, job: Job) -> None:
         self.job = job
-        self.world = CelledWorld(job.seed, regions=REGIONS, machines=MACHINES, zones=ZONES_EACH)
+        self.world = CellsWorld(job.seed, regions=REGIONS, machines=MACHINES, zones=ZONES_EACH)
         self.world.populate(job.gateways // (REGIONS * ZONES_EACH))
         self._before: dict[str, tuple[int, int]] = {}
         self._second = 0
@@ -70,7 +70,7 @@
             self.world.start(process)
 
     def settled(self) -> bool:
-        return not self.world.settled()
+        return not self.world.unsettled_reason()
 
     def run(self, span: float, until: Callable[[], bool] = lambda: False) -> float | None:
         """s of virtual time until `until` holds; None where it does not within `span` s."""
@@ -86,7 +86,7 @@
 
     def _judge(self) -> None:
         """Verdicts by own probes on processes that run and were in reach all along."""
-        for _, teller, what in self.world.told:
+        for _, teller, what in self.world.events:
             told = what.action if isinstance(what, MemberAction) else None
             if not isinstance(told, StatusEvent) or told.kind != "member" or told.details["by"] != teller:
                 continue
@@ -98,7 +98,7 @@
             apart = self._suspects.pop(key, False) or self._severed(teller, about["who"])
             if about["state"] == "DEAD" and not apart and self._runs(about["who"]):
                 self.mistaken.add(key)
-        self.world.told.clear()
+        self.world.events.clear()
 
     def _severed(self, teller: str, who: object) -> bool:
         processes = self.world.processes
@@ -112,7 +112,7 @@
         if self.world.elapsed_ns < self._second + SECOND:
             return
         self._second = self.world.elapsed_ns
-        sent, came = self.world.sent, self.world.came
+        sent, came = self.world.bytes_sent, self.world.bytes_received
         for name in self.world.processes:
             now, before = (sent[name], came[name]), self._before.get(name, (0, 0))
             self._before[name] = now
@@ -158,7 +158,7 @@
     world = watched.world
     if watched.job.fault == "zone":
         zone = world.zones[-1]
-        struck: list[Process] = world.among("g", zone) + world.among("c", zone)
+        struck: list[Process] = world.processes_of("g", zone) + world.processes_of("c", zone)
         for process in struck:
             world.kill(process)
         return sum(process.name.startswith("g") for process in struck)
@@ -166,7 +166,7 @@
     world.cut_off(region, {zone.region for zone in world.zones} - {region})
     watched.run(watched.job.cut)
     world.heal_regions()
-    return len(world.among("g", region=region))
+    return len(world.processes_of("g", region=region))
 
 
 async def play_beside(job: Job, guard: Guard) -> Played:
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -36,7 +36,7 @@
 from trackspread.testing.virtual import reservations, quota_accuracy, slow_start, schedules, large_fleets
 from trackspread.testing.virtual.cells import schedules as cells_schedules
 from trackspread.testing.virtual.cells import worlds as cells_worlds
-from trackspread.testing.virtual.cells.world import CelledWorld
+from trackspread.testing.virtual.cells.world import CellsWorld
 from trackspread.testing.virtual.clock import Clock
 from trackspread.testing.virtual.counter import schedules as counter_schedules
 from trackspread.testing.virtual.distribution import schedules as distribution_schedules
@@ -176,8 +176,8 @@
             _before(Shard, "execute", lambda shard, *words: recorder.add(*words)),
             _before(MembershipWorld, "_send", sent),
             _before(MembershipWorld, "_swap", swapped),
-            _before(CelledWorld, "_send", sent),
-            _before(CelledWorld, "_swap", swapped),
+            _before(CellsWorld, "_send", sent),
+            _before(CellsWorld, "_swap", swapped),
             _before(DistributionWorld, "_send", sent),
             _before(PlanningWorld, "send", planned),
             _before(UsageWorld, "sent", lambda world, post: recorder.add(post.key, post.body)),
@@ -205,7 +205,7 @@
 
 def _cells(seed: int) -> object:
     world, took_ns = cells_schedules.play(seed)
-    return took_ns, dict(world.sent), dict(world.came), world.rng.getstate()
+    return took_ns, dict(world.bytes_sent), dict(world.bytes_received), world.rng.getstate()
 
 
 def _distribution(play: Callable[[int], Any], seed: int) -> object:
--- a/tests/cells/test_cells.py
+++ b/tests/cells/test_cells.py
@@ -33,10 +33,10 @@
 from trackspread.membership.settings import MemberSettings
 from trackspread.testing.virtual.cells.mutants import MUTANTS, is_detected
 from trackspread.testing.virtual.cells.schedules import play
-from trackspread.testing.virtual.cells.world import CelledWorld, layout
+from trackspread.testing.virtual.cells.world import CellsWorld, control_machines
 from trackspread.testing.virtual.cells.worlds import WORLDS
 
-MACHINES = layout(1, 4)
+MACHINES = control_machines(1, 4)
 ZONE = Zone("r0", "z0")
 START_NS = 1_000 * SECOND
 CONTROL, UNKNOWN_ADDRESS = MACHINES[0].address, ("10.9.9.9", 1)
@@ -108,7 +108,7 @@
 
 def test_unanswered_gateway_asks_other_regions_with_random_backoff() -> None:
     """It first asks the control machines of its own region, and then those of all regions."""
-    machines = layout(2, 4)
+    machines = control_machines(2, 4)
     settings = GatewaySettings("fleet", "g", 100, UNKNOWN_ADDRESS, Zone("r1", "z0"), machines)
     core = Gateway(settings, START_NS, 3)
     core.start(START_NS)
@@ -245,10 +245,10 @@
 
 def test_voters_are_odd_and_spread_over_all_regions() -> None:
     for machines, count in ((1, 1), (2, 1), (3, 3), (6, 5), (19, 7)):
-        chosen = voters(layout(4, machines))
+        chosen = voters(control_machines(4, machines))
         assert len(set(chosen)) == len(chosen) == count
-    regions = {m.address: m.region for m in layout(4, 19)}
-    chosen_regions = [regions[address] for address in voters(layout(4, 19))]
+    regions = {m.address: m.region for m in control_machines(4, 19)}
+    chosen_regions = [regions[address] for address in voters(control_machines(4, 19))]
     assert max(chosen_regions.count(region) for region in set(chosen_regions)) == 2
 
 
@@ -277,9 +277,9 @@
 
 def test_leader_checks_at_each_instant_whether_it_leads() -> None:
     """A leader that was paused answers no requests when it resumes."""
-    world = CelledWorld(3, 1, 3)
+    world = CellsWorld(3, 1, 3)
     world.populate(1)
-    world.begin(20 * SECOND)
+    world.start_all(20 * SECOND)
     leader = world.leader()
     assert leader is not None and isinstance(leader.core, Controller)
     core, now = leader.core, leader.now(world.clock.now)
--- a/trackspread/testing/virtual/cells/__init__.py
+++ b/trackspread/testing/virtual/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways that are placed in cells, in virtual time."""
+"""Simulates gateways that are placed in cells, in virtual time."""
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -1,6 +1,7 @@
-"""Membership in levels in virtual time: control machines, gateways in zones, and invariants at each step.
+"""Simulates two-level membership in virtual time: control machines, and gateways in zones.
 
-Nothing here decides: the cores do. May know: what every process holds, true time.
+Only the cores decide; the world knows the state of every process and the true time, and checks invariants at
+each step.
 """
 
 from __future__ import annotations
@@ -30,21 +31,21 @@
 
 FLEET = "fleet"
 POLICY = CellPolicy()
-KEEP = 2 * SECOND  # that a silent gateway keeps its slots for, unless said otherwise
-HEAD = 19  # bytes of mark and digest before what a datagram holds
-LENGTH = 4  # bytes before a table
+LEASE_DURATION_NS = 2 * SECOND  # duration of slot leases, unless a world has another
+DATAGRAM_HEADER_BYTES = 19  # mark and digest before the message in a datagram
+TABLE_LENGTH_BYTES = 4  # length before a table
 
 
-def layout(regions: int, machines: int, zones: int = 3) -> tuple[ControlMachine, ...]:
-    """So many control machines, spread over all regions and their zones."""
+def control_machines(regions: int, machines: int, zones: int = 3) -> tuple[ControlMachine, ...]:
+    """Returns control machines that are spread over all regions and their zones."""
     return tuple(
         ControlMachine(f"c{n}", f"r{n % regions}", f"z{n // regions % zones}", (f"10.0.0.{n}", 7500))
         for n in range(machines)
     )
 
 
-class CelledWorld(ProcessGroup[Core]):
-    """Gateways' names begin with g, control machines' with c."""
+class CellsWorld(ProcessGroup[Core]):
+    """Runs gateways, whose names begin with g, and control machines, whose names begin with c."""
 
     def __init__(
         self,
@@ -54,57 +55,63 @@
         zones: int = 3,
         drift: float = 0.0,
         policy: CellPolicy = POLICY,
-        keep: int = KEEP,
+        lease_duration_ns: int = LEASE_DURATION_NS,
     ) -> None:
         super().__init__(f"cells:{seed}", drift)
-        self.machines = layout(regions, machines, zones)
+        self.machines = control_machines(regions, machines, zones)
         self._policy = policy
-        self._keep = keep
+        self._lease_duration_ns = lease_duration_ns
         self.zones = [Zone(f"r{r}", f"z{z}") for r in range(regions) for z in range(zones)]
         self._zone_of: dict[str, Zone] = {}
-        self.words_late = 0  # ns by which words on cells come later, up to; views' own do not
-        self._inside: dict[str, int] = {}  # gateways that are in a cell, and which of their starts is
-        self._retired: set[tuple[str, str]] = set()  # by control machine's process and cell
-        self.retired_with: list[str] = []  # gateways that were in a cell when it was given up
-        self.cut_regions: set[tuple[str, str]] = set()  # directions
+        # Largest additional delay of messages on cells; messages between a cell's members do not have it.
+        self.max_cells_message_delay_ns = 0
+        self._joined: dict[str, int] = {}  # number of the start of each gateway that is in a cell
+        self._retired: set[tuple[str, str]] = set()  # control machines' processes and cells
+        self.gateways_in_retired: list[str] = []  # gateways that were in a cell when it was retired
+        self.severed_regions: set[tuple[str, str]] = set()  # directions
         self.views: dict[tuple[str, ViewNumber], View] = {}
-        self.entries: dict[tuple[str, str], ViewNumber] = {}  # by control machine's process and cell
-        self.newest: dict[tuple[str, int], ViewNumber] = {}  # told to a gateway's process
-        self.held: dict[tuple[str, int], Placement] = {}  # gone by, by a gateway's process
-        self._acting: dict[str, tuple[int, Member]] = {}  # which start of a gateway, and its member of a cell
-        self.left: list[tuple[Process, int, Member]] = []  # of cells that gateways no longer take part in
-        self.sent: Counter[str] = Counter()  # bytes, by process
-        self.came: Counter[str] = Counter()  # bytes
-        self.datagrams: Counter[str] = Counter()  # sent
-        self.asks: Counter[str] = Counter()  # questions that gateways sent
-        self.told: list[tuple[int, str, object]] = []  # true time, process, what
+        self.newest_entries: dict[tuple[str, str], ViewNumber] = {}  # by control machine's process and cell
+        self.newest_notices: dict[tuple[str, int], ViewNumber] = {}  # by a gateway's process
+        self.followed: dict[tuple[str, int], Placement] = {}  # placement by a gateway's process
+        self._members: dict[str, tuple[int, Member]] = {}  # number of a gateway's start, and its member
+        self.former_members: list[tuple[Process, int, Member]] = []  # in cells that gateways have left
+        self.bytes_sent: Counter[str] = Counter()  # by process
+        self.bytes_received: Counter[str] = Counter()  # by process
+        self.datagrams: Counter[str] = Counter()  # sent datagrams by process
+        self.placement_requests: Counter[str] = Counter()  # sent requests by process
+        self.events: list[tuple[int, str, object]] = []  # with true time and process name
         self._encode = msgspec.msgpack.Encoder().encode
         for machine in self.machines:
             self._add_process(machine.name, machine.address)
             self._zone_of[machine.name] = Zone(machine.region, machine.zone)
 
     def add(self, zone: Zone) -> Process:
-        """A gateway that is yet to start."""
+        """Adds a gateway that has not started."""
         number = sum(name.startswith("g") for name in self.processes)
         self._zone_of[f"g{number}"] = zone
         return self._add_process(f"g{number}", (f"10.{1 + (number >> 8)}.{number & 255}.1", 7000))
 
-    def populate(self, each: int) -> None:
-        """So many gateways in every zone."""
-        for _ in range(each):
+    def populate(self, gateways_per_zone: int) -> None:
+        """Adds this number of gateways in every zone."""
+        for _ in range(gateways_per_zone):
             for zone in self.zones:
                 self.add(zone)
 
-    # Processes.
-
     def start(self, process: Process) -> None:
-        born = self._register_start(process)
+        """Starts a new process under the name, without any state."""
+        created_at_ms = self._register_start(process)
         now, seed = process.now(self.clock.now), self.rng.getrandbits(60)
         core: Core
         if process.name.startswith("c"):
             core = Controller(
                 ControlSettings(
-                    FLEET, process.name, born, self.machines, "1", self._policy, lease_duration_ns=self._keep
+                    FLEET,
+                    process.name,
+                    created_at_ms,
+                    self.machines,
+                    "1",
+                    self._policy,
+                    lease_duration_ns=self._lease_duration_ns,
                 ),
                 now,
                 seed,
@@ -114,12 +121,12 @@
                 GatewaySettings(
                     FLEET,
                     process.name,
-                    born,
+                    created_at_ms,
                     process.address,
                     self._zone_of[process.name],
                     self.machines,
                     "1",
-                    lease_duration_ns=self._keep,
+                    lease_duration_ns=self._lease_duration_ns,
                 ),
                 now,
                 seed,
@@ -129,12 +136,13 @@
         self._schedule_ticks(process, core)
 
     def leave(self, process: Process) -> None:
+        """Ends a process that announces its leave."""
         if (core := process.core) is not None:
             self._perform(process, core.leave(process.now(self.clock.now)))
             process.core = None
 
-    def among(self, prefix: str, zone: Zone | None = None, region: str = "") -> list[Process]:
-        """Processes of this kind, g or c, there."""
+    def processes_of(self, prefix: str, zone: Zone | None = None, region: str = "") -> list[Process]:
+        """Returns the processes of a kind, "g" or "c", in a zone or region if one is given."""
         return [
             p
             for name, p in self.processes.items()
@@ -144,33 +152,37 @@
         ]
 
     def at_address(self, address: Address) -> Process:
+        """Returns the process at an address."""
         return self._by_address[address]
 
     def controllers(self) -> list[tuple[Process, Controller]]:
+        """Returns the running control machines."""
         return [(p, p.core) for p in self.processes.values() if isinstance(p.core, Controller)]
 
     def gateways(self) -> list[tuple[Process, Gateway]]:
+        """Returns the running gateways."""
         return [(p, p.core) for p in self.processes.values() if isinstance(p.core, Gateway)]
 
     def leader(self) -> Process | None:
-        """Who leads at this instant."""
+        """Returns the leader at this instant, if any; there must not be two."""
         found = [p for p, core in self.controllers() if core.is_leader(p.now(self.clock.now))]
         if len(found) > 1:
-            raise InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {[p.name for p in found]} lead together")
+            raise self._violation(f"{[p.name for p in found]} are leaders at the same time")
         return found[0] if found else None
 
-    # The network.
-
     def cut_off(self, region: str, others: Iterable[str]) -> None:
+        """Severs all links between a region and others."""
         for other in others:
-            self.cut_regions |= {(region, other), (other, region)}
+            self.severed_regions |= {(region, other), (other, region)}
 
     def heal_regions(self) -> None:
-        self.cut_regions.clear()
+        """Restores all links between regions."""
+        self.severed_regions.clear()
 
     def severed(self, source: Process, target: Process) -> bool:
+        """Returns whether no message from one process reaches the other."""
         regions = self._zone_of[source.name].region, self._zone_of[target.name].region
-        return regions in self.cut_regions or super().severed(source, target)
+        return regions in self.severed_regions or super().severed(source, target)
 
     def _perform(self, process: Process, actions: Iterable[object]) -> None:
         for action in actions:
@@ -180,48 +192,50 @@
                 case MemberAction(_, SendMessage(to, member_message)):
                     self._send(process, to, member_message)
                 case MemberAction(fleet, ExchangeTables(to)):
-                    self._connect(process, fleet, to)
-                case MemberAction(fleet, StatusEvent() as told):
-                    self._viewed(process, fleet, told)
+                    self._exchange_tables(process, fleet, to)
+                case MemberAction(fleet, StatusEvent() as event):
+                    self._record_member_event(process, fleet, event)
                 case CellJoined() | CellLeft() | LeadershipChanged() | StatusEvent():
-                    self._noticed(process, action)
+                    self._record_event(process, action)
 
-    def _send(self, process: Process, to: Address, what: MemberMessage | CellsMessage) -> None:
-        size = len(self._encode(what)) + HEAD
-        self.sent[process.name] += size
+    def _send(self, process: Process, to: Address, message: MemberMessage | CellsMessage) -> None:
+        size = len(self._encode(message)) + DATAGRAM_HEADER_BYTES
+        self.bytes_sent[process.name] += size
         self.datagrams[process.name] += 1
-        self.asks[process.name] += isinstance(what, CellsMessage) and isinstance(what.body, PlacementRequest)
+        is_cells_message = isinstance(message, CellsMessage)
+        if isinstance(message, CellsMessage) and isinstance(message.body, PlacementRequest):
+            self.placement_requests[process.name] += 1
         target = self._by_address.get(to)
         if target is None:
             return
         conditions, rng = self.conditions, self.rng
         for _ in range(1 + (bool(conditions.duplication) and rng.random() < conditions.duplication)):
             if not (conditions.loss and rng.random() < conditions.loss):
-                late = self._draw_delay_ns()
-                if self.words_late and isinstance(what, CellsMessage):
-                    late += rng.randint(0, self.words_late)
-                self.clock.after(late, partial(self._arrive, process, target, what, size))
+                delay_ns = self._draw_delay_ns()
+                if self.max_cells_message_delay_ns and is_cells_message:
+                    delay_ns += rng.randint(0, self.max_cells_message_delay_ns)
+                self.clock.after(delay_ns, partial(self._deliver, process, target, message, size))
 
-    def _arrive(
-        self, source: Process, target: Process, what: MemberMessage | CellsMessage, size: int
+    def _deliver(
+        self, source: Process, target: Process, message: MemberMessage | CellsMessage, size: int
     ) -> None:
         core = target.core
         if core is None or self.severed(source, target):
             return
-        self.came[target.name] += size
+        self.bytes_received[target.name] += size
 
-        def there() -> Iterable[object]:
+        def receive() -> Iterable[object]:
             now = target.now(self.clock.now)
-            if isinstance(what, MemberMessage):
-                return core.receive(now, what, source.address)
-            self._note(target, core, what)
-            return core.receive_cells_message(now, what, source.address)
+            if isinstance(message, MemberMessage):
+                return core.receive(now, message, source.address)
+            self._record_notice(target, core, message)
+            return core.receive_cells_message(now, message, source.address)
 
-        self._run_when_awake(target, core, there)
-        self._going_by(target)
+        self._run_when_awake(target, core, receive)
+        self._check_placement(target)
 
-    def _connect(self, process: Process, fleet: str, to: Address) -> None:
-        """Tables go there and back as one; over a cut way, or to nobody, nothing comes of it."""
+    def _exchange_tables(self, process: Process, fleet: str, to: Address) -> None:
+        """Exchanges tables with another member; nothing happens if it or one direction is unreachable."""
         target, core = self._by_address.get(to), process.core
         if target is None or target is process or core is None:
             return
@@ -231,38 +245,36 @@
 
     def _swap(self, process: Process, core: Core, target: Process, table: TableSnapshot) -> None:
         other = target.core
-        cut = self.severed(process, target) or self.severed(target, process)
-        if other is None or cut or process.core is not core:
+        is_severed = self.severed(process, target) or self.severed(target, process)
+        if other is None or is_severed or process.core is not core:
             return
-        self._carried(process, target, table)
+        self._count_table(process, target, table)
 
-        def there() -> Iterable[object]:
+        def merge_at_target() -> Iterable[object]:
             now = target.now(self.clock.now)
-            back = other.table_snapshot(table.fleet)
-            if back is not None:
-                self._carried(target, process, back)
+            reply = other.table_snapshot(table.fleet)
+            if reply is not None:
+                self._count_table(target, process, reply)
                 self.clock.after(
                     self._draw_delay_ns(),
                     lambda: self._run_when_awake(
-                        process, core, lambda: core.merge(process.now(self.clock.now), back)
+                        process, core, lambda: core.merge(process.now(self.clock.now), reply)
                     ),
                 )
             return other.merge(now, table)
 
-        self._run_when_awake(target, other, there)
-
-    def _carried(self, source: Process, target: Process, table: TableSnapshot) -> None:
-        size = len(self._encode(table)) + HEAD + LENGTH
-        self.sent[source.name] += size
-        self.came[target.name] += size
+        self._run_when_awake(target, other, merge_at_target)
 
-    # What came to be, and whether it may.
+    def _count_table(self, source: Process, target: Process, table: TableSnapshot) -> None:
+        size = len(self._encode(table)) + DATAGRAM_HEADER_BYTES + TABLE_LENGTH_BYTES
+        self.bytes_sent[source.name] += size
+        self.bytes_received[target.name] += size
 
-    def _broken(self, why: str) -> InvariantViolated:
-        return InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {why}")
+    def _violation(self, text: str) -> InvariantViolated:
+        return InvariantViolated(f"{self.elapsed_ns / 1e9:.3f} s: {text}")
 
-    def _note(self, process: Process, core: Core, message: CellsMessage) -> None:
-        """What a gateway is told at this instant."""
+    def _record_notice(self, process: Process, core: Core, message: CellsMessage) -> None:
+        """Records the newest placement that a gateway's process was notified of."""
         body = message.body
         if (
             isinstance(core, Gateway)
@@ -270,116 +282,118 @@
             and body.member_id == core.member_id
         ):
             key = process.name, process.starts
-            self.newest[key] = max(self.newest.get(key, (0, -1, 0)), body.placement.number)
+            newest = self.newest_notices.get(key, (0, -1, 0))
+            self.newest_notices[key] = max(newest, body.placement.number)
 
-    def _going_by(self, process: Process) -> None:
-        """No older word is gone by after a newer was heard."""
+    def _check_placement(self, process: Process) -> None:
+        """Checks that a gateway follows no older placement after a newer notice."""
         core = process.core
         if not isinstance(core, Gateway) or core.placement is None:
             return
         key = process.name, process.starts
-        before = self.held.get(key)
-        if before is not None and core.placement.number < before.number:
-            raise self._broken(f"{process.name} goes back from {before.number} to {core.placement.number}")
-        if core.placement.number < self.newest.get(key, (0, -1, 0)):
-            raise self._broken(
-                f"{process.name} goes by {core.placement.number}, and heard of {self.newest[key]}"
-            )
-        self.held[key] = core.placement
-
-    def _noticed(
-        self, process: Process, what: CellJoined | CellLeft | LeadershipChanged | StatusEvent
+        before = self.followed.get(key)
+        number, newest = core.placement.number, self.newest_notices.get(key, (0, -1, 0))
+        if before is not None and number < before.number:
+            raise self._violation(f"{process.name} returns from placement {before.number} to {number}")
+        if number < newest:
+            raise self._violation(f"{process.name} follows placement {number} after a notice of {newest}")
+        self.followed[key] = core.placement
+
+    def _record_event(
+        self, process: Process, event: CellJoined | CellLeft | LeadershipChanged | StatusEvent
     ) -> None:
-        self.told.append((self.elapsed_ns, process.name, what))
-        if isinstance(what, LeadershipChanged) and what.epoch is not None:
+        self.events.append((self.elapsed_ns, process.name, event))
+        if isinstance(event, LeadershipChanged) and event.epoch is not None:
             self.leader()
-        if isinstance(what, CellJoined):
-            if self._inside.get(process.name) == process.starts:
-                raise self._broken(f"{process.name} joins a cell before it has left another")
-            self._inside[process.name] = process.starts
-        elif isinstance(what, CellLeft):
-            self._inside.pop(process.name, None)
-        if isinstance(what, StatusEvent) and what.kind in ("seeds", "retired"):
-            key = f"{process.name}#{process.starts}", str(what.details["cell"])
-            if what.kind == "retired":
+        if isinstance(event, CellJoined):
+            if self._joined.get(process.name) == process.starts:
+                raise self._violation(f"{process.name} joins a cell before it has left another")
+            self._joined[process.name] = process.starts
+        elif isinstance(event, CellLeft):
+            self._joined.pop(process.name, None)
+        if isinstance(event, StatusEvent) and event.kind in ("seeds", "retired"):
+            key = f"{process.name}#{process.starts}", str(event.details["cell"])
+            if event.kind == "retired":
                 self._retired.add(key)
             elif key in self._retired:
-                raise self._broken(f"{process.name} seeds {key[1]} again, which was given up")
-        if isinstance(what, StatusEvent) and what.kind == "retired":
-            self.retired_with += [
+                raise self._violation(f"{process.name} seeds the retired cell {key[1]} again")
+        if isinstance(event, StatusEvent) and event.kind == "retired":
+            self.gateways_in_retired += [
                 p.name
                 for p, core in self.gateways()
-                if core.placement is not None and core.placement.cell.name == what.details["cell"]
+                if core.placement is not None and core.placement.cell.name == event.details["cell"]
             ]
 
-    def _viewed(self, process: Process, fleet: str, told: StatusEvent) -> None:
-        self.told.append((self.elapsed_ns, process.name, MemberAction(fleet, told)))
-        if told.kind == "view":
-            about = told.details
-            view = View(about["number"], about["parent"], about["members"])  # type: ignore[arg-type]
+    def _record_member_event(self, process: Process, fleet: str, event: StatusEvent) -> None:
+        self.events.append((self.elapsed_ns, process.name, MemberAction(fleet, event)))
+        if event.kind == "view":
+            details = event.details
+            view = View(details["number"], details["parent"], details["members"])  # type: ignore[arg-type]
             if self.views.setdefault((fleet, view.number), view) != view:
-                raise self._broken(f"two views of {fleet} under {view.number}")
+                raise self._violation(f"two views of {fleet} have the number {view.number}")
 
     def check(self) -> None:
-        """All that has to hold at each instant."""
+        """Checks all invariants at this instant."""
         self.leader()
-        self._coordinators()
-        self._slots()
-        self._entries()
+        self._check_coordinators()
+        self._check_slots()
+        self._check_entries()
 
-    def _coordinators(self) -> None:
+    def _check_coordinators(self) -> None:
         now, found = self.clock.now, Counter[str]()
         for process, core in self.controllers():
             found.update(
-                name
-                for name, seeding in core.cells.items()
-                if seeding.member.is_coordinator(process.now(now))
+                name for name, seeded in core.cells.items() if seeded.member.is_coordinator(process.now(now))
             )
         if any(count > 1 for count in found.values()):
-            raise self._broken(f"two coordinate one cell: {found}")
+            raise self._violation(f"a cell has two coordinators: {found}")
 
-    def _slots(self) -> None:
-        """One slot of a cell is one gateway's; who takes part in one cell acts in no other."""
-        out = dict[str, int]()
+    def _check_slots(self) -> None:
+        """Checks that each slot has one gateway, and that no gateway uses slots of a former cell."""
+        used = dict[str, int]()
         for process, core in self.gateways():
             if core.member is not None:
-                self._acts(process, core.member)
-                self._acted(out, core.member, process)
-        self.left = [each for each in self.left if each[0].starts == each[1] and each[0].core is not None]
-        for process, _, member in self.left:
+                self._record_member(process, core.member)
+                self._add_used_slots(used, core.member, process)
+        self.former_members = [
+            each for each in self.former_members if each[0].starts == each[1] and each[0].core is not None
+        ]
+        for process, _, member in self.former_members:
             if member.usable_slots(process.now(self.clock.now)):
-                raise self._broken(f"{process.name} acts in {member.settings.fleet} that it has left")
+                raise self._violation(
+                    f"{process.name} uses slots of {member.settings.fleet}, which it has left"
+                )
 
-    def _acts(self, process: Process, member: Member) -> None:
-        """In this cell from now on; what it was in before is to hold nothing any more."""
-        before = self._acting.get(process.name)
+    def _record_member(self, process: Process, member: Member) -> None:
+        """Records a gateway's current member; a former one must have no usable slots from now on."""
+        before = self._members.get(process.name)
         if before is not None and before[0] == process.starts and before[1] is not member:
-            self.left.append((process, *before))
-        self._acting[process.name] = process.starts, member
+            self.former_members.append((process, *before))
+        self._members[process.name] = process.starts, member
 
-    def _acted(self, out: dict[str, int], member: Member, process: Process) -> None:
-        fleet, part = member.settings.fleet, member.usable_slots(process.now(self.clock.now))
-        if part & out.get(fleet, 0):
-            raise self._broken(f"{process.name} acts on slots of {fleet} that another acts on")
-        out[fleet] = out.get(fleet, 0) | part
+    def _add_used_slots(self, used: dict[str, int], member: Member, process: Process) -> None:
+        fleet, slots = member.settings.fleet, member.usable_slots(process.now(self.clock.now))
+        if slots & used.get(fleet, 0):
+            raise self._violation(f"{process.name} uses slots of {fleet} that another gateway uses")
+        used[fleet] = used.get(fleet, 0) | slots
 
-    def _entries(self) -> None:
-        """A control machine goes by no older entry after a newer."""
+    def _check_entries(self) -> None:
+        """Checks that no control machine returns to an older entry of a cell."""
         for process, core in self.controllers():
-            for name, seeding in core.cells.items():
+            for name, seeded in core.cells.items():
                 key = f"{process.name}#{process.starts}", name
-                if seeding.cell.number < self.entries.get(key, (0, -1, 0)):
-                    raise self._broken(f"{process.name} goes back in {name}")
-                self.entries[key] = seeding.cell.number
+                if seeded.cell.number < self.newest_entries.get(key, (0, -1, 0)):
+                    raise self._violation(f"{process.name} returns to an older entry of {name}")
+                self.newest_entries[key] = seeded.cell.number
 
-    # Whether all is well.
+    def unsettled_reason(self) -> str:
+        """Returns why the gateways have not settled, or an empty text.
 
-    def settled(self) -> str:
-        """Whether all gateways that run are in a cell of their zone whose view is just them and its seeds,
-        and hold all of its slots: nothing, or what is amiss."""
+        They have settled when each running gateway is in a cell of its zone, the view of each cell has
+        exactly its gateways and seeds, and its gateways use all of its slots."""
         leader = self.leader()
         if leader is None:
-            return "nobody leads"
+            return "there is no leader"
         cells, inside = dict[str, Cell](), dict[str, list[tuple[Process, Gateway]]]()
         for process, core in self.gateways():
             if core.placement is None or core.member is None:
@@ -390,15 +404,15 @@
             cells[cell.name] = cell
             inside.setdefault(cell.name, []).append((process, core))
         for name, cell in cells.items():
-            if amiss := self._cell_settled(cell, inside[name]):
-                return f"{name}: {amiss}"
-        return self._directory_settled(leader, inside)
+            if reason := self._cell_unsettled_reason(cell, inside[name]):
+                return f"{name}: {reason}"
+        return self._directory_unsettled_reason(leader, inside)
 
     @staticmethod
-    def _directory_settled(leader: Process, inside: dict[str, list[tuple[Process, Gateway]]]) -> str:
-        """Whether the leader knows just who is where."""
+    def _directory_unsettled_reason(leader: Process, inside: dict[str, list[tuple[Process, Gateway]]]) -> str:
+        """Returns where the leader's directory differs from the gateways' cells, or an empty text."""
         if not isinstance(leader.core, Controller) or leader.core.leader is None:
-            return "nobody leads"
+            return "there is no leader"
         entries = leader.core.leader.directory.entries
         for name, gateways in inside.items():
             if name not in entries:
@@ -408,7 +422,7 @@
         empty = sum(1 for name, entry in entries.items() if name not in inside and entry.members)
         return f"{empty} cells have gateways in the directory alone" if empty else ""
 
-    def _cell_settled(self, cell: Cell, gateways: list[tuple[Process, Gateway]]) -> str:
+    def _cell_unsettled_reason(self, cell: Cell, gateways: list[tuple[Process, Gateway]]) -> str:
         now, slots = self.clock.now, 0
         seeding = [
             (process, core.cells.get(cell.name))
@@ -417,45 +431,47 @@
         ]
         seeds = [found.member for _, found in seeding if found is not None]
         if not seeds or len(seeds) < len(seeding):
-            return f"{len(seeds)} of {len(seeding)} seed it"
+            return f"{len(seeds)} of {len(seeding)} seeds run"
         if len(gateways) > self._policy.max_gateways:
             return f"has {len(gateways)} gateways"
         members = [core.member for _, core in gateways if core.member is not None] + seeds
-        who: tuple[MemberId, ...] = tuple(sorted(member.member_id for member in members))
+        member_ids: tuple[MemberId, ...] = tuple(sorted(member.member_id for member in members))
         for member in members:
-            if member.view is None or member.view.members != who:
-                return f"{member.member_id[0]} holds another view"
+            if member.view is None or member.view.members != member_ids:
+                return f"{member.member_id[0]} holds a view with other members"
             if member.view_number() != members[0].view_number():
-                return f"{member.member_id[0]} holds {member.view_number()}"
+                return f"{member.member_id[0]} holds view {member.view_number()}, others hold another one"
         for process, core in gateways:
-            part = core.usable_slots(process.now(now))
-            if not part:
-                return f"{process.name} holds nothing"
-            slots |= part
-        return "" if slots == ALL_SLOTS else "some slots are nobody's"
-
-    def run(self, span: int, every: int = 50_000_000) -> None:
-        """On, with all that has to hold looked at."""
-        end = self.elapsed_ns + span
+            usable = core.usable_slots(process.now(now))
+            if not usable:
+                return f"{process.name} has no usable slots"
+            slots |= usable
+        return "" if slots == ALL_SLOTS else "some slots have no gateway"
+
+    def run(self, span_ns: int, interval_ns: int = 50_000_000) -> None:
+        """Runs for some time and checks all invariants at intervals."""
+        end = self.elapsed_ns + span_ns
         while self.elapsed_ns < end:
-            self.run_until(min(end, self.elapsed_ns + every))
+            self.run_until(min(end, self.elapsed_ns + interval_ns))
             self.check()
 
-    def until_settled(self, most: int, every: int = 100_000_000) -> int:
-        """ns until it is; raises `InvariantViolated` where that takes longer than `most`."""
-        begun = self.elapsed_ns
-        while amiss := self.settled():
-            if self.elapsed_ns - begun >= most:
-                raise self._broken(f"not settled {most / SECOND:.1f} s after: {amiss}")
-            self.run(every)
-        return self.elapsed_ns - begun
-
-    def begin(self, most: int) -> int:
-        """All start at once; ns until they are settled."""
+    def until_settled(self, limit_ns: int, interval_ns: int = 100_000_000) -> int:
+        """Runs until the gateways have settled, and returns the ns that this took.
+
+        Raises `InvariantViolated` if it takes longer than `limit_ns`."""
+        start_ns = self.elapsed_ns
+        while reason := self.unsettled_reason():
+            if self.elapsed_ns - start_ns >= limit_ns:
+                raise self._violation(f"not settled after {limit_ns / SECOND:.1f} s: {reason}")
+            self.run(interval_ns)
+        return self.elapsed_ns - start_ns
+
+    def start_all(self, limit_ns: int) -> int:
+        """Starts all processes at once; returns the ns until they have settled."""
         for process in list(self.processes.values()):
             self.start(process)
-        return self.until_settled(most)
+        return self.until_settled(limit_ns)
 
-    def pairs(self, names: Iterable[str]) -> list[tuple[str, str]]:
-        """All directions among these."""
-        return [way for a, b in combinations(names, 2) for way in ((a, b), (b, a))]
+    def links(self, names: Iterable[str]) -> list[tuple[str, str]]:
+        """Returns the links in both directions among these processes."""
+        return [link for a, b in combinations(names, 2) for link in ((a, b), (b, a))]
