--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -44,7 +44,14 @@
 
     def __init__(self, services: int, gateways: int = 0, each: int = 0, pieces: int = DATAGRAMS) -> None:
         super().__init__(
-            1, REPLICAS, gateways, regions=1, services=max(1, services), each=each, recent=8192, pieces=pieces
+            1,
+            REPLICAS,
+            gateways,
+            regions=1,
+            services=max(1, services),
+            services_per_gateway=each,
+            recent_entries=8192,
+            pieces_per_s=pieces,
         )
         for process in self.replicas:
             self.start(process)
@@ -62,7 +69,7 @@
             process.core = None
         gateways, self.start = self.start, lambda process: None  # type: ignore[method-assign]
         try:
-            self.begin()
+            self.start_all()
         finally:
             self.start = gateways  # type: ignore[method-assign]
 
@@ -73,7 +80,7 @@
             made[service] = {key: Entry(version, service, key, b"v" * VALUE) for key in keys}
         return made
 
-    def _told(self, process: Process, told: StatusEvent) -> None:
+    def _record(self, process: Process, event: StatusEvent) -> None:
         """Worlds for tests judge."""
 
     def until(self, holds: Callable[[], bool]) -> float:
--- a/trackspread/testing/harness/configuration_fleet.py
+++ b/trackspread/testing/harness/configuration_fleet.py
@@ -19,7 +19,7 @@
 from ...membership.wire import Keys
 from ..judge.membership_records import MembershipRecord, RecordReader
 from ..standins.loopback import Ports
-from ..virtual.distribution.invariants import InvariantViolated, Judged
+from ..virtual.distribution.invariants import InvariantViolated, InvariantChecker
 from .configuration_process import FLEET, Conditions, GatewaySpec, ProcessSpec
 from .limited_process import LimitedProcess, limited_command
 
@@ -251,12 +251,12 @@
             await asyncio.sleep(RECORD_POLL_S)
         return None
 
-    def judge(self) -> Judged:
+    def judge(self) -> InvariantChecker:
         """Checks all records.
 
         Raises `InvariantViolated` if they do not fit, or if an acknowledged change is not committed.
         """
-        judged = Judged()
+        judged = InvariantChecker()
         for record in self.records():
             _judge_replica(judged, record)
         services = {gateway.name: gateway.services for gateway in self._gateways}
@@ -266,7 +266,7 @@
                 continue
             if processes.setdefault(record.name, record.born) != record.born:
                 processes[record.name] = record.born
-                judged.starts(record.name)
+                judged.record_start(record.name)
             _judge_gateway(judged, record, services[record.name])
         for _, version in self.put_at:
             if version not in judged.committed:
@@ -274,21 +274,21 @@
         return judged
 
 
-def _judge_replica(judged: Judged, record: MembershipRecord) -> None:
+def _judge_replica(judged: InvariantChecker, record: MembershipRecord) -> None:
     match record.kind:
         case "committed":
             for entry in msgspec.convert(record.about["entries"], tuple[Entry, ...]):
-                judged.commits(record.at, record.name, entry)
+                judged.record_committed(record.at, record.name, entry)
         case "numbered":
-            judged.numbered(f"{record.name} {record.born}", _version(record.about["version"]))
+            judged.record_numbered(f"{record.name} {record.born}", _version(record.about["version"]))
 
 
-def _judge_gateway(judged: Judged, record: MembershipRecord, services: frozenset[str]) -> None:
+def _judge_gateway(judged: InvariantChecker, record: MembershipRecord, services: frozenset[str]) -> None:
     version = _version(record.about["version"])
-    expected = {name: keys for name, keys in judged.state(version).items() if name in services}
+    expected = {name: keys for name, keys in judged.state_at(version).items() if name in services}
     if record.about["values"] != fingerprint(expected):
         raise InvariantViolated(f"{record.name} acts on other values than those of {version}")
-    judged.acts(record.name, version, expected, services)
+    judged.record_use(record.name, version, expected, services)
 
 
 def _version(value: object) -> Version:
--- a/trackspread/testing/virtual/distribution/__init__.py
+++ b/trackspread/testing/virtual/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Replicas and gateways that hand configuration down, in virtual time."""
+"""Simulates the distribution of configuration by replicas to gateways, in virtual time."""
--- a/trackspread/testing/virtual/distribution/schedules.py
+++ b/trackspread/testing/virtual/distribution/schedules.py
@@ -1,7 +1,8 @@
-"""Seeded schedules for handing configuration down, and worlds for its hard cases.
+"""Makes seeded schedules for the distribution of configuration, and worlds for its hard cases.
 
-What goes wrong and when hangs on the seed alone; a failing one replays by it. Changes come all along; after
-the faults have ended, all that run have to hold the same, and all that was told to be committed.
+The seed alone determines the faults and times, so a failure replays. Changes are made all the time. After the
+end of all faults, all running processes must have the same configuration, with all changes that were reported
+as committed. Names of the worlds' functions stay, because kept digests of worlds are found by them.
 """
 
 from __future__ import annotations
@@ -12,55 +13,56 @@
 from ....distribution.replica import Replica
 from ....decide.time_units import MILLISECOND, SECOND
 from ....distribution.messages import BeginHistory
-from .invariants import IN_FORCE, InvariantViolated
-from .world import Process, World, held
+from .invariants import IN_FORCE_NS, InvariantViolated
+from .world import Process, World, version_in_use
 
-SPAN = 30 * SECOND  # ns of trouble
-SENT_MOST = 300  # datagrams of a replica in a second where 150 may hold entries, and all poll
+SPAN = 30 * SECOND  # time in which faults occur
+# Largest number of datagrams of a replica per second, of which 150 may have entries; all gateways poll then.
+MAX_SENT_PER_S = 300
 
 
-def changes(world: World, span: int, gap: int) -> None:
-    """One about every `gap` ns from now on."""
+def schedule_changes(world: World, span_ns: int, interval_ns: int) -> None:
+    """Schedules changes at random intervals with the mean `interval_ns`."""
 
-    def one() -> None:
+    def put() -> None:
         value = world.rng.choice([None, b"v" * world.rng.randint(0, 600)])
         world.put(world.rng.choice(world.services), f"key-{world.rng.randint(0, 9)}", value)
 
     at = 0
-    while at < span:
-        at += world.rng.randint(1, 2 * gap)
-        world.after(at, one)
+    while at < span_ns:
+        at += world.rng.randint(1, 2 * interval_ns)
+        world.after(at, put)
 
 
-def whole(world: World) -> list[Process]:
-    """Replicas that count for a majority."""
+def complete_replicas(world: World) -> list[Process]:
+    """Returns the replicas that count toward a majority."""
     return [p for p in world.replicas if isinstance(p.core, Replica) and p.core.is_complete]
 
 
-def crash(world: World, process: Process, away: int) -> None:
-    """Dies and starts anew after `away`; never a replica without which no majority would be whole."""
+def crash(world: World, process: Process, downtime_ns: int) -> None:
+    """Kills a process, which starts again, unless too few complete replicas for a majority would remain."""
     if process.number >= 0:
-        left = [p for p in whole(world) if p is not process]
-        if len(left) <= len(world.replicas) // 2:
+        remaining = [p for p in complete_replicas(world) if p is not process]
+        if len(remaining) <= len(world.replicas) // 2:
             return
     world.kill(process)
-    world.after(away, partial(_again, world, process))
+    world.after(downtime_ns, partial(_start_again, world, process))
 
 
-def _again(world: World, process: Process) -> None:
+def _start_again(world: World, process: Process) -> None:
     if process.core is None:
         world.start(process)
 
 
 def cut_region(world: World, region: int, both: bool = True) -> list[tuple[str, str]]:
-    """Off from all others; `both` False: what comes from it still gets through."""
+    """Cuts a region off from all others; messages from it still arrive unless `both`."""
     inside = [p.name for p in world.processes.values() if p.region == region]
     others = [p.name for p in world.processes.values() if p.region != region]
-    return world.part(others, inside, both)
+    return world.partition(others, inside, both)
 
 
-def trouble(world: World) -> None:
-    """One fault, drawn, which ends by itself."""
+def inject_fault(world: World) -> None:
+    """Injects a random fault, which ends by itself."""
     rng = world.rng
     span = rng.randint(100 * MILLISECOND, 6 * SECOND)
     some = rng.choice(list(world.processes.values()))
@@ -71,15 +73,15 @@
         case 1:
             crash(world, replica, span)
         case 2:
-            world.halt(some, span)
+            world.pause(some, span)
         case 3:
-            world.halt(replica, span)
+            world.pause(replica, span)
         case 4:
             world.after(span, partial(world.heal, cut_region(world, some.region, rng.random() < 0.6)))
         case 5:
             names = list(world.processes)
-            ways = world.part([replica.name], rng.sample(names, len(names) // 2), rng.random() < 0.5)
-            world.after(span, partial(world.heal, ways))
+            links = world.partition([replica.name], rng.sample(names, len(names) // 2), rng.random() < 0.5)
+            world.after(span, partial(world.heal, links))
         case 6 | 7:
             world.appoint(replica.number, former=rng.random() < 0.5)
         case 8:
@@ -88,108 +90,113 @@
 
 
 def drawn(seed: int) -> World:
-    """A schedule of all kinds of trouble."""
+    """Plays a random schedule of all kinds of faults."""
     world = World(
         seed,
         replicas=[3, 5, 5, 4, 1][seed % 5],
         gateways=6 + seed % 5,
         regions=1 + seed % 3,
-        recent=[8, 30, 200][seed % 3],
+        recent_entries=[8, 30, 200][seed % 3],
     )
-    world.begin()
+    world.start_all()
     conditions, rng = world.conditions, world.rng
     conditions.loss, conditions.duplication = rng.choice([0.0, 0.02, 0.2]), rng.choice([0.0, 0.1])
     conditions.jitter_ns = rng.choice([0, 0, 300 * MILLISECOND])
-    changes(world, SPAN, rng.choice([30 * MILLISECOND, 300 * MILLISECOND, 2 * SECOND]))
+    schedule_changes(world, SPAN, rng.choice([30 * MILLISECOND, 300 * MILLISECOND, 2 * SECOND]))
     for _ in range(rng.randint(3, 14)):
-        world.after(rng.randint(0, SPAN), partial(trouble, world))
+        world.after(rng.randint(0, SPAN), partial(inject_fault, world))
     world.run(SPAN + 7 * SECOND)
     settle(world)
     return world
 
 
 def settle(world: World) -> None:
-    """All faults end; one of the whole replicas leads; all hold the same."""
+    """Ends all faults with a complete replica as leader; all processes must have the same configuration."""
     for process in world.processes.values():
-        process.halted_until = min(process.halted_until, world.clock.now)
-    world.appoint(world.rng.choice(whole(world) or world.replicas).number)
-    world.calm()
+        process.paused_until = min(process.paused_until, world.clock.now)
+    world.appoint(world.rng.choice(complete_replicas(world) or world.replicas).number)
+    world.end_faults()
 
 
 def leader_dies(seed: int) -> World:
-    """In the middle of handing a burst down, and another is elected."""
+    """Kills the leader while it distributes a burst of changes; another one is elected."""
     world = World(seed, replicas=5, gateways=10)
-    world.begin()
-    changes(world, SECOND, 10 * MILLISECOND)
+    world.start_all()
+    schedule_changes(world, SECOND, 10 * MILLISECOND)
     world.run(world.rng.randint(1, SECOND))
     crash(world, world.replicas[0], 4 * SECOND)
     world.run(world.rng.randint(500 * MILLISECOND, 2 * SECOND))
     world.appoint(1 + seed % 4)
     world.run(6 * SECOND)
-    changes(world, SECOND, 100 * MILLISECOND)
-    world.calm()
+    schedule_changes(world, SECOND, 100 * MILLISECOND)
+    world.end_faults()
     if len(world.done) < 5:
-        raise InvariantViolated("hardly a change was committed")
+        raise InvariantViolated(f"only {len(world.done)} changes were committed, must be 5 or more")
     return world
 
 
 def two_lead(seed: int) -> World:
-    """Both believe it, with the network cut between them or not, or the newer one not heard by the older;
-    both take changes."""
+    """Lets two leaders accept changes at the same time.
+
+    The links between them are severed or not, or only those from the newer leader to the older one are."""
     world = World(seed, replicas=5, gateways=10)
-    world.begin()
+    world.start_all()
     if seed % 2:
-        ways = world.part(["r2"], ["r0"], both=False)
+        links = world.partition(["r2"], ["r0"], both=False)
     else:
-        ways = world.part(["r0"], [f"r{n}" for n in (1, 2, 3)[: seed % 4]])
-    changes(world, 8 * SECOND, 40 * MILLISECOND)
+        links = world.partition(["r0"], [f"r{n}" for n in (1, 2, 3)[: seed % 4]])
+    schedule_changes(world, 8 * SECOND, 40 * MILLISECOND)
     world.run(SECOND)
     world.appoint(2, former=False)
     world.run(3 * SECOND)
-    world.heal(ways)
+    world.heal(links)
     world.run(4 * SECOND)
     world.appoint(2)
-    world.calm()
+    world.end_faults()
     return world
 
 
 def dies_while_adopted(seed: int) -> World:
-    """The one whose log a new leader takes over dies before that is done; what both had stays committed."""
+    """Kills the replica whose log a new leader adopts before that is done.
+
+    The changes that both had must stay committed."""
     world = World(seed, replicas=3, gateways=4)
-    world.begin()
-    ways = world.part(["r2"], ["r0", "r1"])
-    changes(world, 2 * SECOND, 10 * MILLISECOND)
+    world.start_all()
+    links = world.partition(["r2"], ["r0", "r1"])
+    schedule_changes(world, 2 * SECOND, 10 * MILLISECOND)
     world.run(SECOND)
     world.appoint(1, former=False)
     world.run(world.rng.randint(60 * MILLISECOND, 350 * MILLISECOND))
     crash(world, world.replicas[0], SECOND)
-    world.heal(ways)
+    world.heal(links)
     world.appoint(2)
-    world.calm()
+    world.end_faults()
     return world
 
 
 def minority_goes_on(seed: int) -> World:
-    """A leader and one follower that hear nobody else but gateways, while another is elected."""
+    """Separates the leader and one follower from the other replicas, but not from gateways.
+
+    Another leader is elected meanwhile."""
     world = World(seed, replicas=5, gateways=20, regions=1 + seed % 2)
-    world.begin()
-    ways = world.part(["r0", "r1"], ["r2", "r3", "r4"])
+    world.start_all()
+    links = world.partition(["r0", "r1"], ["r2", "r3", "r4"])
     world.appoint(2, former=False)
-    changes(world, 15 * SECOND, 100 * MILLISECOND)
+    schedule_changes(world, 15 * SECOND, 100 * MILLISECOND)
     world.run(20 * SECOND)
-    if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise InvariantViolated(f"while a minority goes on by itself, {amiss}")
-    world.heal(ways)
-    world.calm()
+    if reason := world.checker.overdue_reason(world.now, [p.name for p in world.gateways]):
+        raise InvariantViolated(f"while a minority is separated, {reason}")
+    world.heal(links)
+    world.end_faults()
     return world
 
 
 def forgotten_promise(seed: int) -> World:
-    """Replicas that promise, or accept, die at once and come back with nothing, while leaders change."""
+    """Kills replicas right after they promise or accept; they restart without state while leaders change."""
     world = World(seed, replicas=[3, 5][seed % 2], gateways=4)
-    world.begin()
+    world.start_all()
     world.conditions.jitter_ns = 200 * MILLISECOND
-    changes(world, 20 * SECOND, 50 * MILLISECOND)
+    schedule_changes(world, 20 * SECOND, 50 * MILLISECOND)
     for turn in range(12):
         number = world.rng.randrange(len(world.replicas))
         world.appoint(number, former=False)
@@ -202,128 +209,152 @@
 
 
 def wakes_late(seed: int) -> World:
-    """A leader stands still, another is elected, and the first wakes with its old lease and goes on."""
+    """Pauses a leader; another one is elected, and the first resumes with its old lease."""
     world = World(seed, replicas=3 + 2 * (seed % 2), gateways=6)
-    world.begin()
-    changes(world, 12 * SECOND, 30 * MILLISECOND)
+    world.start_all()
+    schedule_changes(world, 12 * SECOND, 30 * MILLISECOND)
     world.run(SECOND)
-    world.halt(world.replicas[0], 4 * SECOND)
+    world.pause(world.replicas[0], 4 * SECOND)
     world.run(world.rng.randint(0, SECOND))
     world.appoint(1, former=False)
     world.run(8 * SECOND)
     world.appoint(1)
-    world.calm()
+    world.end_faults()
     return world
 
 
 def region_cut(seed: int) -> World:
-    """For minutes; it goes on by what it has, and its heal makes no storm."""
-    world = World(seed, replicas=5, gateways=60, regions=2, pieces=200, recent=20)
-    world.begin()
-    changes(world, 5 * SECOND, 50 * MILLISECOND)
+    """Cuts a region off for minutes.
+
+    Its gateways keep their configuration, and after the heal there is no burst of messages."""
+    world = World(seed, replicas=5, gateways=60, regions=2, pieces_per_s=200, recent_entries=20)
+    world.start_all()
+    schedule_changes(world, 5 * SECOND, 50 * MILLISECOND)
     world.run(7 * SECOND)
-    ways = cut_region(world, 1)
+    links = cut_region(world, 1)
     inside = [p for p in world.gateways if p.region == 1]
-    before = {p.name: held(p) for p in inside}
-    changes(world, 100 * SECOND, SECOND)
+    before = {p.name: version_in_use(p) for p in inside}
+    schedule_changes(world, 100 * SECOND, SECOND)
     world.run(130 * SECOND)
-    if any(held(p) != before[p.name] for p in inside):
-        raise InvariantViolated("a gateway that is cut off does not go on by what it had")
-    world.heal(ways)
+    if any(version_in_use(p) != before[p.name] for p in inside):
+        raise InvariantViolated("a gateway that is cut off did not keep its configuration")
+    world.heal(links)
     sent = dict(world.sent)
-    world.run(IN_FORCE)
-    if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise InvariantViolated(f"after the heal {amiss}")
+    world.run(IN_FORCE_NS)
+    if reason := world.checker.overdue_reason(world.now, [p.name for p in world.gateways]):
+        raise InvariantViolated(f"after the heal, {reason}")
     most = max(world.sent[p.name] - sent[p.name] for p in inside)
     if most > 60:
         raise InvariantViolated(f"a gateway sent {most} datagrams in the 9 s after the heal")
-    world.calm()
+    world.end_faults()
     return world
 
 
 def half_restarted(seed: int) -> World:
-    """Half of the gateways at once, and replicas that answer few pieces a second."""
-    world = World(seed, replicas=5, gateways=80, regions=2, pieces=150, services=40, each=10, recent=500)
-    world.begin()
+    """Restarts half of the gateways at once; the replicas send few snapshot pieces per second."""
+    world = World(
+        seed,
+        replicas=5,
+        gateways=80,
+        regions=2,
+        pieces_per_s=150,
+        services=40,
+        services_per_gateway=10,
+        recent_entries=500,
+    )
+    world.start_all()
     for number in range(400):
         world.put(world.services[number % 40], f"key-{number // 40}", b"v" * 300)
         world.run(5 * MILLISECOND)
     world.run(5 * SECOND)
-    again = world.rng.sample(world.gateways, 40)
-    for process in again:
+    restarted = world.rng.sample(world.gateways, 40)
+    for process in restarted:
         crash(world, process, 500 * MILLISECOND)
-    others = [process.name for process in world.gateways if process not in again]
-    changes(world, 5 * SECOND, 500 * MILLISECOND)
+    others = [process.name for process in world.gateways if process not in restarted]
+    schedule_changes(world, 5 * SECOND, 500 * MILLISECOND)
     for _ in range(14):
         sent = dict(world.sent)
         world.run(SECOND)
         most = max(world.sent[replica.name] - sent[replica.name] for replica in world.replicas)
-        if most > SENT_MOST:
+        if most > MAX_SENT_PER_S:
             raise InvariantViolated(f"a replica sent {most} datagrams in a second")
-        if amiss := world.judged.missing(world.now, others):
-            raise InvariantViolated(f"while half restart {amiss}")
-    if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise InvariantViolated(f"after the restart {amiss}")
-    world.calm()
+        if reason := world.checker.overdue_reason(world.now, others):
+            raise InvariantViolated(f"while half of the gateways restart, {reason}")
+    if reason := world.checker.overdue_reason(world.now, [p.name for p in world.gateways]):
+        raise InvariantViolated(f"after the restart, {reason}")
+    world.end_faults()
     return world
 
 
 def burst(seed: int) -> World:
-    """100 changes at once on a network that loses a tenth: in force everywhere within 9 s."""
+    """Makes 100 changes at once while a tenth of the messages is lost.
+
+    All gateways must use them within 9 s."""
     world = World(seed, replicas=5, gateways=40, regions=2)
-    world.begin()
+    world.start_all()
     world.conditions.loss = 0.1
     for number in range(100):
         world.put(world.rng.choice(world.services), f"key-{number}", b"v" * 100)
-    world.run(IN_FORCE)
-    if len(world.done) < 100 or any(held(p) < world.judged.newest for p in world.gateways):
+    world.run(IN_FORCE_NS)
+    if len(world.done) < 100 or any(version_in_use(p) < world.checker.newest for p in world.gateways):
         raise InvariantViolated(
-            f"{len(world.done)} of 100 are committed within 9 s, or not in force everywhere"
+            f"{len(world.done)} of 100 changes are committed within 9 s, or some gateways do not use them"
         )
-    world.calm()
+    world.end_faults()
     return world
 
 
 def one_way(seed: int) -> World:
-    """Some replicas are heard by nobody, or hear nobody, or hear gateways alone, and the others go on."""
+    """Severs the links to or from two replicas, or only those from other replicas to them.
+
+    The others must continue."""
     world = World(seed, replicas=5, gateways=20)
-    world.begin()
-    changes(world, 20 * SECOND, 100 * MILLISECOND)
+    world.start_all()
+    schedule_changes(world, 20 * SECOND, 100 * MILLISECOND)
     some = [f"r{n}" for n in (1, 2)]
     names = [p.name for p in (world.replicas if seed % 3 == 2 else world.processes.values())]
     names = [name for name in names if name not in some]
-    ways = world.part(some, names, both=False) if seed % 3 == 1 else world.part(names, some, both=False)
+    links = (
+        world.partition(some, names, both=False)
+        if seed % 3 == 1
+        else world.partition(names, some, both=False)
+    )
     world.run(20 * SECOND)
-    if amiss := world.judged.missing(world.now, [p.name for p in world.gateways]):
-        raise InvariantViolated(f"while some replicas hear one way only, {amiss}")
-    world.heal(ways)
-    world.calm()
+    if reason := world.checker.overdue_reason(world.now, [p.name for p in world.gateways]):
+        raise InvariantViolated(f"while links of two replicas are severed one way, {reason}")
+    world.heal(links)
+    world.end_faults()
     return world
 
 
 def majority_lost(seed: int) -> World:
-    """At once: nothing is committed and nothing forgotten, until an operator begins a new history."""
+    """Restarts a majority of the replicas without state.
+
+    Nothing is committed and nothing is forgotten until an operator begins a new history."""
     world = World(seed, replicas=5, gateways=10)
-    world.begin()
-    changes(world, 3 * SECOND, 50 * MILLISECOND)
+    world.start_all()
+    schedule_changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.run(5 * SECOND)
-    before, survivors = {p.name: held(p) for p in world.gateways}, world.rng.sample(world.replicas, 2)
+    before, survivors = (
+        {p.name: version_in_use(p) for p in world.gateways},
+        world.rng.sample(world.replicas, 2),
+    )
     for process in world.replicas:
         if process not in survivors:
             world.kill(process)
             world.start(process)
     world.appoint(world.rng.randrange(5))
-    changes(world, 3 * SECOND, 50 * MILLISECOND)
+    schedule_changes(world, 3 * SECOND, 50 * MILLISECOND)
     world.run(15 * SECOND)
-    if world.leader() is not None or any(held(p) != before[p.name] for p in world.gateways):
-        raise InvariantViolated("something was handed down without a majority")
-    leads = next(p for p in world.replicas if p.epoch is not None)
-    world.command(leads.number, BeginHistory(0))
+    if world.leader() is not None or any(version_in_use(p) != before[p.name] for p in world.gateways):
+        raise InvariantViolated("there is a leader or a new version without a majority")
+    leader = next(p for p in world.replicas if p.epoch is not None)
+    world.command(leader.number, BeginHistory(0))
     world.run(10 * SECOND)
-    if world.judged.newest.history <= before["g0"].history:
-        raise InvariantViolated("no new history has begun")
-    changes(world, 3 * SECOND, 50 * MILLISECOND)
-    world.calm()
+    if world.checker.newest.history <= before["g0"].history:
+        raise InvariantViolated(f"no new history has begun after {before['g0'].history}")
+    schedule_changes(world, 3 * SECOND, 50 * MILLISECOND)
+    world.end_faults()
     return world
 
 
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -1,8 +1,8 @@
-"""Replicas and gateways in virtual time: their cores, a network that fails, and invariants at each step.
+"""Simulates replicas and gateways in virtual time, with network faults and invariants checked at each step.
 
-What is said takes time, gets lost, doubled or cut; a process may stand still, die, and start anew. Who leads
-is said by the test: also two at once. Nothing here decides: the cores do. May know: what every process holds,
-true time.
+Messages are delayed, lost, duplicated or cut off; processes are paused, killed and restarted. The test
+appoints the leaders, also two at once. Only the cores decide; the world knows the state of every process and
+the true time.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 from ....membership.identifiers import Address, Epoch
 from ..clock import Clock
 from ..processes import NetworkConditions
-from .invariants import InvariantViolated, Judged
+from .invariants import InvariantViolated, InvariantChecker
 
-WALL = 1_790_000_000_000  # ms of wall clock at the beginning of every world
-NEAR, FAR = (
-    (100_000, 2 * MILLISECOND),
-    (20 * MILLISECOND, 60 * MILLISECOND),
-)  # ns that a way takes, within a region and beyond
-LATE_MOST = 5 * MILLISECOND  # ns by which a tick comes late on a busy machine
-OVERHEAD = 47  # bytes of a datagram beside its body, at most: mark, digest, envelope
-COMMAND: Address = ("10.9.0.0", 1)
+WALL_START_MS = 1_790_000_000_000  # wall clock at the start of every world
+REGION_DELAY_NS = (100_000, 2 * MILLISECOND)  # one way, within a region
+REMOTE_DELAY_NS = (20 * MILLISECOND, 60 * MILLISECOND)  # one way, between regions
+MAX_TICK_DELAY_NS = 5 * MILLISECOND  # largest delay of a tick on a busy machine
+OVERHEAD_BYTES = 47  # largest size of a datagram's mark, digest and envelope
+OPERATOR: Address = ("10.9.0.0", 1)  # sender of commands
 
 
 @dataclass(slots=True)
 class Process:
-    """One name, and the process under it, if any. `number`: a replica's, -1 for a gateway."""
+    """Holds a process name and the core that runs under it, if any.
+
+    `number` is a replica's number, or -1 for a gateway."""
 
     name: str
     address: Address
@@ -49,14 +49,16 @@
     number: int = -1
     services: frozenset[str] | None = None
     core: Replica | Subscriber | None = None
-    born: int = 0
-    epoch: Epoch | None = None  # under which it believes that it leads
-    halted_until: int = 0
-    waiting: list[Callable[[], None]] = field(default_factory=list)
+    created_at_ms: int = 0
+    epoch: Epoch | None = None  # epoch in which it assumes that it is the leader
+    paused_until: int = 0
+    deferred_calls: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # calls that arrived during a pause
 
 
 class World:
-    """`replicas` and `gateways` by name; times are ns since the beginning."""
+    """Runs replicas and gateways; times are in ns since the start."""
 
     def __init__(
         self,
@@ -65,107 +67,116 @@
         gateways: int = 8,
         regions: int = 2,
         services: int = 6,
-        each: int = 2,
-        recent: int = 30,
-        pieces: int = 2000,
+        services_per_gateway: int = 2,
+        recent_entries: int = 30,
+        pieces_per_s: int = 2000,
     ) -> None:
-        """`services`: that there are, of which each gateway wants `each`."""
+        """Creates a world with this number of services; each gateway uses `services_per_gateway` of them."""
         self.rng = random.Random(f"distribution:{seed}")
         self.clock = Clock()
         self.conditions = NetworkConditions()
-        self.judged = Judged()
+        self.checker = InvariantChecker()
         self.services = tuple(f"service-{n}" for n in range(services))
         self.processes: dict[str, Process] = {}
         self._by_address: dict[Address, Process] = {}
-        self.cut: Counter[tuple[str, str]] = Counter()  # directions, by how many faults cut them
-        self.sent: Counter[str] = Counter()  # datagrams, by name
-        self.received: Counter[str] = Counter()
-        self.bytes: Counter[str] = Counter()  # sent and received
-        self.done: dict[int, Version] = {}  # commands' changes that were told to be committed
-        self.put_at: dict[int, int] = {}
-        self._recent = recent
-        self._pieces = pieces
+        self.severed_links: Counter[tuple[str, str]] = Counter()  # number of faults that sever each link
+        self.sent: Counter[str] = Counter()  # datagrams by process name
+        self.received: Counter[str] = Counter()  # datagrams by process name
+        self.bytes: Counter[str] = Counter()  # sent and received bytes by process name
+        self.done: dict[int, Version] = {}  # changes that were reported as committed, by number
+        self.put_at: dict[int, int] = {}  # times of changes, by number
+        self._recent_entries = recent_entries
+        self._pieces_per_s = pieces_per_s
         self._start = self.clock.now
         self._round = 0
         self._encode = msgspec.msgpack.Encoder().encode
         for number in range(replicas):
             self._add(Process(f"r{number}", (f"10.0.0.{number}", 7000), number % regions, number))
         for number in range(gateways):
-            wanted = frozenset(self.rng.sample(self.services, min(each, services)))
+            used = frozenset(self.rng.sample(self.services, min(services_per_gateway, services)))
             address = f"10.1.{number >> 8}.{number & 255}", 7000
-            self._add(Process(f"g{number}", address, number % regions, services=wanted))
+            self._add(Process(f"g{number}", address, number % regions, services=used))
 
     def _add(self, process: Process) -> None:
         self.processes[process.name] = self._by_address[process.address] = process
 
     @property
     def replicas(self) -> list[Process]:
+        """Returns all replicas."""
         return [p for p in self.processes.values() if p.number >= 0]
 
     @property
     def gateways(self) -> list[Process]:
+        """Returns all gateways."""
         return [p for p in self.processes.values() if p.number < 0]
 
     @property
     def now(self) -> int:
+        """Returns the time since the start, in ns."""
         return self.clock.now - self._start
 
     def run(self, span: int) -> None:
+        """Runs for a time."""
         self.clock.run(self.clock.now + span)
 
     def after(self, span: int, call: Callable[[], object]) -> None:
+        """Schedules a call for a time from now."""
         self.clock.after(span, call)
 
-    # Processes.
-
     def start(self, process: Process) -> None:
-        """A new process under the name, from nothing."""
+        """Starts a new process under the name, without any state."""
         now, seed = self.clock.now, self.rng.getrandbits(60)
-        process.born = WALL + self.now // MILLISECOND
-        process.halted_until = 0
+        process.created_at_ms = WALL_START_MS + self.now // MILLISECOND
+        process.paused_until = 0
         process.epoch = None
-        process.waiting.clear()
+        process.deferred_calls.clear()
         addresses = tuple(p.address for p in self.replicas)
         if process.number >= 0:
             settings = ReplicaSettings(
-                process.number, process.born, addresses, self._recent, pieces_per_s=self._pieces
+                process.number,
+                process.created_at_ms,
+                addresses,
+                self._recent_entries,
+                pieces_per_s=self._pieces_per_s,
             )
             process.core = Replica(settings, now, seed)
         else:
-            near = tuple(p.address for p in self.replicas if p.region == process.region)
-            others = tuple(each for each in addresses if each not in near)
-            process.core = Subscriber(SubscriberSettings(near, process.services, others), now, seed)
-            self.judged.starts(process.name)
+            regional = tuple(p.address for p in self.replicas if p.region == process.region)
+            others = tuple(each for each in addresses if each not in regional)
+            process.core = Subscriber(SubscriberSettings(regional, process.services, others), now, seed)
+            self.checker.record_start(process.name)
         self.clock.after(self.rng.randint(0, TICK_NS), partial(self._tick, process, process.core))
 
-    def begin(self) -> None:
-        """All start; the first replica leads, and an operator begins the history."""
+    def start_all(self) -> None:
+        """Starts all processes; the first replica leads, and an operator begins the history."""
         for process in list(self.processes.values()):
             self.start(process)
         self.appoint(0)
         self.command(0, BeginHistory(0))
         self.run(5 * SECOND)
         if self.leader() is None:
-            raise InvariantViolated("no leader within 5 s of an operator's word")
+            raise InvariantViolated("no leader within 5 s of an operator's command")
 
     def kill(self, process: Process) -> None:
+        """Kills a process at once."""
         process.core = None
         process.epoch = None
-        process.waiting.clear()
-
-    def halt(self, process: Process, span: int) -> None:
-        process.halted_until = max(process.halted_until, self.clock.now + span)
-        self.clock.after(span, partial(self._wake, process))
-
-    def _wake(self, process: Process) -> None:
-        if self.clock.now >= process.halted_until:
-            came = process.waiting
-            process.waiting = []
-            for call in came:
+        process.deferred_calls.clear()
+
+    def pause(self, process: Process, span: int) -> None:
+        """Pauses a process for a time; calls that arrive meanwhile are deferred."""
+        process.paused_until = max(process.paused_until, self.clock.now + span)
+        self.clock.after(span, partial(self._resume, process))
+
+    def _resume(self, process: Process) -> None:
+        if self.clock.now >= process.paused_until:
+            deferred = process.deferred_calls
+            process.deferred_calls = []
+            for call in deferred:
                 call()
 
     def appoint(self, number: int, former: bool = True) -> None:
-        """The election's word: this replica leads. `former` False: nobody tells those that led before."""
+        """Makes a replica the elected leader; former leaders are notified only if `former`."""
         self._round += 1
         for process in self.replicas:
             if former:
@@ -173,135 +184,144 @@
         self.replicas[number].epoch = self._round, number
 
     def leader(self) -> Process | None:
-        """The established one of the newest epoch."""
+        """Returns the established leader of the newest epoch, if any."""
         found = [p for p in self.replicas if isinstance(p.core, Replica) and p.core.role == "leader"]
         return max(found, key=lambda p: p.epoch or (0, -1), default=None)
 
     def command(self, number: int, body: MessageBody) -> None:
-        """An operator's word to this replica."""
+        """Sends an operator's command to a replica."""
         process = self.replicas[number]
         if (core := process.core) is not None:
-            self._on(process, core, lambda: self._received(process, -1, 0, body, COMMAND))
+            self._run_when_awake(process, core, lambda: self._receive(process, -1, 0, body, OPERATOR))
 
     def put(self, service: str, key: str, value: bytes | None) -> int:
-        """A change; its number in `done` once it is told to be committed."""
+        """Sends a change and returns its number, which is in `done` once it is reported as committed."""
         number = len(self.put_at) + 1
         self.put_at[number] = self.now
-        leading = [p for p in self.replicas if p.epoch is not None and p.core is not None]
-        if leading:
-            self.command(self.rng.choice(leading).number, Put(number, service, key, value))
+        leaders = [p for p in self.replicas if p.epoch is not None and p.core is not None]
+        if leaders:
+            self.command(self.rng.choice(leaders).number, Put(number, service, key, value))
         return number
 
-    def _on(self, process: Process, core: Replica | Subscriber, call: Callable[[], Iterable[Action]]) -> None:
-        """Now, or once the process goes on; never for a process that is gone."""
+    def _run_when_awake(
+        self, process: Process, core: Replica | Subscriber, call: Callable[[], Iterable[Action]]
+    ) -> None:
+        """Makes a call now, or once a pause is over, or never if the core no longer runs."""
         if process.core is not core:
             return
-        if self.clock.now < process.halted_until:
-            process.waiting.append(partial(self._on, process, core, call))
+        if self.clock.now < process.paused_until:
+            process.deferred_calls.append(partial(self._run_when_awake, process, core, call))
             return
         if isinstance(core, Replica):
-            self._do(process, core.set_leadership(self.clock.now, process.epoch))
-        self._do(process, call())
+            self._perform(process, core.set_leadership(self.clock.now, process.epoch))
+        self._perform(process, call())
 
     def _tick(self, process: Process, core: Replica | Subscriber) -> None:
         if process.core is not core:
             return
-        if self.clock.now < process.halted_until:
-            process.waiting.append(partial(self._tick, process, core))
+        if self.clock.now < process.paused_until:
+            process.deferred_calls.append(partial(self._tick, process, core))
             return
-        self._on(process, core, lambda: core.tick(self.clock.now))
-        self.clock.after(TICK_NS + self.rng.randint(0, LATE_MOST), partial(self._tick, process, core))
-
-    # The network.
+        self._run_when_awake(process, core, lambda: core.tick(self.clock.now))
+        self.clock.after(TICK_NS + self.rng.randint(0, MAX_TICK_DELAY_NS), partial(self._tick, process, core))
 
-    def part(self, some: Iterable[str], others: Iterable[str], both: bool = True) -> list[tuple[str, str]]:
-        """Cuts what goes from the ones to the others, and back; to be handed to `heal`."""
+    def partition(
+        self, some: Iterable[str], others: Iterable[str], both: bool = True
+    ) -> list[tuple[str, str]]:
+        """Severs the links from some processes to others, and back if `both`; returns them for `heal`."""
         others = list(others)
-        ways = [way for a in some for b in others if a != b for way in ((a, b), (b, a))[: 1 + both]]
-        self.cut.update(ways)
-        return ways
+        links = [link for a in some for b in others if a != b for link in ((a, b), (b, a))[: 1 + both]]
+        self.severed_links.update(links)
+        return links
 
-    def heal(self, ways: Iterable[tuple[str, str]]) -> None:
-        self.cut.subtract(ways)
+    def heal(self, links: Iterable[tuple[str, str]]) -> None:
+        """Removes one fault from each of these links."""
+        self.severed_links.subtract(links)
 
-    def _do(self, process: Process, actions: Iterable[Action]) -> None:
+    def _perform(self, process: Process, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case Send(to, body):
                     self._send(process, to, body)
                 case StatusEvent():
-                    self._told(process, action)
+                    self._record(process, action)
 
     def _send(self, process: Process, to: Address, body: MessageBody) -> None:
-        if to == COMMAND:
+        if to == OPERATOR:
             if isinstance(body, Committed) and body.number:
                 self.done[body.number] = body.version
             return
         target = self._by_address[to]
-        size = len(self._encode(body)) + OVERHEAD
+        size = len(self._encode(body)) + OVERHEAD_BYTES
         self.sent[process.name] += 1
         self.bytes[process.name] += size
         for _ in range(1 + (self.rng.random() < self.conditions.duplication)):
             if self.rng.random() >= self.conditions.loss:
-                late = self.rng.randint(*(NEAR if process.region == target.region else FAR))
-                late += self.rng.randint(0, self.conditions.jitter_ns)
-                self.clock.after(late, partial(self._arrive, process, process.born, target, body, size))
-
-    def _arrive(self, source: Process, born: int, target: Process, body: MessageBody, size: int) -> None:
+                is_local = process.region == target.region
+                delay_ns = self.rng.randint(*(REGION_DELAY_NS if is_local else REMOTE_DELAY_NS))
+                delay_ns += self.rng.randint(0, self.conditions.jitter_ns)
+                deliver = partial(self._deliver, process, process.created_at_ms, target, body, size)
+                self.clock.after(delay_ns, deliver)
+
+    def _deliver(
+        self, source: Process, created_at_ms: int, target: Process, body: MessageBody, size: int
+    ) -> None:
         core = target.core
-        if core is None or self.cut[source.name, target.name] > 0:
+        if core is None or self.severed_links[source.name, target.name] > 0:
             return
         self.received[target.name] += 1
         self.bytes[target.name] += size
-        self._on(target, core, lambda: self._received(target, source.number, born, body, source.address))
+        self._run_when_awake(
+            target, core, lambda: self._receive(target, source.number, created_at_ms, body, source.address)
+        )
 
-    def _received(
+    def _receive(
         self,
         process: Process,
         number: int,
-        born: int,
+        created_at_ms: int,
         body: MessageBody,
         source: Address,
     ) -> Iterable[Action]:
         core, now = process.core, self.clock.now
         if isinstance(core, Replica):
-            return core.on_message(now, number, born, body, source)
+            return core.on_message(now, number, created_at_ms, body, source)
         return core.on_message(now, body, source) if core is not None else []
 
-    # What came to be, and whether it may.
-
-    def _told(self, process: Process, told: StatusEvent) -> None:
-        about = told.details
-        match told.kind, process.core:
+    def _record(self, process: Process, event: StatusEvent) -> None:
+        details = event.details
+        match event.kind, process.core:
             case "committed", Replica():
-                for entry in about["entries"]:  # type: ignore[attr-defined]
-                    self.judged.commits(self.now, process.name, entry)
+                for entry in details["entries"]:  # type: ignore[attr-defined]
+                    self.checker.record_committed(self.now, process.name, entry)
             case "numbered", Replica():
-                version = cast(Version, about["version"])
-                self.judged.numbered(f"{process.name} {process.born}", version)
+                version = cast(Version, details["version"])
+                self.checker.record_numbered(f"{process.name} {process.created_at_ms}", version)
             case "acts", Subscriber() as core:
-                self.judged.acts(process.name, core.version, core.snapshot, core.settings.services)
+                self.checker.record_use(process.name, core.version, core.snapshot, core.settings.services)
 
     def check(self) -> None:
-        """All that were told to be committed are so, and all that run hold what is in force."""
+        """Checks that no reported change is lost and that all running processes have the newest version."""
         for number, version in self.done.items():
-            if version not in self.judged.committed:
-                raise InvariantViolated(f"change {number} was told to be committed as {version}, and is lost")
-        newest = self.judged.newest
+            if version not in self.checker.committed:
+                raise InvariantViolated(
+                    f"change {number} was reported as committed with version {version} and is lost"
+                )
+        newest = self.checker.newest
         for process in self.replicas:
             core = process.core
             if isinstance(core, Replica) and core.log.committed != newest:
                 raise InvariantViolated(
-                    f"{process.name}, {core.role}, has {core.log.committed}, not {newest}"
+                    f"{process.name}, {core.role}, has version {core.log.committed}, must have {newest}"
                 )
         gateways = [p.name for p in self.gateways if p.core is not None]
-        if amiss := self.judged.missing(self.now, gateways):
-            raise InvariantViolated(amiss)
+        if reason := self.checker.overdue_reason(self.now, gateways):
+            raise InvariantViolated(reason)
 
-    def calm(self, span: int = 20 * SECOND) -> None:
-        """All is well again, everybody runs; after `span` all hold the same."""
+    def end_faults(self, span: int = 20 * SECOND) -> None:
+        """Ends all faults and starts all processes; after `span`, all must have the same configuration."""
         self.conditions = NetworkConditions()
-        self.cut = Counter()
+        self.severed_links = Counter()
         for process in self.processes.values():
             if process.core is None:
                 self.start(process)
@@ -309,6 +329,6 @@
         self.check()
 
 
-def held(process: Process) -> Version:
-    """What a gateway acts on."""
+def version_in_use(process: Process) -> Version:
+    """Returns the version that a gateway uses."""
     return process.core.version if isinstance(process.core, Subscriber) else NO_VERSION
