--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -181,8 +181,8 @@
             _before(DistributionWorld, "_send", sent),
             _before(PlanningWorld, "send", planned),
             _before(UsageWorld, "sent", lambda world, post: recorder.add(post.key, post.body)),
-            _before(HandoverWorld, "_do_old", handed_over),
-            _before(HandoverWorld, "_do_new", handed_over),
+            _before(HandoverWorld, "_perform_old", handed_over),
+            _before(HandoverWorld, "_perform_new", handed_over),
             _decisions(recorder),
             _ledgers(recorder),
         ):
@@ -241,9 +241,9 @@
     world = HandoverWorld(seed)
     if kind := seed % 5:
         who, what = ("old", "new")[kind % 2], ("killed", "silent")[kind // 2 % 2]
-        world.befall(random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02), who, what)
+        world.inject_fault(random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02), who, what)
     world.run()
-    return world.old_grants, world.new_grants, world.both, world.none, world.rng.getstate()
+    return world.old_serves, world.new_serves, world.both_serve_s, world.none_serves_s, world.rng.getstate()
 
 
 WORLDS: dict[str, Callable[[int], object]] = {
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -53,8 +53,8 @@
     for seed in range(200):
         world = World(seed)
         world.run()
-        assert (world.old_grants, world.new_grants, world.both) == (False, True, 0.0)
-        assert world.none < 0.05
+        assert (world.old_serves, world.new_serves, world.both_serve_s) == (False, True, 0.0)
+        assert world.none_serves_s < 0.05
 
 
 @pytest.mark.parametrize("what", ["killed", "silent"])
@@ -65,18 +65,18 @@
         world = World(seed)
         # Most of a handover takes a few ms, so half of the failures are drawn from these.
         at = random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02)
-        world.befall(at, who, what)
+        world.inject_fault(at, who, what)
         world.run()
         if who == "new" and what == "killed":
-            assert world.old_grants and world.both == 0.0, seed
+            assert world.old_serves and world.both_serve_s == 0.0, seed
         elif who == "old" and what == "killed":
-            assert world.new_grants, seed
+            assert world.new_serves, seed
         elif who == "new":  # it hangs: the old process serves again, unless it had already handed over
-            assert world.old_grants or world.successor.step in ("serving", "cold"), seed
-            assert world.both == 0.0, seed
+            assert world.old_serves or world.successor.step in ("serving", "cold"), seed
+            assert world.both_serve_s == 0.0, seed
         else:  # the old process hangs: it serves if it had not handed over, and the platform ends it
-            assert world.new_grants, seed
-        assert world.none < 3.0, seed
+            assert world.new_serves, seed
+        assert world.none_serves_s < 3.0, seed
 
 
 def test_planted_predecessor_that_never_resumes_is_detected() -> None:
@@ -89,9 +89,9 @@
     stuck = 0
     for seed in range(300):
         world = World(seed, predecessor=NeverResumes())
-        world.befall(random.Random(seed).uniform(0, 0.7), "new", "killed")
+        world.inject_fault(random.Random(seed).uniform(0, 0.7), "new", "killed")
         world.run()
-        stuck += not world.old_grants
+        stuck += not world.old_serves
     assert stuck
 
 
@@ -104,19 +104,19 @@
 
     def both_serve(successor: SuccessorSteps) -> float:
         world = World(1, successor=successor)
-        to_new = world._to_new  # the state is delayed until the old process no longer waits for TAKEN
+        to_new = world._send_to_new  # the state is delayed until the old process no longer waits for TAKEN
 
         def late(what: Event) -> None:
             if what is Event.STATE_RECEIVED:
-                world.later(1.5, lambda: world._new(what))
+                world.call_later(1.5, lambda: world._handle_new(what))
             else:
                 to_new(what)
 
-        world._to_new = late  # type: ignore[method-assign]
+        world._send_to_new = late  # type: ignore[method-assign]
         if isinstance(successor, IgnoresFailedWrite):
-            world._break = lambda other: setattr(world, "link", False)  # type: ignore[method-assign]
+            world._disconnect = lambda other: setattr(world, "link", False)  # type: ignore[method-assign]
         world.run()
-        return float(world.successor.step == "serving" and world.old_grants)
+        return float(world.successor.step == "serving" and world.old_serves)
 
     assert both_serve(IgnoresFailedWrite()) and not both_serve(SuccessorSteps())
 
--- a/trackspread/testing/virtual/handover/__init__.py
+++ b/trackspread/testing/virtual/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A handover between two processes in virtual time."""
+"""Simulates a handover between two processes in virtual time."""
