--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -244,14 +244,15 @@
     [
         (
             'servers = ["counter.example:6379"]',
-            "counter.servers[0]: found 'counter.example:6379', wanted an a",
+            "counter.servers[0]: must be an IP address and a port, such as 127.0.0.1:6379, because names are "
+            "not resolved, got 'counter.example:6379'",
         ),
-        ('servers = ["127.0.0.1:0"]', "counter.servers[0]: found port 0"),
-        ('servers = ["127.0.0.1:1", "127.0.0.1:1"]', "counter.servers: found one twice"),
-        ('ca = "x"', "counter.ca: found a file, wanted none or counter.tls = true"),
-        ('user = "x"', "counter.password: found nothing, wanted a file"),
-        ("partitions = 0", "counter.partitions: found 0"),
-        ('prefix = "a b"', "counter.prefix: found 'a b'"),
+        ('servers = ["127.0.0.1:0"]', "counter.servers[0]: must have a port from 1 to 65535, got port 0"),
+        ('servers = ["127.0.0.1:1", "127.0.0.1:1"]', "counter.servers: must not contain a value twice"),
+        ('ca = "x"', "counter.ca: must be empty if counter.tls is false, got a file"),
+        ('user = "x"', "counter.password: must be a file if counter.user is set, got nothing"),
+        ("partitions = 0", "counter.partitions: must be int >= 1, got 0"),
+        ('prefix = "a b"', "counter.prefix: must be str matching regex '^[A-Za-z0-9_.-]{1,32}$', got 'a b'"),
     ],
 )
 def test_invalid_counter_settings_are_reported_in_one_line(text: str, wanted: str) -> None:
@@ -315,7 +316,7 @@
     """Guards against a regular file that is removed because counter.status names its path."""
     path = tmp_path / "kept"
     path.write_text("of somebody")
-    with pytest.raises(ConfigError, match="no socket"):
+    with pytest.raises(ConfigError, match=r"counter.status: must be a socket or an unused path"):
         _remove_stale_socket(str(path))
     assert path.read_text() == "of somebody"
     _remove_stale_socket(str(tmp_path / "none"))
@@ -329,4 +330,4 @@
     assert main(["quota", "7", "--socket", str(tmp_path / "none")]) == 2
     assert main(["quota", "x y", "--socket", str(tmp_path / "none")]) == 2
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 2 and "counter.status" in lines[0] and "wanted 16 hexadecimal digits" in lines[1]
+    assert len(lines) == 2 and "counter.status" in lines[0] and "must be 16 hexadecimal digits" in lines[1]
--- a/tests/planning/test_planning_schedules.py
+++ b/tests/planning/test_planning_schedules.py
@@ -1,4 +1,4 @@
-"""Forwarders and planners under seeded schedules: rights that are out never pass the limit."""
+"""Tests forwarders and planners under seeded schedules: outstanding leases never exceed the limit."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_invariant_holds_at_every_step_of_a_seeded_schedule(seed: int) -> None:
+def test_limit_holds_at_every_step_of_a_schedule(seed: int) -> None:
     schedule = make(seed)
     world = play(schedule)
     assert world.violations == [], str(schedule)
@@ -22,37 +22,37 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_saturated_worlds_keep_the_account_and_serve_what_is_due(seed: int) -> None:
-    made = saturated.make(seed)
-    assert saturated.play(made).violations == [], str(made)
+def test_saturated_fleets_keep_the_limit_and_serve_their_share(seed: int) -> None:
+    schedule = saturated.make(seed)
+    assert saturated.play(schedule).violations == [], str(schedule)
 
 
-def test_saturated_worlds_bind_ceilings_and_quotas_and_both_take_turns() -> None:
+def test_saturated_schedules_cover_hard_limits_quotas_and_turns() -> None:
     plans = [saturated.make(seed).schedule.settings for seed in range(60)]
     assert {plan.hard_limit_factor < 1.0 for plan in plans} == {True, False}
     assert all(plan.load >= 1.4 * min(1.0, plan.hard_limit_factor) for plan in plans)
     assert any(
-        cap.limit.burst_units * cap.planned_part < plan.used_forwarders
+        limit.limit.burst_units * limit.planned_part < plan.used_forwarders
         for plan in plans
-        for cap in plan.limits(0)
+        for limit in plan.limits(0)
     )
 
 
-def test_schedules_bring_every_fault_and_the_full_size() -> None:
-    made = [make(seed) for seed in range(LARGE_INTERVAL)]
-    assert {name for each in made for _, name in each.faults} == set(FAULTS)
+def test_schedules_cover_every_fault_and_the_full_size() -> None:
+    schedules = [make(seed) for seed in range(LARGE_INTERVAL)]
+    assert {name for each in schedules for _, name in each.faults} == set(FAULTS)
     assert (
-        max(each.settings.forwarders for each in made) == 40
-        and max(each.settings.planners for each in made) == 5
+        max(each.settings.forwarders for each in schedules) == 40
+        and max(each.settings.planners for each in schedules) == 5
     )
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_the_invariant_convicts_every_mutant(name: str) -> None:
+def test_invariant_detects_every_mutant(name: str) -> None:
     assert first_detecting_seed(name, iter(range(30))) is not None
 
 
-def test_a_calm_fleet_sends_on_nearly_all_that_the_limit_allows() -> None:
+def test_fleet_without_faults_forwards_nearly_the_full_limit() -> None:
     world = World(WorldSettings(1, load=0.8))
     world.run(5 * SECOND)
     before = [(c.requested, c.forwarded) for c in world.counts]
@@ -61,6 +61,6 @@
         assert (count.forwarded - sent) / (count.requested - asked) > 0.9
 
 
-def test_the_same_seed_gives_the_same_world() -> None:
+def test_same_seed_gives_the_same_run() -> None:
     first, second = (play(make(SEEDS[2])) for _ in range(2))
     assert [c.by_second for c in first.counts] == [c.by_second for c in second.counts]
