--- a/benchmarks/scale/virtual_cells.py
+++ b/benchmarks/scale/virtual_cells.py
@@ -18,7 +18,7 @@
 from trackspread.cells.actions import MemberAction
 from trackspread.membership.actions import StatusEvent
 from trackspread.membership.identifiers import SECOND
-from trackspread.testing.virtual.cells.world import CelledWorld, Process
+from trackspread.testing.virtual.cells.world import CellsWorld, Process
 
 from .bounds import Guard
 
@@ -63,7 +63,7 @@
 
     def __init__(self, job: Job) -> None:
         self.job = job
-        self.world = CelledWorld(job.seed, regions=REGIONS, machines=MACHINES, zones=ZONES_EACH)
+        self.world = CellsWorld(job.seed, regions=REGIONS, machines=MACHINES, zones=ZONES_EACH)
         self.world.populate(job.gateways // (REGIONS * ZONES_EACH))
         self._before: dict[str, tuple[int, int]] = {}
         self._second = 0
@@ -76,7 +76,7 @@
             self.world.start(process)
 
     def settled(self) -> bool:
-        return not self.world.settled()
+        return not self.world.unsettled_reason()
 
     def run(self, span: float, until: Callable[[], bool] = lambda: False) -> float | None:
         """Returns the seconds of virtual time until `until` holds, or None if it does not within `span` s."""
@@ -92,7 +92,7 @@
 
     def _judge(self) -> None:
         """Records verdicts by own probes on running members that were in reach since the suspicion."""
-        for _, reporter, what in self.world.told:
+        for _, reporter, what in self.world.events:
             told = what.action if isinstance(what, MemberAction) else None
             if not isinstance(told, StatusEvent) or told.kind != "member" or told.details["by"] != reporter:
                 continue
@@ -104,7 +104,7 @@
             cut_off = self._suspects.pop(key, False) or self._is_cut_off(reporter, about["who"])
             if about["state"] == "DEAD" and not cut_off and self._is_running(about["who"]):
                 self.false_dead.add(key)
-        self.world.told.clear()
+        self.world.events.clear()
 
     def _is_cut_off(self, reporter: str, who: object) -> bool:
         processes = self.world.processes
@@ -118,7 +118,7 @@
         if self.world.elapsed_ns < self._second + SECOND:
             return
         self._second = self.world.elapsed_ns
-        sent, came = self.world.sent, self.world.came
+        sent, came = self.world.bytes_sent, self.world.bytes_received
         for name in self.world.processes:
             now, before = (sent[name], came[name]), self._before.get(name, (0, 0))
             self._before[name] = now
@@ -164,7 +164,7 @@
     world = recorded.world
     if recorded.job.fault == "zone":
         zone = world.zones[-1]
-        struck: list[Process] = world.among("g", zone) + world.among("c", zone)
+        struck: list[Process] = world.processes_of("g", zone) + world.processes_of("c", zone)
         for process in struck:
             world.kill(process)
         return sum(process.name.startswith("g") for process in struck)
@@ -172,7 +172,7 @@
     world.cut_off(region, {zone.region for zone in world.zones} - {region})
     recorded.run(recorded.job.cut)
     world.heal_regions()
-    return len(world.among("g", region=region))
+    return len(world.processes_of("g", region=region))
 
 
 async def play_in_process(job: Job, guard: Guard) -> Played:
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -36,7 +36,7 @@
 from trackspread.testing.virtual import reservations, quota_accuracy, slow_start, schedules, large_fleets
 from trackspread.testing.virtual.cells import schedules as cells_schedules
 from trackspread.testing.virtual.cells import worlds as cells_worlds
-from trackspread.testing.virtual.cells.world import CelledWorld
+from trackspread.testing.virtual.cells.world import CellsWorld
 from trackspread.testing.virtual.clock import Clock
 from trackspread.testing.virtual.counter import schedules as counter_schedules
 from trackspread.testing.virtual.distribution import schedules as distribution_schedules
@@ -176,13 +176,13 @@
             _before(Shard, "execute", lambda shard, *words: recorder.add(*words)),
             _before(MembershipWorld, "_send", sent),
             _before(MembershipWorld, "_swap", swapped),
-            _before(CelledWorld, "_send", sent),
-            _before(CelledWorld, "_swap", swapped),
+            _before(CellsWorld, "_send", sent),
+            _before(CellsWorld, "_swap", swapped),
             _before(DistributionWorld, "_send", sent),
             _before(PlanningWorld, "send", planned),
-            _before(UsageWorld, "sent", lambda world, post: recorder.add(post.key, post.body)),
-            _before(HandoverWorld, "_do_old", handed_over),
-            _before(HandoverWorld, "_do_new", handed_over),
+            _before(UsageWorld, "record_sent", lambda world, post: recorder.add(post.key, post.body)),
+            _before(HandoverWorld, "_perform_old", handed_over),
+            _before(HandoverWorld, "_perform_new", handed_over),
             _decisions(recorder),
             _ledgers(recorder),
         ):
@@ -200,12 +200,12 @@
 
 def _membership(seed: int) -> object:
     world, took_ns = membership_schedules.play(membership_schedules.make(seed))
-    return took_ns, world.rights(), world.rng.getstate()
+    return took_ns, world.used_slots(), world.rng.getstate()
 
 
 def _cells(seed: int) -> object:
     world, took_ns = cells_schedules.play(seed)
-    return took_ns, dict(world.sent), dict(world.came), world.rng.getstate()
+    return took_ns, dict(world.bytes_sent), dict(world.bytes_received), world.rng.getstate()
 
 
 def _distribution(play: Callable[[int], Any], seed: int) -> object:
@@ -215,19 +215,19 @@
 
 def _counter(seed: int) -> object:
     world = counter_schedules.play(counter_schedules.make(seed))
-    return list(world.counts.values()), world.broken, world.calls, world.requests, world.rng.getstate()
+    return list(world.counts.values()), world.violations, world.calls, world.requests, world.rng.getstate()
 
 
 def _planning(seed: int) -> object:
     world = planning_schedules.play(planning_schedules.make(seed))
-    counts = [(count.asked, count.sent, count.beyond, count.inside) for count in world.counts]
-    return counts, world.broken, world.sent_by, world.rng.getstate()
+    counts = [(count.requested, count.forwarded, count.beyond, count.admissible) for count in world.counts]
+    return counts, world.violations, world.forwarded_by, world.rng.getstate()
 
 
 def _saturated(seed: int) -> object:
     world = saturated.play(saturated.make(seed))
-    counts = [(count.asked, count.sent, count.beyond, count.inside) for count in world.counts]
-    return counts, len(world.broken), world.sent_by, world.rng.getstate()
+    counts = [(count.requested, count.forwarded, count.beyond, count.admissible) for count in world.counts]
+    return counts, len(world.violations), world.forwarded_by, world.rng.getstate()
 
 
 def _usage(seed: int) -> object:
@@ -241,9 +241,9 @@
     world = HandoverWorld(seed)
     if kind := seed % 5:
         who, what = ("old", "new")[kind % 2], ("killed", "silent")[kind // 2 % 2]
-        world.befall(random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02), who, what)
+        world.inject_fault(random.Random(seed).uniform(0.0, 1.0 if seed % 2 else 0.02), who, what)
     world.run()
-    return world.old_grants, world.new_grants, world.both, world.none, world.rng.getstate()
+    return world.old_serves, world.new_serves, world.both_serve_s, world.none_serves_s, world.rng.getstate()
 
 
 WORLDS: dict[str, Callable[[int], object]] = {
@@ -254,9 +254,9 @@
     "membership": _membership,
     "cells": _cells,
     "counter": _counter,
-    "counter, calm": counter_schedules.calm_world,
-    "counter, deaf": counter_schedules.deaf_world,
-    "counter, tight": counter_schedules.tight_world,
+    "counter, calm": counter_schedules.play_without_faults,
+    "counter, deaf": counter_schedules.play_without_counter,
+    "counter, tight": counter_schedules.play_moved_traffic,
     "planning": _planning,
     "planning, saturated": _saturated,
     "usage": _usage,
@@ -266,7 +266,7 @@
         for scenario in quota_accuracy.SCENARIOS
         for trouble in quota_accuracy.FAULTS
     },
-    **{f"vast, {shape}": partial(large_fleets.play, shape) for shape in large_fleets.SHAPES},
+    **{f"vast, {shape}": partial(large_fleets.play, shape) for shape in large_fleets.FAULTS},
     **{f"cells, {play.__name__}": play for play in cells_worlds.WORLDS[1:]},
     **{
         f"distribution, {play.__name__}": partial(_distribution, play)
--- a/tests/distribution/test_distribution_process.py
+++ b/tests/distribution/test_distribution_process.py
@@ -225,13 +225,13 @@
     "minority_commits": (lose_majority, 20),
     "old_epochs_accepted": (elect_second_leader, 20),
     "one_promise_is_enough": (elect_stale_follower, 8192),
-    "lost_leader_goes_on": (isolate_leader_minority, 20),
-    "not_asked_first": (elect_stale_follower, 8192),
+    "accepted_counts_as_committed": (isolate_leader_minority, 20),
+    "other_logs_not_requested": (elect_stale_follower, 8192),
     "tail_out_of_order": (elect_stale_follower, 8192),
-    "history_in_place": (lose_majority, 20),
-    "skips_what_does_not_fit": (isolate_gateways, 8192),
-    "never_elsewhere": (isolate_followers, 20),
-    "always_fresh": (isolate_followers, 20),
+    "history_number_reused": (lose_majority, 20),
+    "truncated_delta_names_newest": (isolate_gateways, 8192),
+    "never_changes_replica": (isolate_followers, 20),
+    "replica_always_current": (isolate_followers, 20),
 }
 MAX_RUNS = 3  # a mutant whose fault depends on the order of two messages is not detected by each run
 
--- a/tests/distribution/test_distribution_worlds.py
+++ b/tests/distribution/test_distribution_worlds.py
@@ -7,8 +7,8 @@
 import pytest
 
 from trackspread.decide.time_units import MILLISECOND, SECOND
-from trackspread.testing.virtual.distribution.mutants import MUTANTS, convict
-from trackspread.testing.virtual.distribution.schedules import LONG, SHORT, changes, leader_dies
+from trackspread.testing.virtual.distribution.mutants import MUTANTS, first_detection
+from trackspread.testing.virtual.distribution.schedules import LONG, SHORT, leader_dies, schedule_changes
 from trackspread.testing.virtual.distribution.world import World
 
 SEEDS = range(60)
@@ -29,12 +29,12 @@
 
 def test_schedule_replays_by_its_seed() -> None:
     one, two = leader_dies(3), leader_dies(3)
-    assert one.judged.committed == two.judged.committed and one.sent == two.sent
+    assert one.checker.committed == two.checker.committed and one.sent == two.sent
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_every_mutant_is_detected(name: str) -> None:
-    assert convict(name, SEEDS) is not None
+    assert first_detection(name, SEEDS) is not None
 
 
 @pytest.mark.parametrize("has_changes", [False, True])
@@ -42,10 +42,10 @@
     mean_bytes_per_s = []
     for gateways in (20, 80):
         world = World(1, replicas=5, gateways=gateways, services=20)
-        world.begin()
+        world.start_all()
         world.bytes.clear()
         if has_changes:
-            changes(world, 30 * SECOND, 250 * MILLISECOND)
+            schedule_changes(world, 30 * SECOND, 250 * MILLISECOND)
         world.run(30 * SECOND)
         mean_bytes_per_s.append(sum(world.bytes[each.name] for each in world.gateways) / gateways / 30)
     assert mean_bytes_per_s[1] < 1.1 * mean_bytes_per_s[0] and mean_bytes_per_s[1] < 600, mean_bytes_per_s
@@ -55,9 +55,9 @@
     sent = []
     for gateways in (25, 50, 100):
         world = World(2, replicas=5, gateways=gateways)
-        world.begin()
+        world.start_all()
         world.sent.clear()
-        changes(world, 20 * SECOND, 500 * MILLISECOND)
+        schedule_changes(world, 20 * SECOND, 500 * MILLISECOND)
         world.run(20 * SECOND)
         sent.append(sum(world.sent.values()))
     assert sent[2] - sent[1] < 2.2 * (sent[1] - sent[0]), sent
--- a/tests/planning/test_small_planning.py
+++ b/tests/planning/test_small_planning.py
@@ -14,10 +14,10 @@
 
 STATES = 2500  # in CI; benchmarks.convict explores more
 SHORTEST = {  # by mutant, the start and the longest trace
-    "others-forgotten": (elected, 1),
-    "no-learning": (elected, 5),
-    "out-too-short": (elected, 5),
-    "minority": (SmallWorld, 6),
+    "entire-limit-for-each": (elected, 1),
+    "no-waiting-time": (elected, 5),
+    "outstanding-time-too-short": (elected, 5),
+    "minority-elects": (SmallWorld, 6),
 }
 
 
--- a/tests/testing/test_fault_schedules.py
+++ b/tests/testing/test_fault_schedules.py
@@ -13,11 +13,11 @@
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.virtual.clock import START, Clock
 from trackspread.testing.virtual.fleet import VirtualFleet
-from trackspread.testing.virtual.mutants import MUTANTS, convict
+from trackspread.testing.virtual.mutants import MUTANTS, first_detecting_seed
 from trackspread.testing.virtual.schedules import CALM, FAULTS, make, play
 
 SEEDS = range(100, 148)
-FIRST_SEEDS = {"cold-flooded": 51, "window-forgotten": 4}  # first seeds whose schedules expose the fault
+FIRST_SEEDS = {"warming-flooded": 51, "window-ignored": 4}  # first seeds whose schedules expose the fault
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -41,13 +41,13 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_every_mutant_breaks_its_rule(name: str) -> None:
-    assert convict(name, iter(range(FIRST_SEEDS.get(name, 0), 100))) is not None
+    assert first_detecting_seed(name, iter(range(FIRST_SEEDS.get(name, 0), 100))) is not None
 
 
 def test_planted_mutant_is_removed_afterwards() -> None:
     before = play(make(2))[0]
     assert before.state == "kept"
-    assert convict("effects-forgotten", count(2)) == 2
+    assert first_detecting_seed("execution-forgotten", count(2)) == 2
     assert play(make(2))[0] == before
 
 
--- a/tests/testing/test_large_fleets.py
+++ b/tests/testing/test_large_fleets.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from trackspread.testing.virtual.large_fleets import SHAPES, play
+from trackspread.testing.virtual.large_fleets import FAULTS, play
 
 
 # Without the margin for randomness, a quota owner's first hard limit and its last message, the served shares
@@ -12,7 +12,7 @@
 SERVED = {"release": 0.5, "zone": 0.75, "join": 0.9}
 
 
-@pytest.mark.parametrize("name", SHAPES)
+@pytest.mark.parametrize("name", FAULTS)
 def test_large_fleet_keeps_rules_and_serves_most_requests(name: str) -> None:
     run = play(name, 1)
     assert run.violations == 0
--- a/trackspread/testing/harness/mutant_gateway.py
+++ b/trackspread/testing/harness/mutant_gateway.py
@@ -98,19 +98,19 @@
     # The connection pool's own grace time stops what the decisions send to a draining backend.
     "drains-ignored",
     # The scenarios lack the clients or the warming node that these need.
-    "whole-ceiling-each",
-    "cold-flooded",
-    "window-forgotten",
+    "hard-ceiling-each",
+    "warming-flooded",
+    "window-ignored",
     # No scenario has connections that are established so late.
     "window-outlasted",
     # No scenario on processes plays this one yet.
-    "used-units-back",
+    "used-units-refunded",
     # These are faults of the virtual host.
-    "answers-lost",
-    "answers-twice",
-    "answers-late",
-    "answers-swapped",
-    "sent-after-answer",
+    "replies-lost",
+    "replies-duplicated",
+    "replies-late",
+    "replies-swapped",
+    "forwarded-after-reply",
 }
 PROCESSES = tuple(name for name in (*MUTANTS, *ON_SOCKETS) if name not in VIRTUAL_ONLY)
 
--- a/trackspread/testing/virtual/cells/mutants.py
+++ b/trackspread/testing/virtual/cells/mutants.py
@@ -1,4 +1,4 @@
-"""Membership in levels with one fault each, for the worlds to convict. Each breaks one rule of `cells/`."""
+"""Defines mutants of two-level membership, which the worlds must detect. Each breaks one rule of `cells/`."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 from .worlds import WORLDS
 
 
-def _any_word() -> list[Any]:
-    """A gateway goes by whatever came last, whichever process of its name that was for."""
+def _every_notice_followed() -> list[Any]:
+    """Follows the last received placement notice, even an older one or one for another process."""
     real = Gateway.receive_cells_message
 
-    def message(self: Gateway, now: int, word: CellsMessage, source: Address) -> list[CellsAction]:
-        if isinstance(word.body, PlacementNotice):
-            word = structs.replace(word, body=PlacementNotice(self.member_id, word.body.placement))
-        return real(self, now, word, source)
+    def receive(self: Gateway, now: int, message: CellsMessage, source: Address) -> list[CellsAction]:
+        if isinstance(message.body, PlacementNotice):
+            notice = PlacementNotice(self.member_id, message.body.placement)
+            message = structs.replace(message, body=notice)
+        return real(self, now, message, source)
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
         if self.placement is None:
@@ -44,11 +45,11 @@
             self._leave_cell(now)
             self._join_cell(now, placement)
 
-    return [patch.object(Gateway, "_follow", mutant), patch.object(Gateway, "receive_cells_message", message)]
+    return [patch.object(Gateway, "_follow", mutant), patch.object(Gateway, "receive_cells_message", receive)]
 
 
-def _first_word() -> list[Any]:
-    """A gateway never moves."""
+def _never_moves() -> list[Any]:
+    """Keeps a gateway in its first cell, whatever its later placements."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
         if self.placement is None:
@@ -57,8 +58,8 @@
     return [patch.object(Gateway, "_follow", mutant)]
 
 
-def _kept_slots() -> list[Any]:
-    """Who moves does not give its slots back, and acts on them until they end."""
+def _slots_kept() -> list[Any]:
+    """Leaves a cell without a release of the slots, which the gateway uses until their lease expires."""
 
     def mutant(self: Gateway, now: int) -> None:
         if self.member is not None and self.placement is not None:
@@ -69,8 +70,8 @@
     return [patch.object(Gateway, "_leave_cell", mutant)]
 
 
-def _joins_first() -> list[Any]:
-    """Who moves joins the other cell before it leaves the one it is in."""
+def _joins_before_leaving() -> list[Any]:
+    """Joins the new cell before the gateway leaves its present one."""
 
     def mutant(self: Gateway, now: int, placement: Placement) -> None:
         before, member = self.placement, self.member
@@ -85,8 +86,8 @@
     return [patch.object(Gateway, "_follow", mutant)]
 
 
-def _gives_up_its_cell() -> list[Any]:
-    """A gateway leaves its cell when no control machine answers."""
+def _leaves_without_control() -> list[Any]:
+    """Leaves the cell when no control machine answers."""
     real = Gateway._request_placement
 
     def mutant(self: Gateway, now: int) -> None:
@@ -98,17 +99,18 @@
     return [patch.object(Gateway, "_request_placement", mutant)]
 
 
-def _asks_without_pause() -> list[Any]:
+def _requests_without_backoff() -> list[Any]:
+    """Repeats unanswered placement requests at the shortest interval."""
     return [patch.object(gateway, "MAX_BACKOFF_NS", gateway.MIN_BACKOFF_NS)]
 
 
-def _asks_together() -> list[Any]:
-    """Whoever was answered asks again at once."""
+def _refreshes_at_once() -> list[Any]:
+    """Refreshes a placement at the shortest interval after each answer."""
     return [patch.object(gateway, "REFRESH_INTERVAL_NS", gateway.MIN_BACKOFF_NS)]
 
 
-def _leads_on() -> list[Any]:
-    """Who once led goes on, though its time is over."""
+def _leads_after_lease() -> list[Any]:
+    """Continues to lead after the leader's lease has expired."""
     real = Controller._lead
 
     def lead(self: Controller, now: int) -> None:
@@ -121,8 +123,8 @@
     ]
 
 
-def _entry_goes_back() -> list[Any]:
-    """A control machine takes any entry, also an older one."""
+def _older_entry_accepted() -> list[Any]:
+    """Accepts any entry for a cell, even an older one, at a control machine."""
     real = Controller._seed
 
     def mutant(self: Controller, now: int, cell: Cell) -> None:
@@ -134,8 +136,8 @@
     return [patch.object(Controller, "_seed", mutant)]
 
 
-def _brought_back() -> list[Any]:
-    """A cell that was given up is seeded again when a late word says so."""
+def _retired_cell_seeded() -> list[Any]:
+    """Seeds a retired cell again when a late message names it."""
     real = Controller._seed
 
     def mutant(self: Controller, now: int, cell: Cell) -> None:
@@ -145,8 +147,8 @@
     return [patch.object(Controller, "_seed", mutant)]
 
 
-def _not_reported() -> list[Any]:
-    """A new leader hears nothing of the cells that there are."""
+def _cells_not_reported() -> list[Any]:
+    """Sends a new leader no reports of the existing cells."""
     real = SeededCell.due_reports
 
     def mutant(
@@ -157,13 +159,13 @@
     return [patch.object(SeededCell, "due_reports", mutant)]
 
 
-def _restart_unseen() -> list[Any]:
-    """A control machine that starts anew is not told what it seeds."""
+def _restart_ignored() -> list[Any]:
+    """Does not notify a restarted control machine of the cells that it seeds."""
     return [patch.object(DirectoryLeader, "_forget_reported", lambda self, address: None)]
 
 
-def _given_up_full() -> list[Any]:
-    """A closing cell is given up though it has gateways."""
+def _retired_with_gateways() -> list[Any]:
+    """Retires a closing cell that still has gateways."""
     real = Directory._rebalance
 
     def mutant(self: Directory, now: int, zone: Zone) -> Any:
@@ -175,7 +177,7 @@
 
 
 def _zones_mixed() -> list[Any]:
-    """A gateway is sent to the fullest cell of any zone."""
+    """Places a gateway in the fullest cell of any zone."""
 
     def mutant(self: Directory, zone: Zone) -> list[CellEntry]:
         return [e for e in self.entries.values() if not e.cell.closing]
@@ -184,6 +186,7 @@
 
 
 def _never_split() -> list[Any]:
+    """Never splits a cell that has too many gateways."""
     real = Directory._start_change
 
     def mutant(self: Directory, now: int, zone: Zone) -> None:
@@ -194,11 +197,12 @@
 
 
 def _never_merged() -> list[Any]:
+    """Never closes a cell, however few gateways it has."""
     return [patch.object(Directory, "_is_redundant", lambda self, now, entry, entries: False)]
 
 
-def _empty_given_up_soon() -> list[Any]:
-    """A cell whose gateways are out of reach for some seconds is given up."""
+def _empty_cell_retired_early() -> list[Any]:
+    """Closes a cell whose gateways have been unreachable for some seconds."""
     real = Directory._is_redundant
 
     def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
@@ -209,8 +213,8 @@
     return [patch.object(Directory, "_is_redundant", mutant)]
 
 
-def _merges_without_pause() -> list[Any]:
-    """A cell that has just been opened or left is merged, however full the other."""
+def _merges_without_delay() -> list[Any]:
+    """Merges a cell that has changed just before, however full the other cell is."""
 
     def mutant(self: Directory, now: int, entry: CellEntry, entries: list[CellEntry]) -> bool:
         return entry.count() <= self.policy.max_gateways
@@ -218,13 +222,13 @@
     return [patch.object(Directory, "_is_redundant", mutant)]
 
 
-def _seeds_for_ever() -> list[Any]:
-    """A control machine that is gone stays a seed."""
+def _lost_seed_kept() -> list[Any]:
+    """Keeps a lost control machine as a seed."""
     return [patch.object(Directory, "_needs_new_seed", lambda self, now, entry: False)]
 
 
-def _cut_off_is_gone() -> list[Any]:
-    """Any seed out of reach for a moment has its cells closed, also with its whole region."""
+def _unreachable_seed_replaced() -> list[Any]:
+    """Closes the cells of a seed that has been unreachable for two seconds, even with its entire region."""
 
     def mutant(self: Directory, now: int, entry: CellEntry) -> bool:
         return any(now - self._lost_since_ns.get(seed, now) >= 2 * SECOND for seed in entry.cell.seeds)
@@ -233,7 +237,7 @@
 
 
 def _former_cell_forgotten() -> list[Any]:
-    """Who starts anew is sent anywhere."""
+    """Places a restarted gateway without regard to its former cell."""
     real = Directory.place
 
     def mutant(self: Directory, now: int, who: MemberId, locate: PlacementRequest) -> Placement | None:
@@ -244,8 +248,8 @@
     return [patch.object(Directory, "place", mutant)]
 
 
-def _opens_unasked() -> list[Any]:
-    """A new leader opens cells before it has heard of those that there are."""
+def _opens_before_rebuilding() -> list[Any]:
+    """Opens cells as a new leader before the existing ones were reported."""
     return [
         patch.object(Directory, "is_rebuilding", lambda self, now: False),
         *_former_cell_forgotten(),
@@ -254,12 +258,12 @@
 
 
 def _no_local_placement() -> list[Any]:
-    """Newcomers wait for the leader, however long it is out of reach."""
+    """Places no new gateway while the leader is unreachable."""
     return [patch.object(Controller, "_place_without_leader", lambda self, now, who, locate: None)]
 
 
-def _witness_granted() -> list[Any]:
-    """Seeds are granted slots, which nobody acts on."""
+def _seeds_granted_slots() -> list[Any]:
+    """Grants slots to seeds, which do not use them."""
     real = LeaseRenewal.next_request
 
     def due(self: LeaseRenewal, now: int, epoch: Epoch, number: Any) -> LeaseRequest | None:
@@ -270,46 +274,46 @@
 
 
 MUTANTS: dict[str, Callable[[], list[Any]]] = {
-    "cells-any-word": _any_word,
-    "cells-first-word": _first_word,
-    "cells-kept-slots": _kept_slots,
-    "cells-joins-first": _joins_first,
-    "cells-gives-up": _gives_up_its_cell,
-    "cells-asks-without-pause": _asks_without_pause,
-    "cells-asks-together": _asks_together,
-    "cells-leads-on": _leads_on,
-    "cells-entry-goes-back": _entry_goes_back,
-    "cells-brought-back": _brought_back,
-    "cells-not-reported": _not_reported,
-    "cells-restart-unseen": _restart_unseen,
-    "cells-given-up-full": _given_up_full,
+    "cells-every-notice-followed": _every_notice_followed,
+    "cells-never-moves": _never_moves,
+    "cells-slots-kept": _slots_kept,
+    "cells-joins-before-leaving": _joins_before_leaving,
+    "cells-leaves-without-control": _leaves_without_control,
+    "cells-requests-without-backoff": _requests_without_backoff,
+    "cells-refreshes-at-once": _refreshes_at_once,
+    "cells-leads-after-lease": _leads_after_lease,
+    "cells-older-entry-accepted": _older_entry_accepted,
+    "cells-retired-cell-seeded": _retired_cell_seeded,
+    "cells-not-reported": _cells_not_reported,
+    "cells-restart-ignored": _restart_ignored,
+    "cells-retired-with-gateways": _retired_with_gateways,
     "cells-zones-mixed": _zones_mixed,
     "cells-never-split": _never_split,
     "cells-never-merged": _never_merged,
-    "cells-empty-given-up": _empty_given_up_soon,
-    "cells-merges-without-pause": _merges_without_pause,
-    "cells-seeds-for-ever": _seeds_for_ever,
-    "cells-cut-off-is-gone": _cut_off_is_gone,
-    "cells-former-forgotten": _former_cell_forgotten,
-    "cells-opens-unasked": _opens_unasked,
+    "cells-empty-cell-retired-early": _empty_cell_retired_early,
+    "cells-merges-without-delay": _merges_without_delay,
+    "cells-lost-seed-kept": _lost_seed_kept,
+    "cells-unreachable-seed-replaced": _unreachable_seed_replaced,
+    "cells-former-cell-forgotten": _former_cell_forgotten,
+    "cells-opens-before-rebuilding": _opens_before_rebuilding,
     "cells-no-local-placement": _no_local_placement,
-    "cells-witness-granted": _witness_granted,
+    "cells-seeds-granted-slots": _seeds_granted_slots,
 }
 
 
-def tells(world: str, seed: int, name: str) -> bool:
-    """Whether this world convicts the mutant."""
-    played = next(each for each in WORLDS if each.__name__ == world)
+def is_detected(world: str, seed: int, name: str) -> bool:
+    """Returns whether the world of this name and seed detects the mutant."""
+    play = next(each for each in WORLDS if each.__name__ == world)
     with applied(MUTANTS[name]()):
         try:
-            played(seed)
+            play(seed)
         except InvariantViolated:
             return True
     return False
 
 
-def convict(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
-    """The first world, by its name, and seed that tell the mutant; None if none does."""
+def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
+    """Returns the name and seed of the first world that detects the mutant, or None if none does."""
     seeds = list(seeds)
     with applied(MUTANTS[name]()):
         for world in (*WORLDS[1:], WORLDS[0]):
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -1,6 +1,6 @@
-"""Handing configuration down with one fault each, for the worlds to convict.
+"""Defines mutants of the distribution of configuration, which the worlds must detect.
 
-Each breaks one rule of `distribution/` by a patch that is taken back.
+Each breaks one rule of `distribution/` by patches that are reverted.
 """
 
 from __future__ import annotations
@@ -26,37 +26,38 @@
 
 
 def _minority_commits() -> list[Any]:
+    """Counts half of the replicas as a majority."""
     return [patch.object(ReplicaSettings, "majority", property(lambda self: len(self.replicas) // 2))]
 
 
-def _empty_counts() -> list[Any]:
-    """A replica that starts anew counts for a majority from the first moment on."""
+def _restarted_replica_counts() -> list[Any]:
+    """Counts a restarted replica toward a majority before it has caught up."""
     real = Replica.__init__
 
-    def mutant(self: Replica, *words: Any) -> None:
-        real(self, *words)
-        self.is_complete = (
-            self.settings.incarnation > 1_790_000_000_000
-        )  # those of the world's beginning are in order
+    def mutant(self: Replica, *arguments: Any) -> None:
+        real(self, *arguments)
+        # The replicas that start with the world have this incarnation, and are handled correctly.
+        self.is_complete = self.settings.incarnation > 1_790_000_000_000
 
     return [patch.object(Replica, "__init__", mutant)]
 
 
 def _caught_up_too_early() -> list[Any]:
-    """Whole once it has any state of a leader, whatever that had beside."""
+    """Counts a replica as complete once it has any state of a leader, even if the leader has more."""
     real = Replica._after_pull
 
-    def mutant(self: Replica, now: int, made: list[Action]) -> list[Action]:
-        out = real(self, now, made)
+    def mutant(self: Replica, now: int, actions: list[Action]) -> list[Action]:
+        actions = real(self, now, actions)
         self.is_complete = self.is_complete or (
             self._catch_up_goal is not None and self._snapshot_pull is None
         )
-        return out
+        return actions
 
     return [patch.object(Replica, "_after_pull", mutant)]
 
 
 def _old_epochs_accepted() -> list[Any]:
+    """Follows the leader of an older epoch than the promised one."""
     real = Replica._follow
 
     def mutant(self: Replica, replica: int, epoch: Epoch) -> bool:
@@ -68,8 +69,8 @@
     return [patch.object(Replica, "_follow", mutant)]
 
 
-def _any_previous() -> list[Any]:
-    """Entries are taken behind whatever is last here."""
+def _previous_version_ignored() -> list[Any]:
+    """Appends entries to the log whatever its last version is."""
     real = Log.accept
 
     def mutant(self: Log, previous: Version, entries: Iterable[Entry]) -> bool:
@@ -86,8 +87,8 @@
     return [patch.object(Log, "accept", mutant)]
 
 
-def _not_asked_first() -> list[Any]:
-    """A new leader numbers at once, by the log that it has."""
+def _other_logs_not_requested() -> list[Any]:
+    """Starts to number changes as a new leader with its own log, without requests for the others' logs."""
 
     def mutant(self: Leader, now: int) -> list[Action]:
         return self._establish(now)
@@ -95,32 +96,33 @@
     return [patch.object(Leader, "_choose_log", mutant)]
 
 
-def _adopting_forgets() -> list[Any]:
-    """What is pending is dropped before another log is taken over, as was once planned."""
+def _pending_dropped_on_adoption() -> list[Any]:
+    """Drops pending entries before another replica's log is adopted."""
     real = Leader._choose_log
 
     def mutant(self: Leader, now: int) -> list[Action]:
-        made = real(self, now)
+        actions = real(self, now)
         if self.adopted_replica is not None and self.is_complete:
             self.log.pending.clear()
             self.log.last = self.log.committed
-        return made
+        return actions
 
     return [patch.object(Leader, "_choose_log", mutant)]
 
 
-def _lost_leader_goes_on() -> list[Any]:
-    """A replica takes changes for committed that it has merely accepted."""
+def _accepted_counts_as_committed() -> list[Any]:
+    """Counts changes as committed that a replica has merely accepted."""
     real = Replica._on_append
 
-    def mutant(self: Replica, now: int, replica: int, told: Append, source: Address) -> list[Action]:
-        ahead = Append(told.epoch, told.previous, told.entries, told.last, told.last, told.age_ms)
+    def mutant(self: Replica, now: int, replica: int, append: Append, source: Address) -> list[Action]:
+        ahead = Append(append.epoch, append.previous, append.entries, append.last, append.last, append.age_ms)
         return real(self, now, replica, ahead, source)
 
     return [patch.object(Replica, "_on_append", mutant)]
 
 
 def _one_promise_is_enough() -> list[Any]:
+    """Counts the promise of one complete replica as a majority."""
     real = Leader._count_complete
 
     def mutant(self: Leader, answers: dict[int, Any]) -> int:
@@ -129,8 +131,8 @@
     return [patch.object(Leader, "_count_complete", mutant)]
 
 
-def _history_in_place() -> list[Any]:
-    """An operator's new history goes on under the former one's number."""
+def _history_number_reused() -> list[Any]:
+    """Continues under the former history's number after an operator has started a new history."""
     real = Leader._establish
 
     def mutant(self: Leader, now: int) -> list[Action]:
@@ -141,8 +143,8 @@
     return [patch.object(Leader, "_establish", mutant)]
 
 
-def _goes_back() -> list[Any]:
-    """A gateway takes what a replica has that is behind."""
+def _older_version_accepted() -> list[Any]:
+    """Replaces a gateway's version with the older one of a replica that is behind."""
     real = PollServer.answer
 
     def mutant(self: PollServer, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
@@ -150,17 +152,17 @@
             return [Delta(poll.number, self._log.committed, 0, (), False)]
         return real(self, now, poll, heard_at, bounded)
 
-    def delta(self: Subscriber, now: int, told: Delta, asked_at: int) -> list[Action]:
-        if self._staged is None and told.version < self.version:
-            self.version = told.version
-        return real_delta(self, now, told, asked_at)
+    def delta(self: Subscriber, now: int, received: Delta, asked_at: int) -> list[Action]:
+        if self._staged is None and received.version < self.version:
+            self.version = received.version
+        return real_delta(self, now, received, asked_at)
 
     real_delta = Subscriber._on_delta
     return [patch.object(PollServer, "answer", mutant), patch.object(Subscriber, "_on_delta", delta)]
 
 
-def _acts_on_pieces() -> list[Any]:
-    """A snapshot is acted on as soon as its last piece is there."""
+def _acts_on_incomplete_snapshot() -> list[Any]:
+    """Uses a snapshot as soon as its last piece has arrived, without the changes made during the transfer."""
     real = StagedSnapshot.add
 
     def mutant(self: StagedSnapshot, piece: SnapshotPiece) -> None:
@@ -170,28 +172,28 @@
     return [patch.object(StagedSnapshot, "add", mutant)]
 
 
-def _skips_what_does_not_fit() -> list[Any]:
-    """A delta that is cut names the newest version all the same."""
+def _truncated_delta_names_newest() -> list[Any]:
+    """Names the newest version in a delta that was truncated."""
     real = PollServer._delta
 
-    def mutant(self: PollServer, *words: Any) -> Any:
-        made = real(self, *words)
+    def mutant(self: PollServer, *arguments: Any) -> Any:
+        delta = real(self, *arguments)
         return (
-            Delta(made.number, self._log.committed, made.age_ms, made.entries, False)
-            if isinstance(made, Delta)
-            else made
+            Delta(delta.number, self._log.committed, delta.age_ms, delta.entries, False)
+            if isinstance(delta, Delta)
+            else delta
         )
 
     return [patch.object(PollServer, "_delta", mutant)]
 
 
-def _never_elsewhere() -> list[Any]:
-    """A gateway keeps to the replica that does not answer."""
+def _never_changes_replica() -> list[Any]:
+    """Keeps a gateway at a replica that does not answer."""
     return [patch.object(Subscriber, "replica", property(lambda self: self._regional_replicas[0]))]
 
 
-def _always_fresh() -> list[Any]:
-    """A replica that does not hear its leader says that it does."""
+def _replica_always_current() -> list[Any]:
+    """Reports contact with the leader at a replica that has none."""
     real = PollServer.answer
 
     def mutant(self: PollServer, now: int, poll: Any, heard_at: int, bounded: bool = True) -> list[Any]:
@@ -201,12 +203,12 @@
 
 
 def _leader_always_in_touch() -> list[Any]:
-    """A leader that hears no majority says that it does."""
+    """Reports contact with a majority at a leader that has none."""
     return [patch.object(Leader, "in_touch_at_ns", lambda self, now: now)]
 
 
-def _unbounded_pieces() -> list[Any]:
-    """Everybody is answered at once, and asks on at once."""
+def _pieces_not_limited() -> list[Any]:
+    """Answers every request for a snapshot piece at once, without a limit on pieces."""
     real = PollServer.__init__
 
     def mutant(self: PollServer, log: Log, pieces: int) -> None:
@@ -216,27 +218,27 @@
 
 
 def _tail_out_of_order() -> list[Any]:
-    """A part of the log that is taken over is taken wherever it lies."""
+    """Accepts a part of an adopted log in any order."""
 
-    def mutant(self: Leader, now: int, replica: int, told: TailEntries) -> list[Action]:
+    def mutant(self: Leader, now: int, replica: int, tail: TailEntries) -> list[Action]:
         if replica != self.adopted_replica or not self._has_base:
             return []
-        self.log.accept(told.after, told.entries)
+        self.log.accept(tail.after, tail.entries)
         return self._establish(now)
 
     return [patch.object(Leader, "on_tail_entries", mutant)]
 
 
-def _promise_without_fence() -> list[Any]:
-    """A replica promises, and still follows the former leader."""
+def _promise_without_fencing() -> list[Any]:
+    """Promises an epoch and still follows the former leader."""
     real = Replica._on_prepare
 
-    def mutant(self: Replica, told: Prepare, source: Address) -> list[Action]:
+    def mutant(self: Replica, prepare: Prepare, source: Address) -> list[Action]:
         before = self.promised
-        made = real(self, told, source)
-        if any(isinstance(each, Send) for each in made) and self.leader_number < 0:
+        actions = real(self, prepare, source)
+        if any(isinstance(each, Send) for each in actions) and self.leader_number < 0:
             self.promised = before
-        return made
+        return actions
 
     return [patch.object(Replica, "_on_prepare", mutant)]
 
@@ -245,34 +247,35 @@
     each.__name__.strip("_"): each
     for each in (
         _minority_commits,
-        _empty_counts,
+        _restarted_replica_counts,
         _caught_up_too_early,
         _old_epochs_accepted,
-        _any_previous,
-        _not_asked_first,
-        _adopting_forgets,
-        _lost_leader_goes_on,
+        _previous_version_ignored,
+        _other_logs_not_requested,
+        _pending_dropped_on_adoption,
+        _accepted_counts_as_committed,
         _one_promise_is_enough,
-        _history_in_place,
-        _goes_back,
-        _acts_on_pieces,
-        _skips_what_does_not_fit,
-        _never_elsewhere,
-        _always_fresh,
+        _history_number_reused,
+        _older_version_accepted,
+        _acts_on_incomplete_snapshot,
+        _truncated_delta_names_newest,
+        _never_changes_replica,
+        _replica_always_current,
         _leader_always_in_touch,
-        _unbounded_pieces,
+        _pieces_not_limited,
         _tail_out_of_order,
-        _promise_without_fence,
+        _promise_without_fencing,
     )
 }
 
 
-def convict(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
-    """The first world and seed by which the mutant is told; None if none does. The long worlds are played by
-    the first seed alone."""
-    played = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
+def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
+    """Returns the name and seed of the first world that detects the mutant, or None if none does.
+
+    The long worlds are played with seed 0 only."""
+    runs = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
     with applied(MUTANTS[name]()):
-        for seed, world in sorted(played, key=lambda each: each[0]):
+        for seed, world in sorted(runs, key=lambda each: each[0]):
             try:
                 world(seed)
             except InvariantViolated:
