--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""For all tests: bounds on log lines begin anew with each, whatever other tests have logged before it."""
+"""Resets the rate limits of log lines before each test, so that no test depends on what others logged."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 
 
 @pytest.fixture(autouse=True)
-def fresh_bounds_on_lines() -> Iterator[None]:
-    """Else a test that reads the log would hang on how many lines others have written within 10 s."""
+def reset_log_rate_limits() -> Iterator[None]:
+    """Resets every rate limit of log lines.
+
+    Without it, a test that reads the log would depend on how many lines other tests wrote within 10 s.
+    """
     for logger in logging.Logger.manager.loggerDict.values():
         if isinstance(logger, logging.Logger):
-            for each in logger.filters:
-                if isinstance(each, RateLimitFilter):
-                    each.reset()
+            for log_filter in logger.filters:
+                if isinstance(log_filter, RateLimitFilter):
+                    log_filter.reset()
     yield
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small servers and clients on ephemeral loopback ports, driven by the tests event by event."""
+"""Provides small servers and clients on ephemeral loopback ports that tests drive event by event."""
 
 from __future__ import annotations
 
@@ -19,30 +19,34 @@
 from trackspread.testing.standins import settings
 from trackspread.testing.standins.settings import class_settings, plan_settings
 
-WAIT = 20.0  # s: only a hang reaches it, no verdict hangs on it
+WAIT = 20.0  # Seconds. Only a test that hangs reaches this timeout; no assertion depends on it.
 LOCAL = "127.0.0.1"
 CUSTOMER = b"00000000b4d65521"
 T = TypeVar("T")
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's coroutine on the loop that the gateway runs on."""
+    """Runs a test's coroutine on the kind of event loop that the gateway uses."""
     uvloop.run(asyncio.wait_for(test(), 3 * WAIT))
 
 
 async def soon(awaitable: Awaitable[T]) -> T:
+    """Returns the result of an awaitable. Raises TimeoutError after `WAIT` seconds."""
     return await asyncio.wait_for(awaitable, WAIT)
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Give the loop turns until something holds."""
+    """Lets the event loop run until a condition holds. Raises TimeoutError after `WAIT` seconds."""
     async with asyncio.timeout(WAIT):
         while not holds():
             await asyncio.sleep(0.001)
 
 
 def nested_settings(**changes: Any) -> dict[str, Any]:
-    """Settings in the nested form of a real configuration; hand-made."""
+    """Returns invented settings in the nested form of a real configuration.
+
+    The name of a change within a part is `part__key`.
+    """
 
     def a_class(name: str, repeat: str, group: str) -> dict[str, Any]:
         return class_settings(name, repeat, group, 800_000_000, 2_000_000_000, 5_000_000_000)
@@ -66,6 +70,7 @@
 def host(
     name: str, port: int, health: str = "in_service", born_ms: int = 0, block: int = 0
 ) -> dict[str, Any]:
+    """Returns one host of an endpoint list, as the discovery service sends it."""
     return {
         "host": name,
         "dial": f"{LOCAL}:{port}",
@@ -79,10 +84,12 @@
 
 
 def listing(seq: int, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
+    """Returns an update of the endpoint list; it is the full list unless `whole` is False."""
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
 def raw_config(agent: int, known: dict[str, Any] | None = None, **changes: Any) -> dict[str, Any]:
+    """Returns the platform's configuration as JSON objects; discovery listens on the port `agent`."""
     return {
         "name": "n0",
         "listen": f"{LOCAL}:0",
@@ -96,11 +103,12 @@
 
 
 def config(agent: int, known: dict[str, Any] | None = None, **changes: Any) -> Config:
+    """Returns the platform's configuration, parsed."""
     return parse(raw_config(agent, known, **changes), {})
 
 
 class Agent:
-    """Discovery: remembers what was asked for, and writes what a test tells it to."""
+    """Stands in for the discovery service: records request lines and sends the updates that a test passes."""
 
     def __init__(self) -> None:
         self.asked: asyncio.Queue[bytes] = asyncio.Queue()
@@ -110,6 +118,7 @@
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers one request with a chunked stream that starts with `first`, if that is set."""
         head = await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 %b\r\nTransfer-Encoding: chunked\r\n\r\n" % self.status)
         self.writers.append(writer)
@@ -118,25 +127,28 @@
         self.asked.put_nowait(head.split(b"\r\n")[0])
 
     def tell(self, update: dict[str, Any]) -> None:
+        """Sends an update on the newest connection."""
         self.raw(json.dumps(update).encode() + b"\n")
 
     def raw(self, data: bytes) -> None:
+        """Sends bytes as one chunk on the newest connection."""
         self.writers[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def hang_up(self) -> None:
+        """Aborts the newest connection."""
         self.writers[-1].transport.abort()
 
 
 class Connection:
-    """One end of a RESP connection, for reading whole commands or answers."""
+    """Holds one end of a RESP connection and reads complete commands or answers from it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self._parser = hiredis.Reader(notEnoughData=self)
 
     async def next(self) -> Any:
-        """One command or answer; None at the end of the connection."""
-        while (got := self._parser.gets()) is self:
+        """Returns the next command or answer, or None at the end of the connection."""
+        while (message := self._parser.gets()) is self:
             try:
                 data = await soon(self.reader.read(1 << 16))
             except ConnectionError:
@@ -144,17 +156,19 @@
             if not data:
                 return None
             self._parser.feed(data)
-        return got
+        return message
 
     def send(self, data: bytes) -> None:
+        """Writes bytes to the connection."""
         self.writer.write(data)
 
     def abort(self) -> None:
+        """Closes the connection without sending what is still buffered."""
         self.writer.transport.abort()
 
 
 class Backend:
-    """Hands every command to the test as (connection, words)."""
+    """Stands in for a backend and passes every command to the test as (connection, words)."""
 
     def __init__(self) -> None:
         self.commands: asyncio.Queue[tuple[Connection, list[bytes]]] = asyncio.Queue()
@@ -163,6 +177,7 @@
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Queues each command of one connection until that connection ends."""
         connection = Connection(reader, writer)
         self.connections.append(connection)
         while (words := await connection.next()) is not None:
@@ -170,11 +185,13 @@
         self.ended += 1
 
     async def command(self) -> tuple[Connection, list[bytes]]:
+        """Returns the next command of any connection. Raises TimeoutError after `WAIT` seconds."""
         return await soon(self.commands.get())
 
 
 @asynccontextmanager
 async def listening(served: Agent | Backend) -> AsyncIterator[None]:
+    """Accepts connections for a stand-in server; on leaving, stops listening and cancels its connections."""
     tasks: set[asyncio.Task[None]] = set()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -200,34 +217,39 @@
 
 @contextmanager
 def busy_listener(at: tuple[str, int] = (LOCAL, 0)) -> Iterator[socket.socket]:
-    """Its accept queue is full: a connect to it stays without an answer, as one that comes up late does."""
+    """Yields a listener whose accept queue is full.
+
+    A connect to it gets no answer, as from a server that comes up late.
+    """
     with socket.socket() as full:
         full.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         full.bind(at)
         full.listen(0)
-        fill = [socket.socket() for _ in range(4)]
-        for one in fill:
-            one.setblocking(False)
-            one.connect_ex(full.getsockname())
+        connecting = [socket.socket() for _ in range(4)]
+        for each in connecting:
+            each.setblocking(False)
+            each.connect_ex(full.getsockname())
         try:
             yield full
         finally:
-            for one in fill:
-                one.close()
+            for each in connecting:
+                each.close()
 
 
 class World:
-    """A gateway with one backend and its discovery, and clients for it."""
+    """Holds a gateway with one backend and its discovery service, and opens client connections to it."""
 
     def __init__(self, node: Gateway, agent: Agent, backend: Backend) -> None:
         self.node, self.agent, self.backend = node, agent, backend
 
     async def client(self) -> Connection:
+        """Returns a new client connection to the gateway."""
         return Connection(*await soon(asyncio.open_connection(LOCAL, self.node.clients.port)))
 
 
 @asynccontextmanager
 async def world(operator: Operator = DEFAULTS, **changes: Any) -> AsyncIterator[World]:
+    """Runs a gateway with one backend and its discovery service; on leaving, closes them."""
     agent, backend = Agent(), Backend()
     async with listening(agent), listening(backend):
         agent.first = listing(1, host("s-1", backend.port))
@@ -252,7 +274,7 @@
     extra: str = "",
     customer: bytes = CUSTOMER,
 ) -> bytes:
-    """A command as a client sends it."""
+    """Returns a command as a client sends it."""
     name = b"CALL.GET" if cls == "look up" else b"CALL.POST"
     key = ",k=5c0f6e1a2b3d4c59" if cls == "submit" else ""
     pairs = f"c={cls},t=team,d={wait_ms}{key},units=1,spread=2,first=0{extra}"
@@ -261,16 +283,17 @@
 
 
 def bulk(value: bytes) -> bytes:
+    """Returns a value as a RESP bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def served(value: bytes, report: bytes | None = b"load_share=0.5,concurrent=3") -> bytes:
-    """A backend's good answer."""
+    """Returns a backend's successful answer with its load report, or without one for None."""
     return b"*3\r\n" + bulk(value) + b"$-1\r\n" + (b"$-1\r\n" if report is None else bulk(report))
 
 
 async def command(*words: str) -> tuple[int | None, str]:
-    """Exit status and output of one of the program's commands, in a process of its own."""
+    """Runs one of the program's commands in its own process and returns its exit status and output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Hand-made settings and events; nothing here comes from a deployment's files."""
+"""Provides invented settings and events; no value is taken from a deployment's files."""
 
 from __future__ import annotations
 
@@ -42,24 +42,29 @@
 
 
 def settings(**changes: Any) -> Settings:
+    """Returns `SETTINGS` with some fields replaced."""
     return replace(SETTINGS, **changes)
 
 
 def plan(**changes: Any) -> Plan:
+    """Returns `PLAN` with some fields replaced."""
     return replace(PLAN, **changes)
 
 
 def backend(number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0) -> Backend:
+    """Returns a backend of weight 1 in the first zone."""
     return Backend(number, 0, 0, cell, health, 1.0, booted)
 
 
 def full_list(*entries: Backend, kind: EndpointUpdateKind = EndpointUpdateKind.FULL) -> EndpointUpdate:
+    """Returns an update of the endpoint list; it is the full list unless `kind` is another."""
     return EndpointUpdate(kind, 1, entries)
 
 
 def arrival(request: int, now: int, cls: int = SAFE, customer: int = 1, **changes: Any) -> RequestArrived:
-    made = RequestArrived(request, cls, 0, customer, now + 3 * SECOND, 1.0, 2, 0, 0)
-    return replace(made, **changes)
+    """Returns the arrival of a request whose deadline is 3 s after `now`, in nanoseconds."""
+    event = RequestArrived(request, cls, 0, customer, now + 3 * SECOND, 1.0, 2, 0, 0)
+    return replace(event, **changes)
 
 
 def ended(
@@ -70,5 +75,9 @@
     elapsed: int = 100 * MS,
     finished: bool | None = None,
 ) -> AttemptEnded:
-    over = outcome is Outcome.OK if finished is None else finished
-    return AttemptEnded(request, over, 0, server, 0, outcome, elapsed, attempt, ())
+    """Returns the end of an attempt.
+
+    Unless `finished` is given, the request is finished when the outcome is OK.
+    """
+    is_finished = outcome is Outcome.OK if finished is None else finished
+    return AttemptEnded(request, is_finished, 0, server, 0, outcome, elapsed, attempt, ())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Pytest plugin for CI: the tests in KNOWN-RED.txt may fail, and nothing else may.
+"""Implements a pytest plugin for CI: only the tests in KNOWN-RED.txt may fail.
 
 Each line of that file is `test, cause, issue`, with the test's full id (`tests/test_x.py::test_y[a]`) and the
-issue's number; at most three lines, and no file when nothing is red. `.ci/run` loads the plugin in both runs
-of `make test`; `make test` alone knows nothing of it and fails on any red test.
+issue's number. The file has at most three lines, and is absent when no test fails. `.ci/run` loads the plugin
+in both runs of `make test`; `make test` alone does not load it and fails on any failing test.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class KnownRedError(ValueError):
-    """The file breaks one of its rules; the text names the file, the line and what is wanted."""
+    """Reports a line that breaks one of the file's rules, with the file, the line and the rule."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One line of the file."""
+    """Holds one line of the file."""
 
     test: str
     cause: str
@@ -35,43 +35,45 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The entries of the file's text; KnownRedError if a rule is broken. Empty lines do not count."""
+    """Returns the entries of the file's text and skips empty lines. Raises KnownRedError on a broken rule."""
     entries: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip():
             continue
-        found = LINE.fullmatch(line)
-        if found is None:
-            raise KnownRedError(f"{FILE_NAME}: line {number}: wanted {FORM}")
-        if any(entry.test == found["test"] for entry in entries):
-            raise KnownRedError(f"{FILE_NAME}: line {number}: {found['test']} is listed twice")
+        match = LINE.fullmatch(line)
+        if match is None:
+            raise KnownRedError(f"{FILE_NAME}: line {number}: must have the form {FORM}")
+        if any(entry.test == match["test"] for entry in entries):
+            raise KnownRedError(f"{FILE_NAME}: line {number}: {match['test']} is listed twice")
         if len(entries) == MOST_LINES:
             raise KnownRedError(f"{FILE_NAME}: line {number}: at most {MOST_LINES} tests may be listed")
-        entries.append(KnownRed(found["test"], found["cause"], int(found["issue"])))
+        entries.append(KnownRed(match["test"], match["cause"], int(match["issue"])))
     return entries
 
 
 def read(path: Path) -> list[KnownRed]:
-    """The entries of the file; none if it is absent."""
+    """Returns the entries of the file, or an empty list if it is absent."""
     return parse(path.read_text()) if path.exists() else []
 
 
 @dataclass
 class Outcome:
-    """What one run of pytest has shown so far, by test id."""
+    """Holds the results of one run of pytest so far, by test id."""
 
     listed: Sequence[KnownRed]
-    selected: set[str] = field(default_factory=set)  # To be run here, not in the other run of `make test`.
+    selected: set[str] = field(default_factory=set)  # Tests of this run, not of the other run of `make test`.
     missing: set[str] = field(default_factory=set)
     failed: set[str] = field(default_factory=set)
     passed: set[str] = field(default_factory=set)
-    broken: list[str] = field(default_factory=list)  # Collections that failed and workers that died.
+    broken: list[str] = field(default_factory=list)  # Failed collections and crashed workers.
 
     def problems(self) -> list[str]:
-        """One plain line for each reason why the run fails whatever is listed."""
+        """Returns one line for each reason why the run fails regardless of the listed tests."""
         names = [entry.test for entry in self.listed]
-        whole = not self.broken  # What could not be collected may hold the name.
-        lines = [f"{FILE_NAME}: no test is named {name}" for name in names if whole and name in self.missing]
+        is_complete = not self.broken  # A listed test may be in a file that could not be collected.
+        lines = [
+            f"{FILE_NAME}: no test is named {name}" for name in names if is_complete and name in self.missing
+        ]
         for name in names:
             if name in self.selected - self.failed:
                 state = "passes: take it off the list" if name in self.passed else "was not run to its end"
@@ -79,19 +81,19 @@
         return lines + [f"{FILE_NAME}: does not cover {event}" for event in self.broken]
 
     def known(self) -> list[KnownRed]:
-        """Listed tests that have failed in this run."""
+        """Returns the listed tests that have failed in this run."""
         return [entry for entry in self.listed if entry.test in self.failed]
 
     def exit_code(self, code: int) -> int:
-        """The run's exit code, from the one it would have had by pytest alone."""
+        """Returns the run's exit code, given the code that pytest alone would return."""
         if self.problems():
             return code or int(pytest.ExitCode.TESTS_FAILED)
         only_known = self.failed <= {entry.test for entry in self.listed}
         return 0 if code == pytest.ExitCode.TESTS_FAILED and only_known and self.failed else code
 
 
-class Worker:
-    """In a process that collects: tells which listed names no test has, before any is deselected."""
+class CollectionCheck:
+    """Reports, in a worker process, which listed names no test has, before any test is deselected."""
 
     def __init__(self, names: Sequence[str], config: pytest.Config) -> None:
         self.names = names
@@ -99,46 +101,46 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """All tests are known here."""
+        """Records the missing names; deselection has not removed any test yet."""
         missing = sorted(set(self.names) - {item.nodeid for item in items})
         vars(self.config)["workeroutput"][MISSING] = missing
 
 
-class Judge:
-    """In the process that reports: gathers what has failed and sets the exit code."""
+class ResultCheck:
+    """Collects, in the reporting process, the results of all tests and sets the exit code."""
 
     def __init__(self, listed: Sequence[KnownRed]) -> None:
         self.outcome = Outcome(listed)
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Without xdist, this process collects by itself."""
+        """Records the missing names without xdist, where this process collects the tests itself."""
         self.outcome.missing = {entry.test for entry in self.outcome.listed} - {item.nodeid for item in items}
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Without xdist: what is left after deselection."""
+        """Records the tests that remain after deselection, without xdist."""
         self.outcome.selected |= {item.nodeid for item in session.items}
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, ids: Sequence[str]) -> None:
-        """With xdist: the same, from a worker."""
+        """Records the tests that remain after deselection in a worker of xdist."""
         self.outcome.selected |= set(ids)
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node: object, error: object) -> None:
-        """A worker has ended: by itself, or by a crash that takes what else it had to show with it."""
+        """Records the missing names of a worker that ended; a crashed worker's other results are lost."""
         if error:
             self.outcome.broken.append("a worker that died")
         self.outcome.missing |= set(getattr(node, "workeroutput", {}).get(MISSING, ()))
 
     def pytest_collectreport(self, report: pytest.CollectReport) -> None:
-        """A file that can't be collected hides all of its tests, also those that are not listed."""
+        """Records a failed collection, because it hides all tests of the file, listed or not."""
         event = f"an error at collection of {report.nodeid}"
         if report.failed and event not in self.outcome.broken:
             self.outcome.broken.append(event)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """A test fails if any of its phases does."""
+        """Records a test as failed if any of its phases failed."""
         if report.failed:
             self.outcome.failed.add(report.nodeid)
         elif report.passed and report.when == "call":
@@ -146,11 +148,11 @@
 
     @pytest.hookimpl(trylast=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """After all else that could change the code."""
+        """Sets the exit code, after every other hook that could change it."""
         session.exitstatus = self.outcome.exit_code(int(session.exitstatus))
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Ahead of pytest's closing line."""
+        """Prints listed failures and problems before pytest's closing line."""
         for entry in self.outcome.known():
             terminalreporter.write_line(f"known red: {entry.test} ({entry.cause}; issue {entry.issue})")
         for line in self.outcome.problems():
@@ -158,12 +160,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Takes its place in the reporting process and in each worker; a broken file ends the run at once."""
+    """Registers the check for this process, worker or reporting. An invalid file ends the run at once."""
     try:
         listed = read(config.rootpath / FILE_NAME)
     except KnownRedError as error:
         raise pytest.UsageError(str(error)) from None
     if hasattr(config, "workeroutput"):
-        config.pluginmanager.register(Worker([entry.test for entry in listed], config))
+        config.pluginmanager.register(CollectionCheck([entry.test for entry in listed], config))
     else:
-        config.pluginmanager.register(Judge(listed))
+        config.pluginmanager.register(ResultCheck(listed))
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,7 @@
-"""CI lets only the tests in KNOWN-RED.txt fail: small projects, each with one rule kept or broken."""
+"""Tests that CI lets only the tests in KNOWN-RED.txt fail.
+
+Each test runs a small project that keeps or breaks one rule of that file.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 
 class Project:
-    """A project of one test file, with the repository's own Makefile, `.ci/run` and plugin."""
+    """Holds a project of one test file with the repository's own Makefile, `.ci/run` and plugin."""
 
     def __init__(self, folder: Path, tests: str, listed: str | None) -> None:
         self.folder = folder
@@ -59,7 +62,10 @@
             (folder / "KNOWN-RED.txt").write_text(listed)
 
     def run(self, *command: str) -> tuple[int, str]:
-        """Exit code and all output; nothing of the outer make or pytest reaches it."""
+        """Runs a command and returns its exit code and all output.
+
+        The environment has no variables of the outer make or pytest.
+        """
         inherited = {k: v for k, v in os.environ.items() if not k.startswith(("MAKE", "MFLAGS", "PYTEST"))}
         done = subprocess.run(
             command,
@@ -71,8 +77,8 @@
         )
         return done.returncode, done.stdout + done.stderr
 
-    def half(self, *options: str) -> tuple[int, str]:
-        """The first run of `make test`, as CI has it."""
+    def first_run(self, *options: str) -> tuple[int, str]:
+        """Runs the first run of `make test`, as CI does; returns its exit code and output."""
         return self.run(
             sys.executable,
             "-m",
@@ -89,37 +95,37 @@
 
 
 def only_red() -> str:
-    """The small tests, of which test_red alone fails."""
+    """Returns the small tests, of which only test_red fails."""
     return SMALL.replace('assert value == "c"', "pass")
 
 
 @pytest.mark.parametrize("options", [("-n", "2"), ("-n", "0")], ids=["workers", "one process"])
-def test_a_listed_test_may_fail_and_is_printed(tmp_path: Path, options: tuple[str, ...]) -> None:
-    code, text = Project(tmp_path, only_red(), LISTED).half(*options)
+def test_listed_test_may_fail_and_is_printed(tmp_path: Path, options: tuple[str, ...]) -> None:
+    code, text = Project(tmp_path, only_red(), LISTED).first_run(*options)
     assert code == 0
     assert f"known red: {RED} (a real fault; issue 48)" in text
     assert text.strip().splitlines()[-1].startswith("1 failed, 3 passed")
 
 
-def test_a_test_that_is_not_listed_may_not_fail(tmp_path: Path) -> None:
-    code, text = Project(tmp_path, SMALL, LISTED).half()
+def test_unlisted_test_may_not_fail(tmp_path: Path) -> None:
+    code, text = Project(tmp_path, SMALL, LISTED).first_run()
     assert code == 1 and f"known red: {RED}" in text
 
 
-def test_an_empty_file_lets_nothing_fail(tmp_path: Path) -> None:
-    code, _ = Project(tmp_path, only_red(), "\n").half()
+def test_empty_file_lets_no_test_fail(tmp_path: Path) -> None:
+    code, _ = Project(tmp_path, only_red(), "\n").first_run()
     assert code == 1
 
 
-def test_one_value_of_a_parametrized_test_is_listed_by_its_full_id(tmp_path: Path) -> None:
+def test_parametrized_case_is_listed_by_its_full_id(tmp_path: Path) -> None:
     listed = LISTED + "tests/test_small.py::test_by_value[a, b], commas, too, issue 5\n"
-    code, text = Project(tmp_path, SMALL, listed).half()
+    code, text = Project(tmp_path, SMALL, listed).first_run()
     assert code == 0 and "test_by_value[a, b] (commas, too; issue 5)" in text
 
 
 @pytest.mark.parametrize("options", [("-n", "2"), ("-n", "0")], ids=["workers", "one process"])
 @pytest.mark.parametrize(
-    ("listed", "wanted"),
+    ("listed", "expected"),
     [
         ("tests/test_small.py::test_gone, a fault, 48\n", "no test is named tests/test_small.py::test_gone"),
         (
@@ -128,105 +134,117 @@
         ),
     ],
 )
-def test_a_listed_test_must_be_there_and_fail(
-    tmp_path: Path, listed: str, wanted: str, options: tuple[str, ...]
+def test_listed_test_must_exist_and_fail(
+    tmp_path: Path, listed: str, expected: str, options: tuple[str, ...]
 ) -> None:
-    code, text = Project(tmp_path, only_red(), LISTED + listed).half(*options)
-    assert code == 1 and f"KNOWN-RED.txt: {wanted}" in text
+    code, text = Project(tmp_path, only_red(), LISTED + listed).first_run(*options)
+    assert code == 1 and f"KNOWN-RED.txt: {expected}" in text
 
 
 @pytest.mark.parametrize("mark", ["skip", "xfail"])
-def test_a_listed_test_must_run(tmp_path: Path, mark: str) -> None:
+def test_listed_test_must_run(tmp_path: Path, mark: str) -> None:
     skipped = only_red().replace("def test_red", f"@pytest.mark.{mark}\ndef test_red")
-    code, text = Project(tmp_path, skipped, LISTED).half()
+    code, text = Project(tmp_path, skipped, LISTED).first_run()
     assert code == 1 and f"KNOWN-RED.txt: {RED} was not run to its end" in text
 
 
 @pytest.mark.parametrize("phase", ["before", "after"])
-def test_a_listed_test_may_fail_in_its_fixture(tmp_path: Path, phase: str) -> None:
+def test_listed_test_may_fail_in_its_fixture(tmp_path: Path, phase: str) -> None:
     steps = ["assert False", "yield"] if phase == "before" else ["yield", "assert False"]
     fixture = "\n@pytest.fixture\ndef broken():\n" + "".join(f"    {step}\n" for step in steps)
     tests = only_red().replace("test_red():\n    assert False", "test_red(broken):\n    pass") + fixture
-    code, text = Project(tmp_path, tests, LISTED).half()
+    code, text = Project(tmp_path, tests, LISTED).first_run()
     assert code == 0 and f"known red: {RED}" in text
 
 
 @pytest.mark.parametrize("options", [("-n", "2"), ("-n", "0")], ids=["workers", "one process"])
-def test_an_error_at_collection_is_never_covered(tmp_path: Path, options: tuple[str, ...]) -> None:
-    """It hides the file's other tests; the names of the file can't be looked up."""
-    code, text = Project(tmp_path, "import nothing_of_this_name\n" + only_red(), LISTED).half(*options)
+def test_collection_error_is_never_covered(tmp_path: Path, options: tuple[str, ...]) -> None:
+    """A collection error hides the file's other tests, and its test names cannot be looked up."""
+    code, text = Project(tmp_path, "import nothing_of_this_name\n" + only_red(), LISTED).first_run(*options)
     assert code != 0 and "does not cover an error at collection of tests/test_small.py" in text
     assert "no test is named" not in text
 
 
-def test_a_worker_that_dies_in_a_listed_test_is_not_covered(tmp_path: Path) -> None:
+def test_worker_crash_in_listed_test_is_not_covered(tmp_path: Path) -> None:
     tests = only_red().replace("assert False", "import os; os._exit(1)")
-    code, text = Project(tmp_path, tests, LISTED).half()
+    code, text = Project(tmp_path, tests, LISTED).first_run()
     assert code == 1 and "KNOWN-RED.txt: does not cover a worker that died" in text
 
 
-def test_a_run_that_dies_without_a_report_fails(tmp_path: Path) -> None:
+def test_run_killed_without_a_report_fails(tmp_path: Path) -> None:
     project = Project(tmp_path, only_red(), LISTED)
     (tmp_path / "conftest.py").write_text(
         "import os\n\ndef pytest_runtest_logreport(report):\n"
         "    if 'PYTEST_XDIST_WORKER' not in os.environ and report.failed:\n"
         "        os.kill(os.getpid(), 9)\n"
     )
-    code, text = project.half()
+    code, text = project.first_run()
     assert code == -9 and "known red" not in text
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
-        (LISTED.replace("red,", "red:"), "line 1: wanted `tests/test_x.py::test_y, cause, issue number`"),
-        (LISTED.replace(" 48", ""), "line 1: wanted `tests/test_x.py::test_y, cause, issue number`"),
-        (LISTED.replace("a real fault", ""), "line 1: wanted `tests/test_x.py::test_y, cause, issue number`"),
-        (LISTED.replace("::test_red", ""), "line 1: wanted `tests/test_x.py::test_y, cause, issue number`"),
+        (
+            LISTED.replace("red,", "red:"),
+            "line 1: must have the form `tests/test_x.py::test_y, cause, issue number`",
+        ),
+        (
+            LISTED.replace(" 48", ""),
+            "line 1: must have the form `tests/test_x.py::test_y, cause, issue number`",
+        ),
+        (
+            LISTED.replace("a real fault", ""),
+            "line 1: must have the form `tests/test_x.py::test_y, cause, issue number`",
+        ),
+        (
+            LISTED.replace("::test_red", ""),
+            "line 1: must have the form `tests/test_x.py::test_y, cause, issue number`",
+        ),
         ("\n" + LISTED + LISTED, f"line 3: {RED} is listed twice"),
         ("".join(LISTED.replace("red", f"r{n}") for n in range(4)), "line 4: at most 3 tests may be listed"),
     ],
 )
-def test_a_line_that_breaks_a_rule_is_named(text: str, wanted: str) -> None:
+def test_line_that_breaks_a_rule_is_named(text: str, expected: str) -> None:
     with pytest.raises(KnownRedError) as caught:
         parse(text)
-    assert str(caught.value) == f"KNOWN-RED.txt: {wanted}"
+    assert str(caught.value) == f"KNOWN-RED.txt: {expected}"
 
 
-def test_three_lines_are_read_whole() -> None:
+def test_three_lines_are_read() -> None:
     text = "".join(LISTED.replace("red", f"r{n}") for n in range(3))
     assert parse(text) == [KnownRed(f"tests/test_small.py::test_r{n}", "a real fault", 48) for n in range(3)]
 
 
-def test_a_broken_file_ends_the_run_with_one_line(tmp_path: Path) -> None:
-    code, text = Project(tmp_path, only_red(), "test_red\n").half()
+def test_invalid_file_ends_the_run_with_one_line(tmp_path: Path) -> None:
+    code, text = Project(tmp_path, only_red(), "test_red\n").first_run()
     assert code == 4
     assert text.splitlines() == [
-        "ERROR: KNOWN-RED.txt: line 1: wanted `tests/test_x.py::test_y, cause, issue number`",
+        "ERROR: KNOWN-RED.txt: line 1: must have the form `tests/test_x.py::test_y, cause, issue number`",
         "",
     ]
 
 
-def test_ci_goes_on_to_the_second_half_past_listed_tests(tmp_path: Path) -> None:
+def test_ci_continues_with_second_run_after_listed_failures(tmp_path: Path) -> None:
     code, text = Project(tmp_path, only_red(), LISTED).run("bash", ".ci/run")
     lines = text.splitlines()
     assert code == 0 and lines[-3:] == ["ruff check", "ruff format", "typed"]
     assert lines[-4].startswith("1 passed") and any(line.startswith("1 failed, 3 passed") for line in lines)
 
 
-def test_ci_takes_a_listed_test_of_the_second_half(tmp_path: Path) -> None:
+def test_ci_accepts_listed_failure_in_second_run(tmp_path: Path) -> None:
     tests = only_red().replace("def test_red", "@pytest.mark.processes\ndef test_red")
     code, text = Project(tmp_path, tests, LISTED).run("bash", ".ci/run")
     assert code == 0 and text.count(f"known red: {RED}") == 1
 
 
-@pytest.mark.parametrize("mark", ["", "@pytest.mark.processes\n"], ids=["first half", "second half"])
-def test_ci_fails_on_a_red_test_that_is_not_listed(tmp_path: Path, mark: str) -> None:
+@pytest.mark.parametrize("mark", ["", "@pytest.mark.processes\n"], ids=["first run", "second run"])
+def test_ci_fails_on_unlisted_failing_test(tmp_path: Path, mark: str) -> None:
     tests = only_red().replace("def test_red", f"{mark}def test_red")
     code, text = Project(tmp_path, tests, None).run("bash", ".ci/run")
     assert code == 2 and "ruff check" not in text and "typed" not in text and "1 failed" in text
 
 
-def test_make_test_alone_fails_on_a_listed_test(tmp_path: Path) -> None:
+def test_make_test_alone_fails_on_listed_test(tmp_path: Path) -> None:
     code, text = Project(tmp_path, only_red(), LISTED).run("make", "test")
     assert code == 2 and "known red" not in text
--- a/tests/project/test_limits.py
+++ b/tests/project/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the source itself."""
+"""Tests limits on the source code: lengths of files and lines."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_no_file_of_the_decision_module_is_empty_or_over_500_lines() -> None:
+def test_decision_module_files_have_1_to_500_lines() -> None:
     policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     lines = [sum(bool(line.strip()) for line in (ROOT / name).read_text().splitlines()) for name in policy]
     assert len(lines) > 1 and min(lines) > 0 and max(lines) <= 500
--- a/tests/project/test_names.py
+++ b/tests/project/test_names.py
@@ -1,4 +1,7 @@
-"""Names are the field's: a glossary with each term once, and no withdrawn word where the code is done."""
+"""Tests that names are terms of the field.
+
+The glossary has each term once, and the folders in `DONE` have no withdrawn word in their names.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-# Words of the earlier house style: docs/GLOSSARY.md has the field's.
+# Words of the earlier naming style. docs/GLOSSARY.md has the terms of the field that replace them.
 WITHDRAWN = frozenset(
     {
         "beat",
@@ -38,7 +41,7 @@
         "word",
     }
 )
-# The operators' list of plain words, each of which has a term of the field.
+# The operators' list of plain words. The glossary has a term of the field for each of them.
 PAGES_WORDS = frozenset(
     {
         "turned away",
@@ -80,7 +83,7 @@
         "move",
     }
 )
-# What is done, as folders and files of the program: this only gets longer.
+# Folders and files of the program without withdrawn words: this only gets longer.
 DONE = (
     "backends",
     "cells",
@@ -127,54 +130,57 @@
 
 
 def glossary() -> list[tuple[str, str]]:
-    """Rows of the glossary: its terms and its modules, as they are written."""
+    """Returns the terms and the modules of each row of the glossary, as they are written."""
     lines = (ROOT / "docs/GLOSSARY.md").read_text().splitlines()
     rows = [[cell.strip() for cell in line.split("|")[1:-1]] for line in lines if line.startswith("|")]
     return [(term, modules) for term, _, modules in rows if modules != "Module" and set(term) != {"-"}]
 
 
-def test_the_glossary_has_each_term_once() -> None:
+def test_glossary_has_each_term_once() -> None:
     terms = [term for terms, _ in glossary() for term in terms.split(", ")]
     assert len(terms) > 50 and len(terms) == len(set(terms))
 
 
-def test_the_glossary_names_modules_that_are_there() -> None:
+def test_glossary_names_existing_modules() -> None:
     named = {path for _, modules in glossary() for path in re.findall(r"`([^`]+)`", modules)}
     assert named and not {path for path in named if not (ROOT / path).is_file()}
     assert all("`" in modules for _, modules in glossary())
 
 
-def test_the_glossary_has_the_words_of_the_pages() -> None:
+def test_glossary_has_the_words_of_the_pages() -> None:
     words = {term for terms, _ in glossary() for term in terms.split(", ")}
     assert words >= PAGES_WORDS
 
 
 def done_files() -> list[Path]:
+    """Returns every module of the entries of `DONE`."""
     places = [ROOT / "trackspread" / name for name in DONE]
     assert all(place.exists() for place in places)
     return sorted(path for place in places for path in (place.glob("**/*.py") if place.is_dir() else [place]))
 
 
 def words_of(name: str) -> set[str]:
-    """Parts of a name in either case, in the singular."""
+    """Returns the parts of a name in lower case, each as written and in the singular."""
     parts = re.findall(r"[A-Z]+(?![a-z])|[A-Z]?[a-z0-9]+", name)
     return {part.lower() for part in parts} | {part.lower().removesuffix("s") for part in parts}
 
 
 def public_names(text: str) -> set[str]:
-    """Classes, and functions and methods without a leading underscore, of a module's text."""
+    """Returns the names of the classes and public functions in a module's text."""
     kinds = ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef
     names = {node.name for node in ast.walk(ast.parse(text)) if isinstance(node, kinds)}
     return {name for name in names if not name.startswith("_") or name[1:2].isupper()}
 
 
 @pytest.mark.parametrize("path", done_files(), ids=lambda p: str(p.relative_to(ROOT / "trackspread")))
-def test_no_withdrawn_word_is_in_a_module_class_or_public_function(path: Path) -> None:
+def test_public_names_have_no_withdrawn_word(path: Path) -> None:
+    """Checks the module, its folder, its classes and its public functions."""
     names = public_names(path.read_text()) | {path.stem, path.parent.name}
     assert not {name for name in names if words_of(name) & WITHDRAWN}
 
 
-def test_a_withdrawn_word_is_found_in_either_case_and_in_the_plural() -> None:
+def test_withdrawn_word_is_found_in_any_form() -> None:
+    """Names in either case and in the plural are found; words that only contain one are not."""
     text = "class PlanBook:\n    async def rumours_of(self): ...\ndef _told(): ..."
     assert public_names(text) == {"PlanBook", "rumours_of"}
     assert words_of("PlanBook") & WITHDRAWN == {"book"} and words_of("rumours_of") & WITHDRAWN == {"rumour"}
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's embedding example runs as printed."""
+"""Tests that the README's embedding example runs as printed."""
 
 from __future__ import annotations
 
--- a/tests/project/test_wire_bytes.py
+++ b/tests/project/test_wire_bytes.py
@@ -1,8 +1,8 @@
-"""The literal bytes of every message between gateways, as commit 5f04399 wrote them.
+"""Tests the literal bytes of every message between gateways, as commit 5f04399 wrote them.
 
-A fleet runs two versions at once while one is brought in, so today's code has to write these very bytes and
-to read them back as what they were. The functions at the top build one message of each kind; where a type or
-a field is renamed, they alone change. Bodies go by the tag that they have on the wire.
+A fleet runs two versions at once during an upgrade, so the current code must write exactly these bytes and
+decode them to the same messages. The functions at the top build one message of each kind; when a type or a
+field is renamed, only these functions change. Bodies are named by their tag on the wire.
 """
 
 from __future__ import annotations
@@ -50,22 +50,24 @@
 
 
 def tag(body: msgspec.Struct) -> str:
-    """Its kind's name on the wire."""
+    """Returns the name of a body's kind on the wire."""
     return str(body.__struct_config__.tag)
 
 
 def quota_messages() -> dict[str, QuotaMessage]:
-    """One of each kind, and one that tells where the customer's requests come."""
+    """Returns a message of each kind, and one that names the gateways that receive the tenant's requests."""
     plain = {
         kind.name: QuotaMessage(kind, 0xFEDCBA9876543210, 2, 12.25, 77, 305, 40_001, in_flight=kind + 1)
         for kind in QuotaMessageKind
     }
-    set_told = QuotaMessage(QuotaMessageKind.REQUEST, 9, 1, 0.75, 4_000_000_000, 65_535, 7, 6, 3, 4.5, 8, 31)
-    return plain | {"REQUEST with the customer's gateways": set_told}
+    with_gateways = QuotaMessage(
+        QuotaMessageKind.REQUEST, 9, 1, 0.75, 4_000_000_000, 65_535, 7, 6, 3, 4.5, 8, 31
+    )
+    return plain | {"REQUEST with the customer's gateways": with_gateways}
 
 
 def member_messages() -> dict[str, membership.MemberMessage]:
-    """One for each body, and one with all that may go along."""
+    """Returns a message for each body, and one with all optional fields."""
     view = membership.View(NUMBER, PARENT, (WHO, OTHER))
     bodies: list[membership.MessageBody] = [
         membership.Ping(7, OTHER),
@@ -93,13 +95,14 @@
 
 
 def member_table() -> membership.TableSnapshot:
+    """Returns a snapshot of a member table with one member."""
     update = membership.GossipUpdate(*OTHER, 2, 1, *ADDRESS, "1.2", True)
     view = membership.View(NUMBER, PARENT, (WHO, OTHER))
     return membership.TableSnapshot("fleet", *WHO, (update,), view, membership.Leader(EPOCH, OTHER, *ADDRESS))
 
 
 def cell_messages() -> dict[str, cells.CellsMessage]:
-    """One for each body, and one of a leader."""
+    """Returns a message for each body, and one that a leader sends."""
     cell = cells.Cell("c-1", "eu", "a", NUMBER, (ADDRESS, ("10.0.0.8", 7400)), True)
     placement = cells.Placement(NUMBER, cell)
     locate = cells.PlacementRequest("eu", "a", ADDRESS, placement)
@@ -121,7 +124,7 @@
 
 
 def configuration_messages() -> dict[str, configuration.Message]:
-    """One for each body."""
+    """Returns a message for each body."""
     first = Version(2, (3, 1), 10)
     last = Version(2, (4, 0), 12)
     entries = (
@@ -158,7 +161,7 @@
 
 
 def handover_progress() -> dict[str, Progress]:
-    """What became of an attempt or a request: one of each kind."""
+    """Returns the progress of an attempt or a request, one of each kind."""
     return {
         "sent": Progress("sent", 5, 1, 2, 0, 0, (), "charge", "full", 7, 2.5),
         "ended": Progress("ended", 5, 1, 2, 3, 4, (0.5, 1.0)),
@@ -167,7 +170,7 @@
 
 
 def handover_packets() -> dict[str, bytes]:
-    """Every kind of packet."""
+    """Returns a packet of every kind."""
     bodies = {
         handover_wire.Kind.HELLO: b"n0",
         handover_wire.Kind.STATE_REQUEST: b"",
@@ -185,7 +188,7 @@
 
 
 def counter_calls() -> dict[str, Call]:
-    """Of a partition's heartbeats and of a customer, with a value and without."""
+    """Returns calls for a partition's heartbeats and for a tenant's claims, with a value and without."""
     return {
         "heartbeat": Call(1, 3, None, pack_heartbeat(heartbeat())),
         "heartbeats read": Call(2, 3, None, None),
@@ -195,14 +198,16 @@
 
 
 def claim() -> Claim:
+    """Returns a claim with a different value in every field."""
     return Claim(1_790_000_000_123, 9, 0.25, 12.5, 1_000.125, 3.5, 1_790_000_000_456)
 
 
 def heartbeat() -> Heartbeat:
+    """Returns a heartbeat with a different value in every field."""
     return Heartbeat(1_790_000_000_123, 9, 1_790_000_000_456)
 
 
-# The literal bytes.
+# The literal bytes, in hexadecimal.
 
 QUOTA: dict[str, str] = {
     "REQUEST": ("111032547698badcfe0231004d0000003101419c"),
@@ -487,47 +492,47 @@
 
 
 @pytest.mark.parametrize("name", QUOTA)
-def test_quota_messages_have_the_bytes_of_older_gateways(name: str) -> None:
+def test_quota_messages_keep_their_bytes(name: str) -> None:
     message = quota_messages()[name]
     assert pack_quota_message(message).hex() == QUOTA[name]
     assert unpack_quota_message(bytes.fromhex(QUOTA[name])) == message
 
 
-def test_totals_have_the_bytes_of_older_gateways() -> None:
+def test_usage_totals_keep_their_bytes() -> None:
     totals = [(0xFEDCBA9876543210, 40_001, 3), (9, 65_535, 255)]
     assert pack_usage_totals(513, 305, totals).hex() == TOTALS
     assert unpack_usage_totals(bytes.fromhex(TOTALS)) == (513, 305, totals)
 
 
 @pytest.mark.parametrize("name", MEMBER)
-def test_members_messages_have_the_bytes_of_older_members(name: str) -> None:
+def test_member_messages_keep_their_bytes(name: str) -> None:
     wire, message = MembershipWire("fleet", KEYS, 64), member_messages()[name]
     assert wire.pack(message).hex() == MEMBER[name]
     assert wire.unpack(bytes.fromhex(MEMBER[name])) == message
 
 
-def test_a_members_table_has_the_bytes_of_older_members() -> None:
+def test_member_table_keeps_its_bytes() -> None:
     wire, table = MembershipWire("fleet", KEYS, 64), member_table()
     assert wire.pack_table(table).hex() == TABLE
     assert wire.unpack_table(bytes.fromhex(TABLE)[4:]) == table
 
 
 @pytest.mark.parametrize("name", CELL)
-def test_words_on_cells_have_the_bytes_of_older_processes(name: str) -> None:
+def test_cell_messages_keep_their_bytes(name: str) -> None:
     wire, message = CellsWire("fleet", KEYS, 64), cell_messages()[name]
     assert wire.pack_message(message).hex() == CELL[name]
     assert wire.read(bytes.fromhex(CELL[name])) == message
 
 
 @pytest.mark.parametrize("name", CONFIGURATION)
-def test_words_on_configuration_have_the_bytes_of_older_processes(name: str) -> None:
+def test_configuration_messages_keep_their_bytes(name: str) -> None:
     wire, message = ConfigurationWire("fleet", KEYS), configuration_messages()[name]
     assert wire.pack(message).hex() == CONFIGURATION[name]
     assert wire.unpack(bytes.fromhex(CONFIGURATION[name])) == message
 
 
 @pytest.mark.parametrize("name", HANDOVER)
-def test_packets_of_a_handover_have_the_bytes_of_older_processes(name: str) -> None:
+def test_handover_packets_keep_their_bytes(name: str) -> None:
     packet = handover_packets()[name]
     assert packet.hex() == HANDOVER[name]
     kind, body = handover_wire.unpack(bytes.fromhex(HANDOVER[name]))
@@ -537,28 +542,28 @@
 
 
 @pytest.mark.parametrize("name", COUNTER)
-def test_calls_to_the_counter_have_the_bytes_of_older_gateways(name: str) -> None:
+def test_counter_commands_keep_their_bytes(name: str) -> None:
     made = commands_for(counter_calls()[name], "ts", 17, b"a token")
     assert [b" ".join(words).hex() for words in made] == COUNTER[name]
 
 
-def test_what_a_counter_holds_is_read_as_older_gateways_wrote_it() -> None:
+def test_counter_values_keep_their_bytes() -> None:
     assert pack_claim(claim()).hex() == CLAIM and unpack_claim(bytes.fromhex(CLAIM)) == claim()
     assert pack_heartbeat(heartbeat()).hex() == HEARTBEAT
     assert unpack_heartbeat(bytes.fromhex(HEARTBEAT)) == heartbeat()
-    held = [b"id", b"a token", b"17", bytes.fromhex(HEARTBEAT)]
-    told = parse_reply(counter_calls()["heartbeat"], [0, 1, held, 1, [b"1790000000", b"456789"]])
-    assert (told.clock_ms, told.token, told.field_was_missing) == (1_790_000_000_456, b"a token", True)
-    assert told.fields == {17: bytes.fromhex(HEARTBEAT)}
+    stored = [b"id", b"a token", b"17", bytes.fromhex(HEARTBEAT)]
+    reply = parse_reply(counter_calls()["heartbeat"], [0, 1, stored, 1, [b"1790000000", b"456789"]])
+    assert (reply.clock_ms, reply.token, reply.field_was_missing) == (1_790_000_000_456, b"a token", True)
+    assert reply.fields == {17: bytes.fromhex(HEARTBEAT)}
 
 
-def test_every_kind_of_message_has_its_bytes_here() -> None:
-    """A kind that is added later needs its own."""
+def test_every_message_kind_has_literal_bytes() -> None:
+    """Guards against a kind that is added later without its bytes in this file."""
     assert {name.partition(" ")[0] for name in QUOTA} == set(QuotaMessageKind.__members__)
     assert {name.partition(" ")[0] for name in HANDOVER} == set(handover_wire.Kind.__members__)
     assert [member_messages().keys(), cell_messages().keys()] == [MEMBER.keys(), CELL.keys()]
     assert configuration_messages().keys() == CONFIGURATION.keys()
-    # How many kinds there are is the decoders' word; each body above is one of them.
+    # The unions that the decoders use give the number of kinds. Each body above is a member of one of them.
     unions = (membership.MessageBody, cells.MessageBody, configuration.MessageBody)
     counts = [len(bodies.__args__) for bodies in unions]
     assert counts == [len(MEMBER) - 1, len(CELL) - 1, len(CONFIGURATION)]
