--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -1,4 +1,4 @@
-"""The scale run: its bounds, its verdicts on lag and on the dead, its JSON, and one small run on sockets."""
+"""Tests the scale run: bounds, verdicts on lag and on dead members, JSON, and small runs on sockets."""
 
 from __future__ import annotations
 
@@ -55,27 +55,24 @@
 PLACED = Placement(("127.192.0.1", "127.192.0.2"))
 
 
-# Bounds.
-
-
 def entries(children: int, memory: int) -> list[ProcessEntry]:
-    """A run with so many children of so many bytes each, beside processes that are not its own."""
+    """Returns the processes of a run, with children of `memory` bytes each, and one outside the run."""
     own = [ProcessEntry(100, 1, 10 * MB), *(ProcessEntry(200 + n, 100, memory) for n in range(children))]
     return [*own, ProcessEntry(300, 200, memory), ProcessEntry(400, 1, 1 << 40)]
 
 
-def test_a_tree_counts_all_descendants_and_nothing_else() -> None:
+def test_tree_counts_descendants_only() -> None:
     assert tree(100, entries(2, MB)) == Use(4, 13 * MB)
 
 
-def test_the_guard_refuses_to_start_more_processes_than_its_bound() -> None:
+def test_guard_rejects_more_processes_than_its_bound() -> None:
     guard = Guard(processes_most=10, look=lambda: entries(4, MB), root=100)
     guard.admit(4)
     with pytest.raises(OverBound, match="processes: 11 would run, wanted at most 10"):
         guard.admit(5)
 
 
-def test_the_guard_ends_a_run_that_passes_its_bounds_and_remembers_the_most() -> None:
+def test_guard_ends_oversized_run_and_records_peak() -> None:
     children = [2, 4, 1]
     guard = Guard(processes_most=5, memory_most=16 * MB, look=lambda: entries(children[0], MB), root=100)
     guard.check()
@@ -90,15 +87,12 @@
         heavy.check()
 
 
-def test_the_guard_sees_this_very_process() -> None:
+def test_guard_counts_the_current_process() -> None:
     use = Guard().check()
     assert use.processes >= 1 and use.memory > MB
 
 
-# Lag.
-
-
-def test_a_span_is_void_by_one_long_lag_or_by_many_short_ones() -> None:
+def test_one_long_or_many_short_lags_void() -> None:
     assert not Lag(1000, 10, LATE + 0.01).void
     assert Lag(1000, 11, LATE + 0.01).void
     assert Lag(100_000, 1, WORST_MOST + 0.01).void
@@ -106,7 +100,7 @@
     assert not together([]).void
 
 
-def test_a_watch_counts_beats_and_begins_anew_when_it_is_read() -> None:
+def test_lag_watch_resets_when_it_is_read() -> None:
     watch = LagWatch()
     for late in (-0.001, 0.02, LATE + 0.05):
         watch.note(late)
@@ -114,8 +108,8 @@
     assert watch.take() == Lag()
 
 
-def test_a_loop_that_stands_still_is_seen() -> None:
-    async def stand_still() -> Lag:
+def test_blocked_event_loop_is_detected() -> None:
+    async def block_loop() -> Lag:
         watch = LagWatch()
         watch.start()
         await asyncio.sleep(0.05)
@@ -124,29 +118,26 @@
         watch.stop()
         return watch.take()
 
-    assert uvloop.run(stand_still()).void
-
+    assert uvloop.run(block_loop()).void
 
-# Where members are, and what a cut drops.
 
-
-def test_each_number_has_an_address_of_its_own_that_leads_back_to_it() -> None:
+def test_numbers_and_addresses_map_one_to_one() -> None:
     assert {PLACED.number(PLACED.address(number)) for number in range(50)} == set(range(50))
     assert PLACED.number(("127.0.0.1", PORT)) is None
     assert PLACED.number(("127.192.0.1", PORT - 1)) is None
     assert number_of(name_of(7)) == 7 and number_of("n7") is None
 
 
-def test_racks_lie_in_zones_and_zones_in_regions() -> None:
+def test_each_rack_is_in_one_zone_and_region() -> None:
     numbers = range(10 * RACKS)
     assert len(of_rack(7, numbers)) == 10 and len(of_zone(5, numbers)) == 10 * RACKS // ZONES
     for rack in range(RACKS):
-        mine = of_rack(rack, numbers)
-        assert len({number % ZONES for number in mine}) == 1
-        assert len({region_of(number) for number in mine}) == 1
+        members = of_rack(rack, numbers)
+        assert len({number % ZONES for number in members}) == 1
+        assert len({region_of(number) for number in members}) == 1
 
 
-def test_a_cut_drops_what_goes_between_regions_in_both_directions_and_heals() -> None:
+def test_cut_drops_both_directions_between_regions_and_heals() -> None:
     partition = Partition(PLACED.region)
     region_3, region_0, real = PLACED.address(3), PLACED.address(4), ("127.200.0.1", 7400)
     assert partition.passes(region_3, region_0)
@@ -158,8 +149,6 @@
     assert partition.passes(region_3, region_0)
 
 
-# Verdicts on the dead.
-
 WHO = (name_of(3), 1)
 LIVES = [Life(WHO, 100, 500), Life((name_of(4), 1), 100)]
 
@@ -168,12 +157,13 @@
     return DeadVerdict(at, name_of(by), (name_of(of), 1), own, at if suspected is None else suspected)
 
 
-def test_only_a_process_that_ran_was_called_dead_by_mistake() -> None:
+def test_only_a_running_process_is_wrongly_dead() -> None:
     mistaken, late, unknown = dead(499, 1, 3), dead(500, 1, 3), dead(300, 1, 99)
     assert wrong([mistaken, late, unknown], LIVES) == [mistaken]
 
 
-def test_who_is_cut_off_is_called_dead_rightly_also_where_the_suspicion_outlasts_the_cut() -> None:
+def test_member_cut_off_is_rightly_dead() -> None:
+    """The verdict is also right if the suspicion began during the cut and ended after it."""
     cut = [Cutoff(3, 200, 300)]
     during, after = dead(250, 4, 3), dead(400, 4, 3, suspected=310)
     outlasting = dead(320, 4, 3, suspected=290)
@@ -182,15 +172,12 @@
     assert wrong([during], LIVES, [Cutoff(3, 200)]) == []
 
 
-def test_what_others_told_is_counted_apart() -> None:
-    told = dead(250, 7, 3, own=False)
-    assert wrong([told], LIVES) == [] and hearsay([told], LIVES) == {WHO}
-
-
-# Whether all hold the same.
+def test_verdicts_of_other_members_are_counted_separately() -> None:
+    reported = dead(250, 7, 3, own=False)
+    assert wrong([reported], LIVES) == [] and hearsay([reported], LIVES) == {WHO}
 
 
-def test_a_fleet_is_settled_when_all_hold_one_view_of_just_those_that_run() -> None:
+def test_fleet_settles_on_one_view_of_running_members() -> None:
     running = ((name_of(0), 1), (name_of(1), 1))
     real = [("n0", 5)]
     wanted, number = digest(sorted([*running, *real])), (3, 0, 1)
@@ -202,9 +189,6 @@
     assert not settled([Held(((7, wanted, number),), running, 0)], real, {View(wanted, number)})
 
 
-# Costs.
-
-
 def process_measured(
     at: int, cpu: float, sent: int, leading: int | None = None, members: int = 10
 ) -> Measured:
@@ -213,7 +197,7 @@
     return Measured(at, cpu, 30 * MB, members, sent // 100, sent, 2 * sent, led, "", 0, lag, (), ())
 
 
-def test_a_cost_is_by_member_and_second_and_the_coordinator_is_told_apart() -> None:
+def test_cost_is_per_member_and_separates_coordinator() -> None:
     second = 1_000_000_000
     before = [process_measured(0, 1.0, 0, 0), process_measured(0, 2.0, 0)]
     after = [process_measured(2 * second, 1.4, 10_000, 6_000), process_measured(2 * second, 2.2, 30_000)]
@@ -225,8 +209,6 @@
     assert found.coordinator_cpu == pytest.approx(0.2 - 9 * 0.1 / 10)
 
 
-# The JSON object.
-
 RUN = slopes.Run("2026-12-02T05:10Z", "python -m benchmarks.scale --quick", "abc1234")
 KEYS = {
     "sizes",
@@ -276,21 +258,21 @@
     return made
 
 
-def test_the_object_has_all_keys_and_says_which_limits_are_kept() -> None:
+def test_report_has_all_keys_and_kept_limits() -> None:
     made = fitted(0.0128)
     report.put_limits(made, full=True)
-    told = json.loads(msgspec.json.encode(made))
-    assert set(told) >= KEYS
-    assert told["sizes"] == [16, 32, 48, 64, 128] and told["hollow"] == 128
-    assert told["gateway_cpu_share_at_size"] == pytest.approx(0.72)
-    assert told["flat"]["gateway_cpu_share_at_size"] == pytest.approx(0.72)
-    assert told["busiest_control_bytes_s_at_size"] == pytest.approx(600 * report.SIZE)
-    kept = told["limits_kept"]
+    decoded = json.loads(msgspec.json.encode(made))
+    assert set(decoded) >= KEYS
+    assert decoded["sizes"] == [16, 32, 48, 64, 128] and decoded["hollow"] == 128
+    assert decoded["gateway_cpu_share_at_size"] == pytest.approx(0.72)
+    assert decoded["flat"]["gateway_cpu_share_at_size"] == pytest.approx(0.72)
+    assert decoded["busiest_control_bytes_s_at_size"] == pytest.approx(600 * report.SIZE)
+    kept = decoded["limits_kept"]
     assert kept["gateway_cpu_share_at_size"] is False and kept["gateway_bytes_s_at_size"] is True
     assert kept["change_s_worst"] is None and kept["hollow"] is False
 
 
-def test_a_figure_far_off_is_the_most_that_is_not_refuted() -> None:
+def test_extrapolation_gives_range_of_unrefuted_fits() -> None:
     points = [(12.0, 0.0013), (24.0, 0.0019), (36.0, 0.0026), (48.0, 0.0025)]
     found = slopes.measurement("x", "gateways", "", points, (96.0, 0.0039), RUN)
     assert found.shape is Shape.LOG and found.fit.predict(7200) < 0.01
@@ -306,7 +288,7 @@
     assert extrapolate(wrong, 7200) is None
 
 
-def test_a_fit_that_missed_gives_no_figure_and_says_so() -> None:
+def test_wrong_fit_gives_no_figure_and_a_note() -> None:
     made = fitted(0.02)
     report.put_limits(made, full=False)
     assert made.gateway_cpu_share_at_size is None and made.holdout_error_worst == pytest.approx(0.36)
@@ -337,7 +319,7 @@
     return HandedCost(gateways, 19, rate, 0.0003, 60.0, 1e4, 0.01, 20.0 * gateways / 19, 3e7, lag)
 
 
-def test_cells_with_configuration_are_the_objects_own_figures_beside_the_flat_views() -> None:
+def test_report_has_figures_of_cells_and_flat_view() -> None:
     made = fitted(0.0128)
     costs = [in_cells(size) for size in (96, 192, 288, 576, 1152)]
     sizes = [handed_down(size, 1.0) for size in (150, 300, 450, 600, 1200)]
@@ -356,13 +338,13 @@
     assert made.limits_kept["false_dead"] is None
 
 
-def test_a_lag_in_any_span_makes_the_run_void() -> None:
+def test_lag_in_any_span_voids_the_run() -> None:
     assert not fitted(0.0128).void
     made = fitted(0.0128, Lag(100, 0, WORST_MOST + 0.1))
     assert made.void and made.lag_ms_worst == pytest.approx(1000 * (WORST_MOST + 0.1))
 
 
-def test_faults_give_their_times_and_one_that_never_settled_gives_none() -> None:
+def test_faults_report_settling_times_or_none() -> None:
     def outcome(fault: str, settle: float | None, mistaken: int = 0) -> Outcome:
         return Outcome(fault, 63, 5, settle, 1000, mistaken, 0, Lag(100, 0, 0.01), Lag())
 
@@ -375,7 +357,7 @@
     assert none.false_dead is None and none.settle_s_zone is None
 
 
-def test_quotas_are_shared_by_all_members_while_customers_ask_for_as_much() -> None:
+def test_shared_scenario_scales_quotas_but_not_demand() -> None:
     usual = Scenario(gateways=3, nodes=6, load=0.15, greedy_share=0.0, seed=49)
     shared = shared_scenario(usual, 63)
     assert shared.plans["basic"].rate_per_s == pytest.approx(21 * usual.plans["basic"].rate_per_s)
@@ -384,14 +366,11 @@
     assert shared.population().tenants == usual.population().tenants
 
 
-# Configuration handed down.
-
-
 def handed(at: int, cpu: float, sent: int, received: int) -> Handed:
     return Handed(at, cpu, 30 * MB, 0, 0, sent, received, "", 0, (), 0, Lag())
 
 
-def test_a_change_is_in_force_everywhere_once_the_last_process_has_come_to_it() -> None:
+def test_change_takes_effect_with_the_last_process() -> None:
     progress = [[(100, 4), (300, 7)], [(200, 5), (500, 6), (600, 9)]]
     second = 1_000_000_000
     assert took(Change(50, 5), progress) == pytest.approx(250 / second)
@@ -400,23 +379,21 @@
     assert took(Change(50, 1), [*progress, []]) is None
 
 
-def test_bytes_are_of_the_busier_direction_and_cpu_of_the_processes_clock() -> None:
+def test_bytes_use_busier_direction_and_cpu_process_time() -> None:
     before, after = handed(0, 1.0, 100, 0), handed(2_000_000_000, 1.5, 300, 1_000)
     assert busier(before, after) == 500.0 and share(before, after) == 0.25
 
 
-def test_every_service_is_carried_by_about_as_many_gateways() -> None:
+def test_services_are_spread_evenly_over_gateways() -> None:
     tier = Tier("x", (), services=30, carried=4)
     counts = Counter(each for gateway in range(60) for each in carried(tier, gateway))
     assert len(counts) == 30 and set(counts.values()) == {8}
 
 
-# Cells.
-
 LAID = Layout("x", (("127.200.0.1", PORT), ("127.200.0.2", PORT)), ("127.192.0.1", "127.192.0.2"), 48)
 
 
-def test_zones_are_filled_by_whole_cells_and_an_address_leads_to_its_region() -> None:
+def test_zones_have_complete_cells_and_addresses_give_regions() -> None:
     numbers = range(24 * ZONES * 2)
     zones = Counter(gateway_zone(number) for number in numbers)
     assert set(zones) == set(range(ZONES)) and set(zones.values()) == {48}
@@ -428,7 +405,7 @@
     assert LAID.region(LAID.control[1]) == region_of_member(control_name(1)) == 1
 
 
-def test_cells_are_settled_when_each_holds_one_view_of_just_its_own_and_the_directory_knows_all() -> None:
+def test_cells_settle_on_one_view_and_full_directory() -> None:
     gateway, control, number = (name_of(0), 2), (control_name(0), 1), (5, 0, 3)
     both = digest(sorted([gateway, control]))
     mine, seed = InView(gateway, "c", number, both, True), InView(control, "c", number, both, True)
@@ -446,11 +423,8 @@
     assert "directory" in amiss([Holding(0, (mine,), 0, 0), lost], 1)
 
 
-# On sockets.
-
-
 @pytest.mark.processes
-def test_hollow_gateways_find_their_cells_and_settle_again_after_a_crash() -> None:
+def test_hollow_gateways_settle_in_cells_after_crash() -> None:
     async def run() -> tuple[Outcome, int]:
         async with CelledFleet(3, 1, 24, Guard()) as fleet:
             since = await fleet.begin(range(6))
@@ -466,7 +440,7 @@
 
 
 @pytest.mark.processes
-def test_a_change_put_to_replicas_in_processes_is_in_force_at_all_hollow_gateways() -> None:
+def test_change_reaches_all_hollow_gateways() -> None:
     async def run() -> tuple[list[float | None], list[float | None], int]:
         async with HandingFleet(3, 2, 4, Guard()) as fleet:
             await fleet.add(8)
@@ -480,7 +454,7 @@
 
 
 @pytest.mark.processes
-def test_hollow_members_in_two_processes_settle_and_settle_again_after_a_crash() -> None:
+def test_hollow_members_settle_again_after_crash() -> None:
     async def run() -> tuple[Outcome, int, int]:
         guard = Guard()
         async with HollowFleet(2, (0, 1, 2), 32, guard, "small") as hollow:
@@ -494,7 +468,9 @@
             return outcome, sum(each.members for each in measured), guard.most.processes
 
     outcome, members, processes = uvloop.run(run())
-    assert outcome.settle_s is not None and outcome.settle_s > 0.5  # it takes periods to call one dead
+    assert (
+        outcome.settle_s is not None and outcome.settle_s > 0.5
+    )  # A member is declared dead only after several protocol periods.
     assert outcome.struck == 2 and outcome.members == 8 and members == 6
     assert outcome.peak_bytes_s > 0 and outcome.lag.beats > 0
     assert processes >= 3
--- a/tests/project/test_capacity.py
+++ b/tests/project/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of capacity: page, file of slopes and command agree, and the arithmetic is what it says."""
+"""Tests that capacity page, file of slopes and command agree, and that the arithmetic is right."""
 
 from __future__ import annotations
 
@@ -29,26 +29,23 @@
     limit: float | None = 5000.0,
     void: bool = False,
 ) -> Measurement:
-    """A line through sizes 100 to 400 with a hold-out at 800."""
+    """Returns the measurement of a line through sizes 100 to 400 with a hold-out at 800."""
     points = [(size, base + per * size) for size in (100.0, 200.0, 300.0, 400.0)]
     return measurement("cost", "gateways", "bytes", points, (800.0, held), RUN, limit=limit, void=void)
 
 
-def one(found: Measurement | None, row: role_terms.Row = ROW, size: float = 7200.0) -> reckon.Reckoned:
-    """The row worked out at a size."""
+def reckoned(found: Measurement | None, row: role_terms.Row = ROW, size: float = 7200.0) -> reckon.Reckoned:
+    """Returns the row computed at a size, from one measurement or from none."""
     kept = Slopes((found,) if found is not None else ())
     return reckon.reckon(row, kept, FIGURES | {"gateways": size}, lambda mechanism: Presence.STARTED)
 
 
-# Page, file and command.
-
-
-def test_the_page_is_what_the_command_makes_of_the_file() -> None:
+def test_page_equals_the_output_of_the_command() -> None:
     text = capacity.PAGE.read_text()
     assert capacity.written(text, capacity.generated()) == text, "run `python -m benchmarks.capacity --write`"
 
 
-def test_a_page_without_a_part_or_with_one_twice_is_named() -> None:
+def test_page_with_missing_or_repeated_part_is_rejected() -> None:
     text, parts = capacity.PAGE.read_text(), capacity.generated()
     for broken in (text.replace("<!-- capacity: breaks -->", ""), text + text):
         with pytest.raises(capacity.PageError, match="markers"):
@@ -57,7 +54,7 @@
 
 @pytest.fixture
 def copied(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The command works on a copy of the page."""
+    """Makes the command work on a copy of the page and returns the copy's path."""
     page = tmp_path / "CAPACITY.md"
     page.write_text(capacity.PAGE.read_text())
     monkeypatch.setattr(capacity, "PAGE", page)
@@ -65,11 +62,12 @@
 
 
 def command(monkeypatch: pytest.MonkeyPatch, *words: str) -> int:
+    """Runs the command with these arguments and returns its exit status."""
     monkeypatch.setattr("sys.argv", ["capacity", *words])
     return capacity.main()
 
 
-def test_a_figure_that_was_changed_by_hand_fails_the_check(
+def test_manually_changed_figure_fails_the_check(
     copied: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert command(monkeypatch, "--check") == 0
@@ -80,28 +78,25 @@
     assert command(monkeypatch, "--check") == 0
 
 
-def test_a_spoilt_file_of_slopes_is_one_line(
+def test_invalid_file_of_slopes_gives_one_line(
     copied: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def spoilt() -> dict[str, str]:
+    def raise_error() -> dict[str, str]:
         raise slopes.SlopesError(Path("slopes.json"), "measurements[0].unit", "text is wanted")
 
-    monkeypatch.setattr(capacity, "generated", spoilt)
+    monkeypatch.setattr(capacity, "generated", raise_error)
     assert command(monkeypatch, "--check") == 2
     assert capsys.readouterr().err == "slopes.json: measurements[0].unit: text is wanted\n"
 
 
-def test_every_measurement_of_the_file_is_on_the_page() -> None:
+def test_page_has_every_measurement_of_the_file() -> None:
     text = capacity.PAGE.read_text()
     for found in slopes.load().measurements:
         assert f"| {found.name} |" in text
 
 
-# The arithmetic.
-
-
 @pytest.mark.parametrize("worked", work(LINES, demand.figures()), ids=lambda worked: worked.line.name)
-def test_the_sum_that_is_shown_comes_to_the_value_beside_it(worked: Worked) -> None:
+def test_shown_sum_equals_the_shown_value(worked: Worked) -> None:
     plain = re.sub(r"(?<=\d),(?=\d)", "", worked.shown).replace(" x ", " * ")
     value = eval(compile(plain, "sum", "eval"), {"__builtins__": {}, "min": min})
     assert value == pytest.approx(worked.value, rel=0.01)
@@ -125,23 +120,23 @@
         ("cores", 129.6),
     ],
 )
-def test_lines_worked_out_by_hand(name: str, value: float) -> None:
+def test_lines_equal_values_computed_by_hand(name: str, value: float) -> None:
     by_name = {each.line.name: each.value for each in work(LINES, demand.figures())}
     assert by_name[name] == pytest.approx(value, rel=0.001)
 
 
-def test_what_a_gateway_carries_fits_its_descriptors() -> None:
+def test_connections_of_a_gateway_fit_its_descriptors() -> None:
     by_name = {each.line.name: each.value for each in work(LINES, demand.figures())}
     assert by_name["links_gateway"] <= by_name["links_most"]
 
 
 @pytest.mark.parametrize("wrong", ["a ** 2", "b", "a if a else 0", "print(a)", "'a'"])
-def test_a_sum_of_anything_else_is_refused(wrong: str) -> None:
+def test_sum_with_unsupported_syntax_is_rejected(wrong: str) -> None:
     with pytest.raises(SumError, match="are wanted"):
         work([Line("x", "what", wrong, "")], {"a": 1.0})
 
 
-def test_a_line_needs_a_name_of_its_own() -> None:
+def test_lines_need_unique_names() -> None:
     with pytest.raises(SumError, match="a name of its own"):
         work([Line("a", "what", "a + 1", "")], {"a": 1.0})
 
@@ -150,7 +145,7 @@
     ("value", "text"),
     [(480_000.0, "480,000"), (66.67, "66.7"), (4.0, "4"), (0.0255, "0.0255"), (0.0, "0"), (1e-7, "1.00e-07")],
 )
-def test_figures_for_people(value: float, text: str) -> None:
+def test_figures_are_formatted(value: float, text: str) -> None:
     assert figure(value) == text
 
 
@@ -165,110 +160,111 @@
         (3.0, "cells", "3 cells"),
     ],
 )
-def test_amounts_for_people(value: float, unit: str, text: str) -> None:
+def test_amounts_are_formatted_with_units(value: float, unit: str, text: str) -> None:
     assert amount(value, unit) == text
 
 
-# Rows.
-
-
-def test_a_row_without_a_run_has_no_figure() -> None:
-    told = one(None)
-    assert (told.state, told.value, told.room) == (reckon.State.NOT_MEASURED, None, None)
+def test_row_without_a_run_has_no_figure() -> None:
+    result = reckoned(None)
+    assert (result.state, result.value, result.room) == (reckon.State.NOT_MEASURED, None, None)
 
 
-def test_a_row_of_a_void_run_has_no_figure() -> None:
-    told = one(slope(void=True))
-    assert (told.state, told.value) == (reckon.State.VOID, None)
+def test_row_of_a_void_run_has_no_figure() -> None:
+    result = reckoned(slope(void=True))
+    assert (result.state, result.value) == (reckon.State.VOID, None)
 
 
-def test_a_row_whose_fit_missed_has_no_figure_but_at_the_size_that_was_measured() -> None:
-    assert one(slope(held=3000.0)).state is reckon.State.WRONG
-    there = one(slope(held=3000.0), size=800.0)
+def test_row_with_wrong_fit_has_only_measured_figures() -> None:
+    """A fit that missed its hold-out predicts no figure; the figure at the measured size remains."""
+    assert reckoned(slope(held=3000.0)).state is reckon.State.WRONG
+    there = reckoned(slope(held=3000.0), size=800.0)
     assert (there.state, there.value) == (reckon.State.MEASURED, 3000.0)
 
 
-def test_a_row_by_fit_says_its_room_and_where_it_breaks() -> None:
-    told = one(slope())
-    assert told.value == pytest.approx(14400.0)
-    assert told.room == pytest.approx(5000.0 / 14400.0)
-    assert told.breaks_at == pytest.approx(2500.0)
+def test_row_with_fit_has_headroom_and_breaking_size() -> None:
+    result = reckoned(slope())
+    assert result.value == pytest.approx(14400.0)
+    assert result.room == pytest.approx(5000.0 / 14400.0)
+    assert result.breaks_at == pytest.approx(2500.0)
 
 
-def test_far_beyond_what_was_measured_the_most_counts_that_is_not_refuted() -> None:
+def test_far_extrapolation_uses_worst_unrefuted_fit() -> None:
+    """Far beyond the measured sizes, the largest value of all fits that the points do not refute counts."""
     points = [(100.0, 101.0), (200.0, 103.0), (300.0, 102.0), (400.0, 104.0)]
     found = measurement("cost", "gateways", "bytes", points, (800.0, 107.0), RUN, limit=115.0)
-    told = one(found)
-    assert told.state is reckon.State.FURTHER
-    assert told.value == max(each.predict(7200.0) for each in unrefuted(found))
-    assert told.breaks_at == min(each.breaks_at(115.0) for each in unrefuted(found))
+    result = reckoned(found)
+    assert result.state is reckon.State.FURTHER
+    assert result.value == max(each.predict(7200.0) for each in unrefuted(found))
+    assert result.breaks_at == min(each.breaks_at(115.0) for each in unrefuted(found))
     assert len(unrefuted(found)) > 1
 
 
-def test_a_wrong_fit_breaks_between_the_measured_sizes_around_the_limit() -> None:
-    told = one(slope(held=3000.0, limit=1900.0), size=800.0)
-    assert told.breaks_at == pytest.approx(400 + 400 * (1900 - 800) / (3000 - 800))
+def test_wrong_fit_breaks_between_sizes_around_the_limit() -> None:
+    result = reckoned(slope(held=3000.0, limit=1900.0), size=800.0)
+    assert result.breaks_at == pytest.approx(400 + 400 * (1900 - 800) / (3000 - 800))
 
 
-def test_a_limit_that_is_passed_at_the_least_size_breaks_there_at_the_latest() -> None:
-    for held in (20_000.0, 80_000.0):  # a fit that holds, and one that is wrong
-        told = one(slope(base=4000.0, per=20.0, held=held, limit=3000.0), size=800.0)
-        assert told.breaks_at == 100.0
+def test_limit_exceeded_at_smallest_size_breaks_there() -> None:
+    for held in (20_000.0, 80_000.0):  # The first fit holds and the second is wrong.
+        result = reckoned(slope(base=4000.0, per=20.0, held=held, limit=3000.0), size=800.0)
+        assert result.breaks_at == 100.0
 
 
-def test_below_the_least_size_the_cost_there_is_not_passed() -> None:
-    told = one(slope(base=-190.0, held=1410.0), size=24.0)
-    assert (told.state, told.value) == (reckon.State.AT_MOST, 10.0)
+def test_cost_below_smallest_size_is_bounded_by_it() -> None:
+    result = reckoned(slope(base=-190.0, held=1410.0), size=24.0)
+    assert (result.state, result.value) == (reckon.State.AT_MOST, 10.0)
 
 
-def test_a_row_times_another_figure_has_no_limit_of_its_own() -> None:
-    told = one(
+def test_multiplied_row_has_no_limit_of_its_own() -> None:
+    result = reckoned(
         slope(), role_terms.Row("bytes: all", "cost", "gateways", "decide/load_balancer.py", by="calls")
     )
-    assert told.value == pytest.approx(144_000.0)
-    assert (told.limit, told.breaks_at) == (None, None)
+    assert result.value == pytest.approx(144_000.0)
+    assert (result.limit, result.breaks_at) == (None, None)
 
 
-def test_a_row_times_another_figure_is_held_against_the_limit_that_it_names() -> None:
+def test_multiplied_row_uses_the_limit_it_names() -> None:
     row = role_terms.Row(
         "bytes: all", "cost", "gateways", "decide/load_balancer.py", by="calls", limit="budget"
     )
-    told = one(slope(), row)
-    assert told.limit == 5000.0
-    assert told.room == pytest.approx(5000 / 144_000)
-    assert told.breaks_at == pytest.approx(5000 / 10 / 2)
+    result = reckoned(slope(), row)
+    assert result.limit == 5000.0
+    assert result.room == pytest.approx(5000 / 144_000)
+    assert result.breaks_at == pytest.approx(5000 / 10 / 2)
 
 
-def test_rows_of_a_kind_are_added_up_and_those_without_a_figure_told() -> None:
+def test_totals_add_rows_and_count_missing_figures() -> None:
     role = role_terms.Role("a role", "state", (), added_up=True)
     twice = role_terms.Row("memory: the same", "cost", "gateways", "decide/load_balancer.py", counted=False)
-    (total,) = reckon.totals(role, [one(slope()), one(None), one(slope(), twice)], FIGURES)
+    (total,) = reckon.totals(role, [reckoned(slope()), reckoned(None), reckoned(slope(), twice)], FIGURES)
     assert (total.kind, total.missing, total.limit) == ("memory", 1, 64e6)
     assert total.value == pytest.approx(14400.0)
-    (nothing,) = reckon.totals(role, [one(None)], FIGURES)
+    (nothing,) = reckon.totals(role, [reckoned(None)], FIGURES)
     assert (nothing.value, nothing.missing) == (None, 1)
 
 
-def test_what_breaks_stands_in_order_and_what_holds_does_not() -> None:
+def test_breaks_are_ordered_and_exclude_kept_limits() -> None:
     bound = role_terms.Bound("slots", "slots", "gateways", "membership/slot_allocation.py", "cells")
     holds = role_terms.Bound("more", "more", "gateways", "membership/slot_allocation.py", "cells")
     found = reckon.breaks(
-        [one(slope()), one(slope(limit=1e9))], (bound, holds), {"gateways": 7200, "slots": 1024, "more": 8000}
+        [reckoned(slope()), reckoned(slope(limit=1e9))],
+        (bound, holds),
+        {"gateways": 7200, "slots": 1024, "more": 8000},
     )
     assert [each.what for each in found] == ["slots", "memory: all"]
     assert found[0].share == pytest.approx(1024 / 7200)
 
 
-def test_what_breaks_is_told_once_and_grouped_by_what_mends_it() -> None:
+def test_breaks_are_unique_and_grouped_by_remedy() -> None:
     bound = role_terms.Bound("slots", "slots", "gateways", "membership/slot_allocation.py", "cells")
     other = role_terms.Row("bytes: again", "cost", "gateways", "decide/load_balancer.py", "a mend")
     figures = {"gateways": 7200.0, "slots": 1024.0}
-    found = reckon.breaks([one(slope()), one(slope(), other)], (bound,), figures)
+    found = reckon.breaks([reckoned(slope()), reckoned(slope(), other)], (bound,), figures)
     assert [each.what for each in found] == ["slots", "memory: all"]
     assert [mend for mend, _ in reckon.mends(found)] == ["cells", "a mend"]
 
 
-def test_a_mechanism_that_is_not_in_the_program_is_missing() -> None:
+def test_absent_mechanism_is_reported_missing() -> None:
     assert presence("decide/load_balancer.py") is Presence.STARTED
     assert presence("no/such.py") is presence("") is Presence.MISSING
     known = {"decide": Presence.STARTED, "membership": Presence.CORE}
@@ -280,12 +276,12 @@
     assert "`counter/lease_manager.py`" not in table
 
 
-def test_what_operators_start_brings_in_the_gateway_and_nothing_of_the_testbed() -> None:
+def test_started_program_excludes_testing_code() -> None:
     assert {"node", "decide", "backends", "fronts", "lists", "membership"} <= started()
     assert "testing" not in started()
 
 
-def test_without_runs_every_row_says_so() -> None:
+def test_without_runs_every_row_is_not_measured() -> None:
     parts = Page(Slopes()).parts()
     assert parts["latency"] == parts["slopes"] == parts["faults"] == "**not measured**"
     rows = [row for role in roles.ROLES for row in role.rows]
@@ -293,7 +289,8 @@
     assert parts["roles"].count("| **not measured** |") == len(rows) + sums
 
 
-def test_rows_name_sizes_that_there_are_and_modules_of_the_program_as_it_was_or_will_be() -> None:
+def test_rows_name_known_sizes_and_modules() -> None:
+    """A row's module is in the program or in a planned package."""
     page = Page(Slopes())
     planned = {"services", "cells", "distribution", "regions"}
     for role in roles.ROLES:
@@ -302,22 +299,22 @@
             assert (PROGRAM / row.mechanism).exists() or row.mechanism.split("/")[0] in planned
 
 
-def test_latency_says_whether_it_keeps_the_limit() -> None:
-    def told(added: float, void: bool) -> str:
+def test_latency_is_compared_with_its_limit() -> None:
+    def latency_part(added: float, void: bool) -> str:
         made = latency.Latency(RUN, void, 4000, 448, 60, (0.001, 0.002), (0.0015, 0.002 + added), 0.001, 1.0)
         return Page(Slopes(), made).parts()["latency"]
 
-    assert "within the limit" in told(0.004, False)
-    assert "**over the limit**" in told(0.005, False)
-    assert "**void**" in told(0.004, True)
+    assert "within the limit" in latency_part(0.004, False)
+    assert "**over the limit**" in latency_part(0.005, False)
+    assert "**void**" in latency_part(0.004, True)
 
 
-def test_percentiles_of_one_to_a_hundred() -> None:
+def test_percentiles_of_0_to_100() -> None:
     low, high = latency.percentiles([float(number) for number in range(101)])
     assert (low, high) == (50.0, 99.0)
 
 
-def test_faults_are_told_with_those_that_did_not_settle() -> None:
+def test_fault_table_includes_unsettled_faults() -> None:
     struck = (faults.Fault("zone", 240, 20, 3.5, 24_000.0, 0), faults.Fault("region", 240, 60, None, 9e4, 1))
     report = faults.Report("2026-12-02T05:10Z", "python -m benchmarks.scale", "abc1234", True, "flat", struck)
     table = Page(Slopes(), report=report).parts()["faults"]
@@ -326,7 +323,7 @@
     assert "**Void**" in table
 
 
-def test_a_room_without_end() -> None:
+def test_flat_zero_cost_has_infinite_headroom() -> None:
     points = [(float(size), 0.0) for size in (1, 2, 3, 4)]
     flat = measurement("cost", "gateways", "bytes", points, (8.0, 0.0), RUN, limit=1.0)
-    assert one(flat).room == math.inf
+    assert reckoned(flat).room == math.inf
