--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: `python -m benchmarks.NAME [--quick]`; the last line is one JSON object with the figures."""
+"""Measures the program: `python -m benchmarks.NAME [--quick]` ends with its figures as one JSON object."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""The page of capacity, docs/CAPACITY.md: its tables worked out from the measured slopes.
+"""Generates the tables of the capacity page, docs/CAPACITY.md, from the measured slopes.
 
-Prints the tables; `--write` puts them into the page between its markers, `--check` fails when the page
-differs; `--measure` measures the slopes of the decision module (some minutes) and keeps them in the file.
+Without a flag, it prints the tables. `--write` puts them between the markers of the page, `--check` fails
+when the page differs. `--measure` measures the slopes of the decision module (some minutes) and stores them.
 """
 
 from __future__ import annotations
@@ -19,30 +19,32 @@
 
 
 class PageError(Exception):
-    """A page whose markers are not those of the generated parts: the file and what is wanted, in one line."""
+    """Reports, in one line, a page whose markers do not match the generated parts."""
 
 
 def written(text: str, parts: dict[str, str]) -> str:
-    """The page with each generated part between its markers. Raises PageError."""
+    """Returns the page with each generated part between its markers. Raises PageError."""
     names = [match["name"] for match in _PART.finditer(text)]
     if sorted(names) != sorted(parts):
         raise PageError(
-            f"{PAGE}: markers: found {', '.join(names) or 'none'}, wanted once each of {', '.join(parts)}"
+            f"{PAGE}: markers: must be {', '.join(parts)}, each once, got {', '.join(names) or 'none'}"
         )
     return _PART.sub(lambda match: f"{match[1]}{parts[match['name']]}\n{match[3]}", text)
 
 
 def generated() -> dict[str, str]:
-    """All generated parts, from the files as they are. Raises SlopesError."""
+    """Returns all generated parts, from the stored files. Raises SlopesError."""
     return Page(slopes.load(), latency.load(), faults.load()).parts()
 
 
 def main() -> int:
-    """Exit status: 1 where the page differs, 2 where a file can't be used."""
+    """Runs the command; its exit status is 1 if the page differs and 2 if a file cannot be used."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--measure", nargs="*", metavar="SUBJECT", help="measure first: all, or those named")
     parser.add_argument(
-        "--repeats", type=int, default=module.REPEATS, help="fresh processes a size, %(default)s unless told"
+        "--measure", nargs="*", metavar="SUBJECT", help="measure all or the named subjects first"
+    )
+    parser.add_argument(
+        "--repeats", type=int, default=module.REPEATS, help="new processes per size (%(default)s)"
     )
     parser.add_argument("--write", action="store_true", help="put the tables into docs/CAPACITY.md")
     parser.add_argument("--check", action="store_true", help="fail when docs/CAPACITY.md differs")
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,8 +1,9 @@
-"""What membership in levels costs each process at rest, in virtual time, whole fleets of the real cores.
+"""Measures what membership in cells costs each process of an idle fleet, in virtual time.
 
-`python -m benchmarks.cells --gateways 720 1440` prints a line of JSON for each size: bytes and datagrams a
-second, sent and come, of gateways and of control machines, counted as the wire would pack them. Virtual time
-has no CPU; 7,200 gateways take some ten minutes and half a gigabyte. May know: worlds. Decides nothing.
+The fleets run the real cores. `python -m benchmarks.cells --gateways 720 1440` prints a line of JSON for
+each size. It has the bytes per second that gateways and control machines send and receive, in the encoding of
+the wire, and the datagrams that they send. Virtual time gives no CPU figures. 7,200 gateways take about ten
+minutes and half a gigabyte.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from trackspread.membership.identifiers import SECOND
 from trackspread.testing.virtual.cells.world import CelledWorld
 
-START = 60 * SECOND  # ns that the fleet may take to settle from nothing
+START = 60 * SECOND  # Nanoseconds that the fleet may take to settle after its start.
 REGIONS, ZONES, MACHINES = 4, 3, 19
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """A second, of the mean one and of the busiest."""
+    """Holds the bytes and datagrams per second of the mean process and the bytes of the busiest one."""
 
     sent: int
     sent_most: int
@@ -31,11 +32,14 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One size. `settled_s`: until all were settled that had started at once; `leader`: its own cost."""
+    """Holds the figures of one size.
+
+    `settled_s` is the time until a fleet that started all at once was settled. `leader` is the leader's cost.
+    """
 
     gateways: int
     cells: int
-    seats_most: int  # of one control machine
+    seats_most: int  # Of one control machine.
     settled_s: float
     wall_s: float
     gateway: Cost
@@ -44,17 +48,17 @@
 
 
 def cost(world: CelledWorld, names: list[str], seconds: int) -> Cost:
-    """Of these, over so many seconds."""
+    """Returns the cost of the named processes over `seconds`."""
 
-    def of(counted: Counter[str]) -> tuple[int, int]:
-        each = [counted[name] / seconds for name in names]
-        return round(sum(each) / len(each)), round(max(each))
+    def mean_and_most(counted: Counter[str]) -> tuple[int, int]:
+        rates = [counted[name] / seconds for name in names]
+        return round(sum(rates) / len(rates)), round(max(rates))
 
-    return Cost(*of(world.sent), *of(world.came), of(world.datagrams)[0])
+    return Cost(*mean_and_most(world.sent), *mean_and_most(world.came), mean_and_most(world.datagrams)[0])
 
 
 def played(gateways: int, seconds: int, seed: int) -> Line:
-    """A fleet from its start, and so many seconds of it at rest."""
+    """Runs a fleet until it is settled and then idle for `seconds`, and returns its figures."""
     began = time.monotonic()
     world = CelledWorld(seed, REGIONS, MACHINES, ZONES)
     world.populate(gateways // (REGIONS * ZONES))
@@ -77,10 +81,12 @@
 
 
 def main() -> None:
-    """A line of JSON for each size."""
+    """Prints a line of JSON for each size."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.cells", description=__doc__)
-    parser.add_argument("--gateways", type=int, nargs="+", default=[360, 720, 1440], help="sizes, by twelves")
-    parser.add_argument("--seconds", type=int, default=20, help="of virtual time at rest (20)")
+    parser.add_argument(
+        "--gateways", type=int, nargs="+", default=[360, 720, 1440], help="sizes, multiples of 12"
+    )
+    parser.add_argument("--seconds", type=int, default=20, help="idle virtual time (20)")
     parser.add_argument("--seed", type=int, default=1)
     given = parser.parse_args()
     for gateways in given.gateways:
--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -1,7 +1,7 @@
-"""Closed-loop work for measurements: nodes that answer at once, a bare relay, clients that ask on and on.
+"""Provides closed-loop load for benchmarks: nodes that answer at once, a plain relay, and clients.
 
-`python -m benchmarks.closed_loop nodes N` and `... relay HOST:PORT,...` are processes of their own: each
-prints where it listens, and ends with its parent.
+`python -m benchmarks.closed_loop nodes N` and `... relay HOST:PORT,...` run as separate processes. Each
+prints the addresses on which it listens, and ends when its parent ends.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 
 
 class Node(asyncio.Protocol):
-    """Answers every command at once; whoever asks waits for each answer: a chunk that ends is a command."""
+    """Answers every command at once.
+
+    Clients wait for each answer, so data that ends with a line end is one complete command.
+    """
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -34,7 +37,7 @@
 
 
 class Relay(asyncio.Protocol):
-    """Bytes on, bytes back: one connection to a node for each of a client's. No parsing, no decisions."""
+    """Forwards bytes between a client and a node, one connection each, without parsing or decisions."""
 
     def __init__(self, target: Address) -> None:
         self._target, self.other, self._early = target, None, b""
@@ -61,7 +64,7 @@
 
 
 class RelayBack(asyncio.Protocol):
-    """The node's side of a relayed connection."""
+    """Forwards the node's bytes to the client of a relayed connection."""
 
     transport: asyncio.Transport
 
@@ -75,13 +78,13 @@
         cast(asyncio.Transport, self._front.transport).write(data)
 
 
-class Asker(asyncio.Protocol):
-    """One client connection: the next command goes out when the answer to the last has come whole.
+class ClosedLoopClient(asyncio.Protocol):
+    """Holds one client connection that sends the next command when the answer to the last is complete.
 
-    `answer_end` is how every good answer ends; anything else counts as refused."""
+    Every successful answer ends with `answer_end`; any other answer counts as refused."""
 
-    def __init__(self, commands: Callable[[], bytes], tally: Tally, answer_end: bytes) -> None:
-        self._commands, self._tally, self._end = commands, tally, answer_end
+    def __init__(self, commands: Callable[[], bytes], counts: ReplyCounts, answer_end: bytes) -> None:
+        self._commands, self._counts, self._end = commands, counts, answer_end
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -92,29 +95,29 @@
         if not data.endswith(b"\r\n"):
             return
         if data.endswith(self._end):
-            self._tally.served += 1
+            self._counts.served += 1
         else:
-            self._tally.refused += 1
-        if self._tally.asking:
+            self._counts.refused += 1
+        if self._counts.is_sending:
             cast(asyncio.Transport, self._transport).write(self._commands())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._tally.lost += self._tally.asking
+        self._counts.lost += self._counts.is_sending
 
 
-class Tally:
-    """What came back so far."""
+class ReplyCounts:
+    """Counts answers, refusals and lost connections of all clients."""
 
     def __init__(self) -> None:
         self.served = self.refused = self.lost = 0
-        self.asking = True
+        self.is_sending = True
 
 
 def commands(customers: int) -> Callable[[], bytes]:
-    """Look-ups of so many customers in turn, each with an id of its own."""
+    """Returns a function that makes look-ups of the tenants in turn, each with its own request id."""
     numbers = itertools.count()
 
-    def one() -> bytes:
+    def next_command() -> bytes:
         number = next(numbers)
         words = (
             b"CALL.GET",
@@ -124,26 +127,28 @@
         )
         return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
-    return one
+    return next_command
 
 
-async def _listen(made: Callable[[], asyncio.Protocol]) -> Address:
-    server = await asyncio.get_running_loop().create_server(made, own_address(), 0, backlog=1024)
-    _KEPT.append(server)
+async def _listen(factory: Callable[[], asyncio.Protocol]) -> Address:
+    server = await asyncio.get_running_loop().create_server(factory, own_address(), 0, backlog=1024)
+    _SERVERS.append(server)
     return own_address(), int(server.sockets[0].getsockname()[1])
 
 
-_KEPT: list[asyncio.Server] = []  # servers end with the process
+_SERVERS: list[asyncio.Server] = []  # Keeps the servers open until the process ends.
 
 
-async def _serve(kind: str, word: str) -> None:
+async def _serve(kind: str, argument: str) -> None:
     if kind == "nodes":
-        made = [await _listen(Node) for _ in range(int(word))]
+        addresses = [await _listen(Node) for _ in range(int(argument))]
     else:
-        targets = itertools.cycle([(h, int(p)) for h, _, p in (w.rpartition(":") for w in word.split(","))])
-        made = [await _listen(lambda: Relay(next(targets)))]
-    print(json.dumps(made), flush=True)
-    await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)  # until the parent is gone
+        targets = itertools.cycle(
+            [(h, int(p)) for h, _, p in (w.rpartition(":") for w in argument.split(","))]
+        )
+        addresses = [await _listen(lambda: Relay(next(targets)))]
+    print(json.dumps(addresses), flush=True)
+    await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)  # Ends with the parent.
 
 
 if __name__ == "__main__":
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,7 +1,8 @@
-"""CPU a request of the gateway beside a bare uvloop relay, on the same closed-loop work in one run.
+"""Compares the gateway's CPU per request with that of a plain uvloop relay under the same closed-loop load.
 
-Figures are ratios to the relay, which parses and decides nothing: with 9 nodes and 200 customers, with 100
-and 500 nodes, and with 10,000 customers. Answers come at once, so all CPU is the gateway's own.
+Both are measured in one run. Figures are ratios to the relay, which parses and decides nothing: with 9 nodes
+and 200 tenants, with 100 and 500 nodes, and with 10,000 tenants. Nodes answer at once, so that all CPU is the
+gateway's own.
 """
 
 from __future__ import annotations
@@ -26,17 +27,19 @@
 from trackspread.testing.standins.loopback import Ports
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
-from .closed_loop import ANSWER, Address, Asker, Tally, commands
+from .closed_loop import ANSWER, Address, ClosedLoopClient, ReplyCounts, commands
 
-CONNECTIONS = 32  # requests under way at any time
-WARM, SPAN, SPAN_QUICK = 1.0, 10.0, 3.5  # s
-QUOTA = 60.0  # requests a second and at once, of each customer: several times what it gets to ask
+CONNECTIONS = 32  # Requests in flight at any time.
+WARM, SPAN, SPAN_QUICK = 1.0, 10.0, 3.5  # Seconds.
+QUOTA = 60.0  # Rate per second and burst of each tenant, several times the requests that it sends.
 SECOND = 1_000_000_000
 SERVED = b"$5\r\nvalue\r\n"
 
 
 @dataclass(frozen=True)
 class Work:
+    """Holds the size of one measurement; `name` is its key in the figures."""
+
     name: str
     nodes: int
     customers: int
@@ -51,6 +54,7 @@
 
 
 async def spawn(*words: str) -> tuple[Process, list[Address]]:
+    """Starts a process of `benchmarks.closed_loop` and returns it with the addresses on which it listens."""
     process = await create_subprocess_exec(
         sys.executable, "-m", "benchmarks.closed_loop", *words, stdin=PIPE, stdout=PIPE, stderr=DEVNULL
     )
@@ -60,24 +64,31 @@
 
 
 async def _drive(address: Address, pid: int, customers: int, end: bytes, span: float) -> tuple[float, float]:
-    """CPU ms a request, and requests a second, while all connections ask without a pause."""
-    loop, tally, one = asyncio.get_running_loop(), Tally(), commands(customers)
+    """Returns CPU milliseconds per request and requests per second while all connections send.
+
+    Raises RuntimeError if a request was refused or lost, as the load would not be comparable.
+    """
+    loop, counts, next_command = asyncio.get_running_loop(), ReplyCounts(), commands(customers)
     made = [
-        await loop.create_connection(lambda: Asker(one, tally, end), *address) for _ in range(CONNECTIONS)
+        await loop.create_connection(lambda: ClosedLoopClient(next_command, counts, end), *address)
+        for _ in range(CONNECTIONS)
     ]
     await asyncio.sleep(WARM)
-    before, served, began = cpu_seconds(pid), tally.served, loop.time()
+    before, served, began = cpu_seconds(pid), counts.served, loop.time()
     await asyncio.sleep(span)
-    used, count, took = cpu_seconds(pid) - before, tally.served - served, loop.time() - began
-    tally.asking = False
+    used, count, took = cpu_seconds(pid) - before, counts.served - served, loop.time() - began
+    counts.is_sending = False
     for transport, _ in made:
         transport.close()
-    if tally.refused or tally.lost or not count:
-        raise RuntimeError(f"{tally.refused} refused, {tally.lost} lost, {count} served: no fair work")
+    if counts.refused or counts.lost or not count:
+        raise RuntimeError(
+            f"{counts.refused} refused, {counts.lost} lost, {count} served: the load is not comparable"
+        )
     return 1000 * used / count, count / took
 
 
 async def _relay(nodes: list[Address], span: float) -> tuple[float, float]:
+    """Returns CPU milliseconds per request and requests per second of the relay."""
     process, (address,) = await spawn("relay", ",".join(f"{host}:{port}" for host, port in nodes))
     try:
         return await _drive(address, process.pid, 200, ANSWER, span)
@@ -87,6 +98,7 @@
 
 
 def _settings(quota: float, gateways: int) -> dict[str, Any]:
+    """Returns settings with one class and one plan."""
     classes = [class_settings("rate-lookup", "free", "all", SECOND, 1500_000_000, SECOND)]
     wide = plan_settings("wide", quota, quota)
     return nested_settings(classes, [wide], 0, gateways, zones=("a", "b", "c"))
@@ -102,8 +114,11 @@
     gateways: int = 1,
     kind: type[GatewayProcess] = GatewayProcess,
 ) -> tuple[float, float]:
-    """CPU ms a request, and requests a second, of one gateway of so many; `own`: its operator's file; `kind`:
-    what starts it."""
+    """Returns CPU milliseconds per request and requests per second of one gateway.
+
+    The gateway belongs to a fleet of `gateways`. `own` is its operator's file, and `kind` is the class that
+    starts its process.
+    """
     listed, ledger = BackendList(), Ledger()
     for number, address in enumerate(nodes):
         listed.put(
@@ -135,23 +150,27 @@
 
 
 async def measure(span: float) -> dict[str, float]:
+    """Returns the figures of all measurements; prints progress to standard error."""
     figures: dict[str, float] = {}
     with tempfile.TemporaryDirectory() as folder:
         for work in WORKS:
             process, nodes = await spawn("nodes", str(work.nodes))
             try:
                 if work is WORKS[0]:
-                    bare, rate = await _relay(nodes, span)
-                    figures["relay_ms"] = round(bare, 4)
-                    print(f"relay: {bare:.4f} ms CPU a request, {rate:.0f} a second", file=sys.stderr)
+                    relay_ms, rate = await _relay(nodes, span)
+                    figures["relay_ms"] = round(relay_ms, 4)
+                    print(
+                        f"relay: {relay_ms:.4f} ms CPU per request, {rate:.0f} requests per second",
+                        file=sys.stderr,
+                    )
                 cost, rate = await gateway(work, nodes, Path(folder), span)
             finally:
                 process.kill()
                 await process.wait()
-            figures[work.name] = round(cost / bare, 2)
+            figures[work.name] = round(cost / relay_ms, 2)
             print(
-                f"{work.name}: {work.nodes} nodes, {work.customers} customers: {cost:.4f} ms a request, "
-                f"{rate:.0f} a second, {cost / bare:.1f} times the relay",
+                f"{work.name}: {work.nodes} nodes, {work.customers} tenants: {cost:.4f} ms CPU per request, "
+                f"{rate:.0f} requests per second, {cost / relay_ms:.1f} times the relay",
                 file=sys.stderr,
                 flush=True,
             )
@@ -159,8 +178,9 @@
 
 
 def main() -> int:
+    """Prints the figures as JSON and returns the exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="under 50 s")
+    parser.add_argument("--quick", action="store_true", help="take less than 50 s")
     given = parser.parse_args()
     print(json.dumps(uvloop.run(measure(SPAN_QUICK if given.quick else SPAN))))
     return 0
--- a/benchmarks/counter_clients.py
+++ b/benchmarks/counter_clients.py
@@ -1,7 +1,7 @@
-"""CPU a call of the ways to speak with a counter: this project's link, and the registry's client `redis`.
+"""Compares the CPU per call of two clients of the shared counter: this project's and the package `redis`.
 
-The same call (write a field, read the name, lengthen its life, ask the time), 64 at a time, to the stand-in
-in a process of its own; figures are microseconds of this process, compared in one run.
+Both make the same call (write a field, read the hash, extend its expiry, read the time) 64 at a time to the
+stand-in, which runs in its own process. Figures are CPU microseconds of this process in one run.
 """
 
 from __future__ import annotations
@@ -27,6 +27,8 @@
 
 
 def _serve(pipe: Connection) -> None:
+    """Runs the stand-in counter, sends its address, and ends at the first message."""
+
     async def work() -> None:
         server = CounterServer([Shard(0)], 1)
         await server.start()
@@ -37,63 +39,68 @@
 
 
 def _words(number: int) -> list[Command]:
+    """Returns the commands of one call."""
     return commands_for(Call(number, 0, number % AT_ONCE, b"x" * 48), "ts", 0, b"token")
 
 
-async def _link(address: tuple[str, int]) -> float:
-    link = CounterConnection(address, Credentials(), lambda: None)
-    link.start()
-    while not link.is_ready:
+async def _own_client_us(address: tuple[str, int]) -> float:
+    """Returns the CPU microseconds per call of this project's connection."""
+    connection = CounterConnection(address, Credentials(), lambda: None)
+    connection.start()
+    while not connection.is_ready:
         await asyncio.sleep(0.01)
     loop, began = asyncio.get_running_loop(), time.process_time()
     for _ in range(CALLS):
         waiting = [loop.create_future() for _ in range(AT_ONCE)]
         for number, each in enumerate(waiting):
-            link.send(_words(number), each.set_result)
+            connection.send(_words(number), each.set_result)
         await asyncio.gather(*waiting)
     used = time.process_time() - began
-    await link.close()
+    await connection.close()
     return used / CALLS / AT_ONCE * 1e6
 
 
-async def _redis(address: tuple[str, int]) -> float:
+async def _redis_client_us(address: tuple[str, int]) -> float:
+    """Returns the CPU microseconds per call of the package `redis`."""
     client = redis.asyncio.Redis(host=address[0], port=address[1], max_connections=AT_ONCE)
 
-    async def one(number: int) -> None:
+    async def call(number: int) -> None:
         async with client.pipeline(transaction=False) as pipe:
             for words in _words(number):
                 pipe.execute_command(*words)
             await pipe.execute()
 
-    await asyncio.gather(*(one(number) for number in range(AT_ONCE)))
+    await asyncio.gather(*(call(number) for number in range(AT_ONCE)))
     began = time.process_time()
     for _ in range(CALLS // 4):
-        await asyncio.gather(*(one(number) for number in range(AT_ONCE)))
+        await asyncio.gather(*(call(number) for number in range(AT_ONCE)))
     used = time.process_time() - began
     await client.aclose()
     return used / (CALLS // 4) / AT_ONCE * 1e6
 
 
 async def _measure(address: tuple[str, int]) -> dict[str, float]:
-    own, other = [], []
+    """Returns the lowest figure of each client over all rounds, and their ratio."""
+    own_us, redis_us = [], []
     for _ in range(ROUNDS):
-        own.append(await _link(address))
-        other.append(await _redis(address))
+        own_us.append(await _own_client_us(address))
+        redis_us.append(await _redis_client_us(address))
     return {
-        "link_us": round(min(own), 1),
-        "redis_us": round(min(other), 1),
-        "ratio": round(min(other) / min(own), 2),
+        "link_us": round(min(own_us), 1),
+        "redis_us": round(min(redis_us), 1),
+        "ratio": round(min(redis_us) / min(own_us), 2),
     }
 
 
 def main() -> int:
-    ours, theirs = multiprocessing.get_context("spawn").Pipe()
-    server = multiprocessing.get_context("spawn").Process(target=_serve, args=(theirs,))
+    """Prints the figures as JSON and returns the exit status."""
+    pipe, child_pipe = multiprocessing.get_context("spawn").Pipe()
+    server = multiprocessing.get_context("spawn").Process(target=_serve, args=(child_pipe,))
     server.start()
     try:
-        print(json.dumps(uvloop.run(_measure(ours.recv()))))
+        print(json.dumps(uvloop.run(_measure(pipe.recv()))))
     finally:
-        ours.send(None)
+        pipe.send(None)
         server.join()
     return 0
 
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -29,8 +29,8 @@
 from trackspread.testing.standins.loopback import Ports, own_address
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
-from .closed_loop import Asker, Tally
-from .common import say, tell
+from .closed_loop import ClosedLoopClient, ReplyCounts
+from .common import run_command, say
 from .cost import SERVED
 from .operations import Older, cpu_ratio
 
@@ -196,24 +196,27 @@
     process = kind("n0", at, config, folder, ledger, max_descriptors=2048)
     await process.start()
     try:
-        tally, numbers = Tally(), itertools.count()
+        counts, numbers = ReplyCounts(), itertools.count()
 
         def one() -> bytes:
             return _command("quick", f"load-{(n := next(numbers))}", 1000 + n % 200)
 
-        asking = [await loop.create_connection(lambda: Asker(one, tally, SERVED), *at) for _ in range(ASKERS)]
+        asking = [
+            await loop.create_connection(lambda: ClosedLoopClient(one, counts, SERVED), *at)
+            for _ in range(ASKERS)
+        ]
         leaving = []
         for number in range(int(RATE * span)):
             leaving.append(loop.create_task(_depart(record, rng, at, number)))
             await asyncio.sleep(1.0 / RATE)
         await asyncio.gather(*leaving)
         await asyncio.sleep(3.0)  # the longest that any of them could still be sent on in
-        tally.asking = False
+        counts.is_sending = False
         for transport, _ in asking:
             transport.close()
         if not process.running:
             raise RuntimeError(f"the gateway ended: {process.log_tail()}")
-        say(f"{len(record.left)} requests left behind, {tally.served} served beside, lag {record.lag:.3f} s")
+        say(f"{len(record.left)} requests left behind, {counts.served} served beside, lag {record.lag:.3f} s")
         for name in record.waited():
             if (after := record.sent.get(name, 0.0) - record.left[name]) > 0.0:
                 say(f"{name}: sent on {after:.3f} s after its client left")
@@ -254,4 +257,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(tell(__doc__, measure))
+    sys.exit(run_command(__doc__, measure))
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -30,8 +30,8 @@
 from trackspread.testing.standins.scenario import Scenario
 from trackspread.testing.standins.settings import class_settings, nested_settings, plan_settings
 
-from .closed_loop import Asker, Tally, commands
-from .common import tell
+from .closed_loop import ClosedLoopClient, ReplyCounts, commands
+from .common import run_command
 from .cost import SERVED, WORKS, gateway, spawn
 
 SECOND = 1_000_000_000
@@ -84,11 +84,11 @@
 async def door_under_load(folder: Path, span: float) -> float:
     """Worst ms of /stats while all connections ask without a pause, a crowd rests and callers hold on."""
     process, nodes = await spawn("nodes", "9")
-    loop, tally, one, worst = asyncio.get_running_loop(), Tally(), commands(200), 0.0
+    loop, counts, one, worst = asyncio.get_running_loop(), ReplyCounts(), commands(200), 0.0
     try:
         async with One(folder, nodes) as made:
             asking = [
-                await loop.create_connection(lambda: Asker(one, tally, SERVED), *made.address)
+                await loop.create_connection(lambda: ClosedLoopClient(one, counts, SERVED), *made.address)
                 for _ in range(ASKERS)
             ]
             held = [await asyncio.open_connection(*made.address) for _ in range(CROWD)]
@@ -101,7 +101,7 @@
                 await gateway_stats(made.control_address)
                 worst = max(worst, loop.time() - began)
                 await asyncio.sleep(0.05)
-            tally.asking = False
+            counts.is_sending = False
             for transport, _ in asking:
                 transport.close()
             for _, writer in held:
@@ -305,4 +305,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(tell(__doc__, measure))
+    sys.exit(run_command(__doc__, measure))
