--- a/benchmarks/counter.py
+++ b/benchmarks/counter.py
@@ -1,7 +1,8 @@
-"""The shared counter: what its loss, split and replacement cost members, and what it costs a gateway.
+"""Measures the shared counter: the effect of its faults on tenants, and its CPU cost in a gateway.
 
-Shares, excess and recovery are measured on four gateway processes and the stand-in counter; CPU and calls on
-one gateway in closed loop with 20 busy members, beside one that hears peers; schedules in virtual time.
+Shares, excess and recovery are measured on four gateway processes and the stand-in counter. CPU and calls are
+measured on one gateway in closed loop with 20 busy tenants, compared with a gateway that exchanges messages
+with peers. Schedules run in virtual time.
 """
 
 from __future__ import annotations
@@ -29,23 +30,25 @@
 
 from .cost import Work, gateway, spawn
 
-# Demand under the nodes' capacity, so that limits alone refuse; a third of the members ask beyond quotas.
+# Demand is below the nodes' capacity, so that only limits reject. A third of the tenants exceed their quotas.
 SCENARIO = Scenario(gateways=4, nodes=9, max_tenants=60, load=0.5, greedy_share=0.3, seed=11)
-WARM, TROUBLE, AFTER = 8.0, 9.0, 4.0  # s: stores fill; longer than any burst; what comes back
-TROUBLES = ("none", "cut", "cut_half", "split", "replace", "slow", "silent", "kill")
-RECOVERED_MOST = 20.0  # s that the counter's return is watched for
+# Seconds: buckets fill before the fault, the fault outlasts every burst, and the fleet recovers after it.
+WARM, FAULT, AFTER = 8.0, 9.0, 4.0
+FAULTS = ("none", "cut", "cut_half", "split", "replace", "slow", "silent", "kill")
+RECOVERED_MOST = 20.0  # Seconds for which the recovery after the counter's return is observed.
 SCHEDULES_QUICK, SCHEDULES, CHUNK, MUTANT_SEEDS = 120, 10_000, 10, 120
-BUSY, QUOTA = 20, 2000.0  # members, and units a second of each: more than a gateway carries
+BUSY, QUOTA = 20, 2000.0  # Tenants, and units per second of each, more than a gateway can serve.
 
 
-async def _trouble(name: str, folder: Path) -> dict[str, float]:
+async def _fault(name: str, folder: Path) -> dict[str, float]:
+    """Runs a fleet through one fault of the counter and returns its figures."""
     async with counter_faults.fleet_with_counter(
         SCENARIO, counter_settings=lambda n: f'status = "{folder / n}"'
     ) as (fleet, server):
         fleet.start_clients()
         await asyncio.sleep(WARM)
         mark = len(fleet.ledger.entries)
-        await counter_faults.FAULTS[name](fleet, server, TROUBLE)
+        await counter_faults.FAULTS[name](fleet, server, FAULT)
         recovery = await _recovery(fleet, folder) if name == "cut" else 0.0
         await asyncio.sleep(max(0.0, AFTER - recovery))
         await fleet.settle()
@@ -63,29 +66,30 @@
 
 
 async def _recovery(fleet: Fleet, folder: Path) -> float:
-    """Seconds from the counter's return until every gateway keeps whole quotas again."""
+    """Returns the seconds from the counter's return until every gateway applies full quotas again."""
     began, members = time.monotonic(), [c.number for c in fleet.clients.population.tenants[:12]]
     while time.monotonic() - began < RECOVERED_MOST:
-        told = []
+        statuses = []
         for name in (g.name for g in fleet.gateways):
             for member in members:
                 try:
-                    told.append(json.loads(await asyncio.to_thread(ask, str(folder / name), member)))
+                    statuses.append(json.loads(await asyncio.to_thread(ask, str(folder / name), member)))
                 except ConfigError:
-                    told.append({"held": True, "soft": 0.0})
-        if all(each["soft"] > 0.999 for each in told if each["held"]):
+                    statuses.append({"held": True, "soft": 0.0})
+        if all(each["soft"] > 0.999 for each in statuses if each["held"]):
             return time.monotonic() - began
         await asyncio.sleep(0.02)
     return RECOVERED_MOST
 
 
 def _run(name: str) -> tuple[str, dict[str, float]]:
+    """Runs one fault in a new event loop."""
     with tempfile.TemporaryDirectory() as folder:
-        return name, uvloop.run(_trouble(name, Path(folder)))
+        return name, uvloop.run(_fault(name, Path(folder)))
 
 
 async def _cost(span: float) -> tuple[float, float]:
-    """CPU of the counter over word between peers, and calls a request."""
+    """Returns the CPU of a gateway with the counter over one with peers, and calls per request."""
     work = Work("busy", 9, BUSY)
     server = CounterServer([Shard(0)], 2)
     await server.start()
@@ -96,21 +100,22 @@
             calls = requests = 0.0
             for on in (False, True, True, False):
                 own = f'[counter]\nservers = ["{server.server_texts(0)[0]}"]\n' if on else ""
-                looks, began = server.shards[0].time_commands, time.monotonic()
+                calls_before, began = server.shards[0].time_commands, time.monotonic()
                 cost, rate = await gateway(work, nodes, Path(folder), span, own, QUOTA, 2)
                 if on:
-                    calls += (server.shards[0].time_commands - looks) / (time.monotonic() - began)
+                    calls += (server.shards[0].time_commands - calls_before) / (time.monotonic() - began)
                     requests += rate
                 costs[on].append(cost)
         finally:
             process.kill()
             await process.wait()
             server.close()
-    print(f"CPU ms a request: with the counter {costs[True]}, with peers {costs[False]}", file=sys.stderr)
+    print(f"CPU ms per request: with the counter {costs[True]}, with peers {costs[False]}", file=sys.stderr)
     return sum(costs[True]) / sum(costs[False]), calls / requests
 
 
 def _schedules(seeds: range) -> list[str]:
+    """Plays a schedule and three special worlds per seed, and returns what broke."""
     broken = []
     for seed in seeds:
         schedule = make(seed)
@@ -121,13 +126,15 @@
 
 
 def _convict(name: str) -> tuple[str, tuple[str, int] | None]:
+    """Returns a mutant and the world and seed that detect it, or None."""
     return name, convict(name, MUTANT_SEEDS)
 
 
 def measure(quick: bool) -> dict[str, float]:
+    """Returns all figures; prints progress to standard error."""
     count, violations = SCHEDULES_QUICK if quick else SCHEDULES, 0
-    with multiprocessing.get_context("spawn").Pool(len(TROUBLES)) as pool:
-        runs = dict(pool.imap_unordered(_run, TROUBLES))
+    with multiprocessing.get_context("spawn").Pool(len(FAULTS)) as pool:
+        runs = dict(pool.imap_unordered(_run, FAULTS))
         for name, run in sorted(runs.items()):
             print(f"{name}: {run}", file=sys.stderr, flush=True)
             violations += int(run["violations"])
@@ -142,13 +149,13 @@
         caught = 0
         for name, by in [] if quick else pool.imap_unordered(_convict, MUTANTS):
             caught += by is not None
-            told = "NOT CONVICTED" if by is None else f"by {by[0]} world {by[1]}"
-            print(f"mutant {name}: {told}", file=sys.stderr)
-    troubled = [run for name, run in runs.items() if name not in ("none", "kill")]
+            result = "NOT DETECTED" if by is None else f"detected by {by[0]} world {by[1]}"
+            print(f"mutant {name}: {result}", file=sys.stderr)
+    faulty = [run for name, run in runs.items() if name not in ("none", "kill")]
     figures = {
         "ceiling_excess_share": max(run["ceiling"] for run in runs.values()),
         "quota_excess_share": max(run["quota"] for run in runs.values()),
-        "served_share": min(run["inside"] for run in troubled) / runs["none"]["inside"],
+        "served_share": min(run["inside"] for run in faulty) / runs["none"]["inside"],
         "served_share_kill": runs["kill"]["inside"] / runs["none"]["inside"],
         "calls_per_request": calls,
         "cpu_ratio": ratio,
@@ -163,9 +170,10 @@
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="under 50 s")
-    parser.add_argument("--seed", type=int, help="replay one schedule of virtual time and its calm world")
+    parser.add_argument("--quick", action="store_true", help="take less than 50 s")
+    parser.add_argument("--seed", type=int, help="replay one schedule in virtual time and its calm world")
     given = parser.parse_args()
     if given.seed is not None:
         found = _schedules(range(given.seed, given.seed + 1))
--- a/benchmarks/parted.py
+++ b/benchmarks/parted.py
@@ -1,10 +1,10 @@
-"""How a fleet of processes fares while some of them are parted, stopped, slow or killed, and until when.
+"""Measures a fleet of processes under partitions, pauses and crashes, and how long it takes to recover.
 
-Each play is one schedule of faults on a fleet under load, decided from its ledger; one in which the rig
-itself lagged is void and played again. For each: rules broken, refusals with room before, during and after
-the trouble, units beyond quotas (of all, and of the member that went furthest), and the time until the share
-of refusals with room was back where the calm play of the same size has it. `--keep FOLDER` keeps schedule and
-ledger of each play that broke a rule; `--replay FILE` plays a schedule that was kept.
+Each run plays one schedule of faults on a fleet under load and is judged by its ledger. A run in which the
+test process itself lagged is void and is repeated. The table has the broken rules, the rejections with quota
+left before, during and after the fault, the units beyond quotas (of all tenants, and of the worst one), and
+the time until the share of such rejections is back at its level in the calm run of the same size. `--keep
+FOLDER` stores schedule and ledger of each run that broke a rule; `--replay FILE` plays a stored schedule.
 """
 
 from __future__ import annotations
@@ -25,10 +25,14 @@
 from trackspread.testing.standins import fault_schedule
 from trackspread.testing.standins.fault_schedule import Schedule
 
-LEAD, SPAN, TAIL = 8.0, 10.0, 10.0  # s before (a fleet that has just started refuses a lot), of and after it
-QUICK = 5.0  # s of trouble in a quick run
-SIDE_BY_SIDE = 3  # plays at once: with more, fleets of twelve take the cores from the rig
-TRIES = 4  # of a play that was void
+LEAD, SPAN, TAIL = (
+    8.0,
+    10.0,
+    10.0,
+)  # Seconds before, of and after the fault; a fleet that just started rejects much.
+QUICK = 5.0  # Seconds of the fault in a quick run.
+SIDE_BY_SIDE = 3  # Parallel runs. With more, fleets of twelve take the CPU that the test process needs.
+TRIES = 4  # Attempts at a run that is void.
 
 
 def _names(count: int) -> list[str]:
@@ -36,7 +40,7 @@
 
 
 def shapes(count: int, span: float) -> dict[str, tuple[fault_schedule.Fault, ...]]:
-    """The troubles of the table, for so many gateways."""
+    """Returns the faults of the table for `count` gateways."""
     names, half = _names(count), count // 2
     return {
         "calm": (fault_schedule.NoFault(LEAD, span),),
@@ -51,13 +55,14 @@
 
 
 def _play(job: tuple[Schedule, str, str | None]) -> FaultRun:
+    """Plays one schedule in this process."""
     schedule, keep, view = job
-    gc.disable()  # a collection over the ledger would be a lag
+    gc.disable()  # A garbage collection over the ledger would cause a lag.
     return uvloop.run(play_until_judged(schedule, TRIES, Path(keep) if keep else None, view))
 
 
-def _line(played: FaultRun, calm: float) -> str:
-    f = played
+def _line(f: FaultRun, calm: float) -> str:
+    """Returns a run's line of the table; `calm` is the share of rejections in the calm run."""
     refused = f.refused_with_quota
     return (
         f"| {f.gateways} | {f.name} | {f.seed} | {f.state} | {f.requests} | {f.late_by_pause} | "
@@ -75,7 +80,7 @@
     only: list[str],
     view: str | None,
 ) -> dict[str, Any]:
-    """Plays all, or the calm one and those named; one line each on standard error."""
+    """Plays all faults, or the calm run and the named ones, and prints a line for each to standard error."""
     chosen = [name for name in shapes(2, span) if name in ("calm", *only) or not only]
     jobs = [
         (Schedule(name, seed, count, LEAD + span + TAIL, shapes(count, span)[name]), keep, view)
@@ -84,8 +89,8 @@
         for name in chosen
     ]
     say(
-        "| gateways | trouble | seed | rules | tries | late by a halt | refused with room before, during, "
-        "after | beyond quotas | worst member | right again after, s |"
+        "| gateways | fault | seed | rules | requests | late by a pause | rejected with quota before, "
+        "during, after | beyond quotas | worst tenant | recovered after, s |"
     )
     say("| --- " * 10 + "|")
     calm: dict[tuple[int, int], float] = {}
@@ -96,7 +101,7 @@
                 calm[played.gateways, played.seed % SEED_STEP] = played.refused_with_quota.during
             found.append(played)
             if played.state == "void":
-                say(f"  the rig lagged by {played.lag_ms:.0f} ms")
+                say(f"  the test process lagged by {played.lag_ms:.0f} ms")
             say(_line(played, calm[played.gateways, played.seed % SEED_STEP]))
             for text in played.violations[:3]:
                 say(f"  {text}")
@@ -118,7 +123,7 @@
 
 
 def replay(path: Path, view: str | None) -> int:
-    """One kept schedule; its violations line by line."""
+    """Plays one stored schedule, prints its violations line by line, and returns the exit status."""
     played = _play((fault_schedule.load(path), "", view))
     for text in played.violations:
         print(text)
@@ -127,21 +132,24 @@
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="under 110 s: six gateways, one seed")
+    parser.add_argument("--quick", action="store_true", help="take less than 110 s: six gateways, one seed")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=2, help="how many (2)")
+    parser.add_argument("--seeds", type=int, default=2, help="number of seeds (2)")
     parser.add_argument("--keep", default="", metavar="FOLDER")
     parser.add_argument("--replay", type=Path, metavar="FILE")
-    parser.add_argument("--side", type=int, default=SIDE_BY_SIDE, help="plays at once (3)")
-    parser.add_argument("--gateways", type=int, action="append", help="of a fleet (6 and 12)")
-    parser.add_argument("--trouble", action="append", default=[], help="one of the table, beside calm")
+    parser.add_argument("--side", type=int, default=SIDE_BY_SIDE, help="parallel runs (3)")
+    parser.add_argument("--gateways", type=int, action="append", help="gateways in a fleet (6 and 12)")
+    parser.add_argument(
+        "--trouble", action="append", default=[], help="a fault of the table, in addition to calm"
+    )
     parser.add_argument(
         "--view",
         nargs="?",
         const="",
         metavar="KEYS",
-        help="gateways keep a view of their fleet; further keys of [fleet]",
+        help="gateways have a view of their fleet; more keys of [fleet]",
     )
     given = parser.parse_args()
     if given.replay is not None:
--- a/benchmarks/planners.py
+++ b/benchmarks/planners.py
@@ -1,7 +1,7 @@
-"""Planning in virtual time: the invariant under seeded schedules, mutants, and how rights follow failures.
+"""Measures planning in virtual time: its invariant, its mutants, and how leases follow failures.
 
-The figures are of the pure core (lease table, election, forwarders) on clocks that drift by up to 1%; sockets
-are not in them yet. `--seed N` replays one schedule alone.
+The figures are of the pure core (lease table, election, forwarders) on clocks that drift by up to 1%, without
+sockets. `--seed N` replays one schedule.
 """
 
 from __future__ import annotations
@@ -21,52 +21,54 @@
 from trackspread.testing.virtual.planning.mutants import MUTANTS, convict
 from trackspread.testing.virtual.planning.schedules import make, play
 
-SCHEDULES_QUICK, SCHEDULES = 300, 5_000  # seeds, each of which gives one of either kind
+SCHEDULES_QUICK, SCHEDULES = 300, 5_000  # Seeds, each of which gives one schedule of either kind.
 CHUNK = 20
 MUTANT_SEEDS = 300
-WARM = 5 * SECOND  # ns until first leases are out and stores are at rest
+WARM = 5 * SECOND  # Nanoseconds until the first leases are granted and the buckets are steady.
 SPAN = 30 * SECOND
-KILL_EVERY, AWAY = 4 * SECOND, 2 * SECOND  # a planner drawn at random is killed so often, for so long
-FOLLOWED = 0.75  # of the part served before, from which rights count as there again
-WATCHED = 10  # s after a failure or a move
-INSIDE = 0.8  # of its quota that a member asks for
+KILL_EVERY, AWAY = 4 * SECOND, 2 * SECOND  # Interval and duration of failures of a randomly drawn planner.
+FOLLOWED = 0.75  # Part of the share served before from which leases count as restored.
+WATCHED = 10  # Seconds of observation after a failure or a move of traffic.
+INSIDE = 0.8  # Part of its quota that a tenant requests.
 
 
 def _played(seed: int) -> list[tuple[str, World]]:
-    """A seed's schedule of each kind."""
+    """Plays a seed's schedule of each kind."""
     schedule, full = make(seed), saturated.make(seed)
     return [(str(schedule), play(schedule)), (str(full), saturated.play(full))]
 
 
 def _schedules(seeds: range) -> tuple[list[tuple[int, str]], float]:
-    """Broken ones with what broke, and the worst excess, in units over a ceiling."""
+    """Returns the seeds that broke the invariant, and the worst excess in units over a hard limit."""
     broken, excess = [], 0.0
     for seed in seeds:
-        for told, world in _played(seed):
+        for schedule, world in _played(seed):
             excess = max([excess, *(count.excess for count in world.counts)])
             if world.broken:
-                broken.append((seed, f"{told}: {world.broken[0]}"))
+                broken.append((seed, f"{schedule}: {world.broken[0]}"))
     return broken, excess
 
 
 def _convict(name: str) -> tuple[str, int | None]:
+    """Returns a mutant and the seed that detects it, or None."""
     return name, convict(name, iter(range(MUTANT_SEEDS)))
 
 
 def _world(seed: int, asked: float = INSIDE) -> World:
+    """Returns a world after its warm-up, whose tenants request `asked` of their quotas."""
     world = World(Plan(seed, forwarders=6, planners=3, members=6, spread=4, asked=asked))
     world.run(WARM)
     return world
 
 
 def _sent(world: World) -> tuple[int, int]:
-    """Sent on inside quotas, and what one store for each quota would have let pass of the same requests."""
+    """Returns the units forwarded within quotas, and those that one token bucket per quota would admit."""
     counts = world.counts
     return sum(count.sent - count.beyond for count in counts), sum(count.inside for count in counts)
 
 
 def _served(world: World, span: int) -> float:
-    """The first over the second in a span from now: the draw of the arrivals falls out."""
+    """Returns the ratio of both figures over a span from now; the ratio cancels the draw of the arrivals."""
     sent, inside = _sent(world)
     world.run(span)
     now_sent, now_inside = _sent(world)
@@ -74,8 +76,10 @@
 
 
 def _share(seed: int, all_gone: bool) -> tuple[float, float]:
-    """Served in `SPAN` while planners are killed, over the same with none killed; and the part of all that
-    was sent on meanwhile that lay beyond quotas."""
+    """Returns the units served in `SPAN` while planners are killed, relative to a run without failures.
+
+    The second value is the part of all forwarded units that was beyond quotas.
+    """
     served, beyond = [], 0.0
     for killing in (False, True):
         world, rng = _world(seed), random.Random(f"kills:{seed}")
@@ -88,15 +92,17 @@
                 world.clock.after(at, partial(world.kill, process))
                 world.clock.after(at + AWAY, partial(world.revive, process))
         if all_gone:
-            world.run(2 * LEASE_NS)  # gone for longer than a lease
+            world.run(2 * LEASE_NS)  # All planners are gone for longer than a lease.
         served.append(_served(world, SPAN))
         beyond = sum(c.beyond for c in world.counts) / sum(c.sent for c in world.counts)
     return served[1] / served[0], beyond
 
 
 def _until_followed(world: World, before: float) -> float:
-    """Seconds until as much is served as before for good: the end of the last whole second that fell
-    short."""
+    """Returns the seconds until the share served stays as high as before.
+
+    That is the end of the last period of one second that fell short.
+    """
     seen = [_sent(world)]
     for _ in range(WATCHED * 10):
         world.run(SECOND // 10)
@@ -107,7 +113,7 @@
 
 
 def _failover(seed: int) -> float:
-    """Seconds until what is sent on is back after the planner of most slots was killed for good."""
+    """Returns the seconds until the share served recovers after the planner of most slots is killed."""
     world = _world(seed, asked=2.0)
     before = _served(world, 5 * SECOND)
     owners = [sum(e.owns(p.now()) for e in p.planner.elections) for p in world.planners]
@@ -116,7 +122,7 @@
 
 
 def _shift(seed: int) -> float:
-    """Seconds until it is back after all traffic of all members moved to one other forwarder each."""
+    """Returns the seconds until the share served recovers after all traffic moves to another forwarder."""
     world = _world(seed)
     for weights in world.weights:
         weights[:] = [1.0] + [0.0] * (len(weights) - 1)
@@ -128,6 +134,7 @@
 
 
 def measure(quick: bool) -> dict[str, float]:
+    """Returns all figures; prints progress to standard error."""
     began, count = time.monotonic(), SCHEDULES_QUICK if quick else SCHEDULES
     worst, violations, caught = 0.0, 0, 0
     with multiprocessing.get_context("spawn").Pool() as pool:
@@ -147,8 +154,8 @@
                 print(f"{done * CHUNK} of {count} seeds after {took:.0f} s", file=sys.stderr, flush=True)
         for name, by in mutants:
             caught += by is not None
-            told = "NOT CONVICTED" if by is None else f"convicted by seed {by}"
-            print(f"mutant {name}: {told}", file=sys.stderr)
+            result = "NOT DETECTED" if by is None else f"detected by seed {by}"
+            print(f"mutant {name}: {result}", file=sys.stderr)
         shares = killed.get(), gone.get()
         followed = max(failover.get()), max(shift.get())
     return {
@@ -167,14 +174,15 @@
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="under 50 s on eight cores")
+    parser.add_argument("--quick", action="store_true", help="take less than 50 s on eight cores")
     parser.add_argument("--seed", type=int, help="replay one schedule")
     given = parser.parse_args()
     if given.seed is not None:
         played = _played(given.seed)
-        for told, world in played:
-            print(told, *world.broken, sep="\n")
+        for schedule, world in played:
+            print(schedule, *world.broken, sep="\n")
         return 1 if any(world.broken for _, world in played) else 0
     figures = measure(given.quick)
     print(json.dumps(figures))
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -1,7 +1,7 @@
-"""The five rules: scenarios on processes, schedules in virtual time, mutants that the judge must convict.
+"""Checks the five rules by scenarios on processes, schedules in virtual time, and mutants.
 
-Scenarios run side by side, each in a process of its own; one whose stand-ins lagged has no verdict and is
-played again. A schedule that breaks a rule is named: `python -m benchmarks.rules --seed N` replays it.
+The oracle must detect every mutant. Scenarios run in parallel, each in its own process; one whose stand-ins
+lagged has no verdict and runs again. `python -m benchmarks.rules --seed N` replays a schedule.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
 from trackspread.testing.virtual.schedules import CALM, make, play
 
 SCHEDULES_QUICK, SCHEDULES = 2000, 12000
-TRIES = 3  # of a scenario whose stand-ins lagged
+TRIES = 3  # Runs of a scenario whose stand-ins lagged.
 ON_SOCKETS_QUICK = ("effects-forgotten", "socket-answers-lost", "socket-written-late")
-WHERE = {  # the scenario that brings a mutant to its fault, where that is not the calm one
+# Scenarios that make a mutant show its fault, for mutants that do not show it in the calm scenario.
+WHERE = {
     "socket-written-late": "rolling-deploy",
     "effects-forgotten": "rude-nodes",
     "group-forgotten": "rude-nodes",
@@ -36,9 +37,9 @@
 
 
 def _scenario(job: tuple[str, str, int]) -> Played:
-    """Name, mutant or none, verdict, CPU a try in ms, memory in MB."""
+    """Runs a scenario; returns its name, mutant if any, verdict, CPU ms per request and memory in MB."""
     name, planted, seed = job
-    gc.disable()  # a collection over the ledger would be a lag
+    gc.disable()  # A garbage collection over the ledger would cause a lag.
     command = mutant_gateway.command(planted) if planted else ("-m", "trackspread", "run")
     for number in range(TRIES):
         outcome = uvloop.run(run(SCENARIOS[name], seed + 1000 * number, command))
@@ -48,7 +49,7 @@
 
 
 def _schedules(seeds: range) -> list[tuple[int, str]]:
-    """The broken ones, with what broke."""
+    """Returns the seeds whose schedules break a rule, with the violation."""
     broken = []
     for seed in seeds:
         schedule = make(seed)
@@ -59,12 +60,15 @@
 
 
 def _convict(name: str) -> tuple[str, int | None]:
-    """Quotas are held to in calm schedules alone."""
+    """Returns a mutant and the seed that detects it, or None.
+
+    The rule on quotas is checked in calm schedules only.
+    """
     return name, convict(name, iter(range(0, 10**6, CALM if MUTANTS[name].rule == "quotas" else 1)))
 
 
 def measure(quick: bool, seed: int) -> dict[str, float]:
-    """All of it; progress goes to standard error."""
+    """Returns all figures; prints progress to standard error."""
     began = time.monotonic()
     sockets = ON_SOCKETS_QUICK if quick else mutant_gateway.PROCESSES
     jobs = [(name, "", seed) for name in SCENARIOS]
@@ -74,20 +78,21 @@
     figures: dict[str, float] = {}
     with multiprocessing.get_context("spawn").Pool(side_by_side, maxtasksperchild=1) as pool:
         for name, planted, verdict, cpu_ms, memory in pool.imap_unordered(_scenario, jobs):
-            told = ", ".join(f"{v.rule}: {v.text}" for v in verdict.violations[:2])
+            texts = ", ".join(f"{v.rule}: {v.text}" for v in verdict.violations[:2])
             if planted:
-                caught += (convicted := mutant_gateway.rule(planted) in verdict.broken_rules())
-                say(f"mutant {planted} in {name}: {'convicted' if convicted else 'NOT CONVICTED'} ({told})")
+                caught += (detected := mutant_gateway.rule(planted) in verdict.broken_rules())
+                say(f"mutant {planted} in {name}: {'detected' if detected else 'NOT DETECTED'} ({texts})")
                 continue
             violations += len(verdict.violations) if verdict.state != "void" else 0
             void += verdict.state == "void"
             counts = verdict.summary
             figures[f"beyond_{name}"] = round(counts.over_quota_share, 4)
             say(
-                f"{name}: {verdict.state}; {counts.requests} tries, {counts.served} served, "
-                f"{counts.rejected} refused ({counts.rejected_with_quota_left} with room), "
+                f"{name}: {verdict.state}; {counts.requests} requests, {counts.served} served, "
+                f"{counts.rejected} rejected ({counts.rejected_with_quota_left} with quota left), "
                 f"{counts.failed} failed; {counts.over_quota_share:.1%} beyond quotas; "
-                f"{cpu_ms:.2f} ms CPU a try, {memory:.0f} MB; lag {counts.max_lag_ns / 1e6:.0f} ms {told}"
+                f"{cpu_ms:.2f} ms CPU per request, {memory:.0f} MB; "
+                f"lag {counts.max_lag_ns / 1e6:.0f} ms {texts}"
             )
     say(f"scenarios done after {time.monotonic() - began:.0f} s")
     count = SCHEDULES_QUICK if quick else SCHEDULES
@@ -100,11 +105,11 @@
                 say(f"BROKEN, replay with --seed {each}: {text}")
             if done % 25 == 0:
                 say(f"{done * CHUNK} of {count} schedules after {time.monotonic() - began:.0f} s")
-        for name, convicted_by in mutants:
-            caught += convicted_by is not None
+        for name, detected_by in mutants:
+            caught += detected_by is not None
             say(
                 f"mutant {name} in virtual time: "
-                + ("NOT CONVICTED" if convicted_by is None else f"convicted by seed {convicted_by}")
+                + ("NOT DETECTED" if detected_by is None else f"detected by seed {detected_by}")
             )
     return {
         "scenarios": len(SCENARIOS),
@@ -119,7 +124,7 @@
 
 
 def replay(seed: int) -> int:
-    """One schedule, alone; its violations line by line."""
+    """Plays one schedule, prints its violations line by line, and returns the exit status."""
     schedule = make(seed)
     verdict, _ = play(schedule)
     print(schedule)
@@ -130,10 +135,11 @@
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="under 50 s on eight cores")
+    parser.add_argument("--quick", action="store_true", help="take less than 50 s on eight cores")
     parser.add_argument("--seed", type=int, help="replay one schedule")
-    parser.add_argument("--first", type=int, default=1, help="begins the seeds of scenarios and schedules")
+    parser.add_argument("--first", type=int, default=1, help="first seed of scenarios and schedules")
     given = parser.parse_args()
     if given.seed is not None:
         return replay(given.seed)
--- a/benchmarks/version_handover.py
+++ b/benchmarks/version_handover.py
@@ -1,10 +1,10 @@
-"""Handovers between this version and another one under load, both ways, on real processes.
+"""Tests handovers between this version and another one under load, in both directions, on real processes.
 
-Gateways of the one version are replaced by processes of the other, one after another, and back. Clients keep
-asking; beside them a customer at each gateway asks for many times its quota round each handover, so a
-process that starts without the state of the former one grants the quota's burst once more and is seen.
-`--before FOLDER` is a checkout of the other version. `--planted` keeps both versions from finding each other:
-then the state has to be missed, or this measures nothing.
+Gateways of one version are replaced by processes of the other, one after another, and back, while clients
+send requests. In addition, a tenant at each gateway requests many times its quota around each handover. A
+process that starts without its predecessor's state grants the quota's burst again, which the figures show.
+`--before FOLDER` is a checkout of the other version. `--planted` keeps both versions from finding each other;
+the state must then be missing, as otherwise this benchmark would detect nothing.
 """
 
 from __future__ import annotations
@@ -37,65 +37,65 @@
 from trackspread.testing.standins.scenario import MILLISECOND, PLANS, Scenario
 
 HERE = Path(__file__).parent.parent
-LOAD = 0.3  # of what the rating nodes can do
+LOAD = 0.3  # Part of the capacity of the rating nodes.
 GREEDY_PLAN = "full"
-STRAY_UNITS = (
-    PLANS[GREEDY_PLAN].burst_units / 2
-)  # beyond a full store that say nothing: a lost one gives a burst
-GREEDY_PAUSE_S = 0.01  # between requests of a greedy customer
-GREEDY_WAIT = 1200 * MILLISECOND  # ns for an answer
-GREEDY_CUSTOMERS = 0xF00D0000  # number of the first
-GREEDY_REQUESTS = 1 << 36  # number of the first
-BEFORE_S = 1.0  # of greed before a handover: the burst is spent by then
+# Units beyond a full bucket that are tolerated. A bucket whose state is lost gives a whole burst.
+STRAY_UNITS = PLANS[GREEDY_PLAN].burst_units / 2
+GREEDY_PAUSE_S = 0.01  # Seconds between requests of a greedy tenant.
+GREEDY_WAIT = 1200 * MILLISECOND  # Nanoseconds until the deadline.
+GREEDY_CUSTOMERS = 0xF00D0000  # Number of the first greedy tenant.
+GREEDY_REQUESTS = 1 << 36  # Number of the first greedy request.
+BEFORE_S = 1.0  # Seconds of greedy requests before a handover, which spend the burst.
 AFTER_S = 1.0
-GONE_S = 2.0  # until what a client no longer waits for is over
+GONE_S = 2.0  # Seconds until requests that no client waits for are over.
 COLD_START_TEXTS = (
     "no state was handed over, starting cold",
-    "nothing was taken over, a cold start",  # versions up to 5f04399
+    "nothing was taken over, a cold start",  # Versions up to 5f04399.
 )
 SERVES = "the newer process serves"
 
 
 class Versioned(UpgradableGateway):
-    """A gateway that runs in `checkout`; the next process may be of another one."""
+    """Runs a gateway in `checkout`, which may change for the next process."""
 
     checkout = HERE
 
     def command(self) -> tuple[str, ...]:
+        """Returns the command that starts a process in the checkout."""
         return "/usr/bin/env", "-C", str(self.checkout), *super().command()
 
     def runs(self) -> Path:
-        """The checkout of the process that serves."""
+        """Returns the checkout of the process that serves."""
         return Path(os.readlink(f"/proc/{self.pid}/cwd"))
 
     def lines(self, text: str) -> int:
-        """Lines of its log with this text."""
+        """Returns how often its log has this text."""
         return self.log.read_text(errors="replace").count(text)
 
 
 class Greedy:
-    """A customer of one gateway that asks for all that it can get while this runs."""
+    """Holds a tenant of one gateway that sends requests without regard to its quota until it is stopped."""
 
     def __init__(self, fleet: Fleet, position: int, first_request: int) -> None:
         number = GREEDY_CUSTOMERS + position
         self.customer = Tenant(number, GREEDY_PLAN, 0.0, 1, position, [1.0])
         self._fleet, self._position, self._request = fleet, position, first_request
         self.began = time.monotonic_ns()
-        self._task = asyncio.get_running_loop().create_task(self._ask())
+        self._task = asyncio.get_running_loop().create_task(self._send())
 
-    async def _ask(self) -> None:
+    async def _send(self) -> None:
         clients = self._fleet.clients
         while True:
             self._request += 1
             origin = clients.population.request_name(self._request, 0)
-            want = ClientRequest(
+            request = ClientRequest(
                 origin, self.customer, "rate-lookup", self._position, 1.0, "", GREEDY_WAIT, 9
             )
-            clients.send(want, 1)
+            clients.send(request, 1)
             await asyncio.sleep(GREEDY_PAUSE_S)
 
     async def over_quota(self) -> float:
-        """Ends it; units that went on beyond what a full store of its quota gives, negative within."""
+        """Stops the tenant and returns its forwarded units beyond a full bucket; negative if within it."""
         self._task.cancel()
         entries = self._fleet.ledger.entries
         asked = {
@@ -111,7 +111,7 @@
 
 
 def answers(fleet: Fleet) -> tuple[int, int]:
-    """Requests without an answer whose client waited for it, and requests with more than one."""
+    """Returns the number of requests whose client waited in vain, and of requests with several answers."""
     entries = fleet.ledger.entries
     asked = {e.request for e in entries if isinstance(e, RequestSent)}
     given = Counter(e.request for e in entries if isinstance(e, ReplyReceived))
@@ -123,7 +123,7 @@
 async def handed_over(
     old: Path, new: Path, rounds: int, span: float, planted: bool, seed: int
 ) -> dict[str, float]:
-    """All gateways go from `old` to `new`, back, and so on: `rounds` times to `new`."""
+    """Replaces all gateways of `old` by `new` and back, `rounds` times to `new`, and returns the figures."""
     scenario = Scenario(load=LOAD, seed=seed)
     async with Fleet(
         scenario, upgradable=True, operator_file=lambda name: "[log]\nlevel = 'info'\n"
@@ -159,7 +159,7 @@
         return {
             "handovers": len(waits),
             "taken_over": taken,
-            "cold_starts": cold - len(held),  # each first process is one
+            "cold_starts": cold - len(held),  # Each gateway's first process starts cold.
             "tries": verdict.summary.requests,
             "served": verdict.summary.served,
             "lost": lost,
@@ -174,22 +174,28 @@
 
 
 async def measure(before: Path, quick: bool, planted: bool, seed: int) -> dict[str, float]:
+    """Returns the figures of both directions; prints progress to standard error."""
     made: dict[str, float] = {}
     rounds, span = (1, 1.5) if quick else (2, 4.0)
     for name, old, new in (("to_this", before, HERE), ("from_this", HERE, before)):
         Versioned.checkout = old
         with patch.object(fleets, "UpgradableGateway", Versioned):
-            told = await handed_over(old, new, rounds, span, planted, seed)
-        say(f"{name}: {told}")
-        made |= {f"{name}_{key}": value for key, value in told.items()}
+            result = await handed_over(old, new, rounds, span, planted, seed)
+        say(f"{name}: {result}")
+        made |= {f"{name}_{key}": value for key, value in result.items()}
     return made
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--before", type=Path, required=True, metavar="FOLDER", help="the other version")
     parser.add_argument("--quick", action="store_true", help="one round each way")
-    parser.add_argument("--planted", action="store_true", help="no process finds another: must be seen")
+    parser.add_argument(
+        "--planted",
+        action="store_true",
+        help="keep processes from finding each other, which must be detected",
+    )
     parser.add_argument("--seed", type=int, default=7)
     given = parser.parse_args()
     made = uvloop.run(measure(given.before.resolve(), given.quick, given.planted, given.seed))
