--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -1,10 +1,11 @@
-"""Clients that leave a gateway under load while their requests wait: how many are sent on all the same.
-
-Most backends let connections come up late (their accept queue is full for up to 0.9 s), and some
-clients write more commands than are worked on at once; they leave by FIN or RST at any moment. Beside them
-others ask without a pause. The record is of departures (by the clients) and of commands that came whole (by
-the backends). Figures: of those that still waited when their client left, the share sent on later than 0.3 s
-and the latest, the same of the last checkout before this was asked for, and CPU a request beside that one.
+"""Measures how many waiting requests a gateway forwards although their clients have disconnected.
+
+Most backends accept connections late, as their accept queue is full for up to 0.9 s. Some clients write more
+commands than the gateway handles at once. Clients disconnect by FIN or RST at any time, while other clients
+send without a pause. The record has the disconnections, noted by the clients, and the complete commands,
+noted by the backends. Of the requests that still waited when their client disconnected, the figures give the
+share forwarded later than 0.3 s and the latest one. The same figures come from the last checkout before this
+requirement, and the CPU per request is compared with that checkout.
 """
 
 from __future__ import annotations
@@ -35,43 +36,44 @@
 from .operations import Older, cpu_ratio
 
 SECOND = 1_000_000_000
-BEFORE = "60af5cc"  # the last commit before requests whose client has left were withdrawn
-LAST_DATA_RECV = 52  # where the kernel's tcp_info has the ms since data last came
-BEAT = 0.01  # s between looks at the own lag
-LATE = 0.3  # s after a departure from which a send counts against the gateway
-FAST, SLOW = 0.02, 0.4  # s that a backend takes for a class
-QUICK, FULL = 8.0, 40.0  # s of departures
-RATE = 60  # departures a second
-HELD = 48  # commands of a client that has more open than are worked on at once
-ASKERS = 16  # clients that ask without a pause beside them
-SHUT, OPEN = (0.3, 0.9), 0.05  # s for which a late backend takes no connections, and takes them
+BEFORE = "60af5cc"  # Last commit that did not withdraw the requests of disconnected clients.
+LAST_DATA_RECV = 52  # Offset in the kernel's tcp_info of the milliseconds since the last data arrived.
+LAG_INTERVAL = 0.01  # Seconds between measurements of the lag of this process.
+LATE = 0.3  # Seconds after a disconnection from which a forwarded request counts as late.
+FAST, SLOW = 0.02, 0.4  # Seconds that a backend takes for a request of a class.
+QUICK, FULL = 8.0, 40.0  # Seconds during which clients disconnect.
+RATE = 60  # Disconnecting clients per second.
+HELD = 48  # Commands of a client that has more open than the gateway handles at once.
+CLIENTS = 16  # Clients that send without a pause.
+SHUT, OPEN = (0.3, 0.9), 0.05  # Seconds for which a late backend accepts no connections, and accepts them.
 
 
 class Record:
-    """When each request came whole to a backend, and when its client left without an answer to it."""
+    """Holds when each request reached a backend, and when its client disconnected without an answer."""
 
     def __init__(self) -> None:
         self.sent: dict[str, float] = {}
         self.left: dict[str, float] = {}
-        self.lag = 0.0  # s, the worst of this process, whose clock both are read from
+        self.lag = 0.0  # Seconds, the longest lag of this process, whose clock gives both times.
 
     async def watch(self) -> None:
+        """Records the lag of the event loop until it is cancelled."""
         while True:
-            due = time.monotonic() + BEAT
-            await asyncio.sleep(BEAT)
+            due = time.monotonic() + LAG_INTERVAL
+            await asyncio.sleep(LAG_INTERVAL)
             self.lag = max(self.lag, time.monotonic() - due)
 
     def waited(self) -> list[str]:
-        """Those that were not sent on yet when their client left."""
+        """Returns the requests that were not forwarded yet when their client disconnected."""
         return [r for r, left in self.left.items() if self.sent.get(r, left + 1.0) > left]
 
     def late(self) -> list[float]:
-        """s after the departure, of those that waited and were sent on."""
+        """Returns the seconds after the disconnection of the waiting requests that were forwarded."""
         return [self.sent[r] - self.left[r] for r in self.waited() if r in self.sent]
 
 
-class _Line(asyncio.Protocol):
-    """One connection to a backend: answers in order, after the time of the class."""
+class _BackendConnection(asyncio.Protocol):
+    """Answers the commands of one connection to a backend, each after the time of its class."""
 
     def __init__(self, record: Record) -> None:
         self._record, self._reader = record, hiredis.Reader()
@@ -79,8 +81,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
-    def _came_at(self) -> float:
-        """By the kernel's word: it may have lain there since before this connection was accepted."""
+    def _arrived_at(self) -> float:
+        """Returns when data arrived, from the kernel, as it may precede the accept of this connection."""
         info = self._transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 64)
         ago: int = struct.unpack_from("I", info, LAST_DATA_RECV)[0]
         return time.monotonic() - ago / 1000
@@ -91,7 +93,7 @@
             if not isinstance(words, list) or words[0] != b"CALL.GET":
                 self._transport.write(b"+OK\r\n")
                 continue
-            self._record.sent.setdefault(words[2].decode(), self._came_at())
+            self._record.sent.setdefault(words[2].decode(), self._arrived_at())
             wait = SLOW if b"c=slow" in words[3] else FAST
             asyncio.get_running_loop().call_later(wait, self._answer)
 
@@ -101,7 +103,10 @@
 
 
 class LateBackend:
-    """Its listener's accept queue is full most of the time: who connects then comes up a second later."""
+    """Holds a listener whose accept queue is full most of the time.
+
+    A connection that begins then is established a second later.
+    """
 
     def __init__(self, record: Record, rng: random.Random) -> None:
         self._record, self._rng = record, rng
@@ -112,6 +117,7 @@
         self._fill: list[socket.socket] = []
 
     async def run(self) -> None:
+        """Alternates between a full accept queue and accepting connections until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             for _ in range(2):
@@ -131,20 +137,21 @@
                 if peer in ours:
                     taken.close()
                 else:
-                    await loop.connect_accepted_socket(lambda: _Line(self._record), taken)
+                    await loop.connect_accepted_socket(lambda: _BackendConnection(self._record), taken)
             for filler in self._fill:
                 filler.close()
             self._fill.clear()
 
 
 def _command(cls: str, request: str, customer: int) -> bytes:
+    """Returns a command as a client sends it."""
     pairs = f"c={cls},t=wide,d=3000,units=1,spread=1,first=0"
     words = (b"CALL.GET", b"%016x" % customer, request.encode(), pairs.encode())
     return hiredis.pack_command(words)  # type: ignore[no-any-return,arg-type]
 
 
-async def _depart(record: Record, rng: random.Random, at: tuple[str, int], number: int) -> None:
-    """One client, with one request or with more than are worked on at once, and its end."""
+async def _disconnect(record: Record, rng: random.Random, at: tuple[str, int], number: int) -> None:
+    """Connects a client, sends one request or more than the gateway handles at once, and disconnects."""
     many = number % 8 == 0
     names = [f"d{number}-{n}" for n in range(HELD if many else 1)]
     reader, writer = await asyncio.open_connection(*at)
@@ -158,29 +165,32 @@
         pass
     while answers.gets() is not False:
         names.pop(0)
-    made = writer.get_extra_info("socket")
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", number % 2, 0))
+    client_socket = writer.get_extra_info("socket")
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", number % 2, 0))
     record.left.update(dict.fromkeys(names, time.monotonic()))
     writer.close()
 
 
 def _settings() -> dict[str, Any]:
+    """Returns settings with a long connect timeout and without cancellation of attempts."""
     classes = [class_settings(name, "free", "all", SECOND, 3 * SECOND, SECOND) for name in ("quick", "slow")]
     made = nested_settings(classes, [plan_settings("wide", 200.0, 200.0)], 0, 1, zones=("a",))
     made["limits"].update(connectTimeout=3 * SECOND, cancel=False)
     return made
 
 
-async def departures(folder: Path, span: float, kind: type[GatewayProcess] = GatewayProcess) -> Record:
-    """Plays them on one gateway process; `kind`: what starts it."""
+async def disconnections(folder: Path, span: float, kind: type[GatewayProcess] = GatewayProcess) -> Record:
+    """Runs the clients on one gateway process that the class `kind` starts, and returns the record."""
     loop, rng, record = asyncio.get_running_loop(), random.Random(1), Record()
     listed, ports, ledger = BackendList(), Ports(), Ledger()
-    servers = [await loop.create_server(lambda: _Line(record), own_address(), 0) for _ in range(2)]
+    servers = [
+        await loop.create_server(lambda: _BackendConnection(record), own_address(), 0) for _ in range(2)
+    ]
     lates = [LateBackend(record, rng) for _ in range(8)]
     tasks = [loop.create_task(record.watch()), *(loop.create_task(late.run()) for late in lates)]
     sockets = [server.sockets[0] for server in servers] + [late.socket for late in lates]
-    for number, made in enumerate(sockets):
-        host, port = made.getsockname()
+    for number, listener in enumerate(sockets):
+        host, port = listener.getsockname()
         listed.put(ListedBackend(f"s-{number}", ((host, port),), "a", "m1", number, "in_service", 0))
     agent, at = DiscoveryAgent(listed, 0, ledger), ports.tcp()
     await agent.start()
@@ -198,28 +208,31 @@
     try:
         counts, numbers = ReplyCounts(), itertools.count()
 
-        def one() -> bytes:
+        def next_command() -> bytes:
             return _command("quick", f"load-{(n := next(numbers))}", 1000 + n % 200)
 
-        asking = [
-            await loop.create_connection(lambda: ClosedLoopClient(one, counts, SERVED), *at)
-            for _ in range(ASKERS)
+        clients = [
+            await loop.create_connection(lambda: ClosedLoopClient(next_command, counts, SERVED), *at)
+            for _ in range(CLIENTS)
         ]
         leaving = []
         for number in range(int(RATE * span)):
-            leaving.append(loop.create_task(_depart(record, rng, at, number)))
+            leaving.append(loop.create_task(_disconnect(record, rng, at, number)))
             await asyncio.sleep(1.0 / RATE)
         await asyncio.gather(*leaving)
-        await asyncio.sleep(3.0)  # the longest that any of them could still be sent on in
+        await asyncio.sleep(3.0)  # Longest time in which a waiting request could still be forwarded.
         counts.is_sending = False
-        for transport, _ in asking:
+        for transport, _ in clients:
             transport.close()
         if not process.running:
             raise RuntimeError(f"the gateway ended: {process.log_tail()}")
-        say(f"{len(record.left)} requests left behind, {counts.served} served beside, lag {record.lag:.3f} s")
+        say(
+            f"{len(record.left)} requests of disconnected clients, {counts.served} others served, "
+            f"lag {record.lag:.3f} s"
+        )
         for name in record.waited():
             if (after := record.sent.get(name, 0.0) - record.left[name]) > 0.0:
-                say(f"{name}: sent on {after:.3f} s after its client left")
+                say(f"{name}: forwarded {after:.3f} s after its client disconnected")
     finally:
         await process.kill()
         for task in tasks:
@@ -232,7 +245,8 @@
     return record
 
 
-def told(record: Record) -> dict[str, float]:
+def summarize(record: Record) -> dict[str, float]:
+    """Returns the figures of a record."""
     waited, late = record.waited(), record.late()
     return {
         "waited": len(waited),
@@ -244,13 +258,14 @@
 
 
 async def measure(quick: bool) -> dict[str, float]:
+    """Returns the figures of this checkout and of the older one."""
     with tempfile.TemporaryDirectory() as name:
         folders = [Path(name) / part for part in ("now", "before", "cpu")]
         for folder in folders:
             folder.mkdir()
         Older.check_out(BEFORE, folders[1] / "checkout")
-        now = told(await departures(folders[0], QUICK if quick else FULL))
-        before = told(await departures(folders[1], QUICK if quick else FULL, Older))
+        now = summarize(await disconnections(folders[0], QUICK if quick else FULL))
+        before = summarize(await disconnections(folders[1], QUICK if quick else FULL, Older))
         ratio = await cpu_ratio(folders[2], 1.0 if quick else 3.0, 3 if quick else 12, BEFORE)
     older = {f"{key}_before": value for key, value in before.items()}
     return now | older | {"cpu_ratio": round(ratio, 3)}
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,9 +1,9 @@
-"""The view of the fleet: how fast it settles on processes, what it costs, and whether faults in it are told.
+"""Measures the view of a fleet: settling time on processes, cost, and detection of its mutants.
 
-One fleet of 24 gateways goes through a crash, a join, five crashes at once, halves parted for ten seconds,
-and ten seconds in which a tenth of all datagrams is lost and a fifth of the gateways stand still for 30% of
-their time; each is decided from the records. A fleet of twelve parts and heals with a view and without, and
-what it refused though there was room is compared. Planted faults run on smaller fleets side by side, and in
+One fleet of 24 gateways goes through a crash, a join, five crashes at once, a partition into halves for ten
+seconds, and ten seconds in which a tenth of all datagrams is lost and a fifth of the gateways pause for 30%
+of their time. Each is judged by the records. A fleet of twelve is partitioned and heals with a view and
+without, and its rejections with quota left are compared. Mutants run on smaller fleets in parallel, and in
 virtual time. `--seed N` replays one schedule in virtual time.
 """
 
@@ -42,12 +42,12 @@
 from trackspread.testing.virtual.membership.schedules import make
 from trackspread.testing.virtual.membership.schedules import play as play_virtual
 
-PROCESSES, MORE = 24, 40  # gateways of a quick run, and of a full one
-SMALL = 5  # gateways with a planted fault
+PROCESSES, MORE = 24, 40  # Gateways of a quick run, and of a full one.
+SMALL = 5  # Gateways of a fleet with a mutant.
 SCHEDULES_QUICK, SCHEDULES = 360, 10_000
-FARING, FARING_SEEDS = 12, (1, 2, 3)  # gateways that part and heal with a view and without, and plays of it
-MIXED = 30  # schedules of mixed faults on processes, in a full run
-TRIES = 3  # of a run whose rig lagged
+HALVED, HALVED_SEEDS = 12, (1, 2, 3)  # Gateways of the fleet that is partitioned into halves, and seeds.
+MIXED = 30  # Schedules of mixed faults on processes in a full run.
+TRIES = 3  # Attempts at a run whose test process lagged.
 QUICK_ON_PROCESSES = ("view-grows-first", "view-life-ignored", "view-given-twice")
 ON_PROCESSES = (
     *QUICK_ON_PROCESSES,
@@ -57,30 +57,34 @@
     "view-owner-unasked",
     "view-rest-forgotten",
 )
-CALM = 4.0  # s over which CPU is measured
+CALM = 4.0  # Seconds over which CPU is measured.
 
 
 async def _settled(fleet: Fleet, what: str, since: int | None = None) -> float:
+    """Returns the seconds until a fleet is settled, at most 15."""
     took = await membership_fleet.until_settled(fleet, 15.0, since)
     say(f"{what}: {'not settled within 15 s' if took is None else f'{took:.2f} s'}")
     return 15.0 if took is None else took
 
 
-async def _faulty(fleet: Fleet, seconds: float, *made: Fault) -> None:
-    await FaultPlayer(fleet, Schedule("bench", 1, len(fleet.gateways), seconds, made)).play()
+async def _play_faults(fleet: Fleet, seconds: float, *faults: Fault) -> None:
+    """Plays faults on a fleet."""
+    await FaultPlayer(fleet, Schedule("bench", 1, len(fleet.gateways), seconds, faults)).play()
 
 
 def _cut(span: float, some: list[str], others: list[str]) -> Cut:
+    """Returns a partition between two groups of gateways that starts at once."""
     return Cut(0.0, span, fault_schedule.partition(some, others))
 
 
 async def _idle(count: int) -> float:
-    """CPU of a gateway without a view over a span in which nobody asks, as a share of a core."""
+    """Returns the CPU of a gateway without a view and without requests, as a share of a core."""
     async with Fleet(Scenario(gateways=count, nodes=3, load=0.1, seed=1)) as fleet:
         return await _used(fleet)
 
 
 async def _used(fleet: Fleet) -> float:
+    """Returns the mean CPU of a gateway over `CALM` seconds, as a share of a core."""
     await asyncio.sleep(1.0)
     before = sum(gateway.cpu_used_s() for gateway in fleet.gateways)
     await asyncio.sleep(CALM)
@@ -88,23 +92,23 @@
 
 
 def _dead(fleet: Fleet, since: int) -> int:
-    """Members that run and were taken for dead by somebody."""
-    said = {
+    """Returns the number of running members that some gateway declared dead."""
+    names = {
         b.about["who"][0]  # type: ignore[index]
         for b in fleet.records()
         if b.at > since and b.kind == "member" and b.about["state"] == "DEAD"
     }
-    return len(said)
+    return len(names)
 
 
 async def _joined(fleet: Fleet, numbers: list[int], what: str) -> float:
-    """s from the last one's start, as it records it, until all hold one view of just those that run."""
+    """Starts gateways; returns the seconds from the last recorded start until all hold the correct view."""
     await fleet.start_gateways(numbers)
     return await _settled(fleet, what, membership_fleet.started_at(fleet, numbers))
 
 
 async def _large(count: int, quick: bool) -> dict[str, float]:
-    """All of it on one fleet, under some load."""
+    """Plays all faults on one large fleet under load and returns its figures."""
     names = [f"n{n}" for n in range(count)]
     async with Fleet(Scenario(gateways=count, nodes=6, load=0.2, seed=2), view_settings="") as fleet:
         since = membership_fleet.started_at(fleet, range(count))
@@ -113,21 +117,21 @@
         fleet.start_clients()
         await fleet.stop_gateways([count - 1])
         made["detect_s_worst"] = await _settled(fleet, "one killed")
-        await fleet.stop_gateways([1])  # a seed, and now and then the coordinator
+        await fleet.stop_gateways([1])  # A seed, which in some runs is the coordinator.
         made["settle_s_seed"] = await _settled(fleet, "a seed killed")
         made["settle_s_join"] = await _joined(fleet, [1, count - 1], "two joined")
         five = list(range(count // 2, count // 2 + 5))
         await fleet.stop_gateways(five)
         made["settle_s_crash"] = await _settled(fleet, "five killed")
         await _joined(fleet, five, "five joined")
-        await _faulty(
+        await _play_faults(
             fleet, 10.0, Cut(0.0, 10.0, fault_schedule.partition(names[: count // 2], names[count // 2 :]))
         )
         made["settle_s_heal"] = await _settled(fleet, "halves healed")
         since = time.monotonic_ns()
         slow = tuple(range(3, count, 5))
         span = 6.0 if quick else 10.0
-        await _faulty(
+        await _play_faults(
             fleet,
             span,
             DegradedNetwork(0.0, span, fault_schedule.all_directions(names), ("udp",), loss=0.1),
@@ -135,21 +139,24 @@
         )
         made["false_dead"] = _dead(fleet, since)
         await fleet.settle()
-        amiss, most = membership_fleet.check_records(fleet)
+        wrong, most = membership_fleet.check_records(fleet)
         verdict = fleet.verdict()
-        for each in amiss[:3]:
-            say(f"AMISS: {each.rule}: {each.text}")
+        for each in wrong[:3]:
+            say(f"RECORDS: {each.rule}: {each.text}")
         for violation in verdict.violations[:3]:
             say(f"BROKEN: {violation.rule}: {violation.text}")
-        made["views_in_conflict"] = sum(each.rule == "view" for each in amiss)
+        made["views_in_conflict"] = sum(each.rule == "view" for each in wrong)
         made["rights_over_whole"] = round(max(0.0, most - 1.0), 6)
-        made["violations"] = len(amiss) + (len(verdict.violations) if verdict.state == "broken" else 0)
+        made["violations"] = len(wrong) + (len(verdict.violations) if verdict.state == "broken" else 0)
         made["lag_ms"] = round(verdict.summary.max_lag_ns / 1e6, 1)
         return made
 
 
 async def _small(planted: str, seed: int) -> str:
-    """What a fleet with this fault does wrong; nothing if nothing is told. Without one: nothing may be."""
+    """Returns what a fleet with a mutant does wrong, or an empty text.
+
+    A fleet without a mutant must not do anything wrong.
+    """
     command = mutant_gateway.command(planted) if planted else ("-m", "trackspread", "run")
     names = [f"n{n}" for n in range(SMALL)]
     async with Fleet(
@@ -159,37 +166,37 @@
             ("start", 6.0, lambda: asyncio.sleep(0.0)),
             ("a join", 3.0, lambda: fleet.restart([4], 0.2)),
             ("a crash", 6.0, lambda: fleet.stop_gateways([4])),
-            ("halves", 6.0, lambda: _faulty(fleet, 5.0, _cut(5.0, names[:2], names[2:]))),
-            ("other halves", 6.0, lambda: _faulty(fleet, 3.0, _cut(3.0, names[:3], names[3:]))),
+            ("halves", 6.0, lambda: _play_faults(fleet, 5.0, _cut(5.0, names[:2], names[2:]))),
+            ("other halves", 6.0, lambda: _play_faults(fleet, 3.0, _cut(3.0, names[:3], names[3:]))),
         ]
         found = ""
         for what, most, step in steps:
             await step()
             if await membership_fleet.until_settled(fleet, most) is None:
                 found = f"not settled {most:.0f} s after {what}"
-            amiss, _ = membership_fleet.check_records(fleet)
-            if amiss:
-                found = amiss[0].text
+            wrong, _ = membership_fleet.check_records(fleet)
+            if wrong:
+                found = wrong[0].text
             if found:
                 return found
         return ""
 
 
-def _fares(job: tuple[int, str | None]) -> FaultRun:
-    """Halves that part for a while and heal, under load; `view` None: without one."""
+def _play_halves(job: tuple[int, str | None]) -> FaultRun:
+    """Plays a partition into halves that heals, under load; the fleet has no view if `view` is None."""
     seed, view = job
     gc.disable()
-    names = [f"n{n}" for n in range(FARING)]
-    cut = Cut(5.0, 7.0, fault_schedule.partition(names[: FARING // 2], names[FARING // 2 :]))
-    schedule = Schedule("halves", seed, FARING, 18.0, (cut,))
+    names = [f"n{n}" for n in range(HALVED)]
+    cut = Cut(5.0, 7.0, fault_schedule.partition(names[: HALVED // 2], names[HALVED // 2 :]))
+    schedule = Schedule("halves", seed, HALVED, 18.0, (cut,))
     return uvloop.run(play_until_judged(schedule, TRIES, view_settings=view))
 
 
-def _faring(seeds: tuple[int, ...]) -> dict[str, float]:
-    """Refusals with room while parted and after it, of a fleet with a view over one without."""
+def _compare_halves(seeds: tuple[int, ...]) -> dict[str, float]:
+    """Returns rejections with quota left during and after a partition, with a view relative to without."""
     jobs = [(seed, view) for seed in seeds for view in ("", None)]
     with multiprocessing.get_context("spawn").Pool(2, maxtasksperchild=1) as pool:
-        found = list(zip(jobs, pool.imap(_fares, jobs), strict=True))
+        found = list(zip(jobs, pool.imap(_play_halves, jobs), strict=True))
     share = {
         kind: [sum(p.refused_with_quota[1:]) for (_, view), p in found if (view is None) is kind]
         for kind in (False, True)
@@ -197,21 +204,21 @@
     for (seed, view), played in found:
         refused = played.refused_with_quota
         say(
-            f"halves, seed {seed}, {'without' if view is None else 'with'} a view: {played.state}, refused "
-            f"with room {refused.during:.1%} and {refused.after:.1%} after, beyond quotas "
-            f"{played.excess_share:.2%}, over a ceiling by {played.hard_limit_excess:.0%} of its slack"
+            f"halves, seed {seed}, {'without' if view is None else 'with'} a view: {played.state}, rejected "
+            f"with quota left {refused.during:.1%} and {refused.after:.1%} after, beyond quotas "
+            f"{played.excess_share:.2%}, over a hard limit by {played.hard_limit_excess:.0%} of its slack"
         )
     with_view = [p for (_, view), p in found if view is not None]
     return {
         "refused_with_room_ratio": round(sum(share[False]) / max(1e-9, sum(share[True])), 3),
         "rights_excess": round(max(p.hard_limit_excess for p in with_view), 3),
         "beyond_quotas": round(max(p.excess_share for p in with_view), 4),
-        "faring_broken": sum(len(p.violations) for p in with_view),
+        "halves_broken": sum(len(p.violations) for p in with_view),
     }
 
 
 def _mixed(seed: int) -> tuple[int, str]:
-    """One schedule on twelve processes: what broke."""
+    """Plays one schedule on twelve processes; returns its seed and what broke."""
     gc.disable()
 
     async def once(played: int) -> str | None:
@@ -221,10 +228,10 @@
             await FaultPlayer(fleet, draw(played, 12, 14.0, 1.0, 1.0)).play()
             took = await membership_fleet.until_settled(fleet, 8.0)
             await fleet.settle()
-            verdict, (amiss, _) = fleet.verdict(), membership_fleet.check_records(fleet)
+            verdict, (wrong, _) = fleet.verdict(), membership_fleet.check_records(fleet)
             if verdict.state == "void":
                 return None
-            broken = [f"{v.rule}: {v.text}" for v in verdict.violations] + [a.text for a in amiss]
+            broken = [f"{v.rule}: {v.text}" for v in verdict.violations] + [a.text for a in wrong]
             return "; ".join([*broken[:3], *(["not settled within 8 s"] if took is None else [])])
 
     for number in range(TRIES):
@@ -235,12 +242,13 @@
 
 
 def _on_processes(job: tuple[str, int]) -> tuple[str, str]:
+    """Runs a small fleet with a mutant in a new event loop."""
     gc.disable()
     return job[0], uvloop.run(_small(*job))
 
 
 def _schedules(seeds: range) -> list[tuple[int, str, int]]:
-    """What broke, and the ns that each took to settle."""
+    """Returns each seed with what broke and the nanoseconds until it settled."""
     made: list[tuple[int, str, int]] = []
     for seed in seeds:
         try:
@@ -251,40 +259,41 @@
 
 
 def _convict(name: str) -> tuple[str, int | None]:
+    """Returns a mutant and the seed that detects it, or None."""
     return name, convict(name, range(1, 60))
 
 
 def bytes_a_second(count: int) -> float:
-    """Of one member in a calm fleet of so many, in virtual time."""
+    """Returns the bytes per second of one member in a calm fleet of `count`, in virtual time."""
     world = World(1, count, settings={"max_members": 2 * count})
     world.begin(60 * SECOND, every=SECOND)
     while any(p.core is not None and len(p.core.gossip) for p in world.processes.values()):
-        world.run_until(world.elapsed_ns + SECOND)  # until nothing is told of the start any more
+        world.run_until(world.elapsed_ns + SECOND)  # Runs until no update about the start is left.
     world.bytes = dict.fromkeys(world.processes, 0)
     world.run_until(world.elapsed_ns + 10 * SECOND)
     return sum(world.bytes.values()) / count / 10.0
 
 
 def measure(quick: bool, first: int) -> dict[str, Any]:
-    """All of it; progress goes to standard error."""
+    """Returns all figures; prints progress to standard error."""
     began = time.monotonic()
     figures: dict[str, Any] = {"processes": PROCESSES if quick else MORE}
     gc.disable()
-    off = uvloop.run(_idle(6))
+    cpu_without_view = uvloop.run(_idle(6))
     figures |= uvloop.run(_large(int(figures["processes"]), quick))
-    figures["cpu_share"] = round(max(0.0, figures["cpu_share"] - off), 4)
+    figures["cpu_share"] = round(max(0.0, figures["cpu_share"] - cpu_without_view), 4)
     gc.enable()
-    figures |= _faring(FARING_SEEDS[:1] if quick else FARING_SEEDS)
+    figures |= _compare_halves(HALVED_SEEDS[:1] if quick else HALVED_SEEDS)
     say(f"the large fleet is done after {time.monotonic() - began:.0f} s")
     names = QUICK_ON_PROCESSES if quick else ON_PROCESSES
     context = multiprocessing.get_context("spawn")
     with context.Pool(4 if quick else 3, maxtasksperchild=1) as pool:
         jobs = [("", 1), *((name, 1) for name in names)]
-        told = dict(pool.imap_unordered(_on_processes, jobs))
-        for name, text in told.items():
-            say(f"{name or 'no fault'} on processes: {text or 'nothing amiss'}")
-        violations = int(bool(told.pop("")))
-        caught = sum(bool(text) for text in told.values())
+        results = dict(pool.imap_unordered(_on_processes, jobs))
+        for name, text in results.items():
+            say(f"{name or 'no mutant'} on processes: {text or 'no violation'}")
+        violations = int(bool(results.pop("")))
+        caught = sum(bool(text) for text in results.values())
         if not quick:
             void = 0
             for seed, text in pool.imap_unordered(_mixed, range(1, MIXED + 1)):
@@ -308,7 +317,7 @@
             caught += seed_or_none is not None
             say(
                 f"{name} in virtual time: "
-                + ("NOT TOLD" if seed_or_none is None else f"told by seed {seed_or_none}")
+                + ("NOT DETECTED" if seed_or_none is None else f"detected by seed {seed_or_none}")
             )
         small, large = sizes.get()
     settled.sort()
@@ -321,14 +330,14 @@
         "bytes_ratio": round(large / small, 3),
         "mutants": len(names) + len(MUTANTS),
         "mutants_caught": caught,
-        "violations": figures["violations"] + figures.pop("faring_broken") + violations,
+        "violations": figures["violations"] + figures.pop("halves_broken") + violations,
         "seconds": round(time.monotonic() - began, 1),
     }
     return figures
 
 
 def replay(seed: int) -> int:
-    """One schedule in virtual time, alone."""
+    """Plays one schedule in virtual time and returns the exit status."""
     schedule = make(seed)
     print(schedule)
     try:
@@ -341,10 +350,11 @@
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="under 110 s on eight cores")
+    parser.add_argument("--quick", action="store_true", help="take less than 110 s on eight cores")
     parser.add_argument("--seed", type=int, help="replay one schedule in virtual time")
-    parser.add_argument("--first", type=int, default=1, help="begins the seeds of the schedules")
+    parser.add_argument("--first", type=int, default=1, help="first seed of the schedules")
     given = parser.parse_args()
     if given.seed is not None:
         return replay(given.seed)
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,8 +1,9 @@
-"""Day-to-day operation: the door under load, figures, settings that change, new versions, long values.
+"""Measures daily operation: admin server under load, counters, reloads, upgrades and long values.
 
-Every part runs real processes on loopback. Figures: the worst answer of the door with the loop saturated and
-a population connected; figures against the ledger; CPU a request beside an older checkout, alternating in one
-run; memory of many long values at slow clients against the limit; upgrades under load, judged.
+Every part runs real processes on loopback. The figures are the slowest answer of the admin server with a
+saturated event loop and many connections, the counters compared with the ledger, the CPU per request relative
+to an older checkout in alternating turns of one run, the memory of many long values for slow clients relative
+to the limit, and upgrades under load with the oracle's verdict.
 """
 
 from __future__ import annotations
@@ -35,23 +36,25 @@
 from .cost import SERVED, WORKS, gateway, spawn
 
 SECOND = 1_000_000_000
-BEFORE = "dc2d7c6"  # what `cpu_ratio_short` compares with: the last commit without a door
-CROWD, HOLDERS = 120, 60  # connections that stop half way, callers of the door that hold on
-ASKERS = 32  # clients that ask without a pause
-LIMIT_MB, LONG, SLOW = 64, 4 << 20, 40  # memory limit, bytes of a value, slow clients at once
-LOAD = 0.35  # of what the stand-ins' nodes can do
+BEFORE = "dc2d7c6"  # Commit that `cpu_ratio_short` compares with, the last one without an admin server.
+CROWD, HOLDERS = 120, 60  # Connections with half a command; open connections to the admin server.
+CLIENTS = 32  # Clients that send without a pause.
+LIMIT_MB, LONG, SLOW = 64, 4 << 20, 40  # Memory limit, bytes of a value, and number of slow clients.
+LOAD = 0.35  # Part of the capacity of the stand-in nodes.
 
 
 def _settings(classes: list[dict[str, Any]]) -> dict[str, Any]:
+    """Returns settings with these classes and one plan without effective quota."""
     return nested_settings(classes, [plan_settings("wide", 1e6, 1e6)], 0, 1, zones=("a", "b", "c"))
 
 
 def _class(name: str = "rate-lookup", repeat: str = "free") -> dict[str, Any]:
+    """Returns the settings of one class."""
     return class_settings(name, repeat, "all", SECOND, 3 * SECOND, SECOND)
 
 
-class One:
-    """One gateway with a door before some backends."""
+class SingleGateway:
+    """Runs one gateway with an admin server and the given backends."""
 
     def __init__(self, folder: Path, backends: list[Address]) -> None:
         listed, self.ledger, self.ports = BackendList(), Ledger(), Ports()
@@ -72,37 +75,39 @@
             "peers": [],
             "settings": _settings([_class(), _class("charge-post", "single_shot")]),
         }
-        self.made = UpgradableGateway("n0", at, config, self.folder, self.ledger, 512, self.ports)
-        await self.made.start()
-        return self.made
+        self.gateway = UpgradableGateway("n0", at, config, self.folder, self.ledger, 512, self.ports)
+        await self.gateway.start()
+        return self.gateway
 
     async def __aexit__(self, *_: object) -> None:
-        await self.made.kill()
+        await self.gateway.kill()
         self.agent.close()
 
 
-async def door_under_load(folder: Path, span: float) -> float:
-    """Worst ms of /stats while all connections ask without a pause, a crowd rests and callers hold on."""
+async def admin_server_under_load(folder: Path, span: float) -> float:
+    """Returns the longest milliseconds for /stats under load and with many open connections."""
     process, nodes = await spawn("nodes", "9")
-    loop, counts, one, worst = asyncio.get_running_loop(), ReplyCounts(), commands(200), 0.0
+    loop, counts, next_command, worst = asyncio.get_running_loop(), ReplyCounts(), commands(200), 0.0
     try:
-        async with One(folder, nodes) as made:
-            asking = [
-                await loop.create_connection(lambda: ClosedLoopClient(one, counts, SERVED), *made.address)
-                for _ in range(ASKERS)
+        async with SingleGateway(folder, nodes) as running:
+            clients = [
+                await loop.create_connection(
+                    lambda: ClosedLoopClient(next_command, counts, SERVED), *running.address
+                )
+                for _ in range(CLIENTS)
             ]
-            held = [await asyncio.open_connection(*made.address) for _ in range(CROWD)]
-            held += [await asyncio.open_connection(*made.control_address) for _ in range(HOLDERS)]
+            held = [await asyncio.open_connection(*running.address) for _ in range(CROWD)]
+            held += [await asyncio.open_connection(*running.control_address) for _ in range(HOLDERS)]
             for _, writer in held:
                 writer.write(b"*4\r\n$8\r\nCALL")
             end = loop.time() + span
             while loop.time() < end:
                 began = loop.time()
-                await gateway_stats(made.control_address)
+                await gateway_stats(running.control_address)
                 worst = max(worst, loop.time() - began)
                 await asyncio.sleep(0.05)
             counts.is_sending = False
-            for transport, _ in asking:
+            for transport, _ in clients:
                 transport.close()
             for _, writer in held:
                 writer.close()
@@ -113,12 +118,12 @@
 
 
 async def reloads(folder: Path, rounds: int) -> int:
-    """Calls that met other rules than those that the settings then had."""
+    """Reloads settings; returns the number of requests that were not treated by the settings in force."""
     process, nodes = await spawn("nodes", "3")
     wrong = 0
 
-    async def said(made: UpgradableGateway, cls: str, safe: bool) -> bytes:
-        reader, writer = await asyncio.open_connection(*made.address)
+    async def first_byte(running: UpgradableGateway, cls: str, safe: bool) -> bytes:
+        reader, writer = await asyncio.open_connection(*running.address)
         pairs = f"c={cls},t=wide,d=2000,units=1,spread=1,first=0".encode()
         words = [b"CALL.GET" if safe else b"CALL.POST", b"%016x" % 7, os.urandom(8).hex().encode(), pairs]
         words += [] if safe else [b"body"]
@@ -128,18 +133,18 @@
         return line[:1]
 
     try:
-        async with One(folder, nodes) as made:
+        async with SingleGateway(folder, nodes) as running:
             for number in range(rounds):
                 repeat = "free" if number % 2 else "single_shot"
-                made.config["settings"] = _settings([_class(f"new-{number}", repeat), _class()])
-                made.write_config()
-                made.signal(signal.SIGHUP)
-                while (await gateway_stats(made.control_address))["reloads_ok"] <= number:
+                running.config["settings"] = _settings([_class(f"new-{number}", repeat), _class()])
+                running.write_config()
+                running.signal(signal.SIGHUP)
+                while (await gateway_stats(running.control_address))["reloads_ok"] <= number:
                     await asyncio.sleep(0.01)
                 safe = repeat == "free"
-                wrong += await said(made, f"new-{number}", safe) != b"$"
-                wrong += await said(made, f"new-{number}", not safe) != b"-"
-                wrong += await said(made, f"new-{number - 1}", not safe) != b"-"
+                wrong += await first_byte(running, f"new-{number}", safe) != b"$"
+                wrong += await first_byte(running, f"new-{number}", not safe) != b"-"
+                wrong += await first_byte(running, f"new-{number - 1}", not safe) != b"-"
     finally:
         process.kill()
         await process.wait()
@@ -147,7 +152,7 @@
 
 
 class _Long(asyncio.Protocol):
-    """A backend whose every answer is long."""
+    """Answers every command of a connection with a long value."""
 
     ANSWER = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (LONG, bytes(LONG))
 
@@ -159,7 +164,10 @@
 
 
 async def _take(address: Address, pause: float) -> tuple[float, int]:
-    """Seconds to the first byte of a long value, and the bytes that came; `pause` s after each piece."""
+    """Returns the seconds to the first byte of a long value, and the bytes received.
+
+    The client waits `pause` seconds after each piece.
+    """
     loop = asyncio.get_running_loop()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 64 << 10)
@@ -187,18 +195,18 @@
 
 
 async def long_values(folder: Path) -> tuple[float, float, int]:
-    """Peak memory over the limit, first byte through the gateway over direct, values that were not whole."""
+    """Returns peak memory over the limit, first byte time over a direct one, and incomplete values."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(_Long, own_address(), 0, backlog=256)
     at: Address = server.sockets[0].getsockname()[:2]
     try:
-        async with One(folder, [at]) as made:
+        async with SingleGateway(folder, [at]) as running:
             direct = statistics.median([(await _take(at, 0.0))[0] for _ in range(15)])
-            through = statistics.median([(await _take(made.address, 0.0))[0] for _ in range(15)])
-            came = await asyncio.gather(*(_take(made.address, 0.05) for _ in range(SLOW)))
-            made.record_usage()
+            through = statistics.median([(await _take(running.address, 0.0))[0] for _ in range(15)])
+            came = await asyncio.gather(*(_take(running.address, 0.05) for _ in range(SLOW)))
+            running.record_usage()
             return (
-                made.peak_memory_bytes / (LIMIT_MB << 20),
+                running.peak_memory_bytes / (LIMIT_MB << 20),
                 through / direct,
                 sum(size < LONG for _, size in came),
             )
@@ -207,23 +215,23 @@
 
 
 async def upgrades(span: float, rounds: int) -> dict[str, float]:
-    """Each gateway is replaced by a new process under load, `rounds` times."""
+    """Replaces each gateway by a new process under load, `rounds` times, and returns the figures."""
     scenario = Scenario(load=LOAD, seed=7)
     async with Fleet(scenario, upgradable=True) as fleet:
         held = [each for each in fleet.gateways if isinstance(each, UpgradableGateway)]
-        again = 0
+        resent = 0
         resend = fleet.clients.resend
 
         def counted(request: ClientRequest, request_id: str) -> None:
-            nonlocal again
-            again += 1
+            nonlocal resent
+            resent += 1
             resend(request, request_id)
 
         fleet.clients.resend = counted  # type: ignore[method-assign]
         fleet.start_clients()
         await asyncio.sleep(span)
-        told = [await gateway_stats(each.control_address) for each in held]
-        served = sum(v for one in told for k, v in one.items() if k.startswith("served."))
+        stats = [await gateway_stats(each.control_address) for each in held]
+        served = sum(v for each in stats for k, v in each.items() if k.startswith("served."))
         error = abs(served - fleet.clients.outcome_counts["served"]) / max(1, served)
         waits = [await each.upgrade() for _ in range(rounds) for each in held]
         await asyncio.sleep(span)
@@ -234,7 +242,7 @@
         return {
             "figures_error": round(error, 4),
             "upgrade_lost": fleet.clients.outcome_counts["cut"] + verdict.summary.unanswered,
-            "upgrade_crossed": round(again / count, 3),
+            "upgrade_crossed": round(resent / count, 3),
             "upgrade_ready_s": round(max(waits), 2),
             "quota_over": round(verdict.summary.over_quota_share, 4),
             "violations": len(verdict.violations),
@@ -242,18 +250,20 @@
 
 
 class Older(GatewayProcess):
-    """A gateway of another checkout."""
+    """Runs a gateway of another checkout."""
 
     checkout = Path()
 
     @classmethod
     def check_out(cls, commit: str, folder: Path) -> None:
+        """Extracts a commit into a folder, which later processes run."""
         folder.mkdir()
         archive = subprocess.run(["git", "archive", commit], capture_output=True, check=True)
         subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
         cls.checkout = folder
 
     async def start(self) -> None:
+        """Starts the process in the folder of the checkout."""
         here = os.getcwd()
         os.chdir(self.checkout)
         try:
@@ -263,8 +273,10 @@
 
 
 async def cpu_ratio(folder: Path, span: float, rounds: int, commit: str = BEFORE) -> float:
-    """CPU a request, short values, over that of `commit`, taken in turn. Single turns differ by a half on a
-    noisy machine, in either direction: all turns of each count together."""
+    """Returns CPU per request for short values relative to that of `commit`, measured in alternating turns.
+
+    Single turns differ by a half on a noisy machine, in either direction, so all turns of each are added up.
+    """
     Older.check_out(commit, folder / "before")
     process, nodes = await spawn("nodes", "9")
     spent = {Older: 0.0, GatewayProcess: 0.0}
@@ -279,29 +291,32 @@
 
 
 async def measure(quick: bool) -> dict[str, float]:
-    made: dict[str, float] = {}
+    """Returns all figures; prints progress to standard error."""
+    figures: dict[str, float] = {}
     with tempfile.TemporaryDirectory() as name:
         for part in ("door", "reload", "long", "cpu"):
             (folder := Path(name) / part).mkdir()
             began = time.monotonic()
             match part:
                 case "door":
-                    made["stats_worst_ms"] = round(await door_under_load(folder, 3.0 if quick else 15.0), 1)
+                    figures["stats_worst_ms"] = round(
+                        await admin_server_under_load(folder, 3.0 if quick else 15.0), 1
+                    )
                 case "reload":
-                    made["reload_wrong"] = await reloads(folder, 8 if quick else 60)
+                    figures["reload_wrong"] = await reloads(folder, 8 if quick else 60)
                 case "long":
                     peak, first, short = await long_values(folder)
-                    made |= {
+                    figures |= {
                         "peak_memory_ratio": round(peak, 3),
                         "first_byte_ratio": round(first, 2),
                         "long_short": short,
                     }
                 case _:
                     ratio = await cpu_ratio(folder, 1.0 if quick else 3.0, 5 if quick else 12)
-                    made["cpu_ratio_short"] = round(ratio, 3)
+                    figures["cpu_ratio_short"] = round(ratio, 3)
             print(f"{part}: {time.monotonic() - began:.1f} s", file=sys.stderr, flush=True)
-    made |= await upgrades(1.5 if quick else 5.0, 1 if quick else 3)
-    return made
+    figures |= await upgrades(1.5 if quick else 5.0, 1 if quick else 3)
+    return figures
 
 
 if __name__ == "__main__":
--- a/benchmarks/world_digests.py
+++ b/benchmarks/world_digests.py
@@ -1,12 +1,13 @@
-"""Digests of the seeded virtual worlds: whether two versions of the program do the same, to the last byte.
+"""Computes digests of the seeded virtual worlds, which show whether two versions behave identically.
 
-Every world is played with a few seeds. What happens in it goes into one digest: the times of all that is put
-on its clock, each event of the decision module and what it wants done, the bytes between processes, the
-ledger's entries, what billing took, and the state of chance at the end. Values go in by position and enums by
-value, so names of modules, classes and fields make no difference; texts of log lines are left out.
+Every world is played with a few seeds. One digest covers all that happens in it: the times of all scheduled
+calls, each event of the decision module with its actions, the bytes between processes, the entries of the
+ledger, the records that billing accepted, and the final state of the random generator. Values enter by
+position and enums by value, so that names of modules, classes and fields make no difference. Texts of log
+lines are left out.
 
-`--write FILE` keeps the digests, `--compare FILE` names those that differ from kept ones. Those of an older
-version come from a copy of this file with that version's import paths.
+`--write FILE` stores the digests, and `--compare FILE` prints those that differ from stored ones. Digests of
+an older version come from a copy of this file with that version's import paths.
 """
 
 from __future__ import annotations
@@ -53,28 +54,29 @@
 
 DIGEST_BYTES = 16
 WORKERS = 2
-HASH_SEED = "0"  # of the processes that play
-Played = tuple[str, str, float]  # name, digest, seconds
+HASH_SEED = "0"  # Hash seed of the worker processes.
+Played = tuple[str, str, float]  # Name, digest and seconds.
 
 
 class Recorder:
-    """One digest over plain values, in the order in which they come."""
+    """Computes one digest over plain values, in the order in which they are added."""
 
     def __init__(self) -> None:
         self._digest = blake2b(digest_size=DIGEST_BYTES)
 
     def add(self, *values: object) -> None:
-        """Values of any depth; objects that are none (processes, callables) are passed over."""
+        """Adds values of any depth, and skips objects that are not plain values (processes, callables)."""
         for value in values:
             for part in flattened(value):
                 self._digest.update(part)
 
     def hexdigest(self) -> str:
+        """Returns the digest in hexadecimal."""
         return self._digest.hexdigest()
 
 
 def flattened(value: object) -> Iterator[bytes]:
-    """A value's parts by position, without a name of a type or field."""
+    """Yields a value's parts by position, without names of types or fields."""
     if isinstance(value, Enum):
         yield from flattened(value.value)
     elif value is None:
@@ -91,6 +93,7 @@
 
 
 def _flattened_collection(value: object) -> Iterator[bytes]:
+    """Yields the parts of a collection, struct or dataclass; nothing for other objects."""
     match value:
         case msgspec.Struct():
             parts: Iterable[object] = [getattr(value, name) for name in value.__struct_fields__]
@@ -114,7 +117,7 @@
 
 
 def _is_log_line(action: object) -> bool:
-    """An action that holds a text alone."""
+    """Returns whether an action has only texts."""
     if not dataclasses.is_dataclass(action):
         return False
     values = [getattr(action, field.name) for field in dataclasses.fields(action)]
@@ -122,7 +125,7 @@
 
 
 def _before(owner: type, name: str, note: Callable[..., None]) -> Any:
-    """`name` of the class, with its arguments noted first."""
+    """Returns a patch that passes the arguments of a method to `note` before each call."""
     real = getattr(owner, name)
 
     def noted(self: Any, *words: Any, **named: Any) -> Any:
@@ -133,6 +136,7 @@
 
 
 def _decisions(recorder: Recorder) -> Any:
+    """Returns a patch that records each event of the decision module with its actions."""
     real = Broker.handle
 
     def handle(self: Broker, now: int, event: Any) -> Any:
@@ -144,6 +148,7 @@
 
 
 def _ledgers(recorder: Recorder) -> Any:
+    """Returns a patch that records the ledger and the random state at the end of a fleet's run."""
     real = VirtualFleet.run
 
     def run(self: VirtualFleet, span: int) -> None:
@@ -155,7 +160,7 @@
 
 @contextmanager
 def recorded(recorder: Recorder) -> Iterator[None]:
-    """Whatever any world does meanwhile goes into the digest."""
+    """Records in the digest whatever any world does within the context."""
     encode = msgspec.msgpack.encode
 
     def sent(world: Any, process: Any, to: Any, message: Any) -> None:
@@ -165,7 +170,9 @@
         recorder.add(source.name, target.name, call.args)
 
     def handed_over(world: Any, actions: Any) -> None:
-        recorder.add(world.now, [tuple(action) for action in actions])  # pairs; their type came later
+        recorder.add(
+            world.now, [tuple(action) for action in actions]
+        )  # Converted to plain pairs, as older versions had no type for them.
 
     def swapped(world: Any, process: Any, core: Any, target: Any, table: Any) -> None:
         recorder.add(process.name, target.name, encode(table))
@@ -190,7 +197,7 @@
         yield
 
 
-# Each world: plays one seed, and returns what came of it beside what is recorded all along.
+# Each function plays one seed of a world and returns its result, which is added to what was recorded.
 
 
 def _gateways(seed: int) -> object:
@@ -273,7 +280,7 @@
         for play in distribution_schedules.SHORT + distribution_schedules.LONG
     },
 }
-# Seeds of each world: in full, and with --quick. A world that is not named has one in full and none quickly.
+# Seeds of each world in a full run and with --quick. A world not listed has one, and none with --quick.
 SEEDS: dict[str, tuple[Iterable[int], Iterable[int]]] = {
     "gateways": (range(1, 41), range(1, 13)),
     "booked": (range(1, 9), range(1, 4)),
@@ -295,12 +302,12 @@
 
 
 def jobs(quick: bool) -> list[tuple[str, int]]:
-    """World and seed."""
+    """Returns every pair of world and seed."""
     return [(name, seed) for name in WORLDS for seed in SEEDS.get(name, ONE)[quick]]
 
 
 def digest(job: tuple[str, int]) -> Played:
-    """Plays one world; an invariant that breaks is part of what happened."""
+    """Plays one world and returns its digest; a broken invariant is part of the digest."""
     name, seed = job
     began, recorder = time.monotonic(), Recorder()
     with recorded(recorder):
@@ -313,8 +320,9 @@
 
 
 def measure(quick: bool) -> tuple[dict[str, str], dict[str, float]]:
-    """Digests by world and seed, and the seconds that each took."""
-    # The digests don't hang on it, but one world does: its control machines go through a set of names.
+    """Returns the digests by world and seed, and the seconds that each took."""
+    # The digests do not depend on the hash seed, but one world does: its control machines iterate over a set
+    # of names.
     os.environ["PYTHONHASHSEED"] = HASH_SEED
     digests, seconds = {}, {}
     with multiprocessing.get_context("spawn").Pool(WORKERS) as pool:
@@ -324,11 +332,14 @@
 
 
 def main() -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
-    parser.add_argument("--quick", action="store_true", help="fewer seeds, under 50 s")
-    parser.add_argument("--write", type=Path, metavar="FILE", help="keep the digests there")
-    parser.add_argument("--compare", type=Path, metavar="FILE", help="name what differs from those there")
-    parser.add_argument("--times", action="store_true", help="say how long each world took")
+    parser.add_argument("--quick", action="store_true", help="fewer seeds, in less than 50 s")
+    parser.add_argument("--write", type=Path, metavar="FILE", help="store the digests in a file")
+    parser.add_argument(
+        "--compare", type=Path, metavar="FILE", help="print the digests that differ from a stored file"
+    )
+    parser.add_argument("--times", action="store_true", help="print the seconds of each world")
     given = parser.parse_args()
     began = time.monotonic()
     digests, seconds = measure(given.quick)
@@ -341,7 +352,7 @@
         kept = json.loads(given.compare.read_text())
         differing = [name for name, made in digests.items() if kept.get(name) != made]
         for name in differing:
-            print(f"DIFFERS: {name}: {kept.get(name, 'not kept')} before, {digests[name]} now")
+            print(f"DIFFERS: {name}: {kept.get(name, 'not stored')} before, {digests[name]} now")
         figures |= {"differing": len(differing)}
     print(json.dumps({**figures, "seconds": round(time.monotonic() - began, 1)}))
     return 1 if figures.get("differing") else 0
