--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -294,11 +294,11 @@
     """Returns all figures; prints progress to standard error."""
     figures: dict[str, float] = {}
     with tempfile.TemporaryDirectory() as name:
-        for part in ("door", "reload", "long", "cpu"):
+        for part in ("admin", "reload", "long", "cpu"):
             (folder := Path(name) / part).mkdir()
             began = time.monotonic()
             match part:
-                case "door":
+                case "admin":
                     figures["stats_worst_ms"] = round(
                         await admin_server_under_load(folder, 3.0 if quick else 15.0), 1
                     )
--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -181,10 +181,10 @@
     running = ((name_of(0), 1), (name_of(1), 1))
     real = [("n0", 5)]
     wanted, number = digest(sorted([*running, *real])), (3, 0, 1)
-    whole = Held(((wanted, wanted, number),), running, 0)
-    assert settled([whole], real, {View(wanted, number)})
-    assert not settled([whole], real, {View(wanted, (3, 0, 2))})
-    assert not settled([whole], [], set())
+    complete = Held(((wanted, wanted, number),), running, 0)
+    assert settled([complete], real, {View(wanted, number)})
+    assert not settled([complete], real, {View(wanted, (3, 0, 2))})
+    assert not settled([complete], [], set())
     assert not settled([Held(((wanted, 7, number),), running, 0)], real, {View(wanted, number)})
     assert not settled([Held(((7, wanted, number),), running, 0)], real, {View(wanted, number)})
 
