--- a/trackspread/testing/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -152,7 +152,8 @@
             case "issued":
                 self._check_issued(process, details["number"], details["parent"])  # type: ignore[arg-type]
             case "view":
-                view = View(details["number"], details["parent"], details["members"])  # type: ignore[arg-type]
+                number, parent = details["number"], details["parent"]
+                view = View(number, parent, details["members"])  # type: ignore[arg-type]
                 if self.views.setdefault(view.number, view) != view:
                     raise self._violation(f"two views have the number {view.number}")
             case "part" if details["part"]:
