--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -81,7 +81,8 @@
 class ClosedLoopClient(asyncio.Protocol):
     """Holds one client connection that sends the next command when the answer to the last is complete.
 
-    Every successful answer ends with `answer_end`; any other answer counts as refused."""
+    Every successful answer ends with `answer_end`; any other answer counts as refused.
+    """
 
     def __init__(self, commands: Callable[[], bytes], counts: ReplyCounts, answer_end: bytes) -> None:
         self._commands, self._counts, self._end = commands, counts, answer_end
--- a/tests/counter/test_counter_leases.py
+++ b/tests/counter/test_counter_leases.py
@@ -45,7 +45,8 @@
 def test_tenants_are_served_again_after_each_fault(name: str) -> None:
     """Guards against shares that stay too small after a fault.
 
-    In the calm second half, tenants must get most of what a single token bucket would have granted."""
+    In the calm second half, tenants must get most of what a single token bucket would have granted.
+    """
     world = World(WorldSettings(5, load=2.0))
     world.run(4 * SECOND)
     world.clock.after(0, partial(FAULTS[name], world, random.Random(f"one fault:{name}")))
@@ -77,7 +78,8 @@
 def test_static_shares_sum_to_one() -> None:
     """Guards against static shares that exceed the limit or leave a part of it unused.
 
-    The sum must be right too if equal shares of all gateways would not hold a request."""
+    The sum must be right too if equal shares of all gateways would not hold a request.
+    """
     for min_share in (0.01, 0.2, 0.4, 1.0):
         terms = LeaseTerms(10.0, 1.0, min_share, tuple(range(7)))
         shares = [static_share(99, terms, gateway) for gateway in range(9)]
@@ -102,7 +104,8 @@
 def test_changed_heartbeat_counts_from_the_previous_read() -> None:
     """Guards against a gateway that counts as alive for longer than its heartbeats prove.
 
-    A changed heartbeat was written after the previous read, so its writer was alive at that time at least."""
+    A changed heartbeat was written after the previous read, so its writer was alive at that time at least.
+    """
     detector = FailureDetector(0, 2, 9, SECOND)
     _read(detector, SECOND, 1)
     for sequence in range(2, 6):
@@ -118,7 +121,8 @@
 def test_delayed_heartbeat_does_not_extend_known_life() -> None:
     """Guards against a delayed heartbeat that is taken for a recent one.
 
-    By the counter's clock the heartbeat is ten seconds old when it is read."""
+    By the counter's clock the heartbeat is ten seconds old when it is read.
+    """
     detector = FailureDetector(0, 2, 9, 100 * SECOND)
     for sequence in range(1, 5):
         _read(detector, 100 * SECOND + sequence * HEARTBEAT_NS, sequence)
@@ -205,7 +209,8 @@
 def test_released_share_is_not_used_too_soon(seed: int) -> None:
     """Guards against a share that one gateway releases too late or another one uses too early.
 
-    A tenant's complete limit is held by one gateway when a fault occurs and its traffic moves elsewhere."""
+    A tenant's complete limit is held by one gateway when a fault occurs and its traffic moves elsewhere.
+    """
     assert play_moved_traffic(seed) == []
 
 
@@ -214,7 +219,8 @@
     """Guards against unbounded use of a quota while no gateway reaches the counter.
 
     The gateways' shares by last demand sum to 1, so the excess is at most the tokens that each gateway knew
-    of, once."""
+    of, once.
+    """
     assert play_without_counter(seed) == []
 
 
--- a/tests/counter/test_counter_process.py
+++ b/tests/counter/test_counter_process.py
@@ -145,7 +145,8 @@
 def test_disconnected_gateway_uses_its_static_share_and_recovers() -> None:
     """Guards against a gateway that uses more than its static share without the counter.
 
-    Once the counter is reachable again the gateway must get its former shares back."""
+    Once the counter is reachable again the gateway must get its former shares back.
+    """
 
     async def work() -> None:
         server = CounterServer([Shard(0)], 2)
@@ -306,7 +307,8 @@
 ) -> None:
     """Guards against exceeded hard limits on real processes.
 
-    The faults are a split, a lost and a replaced counter, and a killed gateway."""
+    The faults are a split, a lost and a replaced counter, and a killed gateway.
+    """
     verdicts: list[Verdict] = []
     run(_run_faults(tmp_path, verdicts, capsys))
     assert verdicts[0].state != "broken", verdicts[0].violations
--- a/tests/decide/test_broker.py
+++ b/tests/decide/test_broker.py
@@ -477,7 +477,8 @@
 def test_random_variation_at_one_gateway_sheds_nothing(gateways: int, most: int) -> None:
     """Guards against rejections by chance at one of many gateways.
 
-    With 40 gateways and a limit of 4, requests were rejected while 3 were in flight at one gateway."""
+    With 40 gateways and a limit of 4, requests were rejected while 3 were in flight at one gateway.
+    """
     broker = new_broker(gateway_count=gateways, may_gossip=False)
     broker.model.concurrency_limit = 4
     sent = [
--- a/tests/decide/test_concurrency_limits.py
+++ b/tests/decide/test_concurrency_limits.py
@@ -1,7 +1,8 @@
 """Tests that limits on attempts in flight hold over all gateways together.
 
 One owner grants the attempts and is notified when they end. Messages are queued until a test delivers or
-drops them."""
+drops them.
+"""
 
 from __future__ import annotations
 
@@ -98,7 +99,8 @@
     """Sends more requests than the limit allows, through four gateways in turn.
 
     Raises `AssertionError` if one attempt too many is in flight, or if an attempt that has ended is not
-    granted to the next request."""
+    granted to the next request.
+    """
     fleet, request = SimulatedFleet(gateways), 0
     for turn in range(40):
         now = turn * 10 * MS
@@ -210,7 +212,8 @@
 def test_gateway_decides_alone_after_answer_timeout(gateways: int) -> None:
     """Guards against waiting for an unreachable owner, and against deciding too freely without one.
 
-    A fleet without contact to the owner admits some requests, but fewer than one for each gateway."""
+    A fleet without contact to the owner admits some requests, but fewer than one for each gateway.
+    """
     fleet = SimulatedFleet(gateways)
     for gateway in range(gateways):
         fleet.send_request(0, gateway, gateway + 1)
--- a/tests/decide/test_extreme_settings.py
+++ b/tests/decide/test_extreme_settings.py
@@ -1,7 +1,8 @@
 """Tests the decision module under extreme but valid settings.
 
 There must be no fault, one final answer for each request, and no event that takes long, whatever the limits
-of a tenant are."""
+of a tenant are.
+"""
 
 from __future__ import annotations
 
--- a/tests/decide/test_generated_settings.py
+++ b/tests/decide/test_generated_settings.py
@@ -2,7 +2,8 @@
 
 Each example is a deployment of its own. The program is started, serves requests, and is terminated and
 restarted while requests are open. Nodes are replaced by new ones that have to warm up, and at the end the
-program is stopped. The judge decides from the record."""
+program is stopped. The judge decides from the record.
+"""
 
 from __future__ import annotations
 
--- a/tests/decide/test_hard_limits.py
+++ b/tests/decide/test_hard_limits.py
@@ -29,7 +29,8 @@
     """Simulates three gateways, their messages, and an exact bucket of the hard limit for comparison.
 
     With `duplicates`, a gateway keeps the units that it transfers. Without `transfers`, messages about hard
-    limits are dropped."""
+    limits are dropped.
+    """
 
     def __init__(
         self, seed: int, limits: Plan, transfers: bool = True, duplicates: bool = False, loss: float = 0.0
--- a/tests/decide/test_isolated_gateways.py
+++ b/tests/decide/test_isolated_gateways.py
@@ -1,6 +1,7 @@
 """Tests gateways without any information about each other: no peers, no counter and no meter.
 
-What they serve within quotas and beyond is judged by one exact bucket for each tenant."""
+What they serve within quotas and beyond is judged by one exact bucket for each tenant.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +31,8 @@
     """Returns the units forwarded within and beyond the quotas.
 
     Both are parts of what one gateway that saw all requests would forward. Requests are spread evenly over
-    the gateways."""
+    the gateways.
+    """
     rng = random.Random(seed)
     limits = plan(rate_per_s=RATE, burst_units=BURST, overage_cost=cost)
     fleet = []
@@ -76,7 +78,8 @@
     """Guards against shares that are too small for any request.
 
     Each of 200 gateways had a share of a few hundredths of a unit, and together they served 0.03 of the
-    quota."""
+    quota.
+    """
     results = [simulate(gateways, TYPICAL_DEMAND, cost, seed) for seed in range(3)]
     within, beyond = (sum(column) / len(results) for column in zip(*results, strict=True))
     assert within >= least
@@ -103,7 +106,8 @@
 def test_overdrawn_account_is_kept_until_refilled() -> None:
     """Guards against forgetting an overdraft because the account is removed too early.
 
-    Accounts of other rare tenants are removed sooner."""
+    Accounts of other rare tenants are removed sooner.
+    """
     own_settings = settings(
         gateway_count=200,
         plans=(plan(rate_per_s=RATE, burst_units=BURST, overage_cost=0.0),),
--- a/tests/decide/test_late_use_reports.py
+++ b/tests/decide/test_late_use_reports.py
@@ -1,6 +1,7 @@
 """Tests usage that a peer reports after it was unresponsive.
 
-Such use was covered by the refill reserved for the peer, so it leaves no debt."""
+Such use was covered by the refill reserved for the peer, so it leaves no debt.
+"""
 
 from __future__ import annotations
 
--- a/tests/decide/test_many_gateways.py
+++ b/tests/decide/test_many_gateways.py
@@ -37,7 +37,8 @@
 class SimulatedFleet:
     """Simulates many gateways with messages and a counter between them.
 
-    Messages and counter calls may be lost, and gateways may be restarted."""
+    Messages and counter calls may be lost, and gateways may be restarted.
+    """
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
         self.changes = {"gateway_count": MANY_GATEWAYS, "peer_messages_per_s": 40.0, **changes}
@@ -315,7 +316,8 @@
 def test_unanswered_requests_of_active_tenants_are_limited() -> None:
     """Guards against admitting active tenants without limit while no answers arrive.
 
-    Without any answer, requests of a tenant with many requests here are admitted less often."""
+    Without any answer, requests of a tenant with many requests here are admitted less often.
+    """
     admitted_counts = []
     for requests in (1, 20):
         broker = Broker(
@@ -506,7 +508,8 @@
     """Guards against queries that the owner's last answer already decides.
 
     With 40 gateways, owners of tenants far over their quota got more queries than a gateway accepts. They
-    left half of them unanswered, including those of other tenants."""
+    left half of them unanswered, including those of other tenants.
+    """
     broker = Broker(
         settings(
             gateway_count=MANY_GATEWAYS,
--- a/tests/decide/test_model.py
+++ b/tests/decide/test_model.py
@@ -115,7 +115,8 @@
     """Guards against evaluations whose cost grows with the quota.
 
     With a plan of a million units a second, each evaluation under congestion took seconds, and the gateway
-    answered no requests."""
+    answered no requests.
+    """
     evaluations = 0
 
     def others(n: int) -> bool:
@@ -169,7 +170,8 @@
     """Guards against a limit that falls further with each reduction of the load.
 
     Latencies of rare responses are remembered for seconds, so the number in flight must be as well. Otherwise
-    each cut would lower the limit again while the same responses are counted."""
+    each cut would lower the limit again while the same responses are counted.
+    """
     model = QueueModel(settings())
     for i in range(40):
         model.latency[0].add(i * 50 * MS, 100 * MS)
--- a/tests/plans/test_plans.py
+++ b/tests/plans/test_plans.py
@@ -119,7 +119,8 @@
 def test_gateways_change_versions_within_their_clock_difference(seed: int) -> None:
     """Guards against gateways that apply different versions for longer than their clocks differ.
 
-    Each reads the registry once a second, one read in ten fails, and clocks differ by up to a second."""
+    Each reads the registry once a second, one read in ten fails, and clocks differ by up to a second.
+    """
     rng = random.Random(f"plans:{seed}")
     registry, clocks = PlanRegistry(), [rng.randint(-500, 500) for _ in range(5)]
     followers, applied = [VersionFollower() for _ in clocks], [dict[int, int]() for _ in clocks]
@@ -164,7 +165,8 @@
 def test_tenant_above_its_lowered_quota_waits_for_tokens() -> None:
     """Guards against requests admitted beyond a quota that was lowered while the tenant exceeded it.
 
-    Requests in flight are not ended; new ones are rejected until the bucket refills at the new rate."""
+    Requests in flight are not ended; new ones are rejected until the bucket refills at the new rate.
+    """
     module = Broker(settings(plans=(plan(rate_per_s=10.0, burst_units=10.0),)), 7, 0)
     module.handle(0, full_list(backend(1), backend(2), kind=EndpointUpdateKind.CACHED))
     for number in range(1, 9):
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -79,7 +79,8 @@
 def test_slots_are_checked_by_stream_and_sequence_number() -> None:
     """Guards against slots of another stream or position that are accepted.
 
-    A damaged slot must not affect the others."""
+    A damaged slot must not affect the others.
+    """
     header, seed = SegmentHeader(1, 0, 8, b"n" * 16), checksum_seed(b"n" * 16)
     data = bytearray(8 * SLOT_BYTES)
     for number in (1, 2, 4):
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -495,7 +495,8 @@
 def test_restored_broker_acts_as_the_earlier_version_did() -> None:
     """Guards against decisions that differ after a handover from an earlier version.
 
-    The same seeded events must lead to the same actions, timers and messages."""
+    The same seeded events must lead to the same actions, timers and messages.
+    """
     state = _stored_state()
     player = Player(_restore_broker(state), 12, START + STEPS_BEFORE * STEP, 1 << 32)
     player.in_flight = _attempts_in_flight(state)
@@ -514,7 +515,8 @@
 def test_handover_progress_is_read_and_written_unchanged() -> None:
     """Guards against a changed format of the messages about attempts that end after the handover.
 
-    The successor must count the attempts in them."""
+    The successor must count the attempts in them.
+    """
     bodies = msgspec.msgpack.decode((DATA / "handover_progress.msgpack").read_bytes(), type=list[bytes])
     messages = [wire.decode(body, Progress) for body in bodies]
     assert [wire.encode(each) for each in messages] == bodies
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -75,7 +75,8 @@
 def test_clock_set_back_does_not_reopen_a_month() -> None:
     """Guards against records in a month that has ended, after the clock was set back across its end.
 
-    Within a month the clock is followed in both directions."""
+    Within a month the clock is followed in both directions.
+    """
     meter, end = Meter(), _ms("2026-11-01")
     assert meter.stamp(end - 1) == end - 1 and meter.stamp(end + 5000) == end + 5000
     assert meter.stamp(end - 1) == end == month_start(end + 5000) and meter.clamped == 1
@@ -175,7 +176,8 @@
     """Guards against a stream that counts as exported although billing never got its length.
 
     A batch is first sent while the stream is written, its reply is lost, and the gateway is killed. The next
-    incarnation sends the same bytes again, which have no length."""
+    incarnation sends the same bytes again, which have no length.
+    """
     billing = Billing(MemoryStore())
     scan = Scan({n: pack_record(*RECORD) for n in range(1, 4)})
     checkpoint = Checkpoint("p", names=[Names("n0", ("look", "charge"), ("a", "b", "c"))])
@@ -246,7 +248,8 @@
 def test_full_folder_loses_nothing_during_billing_outage() -> None:
     """Guards against lost requests when the limit of segments is reached because billing is down.
 
-    With `fold` the requests are summed in memory and exported once billing is back."""
+    With `fold` the requests are summed in memory and exported once billing is back.
+    """
     world, disk = World(BOUNDS, 1), Disk(random.Random(1))
     _live(world, disk)
     world.network.down = True
@@ -266,7 +269,8 @@
 def test_folder_of_a_newer_version_is_not_changed() -> None:
     """Guards against a downgraded program that overwrites data that it can't read.
 
-    The ledger sums requests in memory instead, and an alarm reports it."""
+    The ledger sums requests in memory instead, and an alarm reports it.
+    """
     world, disk = World(BOUNDS, 2), Disk(random.Random(1))
     _live(world, disk)
     world.end_process(world.processes[0])
--- a/tests/usage/test_usage_process.py
+++ b/tests/usage/test_usage_process.py
@@ -72,7 +72,8 @@
 def test_billing_agrees_with_clients_of_killed_gateways(tmp_path: Path) -> None:
     """Guards against lost or doubled requests when gateways are killed and billing loses replies.
 
-    Billing's totals must equal those of the clients to the unit."""
+    Billing's totals must equal those of the clients to the unit.
+    """
     uvloop.run(asyncio.wait_for(_kill_gateways_and_compare(tmp_path), TIMEOUT_S))
 
 
@@ -112,7 +113,8 @@
 def test_requests_are_counted_without_a_folder(tmp_path: Path) -> None:
     """Guards against a gateway that stops because its folder can't be created.
 
-    Requests are summed in memory, and the error is kept for operators."""
+    Requests are summed in memory, and the error is kept for operators.
+    """
 
     async def body() -> None:
         (tmp_path / "file").write_text("")
--- a/trackspread/counter/calls.py
+++ b/trackspread/counter/calls.py
@@ -10,7 +10,8 @@
     """Holds one call to the counter, which writes this gateway's field and then reads the complete key.
 
     `value` is what is written; with None the call only reads. `tenant` is None for a partition's
-    heartbeats."""
+    heartbeats.
+    """
 
     call_id: int
     partition: int
@@ -24,7 +25,8 @@
 
     `clock_ms` is the server's clock. `fields` are by gateway. `token` identifies the counter; it is set only
     in replies about heartbeats. `field_was_missing` says that this gateway's field did not exist before the
-    call wrote it."""
+    call wrote it.
+    """
 
     clock_ms: int
     fields: dict[int, bytes]
@@ -39,7 +41,8 @@
     `spent_elsewhere_units` is what other gateways spent of the quota, to be subtracted once. `tokens` is the
     level of the quota's token bucket as others know it, which replaces the level known here; with None the
     level here stays. `more_expected` says that the first reply is pending, so that queueing a request is
-    worthwhile."""
+    worthwhile.
+    """
 
     tenant: int
     quota_share: float
--- a/trackspread/counter/claims.py
+++ b/trackspread/counter/claims.py
@@ -14,7 +14,8 @@
     `incarnation` is the time in ms of the gateway's clock at its start, so the later of two is known.
     `sequence` grows with each claim, also across a lease that was released. `share` is a fraction of rate and
     burst. `demand_per_s` is in units. `spent_units` is what the gateway spent of the quota since the lease
-    began. `tokens` is the level of the quota's token bucket as known at `clock_ms` of the counter's clock."""
+    began. `tokens` is the level of the quota's token bucket as known at `clock_ms` of the counter's clock.
+    """
 
     incarnation: int
     sequence: int
@@ -30,7 +31,8 @@
     """Holds a gateway's heartbeat in one partition.
 
     `clock_ms` is the counter's clock at the time of sending, as the writer estimates it. It shows that a
-    delayed heartbeat is old."""
+    delayed heartbeat is old.
+    """
 
     incarnation: int
     sequence: int
--- a/trackspread/counter/commands.py
+++ b/trackspread/counter/commands.py
@@ -38,7 +38,8 @@
 def key_of(prefix: str, partition: int, tenant: int | None) -> bytes:
     """Returns the key of a tenant, or of the partition's heartbeats if `tenant` is None.
 
-    The braces are a hash tag: all keys of a partition are in one hash slot and migrate together."""
+    The braces are a hash tag: all keys of a partition are in one hash slot and migrate together.
+    """
     suffix = "beats" if tenant is None else f"m:{tenant & (1 << 64) - 1:x}"
     return f"{prefix}:{{{prefix}.{partition}}}:{suffix}".encode()
 
@@ -46,7 +47,8 @@
 def commands_for(call: Call, prefix: str, gateway: int, token: bytes) -> list[Command]:
     """Returns the commands of a call, which writes first and then reads.
 
-    In this order, the later of two gateways that write at the same time reads both values."""
+    In this order, the later of two gateways that write at the same time reads both values.
+    """
     key = key_of(prefix, call.partition, call.tenant)
     commands: list[Command] = []
     if call.tenant is None:
@@ -62,7 +64,8 @@
 def parse_reply(call: Call, results: Sequence[Any]) -> Reply:
     """Returns the results of a call's commands as one reply.
 
-    Raises `CounterError` for an error of the server and for results that can't be parsed."""
+    Raises `CounterError` for an error of the server and for results that can't be parsed.
+    """
     for result in results:
         if isinstance(result, ErrorReply):
             raise CounterError(result.text)
--- a/trackspread/counter/connection.py
+++ b/trackspread/counter/connection.py
@@ -36,7 +36,8 @@
 class Credentials:
     """Holds the credentials for a server.
 
-    `password_file` is read anew for each connection, and the password is never logged."""
+    `password_file` is read anew for each connection, and the password is never logged.
+    """
 
     user: str = ""
     password_file: str = ""
@@ -126,7 +127,8 @@
 class CounterConnection:
     """Keeps a connection to one server and makes it anew whenever it is lost, until `close`.
 
-    `on_lost` is called whenever the connection was lost or could not be made."""
+    `on_lost` is called whenever the connection was lost or could not be made.
+    """
 
     def __init__(
         self, address: tuple[str, int], credentials: Credentials, on_lost: Callable[[], None]
@@ -161,7 +163,8 @@
     def send(self, commands: Sequence[Command], callback: ReplyCallback) -> None:
         """Sends the commands together.
 
-        `callback` is called once with their replies, and never from within this call."""
+        `callback` is called once with their replies, and never from within this call.
+        """
         loop = asyncio.get_running_loop()
         protocol = self._protocol
         if protocol is not None and protocol.transport is not None and protocol.is_unresponsive(loop.time()):
--- a/trackspread/counter/failure_detector.py
+++ b/trackspread/counter/failure_detector.py
@@ -31,7 +31,8 @@
 class Observation:
     """Holds what is known of one other gateway.
 
-    `alive_since_ns` is the latest time at which the gateway is known to have been alive."""
+    `alive_since_ns` is the latest time at which the gateway is known to have been alive.
+    """
 
     heartbeat: Heartbeat
     alive_since_ns: int
@@ -47,7 +48,8 @@
     `replacements` counts how often another counter was found in its place. `may_write` allows heartbeats; it
     is unset until the counter's clock was read. `unresponsive` gateways were not seen for `LEASE_NS`, and
     `expired` ones not for `EXPIRY_NS`, at the last review. `returned` has the gateways that were seen again
-    and since when; they stay in it for `EXPIRY_NS`."""
+    and since when; they stay in it for `EXPIRY_NS`.
+    """
 
     def __init__(self, gateway: int, gateway_count: int, incarnation: int, now: int) -> None:
         self.gateway = gateway
@@ -133,7 +135,8 @@
 
         A lagging replica or a healed partition may return older heartbeats again, also of an earlier
         incarnation; these are ignored. Only if the gateway has expired, an incarnation with a lower number is
-        accepted, as the gateway's clock may have been set back."""
+        accepted, as the gateway's clock may have been set back.
+        """
         if (heartbeat.incarnation, heartbeat.sequence) > (known.incarnation, known.sequence):
             return True
         return gateway in self.expired and heartbeat.incarnation != known.incarnation
@@ -141,7 +144,8 @@
     def age_ns(self, now: int, gateway: int) -> int:
         """Returns the time in ns since the gateway was known to be alive.
 
-        For a gateway that was never seen it is the time since the first read."""
+        For a gateway that was never seen it is the time since the first read.
+        """
         known = self.observations.get(gateway)
         if known is not None:
             return now - known.alive_since_ns
@@ -184,7 +188,8 @@
         """Returns whether every other gateway has sent a heartbeat since `heartbeat_counts` were taken.
 
         The first heartbeat since does not count, as it may have been sent before. A gateway that has expired
-        counts as advanced, because it holds at most its static share."""
+        counts as advanced, because it holds at most its static share.
+        """
         return all(
             self._has_advanced_since(gateway, heartbeat_counts)
             for gateway in range(self.gateway_count)
@@ -202,7 +207,8 @@
     def state(self, now: int) -> str:
         """Returns the state for operators: sound, doubted, split, rebuilding or lost.
 
-        `lease.py` defines what may be spent in each state."""
+        `lease.py` defines what may be spent in each state.
+        """
         if not self.is_known_alive(now):
             was_known = self.acknowledged_at_ns != NEVER
             return "lost" if was_known or now - self.started_at_ns > EXPIRY_NS else "rebuilding"
--- a/trackspread/counter/fair_shares.py
+++ b/trackspread/counter/fair_shares.py
@@ -17,7 +17,8 @@
     """Returns the share of the pool that covers a gateway's demand, which is in units per second.
 
     The guaranteed part of its `static_share` belongs to the gateway in any case and needs no share of the
-    pool."""
+    pool.
+    """
     if demand_per_s <= 0.0:
         return 0.0
     needed = HEADROOM * demand_per_s / terms.rate_per_s if terms.rate_per_s else 1.0
--- a/trackspread/counter/host.py
+++ b/trackspread/counter/host.py
@@ -43,7 +43,8 @@
 class CounterHost:
     """Runs a quota client.
 
-    `on_event` gets the events for the decision module; `now` is the decision module's clock in ns."""
+    `on_event` gets the events for the decision module; `now` is the decision module's clock in ns.
+    """
 
     def __init__(
         self,
--- a/trackspread/counter/lease.py
+++ b/trackspread/counter/lease.py
@@ -63,7 +63,8 @@
 class UnprovenRaise:
     """Holds a raise of the claimed share to `share` that is not proven yet.
 
-    `heartbeat_counts` has the heartbeats seen of each gateway at the time of the raise."""
+    `heartbeat_counts` has the heartbeats seen of each gateway at the time of the raise.
+    """
 
     share: float
     claimed_at_ns: int
@@ -87,7 +88,8 @@
     pending call may prove. `due_ns` is when the next claim is due. `is_established` says that a claim of this
     lease was answered. `spent_elsewhere_units` is what others spent, and `tokens` the level of the quota's
     token bucket as others know it; both wait for the next grant to the decision module. `spent_units` is what
-    was spent here."""
+    was spent here.
+    """
 
     def __init__(self, tenant: int, terms: LeaseTerms, gateway: int, now: int) -> None:
         self.tenant = tenant
@@ -134,7 +136,8 @@
     def measure_demand(self, now: int) -> float:
         """Returns the demand here in units per second.
 
-        The first sample covers at least one second."""
+        The first sample covers at least one second.
+        """
         span = now - self.demand_measured_at_ns
         if span < DEMAND_SAMPLE_NS and self.demand_per_s:
             return self.demand_per_s
@@ -155,7 +158,8 @@
     def share_of_unresponsive(self, detector: FailureDetector) -> float:
         """Returns the sum of the shares of gateways that are not seen.
 
-        Each counts with its static share, or with its claim if that is larger and may still be in use."""
+        Each counts with its static share, or with its claim if that is larger and may still be in use.
+        """
         total = 0.0
         for gateway in detector.unresponsive:
             claim = self.other_claims.get(gateway)
@@ -170,7 +174,8 @@
     def share_of_others(self, detector: FailureDetector) -> float:
         """Returns the sum of the shares claimed by gateways that are seen.
 
-        Gateways that the tenant's requests usually do not reach count too."""
+        Gateways that the tenant's requests usually do not reach count too.
+        """
         total = 0.0
         for gateway, claim in self.other_claims.items():
             known = detector.observations.get(gateway)
@@ -186,7 +191,8 @@
     def reduce_to_fit(self, detector: FailureDetector) -> None:
         """Lowers this gateway's share until the static shares of unresponsive gateways fit.
 
-        All gateways that are seen do the same."""
+        All gateways that are seen do the same.
+        """
         unresponsive = sum(
             share for gateway, share in self._static_shares.items() if gateway in detector.unresponsive
         )
@@ -247,7 +253,8 @@
         """Returns the claim to write now, which counts once it was answered.
 
         `module_count_units` is the decision module's count of units of the quota that were spent here, from
-        any starting point. `tokens` is the level of the decision module's token bucket."""
+        any starting point. `tokens` is the level of the decision module's token bucket.
+        """
         self.due_ns = now + CLAIM_RENEWAL_NS
         self._unreported_units = 0.0
         self._count_spent(module_count_units)
@@ -287,7 +294,8 @@
     def _claim_used_share(self, now: int, detector: FailureDetector) -> None:
         """Claims the share that is used now.
 
-        After a loss of the counter this comes before others can see that this gateway is alive."""
+        After a loss of the counter this comes before others can see that this gateway is alive.
+        """
         if detector.is_static_share_free(now):
             share = self.static_share
         else:
@@ -310,7 +318,8 @@
     def _choose_share(self, now: int, detector: FailureDetector, demand: float) -> None:
         """Sets the share that the next claim announces.
 
-        It is the fair share if that differs enough from the held one, and the held share otherwise."""
+        It is the fair share if that differs enough from the held one, and the held share otherwise.
+        """
         seen = {
             gateway: claim
             for gateway, claim in self.other_claims.items()
@@ -432,7 +441,8 @@
         """Computes each gateway's share of the quota for the case that the others become unresponsive.
 
         A part of it is static, so that new gateways have it too, and the rest is in proportion to demand. All
-        gateways know nearly the same demands."""
+        gateways know nearly the same demands.
+        """
         if detector.unresponsive or not detector.may_write:
             return
         demands = {gateway: claim.demand_per_s for gateway, claim in self.other_claims.items()}
@@ -451,7 +461,8 @@
         """Returns the tokens of the quota's bucket, refilled up to the reply.
 
         They come from the claims of gateways that knew the bucket. If there is no such claim, the tokens are
-        what was refilled since this counter is known."""
+        what was refilled since this counter is known.
+        """
         own = reply.fields.get(self.gateway)
         known = list(claims.values())
         if own is not None and (claim := unpack_claim(own)) is not None:
@@ -490,7 +501,8 @@
     def _is_outdated(gateway: int, claim: Claim, known: Claim | None, detector: FailureDetector) -> bool:
         """Returns whether a claim is older than the known one.
 
-        A lagging replica or a healed network partition may return older claims again."""
+        A lagging replica or a healed network partition may return older claims again.
+        """
         seen = detector.observations.get(gateway)
         if seen is not None and claim.incarnation < seen.heartbeat.incarnation:
             return True
--- a/trackspread/counter/lease_manager.py
+++ b/trackspread/counter/lease_manager.py
@@ -69,7 +69,8 @@
     """Holds the state of one partition.
 
     `is_returning` says that this gateway returns from a loss of the counter. The claims of
-    `unwritten_tenants` are then to be written before the next heartbeat."""
+    `unwritten_tenants` are then to be written before the next heartbeat.
+    """
 
     detector: FailureDetector
     heartbeat_due_ns: int
@@ -85,7 +86,8 @@
 
     The caller calls `before_request` before each request, `on_shortage` for a request that the decision
     module queued, `tick` at `due_ns`, and `on_reply` or `on_failure` for each call. All return the calls and
-    grants to carry out, in order."""
+    grants to carry out, in order.
+    """
 
     def __init__(
         self,
@@ -125,7 +127,8 @@
     def before_request(self, now: int, tenant: int, terms: LeaseTerms, units: float) -> list[Output]:
         """Counts a request that has arrived and returns the calls and grants to carry out.
 
-        It is to be called before the decision module gets the request."""
+        It is to be called before the decision module gets the request.
+        """
         outputs: list[Output] = self.tick(now) if now >= self.due_ns else []
         lease = self.leases.get(tenant)
         if lease is None:
@@ -158,7 +161,8 @@
     def on_shortage(self, now: int, tenant: int) -> list[Output]:
         """Answers a request that the decision module queued for lack of tokens.
 
-        One `Grant` follows, either now or with the reply to the first claim on the tenant."""
+        One `Grant` follows, either now or with the reply to the first claim on the tenant.
+        """
         lease = self.leases.get(tenant)
         if lease is None:
             return []
@@ -330,7 +334,8 @@
     def _return_from_loss(self, now: int, partition: PartitionState) -> None:
         """Resumes writing after the counter answered again.
 
-        If others may assume that this gateway is dead, claims for what is used here are written first."""
+        If others may assume that this gateway is dead, claims for what is used here are written first.
+        """
         detector = partition.detector
         detector.may_write = True
         partition.is_returning = not detector.is_known_alive(now)
@@ -403,7 +408,8 @@
     """Returns whether the decision module need not be notified of `shares`.
 
     Any reduction is notified, because the sum over all gateways depends on it; a raise is notified from
-    `NOTABLE_CHANGE` on."""
+    `NOTABLE_CHANGE` on.
+    """
     if last is None:
         return False
     pairs = (
--- a/trackspread/counter/lease_terms.py
+++ b/trackspread/counter/lease_terms.py
@@ -17,7 +17,8 @@
     """Holds one tenant's limits: rate and burst of its quota, or of its hard limit if it has no quota.
 
     `min_share` is the smallest share that holds one request. `gateways` get the tenant's requests.
-    `limits_concurrency` says whether attempts in flight are limited; of these nothing is guaranteed."""
+    `limits_concurrency` says whether attempts in flight are limited; of these nothing is guaranteed.
+    """
 
     rate_per_s: float
     burst_units: float
@@ -40,7 +41,8 @@
     """Returns the gateway's static share, which is equal for all gateways of the tenant.
 
     If equal shares for all gateways would not hold a request, only as many gateways get a share as there are
-    shares that do."""
+    shares that do.
+    """
     if gateway not in terms.gateways:
         return 0.0
     count = max(1, min(len(terms.gateways), int(1.0 / terms.min_share + EPSILON)))
--- a/trackspread/counter/quota_client.py
+++ b/trackspread/counter/quota_client.py
@@ -20,7 +20,8 @@
     """Returns a plan's limits for the lease manager, or None if the plan has no limits.
 
     `largest_request_units` is the size of the largest request. The smallest share holds one such request in
-    every token bucket, and one attempt if attempts in flight are limited."""
+    every token bucket, and one attempt if attempts in flight are limited.
+    """
     shares = []
     if plan.rate_per_s:
         shares.append(largest_request_units / plan.burst_units)
@@ -43,7 +44,8 @@
     """Is one gateway's client of the shared counter.
 
     The host calls `before_request` before each request, `on_shortage` for each `RequestAllocation`, `tick` at
-    `due_ns`, and `on_reply` or `on_failure` for each call."""
+    `due_ns`, and `on_reply` or `on_failure` for each call.
+    """
 
     def __init__(
         self, settings: Settings, partitions: int, incarnation: int, seed: int, now: int, usage: UsageCount
--- a/trackspread/counter/report.py
+++ b/trackspread/counter/report.py
@@ -27,7 +27,8 @@
     """Another gateway's claim as it was last read; the stored names are those of the JSON.
 
     `seen_s` is the time in seconds since the gateway was last known to be alive; a negative value means that
-    it was never seen."""
+    it was never seen.
+    """
 
     gateway: int
     share: float
@@ -38,7 +39,8 @@
 class TenantReport(msgspec.Struct, frozen=True):
     """One gateway's report on one tenant; the names in the JSON are the fields' own unless one is given.
 
-    Shares are fractions of the complete limit. Tokens and bursts are in units, rates in units per second."""
+    Shares are fractions of the complete limit. Tokens and bursts are in units, rates in units per second.
+    """
 
     tenant: str = msgspec.field(name="member")
     partition: int
@@ -71,7 +73,8 @@
     """Returns the report on one tenant at `now`, which is in ns.
 
     `account` is the decision module's, refilled up to now; it is None if the tenant sent no request to this
-    gateway. `cap` limits the tenant's requests in flight."""
+    gateway. `cap` limits the tenant's requests in flight.
+    """
     partition = partition_of(tenant, manager.partition_count)
     detector = manager.partition_states[partition].detector
     detector.review(now)
--- a/trackspread/counter/routing.py
+++ b/trackspread/counter/routing.py
@@ -40,7 +40,8 @@
 class Router:
     """Holds the server of each partition, as configured or as the cluster's map states it.
 
-    `is_stale` says that the cluster's map should be requested."""
+    `is_stale` says that the cluster's map should be requested.
+    """
 
     def __init__(self, servers: Sequence[Server], cluster: bool, prefix: str, partitions: int) -> None:
         self.servers = tuple(servers)
@@ -59,7 +60,8 @@
     def server(self, partition: int) -> Server:
         """Returns the server of a partition.
 
-        While the cluster's map is unknown this is any of its servers, which redirects the call."""
+        While the cluster's map is unknown this is any of its servers, which redirects the call.
+        """
         if not self.is_cluster:
             return self._fallback_servers[partition]
         return self._cluster_servers.get(self._hash_slots[partition], self._fallback_servers[partition])
@@ -68,7 +70,8 @@
         """Adopts a reply to CLUSTER SLOTS and returns whether it named a server for a partition here.
 
         Returns False for a reply that can't be parsed. Only the hash slots of this program's partitions are
-        kept."""
+        kept.
+        """
         servers_by_slot: dict[int, Server] = {}
         try:
             for first, last, (host, port, *_), *_ in reply:
@@ -85,7 +88,8 @@
     def redirect_target(self, partition: int, error: ErrorReply, by: Server) -> tuple[Server, bool] | None:
         """Returns the server to retry at and whether to send ASKING, or None if the error is no redirection.
 
-        `by` is the server that answered."""
+        `by` is the server that answered.
+        """
         parts = error.text.split(" ")
         if not self.is_cluster or len(parts) != 3 or parts[0] not in ("MOVED", "ASK"):
             return None
--- a/trackspread/decide/actions.py
+++ b/trackspread/decide/actions.py
@@ -2,7 +2,8 @@
 
 `CancelAttempt`, `CheckHealth`, `CloseIdleConnections` and `FetchEndpoints` are part of the simulator's
 interface; no rule uses them yet. Durations are integer nanoseconds. All types are immutable and contain no
-decisions."""
+decisions.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,8 @@
 
     The attempt ends after `timeout_ns`; at 0 it ends only when the client's deadline passes. What has not
     been sent completely by `not_after_ns` must not be sent any more (rule 2); 0 means that there is no such
-    bound."""
+    bound.
+    """
 
     request: int
     backend: int
@@ -27,7 +29,8 @@
 class Reject:
     """Answers a request finally as rejected; the client may safely try again.
 
-    `retry_after_ns` is the time after which it should do so; 0 means that none is given."""
+    `retry_after_ns` is the time after which it should do so; 0 means that none is given.
+    """
 
     request: int
     retry_after_ns: int
@@ -82,7 +85,8 @@
 class AddToCounter:
     """Adds `amount` to a counter that all gateways share; a `CounterAnswered` returns its total.
 
-    A counter starts at 0 and expires after `lifetime_ns`."""
+    A counter starts at 0 and expires after `lifetime_ns`.
+    """
 
     key: int
     lifetime_ns: int
@@ -93,7 +97,8 @@
 class RequestAllocation:
     """Reports that the tenant's allocation at this gateway does not cover a request.
 
-    One `AllocationChanged` follows soon."""
+    One `AllocationChanged` follows soon.
+    """
 
     tenant: int
 
--- a/trackspread/decide/attempt_results.py
+++ b/trackspread/decide/attempt_results.py
@@ -21,7 +21,8 @@
 def grant_probability(quota_usage: int) -> float:
     """Returns the probability that the tenant's quota has capacity left.
 
-    `quota_usage` is the meter's report: 1 plus the percentage used."""
+    `quota_usage` is the meter's report: 1 plus the percentage used.
+    """
     return min(1.0, max(0.0, 0.5 + (METERED_ALL_USED - quota_usage / 100) / METERED_RANGE))
 
 
--- a/trackspread/decide/backends.py
+++ b/trackspread/decide/backends.py
@@ -1,6 +1,7 @@
 """Defines the endpoint list as service discovery provides it: entries, their health and updates.
 
-All types are immutable and contain no decisions."""
+All types are immutable and contain no decisions.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,8 @@
     """Enumerates what an update of the endpoint list can hold.
 
     An update holds changes, a complete list, a complete list from the cache, or nothing because discovery
-    could not be reached."""
+    could not be reached.
+    """
 
     DELTA = 0
     FULL = 1
@@ -33,7 +35,8 @@
     """Holds one entry of the endpoint list.
 
     `weight` is the one that discovery gives. `started_at_ns` is 0 if the backend started long ago. `service`
-    is an index into the services that the gateway carries."""
+    is an index into the services that the gateway carries.
+    """
 
     id: int
     zone: int
--- a/trackspread/decide/broker.py
+++ b/trackspread/decide/broker.py
@@ -4,7 +4,8 @@
 commitments and a closed queuing model, whose seven cases grant each tenant a cap on its requests in flight.
 Tenants' quotas and the choice of a backend come in addition. Each rule has a module of its own; `Broker`
 calls these modules in the order in which the rules apply. `docs/design/decisions.md` says what was kept of
-the paper, what was changed and when each exception applies."""
+the paper, what was changed and when each exception applies.
+"""
 
 from __future__ import annotations
 
@@ -56,7 +57,8 @@
 
     The caller passes every event to `handle` in order and carries out the actions that it returns. `quota` is
     given where several brokers, one for each service, share the tenants' quotas; otherwise the broker creates
-    its own."""
+    its own.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: int, quota: Quota | None = None) -> None:
         rng = random.Random(seed)
@@ -190,7 +192,8 @@
         """Stops this broker, as another process of the gateway takes over.
 
         From now on this broker admits no request and sends nothing to peers. Attempts in flight finish here.
-        Queued requests are rejected, because the answers to their queries go to the other process."""
+        Queued requests are rejected, because the answers to their queries go to the other process.
+        """
         self._is_retired = True
         self.load_balancer.slow_start.is_suspended = True
         return self.admission.reject_queued()
@@ -233,7 +236,8 @@
         """Records that a long value is being streamed to the client.
 
         No other attempt may follow. The latency of the attempt is the time to its first byte, because the
-        reader of the value determines how long the rest takes."""
+        reader of the value determines how long the rest takes.
+        """
         request = self.requests.attempts.get((event.request, event.attempt))
         if request is None:
             return
--- a/trackspread/decide/commitments.py
+++ b/trackspread/decide/commitments.py
@@ -2,7 +2,8 @@
 
 A commitment begins with a tenant's first request and ends when no request has arrived for
 `IDLE_COMMITMENT_NS`. Without congestion it is granted what it requests. Under congestion the queue model and
-the seven cases determine how much is possible in addition to the other commitments."""
+the seven cases determine how much is possible in addition to the other commitments.
+"""
 
 from __future__ import annotations
 
@@ -106,7 +107,8 @@
         """Returns what the commitment requests.
 
         Its concurrency is this gateway's share of the plan's rate over one latency objective plus the same
-        share of the burst. If the plan has no rate, it is at least the plan's concurrency limit."""
+        share of the burst. If the plan has no rate, it is at least the plan's concurrency limit.
+        """
         account = commitment.account
         demand = commitment.demand
         requests_per_unit = self._quota.local_share(now, account) / (demand.value or 1.0)
--- a/trackspread/decide/competing_commitments.py
+++ b/trackspread/decide/competing_commitments.py
@@ -1,7 +1,8 @@
 """Keeps running sums of the load of all commitments, to evaluate each one against the others.
 
 Adding up all other commitments for each evaluation would take quadratic time. With these sums an evaluation
-takes logarithmic time. This module contains no decisions."""
+takes logarithmic time. This module contains no decisions.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
 
     `in_flight` is in requests. `max_wait_ns` is the longest wait that all of them tolerate, and infinite if
     there are none. `max_response_time_ns` is the longest response time at which all of them keep their
-    throughput."""
+    throughput.
+    """
 
     in_flight: float
     max_wait_ns: float
@@ -32,7 +34,8 @@
 class _MinimumByKey:
     """Finds the least value over all keys except one.
 
-    Outdated heap entries are dropped when they reach the top."""
+    Outdated heap entries are dropped when they reach the top.
+    """
 
     def __init__(self) -> None:
         self._values: dict[int, float] = {}
--- a/trackspread/decide/concurrency_model.py
+++ b/trackspread/decide/concurrency_model.py
@@ -1,7 +1,8 @@
 """Models a service as a closed queuing network: response times by the number of requests in flight.
 
 The broker passes in latencies and numbers in flight. The model does not depend on tenants, quotas or
-backends."""
+backends.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,8 @@
     """Models a service as one delay and one shared queue.
 
     The service demand at the queue is fitted to the recent latency at the recent number of requests in
-    flight. All times are in ns."""
+    flight. All times are in ns.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.latency_objectives_ns = [float(each.latency_objective_ns) for each in settings.classes]
@@ -60,7 +62,8 @@
         """Fits the model to recent latencies.
 
         `outstanding` holds class and age in ns of each attempt without a response. Attempts older than the
-        mean latency count as responses with that latency, so that congestion is detected before they end."""
+        mean latency count as responses with that latency, so that congestion is detected before they end.
+        """
         total_latency = total_delay = total_headroom = total_time_constant = 0.0
         weight = 0.0
         for number, latency in enumerate(self.latency):
--- a/trackspread/decide/decaying_mean.py
+++ b/trackspread/decide/decaying_mean.py
@@ -24,7 +24,8 @@
 def inherited(old: list[T], predecessors: tuple[int, ...], new: Callable[[], T]) -> list[T]:
     """Returns per-class statistics after class numbers have changed.
 
-    Each number takes over the statistics of its predecessor, or starts with new ones if that is negative."""
+    Each number takes over the statistics of its predecessor, or starts with new ones if that is negative.
+    """
     statistics = []
     for number, predecessor in enumerate(predecessors):
         if predecessor < 0:
@@ -62,7 +63,8 @@
     def blend(self, now: int, prior: float, prior_weight: float) -> float:
         """Returns the mean combined with a prior that has the weight of `prior_weight` samples.
 
-        As samples age, the result returns to the prior."""
+        As samples age, the result returns to the prior.
+        """
         left = decayed(now - self.updated_at_ns, self.time_constant_ns)
         return (self.total * left + prior * prior_weight) / (self.weight * left + prior_weight)
 
--- a/trackspread/decide/endpoint_list.py
+++ b/trackspread/decide/endpoint_list.py
@@ -38,7 +38,8 @@
     def _new_state(self, now: int, entry: Backend, predecessor: BackendState | None) -> BackendState:
         """Returns the state of a backend that is new or has restarted.
 
-        Attempts in flight at its predecessor are still counted."""
+        Attempts in flight at its predecessor are still counted.
+        """
         state = BackendState(
             entry,
             DecayingMean(SHORT_TERM),
@@ -57,7 +58,8 @@
         """Removes the state of unlisted backends that have no attempts in flight.
 
         Backends are replaced under new ids all the time. Without this, memory and the cost of each choice
-        would grow with every backend ever seen."""
+        would grow with every backend ever seen.
+        """
         for gone in [number for number, s in self.backends.items() if not s.is_listed and not s.in_flight]:
             del self.backends[gone]
 
--- a/trackspread/decide/events.py
+++ b/trackspread/decide/events.py
@@ -1,7 +1,8 @@
 """Defines the events that a gateway program reports to its decision module (`broker.py`).
 
 Times are integer nanoseconds on any clock that never goes backwards. All types are immutable and contain no
-decisions."""
+decisions.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +39,8 @@
     `request` is a number that is unique in the process. `request_class` and `plan` are indexes into the
     settings. `units` is what the request takes of the tenant's quota. The tenant's requests come through
     `gateway_span` consecutive gateways of the settings' list, starting at `first_gateway`; the span is 0 if
-    this is unknown. `options` holds flags of the platform."""
+    this is unknown. `options` holds flags of the platform.
+    """
 
     request: int
     request_class: int
@@ -55,7 +57,8 @@
 class ResponseStarted:
     """Reports the first byte of a long value, which is then streamed at the speed of its reader.
 
-    `elapsed_ns` is the time since the attempt's start."""
+    `elapsed_ns` is the time since the attempt's start.
+    """
 
     request: int
     elapsed_ns: int
@@ -70,7 +73,8 @@
     `request_finished` says that no final answer is needed any more. `actual_units` is what the request used
     where units are settled later, else 0. `quota_usage` is 1 plus the percentage of the tenant's quota in
     use, or 0 if no meter reported it. `elapsed_ns` is the time since the attempt's start. The values of
-    `load_report` are in the order of `load_report_names`."""
+    `load_report` are in the order of `load_report_names`.
+    """
 
     request: int
     request_finished: bool
@@ -130,7 +134,8 @@
     """Reports new limits for each plan, by its index; the number of plans stays the same.
 
     Each entry of `reserved` holds a tenant, units per second in addition to the plan's rate, and units in
-    addition to its burst."""
+    addition to its burst.
+    """
 
     plans: tuple[Plan, ...]
     reserved: tuple[tuple[int, float, float], ...] = ()
@@ -141,7 +146,8 @@
     """Reports new request classes for requests that arrive from now on; open requests keep theirs.
 
     `active` holds the numbers of classes that may arrive from now on. `predecessors` gives, for each number,
-    the class whose state it continues: its own number if the class stays the same, -1 if there is none."""
+    the class whose state it continues: its own number if the class stays the same, -1 if there is none.
+    """
 
     classes: tuple[RequestClass, ...]
     active: frozenset[int]
@@ -156,7 +162,8 @@
     `quota_share`, `hard_limit_share` and `concurrency_share` are from 0 to 1. `used_elsewhere_units` is what
     other gateways used of the quota; it is deducted once. `tokens` replaces the tokens known here; None
     leaves them unchanged. `more_expected` says that a larger allocation will follow, so that waiting is
-    worthwhile."""
+    worthwhile.
+    """
 
     tenant: int
     plan: int
@@ -178,7 +185,8 @@
     Every limit is divided into slots, and a set of slots is the bits of a number. `gateway_slots` holds the
     slots of each gateway in the settings' list. This gateway may act on `own_slots` until `valid_until_ns`;
     from `reassigned_at_ns` on, others may hold them. `peer_slots` holds the slots that `peers` report as
-    theirs."""
+    theirs.
+    """
 
     own_number: int
     peers: tuple[int, ...]
--- a/trackspread/decide/idle_accounts.py
+++ b/trackspread/decide/idle_accounts.py
@@ -21,7 +21,8 @@
 def lifetime_ns(account: TenantAccount, is_uninformed: bool) -> int:
     """Returns how long the account is kept after its tenant's last request.
 
-    `is_uninformed` means that this gateway receives no usage reports from other gateways."""
+    `is_uninformed` means that this gateway receives no usage reports from other gateways.
+    """
     if is_uninformed and account.static_tokens < 0.0:
         return ACCOUNT_LIFETIME_NS  # an earlier removal would cancel the overdraft
     if account.forwarded_quarter_units > RARE_QUARTER_UNITS or account.peer_totals:
--- a/trackspread/decide/load_balancer.py
+++ b/trackspread/decide/load_balancer.py
@@ -1,7 +1,8 @@
 """Chooses a backend for each attempt: the available one with the least expected cost.
 
 `endpoint_list.py` knows which backends there are, `slow_start.py` limits those that are warming up, and
-`outlier_ejection.py` detects faults."""
+`outlier_ejection.py` detects faults.
+"""
 
 from __future__ import annotations
 
@@ -73,7 +74,8 @@
         """Returns whether a backend may get an attempt now.
 
         It may if it is neither draining nor ejected and is within its slow start budget, which is refilled
-        first."""
+        first.
+        """
         if not state.is_usable or now < state.ejected_until_ns:
             return False
         return self.slow_start.allows_attempt(now, state)
@@ -105,7 +107,8 @@
     ) -> BackendState | None:
         """Returns the available backend with the least cost for this class and plan, if there is any.
 
-        Backends whose ids are in `excluded` are not chosen. The result is None if no backend is available."""
+        Backends whose ids are in `excluded` are not chosen. The result is None if no backend is available.
+        """
         candidates = [
             state
             for state in self.backends.values()
--- a/trackspread/decide/load_shedding.py
+++ b/trackspread/decide/load_shedding.py
@@ -1,7 +1,8 @@
 """Sheds requests under congestion, when the number in flight approaches the model's concurrency limit.
 
 The limit holds for all requests in flight together. Requests of the lowest priority may use only a part of it
-and are therefore shed first."""
+and are therefore shed first.
+"""
 
 from __future__ import annotations
 
--- a/trackspread/decide/mean_value_analysis.py
+++ b/trackspread/decide/mean_value_analysis.py
@@ -7,7 +7,8 @@
     """Returns the response times of one delay and one queue, for 0 to `max_in_flight` requests in flight.
 
     `demand` is the service time at the queue and `delay` the time elsewhere, without queuing. All times have
-    the same unit."""
+    the same unit.
+    """
     response_times = [delay + demand]
     queue_length = 0.0
     for in_flight in range(1, max_in_flight + 1):
--- a/trackspread/decide/outlier_ejection.py
+++ b/trackspread/decide/outlier_ejection.py
@@ -2,7 +2,8 @@
 
 A backend may reject the requests of one plan or leave one class unanswered, and serve all others. Such faults
 are recorded by class and plan and make the backend the last choice for similar requests. Failures eject it
-for all requests."""
+for all requests.
+"""
 
 from __future__ import annotations
 
@@ -79,7 +80,8 @@
     """Returns the probability that the backend rejects a request of this class and plan, or does not answer.
 
     It follows the backend's last response to the class if that is recent, otherwise the rate over all
-    backends."""
+    backends.
+    """
     if now < state.rejecting_until_ns.get(class_and_plan, 0):
         return 1.0
     last = state.last_response.get(class_and_plan[0])
--- a/trackspread/decide/overdraft_chance.py
+++ b/trackspread/decide/overdraft_chance.py
@@ -14,7 +14,8 @@
 
     It is chosen so that units beyond quotas cost `price` of what is requested within them. This holds if
     tenants request their quotas on average, with an exponential distribution: many request little and a few
-    much more. `cost` is the cost of a unit beyond the quota, as a part of its priority weight."""
+    much more. `cost` is the cost of a unit beyond the quota, as a part of its priority weight.
+    """
     low = 0.0
     high = 1.0
     for _ in range(BISECTION_STEPS):
--- a/trackspread/decide/peer_messages.py
+++ b/trackspread/decide/peer_messages.py
@@ -46,7 +46,8 @@
     span of 0 means that this is unknown. `tokens` is the balance of the bucket in the last answer of the
     owner `tokens_reported_by`, which is 0 if there is no recent answer. `in_flight` is the number of the
     tenant's attempts that are in flight at the sender or were requested before this message; at most 31 are
-    counted."""
+    counted.
+    """
 
     kind: int
     tenant: int
@@ -85,7 +86,8 @@
 def pack_quota_message(message: QuotaMessage) -> bytes:
     """Encodes a quota message.
 
-    Units are sent in quarters. Values outside their field's range are sent as its bound."""
+    Units are sent in quarters. Values outside their field's range are sent as its bound.
+    """
     in_flight = min(MAX_IN_FLIGHT, message.in_flight)
     packed = _QUOTA.pack(
         message.kind | in_flight << KIND_BITS,
@@ -141,7 +143,8 @@
 def total_growth(total: int, last_total: int) -> int | None:
     """Returns the quarter units by which a running total of 16 bits grew.
 
-    The result is None if the total decreased, because its gateway restarted."""
+    The result is None if the total decreased, because its gateway restarted.
+    """
     grown = (total - last_total) & MAX_U16
     return grown if grown < TOTAL_GROWTH_BOUND else None
 
--- a/trackspread/decide/quota/__init__.py
+++ b/trackspread/decide/quota/__init__.py
@@ -6,7 +6,8 @@
 `hard_limit.py`, `concurrency_limit.py` and `overdraft.py`.
 
 This package may depend on settings, accounts, messages of peers, the counter, and the fleet as the host
-reports it. It must not depend on backends or the queue model."""
+reports it. It must not depend on backends or the queue model.
+"""
 
 from __future__ import annotations
 
--- a/trackspread/decide/quota/accounts.py
+++ b/trackspread/decide/quota/accounts.py
@@ -29,7 +29,8 @@
 
     Applies the plan if it has changed. Assigns the static share with the first request that names the
     tenant's gateways: `gateway_span` consecutive gateways, starting at `first_gateway`. The span is 0 if a
-    peer asks and no request has arrived here."""
+    peer asks and no request has arrived here.
+    """
     state = sharing.state
     account = state.accounts.get(tenant)
     if account is None:
@@ -72,7 +73,8 @@
     """Assigns this gateway's static share, so that all shares together stay within the limits on average.
 
     The share of a hard limit starts with its part of the slack only, because a restarted gateway cannot know
-    that it has restarted."""
+    that it has restarted.
+    """
     state = sharing.state
     settings = state.settings
     share_count = gateway_span
@@ -92,7 +94,8 @@
     """Returns the even share of a burst.
 
     If that is less than a request, the result is a request's units with the probability that keeps the same
-    mean."""
+    mean.
+    """
     largest_units = state.settings.largest_request_units
     chance = even_units / max(largest_units, 1e-9)
     if chance >= 1.0:
@@ -103,7 +106,8 @@
 def account_of_message(sharing: QuotaSharing, now: int, message: QuotaMessage) -> TenantAccount:
     """Returns the account of the tenant that a peer's message concerns.
 
-    With a fleet view, the message says which gateways are the tenant's."""
+    With a fleet view, the message says which gateways are the tenant's.
+    """
     account = account_of(sharing, now, message.tenant, message.plan)
     view = sharing.state.view
     if message.gateway_span and not account.gateways.span and view is not None:
@@ -119,7 +123,8 @@
 def plan_of(state: QuotaState, tenant: int, plan_index: int) -> Plan:
     """Returns the plan's limits with the tenant's reservations added.
 
-    A hard limit rises together with the quota. A limit that the plan does not have stays off."""
+    A hard limit rises together with the quota. A limit that the plan does not have stays off.
+    """
     plan = state.settings.plans[plan_index]
     rate_per_s, burst_units = state.reservations.get(tenant, (0.0, 0.0))
     if not rate_per_s:
@@ -143,7 +148,8 @@
     """Changes the limits of the tenant's buckets, after filling them by the old ones up to now.
 
     If a burst decreases, the tokens are scaled with it; if it increases, their number is kept. A change of
-    plan therefore never adds tokens."""
+    plan therefore never adds tokens.
+    """
     token_bucket.refill(sharing, now, account)
     old = account.plan
     new = plan_of(sharing.state, account.tenant, plan_index)
@@ -169,7 +175,8 @@
     """Applies the parts of a tenant's limits that the host now leases to this gateway.
 
     The old parts fill the buckets up to now. A bucket that is new here is filled since this gateway's start:
-    whatever an earlier bucket of the tenant spent, its lease ended together with it."""
+    whatever an earlier bucket of the tenant spent, its lease ended together with it.
+    """
     state = sharing.state
     is_new = event.tenant not in state.accounts
     account = account_of(sharing, now, event.tenant, event.plan)
@@ -188,7 +195,8 @@
     """Sets the tokens and deducts what other gateways used.
 
     Their use is set first against the refill that found the bucket here full, because with that use deducted
-    in time, the bucket would not have been full."""
+    in time, the bucket would not have been full.
+    """
     plan = account.plan
     tokens = account.tokens if event.tokens is None else event.tokens
     used_units = max(0.0, event.used_elsewhere_units - account.overflow_units)
--- a/trackspread/decide/quota/capacity.py
+++ b/trackspread/decide/quota/capacity.py
@@ -9,7 +9,8 @@
 def has_capacity(sharing: QuotaSharing, now: int, account: TenantAccount, units: float) -> bool:
     """Returns whether concurrency limit and hard limit allow a request of this many units.
 
-    A gateway that is isolated from its fleet has no capacity for plans with any limit."""
+    A gateway that is isolated from its fleet has no capacity for plans with any limit.
+    """
     plan = account.plan
     if plan.concurrency_limit and not sharing.has_free_attempt(now, account):
         return False
--- a/trackspread/decide/quota/concurrency_limit.py
+++ b/trackspread/decide/quota/concurrency_limit.py
@@ -26,7 +26,8 @@
     """Returns whether one more attempt is within the limit.
 
     While the counter's number of attempts elsewhere is valid, the whole limit applies; otherwise this
-    gateway's static share of it, rounded up."""
+    gateway's static share of it, rounded up.
+    """
     limit = float(account.plan.concurrency_limit)
     elsewhere = attempts_elsewhere(now, account)
     if elsewhere is not None:
@@ -38,7 +39,8 @@
 def has_free_shared_attempt(sharing: QuotaSharing, now: int, account: TenantAccount) -> bool:
     """Returns whether one more attempt is within the limit, together with those that peers reported.
 
-    The share of an unresponsive peer is reserved for it."""
+    The share of an unresponsive peer is reserved for it.
+    """
     reports = account.peers_in_flight.values()
     elsewhere = sum(each.attempts for each in reports if now - each.reported_at_ns < UNRESPONSIVE_NS)
     limit = account.plan.concurrency_limit * sharing.local_share(now, account)
--- a/trackspread/decide/quota/counter_calls.py
+++ b/trackspread/decide/quota/counter_calls.py
@@ -2,7 +2,8 @@
 
 For each tenant, one number on the counter represents the bucket. It is the sum of the units taken since its
 name came into use and UNITS_PER_ATTEMPT for each attempt in flight. Names change with time, so that an error
-does not persist."""
+does not persist.
+"""
 
 from __future__ import annotations
 
@@ -122,7 +123,8 @@
     """Decides whether the counted request is within quota and concurrency limit.
 
     If it is not, it is subtracted from the number again. A number that lags behind a full bucket is
-    corrected."""
+    corrected.
+    """
     plan = account.plan
     units = call.units - units_of_attempt(state, account)
     tokens = min(plan.burst_units, plan.burst_units + bucket.surplus_units)
--- a/trackspread/decide/quota/counter_sharing.py
+++ b/trackspread/decide/quota/counter_sharing.py
@@ -1,6 +1,7 @@
 """Shares quotas through a counter, where one number for each tenant represents its bucket.
 
-All gateways add to this number."""
+All gateways add to this number.
+"""
 
 from __future__ import annotations
 
--- a/trackspread/decide/quota/facade.py
+++ b/trackspread/decide/quota/facade.py
@@ -19,7 +19,8 @@
 class Quota(QuotaState):
     """Holds the token buckets, hard limits and concurrency limits of all tenants.
 
-    All times are of one clock, in ns."""
+    All times are of one clock, in ns.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
         super().__init__(settings, seed & INCARNATION_MASK, now, rng)
@@ -36,7 +37,8 @@
         """Returns the tenant's account; creates it if there is none.
 
         Applies the plan if it has changed, and assigns the static share with the first request that names the
-        tenant's gateways. The span is 0 if no request has arrived here."""
+        tenant's gateways. The span is 0 if no request has arrived here.
+        """
         return accounts.account_of(self.sharing, now, tenant, plan_index, gateway_span, first_gateway)
 
     def plan_of(self, tenant: int, plan_index: int) -> Plan:
@@ -70,7 +72,8 @@
     def local_share(self, now: int, account: TenantAccount) -> float:
         """Returns the part of the tenant's quota that the bucket here represents now.
 
-        It consists of this gateway's own part, and of those of others as far as their use is known here."""
+        It consists of this gateway's own part, and of those of others as far as their use is known here.
+        """
         return self.sharing.local_share(now, account)
 
     def is_known_spent(self, account: TenantAccount, units: float) -> bool:
@@ -99,7 +102,8 @@
     def spend(self, account: TenantAccount, units: float, pays_overage: bool) -> bool:
         """Takes units out of the buckets here; returns False if they do not have them.
 
-        `pays_overage` allows units beyond the quota."""
+        `pays_overage` allows units beyond the quota.
+        """
         return token_bucket.spend(account, units, pays_overage)
 
     def spend_without_answer(self, now: int, account: TenantAccount, units: float) -> bool:
@@ -117,7 +121,8 @@
     ) -> tuple[int, Action]:
         """Asks the owner or the counter for units, or reports them as spent.
 
-        Returns the query's number and the action that sends it."""
+        Returns the query's number and the action that sends it.
+        """
         query = self.next_query()
         is_request = kind == QuotaMessageKind.REQUEST
         if self.sharing.has_owner(account):
--- a/trackspread/decide/quota/fleet_changes.py
+++ b/trackspread/decide/quota/fleet_changes.py
@@ -27,7 +27,8 @@
 def gossip_interval_ns(settings: Settings) -> float:
     """Returns the interval of a gateway's reports to all others.
 
-    It is such that the reports take half of the messages that a peer accepts."""
+    It is such that the reports take half of the messages that a peer accepts.
+    """
     messages = 2 * (settings.gateway_count - 1)
     return messages * SECOND / max(1.0, settings.peer_messages_per_s)
 
@@ -35,7 +36,8 @@
 def choose_sharing(state: QuotaState, bound: float = 1.0) -> QuotaSharing:
     """Returns the way of sharing quotas for these settings and this number of gateways.
 
-    `bound` limits the gossip interval, as a part of the longest one."""
+    `bound` limits the gossip interval, as a part of the longest one.
+    """
     may_gossip = state.settings.may_gossip
     interval_ns = gossip_interval_ns(state.settings)
     state.uses_gossip = may_gossip and interval_ns <= bound * MAX_GOSSIP_INTERVAL_NS
@@ -82,7 +84,8 @@
     """Applies slots that are new at this gateway.
 
     No gateway reports what their former holders used, so at most these slots' part of the burst is returned
-    to the bucket."""
+    to the bucket.
+    """
     shares = state.slot_shares()
     if not received or shares is None:
         return
--- a/trackspread/decide/quota/gossip_sharing.py
+++ b/trackspread/decide/quota/gossip_sharing.py
@@ -14,14 +14,16 @@
 class GossipSharing(QuotaSharing):
     """Shares quotas among gateways that report their use to all others.
 
-    The reports arrive often enough for each gateway to keep the bucket accurate."""
+    The reports arrive often enough for each gateway to keep the bucket accurate.
+    """
 
     has_transfers = True
 
     def has_owner(self, account: TenantAccount) -> bool:
         """Returns True for a concurrency limit only.
 
-        Its few attempts would be taken before the gateways could report them to each other."""
+        Its few attempts would be taken before the gateways could report them to each other.
+        """
         return account.plan.concurrency_limit > 0
 
     def is_local(self, account: TenantAccount) -> bool:
--- a/trackspread/decide/quota/hard_limit.py
+++ b/trackspread/decide/quota/hard_limit.py
@@ -33,7 +33,8 @@
     """Returns the units of an owner's part of a hard limit that its predecessor certainly left unspent.
 
     The predecessor is assumed to have run until now. Everything that it granted was within the quota, so it
-    granted at most a burst and then the quota's rate. The result is 0.0 if that does not hold."""
+    granted at most a burst and then the quota's rate. The result is 0.0 if that does not hold.
+    """
     owner_per_s = plan.hard_limit_per_s * OWNER_PART
     pays_overage = plan.overage_weight > plan.overage_cost
     if pays_overage or not plan.rate_per_s > 0.0 or owner_per_s < plan.rate_per_s:
@@ -45,7 +46,8 @@
     """Asks a peer for units of its part of a hard limit if the part here runs low.
 
     The parts are even while the demand is not. Without transfers, a tenant whose requests come through one
-    gateway would get only that gateway's part."""
+    gateway would get only that gateway's part.
+    """
     plan = account.plan
     if not plan.hard_limit_per_s or now < state.next_transfer_request_ns:
         return []
@@ -71,7 +73,8 @@
     """Adds units that a peer transferred.
 
     Only the first copy of an answer counts, and no part ever exceeds its static share. Together the parts
-    therefore never exceed the hard limit."""
+    therefore never exceed the hard limit.
+    """
     if message.query != account.transfer_request:
         return
     account.transfer_request = 0
--- a/trackspread/decide/quota/lease_sharing.py
+++ b/trackspread/decide/quota/lease_sharing.py
@@ -36,7 +36,8 @@
     def token_limit(self, account: TenantAccount, share: float) -> float:
         """Returns the leased part of the burst, or the tokens in the bucket if there are more.
 
-        Tokens already in the bucket are kept when the share decreases."""
+        Tokens already in the bucket are kept when the share decreases.
+        """
         return max(account.plan.burst_units * share, account.tokens)
 
     def count_overflow(
@@ -44,7 +45,8 @@
     ) -> None:
         """Counts refill that is lost because the bucket is full.
 
-        At most one second of it is counted, because the host's messages arrive more often than that."""
+        At most one second of it is counted, because the host's messages arrive more often than that.
+        """
         rate_per_s = account.plan.rate_per_s
         overflow_units = before + rate_per_s * share * elapsed_s - limit
         account.overflow_units = min(rate_per_s, account.overflow_units + max(0.0, overflow_units))
--- a/trackspread/decide/quota/overdraft.py
+++ b/trackspread/decide/quota/overdraft.py
@@ -34,7 +34,8 @@
 
     The probability is that with which the owner, counter or meter would have granted the request. It is
     estimated from their recent answers for this tenant, or else for its plan. As these answers age, it falls
-    until only static shares are spent."""
+    until only static shares are spent.
+    """
     state = sharing.state
     is_within = account.static_tokens >= units
     if not is_within:
@@ -61,7 +62,8 @@
 
     The units come out of the static share, which one request may overdraw at random. The overdraft is thus at
     most one request for each gateway, and later refill makes up for it. The more requests the share covers,
-    the higher the probability, because less is then left unused in shares of other gateways."""
+    the higher the probability, because less is then left unused in shares of other gateways.
+    """
     state = sharing.state
     plan = account.plan
     is_limited = plan.rate_per_s or plan.concurrency_limit or plan.hard_limit_per_s
--- a/trackspread/decide/quota/owner_grants.py
+++ b/trackspread/decide/quota/owner_grants.py
@@ -16,7 +16,8 @@
     """Adds the bucket of a former owner, which the sender reports, to the bucket here.
 
     Each former owner is added only once. It kept the bucket for its part of the fleet, and the use by the
-    gateways that queried it was already deducted there."""
+    gateways that queried it was already deducted there.
+    """
     account.peer_totals.pop(sender, None)
     account.owner_record.queried_at_ns.pop(sender, None)
     account.owner_record.unsettled_grants.pop(sender, None)
@@ -43,7 +44,8 @@
 
     If an answer was lost, its grant is settled when the sender reports more units. Units used beyond all
     grants, without an answer, are deducted from the bucket. A grant that has not been used for `FRESH_NS` is
-    returned to the bucket."""
+    returned to the bucket.
+    """
     unsettled = account.owner_record.unsettled_grants.get(sender, UnsettledGrant(0.0, now))
     last_total = account.peer_totals.get(sender, forwarded_quarter_units)
     grown = total_growth(forwarded_quarter_units, last_total)
--- a/trackspread/decide/quota/owner_sharing.py
+++ b/trackspread/decide/quota/owner_sharing.py
@@ -74,7 +74,8 @@
     def initial_hard_limit_tokens(self, now: int, account: TenantAccount) -> float:
         """Returns the owner's part of the slack plus what a predecessor certainly left of its part.
 
-        Other gateways get 0.0."""
+        Other gateways get 0.0.
+        """
         if not self.is_local(account):
             return 0.0
         plan = account.plan
@@ -88,7 +89,8 @@
     def has_free_attempt(self, now: int, account: TenantAccount) -> bool:
         """Returns whether one more attempt is free.
 
-        The owner decides this by the reports of other gateways, and these decide by their static shares."""
+        The owner decides this by the reports of other gateways, and these decide by their static shares.
+        """
         if self.is_local(account):
             return has_free_shared_attempt(self, now, account)
         return has_free_static_attempt(self.state, now, account)
--- a/trackspread/decide/quota/quota_messages.py
+++ b/trackspread/decide/quota/quota_messages.py
@@ -20,7 +20,8 @@
 def receive_quota_message(sharing: QuotaSharing, now: int, event: PeerMessage) -> QuotaAnswer:
     """Processes a peer's message.
 
-    Messages that cannot be decoded, or that concern an unknown plan, are ignored."""
+    Messages that cannot be decoded, or that concern an unknown plan, are ignored.
+    """
     message = unpack_quota_message(event.data)
     state = sharing.state
     if message is None or message.plan >= len(state.settings.plans):
@@ -36,7 +37,8 @@
 def _receive_transfer(sharing: QuotaSharing, now: int, sender: int, message: QuotaMessage) -> QuotaAnswer:
     """Processes a transfer of a hard limit, or a request for one, between gateways that gossip.
 
-    All others are ignored."""
+    All others are ignored.
+    """
     state = sharing.state
     nothing = QuotaAnswer(NO_QUERY, None, [])
     if not sharing.has_transfers:
@@ -70,7 +72,8 @@
 def _receive_request(sharing: QuotaSharing, now: int, sender: int, message: QuotaMessage) -> QuotaAnswer:
     """Processes a request for units, or a report of spent units or of an ended attempt, as the owner.
 
-    If this gateway is not the owner, the sender has a different view, and the message is ignored."""
+    If this gateway is not the owner, the sender has a different view, and the message is ignored.
+    """
     state = sharing.state
     account = account_of_message(sharing, now, message)
     if not sharing.is_local(account):
--- a/trackspread/decide/quota/sharing.py
+++ b/trackspread/decide/quota/sharing.py
@@ -13,7 +13,8 @@
 class QuotaSharing(ABC):
     """Defines one way of sharing quotas.
 
-    It has no state of its own, because it may be replaced by another while the gateway runs."""
+    It has no state of its own, because it may be replaced by another while the gateway runs.
+    """
 
     has_unresponsive_share = True  # whether the rest of a quota may belong to unresponsive peers
     has_static_shares = True  # whether this gateway also has a static share
@@ -37,7 +38,8 @@
     def local_share(self, now: int, account: TenantAccount) -> float:
         """Returns the part of the tenant's quota that the bucket here represents now.
 
-        It consists of this gateway's own part, and of those of others as far as their use is known here."""
+        It consists of this gateway's own part, and of those of others as far as their use is known here.
+        """
 
     def refill_share(self, now: int, account: TenantAccount) -> float:
         """Returns the part of the quota's rate and burst by which the token bucket here is refilled."""
@@ -57,7 +59,8 @@
         """Counts refill of the quota that was not added to the bucket here.
 
         The refill is that of `elapsed_s` seconds. The bucket had `before` units, got `share` of the refill,
-        and holds at most `limit` units."""
+        and holds at most `limit` units.
+        """
         return
 
     def initial_tokens(self, plan: Plan) -> float:
@@ -71,7 +74,8 @@
     def reporting_peers(self, gateway_span: int, first_gateway: int) -> tuple[int, ...]:
         """Returns those of a tenant's gateways that report what they used.
 
-        The tenant's gateways are `gateway_span` consecutive ones, starting at `first_gateway`."""
+        The tenant's gateways are `gateway_span` consecutive ones, starting at `first_gateway`.
+        """
         return ()
 
     def tokens_at_static_share(self, account: TenantAccount, even_units: float) -> float:
@@ -94,7 +98,8 @@
         """Returns this gateway's even share of the quota plus the known parts of other shares.
 
         A part is known as far as the use of the other gateway is known here, from its reports or from what
-        the owner or the counter said about the bucket."""
+        the owner or the counter said about the bucket.
+        """
         shares = max(1, account.gateways.share_count)
         never_ns = self.state.started_at_ns - FRESH_NS
         reports = self.state.peers
--- a/trackspread/decide/quota/state.py
+++ b/trackspread/decide/quota/state.py
@@ -1,6 +1,7 @@
 """Holds what this gateway knows of quotas: accounts, peers, the fleet view and calls to the counter.
 
-This module contains no decisions."""
+This module contains no decisions.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
 class QuotaAnswer(NamedTuple):
     """Holds the result of a message.
 
-    `query` identifies the request that it decides, or is 0. `granted` is None if there is no answer."""
+    `query` identifies the request that it decides, or is 0. `granted` is None if there is no answer.
+    """
 
     query: int
     granted: bool | None
@@ -100,7 +102,8 @@
     def is_uninformed(self) -> bool:
         """Returns whether this gateway receives no usage information about other gateways.
 
-        This is the case without peers (which a view adds), counter, leases and meter."""
+        This is the case without peers (which a view adds), counter, leases and meter.
+        """
         settings = self.settings
         return not (
             settings.may_gossip or self.has_leases or self.uses_counter or settings.metering_period_ns
@@ -131,7 +134,8 @@
         """Returns the gateway that owns the tenant's quota, where quotas have owners.
 
         With a view, the owner is looked up once for each version of the fleet. A gateway that becomes the
-        owner drops what it recorded when it was the owner before."""
+        owner drops what it recorded when it was the owner before.
+        """
         if self.view is None or account.owner_of_view == self.fleet_version:
             return account.quota_owner
         account.quota_owner = owner_among(self.view.quota_owners, account.tenant)
--- a/trackspread/decide/quota/static_shares.py
+++ b/trackspread/decide/quota/static_shares.py
@@ -1,6 +1,7 @@
 """Defines this gateway's static share of a tenant's limits: an even one, or one by slots.
 
-It does not depend on what other gateways do."""
+It does not depend on what other gateways do.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +26,8 @@
     def is_isolated(self, now: int) -> bool:
         """Returns whether this gateway must not use anything shared.
 
-        This is the case when it has lost its fleet or has not found it yet."""
+        This is the case when it has lost its fleet or has not found it yet.
+        """
 
     @abstractmethod
     def peers_of(self, account: TenantAccount) -> tuple[int, ...]:
@@ -63,7 +65,8 @@
 class SlotShares(StaticShares):
     """Divides limits by a fleet view: each limit consists of slots, and each gateway holds some of them.
 
-    A set of slots is the bits of an integer."""
+    A set of slots is the bits of an integer.
+    """
 
     def __init__(self, view: FleetChanged) -> None:
         self.view = view
@@ -76,7 +79,8 @@
     def share_of_slots(self, account: TenantAccount, slots: int) -> float:
         """Returns the part of the tenant's limits that these slots represent.
 
-        All of the limits are the slots of the tenant's gateways."""
+        All of the limits are the slots of the tenant's gateways.
+        """
         key = account.gateways.first, account.gateways.span
         all_slots = self._slot_sets.get(key)
         if all_slots is None:
--- a/trackspread/decide/quota/static_sharing.py
+++ b/trackspread/decide/quota/static_sharing.py
@@ -18,7 +18,8 @@
     def local_share(self, now: int, account: TenantAccount) -> float:
         """Returns 1.0 if all requests come here, otherwise the even share plus a part of the others.
 
-        That part decreases with the age of the last answer."""
+        That part decreases with the age of the last answer.
+        """
         if self.is_local(account):
             return 1.0
         return self.share_by_reports(now, account)
@@ -30,7 +31,8 @@
     def spend_without_answer(self, now: int, account: TenantAccount, units: float) -> bool:
         """Spends according to the meter's recent reports, if there are any.
 
-        Otherwise it spends the static share, which one request may overdraw at random."""
+        Otherwise it spends the static share, which one request may overdraw at random.
+        """
         if self.state.is_uninformed:
             return spend_uninformed(self, now, account, units)
         return spend_by_grant_ratio(self, now, account, units)
--- a/trackspread/decide/quota/token_bucket.py
+++ b/trackspread/decide/quota/token_bucket.py
@@ -16,7 +16,8 @@
     """Refills all buckets of the account up to `now`.
 
     While this gateway is isolated from its fleet the buckets stay unchanged, because other gateways may use
-    what would have been added."""
+    what would have been added.
+    """
     state = sharing.state
     elapsed_s = (now - account.refilled_at_ns) / SECOND
     account.refilled_at_ns = now
@@ -43,7 +44,8 @@
     """Refills the bucket with this share of the quota.
 
     The rest belongs to unresponsive peers. What they did not use is added here after they have become
-    responsive and have reported their use."""
+    responsive and have reported their use.
+    """
     plan = account.plan
     before = account.tokens
     limit = sharing.token_limit(account, share)
@@ -64,7 +66,8 @@
 def spend(account: TenantAccount, units: float, pays_overage: bool) -> bool:
     """Takes units out of the buckets; returns False, without any change, if they do not suffice.
 
-    The quota must cover the units unless `pays_overage` is set; the hard limit must always cover them."""
+    The quota must cover the units unless `pays_overage` is set; the hard limit must always cover them.
+    """
     plan = account.plan
     is_within = not plan.rate_per_s or account.tokens >= units
     if not (is_within or pays_overage):
@@ -84,7 +87,8 @@
 
     Otherwise two gateways would spend the same refill. `unresponsive_ns` is the time in which the reporter
     could not report, or 0. Use in such a time is set first against refill that was not added to the bucket
-    here (`overflow_units`), and the rest does not bring the bucket below 0."""
+    here (`overflow_units`), and the rest does not bring the bucket below 0.
+    """
     least_tokens = -account.plan.burst_units
     if unresponsive_ns:
         refilled_units = account.plan.rate_per_s * unresponsive_ns / SECOND
--- a/trackspread/decide/quota/usage_totals.py
+++ b/trackspread/decide/quota/usage_totals.py
@@ -28,7 +28,8 @@
 def usage_message(state: QuotaState, now: int) -> bytes:
     """Returns a message with the running totals of the tenants that were reported least often.
 
-    As the totals are cumulative, a lost message has no effect once the next one arrives."""
+    As the totals are cumulative, a lost message has no effect once the next one arrives.
+    """
     due = [
         account
         for account in state.accounts.values()
@@ -45,7 +46,8 @@
 def detect_restart(sharing: QuotaSharing, now: int, age_tenths_s: int) -> bool:
     """Detects from a peer's age that this gateway has restarted; returns whether the peer is older.
 
-    After a restart the buckets must not start full, so they are cut once."""
+    After a restart the buckets must not start full, so they are cut once.
+    """
     state = sharing.state
     is_older = age_tenths_s * SECOND // 10 > now - state.started_at_ns + SECOND
     if is_older and not state.has_restarted:
@@ -59,7 +61,8 @@
 def receive_usage_totals(sharing: QuotaSharing, now: int, event: PeerMessage) -> None:
     """Processes a peer's usage totals.
 
-    Messages that cannot be decoded, or were overtaken by a later one, are ignored."""
+    Messages that cannot be decoded, or were overtaken by a later one, are ignored.
+    """
     state = sharing.state
     message = unpack_usage_totals(event.data)
     if message is None:
@@ -110,7 +113,8 @@
     """Records the attempts in flight that a peer reports.
 
     An owner knows from requests what it granted; only totals report attempts that were started without its
-    answer."""
+    answer.
+    """
     known = account.peers_in_flight.get(sender)
     known_attempts = 0 if known is None else known.attempts
     if not sharing.is_local(account) or in_flight > known_attempts:
@@ -121,7 +125,8 @@
     """Returns the units that a peer used since its last report.
 
     If its total is new here, at most a burst of it can be recent. If the peer is also older than this
-    gateway, the result is 0.0, because the bucket here then started with less."""
+    gateway, the result is 0.0, because the bucket here then started with less.
+    """
     grown = None if last_total is None else total_growth(total, last_total)
     if grown is not None:
         return grown / QUARTERS_PER_UNIT
--- a/trackspread/decide/quota_admission.py
+++ b/trackspread/decide/quota_admission.py
@@ -1,7 +1,8 @@
 """Admits or rejects requests by their tenants' quotas.
 
 A request is decided at once where this gateway knows enough of the tenant's quota. Otherwise it is queued
-until the quota owner, the shared counter or the host has answered."""
+until the quota owner, the shared counter or the host has answered.
+"""
 
 from __future__ import annotations
 
@@ -126,7 +127,8 @@
     def admit(self, now: int, request: OpenRequest, reports_use: bool) -> list[Action]:
         """Starts the first attempt of a request that is within its quota.
 
-        `reports_use` says whether the units used are reported to the owner or the counter."""
+        `reports_use` says whether the units used are reported to the owner or the counter.
+        """
         quota = self._quota
         arrival = request.arrival
         account = request.account
@@ -151,7 +153,8 @@
         """Admits or rejects the request that waits for this query.
 
         `granted` is None if no answer arrived; this gateway then decides alone. `preceding` holds actions
-        that are returned before those of the request."""
+        that are returned before those of the request.
+        """
         request = self.queued.pop(query, None)
         if request is None:
             return preceding
@@ -201,7 +204,8 @@
     def correct_counter(self, now: int, commitments: Iterable[Commitment]) -> list[Action]:
         """Corrects counters that still count attempts which have ended.
 
-        Such attempts would fill the tenant's concurrency limit for good."""
+        Such attempts would fill the tenant's concurrency limit for good.
+        """
         quota = self._quota
         miscounted = [
             each.account for each in commitments if each.account.counter.correction_units <= MISCOUNT_UNITS
--- a/trackspread/decide/quota_events.py
+++ b/trackspread/decide/quota_events.py
@@ -18,7 +18,8 @@
 ) -> list[Action]:
     """Applies one event to the quota and decides the requests that wait for it.
 
-    `admissions` holds those of all services that share the quota."""
+    `admissions` holds those of all services that share the quota.
+    """
     match event:
         case AllocationChanged():
             quota.change_allocation(now, event)
--- a/trackspread/decide/rejection.py
+++ b/trackspread/decide/rejection.py
@@ -14,7 +14,8 @@
 def rejection(arrival: RequestArrived, settings: Settings) -> Reject:
     """Returns the rejection of a request that the client may safely repeat.
 
-    Either none of its attempts can have been executed, or it may be executed again without harm."""
+    Either none of its attempts can have been executed, or it may be executed again without harm.
+    """
     if not settings.may_send_retry_after:
         return Reject(arrival.request, 0)
     return Reject(arrival.request, min(RETRY_AFTER_NS, settings.max_retry_after_ns))
--- a/trackspread/decide/report.py
+++ b/trackspread/decide/report.py
@@ -19,7 +19,8 @@
 
     `backends` counts those listed, `warm` and `excluded` some of them. `in_flight` counts attempts, and
     `limit` is their limit, which exists under congestion only. `commitments` counts tenants with recent
-    requests."""
+    requests.
+    """
 
     service: str
     backends: int
--- a/trackspread/decide/request_table.py
+++ b/trackspread/decide/request_table.py
@@ -31,7 +31,8 @@
     def start_attempt(self, now: int, request: OpenRequest) -> StartAttempt | None:
         """Starts an attempt of the request, preferably at a backend that was not tried yet.
 
-        The result is None if the deadline has passed, the attempts are used up or no backend may get one."""
+        The result is None if the deadline has passed, the attempts are used up or no backend may get one.
+        """
         arrival = request.arrival
         if now >= arrival.expires_at_ns or request.attempts_started >= request.max_attempts:
             return None
@@ -70,7 +71,8 @@
 
         If attempts that started much later have been answered, a response is presumed lost. Its request does
         not wait in a shared queue and is no sign of overload. Such requests are counted in `presumed_lost`
-        instead. `queued` is the number of requests without an attempt."""
+        instead. `queued` is the number of requests without an attempt.
+        """
         lost_after_ns = [LOST_AFTER_LATENCIES * latency.value for latency in self._model.latency]
         newest_answered_ns = self._load_balancer.outliers.newest_answered_ns
 
--- a/trackspread/decide/retry_policy.py
+++ b/trackspread/decide/retry_policy.py
@@ -63,7 +63,8 @@
         """Returns a filter for the backends that may get the next attempt (rule 2).
 
         A request with an idempotency key that may have been executed may be retried only at backends that
-        still remember the key."""
+        still remember the key.
+        """
         request_class = self.settings.classes[request.arrival.request_class]
         first = request.deduplicated_by
         if not request.may_have_executed or first is None:
@@ -84,7 +85,8 @@
         """Returns the time until which an attempt may be sent, or 0 if there is no bound.
 
         The bound is the end of the window in which backends remember the idempotency key of a request that
-        may have been executed."""
+        may have been executed.
+        """
         if not request.may_have_executed or self._idempotency(request) is not Idempotency.WITH_KEY:
             return 0
         request_class = self.settings.classes[request.arrival.request_class]
@@ -94,7 +96,8 @@
         """Returns the timeout of an attempt, or 0 for none.
 
         It protects against lost responses and unresponsive backends, if some occurred recently and a retry is
-        allowed. It would do harm when all backends are slow."""
+        allowed. It would do harm when all backends are slow.
+        """
         number = request.arrival.request_class
         request_class = self.settings.classes[number]
         if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
--- a/trackspread/decide/services.py
+++ b/trackspread/decide/services.py
@@ -4,7 +4,8 @@
 decisions. A broker knows only the classes, backends, commitments and requests of its own service. The cost of
 a request therefore grows only with the backends of its service, and a service whose backends are slow or
 unreachable does not cause rejections at other services. Quotas, hard limits and concurrency limits belong to
-a tenant, whatever services it uses, so the brokers share one `Quota`."""
+a tenant, whatever services it uses, so the brokers share one `Quota`.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +45,8 @@
 
     A number at a broker keeps its meaning as long as the settings' number does, because open requests refer
     to it. When a class moves to another service, its number becomes free and is given to the next class that
-    is added."""
+    is added.
+    """
 
     def __init__(
         self, classes: Sequence[RequestClass], carried: Sequence[str], service_of: ServiceOf
@@ -77,7 +79,8 @@
     def change(self, event: ClassesChanged) -> list[ClassesChanged]:
         """Applies the event and returns it for each broker, with the class numbers used there.
 
-        A class that comes from another service starts with new state."""
+        A class that comes from another service starts with new state.
+        """
         old_broker_indexes = list(self.broker_indexes)
         old_numbers = list(self.numbers)
         self._reassign(event.classes, old_broker_indexes, old_numbers)
@@ -123,7 +126,8 @@
     """Holds the brokers of the services that this gateway carries, behind the interface of one broker.
 
     A backend's `service` is an index into `carried`. Requests of classes whose service is not carried here
-    are rejected, because another gateway carries it."""
+    are rejected, because another gateway carries it.
+    """
 
     def __init__(
         self, settings: Settings, seed: int, now: int, carried: Sequence[str], service_of: ServiceOf
@@ -189,7 +193,8 @@
     def _on_attempt_event(self, now: int, event: AttemptEnded | ResponseStarted) -> Iterable[Action]:
         """Passes the event to the broker that has the attempt, if there still is one.
 
-        Attempts are numbered over all services, so at most one broker has it."""
+        Attempts are numbered over all services, so at most one broker has it.
+        """
         key = event.request, event.attempt
         return [
             action
@@ -209,7 +214,8 @@
     def _on_endpoint_update(self, now: int, event: EndpointUpdate) -> Iterable[Action]:
         """Passes to each broker the entries of its own backends.
 
-        If a backend moves to another service, the broker of the former one gets its removal."""
+        If a backend moves to another service, the broker of the former one gets its removal.
+        """
         is_complete = event.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
         entries: list[list[Backend]] = [[] for _ in self.brokers]
         before = self._service_of_backend
--- a/trackspread/decide/settings.py
+++ b/trackspread/decide/settings.py
@@ -1,6 +1,7 @@
 """Defines what a decision module is given at its start: request classes, plans and limits of the platform.
 
-Times are integer nanoseconds and rates are per second. All types are immutable and contain no decisions."""
+Times are integer nanoseconds and rates are per second. All types are immutable and contain no decisions.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +12,8 @@
 class Idempotency(Enum):
     """Defines how a request may be repeated once an attempt may have been executed.
 
-    It may be repeated freely, with its idempotency key only, or not at all."""
+    It may be repeated freely, with its idempotency key only, or not at all.
+    """
 
     IDEMPOTENT = "free"
     WITH_KEY = "guarded"
@@ -32,7 +34,8 @@
 
     `latency_objective_ns` is the time from arrival to answer. A later answer, until `deadline_ns`, counts
     `late_priority_weight` instead of `priority_weight`. The backends of `deduplication_scope` remember an
-    idempotency key for `deduplication_window_ns`."""
+    idempotency key for `deduplication_window_ns`.
+    """
 
     name: str
     latency_objective_ns: int
@@ -52,7 +55,8 @@
     flight. `priority_factor` multiplies the priority weight of requests. `overage_weight` and `overage_cost`
     are what a unit beyond the quota earns and costs, as parts of its weight. `hard_limit_per_s` and
     `hard_limit_burst_units` define a token bucket that is never overdrawn by more than
-    `hard_limit_slack_units`."""
+    `hard_limit_slack_units`.
+    """
 
     name: str
     rate_per_s: float = 0.0
@@ -70,7 +74,8 @@
 class Settings:
     """Holds what a decision module is given at its start.
 
-    By default a feature is off, or the value describes a single gateway."""
+    By default a feature is off, or the value describes a single gateway.
+    """
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
--- a/trackspread/decide/seven_cases.py
+++ b/trackspread/decide/seven_cases.py
@@ -1,6 +1,7 @@
 """Implements the seven cases by which a commitment is granted a concurrency.
 
-They are those in section 5 of the paper; see `docs/design/decisions.md`."""
+They are those in section 5 of the paper; see `docs/design/decisions.md`.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
     other commitments were granted. From `model_levels` on, `meets_response_time` and `preserves_competitors`
     no longer change. If one of them fails at `requested`, it therefore fails at all levels down to
     `model_levels`. Skipping these bounds the number of evaluations by the levels of the model, whatever the
-    size of the quota."""
+    size of the quota.
+    """
     fewer = range(min(requested - 1, model_levels), 0, -1)
     fewest = range(1, requested)
     more = range(requested + 1, 2 * requested + 1)
@@ -51,7 +53,8 @@
 ) -> int:
     """Returns the highest concurrency that preserves what the competitors were granted (cases 5 to 7).
 
-    As many of the commitment's own goals as possible are met."""
+    As many of the commitment's own goals as possible are met.
+    """
     found = _first(fewer, meets_response_time, meets_throughput, preserves_competitors)
     found = found or _first(fewer, preserves_competitors, meets_throughput)
     return found or _first(fewer, preserves_competitors)
--- a/trackspread/decide/slow_start.py
+++ b/trackspread/decide/slow_start.py
@@ -2,7 +2,8 @@
 
 Each gateway sends such a backend at most its own part of what a warm backend gets, so that the parts of all
 gateways together stay within the backend's capacity. While no backend is warm, gateways take turns at each
-backend."""
+backend.
+"""
 
 from __future__ import annotations
 
@@ -62,7 +63,8 @@
         """Returns whether it is this gateway's turn to send the backend one attempt.
 
         While no backend is warm, nothing may be known about a backend's capacity. A turn lasts for one
-        latency objective, because every backend can process one attempt in that time."""
+        latency objective, because every backend can process one attempt in that time.
+        """
         turn = self._turn(now)
         if not self._none_warm or state.last_turn == turn:
             return False
--- a/trackspread/decide/snapshot.py
+++ b/trackspread/decide/snapshot.py
@@ -1,7 +1,8 @@
 """Exports the state of the decision module as plain values, for another process that takes over.
 
 `snapshot_restore.py` restores the state there. Both processes use the same clock. Classes and plans are
-identified by name, because each process numbers them on its own. This module contains no decisions."""
+identified by name, because each process numbers them on its own. This module contains no decisions.
+"""
 
 from __future__ import annotations
 
@@ -108,7 +109,8 @@
     """Returns all state that has to outlive the process.
 
     `class_names` is indexed by the classes' numbers. `attempts` maps request and attempt number of each
-    attempt in flight to its backend."""
+    attempt in flight to its backend.
+    """
     quota = broker.quota
     balancer = broker.load_balancer
     plan_names = [plan.name for plan in broker.settings.plans]
--- a/trackspread/decide/snapshot_restore.py
+++ b/trackspread/decide/snapshot_restore.py
@@ -1,6 +1,7 @@
 """Restores in this process the state that another process exported with `snapshot.py`.
 
-This module contains no decisions."""
+This module contains no decisions.
+"""
 
 from __future__ import annotations
 
@@ -44,7 +45,8 @@
     """Restores the state of another process.
 
     Classes, plans and backends that this process does not have are ignored. Raises `ValueError` for a state
-    of another version, before anything is changed."""
+    of another version, before anything is changed.
+    """
     if state.get("version") != VERSION:
         raise ValueError(f"state: version must be {VERSION}, got {state.get('version')}")
     classes = _active_classes(broker, class_names)
@@ -160,7 +162,8 @@
 def count_attempt_elsewhere(broker: Broker, class_names: tuple[str, ...], attempt: AttemptElsewhere) -> None:
     """Counts an attempt that another process has in flight, until its end is reported.
 
-    The attempt produces no answer here."""
+    The attempt produces no answer here.
+    """
     plan_names = [plan.name for plan in broker.settings.plans]
     classes = _active_classes(broker, class_names)
     if attempt.plan not in plan_names or attempt.request_class not in classes:
--- a/trackspread/decide/tenant_account.py
+++ b/trackspread/decide/tenant_account.py
@@ -26,7 +26,8 @@
 def rescaled_tokens(tokens: float, old_burst: float, new_burst: float) -> float:
     """Returns the tokens of a bucket whose burst has changed.
 
-    A bucket that had no burst was not in use and starts empty."""
+    A bucket that had no burst was not in use and starts empty.
+    """
     if tokens <= 0.0 or old_burst <= 0.0:
         return min(tokens, 0.0)
     return tokens * min(1.0, new_burst / old_burst)
@@ -50,7 +51,8 @@
 class TenantGateways:
     """Holds the gateways that a tenant's requests come through.
 
-    They are `span` consecutive gateways of the settings' list, starting at `first`."""
+    They are `span` consecutive gateways of the settings' list, starting at `first`.
+    """
 
     first: int = 0
     span: int = 0  # 0 if not known yet
@@ -153,7 +155,8 @@
         """Counts units as forwarded within the quota.
 
         The total that is reported to others must never decrease, so units that were refunded are used up
-        first."""
+        first.
+        """
         quarters = round(QUARTERS_PER_UNIT * units)
         covered = min(quarters, self.refunded_quarter_units)
         self.refunded_quarter_units -= covered
@@ -180,7 +183,8 @@
     def refund(self, taken: Balances) -> None:
         """Adds back what was taken out of the buckets.
 
-        A bucket may exceed its limit only until its next refill, which is bounded."""
+        A bucket may exceed its limit only until its next refill, which is bounded.
+        """
         refilled = min(self.plan.burst_units, self.tokens + taken.tokens)
         self.tokens = max(self.tokens, refilled)
         self.static_tokens += taken.static_tokens
--- a/trackspread/storage/directory.py
+++ b/trackspread/storage/directory.py
@@ -19,7 +19,8 @@
 class MappedFile:
     """Holds an allocated file that is mapped into memory.
 
-    Writes go to the page cache and survive the process."""
+    Writes go to the page cache and survive the process.
+    """
 
     def __init__(self, descriptor: int, size: int) -> None:
         self._descriptor = descriptor
--- a/trackspread/storage/journal.py
+++ b/trackspread/storage/journal.py
@@ -118,7 +118,8 @@
     def next_commit(self) -> Commit | None:
         """Returns the next group to commit, or None if nothing is pending.
 
-        One group is in progress at a time."""
+        One group is in progress at a time.
+        """
         if not self.pending:
             return None
         return Commit(Sync(tuple(self._dirty.values())), self.next - 1)
--- a/trackspread/testing/virtual/cells/schedules.py
+++ b/trackspread/testing/virtual/cells/schedules.py
@@ -148,7 +148,8 @@
 def play(seed: int) -> tuple[CellsWorld, int]:
     """Plays the schedule of a seed; returns the world at its end and the ns that it took to settle.
 
-    Raises `InvariantViolated` if an invariant does not hold."""
+    Raises `InvariantViolated` if an invariant does not hold.
+    """
     rng = random.Random(f"celled:{seed}")
     regions = rng.choice([1, 2, 3])
     machines = rng.choice([3, 5, 7]) if regions < 3 else 9
--- a/trackspread/testing/virtual/cells/world.py
+++ b/trackspread/testing/virtual/cells/world.py
@@ -390,7 +390,8 @@
         """Returns why the gateways have not settled, or an empty text.
 
         They have settled when each running gateway is in a cell of its zone, the view of each cell has
-        exactly its gateways and seeds, and its gateways use all of its slots."""
+        exactly its gateways and seeds, and its gateways use all of its slots.
+        """
         leader = self.leader()
         if leader is None:
             return "there is no leader"
@@ -458,7 +459,8 @@
     def until_settled(self, limit_ns: int, interval_ns: int = 100_000_000) -> int:
         """Runs until the gateways have settled, and returns the ns that this took.
 
-        Raises `InvariantViolated` if it takes longer than `limit_ns`."""
+        Raises `InvariantViolated` if it takes longer than `limit_ns`.
+        """
         start_ns = self.elapsed_ns
         while reason := self.unsettled_reason():
             if self.elapsed_ns - start_ns >= limit_ns:
--- a/trackspread/testing/virtual/cells/worlds.py
+++ b/trackspread/testing/virtual/cells/worlds.py
@@ -46,7 +46,8 @@
     """Cuts a region off for two minutes.
 
     Its gateways keep their slots, it places restarted gateways, and after the heal there is neither a burst
-    of requests nor a move."""
+    of requests nor a move.
+    """
     world = settled_world(seed, 3, 9, 6, STATIC_POLICY)
     region = f"r{seed % 3}"
     inside = world.processes_of("g", region=region)
@@ -96,7 +97,8 @@
 def zone_cut_off(seed: int) -> None:
     """Severs all links between a zone's gateways and the control machines for a minute.
 
-    To the control machines the zone looks lost; still, its gateways return to their cells."""
+    To the control machines the zone looks lost; still, its gateways return to their cells.
+    """
     world = settled_world(seed, 2, 6, 8, STATIC_POLICY)
     zone = world.zones[seed % len(world.zones)]
     inside = [process.name for process in world.processes_of("g", zone)]
@@ -112,7 +114,8 @@
 def seed_replaced(seed: int) -> None:
     """Kills a control machine for good, so that the gateways of its cells move.
 
-    Meanwhile messages are lost, and those on cells arrive late and reordered."""
+    Meanwhile messages are lost, and those on cells arrive late and reordered.
+    """
     world = settled_world(seed, 1, 4, 6, SMALL_POLICY)
     killed = next(p for p in world.processes_of("c") if isinstance(p.core, Controller) and p.core.cells)
     leader = world.leader()
@@ -191,7 +194,8 @@
     """Starts many gateways in a region whose control machines can't reach the leader.
 
     Each of these places gateways by itself without knowing of the others' placements. Cells that are too full
-    are then split, and cells that have become too small are merged once."""
+    are then split, and cells that have become too small are merged once.
+    """
     world = settled_world(seed, 2, 6, 3, SMALL_POLICY)
     crowded = world.zones[2]  # a zone of the region with fewer voters
     world.cut_off("r0", ["r1"])
@@ -242,7 +246,8 @@
     """Kills two of a cell's three seeds.
 
     The cell then forms no view, and its gateways use their slots until the leases expire. The two seeds are
-    notified by the leader after their restart and seed the cell again."""
+    notified by the leader after their restart and seed the cell again.
+    """
     world = settled_world(seed, 1, 5, 3, STATIC_POLICY, lease_duration_ns=20 * SECOND)
     _, core = world.gateways()[0]
     if core.placement is None:
@@ -271,7 +276,8 @@
     """Compares two fleet sizes without faults.
 
     A gateway's datagrams grow with its cell and not with the fleet, and the control machines' datagrams grow
-    with the cells."""
+    with the cells.
+    """
     datagrams = []
     for gateways in (4, 16):
         world = settled_world(seed, 1, 5, gateways, CellPolicy(4, 6, 1, 3, 4_096, 60 * SECOND, 600 * SECOND))
--- a/trackspread/testing/virtual/counter/mutants.py
+++ b/trackspread/testing/virtual/counter/mutants.py
@@ -257,7 +257,8 @@
 def first_detection(name: str, seeds: int) -> tuple[str, int] | None:
     """Returns the kind and first seed of a world that detects the mutant.
 
-    It tries the seeds below `seeds` with each kind, and returns None if no world detects the mutant."""
+    It tries the seeds below `seeds` with each kind, and returns None if no world detects the mutant.
+    """
     with applied(MUTANTS[name]()):
         return next(
             ((kind, seed) for kind, play in KINDS.items() for seed in range(seeds) if play(seed)), None
--- a/trackspread/testing/virtual/counter/schedules.py
+++ b/trackspread/testing/virtual/counter/schedules.py
@@ -264,7 +264,8 @@
     """Plays a world without faults in which tenants move, and returns its violations.
 
     Admissible requests must be served, quotas must be kept but for use that is reported late, and the leases
-    must follow a tenant that moves."""
+    must follow a tenant that moves.
+    """
     rng = random.Random(f"calm counted:{seed}")
     rate, burst = rng.choice(((10.0, 10.0), (30.0, 15.0), (50.0, 60.0)))
     gateways = rng.randint(2, 6)
@@ -302,7 +303,8 @@
     """Plays a world in which no gateway reaches the counter for many bursts, and returns its violations.
 
     Each gateway receives more requests than the quota admits. The shares by last demand sum to 1, so the
-    units beyond a quota are at most the tokens that each gateway knew of, once."""
+    units beyond a quota are at most the tokens that each gateway knew of, once.
+    """
     rng = random.Random(f"deaf counted:{seed}")
     gateways = rng.randint(2, 5)
     rate, burst = rng.choice(((30.0, 15.0), (20.0, 10.0)))
@@ -323,7 +325,8 @@
 
     One gateway holds all shares of a tenant, or no gateway holds any, when the fault occurs. The traffic then
     moves, also to gateways that the tenant has not used. A share that one gateway releases too late, or that
-    another one uses too early, exceeds the limit at once."""
+    another one uses too early, exceeds the limit at once.
+    """
     rng = random.Random(f"tight counted:{seed}")
     gateways = rng.randint(2, 4)
     rate, burst = rng.choice(((30.0, 15.0), (50.0, 60.0)))
--- a/trackspread/testing/virtual/counter/world.py
+++ b/trackspread/testing/virtual/counter/world.py
@@ -44,7 +44,8 @@
     """Holds the size of a world, and its tenants' limits and load.
 
     `load` is the ratio of a tenant's requests over all gateways to its quota. `hard_limit_factor` is the
-    ratio of the hard limit's rate and burst to those of the quota."""
+    ratio of the hard limit's rate and burst to those of the quota.
+    """
 
     seed: int
     gateways: int = 4
@@ -97,7 +98,8 @@
 
     `quota` and `hard_limit` are charged with forwarded requests; they refill at a rate that the fastest clock
     allows. `requested_quota` is charged with requests that it admits, and `admissible` counts these. `beyond`
-    counts the requests forwarded beyond the quota."""
+    counts the requests forwarded beyond the quota.
+    """
 
     quota: ReferenceBucket
     hard_limit: ReferenceBucket
--- a/trackspread/testing/virtual/distribution/invariants.py
+++ b/trackspread/testing/virtual/distribution/invariants.py
@@ -19,7 +19,8 @@
 class InvariantChecker:
     """Checks the records of one fleet.
 
-    `committed` has the committed entries by version, with the time of the first report of the commit."""
+    `committed` has the committed entries by version, with the time of the first report of the commit.
+    """
 
     def __init__(self) -> None:
         self.committed: dict[Version, tuple[int, Entry]] = {}
@@ -91,7 +92,8 @@
     def overdue_reason(self, now: int, gateways: list[str]) -> str:
         """Returns which gateways do not use a version that is due, or an empty text.
 
-        A version is due `IN_FORCE_NS` after its commit."""
+        A version is due `IN_FORCE_NS` after its commit.
+        """
         due = max((v for v, (at, _) in self.committed.items() if now - at > IN_FORCE_NS), default=NO_VERSION)
         late = [name for name in gateways if self.versions_in_use.get(name, NO_VERSION) < due]
         return f"{late[0]} and {len(late) - 1} others do not use version {due}" if late else ""
--- a/trackspread/testing/virtual/distribution/mutants.py
+++ b/trackspread/testing/virtual/distribution/mutants.py
@@ -272,7 +272,8 @@
 def first_detection(name: str, seeds: Iterable[int]) -> tuple[str, int] | None:
     """Returns the name and seed of the first world that detects the mutant, or None if none does.
 
-    The long worlds are played with seed 0 only."""
+    The long worlds are played with seed 0 only.
+    """
     runs = [(seed, world) for world in (*LONG, *SHORT) for seed in seeds if world in SHORT or not seed]
     with applied(MUTANTS[name]()):
         for seed, world in sorted(runs, key=lambda each: each[0]):
--- a/trackspread/testing/virtual/distribution/schedules.py
+++ b/trackspread/testing/virtual/distribution/schedules.py
@@ -138,7 +138,8 @@
 def two_lead(seed: int) -> World:
     """Lets two leaders accept changes at the same time.
 
-    The links between them are severed or not, or only those from the newer leader to the older one are."""
+    The links between them are severed or not, or only those from the newer leader to the older one are.
+    """
     world = World(seed, replicas=5, gateways=10)
     world.start_all()
     if seed % 2:
@@ -159,7 +160,8 @@
 def dies_while_adopted(seed: int) -> World:
     """Kills the replica whose log a new leader adopts before that is done.
 
-    The changes that both had must stay committed."""
+    The changes that both had must stay committed.
+    """
     world = World(seed, replicas=3, gateways=4)
     world.start_all()
     links = world.partition(["r2"], ["r0", "r1"])
@@ -177,7 +179,8 @@
 def minority_goes_on(seed: int) -> World:
     """Separates the leader and one follower from the other replicas, but not from gateways.
 
-    Another leader is elected meanwhile."""
+    Another leader is elected meanwhile.
+    """
     world = World(seed, replicas=5, gateways=20, regions=1 + seed % 2)
     world.start_all()
     links = world.partition(["r0", "r1"], ["r2", "r3", "r4"])
@@ -226,7 +229,8 @@
 def region_cut(seed: int) -> World:
     """Cuts a region off for minutes.
 
-    Its gateways keep their configuration, and after the heal there is no burst of messages."""
+    Its gateways keep their configuration, and after the heal there is no burst of messages.
+    """
     world = World(seed, replicas=5, gateways=60, regions=2, pieces_per_s=200, recent_entries=20)
     world.start_all()
     schedule_changes(world, 5 * SECOND, 50 * MILLISECOND)
@@ -289,7 +293,8 @@
 def burst(seed: int) -> World:
     """Makes 100 changes at once while a tenth of the messages is lost.
 
-    All gateways must use them within 9 s."""
+    All gateways must use them within 9 s.
+    """
     world = World(seed, replicas=5, gateways=40, regions=2)
     world.start_all()
     world.conditions.loss = 0.1
@@ -307,7 +312,8 @@
 def one_way(seed: int) -> World:
     """Severs the links to or from two replicas, or only those from other replicas to them.
 
-    The others must continue."""
+    The others must continue.
+    """
     world = World(seed, replicas=5, gateways=20)
     world.start_all()
     schedule_changes(world, 20 * SECOND, 100 * MILLISECOND)
@@ -330,7 +336,8 @@
 def majority_lost(seed: int) -> World:
     """Restarts a majority of the replicas without state.
 
-    Nothing is committed and nothing is forgotten until an operator begins a new history."""
+    Nothing is committed and nothing is forgotten until an operator begins a new history.
+    """
     world = World(seed, replicas=5, gateways=10)
     world.start_all()
     schedule_changes(world, 3 * SECOND, 50 * MILLISECOND)
--- a/trackspread/testing/virtual/distribution/world.py
+++ b/trackspread/testing/virtual/distribution/world.py
@@ -41,7 +41,8 @@
 class Process:
     """Holds a process name and the core that runs under it, if any.
 
-    `number` is a replica's number, or -1 for a gateway."""
+    `number` is a replica's number, or -1 for a gateway.
+    """
 
     name: str
     address: Address
--- a/trackspread/testing/virtual/handover/world.py
+++ b/trackspread/testing/virtual/handover/world.py
@@ -27,7 +27,8 @@
 class World:
     """Runs one old process and one new one; `old_serves` and `new_serves` say which of them serve.
 
-    `link` says whether they are connected."""
+    `link` says whether they are connected.
+    """
 
     def __init__(
         self, seed: int, predecessor: PredecessorSteps | None = None, successor: SuccessorSteps | None = None
--- a/trackspread/testing/virtual/membership/mutants.py
+++ b/trackspread/testing/virtual/membership/mutants.py
@@ -285,7 +285,8 @@
 def two_processes_with_one_name(seed: int) -> None:
     """Starts a second process with a name that is in use, at another address.
 
-    Raises `InvariantViolated` unless exactly the older of the two is fenced."""
+    Raises `InvariantViolated` unless exactly the older of the two is fenced.
+    """
     world = World(seed, 5)
     world.start_all(6 * SECOND)
     first = world.processes["n4"]
@@ -306,7 +307,8 @@
 def holder_paused(seed: int) -> None:
     """Pauses a member between its lease request and the grant.
 
-    The grant must have no effect once the member resumes, because others have its slots by then."""
+    The grant must have no effect once the member resumes, because others have its slots by then.
+    """
     world = World(seed, 4)
     world.start_all(6 * SECOND)
     process = world.processes["n3"]
@@ -347,7 +349,8 @@
     """Restarts seeds while members behind a partition still hold slots that no running seed knows of.
 
     The restarted seeds are all seeds, all but one that is behind the partition, or all while the members
-    behind the partition reach one restarted seed."""
+    behind the partition reach one restarted seed.
+    """
     world = World(seed, 8, settings={"lease_duration_ns": 12 * SECOND})
     world.start_all(8 * SECOND)
     # The seed selects what restarts: all seeds; all but one; none, but the coordinator that knew of the
@@ -377,7 +380,8 @@
 def moderate_loss(seed: int) -> None:
     """Loses a tenth of all messages and pauses a member briefly again and again.
 
-    No running member may be declared dead."""
+    No running member may be declared dead.
+    """
     world = World(seed, 8)
     world.start_all(6 * SECOND)
     world.conditions.loss = 0.1
--- a/trackspread/testing/virtual/membership/schedules.py
+++ b/trackspread/testing/virtual/membership/schedules.py
@@ -41,7 +41,8 @@
     """Holds the faults between gateways n0, n1, ..., and the gateways that join or end.
 
     `joins` has the time in s and the number of each gateway that joins later. `ends` has the same of each
-    gateway that ends for good, and whether it announces that."""
+    gateway that ends for good, and whether it announces that.
+    """
 
     seed: int
     seeds: int
@@ -171,7 +172,8 @@
 def play(schedule: MembershipSchedule) -> tuple[World, int]:
     """Plays a schedule; returns the world at its end and the ns that it took to settle.
 
-    Raises `InvariantViolated` if an invariant does not hold."""
+    Raises `InvariantViolated` if an invariant does not hold.
+    """
     world = World(
         schedule.seed,
         schedule.faults.gateways,
--- a/trackspread/testing/virtual/membership/world.py
+++ b/trackspread/testing/virtual/membership/world.py
@@ -197,7 +197,8 @@
         """Returns why the running processes, or the named ones, have not settled, or an empty text.
 
         They have settled when each knows exactly the others as live, all hold one view of exactly these
-        members, and each uses its share of the slots, together all slots."""
+        members, and each uses its share of the slots, together all slots.
+        """
         names = set(among) if among is not None else set(self.running())
         cores = {name: core for name in names if (core := self.processes[name].core) is not None}
         if len(cores) < len(names):
@@ -229,7 +230,8 @@
     ) -> int:
         """Runs until the processes have settled, and returns the ns that this took.
 
-        Raises `InvariantViolated` if it takes longer than `limit_ns`."""
+        Raises `InvariantViolated` if it takes longer than `limit_ns`.
+        """
         start_ns = self.elapsed_ns
         while reason := self.unsettled_reason(among):
             if self.elapsed_ns - start_ns >= limit_ns:
--- a/trackspread/testing/virtual/planning/account.py
+++ b/trackspread/testing/virtual/planning/account.py
@@ -32,7 +32,8 @@
 class LimitAccount:
     """Checks one limit of one tenant; each check returns what is wrong, or an empty text.
 
-    `excess_units` is the largest number of units that were spent beyond the limit."""
+    `excess_units` is the largest number of units that were spent beyond the limit.
+    """
 
     def __init__(self, limit: TenantLimit, now: int) -> None:
         rate, burst = limit.limit
--- a/trackspread/testing/virtual/planning/saturated.py
+++ b/trackspread/testing/virtual/planning/saturated.py
@@ -123,7 +123,8 @@
 def admissible_per_s(world: World, tenant: int) -> float:
     """Returns the requests per second that a perfect planner could admit.
 
-    The planned part follows the demand, and a static share serves the requests of its own forwarder."""
+    The planned part follows the demand, and a static share serves the requests of its own forwarder.
+    """
     settings, weights = world.settings, world.weights[tenant]
     requested = [settings.limit.rate_per_s * settings.load * weight / sum(weights) for weight in weights]
     admissible = sum(requested)
@@ -138,7 +139,8 @@
 def forwarded_parts(world: World, before: list[int], span_ns: int) -> list[float]:
     """Returns the ratio of forwarded to admissible requests in a span, by tenant.
 
-    One request is added, because requests may fall on either side of the span's ends."""
+    One request is added, because requests may fall on either side of the span's ends.
+    """
     return [
         (count.forwarded - earlier + 1) * SECOND / (admissible_per_s(world, tenant) * span_ns)
         for tenant, (count, earlier) in enumerate(zip(world.counts, before, strict=True))
--- a/trackspread/testing/virtual/planning/schedules.py
+++ b/trackspread/testing/virtual/planning/schedules.py
@@ -175,7 +175,8 @@
 def prepare(schedule: PlanningSchedule, label: str) -> World:
     """Returns a world with the schedule's faults on its clock.
 
-    Each fault draws by the label, the seed and its index."""
+    Each fault draws by the label, the seed and its index.
+    """
     world = World(schedule.settings)
     start = world.clock.now
     for number, (at, name) in enumerate(schedule.faults):
--- a/trackspread/testing/virtual/planning/small.py
+++ b/trackspread/testing/virtual/planning/small.py
@@ -191,7 +191,8 @@
 def elected() -> SmallWorld:
     """Returns a world in which the first planner owns the slot and the first forwarder has a lease.
 
-    The planner no longer waits for earlier leases, and no step of the exploration is used up."""
+    The planner no longer waits for earlier leases, and no step of the exploration is used up.
+    """
     world = SmallWorld()
     while world.now < START + ACCEPTED_NS + LEASE_NS + 2 * TERM_NS:
         world.apply("time passes")
--- a/trackspread/testing/virtual/planning/world.py
+++ b/trackspread/testing/virtual/planning/world.py
@@ -56,7 +56,8 @@
 
     `load` is the ratio of a tenant's requests to its quota, and `hard_limit_factor` that of its hard limit to
     its quota. `has_even_traffic` spreads a tenant's traffic evenly over its forwarders. `has_no_faults` says
-    that no message is lost and no process stops, so that quotas are checked as well."""
+    that no message is lost and no process stops, so that quotas are checked as well.
+    """
 
     seed: int
     forwarders: int = 4
@@ -255,7 +256,8 @@
     """Counts the requests of one tenant.
 
     `quota` is charged with forwarded requests. `requested_quota` is charged with the requests that it admits,
-    which `admissible` counts. `beyond` counts the requests forwarded beyond the quota."""
+    which `admissible` counts. `beyond` counts the requests forwarded beyond the quota.
+    """
 
     accounts: tuple[LimitAccount, ...]
     quota: TokenBucket
@@ -275,7 +277,8 @@
 class World:
     """Runs forwarders and planners; callers schedule faults on its `clock`.
 
-    `violations` says what did not hold."""
+    `violations` says what did not hold.
+    """
 
     def __init__(self, settings: WorldSettings) -> None:
         self.settings = settings
@@ -363,7 +366,8 @@
         """Returns the limits that are checked, with their indexes.
 
         With faults, a quota is not checked: a lease that is used further without a planner may be granted
-        again. Such use is counted as beyond the quota."""
+        again. Such use is counted as beyond the quota.
+        """
         accounts = enumerate(self.counts[tenant].accounts)
         return [
             (index, each) for index, each in accounts if self.settings.has_no_faults or not each.limit.is_soft
--- a/trackspread/testing/virtual/quota_accuracy.py
+++ b/trackspread/testing/virtual/quota_accuracy.py
@@ -48,7 +48,8 @@
 class QuotaAccuracy(msgspec.Struct, frozen=True):
     """Holds the results of the gateways' policy and of the stale-state policy in one run.
 
-    `groups` has both results by group of requests."""
+    `groups` has both results by group of requests.
+    """
 
     policy: PolicyResult
     stale: PolicyResult
@@ -98,7 +99,8 @@
     def stale_tokens(self, now: int, gateway: str) -> float:
         """Returns the tokens as a gateway knows them.
 
-        Recent admissions by others are not subtracted; all of the gateway's own are."""
+        Recent admissions by others are not subtracted; all of the gateway's own are.
+        """
         while self.recent and self.recent[0].at <= now - STALENESS_NS:
             self.recent.popleft()
         unseen = sum(each.units for each in self.recent if each.inside and each.gateway != gateway)
--- a/trackspread/testing/virtual/schedules.py
+++ b/trackspread/testing/virtual/schedules.py
@@ -227,7 +227,8 @@
 def play(schedule: Schedule) -> tuple[Verdict, VirtualFleet]:
     """Plays a schedule and returns the verdict and the fleet.
 
-    The same schedule gives the same ledger, to the last entry."""
+    The same schedule gives the same ledger, to the last entry.
+    """
     fleet = VirtualFleet(schedule.scenario, schedule.seed)
     start = fleet.clock.now
     for number, (at, name) in enumerate(schedule.faults):
--- a/trackspread/testing/virtual/slow_start.py
+++ b/trackspread/testing/virtual/slow_start.py
@@ -78,7 +78,8 @@
 def play(seed: int) -> SlowStartRun:
     """Replaces some backends and restarts others under high load, while gateways fail.
 
-    The gateways are killed, restarted and partitioned. The same seed gives the same run."""
+    The gateways are killed, restarted and partitioned. The same seed gives the same run.
+    """
     return _run(seed, _replace_and_return)
 
 
--- a/trackspread/testing/virtual/usage/world.py
+++ b/trackspread/testing/virtual/usage/world.py
@@ -365,7 +365,8 @@
     def unsealed_streams(self) -> list[str]:
         """Returns the streams of ended processes whose length billing does not know.
 
-        A copy of a disk could still add records to them."""
+        A copy of a disk could still add records to them.
+        """
         open_parts = {
             part.id
             for process in self.processes
--- a/trackspread/usage/audit.py
+++ b/trackspread/usage/audit.py
@@ -170,7 +170,8 @@
 class Received(msgspec.Struct, frozen=True, array_like=True):
     """Holds a row of billing's own totals.
 
-    `customer` is the tenant in hexadecimal, `day` counts from 1970-01-01, `units` are billionths."""
+    `customer` is the tenant in hexadecimal, `day` counts from 1970-01-01, `units` are billionths.
+    """
 
     customer: str
     day: int
@@ -233,7 +234,8 @@
 
     Nothing counts as exported, because billing accepts each slot once and its replies set the watermarks.
     Raises `DocumentError` if a newer version of the program wrote a segment, or if segments of one epoch have
-    different nonces."""
+    different nonces.
+    """
     checkpoint = Checkpoint(producer, names=[names])
     for name in files.names():
         if (location := parse_segment_name(name)) is None:
--- a/trackspread/usage/context.py
+++ b/trackspread/usage/context.py
@@ -92,7 +92,8 @@
     def save_checkpoint(self, now: int, on_success: OnSuccess, on_failure: OnFailure) -> Call | None:
         """Returns the call that saves the checkpoint.
 
-        If the checkpoint is too large, calls `on_failure` and returns None."""
+        If the checkpoint is too large, calls `on_failure` and returns None.
+        """
         month_start_ms = self.meter.month_start_ms
         return self.checkpoint_store.save(now, month_start_ms, self._checkpoint_saved, on_success, on_failure)
 
--- a/trackspread/usage/control.py
+++ b/trackspread/usage/control.py
@@ -136,7 +136,8 @@
 def newest(copies: list[bytes]) -> NewestCopy:
     """Returns the newest valid copy; the copies are in the order of `AREAS`.
 
-    Without any copy the folder is new, which is no error."""
+    Without any copy the folder is new, which is no error.
+    """
     best: Checkpoint | None = None
     area, errors, newer = 0, list[str](), False
     for index, data in enumerate(copies):
--- a/trackspread/usage/exporter.py
+++ b/trackspread/usage/exporter.py
@@ -74,7 +74,8 @@
     """Returns the name under which a fenced stream continues from slot `first`.
 
     All processes that have a copy of these records derive the same name, so billing accepts the records once,
-    from whichever process they come."""
+    from whichever process they come.
+    """
     name = f"{stream}:{first}".encode()
     return hashlib.blake2b(name, digest_size=STREAM_ID_BYTES).hexdigest()
 
@@ -239,7 +240,8 @@
         """Moves the watermark back, as billing has lost records, for example by a restore from a backup.
 
         All streams are checked with billing again, and this one from its first slot, because an earlier part
-        of it may have another end by now."""
+        of it may have another end by now.
+        """
         checkpoint.streams[slots.epoch].acked = 0
         for stream in checkpoint.streams.values():
             stream.sealed = False
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -60,7 +60,8 @@
         """Creates a host that does nothing before `start`.
 
         `now` is a clock in ns. Without a `sender` nothing is exported; without `write` nothing is
-        recorded."""
+        recorded.
+        """
         self.ledger = UsageLedger(bounds, names, random.SystemRandom(), write)
         self._folder = folder
         self._now = now
@@ -91,7 +92,8 @@
     ) -> None:
         """Records one request's final answer.
 
-        It is to be called before the answer is written, so that no answer is without a record."""
+        It is to be called before the answer is written, so that no answer is without a record.
+        """
         time_ms = time.time_ns() // NS_PER_MS
         self.ledger.count(
             self._now(),
--- a/trackspread/usage/ledger.py
+++ b/trackspread/usage/ledger.py
@@ -41,7 +41,8 @@
         """Creates a ledger that knows nothing of its folder yet.
 
         `names` are this gateway's. Without `write` nothing is recorded, and the records of earlier
-        incarnations are exported."""
+        incarnations are exported.
+        """
         self.alarms: list[str] = []
         self.last_error = ""
         self.meter = Meter()
@@ -81,7 +82,8 @@
     def journal(self) -> Journal | None:
         """Returns the stream that is written.
 
-        After a failed commit it is the former stream until the next one is declared."""
+        After a failed commit it is the former stream until the next one is declared.
+        """
         return self._recorder.journal
 
     @property
@@ -98,7 +100,8 @@
     def is_all_exported(self) -> bool:
         """Returns whether billing has acknowledged all that earlier incarnations left.
 
-        The acknowledgement must be on the disk too."""
+        The acknowledgement must be on the disk too.
+        """
         is_saved = not (self.exporter.dirty or self.segment_store.dirty)
         is_idle = self.exporter.stage is Stage.IDLE and is_saved and not self._calls.in_progress
         streams = self.checkpoint.streams.values()
--- a/trackspread/usage/maintenance.py
+++ b/trackspread/usage/maintenance.py
@@ -18,7 +18,8 @@
     def next_call(self, now: int, journal: Journal | None) -> Call | None:
         """Returns the next call, or None if none is due.
 
-        `now` is in ns; `journal` is the stream that is written."""
+        `now` is in ns; `journal` is the stream that is written.
+        """
         context = self._context
         is_dirty = context.exporter.dirty or context.segment_store.dirty
         if is_dirty and context.calls.may_start(Purpose.SAVE, now):
--- a/trackspread/usage/meter.py
+++ b/trackspread/usage/meter.py
@@ -53,7 +53,8 @@
     """Holds the sums of one process and stamps its records.
 
     `month_start_ms` is the start of the newest month that has begun. For alarms, `unattributed` counts the
-    requests past `MAX_SUMS`, and `clamped` those that were stamped with the start of the month."""
+    requests past `MAX_SUMS`, and `clamped` those that were stamped with the start of the month.
+    """
 
     def __init__(self) -> None:
         self.month_start_ms = 0
@@ -75,7 +76,8 @@
     def fold(self, record: UsageRecord) -> None:
         """Adds a record to its sum.
 
-        Past `MAX_SUMS`, a record without a sum of its own keeps only its class, plan, ending and day."""
+        Past `MAX_SUMS`, a record without a sum of its own keeps only its class, plan, ending and day.
+        """
         day = record.time_ms // DAY_MS
         key = SumKey(
             record.ending, record.request_class, record.plan, record.plan_version, record.tenant, day
@@ -109,7 +111,8 @@
     def subtract_written(self, record: UsageRecord) -> None:
         """Subtracts a record that `oldest_sum` returned from its sum, as it is in the journal now.
 
-        Attempts beyond `MAX_ATTEMPTS` are not recorded."""
+        Attempts beyond `MAX_ATTEMPTS` are not recorded.
+        """
         key = next(iter(self.sums))
         total = self.sums[key]
         total.requests -= record.requests
--- a/trackspread/usage/recorder.py
+++ b/trackspread/usage/recorder.py
@@ -65,7 +65,8 @@
         """Writes the sums to the journal if the ledger closes or if they have waited long enough.
 
         They are also written if they contain requests that should have had a record of their own and the
-        journal has enough free slots again."""
+        journal has enough free slots again.
+        """
         context = self._context
         if not context.meter.sums:
             return
--- a/trackspread/usage/segments.py
+++ b/trackspread/usage/segments.py
@@ -134,7 +134,8 @@
     def next_step(self, checkpoint: Checkpoint, journal: Journal | None) -> Step | None:
         """Returns the next step that frees space, or None if none is needed.
 
-        `journal` is the stream that is written."""
+        `journal` is the stream that is written.
+        """
         if self._leftover_files:
             return self._remove_oldest(self._leftover_files)
         if len(self._sum_files) > MAX_SUM_FILES:
@@ -180,7 +181,8 @@
         """Handles the failure of the last step's call.
 
         If the disk has no space for the totals, the segment is removed without them; any other step is
-        retried."""
+        retried.
+        """
         removal = self._removal
         if removal is None or removal.totals is None or removal.totals_done:
             return
--- a/trackspread/usage/senders.py
+++ b/trackspread/usage/senders.py
@@ -54,7 +54,8 @@
 class Target:
     """Holds billing's address from the operator's file.
 
-    `secret` signs the batches; `ca` is the file with billing's certificate authority."""
+    `secret` signs the batches; `ca` is the file with billing's certificate authority.
+    """
 
     url: str
     secret: bytes = b""
@@ -74,14 +75,16 @@
 def make_configured_sender(url: str, secret: str, ca: str) -> Sender:
     """Returns the sender for the operator's settings; raises `OSError` and `ValueError`.
 
-    `secret` and `ca` are paths, or empty."""
+    `secret` and `ca` are paths, or empty.
+    """
     return make_sender(Target(url, Path(secret).read_bytes().strip() if secret else b"", ca))
 
 
 class HttpSender:
     """Sends each batch by POST on a connection of its own.
 
-    Batches are rare, and a restart then leaves no connection half open."""
+    Batches are rare, and a restart then leaves no connection half open.
+    """
 
     def __init__(self, target: Target) -> None:
         parts = urlsplit(target.url)
--- a/trackspread/usage/totals.py
+++ b/trackspread/usage/totals.py
@@ -26,7 +26,8 @@
 class SegmentTotals(msgspec.Struct, frozen=True):
     """Holds the totals of one segment, which has slots `first` to `last` of a stream.
 
-    `bad` is the number of slots that could not be read."""
+    `bad` is the number of slots that could not be read.
+    """
 
     epoch: int
     first: int
