--- a/benchmarks/scale/hollow_fleet.py
+++ b/benchmarks/scale/hollow_fleet.py
@@ -92,7 +92,10 @@
         return max((each.at for each in replies if isinstance(each, Done)), default=time.monotonic_ns())
 
     async def cut(self, regions: Iterable[int]) -> int:
-        """Cuts these regions off, or ends the partition if there are none; returns when all did so, in ns."""
+        """Cuts these regions off from all others in all processes; without regions, ends the partition.
+
+        Returns the time in ns at which the last hollow process had done so.
+        """
         replies = await self._all(Cut(tuple(regions)))
         return max(each.at for each in replies if isinstance(each, Done))
 
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -265,9 +265,10 @@
 
 
 def put_limits(report: Report, full: bool) -> None:
-    """Adds whether each limit is kept, or null if it was not measured.
+    """Adds to the report whether each limit is kept, or null if the limited figure was not measured.
 
-    If cells were not measured, the figures are those of the flat view.
+    If no cells were measured, the report's own figures are first set to those of the flat view, which has
+    all gateways in one view.
     """
     if report.mechanism == "flat":
         for name in AtSize.__struct_fields__:
--- a/tests/cells/test_directory.py
+++ b/tests/cells/test_directory.py
@@ -131,7 +131,10 @@
 
 
 def test_new_leader_learns_cells_before_it_opens_any() -> None:
-    """It learns cells from seeds' reports or from their gateways' requests while it rebuilds."""
+    """While a new leader rebuilds its directory, it learns cells from their seeds or gateways.
+
+    Seeds are the control machines that report a cell; gateways name it in their placement requests.
+    """
     fleet = SimulatedGateways(Directory(0, EPOCH, POLICY, MACHINES), 1)
     assert fleet.request("new") is None, "the cells of other gateways are not known yet"
     held = Placement((16, 0, 9), cell())
--- a/trackspread/decide/quota/owner_sharing.py
+++ b/trackspread/decide/quota/owner_sharing.py
@@ -72,9 +72,10 @@
         return plan.burst_units * (UNKNOWN_TOKENS_PART if is_unknown else 1.0)
 
     def initial_hard_limit_tokens(self, now: int, account: TenantAccount) -> float:
-        """Returns the owner's part of the slack plus what a predecessor certainly left of its part.
+        """Returns the units in the hard limit's bucket of a new tenant: 0.0 unless this gateway is its owner.
 
-        Other gateways get 0.0."""
+        The owner gets its part of the slack, plus the units that the previous owner (another gateway or an
+        earlier process here) certainly left unspent of its part. Both are multiplied by the local share."""
         if not self.is_local(account):
             return 0.0
         plan = account.plan
--- a/trackspread/distribution/messages.py
+++ b/trackspread/distribution/messages.py
@@ -130,9 +130,9 @@
 
 
 class Poll(Body, frozen=True):
-    """Requests the changes that are newer than `version`, or the next pieces of a snapshot after `cursor`.
+    """Asks a replica for configuration changes newer than `version`, or for snapshot pieces after `cursor`.
 
-    `subscription` is a digest; 0 stands for all services.
+    `subscription` is the digest of the services whose configuration is wanted; 0 stands for all services.
     """
 
     number: int
--- a/trackspread/testing/standins/scenario.py
+++ b/trackspread/testing/standins/scenario.py
@@ -133,7 +133,7 @@
         return next(each.work_ns for each in self.classes if each.name == cls)
 
     def idempotency(self, cls: str) -> Idempotency:
-        """Returns the idempotency of a class's requests."""
+        """Returns whether requests of this request class are safe, keyed or unsafe to repeat."""
         return next(each.idempotency for each in self.classes if each.name == cls)
 
     def rule_parameters(self) -> RuleParameters:
--- a/trackspread/testing/standins/settings.py
+++ b/trackspread/testing/standins/settings.py
@@ -40,8 +40,9 @@
 ) -> dict[str, Any]:
     """Returns the settings of one plan.
 
-    `hard_limit` has the rate (units/s), burst and slack (units). `excess_cost` is the cost of a unit beyond
-    the quota, as a multiple of its value.
+    `hard_limit` has the rate (units/s), the burst (units) and the slack (units), by which the bucket may be
+    overdrawn. `excess_cost` is what a unit forwarded beyond the quota costs, as a multiple of the unit's
+    priority weight.
     """
     return {
         "name": name,
--- a/trackspread/testing/virtual/planning/schedules.py
+++ b/trackspread/testing/virtual/planning/schedules.py
@@ -173,9 +173,9 @@
 
 
 def prepare(schedule: PlanningSchedule, label: str) -> World:
-    """Returns a world with the schedule's faults on its clock.
+    """Returns a world whose clock will inject the schedule's faults at their times.
 
-    Each fault draws by the label, the seed and its index."""
+    Each fault gets a random generator seeded with the label, the schedule's seed and the fault's index."""
     world = World(schedule.settings)
     start = world.clock.now
     for number, (at, name) in enumerate(schedule.faults):
--- a/trackspread/usage/host.py
+++ b/trackspread/usage/host.py
@@ -161,7 +161,7 @@
         except OSError as error:
             exporter.send_failed(self._now(), f"billing can't be reached: {error.strerror or error}")
         except Exception as error:
-            log.exception("use: sending a batch to billing failed")
+            log.exception("use: sending a batch of usage records to billing failed, retried after a pause")
             exporter.send_failed(self._now(), str(error))
         else:
             if exporter.stage is Stage.SENT:
